--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command drill runs Balancers on the simulator's wire: one for each instance, sharing nothing.
+// Command simadapter runs Balancers on the simulator's wire: one for each instance, sharing nothing.
 package main
 
 import (
@@ -8,20 +8,20 @@
 	"io"
 	"os"
 
-	"tulipglade"
-	"tulipglade/internal/wire"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/simprotocol"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintf(os.Stderr, "drill: %v\n", err)
+		fmt.Fprintf(os.Stderr, "simadapter: %v\n", err)
 		os.Exit(1)
 	}
 }
 
 func run(in io.Reader, out io.Writer) error {
-	reader, w := wire.NewReader(bufio.NewReaderSize(in, 1<<16)), &wire.Writer{}
-	live := map[uint32]*tulipglade.Balancer{}
+	reader, w := simprotocol.NewReader(bufio.NewReaderSize(in, 1<<16)), &simprotocol.Writer{}
+	live := map[uint32]*balancer.Balancer{}
 	for {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -42,21 +42,21 @@
 }
 
 // step hands one event to its instance; a panic in the module becomes a Fault.
-func step(live map[uint32]*tulipglade.Balancer, w *wire.Writer, now tulipglade.Time, ev *wire.Event) error {
+func step(live map[uint32]*balancer.Balancer, w *simprotocol.Writer, now balancer.Time, ev *simprotocol.Event) error {
 	defer func() {
 		if p := recover(); p != nil {
 			w.Fault(ev.Instance, fmt.Sprint(p))
 		}
 	}()
-	if ev.Code == wire.PowerOn {
-		b, err := tulipglade.New(ev.Config, ev.Seed, wire.Instance{W: w, ID: ev.Instance})
+	if ev.Code == simprotocol.PowerOn {
+		b, err := balancer.New(ev.Config, ev.Seed, simprotocol.Instance{W: w, ID: ev.Instance})
 		if err != nil {
 			return err
 		}
 		live[ev.Instance] = b
 		return nil
 	}
-	if ev.Code == wire.Detach {
+	if ev.Code == simprotocol.Detach {
 		delete(live, ev.Instance)
 		return nil
 	}
@@ -65,24 +65,24 @@
 		return fmt.Errorf("instance %d was never started", ev.Instance)
 	}
 	switch ev.Code {
-	case wire.Members:
+	case simprotocol.Members:
 		b.Members(now, ev.List, ev.Hosts)
-	case wire.Request:
+	case simprotocol.Request:
 		if n := ev.Arrival.Class; n >= len(b.Config().Classes) {
 			return fmt.Errorf("record Request: class %d is not in the settings", n)
 		}
 		b.Request(now, ev.Arrival)
-	case wire.Streaming:
+	case simprotocol.Streaming:
 		b.Streaming(now, ev.Settled.ID)
-	case wire.Settled:
+	case simprotocol.Settled:
 		b.Settled(now, ev.Settled)
-	case wire.Gone:
+	case simprotocol.Gone:
 		b.Gone(now, ev.Settled.ID)
-	case wire.Elapsed:
+	case simprotocol.Elapsed:
 		b.Wake(now, ev.Token)
-	case wire.Check:
+	case simprotocol.Check:
 		b.Checked(now, ev.Settled.Host, ev.Settled.Outcome, ev.Settled.Took, ev.Settled.Report)
-	case wire.Peer:
+	case simprotocol.Peer:
 		b.Peer(now, ev.From, ev.Data)
 	}
 	return nil
--- a/cmd/drill/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"tulipglade"
-	"tulipglade/internal/wire"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/simprotocol"
 )
 
 func batch(recs []byte, tail string) []byte {
@@ -21,7 +21,7 @@
 
 func powerOn(settings string) []byte {
 	rec := make([]byte, 48)
-	rec[0] = wire.PowerOn
+	rec[0] = simprotocol.PowerOn
 	binary.BigEndian.PutUint32(rec[17:], uint32(len(settings)))
 	return rec
 }
@@ -34,7 +34,7 @@
 }
 
 func TestBadInputExitsWithOnePlainLine(t *testing.T) {
-	bin := t.TempDir() + "/drill"
+	bin := t.TempDir() + "/simadapter"
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
@@ -42,7 +42,7 @@
 	for name, in := range map[string][]byte{
 		"short":               []byte("abc"),
 		"no classes":          batch(powerOn(none), none),
-		"an unknown instance": batch(append([]byte{wire.Elapsed}, make([]byte, 47)...), ""),
+		"an unknown instance": batch(append([]byte{simprotocol.Elapsed}, make([]byte, 47)...), ""),
 	} {
 		cmd := exec.Command(bin)
 		cmd.Stdin = bytes.NewReader(in)
@@ -52,23 +52,23 @@
 		if e, ok := err.(*exec.ExitError); !ok || e.ExitCode() != 1 {
 			t.Errorf("%s: %v, want exit status 1", name, err)
 		}
-		if got := stderr.String(); strings.Count(got, "\n") != 1 || !strings.HasPrefix(got, "drill: ") {
+		if got := stderr.String(); strings.Count(got, "\n") != 1 || !strings.HasPrefix(got, "simadapter: ") {
 			t.Errorf("%s: standard error %q", name, got)
 		}
 	}
 }
 
 func TestPanicBecomesFault(t *testing.T) {
-	w := &wire.Writer{}
-	live := map[uint32]*tulipglade.Balancer{7: {}} // no settings: the module divides by its tenants
-	ev := wire.Event{Code: wire.Settled, Instance: 7}
+	w := &simprotocol.Writer{}
+	live := map[uint32]*balancer.Balancer{7: {}} // no settings: the module divides by its tenants
+	ev := simprotocol.Event{Code: simprotocol.Settled, Instance: 7}
 	if err := step(live, w, 1, &ev); err != nil {
 		t.Fatal(err)
 	}
 	live[7] = nil
 	_ = w.Flush(&bytes.Buffer{})
-	broken := wire.Event{Code: wire.Members, Instance: 7, Hosts: []tulipglade.Host{{ID: 1, Phase: tulipglade.PhaseReady}}}
-	live[7] = &tulipglade.Balancer{}
+	broken := simprotocol.Event{Code: simprotocol.Members, Instance: 7, Hosts: []balancer.Host{{ID: 1, Phase: balancer.PhaseReady}}}
+	live[7] = &balancer.Balancer{}
 	if err := step(live, w, 1, &broken); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/tulipagent/main.go
+++ b/cmd/tulipagent/main.go
@@ -16,8 +16,8 @@
 	"github.com/urfave/cli/v3"
 
 	"tulipglade/internal/agent"
+	"tulipglade/internal/consensus"
 	"tulipglade/internal/failover"
-	"tulipglade/internal/group"
 	"tulipglade/internal/lease"
 	"tulipglade/internal/tomlfile"
 )
@@ -75,7 +75,7 @@
 	case terms.Drift < 0 || terms.Drift > 0.2:
 		return fmt.Errorf("--drift: %g is not within 0 and 0.2", terms.Drift)
 	}
-	kept, err := group.Founded(members, terms)
+	kept, err := consensus.Founded(members, terms)
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 	if cmd.Uint64("id") == 0 {
 		return errors.New("--id: it must be above 0")
 	}
-	return agent.Make(cmd.String("dir"), agent.Identity{Group: cmd.String("group"), ID: cmd.Uint64("id"), Address: address}, group.Joining())
+	return agent.Make(cmd.String("dir"), agent.Identity{Group: cmd.String("group"), ID: cmd.Uint64("id"), Address: address}, consensus.Joining())
 }
 
 func serve(ctx context.Context, cmd *cli.Command) error {
--- a/cmd/tulipctl/failover.go
+++ b/cmd/tulipctl/failover.go
@@ -6,15 +6,15 @@
 
 	"github.com/urfave/cli/v3"
 
-	"tulipglade/internal/lab/failovers"
+	"tulipglade/internal/simulation/failoversim"
 )
 
 func labFailover(ctx context.Context, cmd *cli.Command) error {
-	n, without, err := part(cmd, map[string]failovers.Without{"": {}, "token": {Token: true}, "rate": {Rate: true}, "fade": {Fade: true}, "plans": {Plans: true}})
+	n, without, err := part(cmd, map[string]failoversim.Without{"": {}, "token": {Token: true}, "rate": {Rate: true}, "fade": {Fade: true}, "plans": {Plans: true}})
 	if err != nil {
 		return err
 	}
-	o, err := failovers.Many(ctx, cmd.Uint64("seed"), n, without)
+	o, err := failoversim.Many(ctx, cmd.Uint64("seed"), n, without)
 	if err != nil {
 		return err
 	}
--- a/cmd/tulipctl/lab.go
+++ b/cmd/tulipctl/lab.go
@@ -14,12 +14,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/urfave/cli/v3"
 
-	"tulipglade/internal/lab/experiment"
-	"tulipglade/internal/lab/leases"
-	"tulipglade/internal/lab/plots"
-	"tulipglade/internal/lab/policy"
-	"tulipglade/internal/lab/scenario"
-	"tulipglade/internal/lab/world"
+	"tulipglade/internal/simulation/emulator"
+	"tulipglade/internal/simulation/experiment"
+	"tulipglade/internal/simulation/leasesim"
+	"tulipglade/internal/simulation/plots"
+	"tulipglade/internal/simulation/policy"
+	"tulipglade/internal/simulation/scenario"
 )
 
 func labCommand() *cli.Command {
@@ -166,9 +166,9 @@
 	if err != nil {
 		return err
 	}
-	var results []*world.Result
+	var results []*emulator.Result
 	broken := 0
-	logged := func(w *world.World) {
+	logged := func(w *emulator.World) {
 		if cmd.Bool("log") {
 			w.Log = func(at int64, node int, text string) {
 				fmt.Fprintf(cmd.Root().ErrWriter, "%.6f node %d: %s\n", float64(at)/1e6, node, text)
@@ -209,7 +209,7 @@
 	return nil
 }
 
-func printResults(cmd *cli.Command, results []*world.Result) error {
+func printResults(cmd *cli.Command, results []*emulator.Result) error {
 	out := cmd.Root().Writer
 	r := results[0]
 	fmt.Fprintf(out, "%s, seed %d: %d calls, fleet capacity %.0f calls/s\n", r.Scenario, r.Seed, r.Calls, r.Capacity)
@@ -239,7 +239,7 @@
 	return nil
 }
 
-func brokenText(r *world.Result) string {
+func brokenText(r *emulator.Result) string {
 	if len(r.Broken) == 0 {
 		return "none"
 	}
@@ -449,7 +449,7 @@
 }
 
 func labLeases(ctx context.Context, cmd *cli.Command) error {
-	n, without, err := part(cmd, map[string]leases.Without{"": {}, "guard": {Guard: true}, "fence": {Fence: true}, "clock": {Clock: true}, "free": {Free: true},
+	n, without, err := part(cmd, map[string]leasesim.Without{"": {}, "guard": {Guard: true}, "fence": {Fence: true}, "clock": {Clock: true}, "free": {Free: true},
 		"sync": {Sync: true}})
 	if err != nil {
 		return err
@@ -458,7 +458,7 @@
 	if members < 0 || members > 9 || members == 0 && without.Sync {
 		return fmt.Errorf("leases: --members: %d: 1 to 9, or 0 for none; a disk only members have", members)
 	}
-	o, took, err := leases.Many(ctx, cmd.Uint64("seed"), n, without, members)
+	o, took, err := leasesim.Many(ctx, cmd.Uint64("seed"), n, without, members)
 	if err != nil {
 		return err
 	}
--- a/cmd/tulipctl/lease.go
+++ b/cmd/tulipctl/lease.go
@@ -15,9 +15,9 @@
 	"github.com/urfave/cli/v3"
 
 	"tulipglade/internal/agent"
-	"tulipglade/internal/group"
+	"tulipglade/internal/consensus"
+	"tulipglade/internal/deadlineexec"
 	"tulipglade/internal/lease"
-	"tulipglade/internal/leash"
 )
 
 func agentsFlag() cli.Flag {
@@ -116,7 +116,7 @@
 	if len(args) < 2 {
 		return errors.New("lease run: NAME -- COMMAND, please")
 	}
-	if least := 2*leash.Term + margin; cmd.Duration("for") < least {
+	if least := 2*deadlineexec.Term + margin; cmd.Duration("for") < least {
 		return fmt.Errorf("--for: %v is below %v", cmd.Duration("for"), least)
 	}
 	within, again := cmd.Duration("within"), time.Duration(0)
@@ -132,7 +132,7 @@
 	}
 	err = underLease(ctx, cmd, l, nil, args[1:])
 	let(ctx, cmd, l, within)
-	if errors.Is(err, leash.ErrKilled) {
+	if errors.Is(err, deadlineexec.ErrKilled) {
 		why := l.Reason()
 		if ctx.Err() != nil {
 			why = errors.New("interrupted")
@@ -162,7 +162,7 @@
 func underLease(ctx context.Context, cmd *cli.Command, l *agent.Lease, env, args []string) error {
 	g, _ := l.Grant()
 	till := func() time.Duration { return agent.Clock() + l.Left() - margin }
-	p, err := leash.Start(till(), append(append(os.Environ(), "TULIP_LEASE="+g.Name, fmt.Sprint("TULIP_LEASE_SEAT=", g.Seat),
+	p, err := deadlineexec.Start(till(), append(append(os.Environ(), "TULIP_LEASE="+g.Name, fmt.Sprint("TULIP_LEASE_SEAT=", g.Seat),
 		fmt.Sprint("TULIP_LEASE_TOKEN=", g.Token)), env...), cmd.Root().Writer, cmd.Root().ErrWriter, args...)
 	if err != nil {
 		return err
@@ -233,7 +233,7 @@
 	type line struct {
 		Address string `json:"address"`
 		Error   string `json:"error,omitempty"`
-		group.View
+		consensus.View
 	}
 	var all []line
 	led, of := 0, 0
--- a/cmd/tulipctl/load.go
+++ b/cmd/tulipctl/load.go
@@ -17,12 +17,12 @@
 
 	"github.com/urfave/cli/v3"
 
-	"tulipglade/internal/lab/plots"
-	"tulipglade/internal/lab/scenario"
-	"tulipglade/internal/lab/world"
+	"tulipglade/internal/fake"
 	"tulipglade/internal/load"
 	"tulipglade/internal/loopback"
-	"tulipglade/internal/standin"
+	"tulipglade/internal/simulation/emulator"
+	"tulipglade/internal/simulation/plots"
+	"tulipglade/internal/simulation/scenario"
 )
 
 func loadCommand() *cli.Command {
@@ -81,9 +81,9 @@
 		return load.Plan{}, fmt.Errorf("%s: %w", name, err)
 	}
 	seed := cmd.Uint64("seed")
-	live := world.NewLive(sc, seed, quiet{})
+	live := emulator.NewLive(sc, seed, quiet{})
 	return load.Plan{Scenario: sc, Seed: seed, Targets: cmd.StringSlice("target"), Conns: cmd.Int("conns"), Lag: cmd.Duration("lag"),
-		Capacity: live.Capacity(), Faults: world.Faults(sc, seed)}, nil
+		Capacity: live.Capacity(), Faults: emulator.Faults(sc, seed)}, nil
 }
 
 // create opens a file to be written, gzipped if its name says so; done closes it.
@@ -338,7 +338,7 @@
 	if err != nil {
 		return err
 	}
-	n, err := standin.Trace(in, w, sc)
+	n, err := fake.Trace(in, w, sc)
 	if err := errors.Join(err, done()); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
@@ -347,7 +347,7 @@
 }
 
 func loadNull(ctx context.Context, cmd *cli.Command) error {
-	n, err := standin.StartNull(cmd.String("listen"), nil, nil)
+	n, err := fake.StartNull(cmd.String("listen"), nil, nil)
 	if err != nil {
 		return err
 	}
@@ -370,7 +370,7 @@
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.MaxIdleConnsPerHost, transport.MaxIdleConns = 1024, 4096
 	proxy := &httputil.ReverseProxy{Transport: transport, Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(boxes[rand.IntN(len(boxes))]) }}
-	ln, err := standin.Listen(listen)
+	ln, err := fake.Listen(listen)
 	if err != nil {
 		return err
 	}
@@ -387,6 +387,6 @@
 }
 
 // quiet hears nothing: it is for reading figures off a fleet that is not played.
-type quiet struct{ world.Effects }
+type quiet struct{ emulator.Effects }
 
-func (quiet) Listed(world.Line) {}
+func (quiet) Listed(emulator.Line) {}
--- a/cmd/tulipctl/main.go
+++ b/cmd/tulipctl/main.go
@@ -19,8 +19,8 @@
 	"golang.org/x/term"
 
 	"tulipglade/internal/agent"
-	"tulipglade/internal/leash"
-	"tulipglade/internal/rig"
+	"tulipglade/internal/deadlineexec"
+	"tulipglade/internal/processtest"
 )
 
 // What the program exits with.
@@ -43,8 +43,8 @@
 func no(format string, args ...any) error { return &answer{exitNo, fmt.Errorf(format, args...)} }
 
 func main() {
-	leash.Role(agent.Clock)
-	rig.Role()
+	deadlineexec.Role(agent.Clock)
+	processtest.Role()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	os.Exit(run(ctx, os.Args, os.Stdout, os.Stderr))
--- a/cmd/tulipctl/main_test.go
+++ b/cmd/tulipctl/main_test.go
@@ -10,12 +10,12 @@
 	"github.com/rogpeppe/go-internal/testscript"
 
 	"tulipglade/internal/agent"
-	"tulipglade/internal/leash"
-	"tulipglade/internal/standin"
+	"tulipglade/internal/deadlineexec"
+	"tulipglade/internal/fake"
 )
 
 func TestMain(m *testing.M) {
-	leash.Role(agent.Clock)
+	deadlineexec.Role(agent.Clock)
 	testscript.Main(m, map[string]func(){
 		"tulipctl": func() { os.Exit(run(context.Background(), os.Args, os.Stdout, os.Stderr)) },
 		// status COMMAND... prints the exit status of tulipctl, so that a script can tell 1 from 2.
@@ -39,7 +39,7 @@
 func TestScripts(t *testing.T) {
 	node := buildNode(t)
 	testscript.Run(t, testscript.Params{Dir: "testdata/script", Setup: func(env *testscript.Env) error {
-		addrs, err := standin.FreeAddrs(1)
+		addrs, err := fake.FreeAddrs(1)
 		if err != nil {
 			return err
 		}
--- a/cmd/tulipctl/processes.go
+++ b/cmd/tulipctl/processes.go
@@ -11,21 +11,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/urfave/cli/v3"
 
-	"tulipglade/internal/faults"
-	"tulipglade/internal/lab/experiment"
-	"tulipglade/internal/rig"
+	"tulipglade/internal/faultinject"
+	"tulipglade/internal/processtest"
+	"tulipglade/internal/simulation/experiment"
 )
 
 // played is what schedules between processes have shown, together.
 type played struct {
-	rig.Found
+	processtest.Found
 	Schedules int    `json:"schedules"`
 	Idle      int    `json:"idle"`
 	First     uint64 `json:"first,omitempty"` // that broke something
 }
 
 func labProcesses(ctx context.Context, cmd *cli.Command) error {
-	n, without, err := part(cmd, map[string]rig.Without{"": {}, "guard": {Guard: true}, "fence": {Fence: true}, "sync": {Sync: true}})
+	n, without, err := part(cmd, map[string]processtest.Without{"": {}, "guard": {Guard: true}, "fence": {Fence: true}, "sync": {Sync: true}})
 	if err != nil {
 		return err
 	}
@@ -37,13 +37,13 @@
 	all := played{}
 	show, done := progress(cmd.Root().ErrWriter, "processes"), 0
 	var failed error
-	err = rig.Schedules(ctx, cmd.Uint64("seed"), n, atOnce, without, func(seed uint64, f rig.Found, err error) {
+	err = processtest.Schedules(ctx, cmd.Uint64("seed"), n, atOnce, without, func(seed uint64, f processtest.Found, err error) {
 		all.Schedules++
 		for i := range f.Broken {
 			f.Broken[i] = fmt.Sprintf("schedule %d: %s", seed, f.Broken[i])
 		}
 		all.Add(f)
-		if errors.Is(err, rig.ErrIdle) {
+		if errors.Is(err, processtest.ErrIdle) {
 			all.Idle++
 		} else if err != nil {
 			failed = errors.Join(failed, fmt.Errorf("schedule %d: %w", seed, err))
@@ -91,8 +91,8 @@
 		}
 	}
 	if cmd.Bool("shrink") && all.First > 0 {
-		least := experiment.DDMin(rig.Faults(all.First), func(list []faults.Fault) bool {
-			fails, err := rig.Fails(ctx, all.First, without, list, 3)
+		least := experiment.DDMin(processtest.Faults(all.First), func(list []faultinject.Fault) bool {
+			fails, err := processtest.Fails(ctx, all.First, without, list, 3)
 			failed = errors.Join(failed, err)
 			return fails && failed == nil
 		})
@@ -115,12 +115,12 @@
 	if elections < 1 || holders < 1 || cmd.Duration("length") < time.Second {
 		return errors.New("agents: --elections and --holders must be above 0, --length 1s at least")
 	}
-	var all []rig.Measured
+	var all []processtest.Measured
 	for _, n := range cmd.IntSlice("members") {
 		if n < 1 || n > 9 {
 			return fmt.Errorf("agents: --members: %d is not within 1 and 9", n)
 		}
-		m, err := rig.Measure(ctx, n, elections, holders, cmd.Duration("length"))
+		m, err := processtest.Measure(ctx, n, elections, holders, cmd.Duration("length"))
 		if err != nil {
 			return err
 		}
--- a/cmd/tulipctl/roll.go
+++ b/cmd/tulipctl/roll.go
@@ -14,7 +14,7 @@
 
 	"tulipglade/internal/agent"
 	"tulipglade/internal/lease"
-	"tulipglade/internal/roll"
+	"tulipglade/internal/rollout"
 	"tulipglade/internal/tomlfile"
 )
 
@@ -42,7 +42,7 @@
 	args []string
 	http *http.Client
 	mu   sync.Mutex // of the notes, which are to arrive in order
-	roll *roll.Roll
+	roll *rollout.Roll
 }
 
 func rollRun(ctx context.Context, cmd *cli.Command) error {
@@ -54,7 +54,7 @@
 		return fmt.Errorf("--at-once: %d is below 1", cmd.Int("at-once"))
 	}
 	var fleet struct {
-		Node []roll.Node `toml:"node"`
+		Node []rollout.Node `toml:"node"`
 	}
 	if err := tomlfile.Load(cmd.String("nodes"), &fleet); err != nil {
 		return fmt.Errorf("--nodes: %w", err)
@@ -62,7 +62,7 @@
 	if url.QueryEscape(cmd.String("lease")) != cmd.String("lease") {
 		return fmt.Errorf("--lease: %q does not go into a node's call as it is", cmd.String("lease"))
 	}
-	if _, err := roll.New(fleet.Node, cmd.Int("at-once"), cmd.String("change"), ""); err != nil {
+	if _, err := rollout.New(fleet.Node, cmd.Int("at-once"), cmd.String("change"), ""); err != nil {
 		return fmt.Errorf("%s: %w", cmd.String("nodes"), err)
 	}
 	c := agent.NewClient(cmd.StringSlice("agents"), nil)
@@ -82,7 +82,7 @@
 		return no("roll: %v", err)
 	}
 	r := &roller{cmd: cmd, l: l, args: args, http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}}
-	if r.roll, err = roll.New(fleet.Node, cmd.Int("at-once"), cmd.String("change"), note); err != nil {
+	if r.roll, err = rollout.New(fleet.Node, cmd.Int("at-once"), cmd.String("change"), note); err != nil {
 		return no("roll: %v; finish that first, or end it: tulipctl lease note %s \"\"", err, cmd.String("lease"))
 	}
 	// Nodes that are done learn of this holder, so that they refuse the one before, should it go on.
@@ -118,7 +118,7 @@
 // all goes on until there is nothing left to do, or something has failed.
 func (r *roller) all(ctx context.Context, of int) error {
 	type end struct {
-		roll.Task
+		rollout.Task
 		err error
 	}
 	ends := make(chan end)
@@ -180,27 +180,27 @@
 }
 
 // one takes one node through what is left of its steps.
-func (r *roller) one(ctx context.Context, t roll.Task) error {
+func (r *roller) one(ctx context.Context, t rollout.Task) error {
 	fmt.Fprintf(r.cmd.Root().Writer, "%s: %s%s\n", t.Name, t.Step, map[bool]string{true: ", taken over"}[t.Again])
 	step := t.Step
-	if t.Again && step == roll.Change {
-		if step = r.whereItStands(ctx, t.Node); step == roll.Back {
+	if t.Again && step == rollout.Change {
+		if step = r.whereItStands(ctx, t.Node); step == rollout.Back {
 			fmt.Fprintf(r.cmd.Root().Writer, "%s: it has had the command\n", t.Name)
 		}
 	}
-	if step == roll.Standby {
+	if step == rollout.Standby {
 		if err := r.put(ctx, t.Node, "standby"); err != nil && !t.Again { // of one that died meanwhile the command makes a new one
 			return err
 		}
 		if err := pause(ctx, r.cmd.Duration("settle")); err != nil {
 			return err
 		}
-		if err := r.note(ctx, func() { r.roll.Reached(t.Name, roll.Change) }); err != nil {
+		if err := r.note(ctx, func() { r.roll.Reached(t.Name, rollout.Change) }); err != nil {
 			return err
 		}
-		step = roll.Change
+		step = rollout.Change
 	}
-	if step == roll.Change {
+	if step == rollout.Change {
 		if _, err := r.l.Begin(0); err != nil {
 			return err
 		}
@@ -208,7 +208,7 @@
 			"TULIP_LISTEN=" + t.Listen}, r.args); err != nil {
 			return fmt.Errorf("command: %w", err)
 		}
-		if err := r.note(ctx, func() { r.roll.Reached(t.Name, roll.Back) }); err != nil {
+		if err := r.note(ctx, func() { r.roll.Reached(t.Name, rollout.Back) }); err != nil {
 			return err
 		}
 	}
@@ -224,20 +224,20 @@
 }
 
 // whereItStands finds out whether a node has had the command whose caller died: a standby does not outlive the process.
-func (r *roller) whereItStands(ctx context.Context, n roll.Node) roll.Step {
+func (r *roller) whereItStands(ctx context.Context, n rollout.Node) rollout.Step {
 	for range 100 { // what has just been started needs its list of backends first
 		switch {
 		case !r.yes(ctx, "GET", "http://"+n.Operator+"/status"):
 		case r.yes(ctx, "GET", "http://"+n.Listen+"/ready"):
-			return roll.Back
+			return rollout.Back
 		default:
-			return roll.Change
+			return rollout.Change
 		}
 		if pause(ctx, 50*time.Millisecond) != nil {
 			break
 		}
 	}
-	return roll.Change
+	return rollout.Change
 }
 
 func pause(ctx context.Context, d time.Duration) error {
@@ -269,7 +269,7 @@
 }
 
 // put makes an operator's call under the lease; it is repeated for a while where the node does not answer.
-func (r *roller) put(ctx context.Context, n roll.Node, what string) error {
+func (r *roller) put(ctx context.Context, n rollout.Node, what string) error {
 	var last error
 	for range 5 {
 		g, err := r.l.Begin(callWithin)
--- a/cmd/tulipctl/survey_test.go
+++ b/cmd/tulipctl/survey_test.go
@@ -4,10 +4,10 @@
 	"strings"
 	"testing"
 
-	"tulipglade/internal/clients"
-	"tulipglade/internal/lab/scenario"
-	"tulipglade/internal/lab/world"
 	"tulipglade/internal/load"
+	"tulipglade/internal/simulation/emulator"
+	"tulipglade/internal/simulation/scenario"
+	"tulipglade/internal/workload"
 )
 
 // A dozen deployments that nobody has seen, as processes of the real program behind a front, on sockets: every call ends, most
@@ -27,8 +27,8 @@
 		if err := sc.Check(); err != nil {
 			t.Fatal(err)
 		}
-		live := world.NewLive(sc, seed, quiet{})
-		sc.Seconds, sc.WarmUp, sc.Load.PerS = 2, 0, min(60, sc.Load.Level*live.Capacity()*1e6/clients.MeanWork(sc))
+		live := emulator.NewLive(sc, seed, quiet{})
+		sc.Seconds, sc.WarmUp, sc.Load.PerS = 2, 0, min(60, sc.Load.Level*live.Capacity()*1e6/workload.MeanWork(sc))
 		t.Run(strings.Join(d.Turned(), "; "), func(t *testing.T) {
 			f, err := startWorld(t.Context(), sc, seed, nil, node, t.TempDir(), nil)
 			if err != nil {
--- a/cmd/tulipctl/world.go
+++ b/cmd/tulipctl/world.go
@@ -11,11 +11,11 @@
 
 	"github.com/urfave/cli/v3"
 
-	"tulipglade/internal/lab/plots"
-	"tulipglade/internal/lab/scenario"
-	"tulipglade/internal/lab/world"
+	"tulipglade/internal/fake"
 	"tulipglade/internal/load"
-	"tulipglade/internal/standin"
+	"tulipglade/internal/simulation/emulator"
+	"tulipglade/internal/simulation/plots"
+	"tulipglade/internal/simulation/scenario"
 )
 
 func worldCommand() *cli.Command {
@@ -58,8 +58,8 @@
 
 // fleet is a world with its nodes.
 type fleet struct {
-	w     *standin.World
-	procs *standin.Processes
+	w     *fake.World
+	procs *fake.Processes
 	ready chan int
 	done  func() error
 }
@@ -69,7 +69,7 @@
 	own := len(nodes) == 0
 	if own {
 		var err error
-		if nodes, err = standin.FreeAddrs(sc.Nodes.Count); err != nil {
+		if nodes, err = fake.FreeAddrs(sc.Nodes.Count); err != nil {
 			return nil, err
 		}
 	} else if len(nodes) != sc.Nodes.Count {
@@ -77,7 +77,7 @@
 	}
 	f := &fleet{ready: make(chan int, len(nodes))}
 	var err error
-	f.w, err = standin.Start(ctx, sc, standin.Options{Seed: seed, Log: log, Nodes: nodes, Ready: func(n int) {
+	f.w, err = fake.Start(ctx, sc, fake.Options{Seed: seed, Log: log, Nodes: nodes, Ready: func(n int) {
 		select {
 		case f.ready <- n:
 		default: // a node that comes back: nobody waits for it
@@ -88,7 +88,7 @@
 	}
 	f.done = f.w.Close
 	if own {
-		if f.procs, err = f.w.StartNodes(prog, dir, standin.UsualLimits); err != nil {
+		if f.procs, err = f.w.StartNodes(prog, dir, fake.UsualLimits); err != nil {
 			return nil, errors.Join(err, f.w.Close())
 		}
 		f.done = func() error { return errors.Join(f.procs.Stop(), f.w.Close()) }
@@ -235,8 +235,8 @@
 	for site := range sc.Fleet.Sites {
 		targets = append(targets, f.w.Front(site))
 	}
-	faults := world.Faults(sc, 1)
-	live := world.NewLive(sc, 1, quiet{})
+	faults := emulator.Faults(sc, 1)
+	live := emulator.NewLive(sc, 1, quiet{})
 	res, err := load.Run(ctx, load.Plan{Scenario: sc, Seed: 1, Targets: targets, Capacity: live.Capacity(), Faults: faults,
 		Lag: cmd.Duration("lag")})
 	if err != nil {
--- a/internal/operator/operator.go
+++ b/internal/admin/admin.go
@@ -1,9 +1,9 @@
-// Package operator answers the calls of those who run a node, at an address of its own. It asks the node and decides
+// Package admin answers the calls of those who run a node, at an address of its own. It asks the node and decides
 // nothing. HTTP/1.1, one call to a connection.
 //
 // It does not stand on netpoll, as clients' connections do: the one poller there waits for the node's goroutine in a
 // burst, and a call is due its answer whatever clients do.
-package operator
+package admin
 
 import (
 	"errors"
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"tulipglade/internal/fence"
+	"tulipglade/internal/fencing"
 	"tulipglade/internal/protocol"
 )
 
@@ -56,7 +56,7 @@
 	mu     sync.Mutex
 	conns  []*call // oldest first
 	closed bool
-	fence  fence.Fence // of calls that name a lease
+	fence  fencing.Fence // of calls that name a lease
 	wait   sync.WaitGroup
 }
 
@@ -217,14 +217,14 @@
 }
 
 // Seen is the newest token that calls have named of each lease, for the process that takes this one's place.
-func (s *Server) Seen() []fence.Grant {
+func (s *Server) Seen() []fencing.Grant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fence.Seen()
 }
 
 // Know takes in what the process before has Seen.
-func (s *Server) Know(seen []fence.Grant) {
+func (s *Server) Know(seen []fencing.Grant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fence.Know(seen)
@@ -234,7 +234,7 @@
 var errToken = errors.New("a call under a lease needs lease, seat and token")
 
 // under reads which lease a call is made under, if any: lease=NAME&seat=N&token=N, in any order, amid anything else.
-func under(query string) (g fence.Grant, named bool, err error) {
+func under(query string) (g fencing.Grant, named bool, err error) {
 	var seat, token string
 	for part := range strings.SplitSeq(query, "&") {
 		switch key, value, _ := strings.Cut(part, "="); key {
@@ -256,7 +256,7 @@
 	if err != nil || n == 0 || g.Name == "" || g.Seat < 0 {
 		return g, true, errToken
 	}
-	g.Token = fence.Token(n)
+	g.Token = fencing.Token(n)
 	return g, true, nil
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/admin/admin_test.go
@@ -1,4 +1,4 @@
-package operator
+package admin
 
 import (
 	"errors"
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,7 +25,7 @@
 	"golang.org/x/sync/errgroup"
 	"google.golang.org/protobuf/proto"
 
-	"tulipglade/internal/group"
+	"tulipglade/internal/consensus"
 	"tulipglade/internal/lease"
 	"tulipglade/internal/loopback"
 )
@@ -59,7 +59,7 @@
 type Options struct {
 	Log      *slog.Logger
 	Clock    func() time.Duration                                    // monotonic
-	Disk     func(group.Disk) group.Disk                             // what lies before the disk
+	Disk     func(consensus.Disk) consensus.Disk                     // what lies before the disk
 	Dial     func(context.Context, string, string) (net.Conn, error) // to the others
 	Plans    *Plans                                                  // of failover; nil: it takes no part
 	Listener net.Listener                                            // already open, at the member's address
@@ -69,7 +69,7 @@
 type Agent struct {
 	o      Options
 	who    Identity
-	member *group.Member
+	member *consensus.Member
 	do     chan func()
 	down   chan struct{} // closed when the member's goroutine has ended
 	client *http.Client
@@ -118,7 +118,7 @@
 	a := &Agent{o: o, who: disk.Who, do: make(chan func(), queueMost), down: make(chan struct{}), log: o.Log, posts: map[string]chan post{}}
 	a.client = &http.Client{Timeout: postWithin, Transport: &http.Transport{DialContext: o.Dial, MaxIdleConnsPerHost: 2, IdleConnTimeout: idlePost,
 		DisableCompression: true}}
-	var saves group.Disk = disk
+	var saves consensus.Disk = disk
 	if o.Disk != nil {
 		saves = o.Disk(disk)
 	}
@@ -127,7 +127,7 @@
 		return err
 	}
 	r := rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:])))
-	a.member, err = group.New(group.Options{ID: a.who.ID, Clock: o.Clock, Rand: r, Disk: saves, Send: a.send, Silence: Silence, Compact: compactEach,
+	a.member, err = consensus.New(consensus.Options{ID: a.who.ID, Clock: o.Clock, Rand: r, Disk: saves, Send: a.send, Silence: Silence, Compact: compactEach,
 		Patience: patience}, kept)
 	if err != nil {
 		return err
@@ -314,12 +314,12 @@
 
 // Answer is what a request comes back with. Code says why not; see codes.
 type Answer struct {
-	Grant  *lease.Grant `json:"grant,omitempty"`
-	Terms  *lease.Terms `json:"terms,omitempty"`
-	View   *group.View  `json:"view,omitempty"`
-	Code   string       `json:"code,omitempty"`
-	Error  string       `json:"error,omitempty"`
-	Leader string       `json:"leader,omitempty"` // where to ask instead, if it is known
+	Grant  *lease.Grant    `json:"grant,omitempty"`
+	Terms  *lease.Terms    `json:"terms,omitempty"`
+	View   *consensus.View `json:"view,omitempty"`
+	Code   string          `json:"code,omitempty"`
+	Error  string          `json:"error,omitempty"`
+	Leader string          `json:"leader,omitempty"` // where to ask instead, if it is known
 }
 
 // codes are the refusals, by what they are called in an Answer, and their statuses.
@@ -328,7 +328,7 @@
 	status int
 }{
 	"taken": {lease.ErrTaken, 409}, "not-held": {lease.ErrNotHeld, 409}, "fewer": {lease.ErrFewer, 409}, "bad": {lease.ErrBad, 400},
-	"full": {lease.ErrFull, 507}, "unsure": {group.ErrUnsure, 503}, "busy": {group.ErrBusy, 503}, "not-now": {group.ErrNotNow, 409},
+	"full": {lease.ErrFull, 507}, "unsure": {consensus.ErrUnsure, 503}, "busy": {consensus.ErrBusy, 503}, "not-now": {consensus.ErrNotNow, 409},
 }
 
 const codeLeader = "not-leader"
@@ -418,7 +418,7 @@
 	}
 	got := make(chan result, 1)
 	if !a.ask(func() { do(func(of Answer, err error) { got <- result{of, err} }) }) {
-		tell(w, 503, Answer{Code: "busy", Error: group.ErrBusy.Error()})
+		tell(w, 503, Answer{Code: "busy", Error: consensus.ErrBusy.Error()})
 		return
 	}
 	select {
@@ -431,7 +431,7 @@
 					status, out.Code = c.status, code
 				}
 			}
-			var not group.NotLeader
+			var not consensus.NotLeader
 			if errors.As(is.err, &not) {
 				status, out.Code, out.Leader = http.StatusMisdirectedRequest, codeLeader, not.Address
 			}
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"tulipglade/internal/group"
+	"tulipglade/internal/consensus"
 	"tulipglade/internal/lease"
 )
 
@@ -76,7 +76,7 @@
 	case ok:
 		return a, fmt.Errorf("%w (%s)", known.err, a.Error)
 	case a.Code == codeLeader:
-		return a, group.NotLeader{Address: a.Leader}
+		return a, consensus.NotLeader{Address: a.Leader}
 	}
 	return a, fmt.Errorf("%s: status %d: %s", to, resp.StatusCode, a.Error)
 }
@@ -98,13 +98,13 @@
 			sent()
 		}
 		a, err := c.one(ctx, to, method, path, body, within)
-		var not group.NotLeader
+		var not consensus.NotLeader
 		switch {
 		case errors.As(err, &not) && not.Address != "" && not.Address != silent && hops < hopsMost:
 			hops++
 			to = not.Address
 			continue
-		case err == nil, a.Code != "" && !errors.As(err, &not) && !errors.Is(err, group.ErrUnsure) && !errors.Is(err, group.ErrBusy):
+		case err == nil, a.Code != "" && !errors.As(err, &not) && !errors.Is(err, consensus.ErrUnsure) && !errors.Is(err, consensus.ErrBusy):
 			c.mu.Lock()
 			c.to = to
 			c.mu.Unlock()
@@ -124,23 +124,23 @@
 }
 
 // Look is what the group has agreed on by now.
-func (c *Client) Look(ctx context.Context) (group.View, error) {
+func (c *Client) Look(ctx context.Context) (consensus.View, error) {
 	return viewOf(c.ask(ctx, "GET", "/leases", nil, askWithin, nil))
 }
 
 // viewOf is what an answer shows. One without a view, or in which time does not go on, is none of an agent's.
-func viewOf(a Answer, err error) (group.View, error) {
+func viewOf(a Answer, err error) (consensus.View, error) {
 	if err == nil && (a.View == nil || a.View.Terms.Interval <= 0 && len(a.View.Members) > 0) {
 		err = errors.New("an answer that makes no sense")
 	}
 	if err != nil {
-		return group.View{}, err
+		return consensus.View{}, err
 	}
 	return *a.View, nil
 }
 
 // Status is what one member knows, whatever that is worth.
-func (c *Client) Status(ctx context.Context, member string) (group.View, error) {
+func (c *Client) Status(ctx context.Context, member string) (consensus.View, error) {
 	return viewOf(c.one(ctx, member, "GET", "/status", nil, askWithin))
 }
 
@@ -153,10 +153,10 @@
 			return err
 		}
 		_, err = c.one(ctx, v.Members[v.Leader], "POST", "/members", change, 0)
-		var not group.NotLeader
+		var not consensus.NotLeader
 		switch {
 		case errors.As(err, &not):
-		case errors.Is(err, group.ErrUnsure):
+		case errors.Is(err, consensus.ErrUnsure):
 			return c.changed(ctx, change)
 		default:
 			return err
@@ -185,7 +185,7 @@
 			return nil
 		}
 		if err := pause(ctx, askPause); err != nil {
-			return fmt.Errorf("%w: %w", group.ErrUnsure, err)
+			return fmt.Errorf("%w: %w", consensus.ErrUnsure, err)
 		}
 	}
 }
--- a/internal/agent/client_test.go
+++ b/internal/agent/client_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"tulipglade/internal/group"
+	"tulipglade/internal/consensus"
 	"tulipglade/internal/lease"
 )
 
@@ -87,7 +87,7 @@
 	ctx, stop := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer stop()
 	_, err := NewClient([]string{addr}, nil).Look(ctx)
-	var not group.NotLeader
+	var not consensus.NotLeader
 	if !errors.Is(err, ErrNobody) || !errors.As(err, &not) {
 		t.Error(err)
 	}
@@ -108,7 +108,7 @@
 			}
 			seen[c.Ask] = true
 		}
-		tell(w, 200, Answer{Grant: &lease.Grant{Name: "x", Token: lease.Token(len(seen))}, Terms: &terms, View: &group.View{Terms: terms}})
+		tell(w, 200, Answer{Grant: &lease.Grant{Name: "x", Token: lease.Token(len(seen))}, Terms: &terms, View: &consensus.View{Terms: terms}})
 	}))
 	defer s.Close()
 	c := NewClient([]string{s.Listener.Addr().String()}, nil)
--- a/internal/agent/disk.go
+++ b/internal/agent/disk.go
@@ -14,7 +14,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"tulipglade/internal/group"
+	"tulipglade/internal/consensus"
 )
 
 // Identity is who a member is. It is written once, when its folder is made.
@@ -31,13 +31,13 @@
 )
 
 var (
-	meta, entries                       = []byte("meta"), []byte("log")
-	keyWho, keyHard, keySnap            = []byte("identity"), []byte("hard"), []byte("snapshot")
-	errNoFile                           = errors.New("no member lives here: make one by init or join")
-	errThere                            = errors.New("a member lives here already; one that has lost its disk can only come as a new one")
-	lockWithin                          = time.Second
-	marshal                             = proto.MarshalOptions{Deterministic: true}
-	_                        group.Disk = (*Disk)(nil)
+	meta, entries                           = []byte("meta"), []byte("log")
+	keyWho, keyHard, keySnap                = []byte("identity"), []byte("hard"), []byte("snapshot")
+	errNoFile                               = errors.New("no member lives here: make one by init or join")
+	errThere                                = errors.New("a member lives here already; one that has lost its disk can only come as a new one")
+	lockWithin                              = time.Second
+	marshal                                 = proto.MarshalOptions{Deterministic: true}
+	_                        consensus.Disk = (*Disk)(nil)
 )
 
 // Disk is a member's folder, in bbolt: each Save is one transaction, and on the medium when it returns.
@@ -47,7 +47,7 @@
 }
 
 // Make makes a member's folder with what it keeps at first.
-func Make(dir string, who Identity, kept group.Kept) error {
+func Make(dir string, who Identity, kept consensus.Kept) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -74,30 +74,30 @@
 		return tx.Bucket(meta).Put(keyWho, raw)
 	})
 	if err == nil {
-		err = d.Save(group.Write{Hard: kept.Hard, Snapshot: kept.Snapshot})
+		err = d.Save(consensus.Write{Hard: kept.Hard, Snapshot: kept.Snapshot})
 	}
 	return errors.Join(err, db.Close())
 }
 
 // Open opens a member's folder, which nobody else may have open, and returns what it keeps.
-func Open(dir string) (*Disk, group.Kept, error) {
+func Open(dir string) (*Disk, consensus.Kept, error) {
 	path := filepath.Join(dir, fileName)
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
-		return nil, group.Kept{}, fmt.Errorf("%s: %w", dir, errNoFile)
+		return nil, consensus.Kept{}, fmt.Errorf("%s: %w", dir, errNoFile)
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWithin})
 	if err != nil {
-		return nil, group.Kept{}, fmt.Errorf("%s: %w", path, err)
+		return nil, consensus.Kept{}, fmt.Errorf("%s: %w", path, err)
 	}
 	d := &Disk{db: db}
 	kept, err := d.load()
 	if err != nil {
-		return nil, group.Kept{}, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
+		return nil, consensus.Kept{}, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
 	}
 	return d, kept, nil
 }
 
-func (d *Disk) load() (kept group.Kept, err error) {
+func (d *Disk) load() (kept consensus.Kept, err error) {
 	err = d.db.View(func(tx *bbolt.Tx) error {
 		m, log := tx.Bucket(meta), tx.Bucket(entries)
 		if m == nil || log == nil {
@@ -137,7 +137,7 @@
 }
 
 // Save writes in one transaction.
-func (d *Disk) Save(w group.Write) error {
+func (d *Disk) Save(w consensus.Write) error {
 	return d.db.Update(func(tx *bbolt.Tx) error {
 		m, log := tx.Bucket(meta), tx.Bucket(entries)
 		put := func(b *bbolt.Bucket, key []byte, v proto.Message) error {
--- a/internal/agent/disk_test.go
+++ b/internal/agent/disk_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/testing/protocmp"
 	"pgregory.net/rapid"
 
-	"tulipglade/internal/group"
+	"tulipglade/internal/consensus"
 	"tulipglade/internal/lease"
 )
 
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		defer os.RemoveAll(dir)
-		want, err := group.Founded(map[uint64]string{1: "127.0.0.1:1"}, lease.Terms{})
+		want, err := consensus.Founded(map[uint64]string{1: "127.0.0.1:1"}, lease.Terms{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,7 +44,7 @@
 				t.Fatal(diff, d.Who)
 			}
 			for range rapid.IntRange(1, 8).Draw(t, "writes") {
-				var w group.Write
+				var w consensus.Write
 				switch rapid.IntRange(0, 3).Draw(t, "kind") {
 				case 0:
 					w.Hard = &pb.HardState{Term: proto.Uint64(rapid.Uint64().Draw(t, "term")), Commit: proto.Uint64(before)}
@@ -93,10 +93,10 @@
 	if _, _, err := Open(dir); !errors.Is(err, errNoFile) {
 		t.Error("an empty folder:", err)
 	}
-	if err := Make(dir, Identity{ID: 1}, group.Joining()); err != nil {
+	if err := Make(dir, Identity{ID: 1}, consensus.Joining()); err != nil {
 		t.Fatal(err)
 	}
-	if err := Make(dir, Identity{ID: 1}, group.Joining()); !errors.Is(err, errThere) {
+	if err := Make(dir, Identity{ID: 1}, consensus.Joining()); !errors.Is(err, errThere) {
 		t.Error("made twice:", err)
 	}
 	d, _, err := Open(dir)
--- a/api.go
+++ b/internal/balancer/api.go
@@ -1,12 +1,12 @@
-// Package tulipglade makes the decisions of a reverse proxy that spreads requests over HTTP servers: which
+// Package balancer makes the decisions of a reverse proxy that spreads requests over HTTP servers: which
 // host takes a request, what is held, what is refused, what is tried again. It does no input or output of
 // its own. A gateway hands events to a Balancer and carries out the Actions it answers with.
 //
-// This file is the whole interface; balancer.go ties the decisions together. internal/permit decides whether
-// something may be sent or repeated now, and internal/freshness for how long a list of hosts may be used.
-package tulipglade
+// This file is the whole interface; balancer.go ties the decisions together. internal/safety decides whether
+// something may be sent or repeated now, and internal/staleness for how long a list of hosts may be used.
+package balancer
 
-import "tulipglade/internal/permit"
+import "tulipglade/internal/safety"
 
 // Time is a point on the gateway's clock and Span a length of time, both in microseconds.
 type (
@@ -24,18 +24,18 @@
 // Effect says how often a request may run, and Scope which group of hosts drops the repeats of a ByKey
 // request.
 type (
-	Effect = permit.Effect
-	Scope  = permit.Scope
+	Effect = safety.Effect
+	Scope  = safety.Scope
 )
 
 // The kinds of effect, and the groups of hosts.
 const (
-	Repeatable = permit.Repeatable
-	ByKey      = permit.ByKey // repeats are dropped by the hosts of one Scope for Class.Window
-	Once       = permit.Once  // must never run twice
-	ScopeAll   = permit.ScopeAll
-	ScopeZone  = permit.ScopeZone
-	ScopeCell  = permit.ScopeCell
+	Repeatable = safety.Repeatable
+	ByKey      = safety.ByKey // repeats are dropped by the hosts of one Scope for Class.Window
+	Once       = safety.Once  // must never run twice
+	ScopeAll   = safety.ScopeAll
+	ScopeZone  = safety.ScopeZone
+	ScopeCell  = safety.ScopeCell
 )
 
 // Class is a kind of request.
--- a/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,4 +1,4 @@
-package tulipglade
+package balancer
 
 // Every decision of tulipglade is in this file; its interface (types, events, actions) is in api.go.
 // The mechanism follows Katsalis et al.; docs/design.md says what was kept and where it departs.
@@ -8,8 +8,8 @@
 	"math"
 	"slices"
 
-	"tulipglade/internal/freshness"
-	"tulipglade/internal/permit"
+	"tulipglade/internal/safety"
+	"tulipglade/internal/staleness"
 )
 
 // What neither settings nor traffic tell. None has a unit of time or work: those derive from the aims.
@@ -445,51 +445,51 @@
 func (b *Balancer) allowed(r *request, h *host) bool {
 	n := len(r.tries)
 	justFailed := n > 0 && r.tries[n-1].host == h && len(b.hosts) > 1
-	if justFailed || (permit.Attempt{Had: n, Most: r.most, InFlight: r.open}).Check() != permit.Allowed {
+	if justFailed || (safety.Attempt{Had: n, Most: r.most, InFlight: r.open}).Check() != safety.Allowed {
 		return false
 	}
-	return b.maySend(r, h, r.tries) == permit.Allowed && b.coldRoom(h)
+	return b.maySend(r, h, r.tries) == safety.Allowed && b.coldRoom(h)
 }
 
 // maySend asks the one place that decides whether an attempt may be sent, given the attempts before it.
-func (b *Balancer) maySend(r *request, h *host, before []attempt) permit.Reason {
-	return permit.Send{
+func (b *Balancer) maySend(r *request, h *host, before []attempt) safety.Reason {
+	return safety.Send{
 		Now:         b.now,
 		Deadline:    r.deadline,
 		RequestOver: r.done || r.started,
 		ListCurrent: b.lease.Valid(b.now),
 		Rules:       b.rules(r),
 		Earlier:     mayHaveRun(before),
-		To:          permit.Backend{InService: h.Phase == PhaseReady, Zone: h.Zone, Cell: h.Cell},
+		To:          safety.Backend{InService: h.Phase == PhaseReady, Zone: h.Zone, Cell: h.Cell},
 	}.Check()
 }
 
 // rules are those of a request's class. Of the window for repeats, some is kept for the way to the host.
-func (b *Balancer) rules(r *request) permit.Rules {
+func (b *Balancer) rules(r *request) safety.Rules {
 	c := &b.cfg.Classes[r.class]
-	return permit.Rules{Effect: c.Effect, Scope: c.Scope, Window: c.Window, Spare: 2 * b.cfg.Tick}
+	return safety.Rules{Effect: c.Effect, Scope: c.Scope, Window: c.Window, Spare: 2 * b.cfg.Tick}
 }
 
 // mayRepeat tells whether there is any place where a request may be sent once more without its effect
 // happening twice.
 func (b *Balancer) mayRepeat(r *request) bool {
-	return permit.Repeat(b.now, b.rules(r), mayHaveRun(r.tries), nil) == permit.Allowed
+	return safety.Repeat(b.now, b.rules(r), mayHaveRun(r.tries), nil) == safety.Allowed
 }
 
 // MayBegin tells whether an attempt that has waited for its connection may begin, and if not, why: much may
 // have changed.
-func (b *Balancer) MayBegin(now Time, id ReqID, attempt int) permit.Reason {
+func (b *Balancer) MayBegin(now Time, id ReqID, attempt int) safety.Reason {
 	b.now = now
 	r := b.reqs[id]
 	if r == nil || attempt >= len(r.tries) {
-		return permit.RequestOver
+		return safety.RequestOver
 	}
 	return b.maySend(r, r.tries[attempt].host, r.tries[:attempt])
 }
 
 // mayDecline tells whether a refusal, which promises that a repeat does no harm, would be true.
 func (b *Balancer) mayDecline(r *request) bool {
-	return permit.Refuse(b.rules(r), mayHaveRun(r.tries)) == permit.Allowed
+	return safety.Refuse(b.rules(r), mayHaveRun(r.tries)) == safety.Allowed
 }
 
 // send is the only way to Try.
@@ -679,7 +679,7 @@
 	if !b.begun {
 		b.begun, b.controlAt, b.watching = true, now, !b.cfg.AskDiscovery
 		b.busy = limitFirst * float64(len(list)) / float64(max(b.cfg.Peers, 1))
-		b.lease = freshness.New(now, b.cfg.ListLease)
+		b.lease = staleness.New(now, b.cfg.ListLease)
 		b.act.WakeAt(wakeControl, b.period)
 		b.act.WakeAt(wakeAsk, Span(b.random()*b.firstCallWithin()))
 	}
@@ -721,11 +721,11 @@
 func (b *Balancer) noteEvidence(kind ListKind, asOf Time) {
 	switch kind {
 	case ListDelta, ListFull:
-		b.lease.Note(freshness.Answered, asOf)
+		b.lease.Note(staleness.Answered, asOf)
 	case ListFailed, ListBusy:
-		b.lease.Note(freshness.Refused, asOf)
+		b.lease.Note(staleness.Refused, asOf)
 	case ListSilent:
-		b.lease.Note(freshness.Silent, asOf)
+		b.lease.Note(staleness.Silent, asOf)
 	}
 }
 
--- a/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -1,4 +1,4 @@
-package tulipglade
+package balancer
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"tulipglade/internal/permit"
+	"tulipglade/internal/safety"
 )
 
 // gateway is a fake: it keeps what the module asked for and moves time by hand.
@@ -508,11 +508,11 @@
 			t.Fatalf("%s: %d attempts", name, n)
 		}
 		c.since(g)
-		if got := g.b.MayBegin(g.now, 1, len(g.tries[1])-1); (got == permit.Allowed) != c.want {
+		if got := g.b.MayBegin(g.now, 1, len(g.tries[1])-1); (got == safety.Allowed) != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
-	if start(t, settings(), hosts(1)...).b.MayBegin(0, 7, 0) == permit.Allowed {
+	if start(t, settings(), hosts(1)...).b.MayBegin(0, 7, 0) == safety.Allowed {
 		t.Error("an attempt that never was")
 	}
 }
--- a/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -1,4 +1,4 @@
-package tulipglade
+package balancer
 
 import (
 	"math"
--- a/foresee.go
+++ b/internal/balancer/foresee.go
@@ -1,4 +1,4 @@
-package tulipglade
+package balancer
 
 // What is known of how long an answer will take, where hosts tell how many requests they hold and how many of these wait.
 // No decision is made here; docs/design.md says what this is for.
--- a/lease_test.go
+++ b/internal/balancer/lease_test.go
@@ -1,9 +1,9 @@
-package tulipglade
+package balancer
 
 import (
 	"testing"
 
-	"tulipglade/internal/permit"
+	"tulipglade/internal/safety"
 )
 
 // leased are settings under which nothing is sent by a list of unknown age.
@@ -71,11 +71,11 @@
 	if g.request(1, 0, 0); len(g.tries[1]) != 1 {
 		t.Fatal("not sent")
 	}
-	if why := g.b.MayBegin(g.now, 1, 0); why != permit.Allowed {
+	if why := g.b.MayBegin(g.now, 1, 0); why != safety.Allowed {
 		t.Error(why)
 	}
-	if why := g.b.MayBegin(g.now+ToldWithin, 1, 0); why != permit.ListStale {
-		t.Errorf("%v, want %v", why, permit.ListStale)
+	if why := g.b.MayBegin(g.now+ToldWithin, 1, 0); why != safety.ListStale {
+		t.Errorf("%v, want %v", why, safety.ListStale)
 	}
 }
 
--- a/state.go
+++ b/internal/balancer/state.go
@@ -1,4 +1,4 @@
-package tulipglade
+package balancer
 
 // The state that balancer.go decides on, how it is set up from the settings, and the bookkeeping
 // around it. No decision is made here.
@@ -10,8 +10,8 @@
 	"math"
 	"slices"
 
-	"tulipglade/internal/freshness"
-	"tulipglade/internal/permit"
+	"tulipglade/internal/safety"
+	"tulipglade/internal/staleness"
 )
 
 type host struct {
@@ -151,7 +151,7 @@
 	answers   float64         // from warm hosts since the last control
 	usualBad  float64         // median share of errors of the hosts in use
 	rate      float64         // answers a warm host gives this gateway, per microsecond
-	lease     freshness.Lease // of the list: nothing is sent without it
+	lease     staleness.Lease // of the list: nothing is sent without it
 	watching  bool
 	askFails  int
 	askAt     Time
@@ -256,32 +256,43 @@
 // Memory is what a gateway has learned, for another process that takes its place. Hosts are known by Key; classes and
 // tenants are in the order of the settings that both have.
 type Memory struct {
-	Hosts      map[uint64]HostMemory
-	Classes    []ClassMemory
-	Tenants    []TenantMemory
-	Busy, Rate float64
-	ModeTime   [2]float64
-	Over       bool
-	ListLeft   Span // for how much longer requests may be sent by the list that goes with it
+	Hosts    map[uint64]HostMemory `json:"Hosts"`
+	Classes  []ClassMemory         `json:"Classes"`
+	Tenants  []TenantMemory        `json:"Tenants"`
+	Busy     float64               `json:"Busy"`
+	Rate     float64               `json:"Rate"`
+	ModeTime [2]float64            `json:"ModeTime"`
+	Over     bool                  `json:"Over"`
+	ListLeft Span                  `json:"ListLeft"` // for how much longer requests may be sent by the list that goes with it
 }
 
 // HostMemory is what was learned of a host's process, as of Started.
 type HostMemory struct {
-	Started              Time
-	Limit, Bad, Tokens   float64
-	Fails, Outs          int
-	OutTill, TokensAt    Time
-	Queue, Util, Holding float64 // by its last report
+	Started  Time    `json:"Started"`
+	Limit    float64 `json:"Limit"`
+	Bad      float64 `json:"Bad"`
+	Tokens   float64 `json:"Tokens"`
+	Fails    int     `json:"Fails"`
+	Outs     int     `json:"Outs"`
+	OutTill  Time    `json:"OutTill"`
+	TokensAt Time    `json:"TokensAt"`
+	Queue    float64 `json:"Queue"` // by its last report, as the next two
+	Util     float64 `json:"Util"`
+	Holding  float64 `json:"Holding"`
 }
 
-// ClassMemory is what was learned of a class, and TenantMemory of a tenant.
-type (
-	ClassMemory  struct{ Base, Mean float64 }
-	TenantMemory struct {
-		Demand, Want float64
-		Used         [2]float64
-	}
-)
+// ClassMemory is what was learned of a class.
+type ClassMemory struct {
+	Base float64 `json:"Base"`
+	Mean float64 `json:"Mean"`
+}
+
+// TenantMemory is what was learned of a tenant.
+type TenantMemory struct {
+	Demand float64    `json:"Demand"`
+	Want   float64    `json:"Want"`
+	Used   [2]float64 `json:"Used"`
+}
 
 // Export returns what was learned. Of what is left of the cold budgets, half goes with it.
 func (b *Balancer) Export(now Time) Memory {
@@ -342,7 +353,7 @@
 		b.busy, b.rate, b.modeTime, b.over = m.Busy, m.Rate, m.ModeTime, m.Over
 	}
 	if left := m.ListLeft - handoverWithin; left > 0 && m.ListLeft <= b.cfg.ListLease {
-		b.lease.Note(freshness.Answered, now+left-b.cfg.ListLease)
+		b.lease.Note(staleness.Answered, now+left-b.cfg.ListLease)
 	}
 	b.control()
 	b.release()
@@ -436,10 +447,10 @@
 }
 
 // mayHaveRun is the first of these attempts that may have executed, or is still out.
-func mayHaveRun(tries []attempt) *permit.Earlier {
+func mayHaveRun(tries []attempt) *safety.Earlier {
 	for i := range tries {
 		if a := &tries[i]; a.open || a.ran {
-			return &permit.Earlier{SentAt: a.sent, Zone: a.zone, Cell: a.cell}
+			return &safety.Earlier{SentAt: a.sent, Zone: a.zone, Cell: a.cell}
 		}
 	}
 	return nil
--- a/internal/group/group.go
+++ b/internal/consensus/consensus.go
@@ -1,7 +1,7 @@
-// Package group is one member of the group that agrees on leases: etcd's raft with lease.State on top. It has no I/O: messages,
+// Package consensus is one member of the group that agrees on leases: etcd's raft with lease.State on top. It has no I/O: messages,
 // beats of a clock and requests go in; out come what to write and, once that is written, messages and answers.
 // docs/lease-design.md says what holds and why.
-package group
+package consensus
 
 import (
 	"cmp"
--- a/internal/group/group_test.go
+++ b/internal/consensus/consensus_test.go
@@ -1,4 +1,4 @@
-package group
+package consensus
 
 import (
 	"errors"
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -12,10 +12,10 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 	"tulipglade/internal/node"
 	"tulipglade/internal/protocol"
-	"tulipglade/internal/wire"
+	"tulipglade/internal/settings"
 )
 
 // Config is all that a node is told at its start.
@@ -129,7 +129,7 @@
 	if err := json.Unmarshal(in.Settings, &s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	module, reports, err := wire.Settings(in.Settings)
+	module, reports, err := settings.Parse(in.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -160,7 +160,7 @@
 	}
 	c.Grace = s.Rules.Drain
 	if module.AskDiscovery {
-		module.ListLease = tulipglade.ToldWithin
+		module.ListLease = balancer.ToldWithin
 	}
 	c.Node = node.Settings{Module: module, Seed: seed, Zones: s.Zones, MaxOpen: s.Limits.MaxOpen,
 		ConnectTimeout: s.Limits.ConnectTimeout, Keepalive: s.Limits.Keepalive, Reports: len(reports) > 0, Grace: s.Rules.Grace, DrainGrace: s.Rules.Drain,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
+	"tulipglade/internal/admin"
 	"tulipglade/internal/node"
-	"tulipglade/internal/operator"
 )
 
 // drainGrace is how long after SIGTERM new requests still come and count: 0.7 s, and the slack of all limits.
@@ -132,9 +132,9 @@
 	}
 	w.to = n
 	at := ""
-	var calls *operator.Server
+	var calls *admin.Server
 	if c.Operator != "" { // before any client is taken: should this fail, an older process serves on
-		if calls, err = operator.Listen(c.Operator, n, log); err != nil {
+		if calls, err = admin.Listen(c.Operator, n, log); err != nil {
 			return err
 		}
 		defer func() { _ = calls.Close() }()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -17,7 +17,7 @@
 	"github.com/google/go-cmp/cmp"
 	jsoniter "github.com/json-iterator/go"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
 )
 
@@ -160,8 +160,8 @@
 
 func (h heard) MembersAsOf(l protocol.List, _ time.Time) { h <- fmt.Sprint("list ", l.Rev, l.All) }
 func (h heard) Moved(time.Duration)                      {}
-func (h heard) MembersFailed(_ error, how tulipglade.ListKind, _ time.Time) {
-	h <- map[tulipglade.ListKind]string{tulipglade.ListFailed: "failed", tulipglade.ListSilent: "silent", tulipglade.ListBusy: "busy"}[how]
+func (h heard) MembersFailed(_ error, how balancer.ListKind, _ time.Time) {
+	h <- map[balancer.ListKind]string{balancer.ListFailed: "failed", balancer.ListSilent: "silent", balancer.ListBusy: "busy"}[how]
 }
 
 func (h heard) want(t *testing.T, want string) {
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -14,10 +14,10 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"tulipglade/internal/fence"
-	"tulipglade/internal/handover"
+	"tulipglade/internal/admin"
+	"tulipglade/internal/fencing"
+	"tulipglade/internal/hotrestart"
 	"tulipglade/internal/node"
-	"tulipglade/internal/operator"
 )
 
 // memory has the collector work harder before memory runs out; so many processes share what one may use.
@@ -48,12 +48,12 @@
 // handed is what goes from an older process to a newer one.
 type handed struct {
 	node.Handed
-	Fence []fence.Grant // the newest tokens that operators' calls have named
+	Fence []fencing.Grant `json:"Fence"` // the newest tokens that operators' calls have named
 }
 
 // taken is what an older process has handed over.
 type taken struct {
-	*handover.Taken
+	*hotrestart.Taken
 	handed
 	ln netpoll.Listener
 }
@@ -61,7 +61,7 @@
 // takeOver asks an older process of this node for its place. Where there is none, or it does not answer, this one starts
 // on its own.
 func takeOver(path string, log *slog.Logger) *taken {
-	t, err := handover.Take(path)
+	t, err := hotrestart.Take(path)
 	if err != nil {
 		log.Info("nothing taken over", "err", err)
 		return nil
@@ -85,7 +85,7 @@
 // giver hands this process's place to a newer one.
 type giver struct {
 	n     *node.Node
-	calls *operator.Server
+	calls *admin.Server
 	gate  *node.Gate
 	with  *shares
 	log   *slog.Logger
@@ -102,7 +102,7 @@
 	var h node.Handed
 	select {
 	case h = <-answer:
-	case <-time.After(handover.Within):
+	case <-time.After(hotrestart.Within):
 		return nil, -1, errors.New("the node did not answer in time")
 	}
 	body, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(handed{h, g.calls.Seen()})
@@ -164,7 +164,7 @@
 	if c.Operator == "" {
 		return ""
 	}
-	path, err := handover.Path(os.Getenv("TMPDIR"), c.Name, c.Listen)
+	path, err := hotrestart.Path(os.Getenv("TMPDIR"), c.Name, c.Listen)
 	if err != nil {
 		log.Warn("no hand-over", "err", err)
 	}
@@ -176,7 +176,7 @@
 	if path == "" {
 		return func() {}
 	}
-	o, err := handover.NewOffer(path, g)
+	o, err := hotrestart.NewOffer(path, g)
 	if err != nil {
 		log.Warn("no hand-over", "err", fmt.Errorf("%s: %w", path, err))
 		return func() {}
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -11,7 +11,7 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
 )
 
@@ -35,7 +35,7 @@
 	// MembersAsOf is an answer that held at a time.
 	MembersAsOf(l protocol.List, asOf time.Time)
 	// MembersFailed is a call that has failed. Nothing newer could be had as of a time.
-	MembersFailed(err error, how tulipglade.ListKind, asOf time.Time)
+	MembersFailed(err error, how balancer.ListKind, asOf time.Time)
 	// Moved tells that what was heard before counts for so long at most.
 	Moved(within time.Duration)
 }
@@ -57,14 +57,14 @@
 var errBadList = errors.New("bad list")
 
 // how tells the module what a failed call says of discovery.
-func how(err error) tulipglade.ListKind {
+func how(err error) balancer.ListKind {
 	switch {
 	case errors.Is(err, errSilent):
-		return tulipglade.ListSilent
+		return balancer.ListSilent
 	case errors.Is(err, errBusy):
-		return tulipglade.ListBusy
+		return balancer.ListBusy
 	}
-	return tulipglade.ListFailed
+	return balancer.ListFailed
 }
 
 // errMoved ends a call to a discovery that the node has just left.
--- a/internal/leash/leash.go
+++ b/internal/deadlineexec/deadlineexec.go
@@ -1,7 +1,7 @@
-// Package leash runs a command that must be over by a time that is put off again and again, whatever becomes of who does that. The
+// Package deadlineexec runs a command that must be over by a time that is put off again and again, whatever becomes of who does that. The
 // command runs below a process of its own, which ends it, with its process group, when the time is up or its parent is gone:
 // a parent that is stopped could not. What leaves the process group, as a daemon does, is not on the leash.
-package leash
+package deadlineexec
 
 import (
 	"bufio"
--- a/internal/leash/leash_test.go
+++ b/internal/deadlineexec/deadlineexec_test.go
@@ -1,4 +1,4 @@
-package leash
+package deadlineexec
 
 import (
 	"bytes"
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"tulipglade/internal/fence"
+	"tulipglade/internal/fencing"
 )
 
 // Zone is where requests enter, and where boxes are.
@@ -94,9 +94,9 @@
 
 // Plan is for a whole fleet.
 type Plan struct {
-	Token    fence.Token `json:"token"` // of the director's lease
-	Revision uint64      `json:"revision"`
-	Rows     [][]Row     `json:"rows"` // by zone where requests enter, and class
+	Token    fencing.Token `json:"token"` // of the director's lease
+	Revision uint64        `json:"revision"`
+	Rows     [][]Row       `json:"rows"` // by zone where requests enter, and class
 }
 
 // Size is how many bytes the JSON of a plan may have at most: numbers of 24 digits, and reasons of 200 bytes.
@@ -280,7 +280,7 @@
 }
 
 // Step makes the next plan. The first is the target itself: there is nothing to go on from.
-func (p *Planner) Step(now time.Duration, token fence.Token, s Sums) (*Plan, error) {
+func (p *Planner) Step(now time.Duration, token fencing.Token, s Sums) (*Plan, error) {
 	if err := p.check(s); err != nil {
 		return nil, err
 	}
--- a/internal/failover/plan_test.go
+++ b/internal/failover/plan_test.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 	"pgregory.net/rapid"
 
-	"tulipglade/internal/fence"
+	"tulipglade/internal/fencing"
 )
 
 func draw(t *rapid.T, zones, classes int) Sums {
@@ -347,7 +347,7 @@
 // A node takes plans in order of token and revision, whole or not at all; one that grows old loses its say without a jump.
 func TestHeld(t *testing.T) {
 	plan := func(token, revision uint64, shares ...float64) *Plan {
-		return &Plan{Token: fence.Token(token), Revision: revision, Rows: [][]Row{{{Shares: shares}}, {{Shares: shares}}}}
+		return &Plan{Token: fencing.Token(token), Revision: revision, Rows: [][]Row{{{Shares: shares}}, {{Shares: shares}}}}
 	}
 	h := NewHeld(Usual, 2, 1)
 	if _, counts := h.Shares(0, 0, 0); counts != 0 {
--- a/internal/standin/box.go
+++ b/internal/fake/backend.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bytes"
@@ -15,10 +15,10 @@
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sys/unix"
 
-	"tulipglade"
-	"tulipglade/internal/faults"
-	"tulipglade/internal/lab/world"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/faultinject"
 	"tulipglade/internal/protocol"
+	"tulipglade/internal/simulation/emulator"
 )
 
 // boxServer is one box's address for one node.
@@ -206,7 +206,7 @@
 	id      string
 	class   int
 	box     int
-	pending world.Pending
+	pending emulator.Pending
 	ended   bool
 	answers chan []byte // what to write; nil: reset the connection
 }
@@ -399,7 +399,7 @@
 	if class < 0 {
 		return nil, http.StatusBadRequest
 	}
-	in := world.Attempt{Place: b.place, Node: b.node, ID: id, Repeat: id, Class: class, Fresh: c.first}
+	in := emulator.Attempt{Place: b.place, Node: b.node, ID: id, Repeat: id, Class: class, Fresh: c.first}
 	if obj := u.Query().Get("obj"); obj != "" {
 		in.Key = xxhash.Sum64String(obj)
 	}
@@ -448,7 +448,7 @@
 }
 
 // answer is the end of the exchange at its box, on the world's goroutine.
-func (x *exchange) answer(p world.Pending, out tulipglade.Outcome) {
+func (x *exchange) answer(p emulator.Pending, out balancer.Outcome) {
 	if x.ended {
 		return
 	}
@@ -460,18 +460,18 @@
 	x.answers <- w.response(x, p, out)
 }
 
-var outcomeNames = map[tulipglade.Outcome]string{tulipglade.OK: "ok", tulipglade.HostError: "error", tulipglade.Full: "full",
-	tulipglade.Reset: "reset"}
+var outcomeNames = map[balancer.Outcome]string{balancer.OK: "ok", balancer.HostError: "error", balancer.Full: "full",
+	balancer.Reset: "reset"}
 
 // response words an answer as PROTOCOL says; nil is a reset.
-func (w *World) response(x *exchange, p world.Pending, out tulipglade.Outcome) []byte {
+func (w *World) response(x *exchange, p emulator.Pending, out balancer.Outcome) []byte {
 	status, extra, body := 200, "", "ran "+x.id+"\n"
 	switch out {
-	case tulipglade.Reset:
+	case balancer.Reset:
 		return nil
-	case tulipglade.HostError:
+	case balancer.HostError:
 		status, body = 500, ""
-	case tulipglade.Full:
+	case balancer.Full:
 		status, extra, body = 503, "X-Never-Ran: 1\r\n", ""
 	}
 	if text := reportText(p.Report); text != "" {
@@ -479,16 +479,16 @@
 	}
 	head := ""
 	switch w.spoils(x) {
-	case faults.Garbage:
+	case faultinject.Garbage:
 		return []byte("\x15\x03\x01\x00\x02noise instead of an answer\r\n\r\n")
-	case faults.Interim:
+	case faultinject.Interim:
 		head = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
 	}
 	return fmt.Appendf(nil, "%sHTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", head, status, http.StatusText(status), extra, len(body), body)
 }
 
 // spoils is the fault that hits how this answer is worded, or nothing. Of one request all answers fare alike.
-func (w *World) spoils(x *exchange) faults.Kind {
+func (w *World) spoils(x *exchange) faultinject.Kind {
 	draw := float64(xxhash.Sum64String(x.id)>>11) / (1 << 53)
 	for _, f := range w.spoilt {
 		if slices.Contains(f.Boxes, x.c.b.place) && draw < f.Size {
--- a/internal/standin/control.go
+++ b/internal/fake/control.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"tulipglade/internal/faults"
+	"tulipglade/internal/faultinject"
 	"tulipglade/internal/loopback"
 )
 
@@ -60,7 +60,7 @@
 func (w *World) postFault(rw http.ResponseWriter, r *http.Request) {
 	dec := json.NewDecoder(http.MaxBytesReader(rw, r.Body, maxOrder))
 	dec.DisallowUnknownFields()
-	var f faults.Fault
+	var f faultinject.Fault
 	if err := dec.Decode(&f); err != nil {
 		http.Error(rw, "fault: "+err.Error(), http.StatusBadRequest)
 		return
--- a/internal/standin/discovery.go
+++ b/internal/fake/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 )
 
 // discovery is the list service as one node reaches it: all nodes share its capacity and its state.
@@ -211,7 +211,7 @@
 		now := d.w.now()
 		for _, l := range lines {
 			d.w.ledger.tell(now, d.node, l.Box, l.Phase)
-			if l.Phase != tulipglade.PhaseReady {
+			if l.Phase != balancer.PhaseReady {
 				d.w.log.write(event{At: now, What: "told", Node: d.node, Box: l.Box, Place: l.Place, Phase: phaseNames[l.Phase], Rev: a.Rev})
 			}
 		}
--- a/internal/standin/front.go
+++ b/internal/fake/front.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
--- a/internal/standin/ledger.go
+++ b/internal/fake/ledger.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -8,27 +8,27 @@
 	"io"
 	"sync"
 
-	"tulipglade"
-	"tulipglade/internal/faults"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/faultinject"
+	"tulipglade/internal/simulation/scenario"
 )
 
 // event is one line of the log. Times are µs since the start.
 type event struct {
-	At      int64         `json:"us"`
-	What    string        `json:"what"`
-	ID      string        `json:"id,omitempty"`
-	Node    int           `json:"node"`
-	Box     int           `json:"box,omitempty"` // the process's number, from 1
-	Place   int           `json:"place"`         // its address's number, from 0
-	Class   string        `json:"class,omitempty"`
-	Tenant  string        `json:"tenant,omitempty"`
-	Key     uint64        `json:"key,omitempty"`
-	Outcome string        `json:"outcome,omitempty"`
-	Ran     bool          `json:"ran,omitempty"`
-	Phase   string        `json:"phase,omitempty"`
-	Rev     int           `json:"rev,omitempty"`
-	Fault   *faults.Fault `json:"fault,omitempty"`
+	At      int64              `json:"us"`
+	What    string             `json:"what"`
+	ID      string             `json:"id,omitempty"`
+	Node    int                `json:"node"`
+	Box     int                `json:"box,omitempty"` // the process's number, from 1
+	Place   int                `json:"place"`         // its address's number, from 0
+	Class   string             `json:"class,omitempty"`
+	Tenant  string             `json:"tenant,omitempty"`
+	Key     uint64             `json:"key,omitempty"`
+	Outcome string             `json:"outcome,omitempty"`
+	Ran     bool               `json:"ran,omitempty"`
+	Phase   string             `json:"phase,omitempty"`
+	Rev     int                `json:"rev,omitempty"`
+	Fault   *faultinject.Fault `json:"fault,omitempty"`
 }
 
 // eventLog writes events; a log that cannot be written keeps its first error for the end.
@@ -78,7 +78,7 @@
 
 // ledger counts what truly happened. It belongs to the world's goroutine.
 type ledger struct {
-	classes   []tulipglade.Class
+	classes   []balancer.Class
 	grace     int64 // µs
 	runs      map[string]int
 	order     []string // ids in the order in which they first ran; a ring once it is full
@@ -121,16 +121,16 @@
 		}
 	}
 	l.runs[id] = n + 1
-	if n > 0 && l.classes[class].Effect == tulipglade.Once {
+	if n > 0 && l.classes[class].Effect == balancer.Once {
 		l.sums.Twice++
 		return true
 	}
 	return false
 }
 
-func (l *ledger) tell(now int64, node, box int, phase tulipglade.Phase) {
+func (l *ledger) tell(now int64, node, box int, phase balancer.Phase) {
 	k := toldKey{node, box}
-	if phase == tulipglade.PhaseReady {
+	if phase == balancer.PhaseReady {
 		delete(l.told, k)
 	} else if _, ok := l.told[k]; !ok {
 		l.told[k] = now
--- a/internal/standin/nodes.go
+++ b/internal/fake/nodes.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/json"
@@ -15,22 +15,22 @@
 	"syscall"
 	"time"
 
-	"tulipglade"
-	"tulipglade/internal/faults"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/faultinject"
 )
 
 // reportFields are what a report may hold: as scenarios name it, as settings do, and as it is written on sockets.
 var reportFields = []struct {
 	scenario, setting, wire string
-	of                      func(tulipglade.Report) float64
+	of                      func(balancer.Report) float64
 }{
-	{"held", "outstanding", "inflight", func(r tulipglade.Report) float64 { return r.Outstanding }},
-	{"queue", "backlog", "queue", func(r tulipglade.Report) float64 { return r.Backlog }},
-	{"util", "utilization", "util", func(r tulipglade.Report) float64 { return r.Utilization }},
+	{"held", "outstanding", "inflight", func(r balancer.Report) float64 { return r.Outstanding }},
+	{"queue", "backlog", "queue", func(r balancer.Report) float64 { return r.Backlog }},
+	{"util", "utilization", "util", func(r balancer.Report) float64 { return r.Utilization }},
 }
 
 // reportText is a report as it is written, empty where it tells nothing.
-func reportText(r tulipglade.Report) string {
+func reportText(r balancer.Report) string {
 	var parts []string
 	for _, f := range reportFields {
 		if v := f.of(r); v >= 0 {
@@ -196,10 +196,10 @@
 
 // fault kills the nodes that a fault hits, or starts them again at its end. It is called on the world's goroutine, which
 // must not wait for processes.
-func (p *Processes) fault(f faults.Fault, began bool) {
+func (p *Processes) fault(f faultinject.Fault, began bool) {
 	var hit []int
 	switch {
-	case f.Kind == faults.NodeKill:
+	case f.Kind == faultinject.NodeKill:
 		hit = f.Nodes
 	case f.WithNodes:
 		for i := range p.cmds {
--- a/internal/standin/world.go
+++ b/internal/fake/world.go
@@ -1,7 +1,7 @@
-// Package standin is the platform's outside as stand-ins on loopback sockets: app boxes, discovery, and a front that
+// Package fake is the platform's outside as stand-ins on loopback sockets: app boxes, discovery, and a front that
 // shares clients' connections out among nodes. The boxes are those of the lab, driven in real time; faults have the
 // lab's words. It keeps a log of what truly happened, against which nodes and load tools are judged.
-package standin
+package fake
 
 import (
 	"cmp"
@@ -13,11 +13,11 @@
 	"sync"
 	"time"
 
-	"tulipglade"
-	"tulipglade/internal/faults"
-	"tulipglade/internal/lab/scenario"
-	"tulipglade/internal/lab/world"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/faultinject"
 	"tulipglade/internal/loopback"
+	"tulipglade/internal/simulation/emulator"
+	"tulipglade/internal/simulation/scenario"
 )
 
 // Options say how a World is served.
@@ -44,15 +44,15 @@
 	ctx     context.Context
 	wg      sync.WaitGroup
 	log     *eventLog
-	live    *world.Live
+	live    *emulator.Live
 	boxes   [][]*boxServer // by place and node
 	disc    []*discovery   // by node
 	front   []*front       // by site
 	nodes   []*nodeState
-	faults  map[int]faults.Fault // begun through Order
-	down    int                  // faults that keep discovery down
-	spoilt  []faults.Fault       // that spoil how answers are worded, and are on
-	state   []line               // by box; what discovery knows
+	faults  map[int]faultinject.Fault // begun through Order
+	down    int                       // faults that keep discovery down
+	spoilt  []faultinject.Fault       // that spoil how answers are worded, and are on
+	state   []line                    // by box; what discovery knows
 	rev     int
 	changed chan struct{} // closed at the next change
 	ledger  *ledger
@@ -62,7 +62,7 @@
 
 // line is a line of discovery's list, with the version that brought it.
 type line struct {
-	world.Line
+	emulator.Line
 	rev int
 }
 
@@ -74,9 +74,9 @@
 		}
 	}
 	w := &World{sc: sc, opts: opts, began: time.Now(), posts: make(chan func(), 1024), done: make(chan struct{}),
-		log: newEventLog(opts.Log), faults: map[int]faults.Fault{}, changed: make(chan struct{}), ledger: newLedger(sc)}
+		log: newEventLog(opts.Log), faults: map[int]faultinject.Fault{}, changed: make(chan struct{}), ledger: newLedger(sc)}
 	w.ctx, w.stop = context.WithCancel(ctx)
-	w.live = world.NewLive(sc, opts.Seed, effects{w})
+	w.live = emulator.NewLive(sc, opts.Seed, effects{w})
 	if err := w.listen(); err != nil {
 		w.stop()
 		w.closeListeners()
@@ -216,7 +216,7 @@
 // effects hears what the boxes do, on the world's goroutine.
 type effects struct{ w *World }
 
-func (e effects) Answered(p world.Pending, out tulipglade.Outcome) {
+func (e effects) Answered(p emulator.Pending, out balancer.Outcome) {
 	c := p.Any.(*exchange)
 	c.answer(p, out)
 }
@@ -229,7 +229,7 @@
 	}
 }
 
-func (e effects) Listed(l world.Line) {
+func (e effects) Listed(l emulator.Line) {
 	w := e.w
 	w.rev++
 	at := slices.IndexFunc(w.state, func(x line) bool { return x.Box == l.Box })
@@ -243,19 +243,19 @@
 	w.changed = make(chan struct{})
 }
 
-var phaseNames = map[tulipglade.Phase]string{tulipglade.PhaseReady: "in_service", tulipglade.PhaseDraining: "terminating",
-	tulipglade.PhaseGone: "terminated"}
+var phaseNames = map[balancer.Phase]string{balancer.PhaseReady: "in_service", balancer.PhaseDraining: "terminating",
+	balancer.PhaseGone: "terminated"}
 
-func (e effects) Began(f faults.Fault) {
+func (e effects) Began(f faultinject.Fault) {
 	w := e.w
 	w.log.write(event{At: w.now(), What: "fault-began", Fault: &f})
 	if w.procs != nil {
 		w.procs.fault(f, true)
 	}
-	if f.Kind == faults.Garbage || f.Kind == faults.Interim {
+	if f.Kind == faultinject.Garbage || f.Kind == faultinject.Interim {
 		w.spoilt = append(w.spoilt, f)
 	}
-	if f.Kind == faults.ListDown {
+	if f.Kind == faultinject.ListDown {
 		w.down++
 		for _, d := range w.disc {
 			d.drop()
@@ -264,16 +264,18 @@
 	w.follow()
 }
 
-func (e effects) Ended(f faults.Fault) {
+func (e effects) Ended(f faultinject.Fault) {
 	w := e.w
 	w.log.write(event{At: w.now(), What: "fault-ended", Fault: &f})
 	if w.procs != nil {
 		w.procs.fault(f, false)
 	}
-	if f.Kind == faults.ListDown {
+	if f.Kind == faultinject.ListDown {
 		w.down--
 	}
-	if at := slices.IndexFunc(w.spoilt, func(o faults.Fault) bool { return o.Kind == f.Kind && o.At == f.At && slices.Equal(o.Boxes, f.Boxes) }); at >= 0 {
+	if at := slices.IndexFunc(w.spoilt, func(o faultinject.Fault) bool {
+		return o.Kind == f.Kind && o.At == f.At && slices.Equal(o.Boxes, f.Boxes)
+	}); at >= 0 {
 		w.spoilt = slices.Delete(w.spoilt, at, at+1)
 	}
 	w.follow()
@@ -290,11 +292,11 @@
 }
 
 // Order begins a fault now. It returns the number by which Lift ends it, and the fault with nothing left open.
-func (w *World) Order(f faults.Fault) (id int, settled faults.Fault, err error) {
+func (w *World) Order(f faultinject.Fault) (id int, settled faultinject.Fault, err error) {
 	if err := f.Check("fault", w.sc.Scope(nil, nil)); err != nil {
 		return 0, f, err
 	}
-	if f.Kind == faults.Rolling {
+	if f.Kind == faultinject.Rolling {
 		return 0, f, fmt.Errorf("fault.kind: %s is for a timeline; order its drains one by one", f.Kind)
 	}
 	ok := w.ask(func() {
@@ -365,7 +367,7 @@
 // list is what discovery tells a node: what changed after a version, or all.
 func (w *World) list(node, since int) (lines []line, rev int) {
 	for _, l := range w.state {
-		if l.rev > since && (since >= 0 || l.Phase != tulipglade.PhaseGone) {
+		if l.rev > since && (since >= 0 || l.Phase != balancer.PhaseGone) {
 			lines = append(lines, l)
 		}
 	}
--- a/internal/standin/world_test.go
+++ b/internal/fake/world_test.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -16,9 +16,9 @@
 
 	"go.uber.org/goleak"
 
-	"tulipglade/internal/faults"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/faultinject"
 	"tulipglade/internal/loopback"
+	"tulipglade/internal/simulation/scenario"
 )
 
 const small = `
@@ -143,7 +143,7 @@
 	return r
 }
 
-func order(t *testing.T, w *World, f faults.Fault) int {
+func order(t *testing.T, w *World, f faultinject.Fault) int {
 	t.Helper()
 	id, _, err := w.Order(f)
 	if err != nil {
@@ -211,7 +211,7 @@
 		c := dial(t, w.boxAddr(1, 0))
 		c.send("/read", "a", "")
 		c.want(200)
-		id := order(t, w, faults.Fault{Kind: faults.Kill, Boxes: []int{1}})
+		id := order(t, w, faultinject.Fault{Kind: faultinject.Kill, Boxes: []int{1}})
 		if _, err := c.answer(5 * time.Second); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("an open connection ends with %v, want a reset", err)
 		}
@@ -232,7 +232,7 @@
 		far, near := dial(t, w.boxAddr(1, 0)), dial(t, w.boxAddr(0, 0))
 		far.send("/read", "a", "")
 		far.want(200)
-		id := order(t, w, faults.Fault{Kind: faults.SiteCut, Site: "west"})
+		id := order(t, w, faultinject.Fault{Kind: faultinject.SiteCut, Site: "west"})
 		far.send("/read", "b", "")
 		near.send("/read", "c", "")
 		near.want(200)
@@ -256,20 +256,20 @@
 	})
 	t.Run("full, errors, resets", func(t *testing.T) {
 		w := start(t, Options{})
-		id := order(t, w, faults.Fault{Kind: faults.FastErrors, Boxes: []int{0}, Size: 1})
+		id := order(t, w, faultinject.Fault{Kind: faultinject.FastErrors, Boxes: []int{0}, Size: 1})
 		c := dial(t, w.boxAddr(0, 0))
 		c.send("/read", "a", "")
 		c.want(500)
 		w.Lift(id)
 		c.send("/read", "b", "")
 		c.want(200)
-		id = order(t, w, faults.Fault{Kind: faults.Interim, Boxes: []int{0}, Size: 1})
+		id = order(t, w, faultinject.Fault{Kind: faultinject.Interim, Boxes: []int{0}, Size: 1})
 		c.send("/read", "i", "")
 		c.want(100)
 		c.want(103)
 		c.want(200)
 		w.Lift(id)
-		id = order(t, w, faults.Fault{Kind: faults.Garbage, Boxes: []int{0}, Size: 1})
+		id = order(t, w, faultinject.Fault{Kind: faultinject.Garbage, Boxes: []int{0}, Size: 1})
 		c.send("/start", "g", "")
 		if r, err := c.answer(5 * time.Second); err == nil {
 			t.Errorf("noise is read as %d", r.StatusCode)
@@ -281,7 +281,7 @@
 		c = dial(t, w.boxAddr(0, 0))
 		c.send("/read", "h", "")
 		c.want(200)
-		order(t, w, faults.Fault{Kind: faults.Resets, Boxes: []int{0}, Size: 1})
+		order(t, w, faultinject.Fault{Kind: faultinject.Resets, Boxes: []int{0}, Size: 1})
 		c.send("/start", "c", "")
 		if _, err := c.answer(5 * time.Second); err == nil {
 			t.Error("no reset")
@@ -289,7 +289,7 @@
 		if n := w.Executions("c"); n != 1 {
 			t.Errorf("a reset after the request: it ran %d times", n)
 		}
-		order(t, w, faults.Fault{Kind: faults.Freeze, Boxes: []int{2}})
+		order(t, w, faultinject.Fault{Kind: faultinject.Freeze, Boxes: []int{2}})
 		// A node that gives up what has begun: it has run all the same, and a repeat is a second run.
 		for want := 1; want <= 2; want++ {
 			c := dial(t, w.boxAddr(2, 0))
@@ -322,7 +322,7 @@
 	t.Run("drained", func(t *testing.T) {
 		var log bytes.Buffer
 		w := start(t, Options{Log: &log})
-		order(t, w, faults.Fault{Kind: faults.Drain, Boxes: []int{3}})
+		order(t, w, faultinject.Fault{Kind: faultinject.Drain, Boxes: []int{3}})
 		c := dial(t, w.boxAddr(3, 0))
 		c.send("/read", "a", "")
 		if r := c.want(503); r.Header.Get("X-Never-Ran") != "1" {
@@ -381,7 +381,7 @@
 		got <- told{a, w.Since()}
 	}()
 	at := w.Since()
-	id := order(t, w, faults.Fault{Kind: faults.Kill, Boxes: []int{2}})
+	id := order(t, w, faultinject.Fault{Kind: faultinject.Kill, Boxes: []int{2}})
 	x := <-got
 	if x.a.All || len(x.a.Targets) != 1 || x.a.Targets[0].UID != "box-3" || x.a.Targets[0].State != "terminated" || x.at-at > 5*time.Second {
 		t.Errorf("%+v after %v", x.a, x.at-at)
@@ -405,7 +405,7 @@
 		_, err := http.Get("http://" + w.Discovery(0) + "/v1/endpoints?since=6&timeout_ms=20000")
 		ended <- err
 	}()
-	id = order(t, w, faults.Fault{Kind: faults.ListDown})
+	id = order(t, w, faultinject.Fault{Kind: faultinject.ListDown})
 	if err := <-ended; err == nil {
 		t.Error("a watch outlives discovery")
 	}
--- a/internal/faults/faults.go
+++ b/internal/faultinject/faultinject.go
@@ -1,6 +1,6 @@
-// Package faults is the one vocabulary of what goes wrong: which kinds there are, whom they hit, when, and how hard.
+// Package faultinject is the one vocabulary of what goes wrong: which kinds there are, whom they hit, when, and how hard.
 // The lab plays faults in virtual time and the stand-ins play them on sockets; neither has words of its own.
-package faults
+package faultinject
 
 import (
 	"cmp"
--- a/internal/fence/fence.go
+++ b/internal/fencing/fencing.go
@@ -1,5 +1,5 @@
-// Package fence is the side of a lease that is acted upon: it refuses what an earlier holder sends. docs/lease-design.md says why.
-package fence
+// Package fencing is the side of a lease that is acted upon: it refuses what an earlier holder sends. docs/lease-design.md says why.
+package fencing
 
 import "errors"
 
--- a/internal/fence/fence_test.go
+++ b/internal/fencing/fencing_test.go
@@ -1,4 +1,4 @@
-package fence
+package fencing
 
 import (
 	"errors"
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,10 +1,10 @@
-// Package handover passes a node's listening socket, and what it knows, from one process to the next on the same
+// Package hotrestart passes a node's listening socket, and what it knows, from one process to the next on the same
 // machine, over a Unix socket that the older one offers.
 //
 // The newer process sends a greeting; the older answers with a head (magic, length, checksum), with which the descriptor
 // of the listening socket goes, and a body. The newer then says that it serves. The connection stays until one of them
 // ends, so that each hears of that. Whatever fails, the newer process starts on its own, and the older serves on.
-package handover
+package hotrestart
 
 import (
 	"encoding/binary"
--- a/internal/handover/handover_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
--- a/internal/judge/judge.go
+++ b/internal/invariant/invariant.go
@@ -1,14 +1,14 @@
-// Package judge holds a run against the rules that every node must keep, whatever plays it: the lab in virtual time
+// Package invariant holds a run against the rules that every node must keep, whatever plays it: the lab in virtual time
 // or stand-ins on sockets. It is told what happened, in order, and keeps each request's history until the request is
 // over, so that a broken rule is reported with all that led to it.
-package judge
+package invariant
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 )
 
 // Rule is one of the rules.
@@ -24,11 +24,11 @@
 
 // Config holds the figures of the rules. Times are in µs.
 type Config struct {
-	Classes      []tulipglade.Class
-	AnswerGrace  tulipglade.Span
-	DrainGrace   tulipglade.Span
-	ColdMultiple float64         // 0: cold boxes cannot be pushed over
-	ColdWindow   tulipglade.Span //
+	Classes      []balancer.Class
+	AnswerGrace  balancer.Span
+	DrainGrace   balancer.Span
+	ColdMultiple float64       // 0: cold boxes cannot be pushed over
+	ColdWindow   balancer.Span //
 	MayDuplicate bool
 }
 
@@ -46,7 +46,7 @@
 
 // Box is what the rules need to know of a box.
 type Box struct {
-	ID         tulipglade.HostID
+	ID         balancer.HostID
 	Site, Rack int // racks are numbered over all sites
 }
 
@@ -74,15 +74,15 @@
 )
 
 type step struct {
-	at      tulipglade.Time
+	at      balancer.Time
 	what    string
 	attempt int
-	box     tulipglade.HostID
+	box     balancer.HostID
 }
 
 type try struct {
 	box   Box
-	at    tulipglade.Time
+	at    balancer.Time
 	open  bool
 	maybe bool // may have run
 }
@@ -90,8 +90,8 @@
 type request struct {
 	node     int
 	class    int
-	taken    tulipglade.Time
-	deadline tulipglade.Time
+	taken    balancer.Time
+	deadline balancer.Time
 	answered bool
 	gone     bool
 	over     bool
@@ -102,33 +102,33 @@
 
 type pair struct {
 	node int
-	box  tulipglade.HostID
+	box  balancer.HostID
 }
 
 // told is what a node has heard of a box.
 type told struct {
-	goes    bool            // it drains or is gone
-	goesAt  tulipglade.Time // since when
-	started tulipglade.Time
+	goes    bool          // it drains or is gone
+	goesAt  balancer.Time // since when
+	started balancer.Time
 }
 
 // Judge is not safe for concurrent use.
 type Judge struct {
 	cfg    Config
-	origin tulipglade.Time
-	reqs   map[tulipglade.ReqID]*request
+	origin balancer.Time
+	reqs   map[balancer.ReqID]*request
 	told   map[pair]told
-	cold   map[tulipglade.HostID]*budget
+	cold   map[balancer.HostID]*budget
 	counts map[Rule]int
 	list   []Violation
-	ended  []tulipglade.ReqID // over, the longest ago first; those past remembered are forgotten
+	ended  []balancer.ReqID // over, the longest ago first; those past remembered are forgotten
 	pool   []*request
 }
 
 // New returns a judge; origin is the instant that its reports count from.
-func New(cfg Config, origin tulipglade.Time) *Judge {
-	return &Judge{cfg: cfg, origin: origin, reqs: map[tulipglade.ReqID]*request{}, told: map[pair]told{},
-		cold: map[tulipglade.HostID]*budget{}, counts: map[Rule]int{}}
+func New(cfg Config, origin balancer.Time) *Judge {
+	return &Judge{cfg: cfg, origin: origin, reqs: map[balancer.ReqID]*request{}, told: map[pair]told{},
+		cold: map[balancer.HostID]*budget{}, counts: map[Rule]int{}}
 }
 
 // Broken counts the violations by rule.
@@ -148,7 +148,7 @@
 	return n
 }
 
-func (j *Judge) broken(rule Rule, at tulipglade.Time, node int, id tulipglade.ReqID, r *request, format string, args ...any) {
+func (j *Judge) broken(rule Rule, at balancer.Time, node int, id balancer.ReqID, r *request, format string, args ...any) {
 	j.counts[rule]++
 	if len(j.list) >= kept {
 		return
@@ -166,12 +166,12 @@
 	j.list = append(j.list, v)
 }
 
-func (r *request) note(at tulipglade.Time, what string, attempt int, box tulipglade.HostID) {
+func (r *request) note(at balancer.Time, what string, attempt int, box balancer.HostID) {
 	r.history = append(r.history, step{at, what, attempt, box})
 }
 
 // Taken is a request that a node has taken.
-func (j *Judge) Taken(now tulipglade.Time, node int, id tulipglade.ReqID, class int, deadline tulipglade.Time) {
+func (j *Judge) Taken(now balancer.Time, node int, id balancer.ReqID, class int, deadline balancer.Time) {
 	var r *request
 	if n := len(j.pool); n > 0 {
 		r, j.pool = j.pool[n-1], j.pool[:n-1]
@@ -184,7 +184,7 @@
 }
 
 // Sent is an attempt that a node sends.
-func (j *Judge) Sent(now tulipglade.Time, node int, id tulipglade.ReqID, b Box) {
+func (j *Judge) Sent(now balancer.Time, node int, id balancer.ReqID, b Box) {
 	if t, ok := j.told[pair{node, b.ID}]; ok && t.goes && now > t.goesAt+j.cfg.DrainGrace {
 		defer func() {
 			j.broken(NoDrained, now, node, id, j.reqs[id], "box %d was sent to %d ms after the node was told that it goes",
@@ -219,41 +219,41 @@
 }
 
 // outside tells why a class does not allow a repeat of t at b, or nothing if it does.
-func outside(c *tulipglade.Class, t *try, b Box, now tulipglade.Time) string {
+func outside(c *balancer.Class, t *try, b Box, now balancer.Time) string {
 	switch {
-	case c.Effect == tulipglade.Repeatable:
-	case c.Effect == tulipglade.Once:
+	case c.Effect == balancer.Repeatable:
+	case c.Effect == balancer.Once:
 		return "it must never run twice"
 	case now-t.at > c.Window:
 		return "the time for which repeats are dropped is over"
-	case c.Scope == tulipglade.ScopeZone && b.Site != t.box.Site:
+	case c.Scope == balancer.ScopeZone && b.Site != t.box.Site:
 		return "repeats are dropped within the site only"
-	case c.Scope == tulipglade.ScopeCell && (b.Rack != t.box.Rack):
+	case c.Scope == balancer.ScopeCell && (b.Rack != t.box.Rack):
 		return "repeats are dropped within the rack only"
 	}
 	return ""
 }
 
 // Settled is the end of an attempt, as the node was told.
-func (j *Judge) Settled(now tulipglade.Time, id tulipglade.ReqID, attempt int, out tulipglade.Outcome) {
+func (j *Judge) Settled(now balancer.Time, id balancer.ReqID, attempt int, out balancer.Outcome) {
 	r := j.reqs[id]
 	if r == nil || attempt >= len(r.tries) || !r.tries[attempt].open {
 		return
 	}
 	t := &r.tries[attempt]
 	t.open, r.open = false, r.open-1
-	t.maybe = out != tulipglade.Full && out != tulipglade.ConnectFailed && out != tulipglade.Moot
+	t.maybe = out != balancer.Full && out != balancer.ConnectFailed && out != balancer.Moot
 	r.note(now, outcomes[out], attempt, t.box.ID)
 	j.forget(id, r)
 }
 
-var outcomes = map[tulipglade.Outcome]string{tulipglade.OK: "outcome ok",
-	tulipglade.HostError: "outcome error", tulipglade.Full: "outcome full", tulipglade.TimedOut: "outcome timed out",
-	tulipglade.ConnectFailed: "outcome not connected", tulipglade.Reset: "outcome reset",
-	tulipglade.Cancelled: "outcome cancelled", tulipglade.Moot: "outcome moot"}
+var outcomes = map[balancer.Outcome]string{balancer.OK: "outcome ok",
+	balancer.HostError: "outcome error", balancer.Full: "outcome full", balancer.TimedOut: "outcome timed out",
+	balancer.ConnectFailed: "outcome not connected", balancer.Reset: "outcome reset",
+	balancer.Cancelled: "outcome cancelled", balancer.Moot: "outcome moot"}
 
 // Answered is the final answer that a node gives.
-func (j *Judge) Answered(now tulipglade.Time, node int, id tulipglade.ReqID, how Final) {
+func (j *Judge) Answered(now balancer.Time, node int, id balancer.ReqID, how Final) {
 	r := j.reqs[id]
 	if r == nil {
 		j.broken(OneAnswer, now, node, id, nil, "%s, though it ended long ago or was never taken", how)
@@ -266,7 +266,7 @@
 	case r.gone:
 	case now > r.deadline+j.cfg.AnswerGrace:
 		j.broken(OneAnswer, now, node, id, r, "answered %d ms after its deadline", (now-r.deadline)/1000)
-	case how == Refused && c.Effect != tulipglade.Repeatable && !(c.Effect == tulipglade.ByKey && c.Scope == tulipglade.ScopeAll):
+	case how == Refused && c.Effect != balancer.Repeatable && !(c.Effect == balancer.ByKey && c.Scope == balancer.ScopeAll):
 		if i := slices.IndexFunc(r.tries, func(t try) bool { return t.open || t.maybe }); i >= 0 {
 			j.broken(NoSecond, now, node, id, r, "refused although attempt %d may have run", i)
 		}
@@ -276,7 +276,7 @@
 }
 
 // Gone is a client that left: nothing more is owed to it.
-func (j *Judge) Gone(now tulipglade.Time, id tulipglade.ReqID) {
+func (j *Judge) Gone(now balancer.Time, id balancer.ReqID) {
 	if r := j.reqs[id]; r != nil && !r.answered {
 		r.gone = true
 		r.note(now, "client gone", -1, 0)
@@ -298,7 +298,7 @@
 	}
 }
 
-func (j *Judge) forget(id tulipglade.ReqID, r *request) {
+func (j *Judge) forget(id balancer.ReqID, r *request) {
 	if !(r.answered || r.gone) || r.open > 0 || r.over {
 		return
 	}
@@ -313,11 +313,11 @@
 }
 
 // Told is what a node hears of a box, or is deemed to have heard.
-func (j *Judge) Told(now tulipglade.Time, node int, box tulipglade.HostID, phase tulipglade.Phase, started tulipglade.Time) {
+func (j *Judge) Told(now balancer.Time, node int, box balancer.HostID, phase balancer.Phase, started balancer.Time) {
 	p := pair{node, box}
 	t := j.told[p]
 	t.started = max(started, 1)
-	if phase == tulipglade.PhaseReady {
+	if phase == balancer.PhaseReady {
 		t.goes = false
 	} else if !t.goes {
 		t.goes, t.goesAt = true, now
@@ -326,8 +326,8 @@
 }
 
 // Close ends the run: whatever is still owed by then was never answered.
-func (j *Judge) Close(now tulipglade.Time) {
-	ids := make([]tulipglade.ReqID, 0, len(j.reqs))
+func (j *Judge) Close(now balancer.Time) {
+	ids := make([]balancer.ReqID, 0, len(j.reqs))
 	for id := range j.reqs {
 		ids = append(ids, id)
 	}
@@ -341,7 +341,7 @@
 
 // budget is the work that has reached one cold box within the window.
 type budget struct {
-	started  tulipglade.Time
+	started  balancer.Time
 	arrivals []arrival
 	work     float64 // of all arrivals kept
 	knowing  float64 // of those from nodes that knew of the start
@@ -349,7 +349,7 @@
 }
 
 type arrival struct {
-	at       tulipglade.Time
+	at       balancer.Time
 	work     float64
 	capacity float64
 	knew     bool
@@ -360,7 +360,7 @@
 
 // Reached is work (in µs of a core at speed 1) that came to a cold box, whether it took it or not. Capacity is what
 // the box can do at the moment, in such µs for each µs.
-func (j *Judge) Reached(now tulipglade.Time, node int, box tulipglade.HostID, started tulipglade.Time, work, capacity float64) {
+func (j *Judge) Reached(now balancer.Time, node int, box balancer.HostID, started balancer.Time, work, capacity float64) {
 	if j.cfg.ColdMultiple <= 0 || j.cfg.ColdWindow <= 0 {
 		return
 	}
@@ -400,4 +400,4 @@
 }
 
 // Warm is a box that is cold no longer.
-func (j *Judge) Warm(box tulipglade.HostID) { delete(j.cold, box) }
+func (j *Judge) Warm(box balancer.HostID) { delete(j.cold, box) }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -10,13 +10,13 @@
 	"fmt"
 	"slices"
 
-	"tulipglade/internal/fence"
+	"tulipglade/internal/fencing"
 )
 
 // What a grant is, and the side acted upon, in a package that a node can link.
 type (
-	Token = fence.Token
-	Grant = fence.Grant
+	Token = fencing.Token
+	Grant = fencing.Grant
 )
 
 // Kind says what a Command does.
--- a/internal/load/book.go
+++ b/internal/load/book.go
@@ -9,8 +9,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"tulipglade/internal/clients"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/simulation/scenario"
+	"tulipglade/internal/workload"
 )
 
 // Outcome is how a call ended, its repeats included.
@@ -37,7 +37,7 @@
 
 // entry is one call and how far it has got.
 type entry struct {
-	call  clients.Call
+	call  workload.Call
 	tries int
 	done  bool
 }
@@ -56,7 +56,7 @@
 // was due ends with exactly one outcome. Its memory is bounded by what is open and a few seconds.
 type book struct {
 	sc     *scenario.Scenario
-	retry  *clients.Retry
+	retry  *workload.Retry
 	bound  int64 // µs of lag
 	late   int64 // µs of lag beyond which a send does not count as in time
 	warmUp int64
@@ -87,7 +87,7 @@
 func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, histMax, histDigits) }
 
 func newBook(sc *scenario.Scenario, seed uint64, bound time.Duration, closed func(*second) error) *book {
-	b := &book{sc: sc, retry: clients.NewRetry(sc, seed), bound: bound.Microseconds(), all: newHist(), lag: newHist(), closed: closed,
+	b := &book{sc: sc, retry: workload.NewRetry(sc, seed), bound: bound.Microseconds(), all: newHist(), lag: newHist(), closed: closed,
 		warmUp: int64(sc.WarmUp * 1e6)}
 	b.late = max(10*b.bound, 10_000)
 	for i := range b.byOutcome {
@@ -138,7 +138,7 @@
 }
 
 // arrive is a call whose moment has come.
-func (b *book) arrive(c clients.Call) *entry {
+func (b *book) arrive(c workload.Call) *entry {
 	b.due++
 	b.open++
 	b.second(c.At).due++
@@ -164,15 +164,15 @@
 }
 
 // answer is the end of a try. It tells whether the client tries again, and after how long; if not, the call has ended.
-func (b *book) answer(e *entry, how clients.Answer, now, retryIn int64) (wait int64, again bool) {
+func (b *book) answer(e *entry, how workload.Answer, now, retryIn int64) (wait int64, again bool) {
 	if e.done {
 		return 0, false
 	}
 	if wait, again = b.retry.Again(&e.call, how, e.tries, now-e.call.At, retryIn); again {
 		return wait, true
 	}
-	out := [...]Outcome{clients.Served: Served, clients.Refused: Refused, clients.Failed: Failed, clients.TimedOut: TimedOut,
-		clients.Unreachable: Unreachable}[how]
+	out := [...]Outcome{workload.Served: Served, workload.Refused: Refused, workload.Failed: Failed, workload.TimedOut: TimedOut,
+		workload.Unreachable: Unreachable}[how]
 	took := max(now-e.call.At, 1)
 	class := &b.sc.Classes[e.call.Class]
 	if out == Served && took > int64(class.Aim*1000) {
--- a/internal/load/book_test.go
+++ b/internal/load/book_test.go
@@ -12,8 +12,8 @@
 
 	"pgregory.net/rapid"
 
-	"tulipglade/internal/clients"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/simulation/scenario"
+	"tulipglade/internal/workload"
 )
 
 // The same verdict on every run: cases are drawn from one seed. Others: go test -args -rapid.seed N.
@@ -45,14 +45,14 @@
 // A repeat that succeeds makes one served call, whose time runs from when the first try was due.
 func TestRepeatsAreFolded(t *testing.T) {
 	b, _ := newTestBook(t, threeTries)
-	e := b.arrive(clients.Call{At: 1_000_000})
+	e := b.arrive(workload.Call{At: 1_000_000})
 	b.send(e, 1_000_000, 1_000_100)
-	wait, again := b.answer(e, clients.Refused, 1_050_000, 0)
+	wait, again := b.answer(e, workload.Refused, 1_050_000, 0)
 	if !again || wait != 100_000 {
 		t.Fatalf("again %v after %d µs", again, wait)
 	}
 	b.send(e, 1_150_000, 1_150_000)
-	if _, again := b.answer(e, clients.Served, 1_400_000, 0); again {
+	if _, again := b.answer(e, workload.Served, 1_400_000, 0); again {
 		t.Fatal("a call that was served is repeated")
 	}
 	if b.due != 1 || b.sent != 2 || b.repeats != 1 || b.by != [outcomes]int64{Served: 1} || b.open != 0 {
@@ -64,7 +64,7 @@
 	if err := b.balance(); err != nil {
 		t.Error(err)
 	}
-	if _, again := b.answer(e, clients.Failed, 1_500_000, 0); again || b.by[Failed] != 0 {
+	if _, again := b.answer(e, workload.Failed, 1_500_000, 0); again || b.by[Failed] != 0 {
 		t.Error("a late answer of a try changes how the call ended")
 	}
 }
@@ -72,9 +72,9 @@
 func TestLateIsNotServed(t *testing.T) {
 	b, _ := newTestBook(t, oneTry)
 	for i, took := range []int64{599_000, 601_000} { // the class's aim is 600 ms
-		e := b.arrive(clients.Call{N: uint64(i)})
+		e := b.arrive(workload.Call{N: uint64(i)})
 		b.send(e, 0, 0)
-		b.answer(e, clients.Served, took, 0)
+		b.answer(e, workload.Served, took, 0)
 	}
 	if b.by[Served] != 1 || b.by[Late] != 1 || b.worth != 1 || b.asked != 2 {
 		t.Errorf("%v, worth %g of %g", b.by, b.worth, b.asked)
@@ -94,13 +94,13 @@
 		now := int64(0)
 		for i := range rapid.IntRange(1, 200).Draw(rt, "calls") {
 			now += rapid.Int64Range(0, 400_000).Draw(rt, "gap")
-			e := b.arrive(clients.Call{N: uint64(i), At: now, Class: i % 3, Tenant: i % 2})
+			e := b.arrive(workload.Call{N: uint64(i), At: now, Class: i % 3, Tenant: i % 2})
 			b.send(e, now, now+rapid.Int64Range(0, 5000).Draw(rt, "lag"))
 			flying = append(flying, out{e, now})
 			for len(flying) > rapid.IntRange(0, 10).Draw(rt, "open") {
 				k := rapid.IntRange(0, len(flying)-1).Draw(rt, "which")
 				e := flying[k].e
-				how := clients.Answer(rapid.IntRange(0, int(clients.Unreachable)).Draw(rt, "how"))
+				how := workload.Answer(rapid.IntRange(0, int(workload.Unreachable)).Draw(rt, "how"))
 				if wait, again := b.answer(e, how, now, 0); again {
 					b.send(e, now+wait, now+wait)
 				} else {
@@ -113,7 +113,7 @@
 		}
 		for _, o := range flying {
 			for again := true; again; {
-				if _, again = b.answer(o.e, clients.TimedOut, now+20_000_000, 0); again {
+				if _, again = b.answer(o.e, workload.TimedOut, now+20_000_000, 0); again {
 					b.send(o.e, now, now)
 				}
 			}
@@ -141,7 +141,7 @@
 // The balance has to be able to fail.
 func TestBalanceSeesALostCall(t *testing.T) {
 	b, _ := newTestBook(t, oneTry)
-	b.arrive(clients.Call{})
+	b.arrive(workload.Call{})
 	if b.balance() == nil {
 		t.Error("a call that never ended is not missed")
 	}
@@ -152,13 +152,13 @@
 	b, _ := newTestBook(t, oneTry)
 	for n := range int64(20_000) {
 		at := n * 500
-		e := b.arrive(clients.Call{N: uint64(n), At: at})
+		e := b.arrive(workload.Call{N: uint64(n), At: at})
 		lag := int64(10)
 		if at >= 3_000_000 && at < 3_010_000 { // 20 of the 2,000 in one second: 0.1% of all
 			lag = 50_000
 		}
 		b.send(e, at, at+lag)
-		b.answer(e, clients.Served, at+lag+100, 0)
+		b.answer(e, workload.Served, at+lag+100, 0)
 	}
 	b.sweep(math.MaxInt64, true)
 	res := &Result{Lag: LagReport{BoundMs: 1}}
@@ -184,9 +184,9 @@
 		"others":      {func(*runner) {}, 0, "cause not seen"},
 	} {
 		b, _ := newTestBook(t, oneTry)
-		e := b.arrive(clients.Call{})
+		e := b.arrive(workload.Call{})
 		b.send(e, 0, 3_000_000)
-		b.answer(e, clients.Served, 3_000_100, 0)
+		b.answer(e, workload.Served, 3_000_100, 0)
 		r := &runner{plan: Plan{Scenario: scene(t, oneTry)}, book: b}
 		c.change(r)
 		res := &Result{Lag: LagReport{BoundMs: 1}}
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -15,7 +15,7 @@
 
 	"go.uber.org/goleak"
 
-	"tulipglade/internal/standin"
+	"tulipglade/internal/fake"
 )
 
 // On sockets, with bounds that a busy machine keeps: `tulipctl load verify` measures the narrow ones.
@@ -117,7 +117,7 @@
 		only(t, run(t, quick, script(t, func(c net.Conn) { io.Copy(io.Discard, c) }), nil), "timed-out")
 	})
 	t.Run("is not there", func(t *testing.T) {
-		addrs, err := standin.FreeAddrs(1)
+		addrs, err := fake.FreeAddrs(1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -213,7 +213,7 @@
 	began := time.Now()
 	waker := newWaker()
 	defer waker.close()
-	null, err := standin.StartNull("127.0.0.1:0", func(now time.Time) time.Time {
+	null, err := fake.StartNull("127.0.0.1:0", func(now time.Time) time.Time {
 		if in := now.Sub(began) % time.Second; in < 300*time.Millisecond {
 			return now.Add(300*time.Millisecond - in)
 		}
@@ -243,7 +243,7 @@
 
 // Ten times and more what any core can send: every call is accounted for, and the run does not count.
 func TestStarvedOfProcessor(t *testing.T) {
-	null, err := standin.StartNull("127.0.0.1:0", nil, nil)
+	null, err := fake.StartNull("127.0.0.1:0", nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,7 +268,7 @@
 }
 
 func TestRecordedTraceReplays(t *testing.T) {
-	null, err := standin.StartNull("127.0.0.1:0", nil, nil)
+	null, err := fake.StartNull("127.0.0.1:0", nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -288,7 +288,7 @@
 
 // BenchmarkGenerator is the processor time of the whole process for a call, the box that answers at once included.
 func BenchmarkGenerator(b *testing.B) {
-	null, err := standin.StartNull("127.0.0.1:0", nil, nil)
+	null, err := fake.StartNull("127.0.0.1:0", nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -18,12 +18,12 @@
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sys/unix"
 
-	"tulipglade"
-	"tulipglade/internal/clients"
-	"tulipglade/internal/faults"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/faultinject"
 	"tulipglade/internal/loopback"
 	"tulipglade/internal/protocol"
+	"tulipglade/internal/simulation/scenario"
+	"tulipglade/internal/workload"
 )
 
 // Plan is one run.
@@ -38,7 +38,7 @@
 	Lag time.Duration
 	// Capacity is what the fleet behind the target can do, in µs of work for each µs, where the load is a level of it.
 	Capacity float64
-	Faults   []faults.Fault // of which the surges are the clients'
+	Faults   []faultinject.Fault // of which the surges are the clients'
 	// Each is told of every second once all its calls have ended.
 	Each func(Second)
 	// Intervals takes the HDR histogram of each second, if it is set.
@@ -105,7 +105,7 @@
 	nc      net.Conn
 	err     error
 	heard   bool // some of an answer had come before the break
-	how     clients.Answer
+	how     workload.Answer
 	retryIn int64
 	keep    bool
 }
@@ -115,7 +115,7 @@
 type runner struct {
 	plan    Plan
 	start   time.Time
-	classes []tulipglade.Class
+	classes []balancer.Class
 	news    chan happening
 	quit    chan struct{} // closed as the run ends: news is not taken any more
 
@@ -148,7 +148,7 @@
 	if len(p.Targets) == 0 {
 		return nil, errors.New("target: none is given")
 	}
-	schedule, err := clients.NewSchedule(p.Scenario, p.Seed, p.Capacity, p.Faults)
+	schedule, err := workload.NewSchedule(p.Scenario, p.Seed, p.Capacity, p.Faults)
 	if err != nil {
 		return nil, err
 	}
@@ -220,7 +220,7 @@
 const nap = 500 * time.Microsecond
 
 // schedule sends each call at its moment, and plays what falls due in between, until all has ended.
-func (r *runner) schedule(ctx context.Context, s *clients.Schedule) error {
+func (r *runner) schedule(ctx context.Context, s *workload.Schedule) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	next, err := s.Next()
@@ -265,7 +265,7 @@
 				if a := heap.Pop(&r.alarms).(alarm); a.again != nil {
 					r.begin(a.again, a.at)
 				} else if t := a.end; !t.done {
-					r.end(t, clients.TimedOut, now, 0)
+					r.end(t, workload.TimedOut, now, 0)
 					if t.conn != nil {
 						r.drop(t.conn)
 					}
@@ -368,7 +368,7 @@
 			r.noFiles++
 		}
 		if !t.done {
-			r.end(t, clients.Unreachable, h.at, 0)
+			r.end(t, workload.Unreachable, h.at, 0)
 		}
 		return
 	}
@@ -398,7 +398,7 @@
 	class := &sc.Classes[e.call.Class]
 	effect := r.classes[e.call.Class].Effect
 	method := "POST /"
-	if effect == tulipglade.Repeatable {
+	if effect == balancer.Repeatable {
 		method = "GET /"
 	}
 	dst = append(append(dst, method...), class.Name...)
@@ -411,24 +411,24 @@
 	dst = append(append(dst, class.Name...), "\r\nX-Customer: "...)
 	dst = append(append(dst, sc.Tenants[e.call.Tenant].Name...), "\r\nX-Expires-In-Ms: "...)
 	dst = strconv.AppendInt(dst, max((t.deadline-t.due)/1000, 1), 10)
-	if hint := clients.Hint(sc, r.plan.Seed, &e.call); hint > 0 {
+	if hint := workload.Hint(sc, r.plan.Seed, &e.call); hint > 0 {
 		dst = strconv.AppendInt(append(dst, "\r\nX-Size-Hint: "...), hint, 10)
 	}
 	if sc.Clients.Marks && e.tries > 1 {
 		dst = append(dst, "\r\nX-Second-Try: 1"...)
 	}
-	if effect == tulipglade.ByKey {
+	if effect == balancer.ByKey {
 		dst = append(dst, "\r\nIdempotency-Key: "...)
 		dst = fmt.Appendf(dst, "%016x%016x", r.nonce, e.call.N)
 	}
-	if effect != tulipglade.Repeatable {
+	if effect != balancer.Repeatable {
 		dst = append(dst, "\r\nContent-Length: 0"...)
 	}
 	return append(dst, "\r\n\r\n"...)
 }
 
 // end is the end of a try: the call ends with it, or a repeat is set.
-func (r *runner) end(t *try, how clients.Answer, now, retryIn int64) {
+func (r *runner) end(t *try, how workload.Answer, now, retryIn int64) {
 	t.done = true
 	if t.e.tries == 0 { // it never got a connection: it counts as sent when it was given up
 		r.book.send(t.e, t.due, now)
@@ -509,12 +509,12 @@
 		if !whole {
 			continue
 		}
-		h := happening{at: at, c: c, how: clients.Failed, keep: m.KeepAlive && len(m.Rest(buf)) == 0}
+		h := happening{at: at, c: c, how: workload.Failed, keep: m.KeepAlive && len(m.Rest(buf)) == 0}
 		switch m.Status {
 		case 200:
-			h.how = clients.Served
+			h.how = workload.Served
 		case 429, 503:
-			h.how = clients.Refused
+			h.how = workload.Refused
 			if s, err := strconv.ParseFloat(string(bytes.TrimSpace(m.Get("retry-after"))), 64); err == nil && s > 0 && s < 1e6 {
 				h.retryIn = int64(s * 1e6)
 			}
@@ -542,7 +542,7 @@
 		r.dial(t)
 		return
 	}
-	r.end(t, clients.Failed, h.at, 0)
+	r.end(t, workload.Failed, h.at, 0)
 }
 
 // close ends all connections, and waits for their readers.
--- a/internal/load/verify.go
+++ b/internal/load/verify.go
@@ -9,9 +9,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"tulipglade/internal/clients"
-	"tulipglade/internal/lab/scenario"
-	"tulipglade/internal/standin"
+	"tulipglade/internal/fake"
+	"tulipglade/internal/simulation/scenario"
+	"tulipglade/internal/workload"
 )
 
 // Check is one figure of a run against a stand-in whose delays are known.
@@ -72,7 +72,7 @@
 		n := 0
 		var mu sync.Mutex
 		waker := newWaker()
-		null, err := standin.StartNull("127.0.0.1:0", func(now time.Time) time.Time {
+		null, err := fake.StartNull("127.0.0.1:0", func(now time.Time) time.Time {
 			mu.Lock()
 			defer mu.Unlock()
 			if began.IsZero() {
@@ -102,7 +102,7 @@
 
 // expected is the distribution that the schedule and the delays give, on a network and a machine that take no time.
 func expected(sc *scenario.Scenario, d delays) (*hdrhistogram.Histogram, error) {
-	s, err := clients.NewSchedule(sc, 1, 1, nil)
+	s, err := workload.NewSchedule(sc, 1, 1, nil)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/account_test.go
+++ b/internal/node/account_test.go
@@ -15,7 +15,7 @@
 
 	"pgregory.net/rapid"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
 )
 
@@ -24,12 +24,12 @@
 	module
 	fail     func(format string, args ...any)
 	of       *Node
-	taken    map[tulipglade.ReqID]bool
+	taken    map[balancer.ReqID]bool
 	ids      map[string]bool // the clients' own, of those
 	outcomes map[[2]uint64]int
 }
 
-func (b *books) Request(now tulipglade.Time, a tulipglade.Arrival) {
+func (b *books) Request(now balancer.Time, a balancer.Arrival) {
 	if b.taken[a.ID] {
 		b.fail("request %d is taken twice", a.ID)
 	}
@@ -38,7 +38,7 @@
 	b.module.Request(now, a)
 }
 
-func (b *books) Settled(now tulipglade.Time, s tulipglade.Settlement) {
+func (b *books) Settled(now balancer.Time, s balancer.Settlement) {
 	key := [2]uint64{uint64(s.ID), uint64(s.Attempt)}
 	if b.outcomes[key]++; b.outcomes[key] > 1 {
 		b.fail("attempt %v has %d outcomes", key, b.outcomes[key])
@@ -253,7 +253,7 @@
 			}
 		})
 		defer stop()
-		b := &books{fail: fail, of: n, ids: map[string]bool{}, taken: map[tulipglade.ReqID]bool{}, outcomes: map[[2]uint64]int{}}
+		b := &books{fail: fail, of: n, ids: map[string]bool{}, taken: map[balancer.ReqID]bool{}, outcomes: map[[2]uint64]int{}}
 		twice := rapid.Bool().Draw(rt, "known to answer twice")
 		on(n, func() {
 			b.module, n.bal = n.bal, b
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -5,8 +5,8 @@
 	"errors"
 	"log/slog"
 
-	"tulipglade/internal/permit"
 	"tulipglade/internal/protocol"
+	"tulipglade/internal/safety"
 )
 
 // heldUpMost is how much time may pass from the check of an attempt to its first byte, in microseconds. An attempt whose goroutine, or whose
@@ -34,30 +34,30 @@
 func (n *Node) audit(a *attempt, first firstByte) {
 	h, r := a.host, a.req
 	if left := h.leftAt; left > 0 && first.at > left+n.set.DrainGrace+auditSlack {
-		n.violation(a, permit.BackendLeaving, first.at-left)
+		n.violation(a, safety.BackendLeaving, first.at-left)
 	}
 	if first.lease > 0 && first.at > first.lease+n.set.DrainGrace+auditSlack {
-		n.violation(a, permit.ListStale, first.at-first.lease)
+		n.violation(a, safety.ListStale, first.at-first.lease)
 	}
 	if r.client != nil {
 		if gone := r.client.endedAt.Load(); gone > 0 && first.at > gone+goneMost {
-			n.violation(a, permit.ClientGone, first.at-gone)
+			n.violation(a, safety.ClientGone, first.at-gone)
 		}
 	}
 	if over := first.told - (a.till - first.at); a.till != never && over > deadlineSlack {
-		n.violation(a, permit.DeadlinePassed, over)
+		n.violation(a, safety.DeadlinePassed, over)
 	}
 }
 
 // violation counts one attempt that should not have begun.
-func (n *Node) violation(a *attempt, why permit.Reason, by int64) {
+func (n *Node) violation(a *attempt, why safety.Reason, by int64) {
 	n.violations[why]++
 	n.log.Error("invariant violated", "rule", why.String(), "by_us", by, "trace", a.req.trace(), "attempt", a.number,
 		"host", a.host.addr, "rev", n.rev, "count", n.violations[why])
 }
 
 // withheld notes an attempt that was decided on and may not begin any more.
-func (n *Node) withheld(a *attempt, why permit.Reason) {
+func (n *Node) withheld(a *attempt, why safety.Reason) {
 	n.traceRequest(a.req, "attempt withheld", "attempt", a.number, "host", a.host.addr, "reason", why.String())
 }
 
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -13,8 +13,8 @@
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 
-	"tulipglade/internal/permit"
 	"tulipglade/internal/protocol"
+	"tulipglade/internal/safety"
 )
 
 // writeTimeout is how long a client may take to read an answer.
@@ -493,8 +493,8 @@
 }
 
 // mayClose tells whether the connection may be ended between two requests, and if not, why: what has come, and waits to be read, asks for an answer.
-func (c *client) mayClose() permit.Reason {
-	return permit.Close{RequestOpen: c.req != nil || c.writing || c.upload != nil, Unread: c.unread() > 0 || !c.clean()}.Check()
+func (c *client) mayClose() safety.Reason {
+	return safety.Close{RequestOpen: c.req != nil || c.writing || c.upload != nil, Unread: c.unread() > 0 || !c.clean()}.Check()
 }
 
 // sweepClients ends what clients hold on to and do not use: connections that never ask, requests that begin and do
@@ -508,7 +508,7 @@
 			idle := now - c.idleSince
 			switch {
 			case c.lingering:
-			case c.mayClose() != permit.Allowed: // it asks in this moment
+			case c.mayClose() != safety.Allowed: // it asks in this moment
 			case c.in != nil && c.headAt == 0 && now-c.since >= askWithin,
 				c.in != nil && c.headAt > 0 && now-c.headAt >= bodyWithin+int64(float64(c.in.n)*1e6/(bodyRate*bodyMargin)):
 				c.refuse(408, "request not complete in time")
@@ -528,7 +528,7 @@
 	for e := in.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*client); n.now()-c.idleSince < least {
 			return nil
-		} else if c.mayClose() == permit.Allowed {
+		} else if c.mayClose() == safety.Allowed {
 			return c
 		}
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"tulipglade/internal/permit"
+	"tulipglade/internal/safety"
 )
 
 // A node leaves in one way, whoever asks it to: an operator's standby, which /active takes back, or the end of the
@@ -136,7 +136,7 @@
 		for e := l.Front(); e != nil; {
 			c := e.Value.(*client)
 			e = e.Next()
-			if (!c.isFresh() || n.drain.late) && c.in == nil && c.mayClose() == permit.Allowed {
+			if (!c.isFresh() || n.drain.late) && c.in == nil && c.mayClose() == safety.Allowed {
 				c.shut(endDrain)
 			}
 		}
@@ -166,7 +166,7 @@
 	for c := range n.clients {
 		switch {
 		case c.lingering:
-		case c.mayClose() == permit.Allowed:
+		case c.mayClose() == safety.Allowed:
 			c.shut(endDrain)
 		default:
 			asking++
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -9,17 +9,17 @@
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
 )
 
 // Handed is what one process of a node gives the next: together they are one node to hosts and clients.
 type Handed struct {
-	List    protocol.List
-	Classes []string // those that Learned speaks of, in its order
-	Tenants []string
-	Learned tulipglade.Memory
-	IDs     map[string]int64 // of requests that may be running, and until when, on the clock that both have
+	List    protocol.List    `json:"List"`
+	Classes []string         `json:"Classes"` // those that Learned speaks of, in its order
+	Tenants []string         `json:"Tenants"`
+	Learned balancer.Memory  `json:"Learned"`
+	IDs     map[string]int64 `json:"IDs"` // of requests that may be running, and until when, on the clock that both have
 }
 
 // idsHanded bounds the ids that are handed over.
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -5,14 +5,14 @@
 	"io"
 	"testing"
 
-	"tulipglade"
-	"tulipglade/internal/permit"
+	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
+	"tulipglade/internal/safety"
 )
 
 // leased has the node send nothing by a list of unknown age.
 func leased(s *Settings) {
-	s.Module.AskDiscovery, s.Module.AskEvery, s.Module.ListLease = true, 10_000_000, tulipglade.ToldWithin
+	s.Module.AskDiscovery, s.Module.AskEvery, s.Module.ListLease = true, 10_000_000, balancer.ToldWithin
 	s.DrainGrace = 500_000
 }
 
@@ -21,7 +21,7 @@
 	app := newApp(t, serve)
 	for name, word := range map[string]func(*Node){
 		"an answer": func(n *Node) { n.Members(protocol.List{Rev: 1}, false) },
-		"a refusal": func(n *Node) { n.MembersFailed(errors.New("refused"), tulipglade.ListFailed, n.epoch) },
+		"a refusal": func(n *Node) { n.MembersFailed(errors.New("refused"), balancer.ListFailed, n.epoch) },
 		"no word": func(n *Node) {
 			on(n, func() { n.list.since -= readyWithin })
 		},
@@ -70,7 +70,7 @@
 			targets[0].State = protocol.Terminating
 			n.Members(protocol.List{Rev: 1, Targets: targets}, false)
 			until(n, func() bool { return len(ends.outcomes) > 0 })
-			if ends.outcomes[0] != tulipglade.Moot || app.seen.Load() > 1 {
+			if ends.outcomes[0] != balancer.Moot || app.seen.Load() > 1 {
 				t.Errorf("ended as %v, %d requests at the backend", ends.outcomes, app.seen.Load())
 			}
 		})
@@ -89,13 +89,13 @@
 		for _, c := range []struct {
 			name   string
 			change func(*firstByte)
-			want   permit.Reason
+			want   safety.Reason
 		}{
-			{"as it should be", func(*firstByte) {}, permit.Allowed},
-			{"backend left", func(*firstByte) { h.leftAt = now - n.set.DrainGrace - auditSlack - 1 }, permit.BackendLeaving},
-			{"list too old", func(f *firstByte) { f.lease = now - n.set.DrainGrace - auditSlack - 1 }, permit.ListStale},
-			{"client gone", func(*firstByte) { r.client.endedAt.Store(now - goneMost - 1) }, permit.ClientGone},
-			{"more time than is left", func(f *firstByte) { f.told += deadlineSlack + 1 }, permit.DeadlinePassed},
+			{"as it should be", func(*firstByte) {}, safety.Allowed},
+			{"backend left", func(*firstByte) { h.leftAt = now - n.set.DrainGrace - auditSlack - 1 }, safety.BackendLeaving},
+			{"list too old", func(f *firstByte) { f.lease = now - n.set.DrainGrace - auditSlack - 1 }, safety.ListStale},
+			{"client gone", func(*firstByte) { r.client.endedAt.Store(now - goneMost - 1) }, safety.ClientGone},
+			{"more time than is left", func(f *firstByte) { f.told += deadlineSlack + 1 }, safety.DeadlinePassed},
 		} {
 			clear(n.violations)
 			h.leftAt = 0
@@ -103,7 +103,7 @@
 			f := fine
 			c.change(&f)
 			n.audit(a, f)
-			if want := map[permit.Reason]int{c.want: 1}; c.want == permit.Allowed && len(n.violations) > 0 || c.want != permit.Allowed && n.violations[c.want] != want[c.want] {
+			if want := map[safety.Reason]int{c.want: 1}; c.want == safety.Allowed && len(n.violations) > 0 || c.want != safety.Allowed && n.violations[c.want] != want[c.want] {
 				t.Errorf("%s: counted %v", c.name, n.violations)
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,15 +13,15 @@
 	"sync/atomic"
 	"time"
 
-	"tulipglade"
-	"tulipglade/internal/permit"
+	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
+	"tulipglade/internal/safety"
 )
 
 // Settings is what a node is told at its start, and what Retune changes. All times are in microseconds. One that has been
 // taken up is not changed any more: an open request keeps the one that it came under.
 type Settings struct {
-	Module         tulipglade.Config
+	Module         balancer.Config
 	Seed           uint64
 	Classes        []string // by number, as in Module.Classes
 	Tenants        []string
@@ -45,19 +45,19 @@
 
 // module is what the node asks of the decision module: a tulipglade.Balancer.
 type module interface {
-	MembersAsOf(now, asOf tulipglade.Time, kind tulipglade.ListKind, list []tulipglade.Host)
-	Request(now tulipglade.Time, a tulipglade.Arrival)
-	Loading(now tulipglade.Time, id tulipglade.ReqID, on bool)
-	Settled(now tulipglade.Time, s tulipglade.Settlement)
-	Checked(now tulipglade.Time, id tulipglade.HostID, out tulipglade.Outcome, took tulipglade.Span, rep *tulipglade.Report)
-	MayBegin(now tulipglade.Time, id tulipglade.ReqID, attempt int) permit.Reason
-	ListCurrent(now tulipglade.Time) (current bool, until tulipglade.Time)
-	ListMustBeHeardAnew(now, at tulipglade.Time)
-	Gone(now tulipglade.Time, id tulipglade.ReqID)
-	Wake(now tulipglade.Time, t tulipglade.Token)
-	Retune(now tulipglade.Time, cfg tulipglade.Config, classes, tenants []int) error
-	Export(now tulipglade.Time) tulipglade.Memory
-	Import(now tulipglade.Time, m tulipglade.Memory)
+	MembersAsOf(now, asOf balancer.Time, kind balancer.ListKind, list []balancer.Host)
+	Request(now balancer.Time, a balancer.Arrival)
+	Loading(now balancer.Time, id balancer.ReqID, on bool)
+	Settled(now balancer.Time, s balancer.Settlement)
+	Checked(now balancer.Time, id balancer.HostID, out balancer.Outcome, took balancer.Span, rep *balancer.Report)
+	MayBegin(now balancer.Time, id balancer.ReqID, attempt int) safety.Reason
+	ListCurrent(now balancer.Time) (current bool, until balancer.Time)
+	ListMustBeHeardAnew(now, at balancer.Time)
+	Gone(now balancer.Time, id balancer.ReqID)
+	Wake(now balancer.Time, t balancer.Token)
+	Retune(now balancer.Time, cfg balancer.Config, classes, tenants []int) error
+	Export(now balancer.Time) balancer.Memory
+	Import(now balancer.Time, m balancer.Memory)
 	Share(processes int)
 }
 
@@ -87,18 +87,18 @@
 	timerSeq uint64
 
 	classes, tenants, zones map[string]int
-	requests                map[tulipglade.ReqID]*request
+	requests                map[balancer.ReqID]*request
 	ids                     map[string]struct{} // the clients' own, each until its request's time is over
-	lastID                  tulipglade.ReqID
+	lastID                  balancer.ReqID
 	open                    int // requests taken and not answered
 	writing                 int // answers on their way out
 	flows                   int // large messages on their way through
 	flowQueue               []func()
 	kept                    int // bytes that clients have sent behind a request that is not answered
-	hosts                   map[tulipglade.HostID]*host
+	hosts                   map[balancer.HostID]*host
 	forgotten               tombstones
 	byUID                   map[string]*host
-	lastHost                tulipglade.HostID
+	lastHost                balancer.HostID
 	rev                     int64          // the latest version of the list of backends
 	warned                  map[string]int // lines by text since the last sweep
 	clients                 map[*client]struct{}
@@ -113,7 +113,7 @@
 	list                    listState
 	drain                   drain
 	shared                  int // processes that are this node; 0: one
-	violations              map[permit.Reason]int
+	violations              map[safety.Reason]int
 	tracing                 bool  // a line for each step of each request
 	heldUp                  int64 // by so much every first byte is late, in tests
 }
@@ -124,10 +124,10 @@
 	set.nameless()
 	n := &Node{set: &set, log: log, discovery: discovery, list: listState{since: start.UnixMicro()}, epoch: start, epochUs: start.UnixMicro(),
 		wake: make(chan struct{}, 1), classes: index(set.Classes), tenants: index(set.Tenants),
-		zones: index(set.Zones), requests: map[tulipglade.ReqID]*request{}, byUID: map[string]*host{},
-		hosts: map[tulipglade.HostID]*host{}, warned: map[string]int{},
-		clients: map[*client]struct{}{}, ids: map[string]struct{}{}, violations: map[permit.Reason]int{}, tracing: traces(log)}
-	bal, err := tulipglade.New(set.Module, set.Seed, n)
+		zones: index(set.Zones), requests: map[balancer.ReqID]*request{}, byUID: map[string]*host{},
+		hosts: map[balancer.HostID]*host{}, warned: map[string]int{},
+		clients: map[*client]struct{}{}, ids: map[string]struct{}{}, violations: map[safety.Reason]int{}, tracing: traces(log)}
+	bal, err := balancer.New(set.Module, set.Seed, n)
 	if err != nil {
 		return nil, err
 	}
@@ -322,12 +322,12 @@
 
 func (n *Node) members(l protocol.List, cached bool, asOf time.Time) {
 	n.post(func() {
-		kind := tulipglade.ListDelta
+		kind := balancer.ListDelta
 		if l.All {
-			kind = tulipglade.ListFull
+			kind = balancer.ListFull
 		}
 		if cached {
-			kind = tulipglade.ListCached
+			kind = balancer.ListCached
 		}
 		if n.list.noteVersion(l.Rev, n.rev) {
 			asOf = time.Time{} // a list that is older than the last says nothing of what is current
@@ -337,7 +337,7 @@
 			n.log.Info("backends", "rev", l.Rev, "all", l.All, "cached", cached, "entries", len(hosts))
 		}
 		n.listed = n.listed || len(hosts) > 0
-		if len(hosts) == 0 && kind == tulipglade.ListDelta && !n.set.Module.AskDiscovery {
+		if len(hosts) == 0 && kind == balancer.ListDelta && !n.set.Module.AskDiscovery {
 			return // where nothing was asked, nothing is owed: the module hears of changes alone
 		}
 		n.bal.MembersAsOf(n.now(), n.timeOf(asOf), kind, hosts)
@@ -346,7 +346,7 @@
 }
 
 // MembersFailed tells that a call to discovery has failed, and how: ListFailed, ListSilent or ListBusy. Nothing newer could be had as of a time.
-func (n *Node) MembersFailed(err error, how tulipglade.ListKind, asOf time.Time) {
+func (n *Node) MembersFailed(err error, how balancer.ListKind, asOf time.Time) {
 	n.post(func() {
 		n.log.Warn("discovery failed", "err", err)
 		n.bal.MembersAsOf(n.now(), n.timeOf(asOf), how, nil)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -24,9 +24,9 @@
 	"github.com/google/go-cmp/cmp"
 	"golang.org/x/sys/unix"
 
-	"tulipglade"
-	"tulipglade/internal/permit"
+	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
+	"tulipglade/internal/safety"
 )
 
 func TestMain(m *testing.M) {
@@ -55,11 +55,11 @@
 	t.Helper()
 	second := int64(time.Second / time.Microsecond)
 	set := Settings{Classes: []string{"read", "once", "keyed"}, Tenants: []string{"t"}, Zones: []string{"z"},
-		ConnectTimeout: second, Keepalive: 30 * second, Grace: 20_000, Module: tulipglade.Config{Peers: 1, MaxAttempts: 3,
-			MayCancel: true, Tick: 1000, Tenants: []tulipglade.Tenant{{Share: 1}}, Classes: []tulipglade.Class{
+		ConnectTimeout: second, Keepalive: 30 * second, Grace: 20_000, Module: balancer.Config{Peers: 1, MaxAttempts: 3,
+			MayCancel: true, Tick: 1000, Tenants: []balancer.Tenant{{Share: 1}}, Classes: []balancer.Class{
 				{Aim: 10 * second, Deadline: 10 * second},
-				{Aim: 10 * second, Deadline: 10 * second, Effect: tulipglade.Once},
-				{Aim: 10 * second, Deadline: 10 * second, Effect: tulipglade.ByKey, Scope: tulipglade.ScopeCell, Window: 5 * second},
+				{Aim: 10 * second, Deadline: 10 * second, Effect: balancer.Once},
+				{Aim: 10 * second, Deadline: 10 * second, Effect: balancer.ByKey, Scope: balancer.ScopeCell, Window: 5 * second},
 			}}}
 	if change != nil {
 		change(&set)
@@ -777,24 +777,24 @@
 	n, _ := start(t, nil, nil)
 	on(n, func() {
 		n.merge(protocol.List{Rev: 10, All: true, Targets: []protocol.Target{entry("kept", 0, 5), entry("gone", 0, 5),
-			entry("drains", protocol.Terminating, 5), entry("leaves", 0, 5), entry("unknown", 0, 5)}}, tulipglade.ListFull)
-		n.merge(protocol.List{Rev: 11, Targets: []protocol.Target{entry("gone", protocol.Terminated, 5)}}, tulipglade.ListDelta)
+			entry("drains", protocol.Terminating, 5), entry("leaves", 0, 5), entry("unknown", 0, 5)}}, balancer.ListFull)
+		n.merge(protocol.List{Rev: 11, Targets: []protocol.Target{entry("gone", protocol.Terminated, 5)}}, balancer.ListDelta)
 		got, kind := n.merge(protocol.List{Rev: 9, All: true, Targets: []protocol.Target{entry("kept", protocol.Terminated, 4),
-			entry("gone", 0, 5), entry("drains", 0, 5), entry("leaves", protocol.Terminating, 5), entry("new", 0, 6)}}, tulipglade.ListFull)
-		want := []tulipglade.Host{{ID: 4, Key: xxhash.Sum64String("leaves"), Phase: tulipglade.PhaseDraining, Weight: 1, Started: 5000},
-			{ID: 6, Key: xxhash.Sum64String("new"), Phase: tulipglade.PhaseReady, Weight: 1, Started: 6000}}
-		if diff := cmp.Diff(want, got); diff != "" || kind != tulipglade.ListDelta {
+			entry("gone", 0, 5), entry("drains", 0, 5), entry("leaves", protocol.Terminating, 5), entry("new", 0, 6)}}, balancer.ListFull)
+		want := []balancer.Host{{ID: 4, Key: xxhash.Sum64String("leaves"), Phase: balancer.PhaseDraining, Weight: 1, Started: 5000},
+			{ID: 6, Key: xxhash.Sum64String("new"), Phase: balancer.PhaseReady, Weight: 1, Started: 6000}}
+		if diff := cmp.Diff(want, got); diff != "" || kind != balancer.ListDelta {
 			t.Errorf("kind %d\n%s", kind, diff)
 		}
 		n.byUID["gone"].goneAt = n.now() - hostKept // long ago
 		if n.forgetHosts(); n.byUID["gone"] != nil {
 			t.Error("not forgotten")
 		}
-		if got, _ = n.merge(protocol.List{Rev: 9, Targets: []protocol.Target{entry("gone", 0, 5)}}, tulipglade.ListDelta); len(got) != 0 {
+		if got, _ = n.merge(protocol.List{Rev: 9, Targets: []protocol.Target{entry("gone", 0, 5)}}, balancer.ListDelta); len(got) != 0 {
 			t.Errorf("brought back after it had been forgotten: %v", got)
 		}
-		if got, kind = n.merge(protocol.List{Rev: 12, All: true, Targets: []protocol.Target{entry("gone", 0, 5)}}, tulipglade.ListFull); len(got) != 1 ||
-			got[0].Phase != tulipglade.PhaseReady || kind != tulipglade.ListFull {
+		if got, kind = n.merge(protocol.List{Rev: 12, All: true, Targets: []protocol.Target{entry("gone", 0, 5)}}, balancer.ListFull); len(got) != 1 ||
+			got[0].Phase != balancer.PhaseReady || kind != balancer.ListFull {
 			t.Errorf("a new list: %v, kind %d", got, kind)
 		}
 	})
@@ -1227,10 +1227,10 @@
 // endings stand between a node and its module, and note how attempts end.
 type endings struct {
 	module
-	outcomes []tulipglade.Outcome
+	outcomes []balancer.Outcome
 }
 
-func (e *endings) Settled(now tulipglade.Time, s tulipglade.Settlement) {
+func (e *endings) Settled(now balancer.Time, s balancer.Settlement) {
 	e.outcomes = append(e.outcomes, s.Outcome)
 	e.module.Settled(now, s)
 }
@@ -1255,7 +1255,7 @@
 		behindOf(n, 2)
 		close(free)
 		until(n, func() bool { return n.lastID == 2 && len(n.clients) == 0 && len(n.requests) == 0 })
-		if !slices.Equal(ends.outcomes, []tulipglade.Outcome{tulipglade.Moot}) {
+		if !slices.Equal(ends.outcomes, []balancer.Outcome{balancer.Moot}) {
 			t.Errorf("attempts that ended as %v, want one that never began", ends.outcomes)
 		}
 	})
@@ -1267,7 +1267,7 @@
 				for !a.req.client.hasEnded() {
 					runtime.Gosched()
 				}
-				if why := w.n.mayBegin(a); why != permit.ClientGone {
+				if why := w.n.mayBegin(a); why != safety.ClientGone {
 					t.Errorf("may begin: %v", why)
 				}
 			}
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
 )
 
@@ -22,7 +22,7 @@
 )
 
 // Probe asks a host for its load. The module hears of exactly one outcome through Checked.
-func (n *Node) Probe(hostID tulipglade.HostID) {
+func (n *Node) Probe(hostID balancer.HostID) {
 	h := n.hosts[hostID]
 	if h == nil {
 		n.log.Error("probe without a host", "host", hostID)
@@ -34,11 +34,11 @@
 	h.probes++
 	switch {
 	case h.state != protocol.InService, !n.set.Module.MayProbe, !current:
-		n.settle(a, tulipglade.Moot, nil) // it wants nothing new
+		n.settle(a, balancer.Moot, nil) // it wants nothing new
 	case h.probes > probesMost:
-		n.settle(a, tulipglade.Moot, nil)
+		n.settle(a, balancer.Moot, nil)
 	case len(h.idle) == 0 && n.sockets() > 0 && n.descriptors+1 > n.sockets()-reserve:
-		n.settle(a, tulipglade.ConnectFailed, nil)
+		n.settle(a, balancer.ConnectFailed, nil)
 	default:
 		n.at(a.till, func() { n.late(a) })
 		n.connect(a)
@@ -55,7 +55,7 @@
 }
 
 // checked tells the module how a probe has ended.
-func (n *Node) checked(a *attempt, outcome tulipglade.Outcome, report *tulipglade.Report) {
+func (n *Node) checked(a *attempt, outcome balancer.Outcome, report *balancer.Report) {
 	took := n.now() - a.sent
 	n.later = append(n.later, func() {
 		a.host.probes--
@@ -64,7 +64,7 @@
 }
 
 // probeReport is what the answer to a probe says of its host's load: in its body, or as any answer may.
-func probeReport(msg *protocol.Message, body []byte) *tulipglade.Report {
+func probeReport(msg *protocol.Message, body []byte) *balancer.Report {
 	if report := loadReport(msg); report != nil {
 		return report
 	}
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
 )
 
@@ -16,10 +16,10 @@
 type told struct {
 	module
 	probes   chan string
-	arrivals chan tulipglade.Arrival
+	arrivals chan balancer.Arrival
 }
 
-func (m *told) Checked(now tulipglade.Time, id tulipglade.HostID, out tulipglade.Outcome, took tulipglade.Span, rep *tulipglade.Report) {
+func (m *told) Checked(now balancer.Time, id balancer.HostID, out balancer.Outcome, took balancer.Span, rep *balancer.Report) {
 	m.module.Checked(now, id, out, took, rep)
 	text := fmt.Sprint(out)
 	if rep != nil {
@@ -28,14 +28,14 @@
 	m.probes <- text
 }
 
-func (m *told) Request(now tulipglade.Time, a tulipglade.Arrival) {
+func (m *told) Request(now balancer.Time, a balancer.Arrival) {
 	m.arrivals <- a
 	m.module.Request(now, a)
 }
 
 // listen has the module's ears: it must be called before anything is asked of the node.
 func listen(n *Node) *told {
-	m := &told{probes: make(chan string, 100), arrivals: make(chan tulipglade.Arrival, 100)}
+	m := &told{probes: make(chan string, 100), arrivals: make(chan balancer.Arrival, 100)}
 	on(n, func() { m.module, n.bal = n.bal, m })
 	return m
 }
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -5,13 +5,13 @@
 	"slices"
 	"strconv"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
 )
 
 // request is one that this node has taken: it gets exactly one answer.
 type request struct {
-	id       tulipglade.ReqID
+	id       balancer.ReqID
 	traceID  string    // its client's own
 	set      *Settings // that it came under
 	msg      *protocol.Message
@@ -75,7 +75,7 @@
 		return nil, 400, "X-Trace-Id is in use"
 	}
 	c := &n.set.Module.Classes[class]
-	if c.Effect == tulipglade.ByKey && len(msg.Get("idempotency-key")) == 0 {
+	if c.Effect == balancer.ByKey && len(msg.Get("idempotency-key")) == 0 {
 		return nil, 400, "no Idempotency-Key"
 	}
 	wait := c.Deadline
@@ -105,13 +105,13 @@
 	id, trace := r.id, r.traceID
 	n.ids[trace] = struct{}{}
 	n.at(r.deadline+n.set.Grace, func() { n.overdue(id, trace) })
-	n.bal.Request(n.now(), tulipglade.Arrival{ID: r.id, Class: r.class, Tenant: r.tenant, Deadline: r.deadline,
+	n.bal.Request(n.now(), balancer.Arrival{ID: r.id, Class: r.class, Tenant: r.tenant, Deadline: r.deadline,
 		Key: protocol.Subject(r.msg.Target), Repeat: string(r.msg.Get("x-second-try")) == "1", Hint: sizeHint(r.msg.Get("x-size-hint"))})
 }
 
 // sizeHint reads a client's guess at the work, in microseconds; 0 is none. It is no more than a guess: one that is no number
 // above 0, or not of this world, is as good as none, and no reason to turn a request away.
-func sizeHint(v []byte) tulipglade.Span {
+func sizeHint(v []byte) balancer.Span {
 	us, err := strconv.ParseUint(string(v), 10, 32)
 	if err != nil {
 		return 0
@@ -120,7 +120,7 @@
 }
 
 // overdue ends what is left of a request after its time.
-func (n *Node) overdue(id tulipglade.ReqID, trace string) {
+func (n *Node) overdue(id balancer.ReqID, trace string) {
 	r := n.requests[id]
 	if r != nil && r.upload != nil && !r.done && n.now() < r.deadline { // its time begins, or began, with its last byte
 		n.at(min(r.deadline, n.now()+overdueEvery)+n.set.Grace, func() { n.overdue(id, trace) })
@@ -166,7 +166,7 @@
 	for _, a := range r.attempts {
 		if b := a.backend; !a.over && b != nil && b.att == a && !b.written && b.down == nil && a.till != never {
 			n.closeBackend(b, endWithheld)
-			n.settle(a, tulipglade.Cancelled, nil)
+			n.settle(a, balancer.Cancelled, nil)
 		}
 	}
 }
@@ -200,20 +200,20 @@
 
 // outcome is what an answer says about the attempt it belongs to. Only a turned-away request, marked as such,
 // is known never to have run.
-func outcome(msg *protocol.Message) tulipglade.Outcome {
+func outcome(msg *protocol.Message) balancer.Outcome {
 	switch msg.Status {
 	case 200:
-		return tulipglade.OK
+		return balancer.OK
 	case 503, 504:
 		if string(msg.Get("x-never-ran")) == "1" {
-			return tulipglade.Full
+			return balancer.Full
 		}
 	}
-	return tulipglade.HostError
+	return balancer.HostError
 }
 
 // settle gives an attempt its one outcome. The module hears of it after the call it may be in.
-func (n *Node) settle(a *attempt, outcome tulipglade.Outcome, report *tulipglade.Report) {
+func (n *Node) settle(a *attempt, outcome balancer.Outcome, report *balancer.Report) {
 	if a.over {
 		return
 	}
@@ -223,7 +223,7 @@
 		return
 	}
 	n.traceRequest(a.req, "attempt over", "attempt", a.number, "host", a.host.addr, "outcome", int(outcome), "took_us", n.now()-a.sent)
-	s := tulipglade.Settlement{ID: a.req.id, Attempt: a.number, Host: a.host.id, Outcome: outcome,
+	s := balancer.Settlement{ID: a.req.id, Attempt: a.number, Host: a.host.id, Outcome: outcome,
 		Took: n.now() - a.sent, Report: report}
 	if a.till == never { // it had not all been sent: that took its client's time, not the host's
 		s.Took = 0
@@ -238,10 +238,10 @@
 
 // ---- the module's Actions ----
 
-var _ tulipglade.Actions = (*Node)(nil)
+var _ balancer.Actions = (*Node)(nil)
 
 // Try sends a request to a host.
-func (n *Node) Try(id tulipglade.ReqID, hostID tulipglade.HostID, timeout tulipglade.Span) {
+func (n *Node) Try(id balancer.ReqID, hostID balancer.HostID, timeout balancer.Span) {
 	r := n.requests[id]
 	h := n.hosts[hostID]
 	if r == nil || h == nil {
@@ -257,13 +257,13 @@
 	}
 	switch {
 	case r.done || n.left(r) || now >= r.deadline || len(r.attempts) > max(r.set.Module.MaxAttempts, 1):
-		n.settle(a, tulipglade.Moot, nil)
+		n.settle(a, balancer.Moot, nil)
 		return
 	case !r.set.Module.MayDuplicate && r.out > 1:
-		n.settle(a, tulipglade.Moot, nil)
+		n.settle(a, balancer.Moot, nil)
 		return
 	case a.till <= now:
-		n.settle(a, tulipglade.TimedOut, nil)
+		n.settle(a, balancer.TimedOut, nil)
 		return
 	}
 	n.at(a.till, func() { n.late(a) })
@@ -273,39 +273,39 @@
 // late gives up an attempt whose time has passed.
 func (n *Node) late(a *attempt) {
 	if !a.over && n.now() >= a.till {
-		n.giveUp(a, tulipglade.TimedOut)
+		n.giveUp(a, balancer.TimedOut)
 	}
 }
 
 // giveUp ends an attempt that is still out. What never had a connection has never run.
-func (n *Node) giveUp(a *attempt, outcome tulipglade.Outcome) {
+func (n *Node) giveUp(a *attempt, outcome balancer.Outcome) {
 	if b := a.backend; b != nil {
 		n.closeBackend(b, endGivenUp)
 	} else {
 		a.host.waiting = slices.DeleteFunc(a.host.waiting, func(w *attempt) bool { return w == a })
-		if outcome == tulipglade.TimedOut {
-			outcome = tulipglade.ConnectFailed
+		if outcome == balancer.TimedOut {
+			outcome = balancer.ConnectFailed
 		}
 	}
 	n.settle(a, outcome, nil)
 }
 
 // Cancel stops waiting for an attempt.
-func (n *Node) Cancel(id tulipglade.ReqID, number int) {
+func (n *Node) Cancel(id balancer.ReqID, number int) {
 	if r := n.requests[id]; r != nil && number < len(r.attempts) && !r.attempts[number].over {
-		n.giveUp(r.attempts[number], tulipglade.Cancelled)
+		n.giveUp(r.attempts[number], balancer.Cancelled)
 	}
 }
 
 // Decline refuses a request: trying again does no harm.
-func (n *Node) Decline(id tulipglade.ReqID, retryIn tulipglade.Span) {
+func (n *Node) Decline(id balancer.ReqID, retryIn balancer.Span) {
 	if r := n.requests[id]; r != nil {
 		n.answer(r, nil, 503, nil, []byte("refused\n"), retryIn)
 	}
 }
 
 // Fail ends a request without a promise about its effect.
-func (n *Node) Fail(id tulipglade.ReqID) {
+func (n *Node) Fail(id balancer.ReqID) {
 	r := n.requests[id]
 	if r == nil {
 		return
@@ -318,7 +318,7 @@
 }
 
 // WakeAt sets one of the module's timers.
-func (n *Node) WakeAt(t tulipglade.Token, delay tulipglade.Span) {
+func (n *Node) WakeAt(t balancer.Token, delay balancer.Span) {
 	n.at(n.now()+max(delay, 1), func() { n.bal.Wake(n.now(), t) })
 }
 
--- a/internal/node/retune.go
+++ b/internal/node/retune.go
@@ -1,6 +1,6 @@
 package node
 
-import "tulipglade"
+import "tulipglade/internal/balancer"
 
 // Retune takes up new settings, which must be sound: their Module is one that tulipglade.New takes. Requests that are
 // open, and what they lead to, keep the settings that they came under. What was learned of a class or a tenant lives on
@@ -53,7 +53,7 @@
 		if k >= 0 {
 			set.Tenants, set.Module.Tenants = append(set.Tenants, tenantNames[k]), append(set.Module.Tenants, shares[k])
 		} else {
-			set.Tenants, set.Module.Tenants = append(set.Tenants, old.Tenants[i]), append(set.Module.Tenants, tulipglade.Tenant{})
+			set.Tenants, set.Module.Tenants = append(set.Tenants, old.Tenants[i]), append(set.Module.Tenants, balancer.Tenant{})
 		}
 	}
 	if err := n.bal.Retune(n.now(), set.Module, from, tenantsFrom); err != nil {
@@ -69,7 +69,7 @@
 // that one has learned, nor the other way round.
 func (s *Settings) nameless() {
 	if len(s.Tenants) == 0 {
-		s.Tenants, s.Module.Tenants = []string{""}, []tulipglade.Tenant{{Share: 1}}
+		s.Tenants, s.Module.Tenants = []string{""}, []balancer.Tenant{{Share: 1}}
 	}
 }
 
--- a/internal/node/retune_test.go
+++ b/internal/node/retune_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
 )
 
@@ -27,7 +27,7 @@
 				set.Module.Classes = append(set.Module.Classes, n.set.Module.Classes[i])
 			}
 		}
-		set.Tenants, set.Module.Tenants = []string{"t"}, []tulipglade.Tenant{{Share: 1}}
+		set.Tenants, set.Module.Tenants = []string{"t"}, []balancer.Tenant{{Share: 1}}
 		change(&set)
 		n.retune(set)
 		close(done)
@@ -70,7 +70,7 @@
 	}
 	add := func(s *Settings) {
 		s.Classes = append(s.Classes, "once")
-		s.Module.Classes = append(s.Module.Classes, tulipglade.Class{Aim: 10_000_000, Deadline: 10_000_000})
+		s.Module.Classes = append(s.Module.Classes, balancer.Class{Aim: 10_000_000, Deadline: 10_000_000})
 	}
 	retuned(n, add)
 	until(n, func() bool {
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -7,7 +7,7 @@
 	"os"
 	"slices"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
 )
 
@@ -85,7 +85,7 @@
 		n.post(func() {
 			if !a.over { // not all of it was written: it has never begun
 				n.closeBackend(b, endWriteFailed)
-				n.settle(a, tulipglade.ConnectFailed, nil)
+				n.settle(a, balancer.ConnectFailed, nil)
 			}
 		})
 	}
@@ -177,7 +177,7 @@
 		c.gone(endPeerClosed)
 	}
 	if err != nil && a != nil && !a.over {
-		n.giveUp(a, tulipglade.ConnectFailed)
+		n.giveUp(a, balancer.ConnectFailed)
 	}
 }
 
--- a/internal/rig/director_test.go
+++ b/internal/processtest/director_test.go
@@ -1,4 +1,4 @@
-package rig
+package processtest
 
 import (
 	"bytes"
--- a/internal/rig/measure.go
+++ b/internal/processtest/measure.go
@@ -1,4 +1,4 @@
-package rig
+package processtest
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"tulipglade/internal/agent"
-	"tulipglade/internal/faults"
+	"tulipglade/internal/faultinject"
 	"tulipglade/internal/lease"
 )
 
@@ -65,7 +65,7 @@
 	}
 	for range elections {
 		was := r.parts[max(r.Leader(), 0)].Name
-		end := r.Fault(faults.Fault{Kind: faults.ProcessKill, Processes: []int{-1}})
+		end := r.Fault(faultinject.Fault{Kind: faultinject.ProcessKill, Processes: []int{-1}})
 		killed := agent.Clock()
 		e, next, err := r.Await(ctx, at, func(e Event) bool { return leads(e) && e.At > killed })
 		if err != nil {
--- a/internal/rig/rig.go
+++ b/internal/processtest/processtest.go
@@ -1,4 +1,4 @@
-package rig
+package processtest
 
 import (
 	"bufio"
@@ -20,10 +20,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"tulipglade/internal/agent"
-	"tulipglade/internal/faults"
-	"tulipglade/internal/group"
+	"tulipglade/internal/consensus"
+	"tulipglade/internal/fake"
+	"tulipglade/internal/faultinject"
 	"tulipglade/internal/lease"
-	"tulipglade/internal/standin"
 )
 
 // Options are what a Rig is made of.
@@ -82,7 +82,7 @@
 			r.Stop()
 		}
 	}()
-	addrs, err := standin.FreeAddrs(o.Agents + o.Spares + 1)
+	addrs, err := fake.FreeAddrs(o.Agents + o.Spares + 1)
 	if err != nil {
 		return nil, err
 	}
@@ -91,13 +91,13 @@
 	for i := range o.Agents {
 		members[uint64(i+1)] = addrs[i]
 	}
-	kept, err := group.Founded(members, o.Terms)
+	kept, err := consensus.Founded(members, o.Terms)
 	if err != nil {
 		return nil, err
 	}
 	for i := range o.Agents + o.Spares {
 		if i == o.Agents {
-			kept = group.Joining()
+			kept = consensus.Joining()
 		}
 		s := settings{Role: "agent", Name: fmt.Sprint("agent", i+1), Dir: filepath.Join(o.Dir, fmt.Sprint("agent", i+1)), Listen: addrs[i], Plans: o.Plans}
 		if err := agent.Make(s.Dir, agent.Identity{Group: "rig", ID: uint64(i + 1), Address: addrs[i]}, kept); err != nil {
@@ -293,32 +293,32 @@
 }
 
 // hit is which links a fault changes, and how.
-func (r *Rig) hit(f faults.Fault, who int) func(from, to int) (link, bool) {
+func (r *Rig) hit(f faultinject.Fault, who int) func(from, to int) (link, bool) {
 	either := func(from, to int) bool { return from == who || to == who }
 	ms := time.Duration(f.Size) * time.Millisecond
 	switch f.Kind {
-	case faults.LinkCut, faults.LinkFlap:
+	case faultinject.LinkCut, faultinject.LinkFlap:
 		return func(from, to int) (link, bool) { return link{cut: true}, either(from, to) }
-	case faults.LinkMute:
+	case faultinject.LinkMute:
 		return func(from, _ int) (link, bool) { return link{cut: true}, from == who }
-	case faults.LinkDeaf:
+	case faultinject.LinkDeaf:
 		return func(_, to int) (link, bool) { return link{cut: true}, to == who }
-	case faults.LinkBridge:
+	case faultinject.LinkBridge:
 		return func(from, to int) (link, bool) {
 			return link{cut: true}, !either(from, to) && from%2 != to%2 && to < r.o.Agents
 		}
-	case faults.LinkSilent:
+	case faultinject.LinkSilent:
 		return func(from, to int) (link, bool) { return link{silent: true}, either(from, to) }
-	case faults.LinkDelay:
+	case faultinject.LinkDelay:
 		return func(from, to int) (link, bool) { return link{delay: ms}, either(from, to) }
-	case faults.LinkReset:
+	case faultinject.LinkReset:
 		return func(from, _ int) (link, bool) { return link{reset: f.Size}, from == who }
 	}
 	return nil
 }
 
 // Fault begins a fault; end ends it. Whom it hits is settled when it begins.
-func (r *Rig) Fault(f faults.Fault) (end func()) {
+func (r *Rig) Fault(f faultinject.Fault) (end func()) {
 	var ends []func()
 	for _, who := range f.Processes {
 		if who < 0 {
@@ -335,26 +335,26 @@
 	}
 }
 
-func (r *Rig) fault(f faults.Fault, who int) (end func()) {
+func (r *Rig) fault(f faultinject.Fault, who int) (end func()) {
 	again := func() { _ = r.start(who) } // what does not come up shows in the log
 	switch f.Kind {
-	case faults.ProcessKill:
+	case faultinject.ProcessKill:
 		r.kill(who)
 		return again
-	case faults.ProcessStop:
+	case faultinject.ProcessStop:
 		r.signal(who, syscall.SIGSTOP)
 		return func() { r.signal(who, syscall.SIGCONT) }
-	case faults.ClockRate:
+	case faultinject.ClockRate:
 		r.order(who, fmt.Sprint("rate ", f.Size))
 		return func() { r.order(who, "rate 1") }
-	case faults.ClockJump:
+	case faultinject.ClockJump:
 		r.order(who, fmt.Sprint("jump ", f.Size))
 		return func() {}
-	case faults.DiskStall:
+	case faultinject.DiskStall:
 		r.order(who, fmt.Sprint("stall ", f.Size))
 		return func() { r.order(who, "stall 0") }
-	case faults.DiskFull, faults.DiskSync:
-		r.order(who, map[faults.Kind]string{faults.DiskFull: "full", faults.DiskSync: "sync"}[f.Kind])
+	case faultinject.DiskFull, faultinject.DiskSync:
+		r.order(who, map[faultinject.Kind]string{faultinject.DiskFull: "full", faultinject.DiskSync: "sync"}[f.Kind])
 		return func() { // by then it has ended, if it had anything to write
 			r.kill(who)
 			again()
@@ -373,7 +373,7 @@
 		r.relink()
 	}
 	set(true)
-	if f.Kind != faults.LinkFlap {
+	if f.Kind != faultinject.LinkFlap {
 		return func() { set(false) }
 	}
 	stop, stopped := make(chan struct{}), make(chan struct{})
@@ -422,14 +422,14 @@
 }
 
 // Plan draws what goes wrong, and when, from a seed.
-func Plan(o Options, length time.Duration, count int) []faults.Fault {
+func Plan(o Options, length time.Duration, count int) []faultinject.Fault {
 	r := rand.New(rand.NewPCG(o.Seed, 0x419))
-	drawn := faults.Drawn{Count: count, MinMs: 300, MaxMs: 2500}
-	return drawn.Draw(faults.Scope{Processes: o.Agents + o.Holders}, length.Milliseconds(), r)
+	drawn := faultinject.Drawn{Count: count, MinMs: 300, MaxMs: 2500}
+	return drawn.Draw(faultinject.Scope{Processes: o.Agents + o.Holders}, length.Milliseconds(), r)
 }
 
 // Play begins and ends faults when they are due, heals all, and waits until somebody acts again.
-func (r *Rig) Play(ctx context.Context, plan []faults.Fault, bound time.Duration) error {
+func (r *Rig) Play(ctx context.Context, plan []faultinject.Fault, bound time.Duration) error {
 	type turn struct {
 		at time.Duration
 		do func()
@@ -508,11 +508,11 @@
 }
 
 // Faults are those of a seed's schedule.
-func Faults(seed uint64) []faults.Fault { return Plan(options(seed, Without{}), faulty, count) }
+func Faults(seed uint64) []faultinject.Fault { return Plan(options(seed, Without{}), faulty, count) }
 
 // Fails tells whether these faults of a seed's schedule break something in one of so many tries: when each process does what is
 // not drawn from the seed.
-func Fails(ctx context.Context, seed uint64, without Without, plan []faults.Fault, tries int) (bool, error) {
+func Fails(ctx context.Context, seed uint64, without Without, plan []faultinject.Fault, tries int) (bool, error) {
 	for range tries {
 		f, err := play(ctx, seed, without, plan)
 		if err != nil && !errors.Is(err, ErrIdle) {
@@ -525,7 +525,7 @@
 	return false, nil
 }
 
-func play(ctx context.Context, seed uint64, without Without, plan []faults.Fault) (Found, error) {
+func play(ctx context.Context, seed uint64, without Without, plan []faultinject.Fault) (Found, error) {
 	o := options(seed, without)
 	r, err := Start(o)
 	if err != nil {
--- a/internal/rig/rig_test.go
+++ b/internal/processtest/processtest_test.go
@@ -1,4 +1,4 @@
-package rig
+package processtest
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"tulipglade/internal/agent"
-	"tulipglade/internal/faults"
+	"tulipglade/internal/faultinject"
 	"tulipglade/internal/lease"
 )
 
@@ -115,7 +115,7 @@
 }
 
 // cutOff has a holder lose the group, but not what it acts upon, until the next holder has acted three times.
-func cutOff(t *testing.T, refused bool, without Without, more ...faults.Fault) Found {
+func cutOff(t *testing.T, refused bool, without Without, more ...faultinject.Fault) Found {
 	r := begin(t, Options{Agents: 3, Holders: 2, Without: without, Acts: 1 << 20})
 	e, at := r.await(t, 0, acts(0))
 	who := r.Index(e.Text)
@@ -146,7 +146,7 @@
 	if f := cutOff(t, true, Without{Guard: true}); f.Refused == 0 || len(f.Broken) > 0 {
 		t.Errorf("without the guard: %d refused, broken %v", f.Refused, f.Broken)
 	}
-	if f := cutOff(t, true, Without{}, faults.Fault{Kind: faults.ClockRate, Size: 0.1}); f.Refused == 0 || len(f.Broken) > 0 {
+	if f := cutOff(t, true, Without{}, faultinject.Fault{Kind: faultinject.ClockRate, Size: 0.1}); f.Refused == 0 || len(f.Broken) > 0 {
 		t.Errorf("with a slow clock: %d refused, broken %v", f.Refused, f.Broken)
 	}
 }
@@ -178,7 +178,7 @@
 	r := begin(t, Options{Agents: 3, Holders: 2})
 	_, at := r.await(t, 0, acts(0))
 	lead := r.Leader()
-	end := r.Fault(faults.Fault{Kind: faults.DiskSync, Processes: []int{lead}})
+	end := r.Fault(faultinject.Fault{Kind: faultinject.DiskSync, Processes: []int{lead}})
 	gone, at := r.await(t, at, func(e Event) bool { return e.What == "ended" && e.Who == r.parts[lead].Name })
 	if !strings.Contains(gone.Text, errFault.Error()) {
 		t.Error(gone)
--- a/internal/rig/roles.go
+++ b/internal/processtest/roles.go
@@ -1,7 +1,7 @@
-// Package rig plays faults between real processes: agents, holders of leases, and what they act upon, with a relay for each
+// Package processtest plays faults between real processes: agents, holders of leases, and what they act upon, with a relay for each
 // direction of each pair. The program that uses it starts itself anew as each of them (see Role), so that disk and clock can be bent by
 // settings that the real programs do not have, round the very code that they run.
-package rig
+package processtest
 
 import (
 	"bufio"
@@ -25,8 +25,8 @@
 	"time"
 
 	"tulipglade/internal/agent"
-	"tulipglade/internal/fence"
-	"tulipglade/internal/group"
+	"tulipglade/internal/consensus"
+	"tulipglade/internal/fencing"
 	"tulipglade/internal/lease"
 )
 
@@ -187,10 +187,10 @@
 // before lies before an agent's disk.
 type before struct {
 	p    *process
-	disk group.Disk
+	disk consensus.Disk
 }
 
-func (b before) Save(w group.Write) error {
+func (b before) Save(w consensus.Write) error {
 	b.p.mu.Lock()
 	stall, full, sync := b.p.stall, b.p.full, b.p.sync
 	b.p.mu.Unlock()
@@ -213,7 +213,7 @@
 		return err
 	}
 	return agent.Serve(ctx, p.Dir, agent.Options{Log: slog.New(&lines{p}), Clock: p.clock, Dial: p.dial, Listener: ln, Plans: p.Plans,
-		Disk: func(d group.Disk) group.Disk { return before{p, d} }})
+		Disk: func(d consensus.Disk) consensus.Disk { return before{p, d} }})
 }
 
 // ---- holder ----
@@ -345,7 +345,7 @@
 func (p *process) target(ctx context.Context) error {
 	var (
 		mu    sync.Mutex
-		doors fence.Fence
+		doors fencing.Fence
 	)
 	ln, err := net.Listen("tcp4", p.Listen)
 	if err != nil {
--- a/internal/rig/roll_test.go
+++ b/internal/processtest/rollout_test.go
@@ -1,4 +1,4 @@
-package rig
+package processtest
 
 import (
 	"bytes"
@@ -21,9 +21,9 @@
 	"time"
 
 	"tulipglade/internal/agent"
-	"tulipglade/internal/faults"
-	"tulipglade/internal/lab/scenario"
-	"tulipglade/internal/standin"
+	"tulipglade/internal/fake"
+	"tulipglade/internal/faultinject"
+	"tulipglade/internal/simulation/scenario"
 )
 
 const rollWorld = `
@@ -105,7 +105,7 @@
 // rolled is a fleet of 9 nodes at 3 sites, 3 agents, and programs that were built for it.
 type rolled struct {
 	dir    string
-	w      *standin.World
+	w      *fake.World
 	agents []*exec.Cmd
 	addrs  []string
 	names  []string
@@ -129,7 +129,7 @@
 			_ = a.Wait()
 		}
 	})
-	agents, err := standin.FreeAddrs(3)
+	agents, err := fake.FreeAddrs(3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,13 +154,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addrs, err := standin.FreeAddrs(2 * sc.Nodes.Count)
+	addrs, err := fake.FreeAddrs(2 * sc.Nodes.Count)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ready := make(chan int, 100)
 	listen, operators := addrs[:sc.Nodes.Count], addrs[sc.Nodes.Count:]
-	r.w, err = standin.Start(t.Context(), sc, standin.Options{Seed: 1, Nodes: listen, Ready: func(n int) { ready <- n }})
+	r.w, err = fake.Start(t.Context(), sc, fake.Options{Seed: 1, Nodes: listen, Ready: func(n int) { ready <- n }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,7 +176,7 @@
 	})
 	var list bytes.Buffer
 	for i := range listen {
-		raw, err := r.w.NodeConfig(i, standin.UsualLimits)
+		raw, err := r.w.NodeConfig(i, fake.UsualLimits)
 		var config map[string]any
 		if err == nil {
 			err = json.Unmarshal(raw, &config)
@@ -507,11 +507,11 @@
 		t.Fatal(err)
 	}
 	c := r.clients(t.Context(), sc)
-	kinds := []faults.Kind{faults.ProcessKill, faults.LinkCut, faults.ProcessStop, faults.LinkSilent}
+	kinds := []faultinject.Kind{faultinject.ProcessKill, faultinject.LinkCut, faultinject.ProcessStop, faultinject.LinkSilent}
 	for i := range *rolls {
 		x := r.roll(t, fmt.Sprint("change ", i))
 		x.await(t, "done", 1+i%6)
-		end := g.Fault(faults.Fault{Kind: kinds[i%len(kinds)], Processes: []int{-1}})
+		end := g.Fault(faultinject.Fault{Kind: kinds[i%len(kinds)], Processes: []int{-1}})
 		if err := <-x.ended; err != nil {
 			t.Errorf("roll %d: %v\n%s", i, err, x.text())
 		}
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -20,18 +20,20 @@
 
 // Target is one backend in discovery's list.
 type Target struct {
-	UID, Endpoint, Zone string
-	Cell                int
-	State               State
-	Weight              float64
-	BootMs              int64 // Unix time of its last start; 0: long ago
+	UID      string  `json:"UID"`
+	Endpoint string  `json:"Endpoint"`
+	Zone     string  `json:"Zone"`
+	Cell     int     `json:"Cell"`
+	State    State   `json:"State"`
+	Weight   float64 `json:"Weight"`
+	BootMs   int64   `json:"BootMs"` // Unix time of its last start; 0: long ago
 }
 
 // List is what discovery answers: all backends, or those that changed.
 type List struct {
-	Rev     int64
-	All     bool
-	Targets []Target
+	Rev     int64    `json:"Rev"`
+	All     bool     `json:"All"`
+	Targets []Target `json:"Targets"`
 }
 
 // maxTargets bounds a list that discovery sends.
--- a/internal/roll/roll.go
+++ b/internal/rollout/rollout.go
@@ -1,6 +1,6 @@
-// Package roll is a rolling change of a fleet's nodes: site by site, so many of one at a time, and what has to be written down before
+// Package rollout is a rolling change of a fleet's nodes: site by site, so many of one at a time, and what has to be written down before
 // each step, so that another process can go on from there. It has no I/O. docs/lease-design.md says why.
-package roll
+package rollout
 
 import (
 	"encoding/json"
--- a/internal/roll/roll_test.go
+++ b/internal/rollout/rollout_test.go
@@ -1,4 +1,4 @@
-package roll
+package rollout
 
 import (
 	"errors"
--- a/internal/permit/permit.go
+++ b/internal/safety/safety.go
@@ -1,7 +1,7 @@
-// Package permit decides whether something may be done now: an attempt be sent, a request be repeated, a refusal be given, a
+// Package safety decides whether something may be done now: an attempt be sent, a request be repeated, a refusal be given, a
 // connection be closed, a new request be taken. It is asked when a decision is made and again when it takes effect, since backends drain,
 // clients leave and time passes in between. It does no input or output and keeps no state.
-package permit
+package safety
 
 // Time is a point on the caller's monotonic clock and Span a length of time, both in microseconds.
 type (
--- a/internal/permit/permit_test.go
+++ b/internal/safety/safety_test.go
@@ -1,4 +1,4 @@
-package permit
+package safety
 
 import "testing"
 
--- a/internal/wire/settings.go
+++ b/internal/settings/settings.go
@@ -1,15 +1,16 @@
-package wire
+// Package settings reads the settings of a deployment, in the form in which the simulator and the configuration of a node give them.
+package settings
 
 import (
 	"encoding/json"
 	"fmt"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 )
 
-// Settings turns boot JSON into a Config and the names of the load report's values. Unknown keys are
-// skipped; a missing optional key leaves its zero value, of which tulipglade.Config says what it means.
-func Settings(raw []byte) (tulipglade.Config, []string, error) {
+// Parse turns boot JSON into a Config and the names of the load report's values. Unknown keys are
+// skipped; a missing optional key leaves its zero value, of which balancer.Config says what it means.
+func Parse(raw []byte) (balancer.Config, []string, error) {
 	var s struct {
 		Discovery string `json:"discovery"`
 		Zone      int    `json:"my_zone"`
@@ -59,9 +60,9 @@
 		} `json:"report"`
 	}
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return tulipglade.Config{}, nil, err
+		return balancer.Config{}, nil, err
 	}
-	c := tulipglade.Config{Zone: s.Zone, Peers: s.Peers, Self: s.Self, Tick: s.Tick, MaxAttempts: s.Limits.Attempts,
+	c := balancer.Config{Zone: s.Zone, Peers: s.Peers, Self: s.Self, Tick: s.Tick, MaxAttempts: s.Limits.Attempts,
 		MayDuplicate: s.Limits.Duplicate, MayCancel: s.Limits.Cancelling, MayProbe: s.Limits.Probing,
 		AskDiscovery: s.Discovery == "ask", AskEvery: s.Rules.AskEvery, ColdFrom: s.Rules.ColdFrom,
 		ColdRamp: s.Rules.Ramp, ColdMultiple: s.Rules.Multiple, ColdWindow: s.Rules.Window,
@@ -76,12 +77,12 @@
 		c.MaxRetryAfter = s.Limits.MaxRetryAfter
 	}
 	for _, t := range s.Tenants {
-		c.Tenants = append(c.Tenants, tulipglade.Tenant{Share: t.Share, Quota: t.Quota})
+		c.Tenants = append(c.Tenants, balancer.Tenant{Share: t.Share, Quota: t.Quota})
 	}
-	effects := map[string]tulipglade.Effect{"repeatable": tulipglade.Repeatable, "by_key": tulipglade.ByKey,
-		"once": tulipglade.Once}
-	scopes := map[string]tulipglade.Scope{"": tulipglade.ScopeAll, "all": tulipglade.ScopeAll,
-		"zone": tulipglade.ScopeZone, "cell": tulipglade.ScopeCell}
+	effects := map[string]balancer.Effect{"repeatable": balancer.Repeatable, "by_key": balancer.ByKey,
+		"once": balancer.Once}
+	scopes := map[string]balancer.Scope{"": balancer.ScopeAll, "all": balancer.ScopeAll,
+		"zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
 	for i, p := range s.Classes {
 		effect, ok := effects[p.Effect]
 		if !ok {
@@ -91,7 +92,7 @@
 		if !ok {
 			return c, nil, fmt.Errorf("profiles[%d]: unknown key_scope %q", i, p.Scope)
 		}
-		c.Classes = append(c.Classes, tulipglade.Class{Aim: p.Aim, Deadline: p.Deadline, Window: p.Window,
+		c.Classes = append(c.Classes, balancer.Class{Aim: p.Aim, Deadline: p.Deadline, Window: p.Window,
 			Effect: effect, Scope: scope, LateShare: p.Late, Worth: p.Worth})
 	}
 	return c, s.Report.Fields, nil
--- a/internal/wire/wire.go
+++ b/internal/simprotocol/simprotocol.go
@@ -1,5 +1,5 @@
-// Package wire turns the simulator's frames into events and actions into frames. It decides nothing.
-package wire
+// Package simprotocol turns the simulator's frames into events and actions into frames. It decides nothing.
+package simprotocol
 
 import (
 	"bytes"
@@ -9,7 +9,8 @@
 	"io"
 	"math"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/settings"
 )
 
 const (
@@ -40,19 +41,19 @@
 	Code     byte
 	Instance uint32
 	Seed     uint64
-	Config   tulipglade.Config
-	List     tulipglade.ListKind
-	Hosts    []tulipglade.Host
-	Arrival  tulipglade.Arrival
-	Settled  tulipglade.Settlement
-	Token    tulipglade.Token
+	Config   balancer.Config
+	List     balancer.ListKind
+	Hosts    []balancer.Host
+	Arrival  balancer.Arrival
+	Settled  balancer.Settlement
+	Token    balancer.Token
 	From     int
 	Data     []byte
 }
 
 // Batch is one round of events.
 type Batch struct {
-	Now    tulipglade.Time
+	Now    balancer.Time
 	Events []Event
 }
 
@@ -60,7 +61,7 @@
 type Reader struct {
 	in     io.Reader
 	buf    bytes.Buffer
-	lists  [16][]tulipglade.Host
+	lists  [16][]balancer.Host
 	known  [16]bool
 	fields map[uint32][]string
 }
@@ -112,8 +113,8 @@
 func u16(b []byte) int    { return int(binary.BigEndian.Uint16(b)) }
 func u32(b []byte) uint32 { return binary.BigEndian.Uint32(b) }
 
-func host(b []byte) tulipglade.HostID {
-	return tulipglade.HostID(u32(b))<<16 | tulipglade.HostID(u16(b[4:]))
+func host(b []byte) balancer.HostID {
+	return balancer.HostID(u32(b))<<16 | balancer.HostID(u16(b[4:]))
 }
 
 // slice cuts n units of size unit out of the tail at the place that rec names.
@@ -147,16 +148,16 @@
 			return ev, false, err
 		}
 		var names []string
-		if ev.Config, names, err = Settings(raw); err != nil {
+		if ev.Config, names, err = settings.Parse(raw); err != nil {
 			return ev, false, fmt.Errorf("record PowerOn: boot_info: %w", err)
 		}
 		r.fields[ev.Instance] = names
 	case Members:
-		ev.List = tulipglade.ListKind(rec[5])
-		if ev.List > tulipglade.ListFailed {
+		ev.List = balancer.ListKind(rec[5])
+		if ev.List > balancer.ListFailed {
 			return ev, false, fmt.Errorf("record Members: unknown mode %d at byte 5", rec[5])
 		}
-		if ev.List != tulipglade.ListFailed {
+		if ev.List != balancer.ListFailed {
 			n := u16(rec[6:])
 			if n >= len(r.lists) || !r.known[n] {
 				return ev, false, fmt.Errorf("record Members: no Inventory with number %d", n)
@@ -168,34 +169,34 @@
 		if at > math.MaxInt64 {
 			return ev, false, fmt.Errorf("record Request: client_deadline_us %d is out of range", at)
 		}
-		ev.Arrival = tulipglade.Arrival{ID: tulipglade.ReqID(u32(rec[5:])), Key: binary.BigEndian.Uint64(rec[14:]), Tenant: u16(rec[22:]),
+		ev.Arrival = balancer.Arrival{ID: balancer.ReqID(u32(rec[5:])), Key: binary.BigEndian.Uint64(rec[14:]), Tenant: u16(rec[22:]),
 			Deadline: int64(at), Class: u16(rec[32:]), Repeat: rec[9]&2 != 0}
 		if rec[9]&1 != 0 {
 			ev.Arrival.Hint = int64(u32(rec[10:]))
 		}
 	case Streaming:
-		ev.Settled = tulipglade.Settlement{ID: tulipglade.ReqID(u32(rec[5:])), Took: int64(u32(rec[9:])),
+		ev.Settled = balancer.Settlement{ID: balancer.ReqID(u32(rec[5:])), Took: int64(u32(rec[9:])),
 			Host: host(rec[13:]), Attempt: u16(rec[19:])}
 	case Settled:
 		code, err := outcome(u16(rec[11:]))
 		if err != nil {
 			return ev, false, fmt.Errorf("record Settled: %w", err)
 		}
-		ev.Settled = tulipglade.Settlement{ID: tulipglade.ReqID(u32(rec[5:])), Attempt: u16(rec[9:]), Outcome: code,
+		ev.Settled = balancer.Settlement{ID: balancer.ReqID(u32(rec[5:])), Attempt: u16(rec[9:]), Outcome: code,
 			Took: int64(u32(rec[13:])), Host: host(rec[17:]), Closed: rec[23] != 0}
 		if ev.Settled.Report, err = r.report(ev.Instance, rec[24:]); err != nil {
 			return ev, false, fmt.Errorf("record Settled: %w", err)
 		}
 	case Gone:
-		ev.Settled.ID = tulipglade.ReqID(u32(rec[5:]))
+		ev.Settled.ID = balancer.ReqID(u32(rec[5:]))
 	case Elapsed:
-		ev.Token = tulipglade.Token(binary.BigEndian.Uint64(rec[5:]))
+		ev.Token = balancer.Token(binary.BigEndian.Uint64(rec[5:]))
 	case Check:
 		code, err := outcome(u16(rec[5:]))
 		if err != nil {
 			return ev, false, fmt.Errorf("record CheckResult: %w", err)
 		}
-		ev.Settled = tulipglade.Settlement{Outcome: code, Host: host(rec[7:]), Took: int64(u32(rec[13:]))}
+		ev.Settled = balancer.Settlement{Outcome: code, Host: host(rec[7:]), Took: int64(u32(rec[13:]))}
 		if ev.Settled.Report, err = r.report(ev.Instance, rec[17:]); err != nil {
 			return ev, false, fmt.Errorf("record CheckResult: %w", err)
 		}
@@ -212,25 +213,25 @@
 	return ev, false, nil
 }
 
-func outcome(n int) (tulipglade.Outcome, error) {
+func outcome(n int) (balancer.Outcome, error) {
 	if n%10 != 0 || n < 10 || n > 80 {
 		return 0, fmt.Errorf("unknown outcome %d", n)
 	}
-	return tulipglade.Outcome(n), nil
+	return balancer.Outcome(n), nil
 }
 
-func entries(raw []byte) ([]tulipglade.Host, error) {
-	out := make([]tulipglade.Host, 0, len(raw)/entrySize)
+func entries(raw []byte) ([]balancer.Host, error) {
+	out := make([]balancer.Host, 0, len(raw)/entrySize)
 	for i := 0; i < len(raw); i += entrySize {
 		e := raw[i:]
-		if e[0] > byte(tulipglade.PhaseDraining) {
+		if e[0] > byte(balancer.PhaseDraining) {
 			return nil, fmt.Errorf("record Inventory: entry %d: unknown phase %d", i/entrySize, e[0])
 		}
 		at := binary.BigEndian.Uint64(e[9:])
 		if at > math.MaxInt64 {
 			return nil, fmt.Errorf("record Inventory: entry %d: start time %d is out of range", i/entrySize, at)
 		}
-		out = append(out, tulipglade.Host{Phase: tulipglade.Phase(e[0]), Weight: float64(f32(e[1:])),
+		out = append(out, balancer.Host{Phase: balancer.Phase(e[0]), Weight: float64(f32(e[1:])),
 			Cell: u16(e[5:]), Zone: u16(e[7:]), Started: int64(at), ID: host(e[17:])})
 	}
 	return out, nil
@@ -238,7 +239,7 @@
 
 func f32(b []byte) float32 { return math.Float32frombits(u32(b)) }
 
-func (r *Reader) report(inst uint32, rec []byte) (*tulipglade.Report, error) {
+func (r *Reader) report(inst uint32, rec []byte) (*balancer.Report, error) {
 	n := int(rec[0])
 	if n > 4 {
 		return nil, fmt.Errorf("load report of %d values", n)
@@ -246,7 +247,7 @@
 	if n == 0 {
 		return nil, nil
 	}
-	rep := &tulipglade.Report{Outstanding: -1, Backlog: -1, Utilization: -1}
+	rep := &balancer.Report{Outstanding: -1, Backlog: -1, Utilization: -1}
 	for i, name := range r.fields[inst] {
 		if i >= n {
 			break
@@ -310,44 +311,44 @@
 	ID uint32
 }
 
-func putHost(b []byte, h tulipglade.HostID) {
+func putHost(b []byte, h balancer.HostID) {
 	binary.BigEndian.PutUint32(b, uint32(h>>16))
 	binary.BigEndian.PutUint16(b[4:], uint16(h))
 }
 
-func span(d tulipglade.Span) uint32 { return uint32(max(0, min(d, math.MaxUint32))) }
+func span(d balancer.Span) uint32 { return uint32(max(0, min(d, math.MaxUint32))) }
 
-func (a Instance) req(code byte, id tulipglade.ReqID) []byte {
+func (a Instance) req(code byte, id balancer.ReqID) []byte {
 	rec := a.W.add(code, a.ID)
 	binary.BigEndian.PutUint32(rec[5:], uint32(id))
 	return rec
 }
 
 // Try launches an attempt.
-func (a Instance) Try(id tulipglade.ReqID, h tulipglade.HostID, timeout tulipglade.Span) {
+func (a Instance) Try(id balancer.ReqID, h balancer.HostID, timeout balancer.Span) {
 	rec := a.req(83, id)
 	putHost(rec[9:], h)
 	binary.BigEndian.PutUint32(rec[15:], span(timeout))
 }
 
 // Cancel quits waiting on an attempt.
-func (a Instance) Cancel(id tulipglade.ReqID, attempt int) {
+func (a Instance) Cancel(id balancer.ReqID, attempt int) {
 	binary.BigEndian.PutUint16(a.req(86, id)[9:], uint16(attempt))
 }
 
 // Decline refuses a request.
-func (a Instance) Decline(id tulipglade.ReqID, retryIn tulipglade.Span) {
+func (a Instance) Decline(id balancer.ReqID, retryIn balancer.Span) {
 	binary.BigEndian.PutUint32(a.req(90, id)[9:], span(retryIn))
 }
 
 // Fail ends a request as failed.
-func (a Instance) Fail(id tulipglade.ReqID) { a.req(82, id) }
+func (a Instance) Fail(id balancer.ReqID) { a.req(82, id) }
 
 // Probe health-checks a host.
-func (a Instance) Probe(h tulipglade.HostID) { putHost(a.W.add(84, a.ID)[5:], h) }
+func (a Instance) Probe(h balancer.HostID) { putHost(a.W.add(84, a.ID)[5:], h) }
 
 // WakeAt asks for an Elapsed event.
-func (a Instance) WakeAt(t tulipglade.Token, delay tulipglade.Span) {
+func (a Instance) WakeAt(t balancer.Token, delay balancer.Span) {
 	rec := a.W.add(80, a.ID)
 	binary.BigEndian.PutUint64(rec[5:], uint64(t))
 	binary.BigEndian.PutUint32(rec[13:], span(delay))
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
@@ -8,7 +8,8 @@
 	"strings"
 	"testing"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/settings"
 )
 
 // hexes turns hand-written hex, with spaces and +N for zero bytes, into bytes.
@@ -100,17 +101,17 @@
 	if e[0].Seed != 0x0102030405060708 || e[0].Config.Zone != 1 || len(e[0].Config.Classes) != 2 {
 		t.Errorf("PowerOn %+v", e[0])
 	}
-	want := []tulipglade.Host{
-		{ID: 0x0a124a072bc3, Phase: tulipglade.PhaseReady, Weight: 1},
-		{ID: 0x0a9011f22bec, Phase: tulipglade.PhaseDraining, Weight: 1.5, Cell: 4, Zone: 1, Started: 0x5d1420},
+	want := []balancer.Host{
+		{ID: 0x0a124a072bc3, Phase: balancer.PhaseReady, Weight: 1},
+		{ID: 0x0a9011f22bec, Phase: balancer.PhaseDraining, Weight: 1.5, Cell: 4, Zone: 1, Started: 0x5d1420},
 	}
-	if e[1].List != tulipglade.ListCached || len(e[1].Hosts) != 2 || e[1].Hosts[0] != want[0] || e[1].Hosts[1] != want[1] {
+	if e[1].List != balancer.ListCached || len(e[1].Hosts) != 2 || e[1].Hosts[0] != want[0] || e[1].Hosts[1] != want[1] {
 		t.Errorf("Members %+v", e[1])
 	}
-	if e[2].List != tulipglade.ListFailed || e[2].Hosts != nil {
+	if e[2].List != balancer.ListFailed || e[2].Hosts != nil {
 		t.Errorf("failed Members %+v", e[2])
 	}
-	if got := e[3].Arrival; got != (tulipglade.Arrival{ID: 0x5d3a91c4, Class: 1, Tenant: 2, Deadline: 0x8405da, Key: 0x91f03b7c55d20a64, Repeat: true, Hint: 12000}) {
+	if got := e[3].Arrival; got != (balancer.Arrival{ID: 0x5d3a91c4, Class: 1, Tenant: 2, Deadline: 0x8405da, Key: 0x91f03b7c55d20a64, Repeat: true, Hint: 12000}) {
 		t.Errorf("Request %+v", got)
 	}
 	if e[4].Token != 0x4d {
@@ -120,11 +121,11 @@
 		t.Errorf("Streaming %+v", s)
 	}
 	s := e[6].Settled
-	if s.ID != 0x5d3a91c4 || s.Attempt != 1 || s.Outcome != tulipglade.OK || s.Took != 0x4844 || !s.Closed ||
-		s.Host != want[0].ID || *s.Report != (tulipglade.Report{Outstanding: -1, Backlog: 3, Utilization: 0.5}) {
+	if s.ID != 0x5d3a91c4 || s.Attempt != 1 || s.Outcome != balancer.OK || s.Took != 0x4844 || !s.Closed ||
+		s.Host != want[0].ID || *s.Report != (balancer.Report{Outstanding: -1, Backlog: 3, Utilization: 0.5}) {
 		t.Errorf("Settled %+v %+v", s, s.Report)
 	}
-	if s := e[7].Settled; s.Outcome != tulipglade.ConnectFailed || s.Host != want[1].ID || s.Took != 0x578 || s.Report != nil {
+	if s := e[7].Settled; s.Outcome != balancer.ConnectFailed || s.Host != want[1].ID || s.Took != 0x578 || s.Report != nil {
 		t.Errorf("CheckResult %+v", s)
 	}
 	if e[8].From != 2 || string(e[8].Data) != "hi 7" {
@@ -138,7 +139,7 @@
 func TestEveryAction(t *testing.T) {
 	w := &Writer{}
 	a := Instance{W: w, ID: 3}
-	host := tulipglade.HostID(0x0a124a072bc3)
+	host := balancer.HostID(0x0a124a072bc3)
 	a.Try(0x5d3a91c4, host, 80000)
 	a.WakeAt(0x4d, 500000)
 	Instance{W: w, ID: 5}.Log("two servers known")
@@ -201,7 +202,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, want := range []tulipglade.HostID{1<<16 | 1, 2<<16 | 2, 2<<16 | 2} {
+	for i, want := range []balancer.HostID{1<<16 | 1, 2<<16 | 2, 2<<16 | 2} {
 		if got := append(b.Events, later.Events...)[i].Hosts[0].ID; got != want {
 			t.Errorf("event %d names host %x, want %x", i, got, want)
 		}
@@ -209,21 +210,21 @@
 }
 
 func TestSettings(t *testing.T) {
-	c, fields, err := Settings([]byte(boot))
+	c, fields, err := settings.Parse([]byte(boot))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Classes[0].Scope != tulipglade.ScopeCell || c.Classes[1].Effect != tulipglade.Once || !c.AskDiscovery ||
+	if c.Classes[0].Scope != balancer.ScopeCell || c.Classes[1].Effect != balancer.Once || !c.AskDiscovery ||
 		c.MaxRetryAfter != 0 || c.MaxAttempts != 6 || c.ColdMultiple != 3 || c.Tenants[0].Quota != 10 || len(fields) != 2 {
 		t.Errorf("%+v %v", c, fields)
 	}
-	if c, _, err = Settings([]byte(`{"discovery":"push","profiles":[{"deadline_us":5,"effect":"repeatable"}]}`)); err != nil ||
+	if c, _, err = settings.Parse([]byte(`{"discovery":"push","profiles":[{"deadline_us":5,"effect":"repeatable"}]}`)); err != nil ||
 		len(c.Tenants) != 0 || c.Classes[0].Deadline != 5 {
 		t.Errorf("missing optional keys: %+v, %v", c, err)
 	}
 	for _, bad := range []string{``, `{`, `[]`, `{"discovery":"shout"}`, `{"discovery":"push","profiles":[{"effect":"twice"}]}`,
 		`{"discovery":"push","profiles":[{"effect":"once","key_scope":"street"}]}`, `{"discovery":"push","tick_us":"x"}`} {
-		if _, _, err := Settings([]byte(bad)); err == nil {
+		if _, _, err := settings.Parse([]byte(bad)); err == nil {
 			t.Errorf("%s: no error", bad)
 		}
 	}
--- a/internal/lab/world/box.go
+++ b/internal/simulation/emulator/backend.go
@@ -1,12 +1,12 @@
-package world
+package emulator
 
 import (
 	"container/heap"
 	"math"
 
-	"tulipglade"
-	"tulipglade/internal/lab/des"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/simulation/eventqueue"
+	"tulipglade/internal/simulation/scenario"
 )
 
 // What a box's events mean.
@@ -21,7 +21,7 @@
 	boxRested         // A: since when; it may have been idle long enough
 )
 
-const warmStep = 50 * des.Millisecond // between two steps of a cold box's capacity
+const warmStep = 50 * eventqueue.Millisecond // between two steps of a cold box's capacity
 
 // Where an attempt is.
 const (
@@ -37,7 +37,7 @@
 	no      int
 	box     *Box
 	life    *boxLife // of the box as the connection was made
-	sent    des.Time
+	sent    eventqueue.Time
 	work    float64 // µs on one core of speed 1
 	due     float64 // the box's attained service at which it is done
 	state   uint8
@@ -46,13 +46,13 @@
 	conn    bool // it holds a connection
 	ran     bool
 	lost    bool // its request or answer was lost in a cut
-	report  tulipglade.Report
+	report  balancer.Report
 	pending any // of a Live
 }
 
 // boxLife is one process of a box; a restart begins another.
 type boxLife struct {
-	started des.Time // 0: long ago
+	started eventqueue.Time // 0: long ago
 	conns   int
 }
 
@@ -61,9 +61,9 @@
 // processor sharing, and with one slot a core the plain queue of so many servers.
 type Box struct {
 	w      *World
-	src    des.Source
-	rand   des.Stream
-	id     tulipglade.HostID
+	src    eventqueue.Source
+	rand   eventqueue.Stream
+	id     balancer.HostID
 	place  int // its address: what replaces it has the same
 	site   int
 	rack   int
@@ -71,7 +71,7 @@
 	ledger *ledger
 
 	speed, coldFrom float64
-	coldFor         des.Span
+	coldFor         eventqueue.Span
 	slots, room     int
 
 	life     *boxLife
@@ -87,26 +87,26 @@
 
 	attained float64
 	rate     float64 // of attained, per µs
-	at       des.Time
+	at       eventqueue.Time
 	turn     int64
 	heap     jobs
 	queue    []*attempt // with those that were dropped
 	queued   int        // without
 	coming   int        // attempts on their way
 
-	crowdedSince, restedSince des.Time // 0: not so
+	crowdedSince, restedSince eventqueue.Time // 0: not so
 	overdriven                bool
-	overdrivenAt              des.Time
+	overdrivenAt              eventqueue.Time
 
 	keys          []metKey
 	busy          float64 // core time used since the last refresh of the report
-	busyAt        des.Time
-	next, visible tulipglade.Report
+	busyAt        eventqueue.Time
+	next, visible balancer.Report
 }
 
 type metKey struct {
 	key uint64
-	at  des.Time
+	at  eventqueue.Time
 }
 
 // jobs is a heap of running attempts by due.
@@ -124,10 +124,10 @@
 	return x
 }
 
-var unknown = tulipglade.Report{Outstanding: -1, Backlog: -1, Utilization: -1}
+var unknown = balancer.Report{Outstanding: -1, Backlog: -1, Utilization: -1}
 
-func (w *World) newBox(place int, id tulipglade.HostID, name string) *Box {
-	b := &Box{w: w, src: des.NewSource(sourceBox | uint32(id)), rand: des.NewStream(w.seed, name), id: id, place: place,
+func (w *World) newBox(place int, id balancer.HostID, name string) *Box {
+	b := &Box{w: w, src: eventqueue.NewSource(sourceBox | uint32(id)), rand: eventqueue.NewStream(w.seed, name), id: id, place: place,
 		site: w.sc.Site(place), life: &boxLife{}, up: true, slow: 1, at: w.sim.Now(), visible: unknown}
 	sites := len(w.sc.Fleet.Sites)
 	b.rack = place/sites/w.sc.Fleet.Rack*sites + b.site // no two sites have a rack of the same number
@@ -143,13 +143,13 @@
 
 func between(r scenario.Range, x float64) float64 { return r[0] + (r[1]-r[0])*x }
 
-func us(ms float64) des.Span { return des.Span(math.Round(ms * 1000)) }
+func us(ms float64) eventqueue.Span { return eventqueue.Span(math.Round(ms * 1000)) }
 
 // full is what the box does when warm and well, in µs of work for each µs.
 func (b *Box) full() float64 { return b.speed * float64(b.kind.Cores) }
 
 // warmth is the share of its capacity that the box has by now.
-func (b *Box) warmth(now des.Time) float64 {
+func (b *Box) warmth(now eventqueue.Time) float64 {
 	if age := now - b.life.started; b.life.started > 0 && age < b.coldFor {
 		return b.coldFrom + (1-b.coldFrom)*float64(age)/float64(b.coldFor)
 	}
@@ -157,7 +157,7 @@
 }
 
 // capacity is what the box can do at the moment, in µs of work for each µs.
-func (b *Box) capacity(now des.Time) float64 {
+func (b *Box) capacity(now eventqueue.Time) float64 {
 	c := b.full() * b.warmth(now) / b.slow
 	if held := float64(len(b.heap)+b.queued) / float64(b.kind.Cores); held > b.kind.CrowdFrom {
 		c /= 1 + b.kind.Crowd*(held-b.kind.CrowdFrom)
@@ -188,7 +188,7 @@
 func (b *Box) Held() int { return len(b.heap) + b.queued }
 
 // advance brings attained up to now.
-func (b *Box) advance(now des.Time) {
+func (b *Box) advance(now eventqueue.Time) {
 	if d := float64(now - b.at); d > 0 {
 		b.attained += b.rate * d
 		b.busy += d * float64(min(len(b.heap), b.kind.Cores))
@@ -197,7 +197,7 @@
 }
 
 // reset works out the rate anew and sets the next completion.
-func (b *Box) reset(now des.Time) {
+func (b *Box) reset(now eventqueue.Time) {
 	n := len(b.heap)
 	if n == 0 {
 		b.rate = 0
@@ -209,12 +209,12 @@
 	b.turn++
 	if rate > 0 {
 		left := math.Ceil((b.heap[0].due - b.attained) / rate)
-		b.w.sim.After(&b.src, des.Span(min(left, 1e15)), des.Event{To: b, Kind: boxDone, A: b.turn})
+		b.w.sim.After(&b.src, eventqueue.Span(min(left, 1e15)), eventqueue.Event{To: b, Kind: boxDone, A: b.turn})
 	}
 }
 
 // Handle takes the box's events.
-func (b *Box) Handle(now des.Time, e des.Event) {
+func (b *Box) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
 	case boxArrive:
 		b.arrive(now, e.P.(*attempt))
@@ -232,7 +232,7 @@
 			b.advance(now)
 			b.reset(now)
 			if b.warmth(now) < 1 {
-				b.w.sim.After(&b.src, warmStep, des.Event{To: b, Kind: boxTick, P: b.life})
+				b.w.sim.After(&b.src, warmStep, eventqueue.Event{To: b, Kind: boxTick, P: b.life})
 			} else {
 				b.w.judge.Warm(b.id)
 			}
@@ -245,7 +245,7 @@
 		if b.crowdedSince == e.A && e.A > 0 && !b.overdriven {
 			b.overdriven, b.overdrivenAt = true, now
 			b.w.rec.overdriven++
-			b.w.sim.After(&b.src, us(b.w.sc.Fleet.Overdrive.Most), des.Event{To: b, Kind: boxRested, A: -now})
+			b.w.sim.After(&b.src, us(b.w.sc.Fleet.Overdrive.Most), eventqueue.Event{To: b, Kind: boxRested, A: -now})
 			b.change(now)
 		}
 	case boxRested:
@@ -257,7 +257,7 @@
 }
 
 // change follows whatever alters what the box holds or can do.
-func (b *Box) change(now des.Time) {
+func (b *Box) change(now eventqueue.Time) {
 	b.reset(now)
 	o := &b.w.sc.Fleet.Overdrive
 	if o.PerCore <= 0 {
@@ -268,25 +268,25 @@
 		b.crowdedSince = 0
 	} else if b.crowdedSince == 0 {
 		b.crowdedSince = now
-		b.w.sim.After(&b.src, us(o.Over), des.Event{To: b, Kind: boxCrowded, A: now})
+		b.w.sim.After(&b.src, us(o.Over), eventqueue.Event{To: b, Kind: boxCrowded, A: now})
 	}
 	if !b.overdriven || float64(b.Held()) > o.Below*cores {
 		b.restedSince = 0
 	} else if b.restedSince == 0 {
 		b.restedSince = now
-		b.w.sim.After(&b.src, us(o.Rest), des.Event{To: b, Kind: boxRested, A: now})
+		b.w.sim.After(&b.src, us(o.Rest), eventqueue.Event{To: b, Kind: boxRested, A: now})
 	}
 }
 
 // arrive is an attempt whose last byte has come.
-func (b *Box) arrive(now des.Time, a *attempt) {
+func (b *Box) arrive(now eventqueue.Time, a *attempt) {
 	b.coming--
 	if b.silent {
 		a.lose(b.w)
 		return
 	}
 	if !b.up || a.life != b.life {
-		a.reply(now, tulipglade.Reset) // the process that had accepted the connection is gone
+		a.reply(now, balancer.Reset) // the process that had accepted the connection is gone
 		return
 	}
 	c := &b.w.sc.Fleet.Conns
@@ -296,23 +296,23 @@
 	if b.warmth(now) < 1 {
 		b.w.judge.Reached(now, a.req.node.index, b.id, b.life.started, a.work, b.capacity(now))
 	}
-	d := des.NewDraws(b.w.seed, uint64(a.req.id)<<8|uint64(a.no), drawOutcome)
+	d := eventqueue.NewDraws(b.w.seed, uint64(a.req.id)<<8|uint64(a.no), drawOutcome)
 	switch {
 	case a.fresh && c.PerCore > 0 && float64(b.life.conns) > c.PerCore*float64(b.kind.Cores),
 		b.draining, len(b.heap) >= b.slots && b.queued >= b.room:
-		a.reply(now, tulipglade.Full)
+		a.reply(now, balancer.Full)
 		return
 	case d.Float64() < max(b.errors, b.kind.Errors):
-		a.reply(now, tulipglade.HostError)
+		a.reply(now, balancer.HostError)
 		return
 	}
-	if a.req.call.effect == tulipglade.ByKey && b.kind.KeyedDrop && b.ledger.repeat(now, a) {
+	if a.req.call.effect == balancer.ByKey && b.kind.KeyedDrop && b.ledger.repeat(now, a) {
 		return
 	}
 	b.accept(now, a)
 }
 
-func (b *Box) accept(now des.Time, a *attempt) {
+func (b *Box) accept(now eventqueue.Time, a *attempt) {
 	b.advance(now)
 	if len(b.heap) < b.slots {
 		b.begin(now, a)
@@ -325,10 +325,10 @@
 }
 
 // begin is the moment from which a request has run.
-func (b *Box) begin(now des.Time, a *attempt) {
+func (b *Box) begin(now eventqueue.Time, a *attempt) {
 	a.state, a.ran = running, true
 	a.req.call.runs++
-	if a.req.call.runs > 1 && a.req.call.effect == tulipglade.Once {
+	if a.req.call.runs > 1 && a.req.call.effect == balancer.Once {
 		b.w.rec.secondRuns++
 	}
 	if b.w.sc.Fleet.Affinity.Gain > 0 && b.meet(now, a.req.call.Key) {
@@ -343,7 +343,7 @@
 }
 
 // meet tells whether the box has lately met the key, and remembers it.
-func (b *Box) meet(now des.Time, key uint64) bool {
+func (b *Box) meet(now eventqueue.Time, key uint64) bool {
 	if key == 0 {
 		return false
 	}
@@ -368,24 +368,24 @@
 	return false
 }
 
-func (b *Box) complete(now des.Time) {
+func (b *Box) complete(now eventqueue.Time) {
 	b.advance(now)
 	const crumb = 1e-6 // of a µs of work: what rounding may leave
 	for len(b.heap) > 0 && b.heap[0].due <= b.attained+crumb {
 		a := heap.Pop(&b.heap).(*attempt)
 		a.state = over
 		b.w.rec.work(a)
-		out := tulipglade.OK
+		out := balancer.OK
 		if b.resets > 0 || b.garbage > 0 || b.w.sc.Net.Reset > 0 {
-			d := des.NewDraws(b.w.seed, uint64(a.req.id)<<8|uint64(a.no), drawReset)
+			d := eventqueue.NewDraws(b.w.seed, uint64(a.req.id)<<8|uint64(a.no), drawReset)
 			if d.Float64() < max(b.resets, b.w.sc.Net.Reset) {
-				out = tulipglade.Reset
+				out = balancer.Reset
 			} else if d.Float64() < b.garbage { // what a node makes of an answer that it cannot read
-				out = tulipglade.HostError
+				out = balancer.HostError
 			}
 		}
 		a.reply(now, out)
-		if a.req.call.effect == tulipglade.ByKey && b.kind.KeyedDrop {
+		if a.req.call.effect == balancer.ByKey && b.kind.KeyedDrop {
 			b.ledger.finished(now, a)
 		}
 	}
@@ -393,7 +393,7 @@
 }
 
 // promote lets those who wait into free slots.
-func (b *Box) promote(now des.Time) {
+func (b *Box) promote(now eventqueue.Time) {
 	b.advance(now)
 	for len(b.heap) < b.slots && len(b.queue) > 0 {
 		a := b.queue[0]
@@ -404,7 +404,7 @@
 		}
 		b.queued--
 		if b.kind.DropExpired && now >= a.req.deadline {
-			b.never(now, a, tulipglade.Full)
+			b.never(now, a, balancer.Full)
 			continue
 		}
 		b.begin(now, a)
@@ -419,18 +419,18 @@
 }
 
 // never is the end of an attempt that did not run and will not; repeats that waited for it take its place.
-func (b *Box) never(now des.Time, a *attempt, out tulipglade.Outcome) {
+func (b *Box) never(now eventqueue.Time, a *attempt, out balancer.Outcome) {
 	a.state = over
 	if out != 0 {
 		a.reply(now, out)
 	}
-	if a.req.call.effect == tulipglade.ByKey && b.kind.KeyedDrop {
+	if a.req.call.effect == balancer.ByKey && b.kind.KeyedDrop {
 		b.ledger.dropped(now, a)
 	}
 }
 
 // die ends the process: what it held is gone, and connections are reset unless the machine has vanished with it.
-func (b *Box) die(now des.Time, silent bool) {
+func (b *Box) die(now eventqueue.Time, silent bool) {
 	if !b.up {
 		b.silent = b.silent || silent
 		return
@@ -454,26 +454,26 @@
 		if silent {
 			a.lose(b.w)
 		} else {
-			a.reply(now, tulipglade.Reset)
+			a.reply(now, balancer.Reset)
 		}
-		if a.req.call.effect == tulipglade.ByKey && b.kind.KeyedDrop {
+		if a.req.call.effect == balancer.ByKey && b.kind.KeyedDrop {
 			b.ledger.died(now, a)
 		}
 	}
 }
 
 // start begins a new process, cold.
-func (b *Box) start(now des.Time) {
+func (b *Box) start(now eventqueue.Time) {
 	b.life = &boxLife{started: now}
 	b.up, b.silent, b.draining = true, false, false
 	b.at, b.busyAt, b.busy = now, now, 0
 	b.visible = unknown
-	b.w.sim.After(&b.src, warmStep, des.Event{To: b, Kind: boxTick, P: b.life})
+	b.w.sim.After(&b.src, warmStep, eventqueue.Event{To: b, Kind: boxTick, P: b.life})
 	b.change(now)
 }
 
 // refresh measures the load report, which becomes visible some time later.
-func (b *Box) refresh(now des.Time) {
+func (b *Box) refresh(now eventqueue.Time) {
 	r := &b.w.sc.Fleet.Report
 	b.advance(now)
 	noise := func(x float64) float64 { return max(0, x*(1+r.Noise*b.rand.NormFloat64())) }
@@ -487,12 +487,12 @@
 		b.next = r.Told(b.next)
 	}
 	b.busy, b.busyAt = 0, now
-	b.w.sim.After(&b.src, us(r.Delay), des.Event{To: b, Kind: boxPublish})
-	b.w.sim.After(&b.src, des.Span(float64(us(r.Every))*(0.9+0.2*b.rand.Float64())), des.Event{To: b, Kind: boxRefresh})
+	b.w.sim.After(&b.src, us(r.Delay), eventqueue.Event{To: b, Kind: boxPublish})
+	b.w.sim.After(&b.src, eventqueue.Span(float64(us(r.Every))*(0.9+0.2*b.rand.Float64())), eventqueue.Event{To: b, Kind: boxRefresh})
 }
 
 // reply sends an answer or a reset back to the node.
-func (a *attempt) reply(now des.Time, out tulipglade.Outcome) {
+func (a *attempt) reply(now eventqueue.Time, out balancer.Outcome) {
 	a.state = over
 	n, b := a.req.node, a.box
 	if b.w.parted(n.site, b.site) {
@@ -502,7 +502,7 @@
 	if a.report = unknown; b.w.sc.Fleet.Report.By == "answers" {
 		a.report = b.visible
 	}
-	b.w.sim.After(&b.src, b.w.delay(&b.rand, b.site, n.site), des.Event{To: a.req.to, Kind: nodeReply, P: a, A: int64(out)})
+	b.w.sim.After(&b.src, b.w.delay(&b.rand, b.site, n.site), eventqueue.Event{To: a.req.to, Kind: nodeReply, P: a, A: int64(out)})
 }
 
 // lose is a request or an answer that a cut has swallowed: nothing is heard until the link is back.
@@ -522,14 +522,14 @@
 
 type keyedRun struct {
 	key     uint64 // of the call
-	at      des.Time
-	window  des.Span
+	at      eventqueue.Time
+	window  eventqueue.Span
 	first   *attempt // nil: it has run
 	waiters []*attempt
 }
 
 // repeat tells whether the attempt repeats one that the rack knows; if not, it is the first from now on.
-func (l *ledger) repeat(now des.Time, a *attempt) bool {
+func (l *ledger) repeat(now eventqueue.Time, a *attempt) bool {
 	for len(l.inOrder) > 0 && now-l.inOrder[0].at > l.inOrder[0].window {
 		if r := l.inOrder[0]; l.runs[r.key] == r && r.first == nil {
 			delete(l.runs, r.key)
@@ -540,7 +540,7 @@
 	key, window := a.req.call.N, l.w.classes[a.req.call.Class].Window
 	if r := l.runs[key]; r != nil && now-r.at <= window {
 		if r.first == nil {
-			a.reply(now, tulipglade.OK)
+			a.reply(now, balancer.OK)
 		} else {
 			a.state = joined
 			r.waiters = append(r.waiters, a)
@@ -553,14 +553,14 @@
 	return false
 }
 
-func (l *ledger) finished(now des.Time, a *attempt) {
+func (l *ledger) finished(now eventqueue.Time, a *attempt) {
 	if r := l.runs[a.req.call.N]; r != nil && r.first == a {
 		r.first = nil
 		for _, x := range r.waiters {
 			if x.box.up && x.life == x.box.life {
-				x.reply(now, tulipglade.OK)
+				x.reply(now, balancer.OK)
 			} else {
-				x.reply(now, tulipglade.Reset)
+				x.reply(now, balancer.Reset)
 			}
 		}
 		r.waiters = nil
@@ -568,17 +568,17 @@
 }
 
 // died is a first run that was lost halfway: a later repeat runs anew, those that wait for it are reset.
-func (l *ledger) died(now des.Time, a *attempt) {
+func (l *ledger) died(now eventqueue.Time, a *attempt) {
 	if r := l.runs[a.req.call.N]; r != nil && r.first == a {
 		delete(l.runs, r.key)
 		for _, x := range r.waiters {
-			x.reply(now, tulipglade.Reset)
+			x.reply(now, balancer.Reset)
 		}
 	}
 }
 
 // dropped is a first that never ran: a repeat that waited for it runs in its place.
-func (l *ledger) dropped(now des.Time, a *attempt) {
+func (l *ledger) dropped(now eventqueue.Time, a *attempt) {
 	r := l.runs[a.req.call.N]
 	if r == nil || r.first != a {
 		return
@@ -586,7 +586,7 @@
 	delete(l.runs, r.key)
 	for _, x := range r.waiters {
 		if !x.box.up || x.life != x.box.life {
-			x.reply(now, tulipglade.Reset)
+			x.reply(now, balancer.Reset)
 		} else if !l.repeat(now, x) {
 			x.box.accept(now, x)
 		}
--- a/internal/lab/world/client.go
+++ b/internal/simulation/emulator/client.go
@@ -1,13 +1,13 @@
-package world
+package emulator
 
 import (
 	"errors"
 	"io"
 
-	"tulipglade"
-	"tulipglade/internal/clients"
-	"tulipglade/internal/judge"
-	"tulipglade/internal/lab/des"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/invariant"
+	"tulipglade/internal/simulation/eventqueue"
+	"tulipglade/internal/workload"
 )
 
 // What the clients' events mean.
@@ -25,13 +25,13 @@
 
 // call is a call in the lab: what the client wants, and how far it has got.
 type call struct {
-	clients.Call
-	effect   tulipglade.Effect
+	workload.Call
+	effect   balancer.Effect
 	overOwn  bool // beyond its tenant's share
 	counted  bool // after the warm-up
 	ended    bool
-	due      des.Time
-	deadline des.Time
+	due      eventqueue.Time
+	deadline eventqueue.Time
 	tries    int
 	runs     int
 	current  *request
@@ -40,21 +40,21 @@
 // crowd is all clients. Calls arrive by a schedule that does not wait for answers.
 type crowd struct {
 	w      *World
-	src    des.Source
-	rand   des.Stream
+	src    eventqueue.Source
+	rand   eventqueue.Stream
 	calls  uint64
-	ids    tulipglade.ReqID
-	plan   *clients.Schedule
-	retry  *clients.Retry
-	next   clients.Call
+	ids    balancer.ReqID
+	plan   *workload.Schedule
+	retry  *workload.Retry
+	next   workload.Call
 	only   map[int]bool
 	second int64     // in which left holds
 	left   []float64 // of each tenant's quota in that second
 }
 
 func (w *World) newCrowd() (*crowd, error) {
-	c := &crowd{w: w, src: des.NewSource(sourceCrowd), rand: des.NewStream(w.seed, "clients"), second: -1,
-		retry: clients.NewRetry(w.sc, w.seed)}
+	c := &crowd{w: w, src: eventqueue.NewSource(sourceCrowd), rand: eventqueue.NewStream(w.seed, "clients"), second: -1,
+		retry: workload.NewRetry(w.sc, w.seed)}
 	if len(w.sc.OnlyCalls) > 0 {
 		c.only = map[int]bool{}
 		for _, n := range w.sc.OnlyCalls {
@@ -62,7 +62,7 @@
 		}
 	}
 	var err error
-	if c.plan, err = clients.NewSchedule(w.sc, w.seed, w.capacity, w.faults); err != nil {
+	if c.plan, err = workload.NewSchedule(w.sc, w.seed, w.capacity, w.faults); err != nil {
 		return nil, err
 	}
 	return c, c.schedule()
@@ -76,12 +76,12 @@
 	} else if err != nil {
 		return err
 	}
-	c.w.sim.At(&c.src, origin+c.next.At, des.Event{To: c, Kind: clientNext})
+	c.w.sim.At(&c.src, origin+c.next.At, eventqueue.Event{To: c, Kind: clientNext})
 	return nil
 }
 
 // Handle takes the clients' events.
-func (c *crowd) Handle(now des.Time, e des.Event) {
+func (c *crowd) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
 	case clientNext:
 		k := &call{Call: c.next, due: now}
@@ -93,7 +93,7 @@
 		c.send(now, e.P.(*call))
 	case clientLeaves:
 		if r := e.P.(*request); r.call.current == r && !r.call.ended {
-			c.w.sim.After(&c.src, c.w.clientDelay(&c.rand, r.call.Site, r.node.site), des.Event{To: r.node, Kind: nodeLeft, P: r})
+			c.w.sim.After(&c.src, c.w.clientDelay(&c.rand, r.call.Site, r.node.site), eventqueue.Event{To: r.node, Kind: nodeLeft, P: r})
 			c.finish(now, r.call, outcomeGone)
 		}
 	default:
@@ -103,7 +103,7 @@
 	}
 }
 
-func (c *crowd) arrive(now des.Time, k *call) {
+func (c *crowd) arrive(now eventqueue.Time, k *call) {
 	s := c.w.sc
 	c.calls++
 	if c.only != nil && !c.only[int(k.N)] {
@@ -112,8 +112,8 @@
 	class := &s.Classes[k.Class]
 	k.effect = c.w.classes[k.Class].Effect
 	k.deadline = now + us(class.Deadline)
-	k.counted = now >= origin+des.Span(s.WarmUp*1e6)
-	if sec := now / des.Second; sec != c.second {
+	k.counted = now >= origin+eventqueue.Span(s.WarmUp*1e6)
+	if sec := now / eventqueue.Second; sec != c.second {
 		c.second = sec
 		c.left = append(c.left[:0], c.w.quota...)
 	}
@@ -124,20 +124,20 @@
 }
 
 // send makes the next try, through the front of the client's site.
-func (c *crowd) send(now des.Time, k *call) {
+func (c *crowd) send(now eventqueue.Time, k *call) {
 	c.ids++
 	r := &request{id: c.ids, call: k, try: k.tries}
 	k.tries++
 	k.current = r
-	d := des.NewDraws(c.w.seed, k.N<<8|uint64(r.try), drawTry)
+	d := eventqueue.NewDraws(c.w.seed, k.N<<8|uint64(r.try), drawTry)
 	r.deadline = now + c.retry.Patience(&k.Call, now-k.due)
 	r.node = c.w.front(k.Site, d.Float64(), d.Float64())
 	r.to = r.node
-	c.w.sim.After(&c.src, c.w.clientDelay(&c.rand, k.Site, r.node.site), des.Event{To: r.node, Kind: nodeRequest, P: r})
-	c.w.sim.At(&c.src, r.deadline, des.Event{To: c, Kind: clientTimeout, P: r})
+	c.w.sim.After(&c.src, c.w.clientDelay(&c.rand, k.Site, r.node.site), eventqueue.Event{To: r.node, Kind: nodeRequest, P: r})
+	c.w.sim.At(&c.src, r.deadline, eventqueue.Event{To: c, Kind: clientTimeout, P: r})
 	if d.Float64() < c.w.sc.Clients.Impatient {
-		leaves := now + des.Span(d.Float64()*float64(r.deadline-now))
-		c.w.sim.At(&c.src, leaves, des.Event{To: c, Kind: clientLeaves, P: r})
+		leaves := now + eventqueue.Span(d.Float64()*float64(r.deadline-now))
+		c.w.sim.At(&c.src, leaves, eventqueue.Event{To: c, Kind: clientLeaves, P: r})
 	}
 }
 
@@ -154,11 +154,11 @@
 
 var outcomeNames = [outcomes]string{"served", "late", "refused", "failed", "timed-out", "left"}
 
-func (c *crowd) answered(now des.Time, r *request, kind uint8, retryIn des.Span) {
+func (c *crowd) answered(now eventqueue.Time, r *request, kind uint8, retryIn eventqueue.Span) {
 	k, s := r.call, c.w.sc
-	how, end := clients.Failed, outcomeFailed
+	how, end := workload.Failed, outcomeFailed
 	switch kind {
-	case clientAnswer + uint8(judge.Served):
+	case clientAnswer + uint8(invariant.Served):
 		end = outcomeLate
 		if now-k.due <= us(s.Classes[k.Class].Aim) {
 			end = outcomeServed
@@ -166,11 +166,11 @@
 		c.finish(now, k, end)
 		return
 	case clientRefused:
-		how, end = clients.Refused, outcomeRefused
+		how, end = workload.Refused, outcomeRefused
 	case clientRefusedByNobody:
-		how, end = clients.Unreachable, outcomeRefused
+		how, end = workload.Unreachable, outcomeRefused
 	case clientTimeout:
-		how, end = clients.TimedOut, outcomeTimedOut
+		how, end = workload.TimedOut, outcomeTimedOut
 	}
 	wait, again := c.retry.Again(&k.Call, how, k.tries, now-k.due, retryIn)
 	if !again {
@@ -178,10 +178,10 @@
 		return
 	}
 	k.current = nil
-	c.w.sim.After(&c.src, wait, des.Event{To: c, Kind: clientAgain, P: k})
+	c.w.sim.After(&c.src, wait, eventqueue.Event{To: c, Kind: clientAgain, P: k})
 }
 
-func (c *crowd) finish(now des.Time, k *call, how int) {
+func (c *crowd) finish(now eventqueue.Time, k *call, how int) {
 	k.ended, k.current = true, nil
 	c.w.rec.ended(k, how, now)
 }
