--- a/internal/lab/world/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -1,8 +1,8 @@
-package world
+package emulator
 
 import (
-	"tulipglade"
-	"tulipglade/internal/lab/des"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/simulation/eventqueue"
 )
 
 // What discovery's events mean.
@@ -14,8 +14,8 @@
 
 // change is one line of the list, in the order in which discovery learned it.
 type change struct {
-	host tulipglade.Host
-	at   des.Time
+	host balancer.Host
+	at   eventqueue.Time
 }
 
 type listCall struct {
@@ -28,8 +28,8 @@
 // news is what a node is told.
 type news struct {
 	life    *nodeLife
-	kind    tulipglade.ListKind
-	list    []tulipglade.Host
+	kind    balancer.ListKind
+	list    []balancer.Host
 	version int
 	watch   bool
 }
@@ -38,24 +38,24 @@
 // is the number of changes so far.
 type discovery struct {
 	w       *World
-	src     des.Source
-	rand    des.Stream
+	src     eventqueue.Source
+	rand    eventqueue.Stream
 	log     []change
-	free    des.Time // when it is done with the calls that it has
+	free    eventqueue.Time // when it is done with the calls that it has
 	down    int
-	whole   []tulipglade.Host // as of wholeAt, shared by all who are told it
+	whole   []balancer.Host // as of wholeAt, shared by all who are told it
 	wholeAt int
 }
 
 func (d *discovery) version() int { return len(d.log) }
 
 // noticed sets the moment at which discovery learns of a change.
-func (d *discovery) noticed(after des.Span, h tulipglade.Host) {
-	d.w.sim.After(&d.src, after, des.Event{To: d, Kind: discChanged, P: &change{host: h}})
+func (d *discovery) noticed(after eventqueue.Span, h balancer.Host) {
+	d.w.sim.After(&d.src, after, eventqueue.Event{To: d, Kind: discChanged, P: &change{host: h}})
 }
 
 // Handle takes discovery's events.
-func (d *discovery) Handle(now des.Time, e des.Event) {
+func (d *discovery) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
 	case discChanged:
 		c := e.P.(*change)
@@ -66,12 +66,12 @@
 		n := e.P.(*Node)
 		n.notifying = false
 		if n.watching && d.down == 0 && n.version < d.version() {
-			d.send(n, &news{life: n.life, kind: tulipglade.ListDelta, list: d.between(n.version, d.version()), version: d.version(), watch: true}, 0)
+			d.send(n, &news{life: n.life, kind: balancer.ListDelta, list: d.between(n.version, d.version()), version: d.version(), watch: true}, 0)
 		}
 	}
 }
 
-func (d *discovery) add(now des.Time, h tulipglade.Host) {
+func (d *discovery) add(now eventqueue.Time, h balancer.Host) {
 	d.log = append(d.log, change{h, now})
 	for _, n := range d.w.nodes {
 		d.notify(n)
@@ -81,14 +81,14 @@
 func (d *discovery) notify(n *Node) {
 	if n.watching && !n.notifying && d.down == 0 {
 		n.notifying = true
-		d.w.sim.After(&d.src, us(between(d.w.sc.Discovery.Spread, d.rand.Float64())), des.Event{To: d, Kind: discNotify, P: n})
+		d.w.sim.After(&d.src, us(between(d.w.sc.Discovery.Spread, d.rand.Float64())), eventqueue.Event{To: d, Kind: discNotify, P: n})
 	}
 }
 
 // between are the latest lines of those that changed after one version and up to another.
-func (d *discovery) between(from, to int) []tulipglade.Host {
-	at := map[tulipglade.HostID]int{}
-	var list []tulipglade.Host
+func (d *discovery) between(from, to int) []balancer.Host {
+	at := map[balancer.HostID]int{}
+	var list []balancer.Host
 	for _, c := range d.log[from:to] {
 		if i, ok := at[c.host.ID]; ok {
 			list[i] = c.host
@@ -101,12 +101,12 @@
 }
 
 // listAt is the whole list as of a version.
-func (d *discovery) listAt(version int) []tulipglade.Host {
+func (d *discovery) listAt(version int) []balancer.Host {
 	if d.whole != nil && d.wholeAt == version {
 		return d.whole
 	}
-	at := map[tulipglade.HostID]int{}
-	var all, list []tulipglade.Host
+	at := map[balancer.HostID]int{}
+	var all, list []balancer.Host
 	for _, c := range d.log[:version] {
 		if i, ok := at[c.host.ID]; ok {
 			all[i] = c.host
@@ -116,7 +116,7 @@
 		all = append(all, c.host)
 	}
 	for _, h := range all {
-		if h.Phase != tulipglade.PhaseGone {
+		if h.Phase != balancer.PhaseGone {
 			list = append(list, h)
 		}
 	}
@@ -133,7 +133,7 @@
 	if full || d.version()-n.version > s.DeltaLines {
 		lines = len(d.w.boxes)
 	}
-	finish := max(now, d.free) + des.Span(1e6/s.PerS+1e6*float64(lines)/s.LinesPerS)
+	finish := max(now, d.free) + eventqueue.Span(1e6/s.PerS+1e6*float64(lines)/s.LinesPerS)
 	switch {
 	case !c.ok:
 		finish = now + us(d.w.sc.Net.Cross)
@@ -145,29 +145,29 @@
 	default:
 		d.free = finish
 	}
-	d.w.sim.At(&d.src, finish, des.Event{To: d, Kind: discServe, P: c})
+	d.w.sim.At(&d.src, finish, eventqueue.Event{To: d, Kind: discServe, P: c})
 }
 
-func (d *discovery) serve(_ des.Time, c *listCall) {
+func (d *discovery) serve(_ eventqueue.Time, c *listCall) {
 	n := c.node
 	if n.life != c.life {
 		return
 	}
 	if !c.ok || d.down > 0 {
-		d.send(n, &news{life: n.life, kind: tulipglade.ListFailed}, 0)
+		d.send(n, &news{life: n.life, kind: balancer.ListFailed}, 0)
 		return
 	}
-	m := &news{life: n.life, kind: tulipglade.ListDelta, version: d.version(), watch: !c.full}
+	m := &news{life: n.life, kind: balancer.ListDelta, version: d.version(), watch: !c.full}
 	if c.full || d.version()-n.version > d.w.sc.Discovery.DeltaLines {
-		m.kind, m.list = tulipglade.ListFull, d.listAt(d.version())
+		m.kind, m.list = balancer.ListFull, d.listAt(d.version())
 	} else {
 		m.list = d.between(n.version, d.version())
 	}
 	d.send(n, m, us(d.w.sc.Net.Cross))
 }
 
-func (d *discovery) send(n *Node, m *news, after des.Span) {
-	d.w.sim.After(&d.src, after, des.Event{To: n, Kind: nodeList, P: m})
+func (d *discovery) send(n *Node, m *news, after eventqueue.Span) {
+	d.w.sim.After(&d.src, after, eventqueue.Event{To: n, Kind: nodeList, P: m})
 }
 
 // fall ends all watches; rise lets calls in again.
@@ -178,7 +178,7 @@
 	for _, n := range d.w.nodes {
 		if n.watching {
 			n.watching = false
-			d.send(n, &news{life: n.life, kind: tulipglade.ListFailed}, us(d.w.sc.Net.Cross))
+			d.send(n, &news{life: n.life, kind: balancer.ListFailed}, us(d.w.sc.Net.Cross))
 		}
 	}
 }
@@ -186,12 +186,12 @@
 func (d *discovery) rise() { d.down-- }
 
 // hear is news that has reached the node.
-func (n *Node) hear(now des.Time, m *news) {
+func (n *Node) hear(now eventqueue.Time, m *news) {
 	if m.life != n.life || n.life == nil {
 		return
 	}
-	n.askFailed = m.kind == tulipglade.ListFailed
-	if m.kind == tulipglade.ListFailed {
+	n.askFailed = m.kind == balancer.ListFailed
+	if m.kind == balancer.ListFailed {
 		n.watching = false
 		n.policy.Members(n.clock(now), m.kind, nil)
 		return
@@ -209,9 +209,9 @@
 }
 
 // tell hands a list to the policy, and to the judge what is new in it.
-func (n *Node) tell(now des.Time, kind tulipglade.ListKind, list []tulipglade.Host, version int) {
+func (n *Node) tell(now eventqueue.Time, kind balancer.ListKind, list []balancer.Host, version int) {
 	from := n.version
-	if kind == tulipglade.ListCached {
+	if kind == balancer.ListCached {
 		from = n.w.first // of those known from the start there is nothing to be told
 	}
 	for _, h := range n.w.disc.between(min(from, version), version) {
@@ -227,7 +227,7 @@
 
 // catchUp tells the judge what the rules take as told: a node that neither watches nor asks for so long (four times
 // that after a failed call) is held to what was listed so long ago.
-func (n *Node) catchUp(now des.Time) {
+func (n *Node) catchUp(now eventqueue.Time) {
 	every := us(n.w.sc.Discovery.AskEvery)
 	if n.watching || every == 0 || n.deemed >= n.w.disc.version() {
 		return
--- a/internal/lab/world/world.go
+++ b/internal/simulation/emulator/emulator.go
@@ -1,6 +1,6 @@
-// Package world is what the lab plays: clients, a front, nodes with a policy each, boxes, the network and discovery,
+// Package emulator is what the lab plays: clients, a front, nodes with a policy each, boxes, the network and discovery,
 // as components of a discrete-event simulation. The same scenario, seed and policy give the same run to the last bit.
-package world
+package emulator
 
 import (
 	"cmp"
@@ -9,17 +9,17 @@
 	"runtime/debug"
 	"slices"
 
-	"tulipglade"
-	"tulipglade/internal/clients"
-	"tulipglade/internal/faults"
-	"tulipglade/internal/judge"
-	"tulipglade/internal/lab/des"
-	"tulipglade/internal/lab/policy"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/faultinject"
+	"tulipglade/internal/invariant"
+	"tulipglade/internal/simulation/eventqueue"
+	"tulipglade/internal/simulation/policy"
+	"tulipglade/internal/simulation/scenario"
+	"tulipglade/internal/workload"
 )
 
 // origin is the clock at the start: a start time of 0 means long ago, so the run must lie well after it.
-const origin des.Time = 1000 * des.Second
+const origin eventqueue.Time = 1000 * eventqueue.Second
 
 // Ids of sources: events of one instant are handled in this order of kinds, and by number within one.
 const (
@@ -41,24 +41,24 @@
 // World is one run. It is not safe for concurrent use.
 type World struct {
 	// Log, if set, takes the policies' lines: µs since the start, node, text.
-	Log func(at des.Time, node int, text string)
+	Log func(at eventqueue.Time, node int, text string)
 
 	sc       *scenario.Scenario
 	seed     uint64
 	make     policy.Maker
 	ran      func(*attempt)    // hears of every run as it begins, if it is set
 	perm     func(n int) []int // the order in which components are created
-	sim      des.Sim
-	end      des.Time // of arrivals
-	classes  []tulipglade.Class
+	sim      eventqueue.Sim
+	end      eventqueue.Time // of arrivals
+	classes  []balancer.Class
 	boxes    []*Box // by place: the one that has the address now
-	byID     map[tulipglade.HostID]*Box
-	lastID   tulipglade.HostID
+	byID     map[balancer.HostID]*Box
+	lastID   balancer.HostID
 	nodes    []*Node
 	disc     *discovery
 	crowd    *crowd
 	ledgers  map[int]*ledger
-	judge    *judge.Judge
+	judge    *invariant.Judge
 	rec      *recorder
 	first    int // version of the list at the start
 	capacity float64
@@ -67,9 +67,9 @@
 	cut      []int // by site: faults that cut it off
 	peerLoss float64
 
-	faults    []faults.Fault
+	faults    []faultinject.Fault
 	active    map[int]bool
-	faultSrc  des.Source
+	faultSrc  eventqueue.Source
 	swallowed []*attempt
 }
 
@@ -80,13 +80,13 @@
 func Shuffled(perm func(n int) []int) Option { return func(w *World) { w.perm = perm } }
 
 // WithFaults plays these faults, settled before, in place of the scenario's own.
-func WithFaults(list []faults.Fault) Option { return func(w *World) { w.faults = list } }
+func WithFaults(list []faultinject.Fault) Option { return func(w *World) { w.faults = list } }
 
 // New builds the world of a scenario, which has been checked. The error names what the scenario asks for and cannot be
 // had, such as a trace file or a policy's settings.
 func New(sc *scenario.Scenario, seed uint64, maker policy.Maker, opts ...Option) (*World, error) {
-	w := &World{sc: sc, seed: seed, make: maker, byID: map[tulipglade.HostID]*Box{}, ledgers: map[int]*ledger{},
-		cut: make([]int, len(sc.Fleet.Sites)), active: map[int]bool{}, faultSrc: des.NewSource(sourceFault),
+	w := &World{sc: sc, seed: seed, make: maker, byID: map[balancer.HostID]*Box{}, ledgers: map[int]*ledger{},
+		cut: make([]int, len(sc.Fleet.Sites)), active: map[int]bool{}, faultSrc: eventqueue.NewSource(sourceFault),
 		classes: sc.Config(0, make([]float64, len(sc.Tenants))).Classes, faults: Faults(sc, seed),
 		perm: func(n int) []int {
 			order := make([]int, n)
@@ -99,22 +99,22 @@
 		o(w)
 	}
 	w.sim.Run(origin)
-	w.end = origin + des.Span(sc.Seconds*1e6)
-	w.judge = judge.New(judge.Config{Classes: w.classes, AnswerGrace: us(sc.Rules.AnswerGrace),
+	w.end = origin + eventqueue.Span(sc.Seconds*1e6)
+	w.judge = invariant.New(invariant.Config{Classes: w.classes, AnswerGrace: us(sc.Rules.AnswerGrace),
 		DrainGrace: us(sc.Rules.DrainGrace), ColdMultiple: sc.Rules.ColdMultiple, ColdWindow: us(sc.Rules.ColdWindow),
 		MayDuplicate: sc.Rules.MayDuplicate}, origin)
-	w.meanWork = clients.MeanWork(sc)
+	w.meanWork = workload.MeanWork(sc)
 	w.rec = newRecorder(w)
 	w.boxes, w.nodes = make([]*Box, sc.Fleet.Boxes), make([]*Node, sc.Nodes.Count)
 	for _, place := range w.perm(len(w.boxes)) {
-		w.boxes[place] = w.newBox(place, tulipglade.HostID(place+1), fmt.Sprint("box ", place))
+		w.boxes[place] = w.newBox(place, balancer.HostID(place+1), fmt.Sprint("box ", place))
 	}
-	w.lastID = tulipglade.HostID(len(w.boxes))
-	w.disc = &discovery{w: w, src: des.NewSource(sourceDiscovery), rand: des.NewStream(seed, "discovery"), free: origin}
+	w.lastID = balancer.HostID(len(w.boxes))
+	w.disc = &discovery{w: w, src: eventqueue.NewSource(sourceDiscovery), rand: eventqueue.NewStream(seed, "discovery"), free: origin}
 	for _, b := range w.boxes {
 		w.byID[b.id] = b
 		w.capacity += b.full()
-		w.disc.log = append(w.disc.log, change{w.line(b, tulipglade.PhaseReady), origin})
+		w.disc.log = append(w.disc.log, change{w.line(b, balancer.PhaseReady), origin})
 	}
 	w.first = w.disc.version()
 	share := 0.0
@@ -144,14 +144,14 @@
 	if every := us(sc.Fleet.Report.Every); every > 0 {
 		for _, i := range w.perm(len(w.boxes)) {
 			b := w.boxes[i]
-			w.sim.After(&b.src, des.Span(b.rand.Float64()*float64(every)), des.Event{To: b, Kind: boxRefresh})
+			w.sim.After(&b.src, eventqueue.Span(b.rand.Float64()*float64(every)), eventqueue.Event{To: b, Kind: boxRefresh})
 		}
 	}
 	return w, nil
 }
 
-func (w *World) line(b *Box, phase tulipglade.Phase) tulipglade.Host {
-	return tulipglade.Host{ID: b.id, Phase: phase, Zone: b.site, Cell: b.rack, Weight: math.Round(b.full()*100) / 100,
+func (w *World) line(b *Box, phase balancer.Phase) balancer.Host {
+	return balancer.Host{ID: b.id, Phase: phase, Zone: b.site, Cell: b.rack, Weight: math.Round(b.full()*100) / 100,
 		Started: b.life.started}
 }
 
@@ -181,7 +181,7 @@
 func (w *World) parted(a, b int) bool { return a != b && (w.cut[a] > 0 || w.cut[b] > 0) }
 
 // delay is one way between two sites.
-func (w *World) delay(r *des.Stream, a, b int) des.Span {
+func (w *World) delay(r *eventqueue.Stream, a, b int) eventqueue.Span {
 	ms := w.sc.Net.Same
 	if a != b {
 		ms = w.sc.Net.Cross
@@ -189,7 +189,7 @@
 	return w.jitter(r, ms)
 }
 
-func (w *World) clientDelay(r *des.Stream, a, b int) des.Span {
+func (w *World) clientDelay(r *eventqueue.Stream, a, b int) eventqueue.Span {
 	ms := w.sc.Net.Client
 	if a != b {
 		ms += w.sc.Net.Cross
@@ -197,7 +197,7 @@
 	return w.jitter(r, ms)
 }
 
-func (w *World) jitter(r *des.Stream, ms float64) des.Span {
+func (w *World) jitter(r *eventqueue.Stream, ms float64) eventqueue.Span {
 	if w.sc.Net.Jitter > 0 {
 		ms *= 1 + w.sc.Net.Jitter*(r.ExpFloat64()-1)
 	}
@@ -241,11 +241,11 @@
 			res, err = nil, fmt.Errorf("at %.6f s: panic: %v\n%s", float64(w.sim.Now()-origin)/1e6, p, debug.Stack())
 		}
 	}()
-	longest := des.Span(0)
+	longest := eventqueue.Span(0)
 	for _, c := range w.classes {
 		longest = max(longest, c.Deadline)
 	}
-	w.sim.Run(w.end + longest + des.Second)
+	w.sim.Run(w.end + longest + eventqueue.Second)
 	w.judge.Close(w.sim.Now())
 	return w.rec.result(), nil
 }
--- a/internal/lab/world/world_test.go
+++ b/internal/simulation/emulator/emulator_test.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"encoding/json"
@@ -10,11 +10,11 @@
 
 	"pgregory.net/rapid"
 
-	"tulipglade"
-	"tulipglade/internal/faults"
-	"tulipglade/internal/judge"
-	"tulipglade/internal/lab/policy"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/faultinject"
+	"tulipglade/internal/invariant"
+	"tulipglade/internal/simulation/policy"
+	"tulipglade/internal/simulation/scenario"
 )
 
 // The same verdict on every run: cases are drawn from one seed. Others: go test -args -rapid.seed N -rapid.checks 1000.
@@ -79,7 +79,7 @@
 	sc.Net.Stale = rapid.Float64Range(0, 0.1).Draw(t, "stale")
 	sc.Fleet.Report.Held = rapid.Bool().Draw(t, "held")
 	sc.Rules.MayProbe = rapid.Bool().Draw(t, "probe")
-	sc.Drawn = faults.Drawn{Count: rapid.IntRange(0, 6).Draw(t, "faults"), MinMs: 200, MaxMs: 3000}
+	sc.Drawn = faultinject.Drawn{Count: rapid.IntRange(0, 6).Draw(t, "faults"), MinMs: 200, MaxMs: 3000}
 	if err := sc.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -184,18 +184,18 @@
 // broken wraps a sound policy to break one rule.
 type broken struct {
 	policy.Policy
-	tulipglade.Actions
+	balancer.Actions
 	env   policy.Env
 	what  string
 	seen  int
-	ready []tulipglade.HostID // as first told, whatever came later
-	cold  tulipglade.HostID
-	class map[tulipglade.ReqID]int
+	ready []balancer.HostID // as first told, whatever came later
+	cold  balancer.HostID
+	class map[balancer.ReqID]int
 }
 
 func breaker(what string) policy.Maker {
 	return func(e policy.Env) (policy.Policy, error) {
-		b := &broken{Actions: e.Actions, env: e, what: what, class: map[tulipglade.ReqID]int{}}
+		b := &broken{Actions: e.Actions, env: e, what: what, class: map[balancer.ReqID]int{}}
 		e.Actions = b
 		m, err := policy.Find("least-outstanding")
 		if err != nil {
@@ -206,12 +206,12 @@
 	}
 }
 
-func (b *broken) Members(now tulipglade.Time, kind tulipglade.ListKind, list []tulipglade.Host) {
+func (b *broken) Members(now balancer.Time, kind balancer.ListKind, list []balancer.Host) {
 	for _, h := range list {
 		if b.seen < 1 {
 			b.ready = append(b.ready, h.ID)
 		}
-		if h.Started > 0 && h.Phase == tulipglade.PhaseReady {
+		if h.Started > 0 && h.Phase == balancer.PhaseReady {
 			b.cold = h.ID
 		}
 	}
@@ -219,7 +219,7 @@
 	b.Policy.Members(now, kind, list)
 }
 
-func (b *broken) Request(now tulipglade.Time, a tulipglade.Arrival) {
+func (b *broken) Request(now balancer.Time, a balancer.Arrival) {
 	b.class[a.ID] = a.Class
 	switch {
 	case b.what == "forgets some" && a.ID%50 == 0:
@@ -232,7 +232,7 @@
 	b.Policy.Request(now, a)
 }
 
-func (b *broken) Try(id tulipglade.ReqID, h tulipglade.HostID, timeout tulipglade.Span) {
+func (b *broken) Try(id balancer.ReqID, h balancer.HostID, timeout balancer.Span) {
 	switch {
 	case b.what == "ignores drains":
 		h = b.ready[int(id)%len(b.ready)]
@@ -242,10 +242,10 @@
 	b.Actions.Try(id, h, timeout)
 }
 
-func (b *broken) Fail(id tulipglade.ReqID) {
+func (b *broken) Fail(id balancer.ReqID) {
 	switch b.what {
 	case "repeats what must run once":
-		if b.env.Config.Classes[b.class[id]].Effect == tulipglade.Once {
+		if b.env.Config.Classes[b.class[id]].Effect == balancer.Once {
 			b.Actions.Try(id, b.ready[int(id)%len(b.ready)], 0)
 		}
 	case "refuses what may have run":
@@ -255,7 +255,7 @@
 	b.Actions.Fail(id)
 }
 
-func (b *broken) Decline(id tulipglade.ReqID, in tulipglade.Span) {
+func (b *broken) Decline(id balancer.ReqID, in balancer.Span) {
 	b.Actions.Decline(id, in)
 	if b.what == "answers twice" {
 		b.Actions.Fail(id)
@@ -289,15 +289,15 @@
 at_ms = 5000
 size = 9.0
 `)
-	for what, rule := range map[string]judge.Rule{
+	for what, rule := range map[string]invariant.Rule{
 		"":                           "",
-		"answers twice":              judge.OneAnswer,
-		"forgets some":               judge.OneAnswer,
-		"repeats what must run once": judge.NoSecond,
-		"refuses what may have run":  judge.NoSecond,
-		"sends two at once":          judge.NoSecond,
-		"ignores drains":             judge.NoDrained,
-		"floods a cold box":          judge.NoPush,
+		"answers twice":              invariant.OneAnswer,
+		"forgets some":               invariant.OneAnswer,
+		"repeats what must run once": invariant.NoSecond,
+		"refuses what may have run":  invariant.NoSecond,
+		"sends two at once":          invariant.NoSecond,
+		"ignores drains":             invariant.NoDrained,
+		"floods a cold box":          invariant.NoPush,
 	} {
 		t.Run(what, func(t *testing.T) {
 			r := play(t, world, breaker(what), 1)
@@ -314,7 +314,7 @@
 				t.Errorf("score %.3f with a broken rule", r.Score)
 			}
 			for _, v := range r.Violations {
-				if v.Rule == rule && rule != judge.NoPush && (len(v.History) == 0 || !strings.Contains(v.History[0], "taken")) {
+				if v.Rule == rule && rule != invariant.NoPush && (len(v.History) == 0 || !strings.Contains(v.History[0], "taken")) {
 					t.Errorf("without its history: %v", v)
 				}
 			}
@@ -410,7 +410,7 @@
 	loss float64
 }
 
-func (c *counting) Peer(now tulipglade.Time, from int, data []byte) {
+func (c *counting) Peer(now balancer.Time, from int, data []byte) {
 	(*c.got)[c.loss]++
 	c.Policy.Peer(now, from, data)
 }
--- a/internal/lab/world/faults.go
+++ b/internal/simulation/emulator/faults.go
@@ -1,13 +1,13 @@
-package world
+package emulator
 
 import (
 	"slices"
 	"strconv"
 
-	"tulipglade"
-	"tulipglade/internal/faults"
-	"tulipglade/internal/lab/des"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/faultinject"
+	"tulipglade/internal/simulation/eventqueue"
+	"tulipglade/internal/simulation/scenario"
 )
 
 // What the faults' events mean. A: the fault's number.
@@ -20,8 +20,8 @@
 )
 
 // Faults are the faults that the scenario plays with that seed, nothing left open.
-func Faults(sc *scenario.Scenario, seed uint64) []faults.Fault {
-	r := des.NewStream(seed, "faults")
+func Faults(sc *scenario.Scenario, seed uint64) []faultinject.Fault {
+	r := eventqueue.NewStream(seed, "faults")
 	return sc.Settled(r)
 }
 
@@ -30,16 +30,16 @@
 		if f.At == 0 {
 			w.begin(origin, i)
 		} else {
-			w.sim.At(&w.faultSrc, origin+f.At*des.Millisecond, des.Event{To: w, Kind: faultBegins, A: int64(i)})
+			w.sim.At(&w.faultSrc, origin+f.At*eventqueue.Millisecond, eventqueue.Event{To: w, Kind: faultBegins, A: int64(i)})
 		}
 		if f.For > 0 {
-			w.sim.At(&w.faultSrc, origin+f.End()*des.Millisecond, des.Event{To: w, Kind: faultEnds, A: int64(i)})
+			w.sim.At(&w.faultSrc, origin+f.End()*eventqueue.Millisecond, eventqueue.Event{To: w, Kind: faultEnds, A: int64(i)})
 		}
 	}
 }
 
 // Handle takes the events of faults.
-func (w *World) Handle(now des.Time, e des.Event) {
+func (w *World) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
 	case faultBegins:
 		w.begin(now, int(e.A))
@@ -53,15 +53,15 @@
 			case w.parted(a.req.node.site, a.box.site) || a.box.silent:
 				kept = append(kept, a)
 			default:
-				w.sim.After(&w.faultSrc, 0, des.Event{To: a.req.to, Kind: nodeReply, P: a, A: int64(tulipglade.Reset)})
+				w.sim.After(&w.faultSrc, 0, eventqueue.Event{To: a.req.to, Kind: nodeReply, P: a, A: int64(balancer.Reset)})
 			}
 		}
 		clear(w.swallowed[len(kept):])
 		w.swallowed = kept
 	case faultDrained:
-		if b := w.byID[tulipglade.HostID(e.A)]; b.draining && e.P == b.life {
+		if b := w.byID[balancer.HostID(e.A)]; b.draining && e.P == b.life {
 			b.die(now, false)
-			w.disc.noticed(w.notice(false), w.line(b, tulipglade.PhaseGone))
+			w.disc.noticed(w.notice(false), w.line(b, balancer.PhaseGone))
 		}
 	case faultFront:
 		if n := e.P.(*Node); n.life == nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-func (w *World) notice(silent bool) des.Span {
+func (w *World) notice(silent bool) eventqueue.Span {
 	r := w.sc.Discovery.Notice
 	if silent {
 		r = w.sc.Discovery.Silent
@@ -82,14 +82,14 @@
 func (w *World) hits(i int, b *Box) bool {
 	f := &w.faults[i]
 	switch f.Kind {
-	case faults.SiteLost, faults.SiteSilent:
+	case faultinject.SiteLost, faultinject.SiteSilent:
 		return w.active[i] && w.sc.Fleet.Sites[b.site] == f.Site
 	}
 	return w.active[i] && slices.Contains(f.Boxes, b.place)
 }
 
 // afflict works out anew what all faults that are on do to a box.
-func (w *World) afflict(now des.Time, b *Box) {
+func (w *World) afflict(now eventqueue.Time, b *Box) {
 	b.advance(now)
 	b.slow, b.errors, b.resets, b.garbage, b.frozen = 1, 0, 0, 0, false
 	for i := range w.faults {
@@ -97,15 +97,15 @@
 			continue
 		}
 		switch f := &w.faults[i]; f.Kind {
-		case faults.Slow:
+		case faultinject.Slow:
 			b.slow *= f.Size
-		case faults.FastErrors:
+		case faultinject.FastErrors:
 			b.errors = max(b.errors, f.Size)
-		case faults.Resets:
+		case faultinject.Resets:
 			b.resets = max(b.resets, f.Size)
-		case faults.Garbage:
+		case faultinject.Garbage:
 			b.garbage = max(b.garbage, f.Size)
-		case faults.Freeze:
+		case faultinject.Freeze:
 			b.frozen = true
 		}
 	}
@@ -116,7 +116,7 @@
 func (w *World) heldDown(b *Box) bool {
 	for i := range w.faults {
 		switch w.faults[i].Kind {
-		case faults.Kill, faults.Drain, faults.Replace, faults.SiteLost, faults.SiteSilent:
+		case faultinject.Kill, faultinject.Drain, faultinject.Replace, faultinject.SiteLost, faultinject.SiteSilent:
 			if w.hits(i, b) {
 				return true
 			}
@@ -126,55 +126,55 @@
 }
 
 // drainTime is how long a box that drains has to finish what it holds.
-const drainTime = 5 * des.Second
+const drainTime = 5 * eventqueue.Second
 
-func (w *World) begin(now des.Time, i int) {
+func (w *World) begin(now eventqueue.Time, i int) {
 	f := w.faults[i]
 	w.active[i] = true
 	site := slices.Index(w.sc.Fleet.Sites, f.Site)
 	switch f.Kind {
-	case faults.FastErrors, faults.Slow, faults.Resets, faults.Garbage, faults.Freeze:
+	case faultinject.FastErrors, faultinject.Slow, faultinject.Resets, faultinject.Garbage, faultinject.Freeze:
 		for _, p := range f.Boxes {
 			w.afflict(now, w.boxes[p])
 		}
-	case faults.Kill, faults.Replace:
+	case faultinject.Kill, faultinject.Replace:
 		for _, p := range f.Boxes {
 			w.fell(now, w.boxes[p], false)
 		}
-	case faults.Drain:
+	case faultinject.Drain:
 		for _, p := range f.Boxes {
 			if b := w.boxes[p]; b.up && !b.draining {
 				b.draining = true
-				w.disc.noticed(0, w.line(b, tulipglade.PhaseDraining))
+				w.disc.noticed(0, w.line(b, balancer.PhaseDraining))
 				time := drainTime
 				if f.For > 0 {
-					time = min(time, f.For*des.Millisecond/2)
+					time = min(time, f.For*eventqueue.Millisecond/2)
 				}
-				w.sim.After(&w.faultSrc, time, des.Event{To: w, Kind: faultDrained, A: int64(b.id), P: b.life})
+				w.sim.After(&w.faultSrc, time, eventqueue.Event{To: w, Kind: faultDrained, A: int64(b.id), P: b.life})
 			}
 		}
-	case faults.SiteLost, faults.SiteSilent:
+	case faultinject.SiteLost, faultinject.SiteSilent:
 		for _, b := range w.boxes {
 			if b.site == site {
-				w.fell(now, b, f.Kind == faults.SiteSilent)
+				w.fell(now, b, f.Kind == faultinject.SiteSilent)
 			}
 		}
 		if f.WithNodes {
 			w.downNodes(now, func(n *Node) bool { return n.site == site })
 		}
-	case faults.SiteCut:
+	case faultinject.SiteCut:
 		w.cut[site]++
-	case faults.ListDown:
+	case faultinject.ListDown:
 		w.disc.fall()
-	case faults.NodeKill:
+	case faultinject.NodeKill:
 		w.downNodes(now, func(n *Node) bool { return slices.Contains(f.Nodes, n.index) })
-	case faults.ClockOff:
+	case faultinject.ClockOff:
 		for _, i := range f.Nodes {
 			w.nodes[i].offs = append(w.nodes[i].offs, us(f.Size))
 		}
-	case faults.DatagramsLost:
+	case faultinject.DatagramsLost:
 		w.peerLoss = max(w.peerLoss, f.Size)
-	case faults.HotNode:
+	case faultinject.HotNode:
 		for _, i := range f.Nodes {
 			w.nodes[i].hot += f.Size / float64(len(f.Nodes))
 		}
@@ -182,27 +182,27 @@
 }
 
 // fell kills a box, of which discovery learns late.
-func (w *World) fell(now des.Time, b *Box, silent bool) {
+func (w *World) fell(now eventqueue.Time, b *Box, silent bool) {
 	if !b.up {
 		b.silent = b.silent || silent
 		return
 	}
 	b.die(now, silent)
-	w.disc.noticed(w.notice(silent), w.line(b, tulipglade.PhaseGone))
+	w.disc.noticed(w.notice(silent), w.line(b, balancer.PhaseGone))
 }
 
-func (w *World) downNodes(now des.Time, which func(*Node) bool) {
+func (w *World) downNodes(now eventqueue.Time, which func(*Node) bool) {
 	for _, n := range w.nodes {
 		if which(n) {
 			if n.down++; n.life != nil {
 				n.die(now)
 			}
-			w.sim.After(&w.faultSrc, us(w.sc.Nodes.Notice), des.Event{To: w, Kind: faultFront, P: n})
+			w.sim.After(&w.faultSrc, us(w.sc.Nodes.Notice), eventqueue.Event{To: w, Kind: faultFront, P: n})
 		}
 	}
 }
 
-func (w *World) upNodes(now des.Time, which func(*Node) bool) {
+func (w *World) upNodes(now eventqueue.Time, which func(*Node) bool) {
 	for _, n := range w.nodes {
 		if !which(n) {
 			continue
@@ -211,12 +211,12 @@
 			if err := n.start(now); err != nil {
 				panic(err) // the same settings were sound at the start
 			}
-			w.sim.After(&n.src, us(w.sc.Nodes.Notice), des.Event{To: n, Kind: nodeReady})
+			w.sim.After(&n.src, us(w.sc.Nodes.Notice), eventqueue.Event{To: n, Kind: nodeReady})
 		}
 	}
 }
 
-func (w *World) finish(now des.Time, i int) {
+func (w *World) finish(now eventqueue.Time, i int) {
 	f := w.faults[i]
 	if !w.active[i] {
 		return
@@ -224,19 +224,19 @@
 	delete(w.active, i)
 	site := slices.Index(w.sc.Fleet.Sites, f.Site)
 	switch f.Kind {
-	case faults.FastErrors, faults.Slow, faults.Resets, faults.Garbage, faults.Freeze:
+	case faultinject.FastErrors, faultinject.Slow, faultinject.Resets, faultinject.Garbage, faultinject.Freeze:
 		for _, p := range f.Boxes {
 			w.afflict(now, w.boxes[p])
 		}
-	case faults.Kill, faults.Drain:
+	case faultinject.Kill, faultinject.Drain:
 		for _, p := range f.Boxes {
 			w.raise(now, w.boxes[p])
 		}
-	case faults.Replace:
+	case faultinject.Replace:
 		for _, p := range f.Boxes {
 			w.replace(now, p)
 		}
-	case faults.SiteLost, faults.SiteSilent:
+	case faultinject.SiteLost, faultinject.SiteSilent:
 		for _, b := range w.boxes {
 			if b.site == site {
 				w.raise(now, b)
@@ -245,29 +245,29 @@
 		if f.WithNodes {
 			w.upNodes(now, func(n *Node) bool { return n.site == site })
 		}
-		w.sim.After(&w.faultSrc, us(w.sc.Net.Silent), des.Event{To: w, Kind: faultResets})
-	case faults.SiteCut:
+		w.sim.After(&w.faultSrc, us(w.sc.Net.Silent), eventqueue.Event{To: w, Kind: faultResets})
+	case faultinject.SiteCut:
 		w.cut[site]--
-		w.sim.After(&w.faultSrc, us(w.sc.Net.Silent), des.Event{To: w, Kind: faultResets})
-	case faults.ListDown:
+		w.sim.After(&w.faultSrc, us(w.sc.Net.Silent), eventqueue.Event{To: w, Kind: faultResets})
+	case faultinject.ListDown:
 		w.disc.rise()
-	case faults.NodeKill:
+	case faultinject.NodeKill:
 		w.upNodes(now, func(n *Node) bool { return slices.Contains(f.Nodes, n.index) })
-	case faults.ClockOff:
+	case faultinject.ClockOff:
 		for _, i := range f.Nodes {
 			n := w.nodes[i]
 			if at := slices.Index(n.offs, us(f.Size)); at >= 0 {
 				n.offs = slices.Delete(n.offs, at, at+1)
 			}
 		}
-	case faults.DatagramsLost:
+	case faultinject.DatagramsLost:
 		w.peerLoss = 0
 		for i, g := range w.faults {
-			if w.active[i] && g.Kind == faults.DatagramsLost {
+			if w.active[i] && g.Kind == faultinject.DatagramsLost {
 				w.peerLoss = max(w.peerLoss, g.Size)
 			}
 		}
-	case faults.HotNode:
+	case faultinject.HotNode:
 		for _, i := range f.Nodes {
 			w.nodes[i].hot = max(0, w.nodes[i].hot-f.Size/float64(len(f.Nodes)))
 		}
@@ -275,7 +275,7 @@
 }
 
 // raise starts a box's process again, if nothing else keeps it down.
-func (w *World) raise(now des.Time, b *Box) {
+func (w *World) raise(now eventqueue.Time, b *Box) {
 	if w.heldDown(b) {
 		return
 	}
@@ -287,11 +287,11 @@
 	}
 	b.start(now)
 	w.afflict(now, b)
-	w.disc.noticed(w.notice(false), w.line(b, tulipglade.PhaseReady))
+	w.disc.noticed(w.notice(false), w.line(b, balancer.PhaseReady))
 }
 
 // replace puts a new box at the address of one that is gone for good.
-func (w *World) replace(now des.Time, place int) {
+func (w *World) replace(now eventqueue.Time, place int) {
 	old := w.boxes[place]
 	if w.heldDown(old) {
 		return
@@ -303,8 +303,8 @@
 	w.boxes[place], w.byID[b.id] = b, b
 	b.start(now)
 	w.afflict(now, b)
-	w.disc.noticed(w.notice(false), w.line(b, tulipglade.PhaseReady))
+	w.disc.noticed(w.notice(false), w.line(b, balancer.PhaseReady))
 	if every := us(w.sc.Fleet.Report.Every); every > 0 {
-		w.sim.After(&b.src, every, des.Event{To: b, Kind: boxRefresh})
+		w.sim.After(&b.src, every, eventqueue.Event{To: b, Kind: boxRefresh})
 	}
 }
--- a/internal/lab/world/live.go
+++ b/internal/simulation/emulator/live.go
@@ -1,16 +1,16 @@
-package world
+package emulator
 
 import (
 	"math"
 
 	"github.com/cespare/xxhash/v2"
 
-	"tulipglade"
-	"tulipglade/internal/clients"
-	"tulipglade/internal/faults"
-	"tulipglade/internal/judge"
-	"tulipglade/internal/lab/des"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/faultinject"
+	"tulipglade/internal/invariant"
+	"tulipglade/internal/simulation/eventqueue"
+	"tulipglade/internal/simulation/scenario"
+	"tulipglade/internal/workload"
 )
 
 // Live is a scenario's boxes and what discovery knows of them, without clients and nodes: for stand-ins that serve them
@@ -29,12 +29,12 @@
 	// Ran is an attempt that begins to run, whether or not anybody still waits for it.
 	Ran(pending any)
 	// Answered is the end of an attempt at its box; Reset is a connection to be broken.
-	Answered(p Pending, out tulipglade.Outcome)
+	Answered(p Pending, out balancer.Outcome)
 	// Listed is a line of the list, as discovery learns of it.
 	Listed(line Line)
 	// Began and Ended are faults; those that hit only boxes have been played by then.
-	Began(f faults.Fault)
-	Ended(f faults.Fault)
+	Began(f faultinject.Fault)
+	Ended(f faultinject.Fault)
 }
 
 // Line is what discovery tells of a box. Its start counts from the start of the run; below 0: long before.
@@ -42,8 +42,8 @@
 	Box, Place int // the number of its process's machine, and the address that it has
 	Site, Rack int
 	Weight     float64
-	Phase      tulipglade.Phase
-	Started    des.Time
+	Phase      balancer.Phase
+	Started    eventqueue.Time
 }
 
 // Attempt is a request that has come whole to a box's address.
@@ -54,35 +54,35 @@
 	Repeat  string // by which repeats are known: the idempotency key, or the id
 	Class   int
 	Key     uint64
-	Timeout des.Span // how long the node will wait; 0: not told
-	Fresh   bool     // the first on its connection
-	Pending any      // handed back with the answer
+	Timeout eventqueue.Span // how long the node will wait; 0: not told
+	Fresh   bool            // the first on its connection
+	Pending any             // handed back with the answer
 }
 
 // Pending is an attempt that a box has taken in hand.
 type Pending struct {
 	Any    any
 	Ran    bool // it has begun to run
-	Report tulipglade.Report
+	Report balancer.Report
 	a      *attempt
 }
 
 // liveEnd hears the ends of attempts in place of a node.
 type liveEnd struct{ l *Live }
 
-func (e liveEnd) Handle(_ des.Time, ev des.Event) {
+func (e liveEnd) Handle(_ eventqueue.Time, ev eventqueue.Event) {
 	a := ev.P.(*attempt)
 	if !a.open {
 		return
 	}
 	a.open = false
-	e.l.out.Answered(Pending{Any: a.pending, Ran: a.ran, Report: a.report, a: a}, tulipglade.Outcome(ev.A))
+	e.l.out.Answered(Pending{Any: a.pending, Ran: a.ran, Report: a.report, a: a}, balancer.Outcome(ev.A))
 }
 
 // liveFaults hears the scenario's faults begin and end.
 type liveFaults struct{ l *Live }
 
-func (f liveFaults) Handle(now des.Time, ev des.Event) {
+func (f liveFaults) Handle(now eventqueue.Time, ev eventqueue.Event) {
 	if ev.Kind == faultBegins {
 		f.l.begin(now, int(ev.A))
 	} else {
@@ -94,25 +94,25 @@
 func NewLive(sc *scenario.Scenario, seed uint64, out Effects) *Live {
 	own := *sc
 	own.Net.Same, own.Net.Cross, own.Net.Jitter = 0, 0, 0 // sockets have delays of their own
-	w := &World{sc: &own, seed: seed, byID: map[tulipglade.HostID]*Box{}, ledgers: map[int]*ledger{}, active: map[int]bool{},
-		cut: make([]int, len(sc.Fleet.Sites)), faultSrc: des.NewSource(sourceFault), faults: Faults(sc, seed),
-		classes: sc.Config(0, make([]float64, len(sc.Tenants))).Classes, meanWork: clients.MeanWork(sc),
-		judge: judge.New(judge.Config{}, origin)}
+	w := &World{sc: &own, seed: seed, byID: map[balancer.HostID]*Box{}, ledgers: map[int]*ledger{}, active: map[int]bool{},
+		cut: make([]int, len(sc.Fleet.Sites)), faultSrc: eventqueue.NewSource(sourceFault), faults: Faults(sc, seed),
+		classes: sc.Config(0, make([]float64, len(sc.Tenants))).Classes, meanWork: workload.MeanWork(sc),
+		judge: invariant.New(invariant.Config{}, origin)}
 	w.sim.Run(origin)
 	w.rec = newRecorder(w)
-	w.disc = &discovery{w: w, src: des.NewSource(sourceDiscovery), rand: des.NewStream(seed, "discovery")}
+	w.disc = &discovery{w: w, src: eventqueue.NewSource(sourceDiscovery), rand: eventqueue.NewStream(seed, "discovery")}
 	l := &Live{w: w, out: out}
 	w.ran = func(a *attempt) { out.Ran(a.pending) }
 	for place := range sc.Fleet.Boxes {
-		b := w.newBox(place, tulipglade.HostID(place+1), "box")
+		b := w.newBox(place, balancer.HostID(place+1), "box")
 		w.boxes, w.byID[b.id] = append(w.boxes, b), b
 		w.capacity += b.full()
-		w.disc.log = append(w.disc.log, change{w.line(b, tulipglade.PhaseReady), origin})
+		w.disc.log = append(w.disc.log, change{w.line(b, balancer.PhaseReady), origin})
 		if every := us(sc.Fleet.Report.Every); every > 0 {
-			w.sim.After(&b.src, des.Span(b.rand.Float64()*float64(every)), des.Event{To: b, Kind: boxRefresh})
+			w.sim.After(&b.src, eventqueue.Span(b.rand.Float64()*float64(every)), eventqueue.Event{To: b, Kind: boxRefresh})
 		}
 	}
-	w.lastID = tulipglade.HostID(len(w.boxes))
+	w.lastID = balancer.HostID(len(w.boxes))
 	for i := range sc.Nodes.Count {
 		l.nodes = append(l.nodes, &Node{w: w, index: i, site: sc.Site(i)})
 	}
@@ -123,24 +123,24 @@
 	return l
 }
 
-func (l *Live) plan(i int, f faults.Fault) {
+func (l *Live) plan(i int, f faultinject.Fault) {
 	w := l.w
-	w.sim.At(&w.faultSrc, origin+f.At*des.Millisecond, des.Event{To: liveFaults{l}, Kind: faultBegins, A: int64(i)})
+	w.sim.At(&w.faultSrc, origin+f.At*eventqueue.Millisecond, eventqueue.Event{To: liveFaults{l}, Kind: faultBegins, A: int64(i)})
 	if f.For > 0 {
-		w.sim.At(&w.faultSrc, origin+f.End()*des.Millisecond, des.Event{To: liveFaults{l}, Kind: faultEnds, A: int64(i)})
+		w.sim.At(&w.faultSrc, origin+f.End()*eventqueue.Millisecond, eventqueue.Event{To: liveFaults{l}, Kind: faultEnds, A: int64(i)})
 	}
 }
 
 // ofNodes are the faults that the boxes have no part in: those of nodes, of discovery, and of how answers are worded.
-func ofNodes(k faults.Kind) bool {
+func ofNodes(k faultinject.Kind) bool {
 	switch k {
-	case faults.Garbage, faults.Interim, faults.NodeKill, faults.ClockOff, faults.DatagramsLost, faults.HotNode, faults.Surge, faults.ListDown:
+	case faultinject.Garbage, faultinject.Interim, faultinject.NodeKill, faultinject.ClockOff, faultinject.DatagramsLost, faultinject.HotNode, faultinject.Surge, faultinject.ListDown:
 		return true
 	}
 	return false
 }
 
-func (l *Live) begin(now des.Time, i int) {
+func (l *Live) begin(now eventqueue.Time, i int) {
 	f := l.w.faults[i]
 	if !ofNodes(f.Kind) {
 		l.w.begin(now, i)
@@ -149,7 +149,7 @@
 	l.tell()
 }
 
-func (l *Live) finish(now des.Time, i int) {
+func (l *Live) finish(now eventqueue.Time, i int) {
 	f := l.w.faults[i]
 	if !ofNodes(f.Kind) {
 		l.w.finish(now, i)
@@ -160,15 +160,15 @@
 
 // Begin starts a fault now, whatever its own times say; it lasts for its own length, or until End. What is left open
 // in it is settled by the seed. It returns the fault's number.
-func (l *Live) Begin(f faults.Fault) (int, faults.Fault) {
+func (l *Live) Begin(f faultinject.Fault) (int, faultinject.Fault) {
 	name := func(i int) string { return l.w.sc.Fleet.Sites[l.w.sc.Site(i)] }
-	f = f.Settle(l.w.sc.Scope(name, name), des.NewStream(l.w.seed, "order "+string(f.Kind)))
-	f.At = (l.w.sim.Now() - origin) / des.Millisecond
+	f = f.Settle(l.w.sc.Scope(name, name), eventqueue.NewStream(l.w.seed, "order "+string(f.Kind)))
+	f.At = (l.w.sim.Now() - origin) / eventqueue.Millisecond
 	i := len(l.w.faults)
 	l.w.faults = append(l.w.faults, f)
 	l.begin(l.w.sim.Now(), i)
 	if f.For > 0 {
-		l.w.sim.At(&l.w.faultSrc, origin+f.End()*des.Millisecond, des.Event{To: liveFaults{l}, Kind: faultEnds, A: int64(i)})
+		l.w.sim.At(&l.w.faultSrc, origin+f.End()*eventqueue.Millisecond, eventqueue.Event{To: liveFaults{l}, Kind: faultEnds, A: int64(i)})
 	}
 	return i, f
 }
@@ -183,7 +183,7 @@
 }
 
 // Advance plays up to now, and returns when the next thing is due; never, if nothing is.
-func (l *Live) Advance(now des.Time) (next des.Time) {
+func (l *Live) Advance(now eventqueue.Time) (next eventqueue.Time) {
 	l.w.sim.Run(origin + now)
 	l.tell()
 	if at, ok := l.w.sim.Next(); ok {
@@ -223,21 +223,21 @@
 func (l *Live) Executions() int64 { return l.w.rec.executions }
 
 // Arrive hands an attempt to the box at its address.
-func (l *Live) Arrive(now des.Time, in Attempt) Pending {
+func (l *Live) Arrive(now eventqueue.Time, in Attempt) Pending {
 	w := l.w
 	w.sim.Run(origin + now)
 	b := w.boxes[in.Place]
 	id := xxhash.Sum64String(in.ID)
-	c := &call{Call: clients.Call{N: xxhash.Sum64String(in.Repeat), Class: in.Class, Key: in.Key}, effect: w.classes[in.Class].Effect}
-	r := &request{id: tulipglade.ReqID(id >> 8), call: c, node: l.nodes[in.Node], to: liveEnd{l}, deadline: math.MaxInt64}
+	c := &call{Call: workload.Call{N: xxhash.Sum64String(in.Repeat), Class: in.Class, Key: in.Key}, effect: w.classes[in.Class].Effect}
+	r := &request{id: balancer.ReqID(id >> 8), call: c, node: l.nodes[in.Node], to: liveEnd{l}, deadline: math.MaxInt64}
 	if in.Timeout > 0 {
 		r.deadline = w.sim.Now() + in.Timeout
 	}
 	a := &attempt{req: r, box: b, life: b.life, sent: w.sim.Now(), open: true, fresh: in.Fresh, pending: in.Pending}
-	a.work = clients.DrawWork(w.sc, w.seed, c.N, in.Class)
+	a.work = workload.DrawWork(w.sc, w.seed, c.N, in.Class)
 	if noise := w.sc.Classes[in.Class].Noise; noise > 0 {
-		d := des.NewDraws(w.seed, id, drawWork)
-		a.work *= clients.Lognormal(noise, d.Norm())
+		d := eventqueue.NewDraws(w.seed, id, drawWork)
+		a.work *= workload.Lognormal(noise, d.Norm())
 	}
 	b.coming++
 	b.arrive(w.sim.Now(), a)
@@ -245,7 +245,7 @@
 }
 
 // Probe is what the box at an address tells of itself when it is asked.
-func (l *Live) Probe(now des.Time, place int) tulipglade.Report {
+func (l *Live) Probe(now eventqueue.Time, place int) balancer.Report {
 	l.w.sim.Run(origin + now)
 	return l.w.probed(l.w.boxes[place])
 }
@@ -254,7 +254,7 @@
 func (l *Live) Abandon(p Pending) {
 	p.a.open = false
 	b := p.a.box
-	b.Handle(l.w.sim.Now(), des.Event{To: b, Kind: boxCancel, P: p.a})
+	b.Handle(l.w.sim.Now(), eventqueue.Event{To: b, Kind: boxCancel, P: p.a})
 }
 
 // Connected counts connections to an address, for the box's cap.
--- a/internal/lab/world/node.go
+++ b/internal/simulation/emulator/node.go
@@ -1,13 +1,13 @@
-package world
+package emulator
 
 import (
 	"math"
 
-	"tulipglade"
-	"tulipglade/internal/clients"
-	"tulipglade/internal/judge"
-	"tulipglade/internal/lab/des"
-	"tulipglade/internal/lab/policy"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/invariant"
+	"tulipglade/internal/simulation/eventqueue"
+	"tulipglade/internal/simulation/policy"
+	"tulipglade/internal/workload"
 )
 
 // What a node's events mean.
@@ -26,13 +26,13 @@
 
 // request is one try of a call, as a node has it.
 type request struct {
-	id       tulipglade.ReqID
+	id       balancer.ReqID
 	call     *call
 	node     *Node
 	life     *nodeLife
-	to       des.Handler // who hears of its attempts' ends: the node
+	to       eventqueue.Handler // who hears of its attempts' ends: the node
 	try      int
-	deadline des.Time
+	deadline eventqueue.Time
 	attempts []*attempt
 	out      int
 	final    bool
@@ -40,23 +40,23 @@
 
 // nodeLife is one process of a node.
 type nodeLife struct {
-	clockOff des.Span
+	clockOff eventqueue.Span
 }
 
 // pool is a node's idle connections to a box.
 type pool struct {
 	box   *Box
 	life  *boxLife
-	used  []des.Time // when each was last used, the latest last
-	swept bool       // a sweep is on its way
+	used  []eventqueue.Time // when each was last used, the latest last
+	swept bool              // a sweep is on its way
 }
 
 type probe struct {
 	box  *Box
 	life *nodeLife
-	sent des.Time
-	out  tulipglade.Outcome
-	rep  tulipglade.Report
+	sent eventqueue.Time
+	out  balancer.Outcome
+	rep  balancer.Report
 }
 
 type datagram struct {
@@ -67,45 +67,45 @@
 // Node is one instance: a policy, and what carries out its actions. Nodes share nothing but the network.
 type Node struct {
 	w      *World
-	src    des.Source
-	rand   des.Stream
+	src    eventqueue.Source
+	rand   eventqueue.Stream
 	index  int
 	site   int
 	starts uint64
 	life   *nodeLife // nil: dead
 	policy policy.Policy
-	reqs   map[tulipglade.ReqID]*request
+	reqs   map[balancer.ReqID]*request
 	pools  map[*Box]*pool
-	told   map[tulipglade.HostID]bool // ever named to this life: nothing else may be sent to
+	told   map[balancer.HostID]bool // ever named to this life: nothing else may be sent to
 
 	watching  bool
 	version   int // of the list as last heard
-	asked     des.Time
+	asked     eventqueue.Time
 	askFailed bool
 	deemed    int // version that the rules take as told
 	notifying bool
 	believed  bool // by the front: alive
 	hot       float64
 	down      int // faults that keep it dead
-	offs      []des.Span
+	offs      []eventqueue.Span
 	cached    int // list version that a new life finds
 	decisions uint64
 }
 
 func (w *World) newNode(i int, name string) *Node {
-	return &Node{w: w, src: des.NewSource(sourceNode | uint32(i)), rand: des.NewStream(w.seed, name), index: i, site: w.sc.Site(i),
+	return &Node{w: w, src: eventqueue.NewSource(sourceNode | uint32(i)), rand: eventqueue.NewStream(w.seed, name), index: i, site: w.sc.Site(i),
 		believed: true}
 }
 
 // start begins a process that knows nothing but its settings and the list as it last held it.
-func (n *Node) start(now des.Time) error {
+func (n *Node) start(now eventqueue.Time) error {
 	n.life, n.starts = &nodeLife{}, n.starts+1
 	for _, off := range n.offs {
 		n.life.clockOff += off
 	}
-	n.reqs, n.pools, n.told = map[tulipglade.ReqID]*request{}, map[*Box]*pool{}, map[tulipglade.HostID]bool{}
+	n.reqs, n.pools, n.told = map[balancer.ReqID]*request{}, map[*Box]*pool{}, map[balancer.HostID]bool{}
 	n.watching, n.notifying, n.askFailed, n.asked = false, false, false, now
-	seed := des.NewStream(n.w.seed, "policy").Uint64() ^ uint64(n.index+1)<<32 ^ n.starts
+	seed := eventqueue.NewStream(n.w.seed, "policy").Uint64() ^ uint64(n.index+1)<<32 ^ n.starts
 	cfg := n.w.sc.Config(n.site, n.w.quota)
 	cfg.Self = n.index
 	p, err := n.w.make(policy.Env{Config: cfg, Seed: seed, Node: n.index, Actions: n,
@@ -116,12 +116,12 @@
 	n.policy = p
 	n.version, n.deemed = n.cached, n.cached
 	list := n.w.disc.listAt(n.cached)
-	n.tell(now, tulipglade.ListCached, list, n.cached)
+	n.tell(now, balancer.ListCached, list, n.cached)
 	return nil
 }
 
 // truth is what only an oracle can know: the time in µs after which an ordinary request sent now would be answered.
-func (n *Node) truth(id tulipglade.HostID) float64 {
+func (n *Node) truth(id balancer.HostID) float64 {
 	b := n.w.byID[id]
 	if b == nil || !b.up || b.draining || b.frozen || n.w.parted(n.site, b.site) {
 		return math.Inf(1)
@@ -138,7 +138,7 @@
 }
 
 // die kills the process: nothing is answered, and connections are reset.
-func (n *Node) die(now des.Time) {
+func (n *Node) die(now eventqueue.Time) {
 	if n.life == nil {
 		return
 	}
@@ -149,7 +149,7 @@
 	n.w.judge.Died(n.index)
 	for _, r := range n.open() {
 		if !r.final {
-			n.w.sim.After(&n.src, n.w.delay(&n.rand, n.site, n.site), des.Event{To: n.w.crowd, Kind: clientBroken, P: r})
+			n.w.sim.After(&n.src, n.w.delay(&n.rand, n.site, n.site), eventqueue.Event{To: n.w.crowd, Kind: clientBroken, P: r})
 		}
 		for _, a := range r.attempts {
 			if a.open = false; a.conn {
@@ -176,22 +176,22 @@
 }
 
 // clock is what the node takes the time to be.
-func (n *Node) clock(now des.Time) tulipglade.Time { return now + n.life.clockOff }
+func (n *Node) clock(now eventqueue.Time) balancer.Time { return now + n.life.clockOff }
 
 // Handle takes the node's events.
-func (n *Node) Handle(now des.Time, e des.Event) {
+func (n *Node) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
 	case nodeRequest:
 		n.take(now, e.P.(*request))
 	case nodeReply:
-		n.settle(now, e.P.(*attempt), tulipglade.Outcome(e.A), true)
+		n.settle(now, e.P.(*attempt), balancer.Outcome(e.A), true)
 	case nodeTimeout:
 		if a := e.P.(*attempt); a.open {
-			n.settle(now, a, tulipglade.Outcome(e.A), false)
+			n.settle(now, a, balancer.Outcome(e.A), false)
 		}
 	case nodeWake:
 		if e.P.(*nodeLife) == n.life {
-			n.policy.Wake(n.clock(now), tulipglade.Token(e.A))
+			n.policy.Wake(n.clock(now), balancer.Token(e.A))
 		}
 	case nodeLeft:
 		if r := e.P.(*request); n.life != nil && r.life == n.life && !r.final {
@@ -221,21 +221,21 @@
 	}
 }
 
-func (n *Node) take(now des.Time, r *request) {
+func (n *Node) take(now eventqueue.Time, r *request) {
 	if n.life == nil {
-		n.w.sim.After(&n.src, n.w.delay(&n.rand, n.site, n.site), des.Event{To: n.w.crowd, Kind: clientRefusedByNobody, P: r})
+		n.w.sim.After(&n.src, n.w.delay(&n.rand, n.site, n.site), eventqueue.Event{To: n.w.crowd, Kind: clientRefusedByNobody, P: r})
 		return
 	}
 	r.life = n.life
 	n.reqs[r.id] = r
 	n.w.judge.Taken(now, n.index, r.id, r.call.Class, r.deadline)
 	n.decisions++
-	n.policy.Request(n.clock(now), tulipglade.Arrival{ID: r.id, Key: r.call.Key, Class: r.call.Class, Tenant: r.call.Tenant,
-		Deadline: r.deadline + n.life.clockOff, Hint: clients.Hint(n.w.sc, n.w.seed, &r.call.Call), Repeat: n.w.sc.Clients.Marks && r.try > 0})
+	n.policy.Request(n.clock(now), balancer.Arrival{ID: r.id, Key: r.call.Key, Class: r.call.Class, Tenant: r.call.Tenant,
+		Deadline: r.deadline + n.life.clockOff, Hint: workload.Hint(n.w.sc, n.w.seed, &r.call.Call), Repeat: n.w.sc.Clients.Marks && r.try > 0})
 }
 
 // Try sends an attempt.
-func (n *Node) Try(id tulipglade.ReqID, host tulipglade.HostID, timeout tulipglade.Span) {
+func (n *Node) Try(id balancer.ReqID, host balancer.HostID, timeout balancer.Span) {
 	now := n.w.sim.Now()
 	b := n.w.byID[host]
 	r := n.reqs[id]
@@ -243,20 +243,20 @@
 		panic("the policy sends to a box that its list never named")
 	}
 	n.catchUp(now)
-	n.w.judge.Sent(now, n.index, id, judge.Box{ID: host, Site: b.site, Rack: b.rack})
+	n.w.judge.Sent(now, n.index, id, invariant.Box{ID: host, Site: b.site, Rack: b.rack})
 	if r == nil || r.final || len(r.attempts) >= n.w.sc.Rules.MaxAttempts {
 		if r != nil {
 			a := &attempt{req: r, no: len(r.attempts), box: b, sent: now, open: true}
 			r.attempts, r.out = append(r.attempts, a), r.out+1
-			n.w.sim.After(&n.src, 0, des.Event{To: n, Kind: nodeTimeout, P: a, A: int64(tulipglade.Moot)})
+			n.w.sim.After(&n.src, 0, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.Moot)})
 		}
 		return
 	}
 	c := r.call
-	d := des.NewDraws(n.w.seed, uint64(id)<<8|uint64(len(r.attempts)), drawWork)
+	d := eventqueue.NewDraws(n.w.seed, uint64(id)<<8|uint64(len(r.attempts)), drawWork)
 	a := &attempt{req: r, no: len(r.attempts), box: b, life: b.life, sent: now, open: true, work: c.Work}
 	if noise := n.w.sc.Classes[c.Class].Noise; noise > 0 {
-		a.work *= clients.Lognormal(noise, d.Norm())
+		a.work *= workload.Lognormal(noise, d.Norm())
 	}
 	r.attempts, r.out = append(r.attempts, a), r.out+1
 	n.w.rec.attempt(c, n.site != b.site)
@@ -264,12 +264,12 @@
 	if timeout > 0 {
 		end = min(end, now+timeout)
 	}
-	n.w.sim.At(&n.src, end, des.Event{To: n, Kind: nodeTimeout, P: a, A: int64(tulipglade.TimedOut)})
+	n.w.sim.At(&n.src, end, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.TimedOut)})
 	n.dispatch(now, a, d.Float64())
 }
 
 // dispatch brings the attempt to its box, on an idle connection or a new one.
-func (n *Node) dispatch(now des.Time, a *attempt, chance float64) {
+func (n *Node) dispatch(now eventqueue.Time, a *attempt, chance float64) {
 	b, one := a.box, n.w.delay(&n.rand, n.site, a.box.site)
 	p := n.pools[b]
 	if p == nil || p.life != b.life {
@@ -283,32 +283,32 @@
 		case chance < n.w.sc.Net.Stale: // the box had closed it meanwhile
 			p.life.conns--
 			a.conn = false
-			n.w.sim.After(&n.src, 2*one, des.Event{To: n, Kind: nodeReply, P: a, A: int64(tulipglade.Reset)})
+			n.w.sim.After(&n.src, 2*one, eventqueue.Event{To: n, Kind: nodeReply, P: a, A: int64(balancer.Reset)})
 		case n.w.parted(n.site, b.site):
 			a.lose(n.w)
 		default:
 			b.coming++
-			n.w.sim.After(&n.src, one, des.Event{To: b, Kind: boxArrive, P: a})
+			n.w.sim.After(&n.src, one, eventqueue.Event{To: b, Kind: boxArrive, P: a})
 		}
 		return
 	}
 	c := &n.w.sc.Fleet.Conns
 	switch {
 	case n.w.parted(n.site, b.site) || b.silent:
-		n.w.sim.After(&n.src, us(c.Timeout), des.Event{To: n, Kind: nodeTimeout, P: a, A: int64(tulipglade.ConnectFailed)})
+		n.w.sim.After(&n.src, us(c.Timeout), eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.ConnectFailed)})
 	case !b.up || b.retired:
-		n.w.sim.After(&n.src, 2*one, des.Event{To: n, Kind: nodeTimeout, P: a, A: int64(tulipglade.ConnectFailed)})
+		n.w.sim.After(&n.src, 2*one, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.ConnectFailed)})
 	default:
 		a.fresh, a.conn = true, true
 		b.life.conns++
 		b.coming++
 		n.w.rec.dials++
-		n.w.sim.After(&n.src, des.Span(2*c.Rtts*float64(one))+one, des.Event{To: b, Kind: boxArrive, P: a})
+		n.w.sim.After(&n.src, eventqueue.Span(2*c.Rtts*float64(one))+one, eventqueue.Event{To: b, Kind: boxArrive, P: a})
 	}
 }
 
 // settle is the end of an attempt. Each has exactly one; what comes later is not heard.
-func (n *Node) settle(now des.Time, a *attempt, out tulipglade.Outcome, answered bool) {
+func (n *Node) settle(now eventqueue.Time, a *attempt, out balancer.Outcome, answered bool) {
 	r := a.req
 	if !a.open || n.life == nil || r.life != n.life {
 		return
@@ -316,14 +316,14 @@
 	a.open, r.out = false, r.out-1
 	n.release(now, a, out, answered)
 	n.w.judge.Settled(now, r.id, a.no, out)
-	if out == tulipglade.OK && !r.final {
+	if out == balancer.OK && !r.final {
 		r.final = true
-		n.w.judge.Answered(now, n.index, r.id, judge.Served)
+		n.w.judge.Answered(now, n.index, r.id, invariant.Served)
 		n.w.rec.useful(a)
-		n.answer(r, judge.Served, 0)
+		n.answer(r, invariant.Served, 0)
 	}
-	s := tulipglade.Settlement{ID: r.id, Attempt: a.no, Host: a.box.id, Outcome: out, Took: now - a.sent, Closed: r.final}
-	if answered && a.report != unknown && out != tulipglade.Reset {
+	s := balancer.Settlement{ID: r.id, Attempt: a.no, Host: a.box.id, Outcome: out, Took: now - a.sent, Closed: r.final}
+	if answered && a.report != unknown && out != balancer.Reset {
 		s.Report = &a.report
 	}
 	n.decisions++
@@ -332,24 +332,24 @@
 }
 
 // release gives the attempt's connection back, or closes it.
-func (n *Node) release(now des.Time, a *attempt, out tulipglade.Outcome, answered bool) {
+func (n *Node) release(now eventqueue.Time, a *attempt, out balancer.Outcome, answered bool) {
 	if !a.conn {
 		return
 	}
 	a.conn = false
 	p := n.pools[a.box]
-	if !answered || out == tulipglade.Reset || p == nil || p.life != a.life || a.life != a.box.life {
+	if !answered || out == balancer.Reset || p == nil || p.life != a.life || a.life != a.box.life {
 		a.life.conns--
 		return
 	}
 	p.used = append(p.used, now)
 	if !p.swept {
 		p.swept = true
-		n.w.sim.After(&n.src, us(n.w.sc.Fleet.Conns.Idle), des.Event{To: n, Kind: nodeSweep, P: p})
+		n.w.sim.After(&n.src, us(n.w.sc.Fleet.Conns.Idle), eventqueue.Event{To: n, Kind: nodeSweep, P: p})
 	}
 }
 
-func (n *Node) sweep(now des.Time, p *pool) {
+func (n *Node) sweep(now eventqueue.Time, p *pool) {
 	p.swept = false
 	if n.pools[p.box] != p {
 		return
@@ -362,7 +362,7 @@
 	p.used = append(p.used[:0], p.used[k:]...)
 	if len(p.used) > 0 {
 		p.swept = true
-		n.w.sim.At(&n.src, p.used[0]+idle, des.Event{To: n, Kind: nodeSweep, P: p})
+		n.w.sim.At(&n.src, p.used[0]+idle, eventqueue.Event{To: n, Kind: nodeSweep, P: p})
 	} else {
 		delete(n.pools, p.box)
 	}
@@ -375,19 +375,19 @@
 }
 
 // Cancel gives up an attempt: its connection closes, and the box may drop what still waits.
-func (n *Node) Cancel(id tulipglade.ReqID, no int) {
+func (n *Node) Cancel(id balancer.ReqID, no int) {
 	r := n.reqs[id]
 	if r == nil || no >= len(r.attempts) || !r.attempts[no].open {
 		return
 	}
 	a := r.attempts[no]
-	n.w.sim.After(&n.src, 0, des.Event{To: n, Kind: nodeTimeout, P: a, A: int64(tulipglade.Cancelled)})
+	n.w.sim.After(&n.src, 0, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.Cancelled)})
 	if !n.w.parted(n.site, a.box.site) {
-		n.w.sim.After(&n.src, n.w.delay(&n.rand, n.site, a.box.site), des.Event{To: a.box, Kind: boxCancel, P: a})
+		n.w.sim.After(&n.src, n.w.delay(&n.rand, n.site, a.box.site), eventqueue.Event{To: a.box, Kind: boxCancel, P: a})
 	}
 }
 
-func (n *Node) final(id tulipglade.ReqID, how judge.Final, retryIn tulipglade.Span) {
+func (n *Node) final(id balancer.ReqID, how invariant.Final, retryIn balancer.Span) {
 	now := n.w.sim.Now()
 	n.w.judge.Answered(now, n.index, id, how)
 	r := n.reqs[id]
@@ -399,41 +399,41 @@
 	n.forget(r)
 }
 
-func (n *Node) answer(r *request, how judge.Final, retryIn des.Span) {
+func (n *Node) answer(r *request, how invariant.Final, retryIn eventqueue.Span) {
 	n.w.sim.After(&n.src, n.w.clientDelay(&n.rand, r.call.Site, n.site),
-		des.Event{To: n.w.crowd, Kind: clientAnswer + uint8(how), P: r, A: retryIn})
+		eventqueue.Event{To: n.w.crowd, Kind: clientAnswer + uint8(how), P: r, A: retryIn})
 }
 
 // Decline refuses a request.
-func (n *Node) Decline(id tulipglade.ReqID, retryIn tulipglade.Span) {
-	n.final(id, judge.Refused, retryIn)
+func (n *Node) Decline(id balancer.ReqID, retryIn balancer.Span) {
+	n.final(id, invariant.Refused, retryIn)
 }
 
 // Fail ends a request as failed.
-func (n *Node) Fail(id tulipglade.ReqID) { n.final(id, judge.Failed, 0) }
+func (n *Node) Fail(id balancer.ReqID) { n.final(id, invariant.Failed, 0) }
 
 // WakeAt sets a timer.
-func (n *Node) WakeAt(t tulipglade.Token, delay tulipglade.Span) {
-	n.w.sim.After(&n.src, delay, des.Event{To: n, Kind: nodeWake, P: n.life, A: int64(t)})
+func (n *Node) WakeAt(t balancer.Token, delay balancer.Span) {
+	n.w.sim.After(&n.src, delay, eventqueue.Event{To: n, Kind: nodeWake, P: n.life, A: int64(t)})
 }
 
 // Probe asks a box for its load, beside its queue.
-func (n *Node) Probe(host tulipglade.HostID) {
+func (n *Node) Probe(host balancer.HostID) {
 	now, b := n.w.sim.Now(), n.w.byID[host]
-	p := &probe{box: b, life: n.life, sent: now, out: tulipglade.OK, rep: unknown}
+	p := &probe{box: b, life: n.life, sent: now, out: balancer.OK, rep: unknown}
 	d := n.w.delay(&n.rand, n.site, b.site) + n.w.delay(&n.rand, b.site, n.site)
 	if n.w.parted(n.site, b.site) || b.silent || !b.up || b.frozen {
-		p.out, d = tulipglade.ConnectFailed, us(n.w.sc.Fleet.Conns.Timeout)
+		p.out, d = balancer.ConnectFailed, us(n.w.sc.Fleet.Conns.Timeout)
 	} else {
 		p.rep = n.w.probed(b)
 	}
 	n.w.rec.probes++
-	n.w.sim.After(&n.src, d, des.Event{To: n, Kind: nodeProbed, P: p})
+	n.w.sim.After(&n.src, d, eventqueue.Event{To: n, Kind: nodeProbed, P: p})
 }
 
 // probed is what a box tells when it is asked.
-func (w *World) probed(b *Box) tulipglade.Report {
-	return w.sc.Fleet.Report.Told(tulipglade.Report{Outstanding: float64(b.Held()), Backlog: float64(b.queued),
+func (w *World) probed(b *Box) balancer.Report {
+	return w.sc.Fleet.Report.Told(balancer.Report{Outstanding: float64(b.Held()), Backlog: float64(b.queued),
 		Utilization: b.visible.Utilization})
 }
 
@@ -474,6 +474,6 @@
 			continue
 		}
 		n.w.sim.After(&n.src, us(between(n.w.sc.Net.Peer, n.rand.Float64())),
-			des.Event{To: o, Kind: nodeDatagram, P: &datagram{n.index, data}})
+			eventqueue.Event{To: o, Kind: nodeDatagram, P: &datagram{n.index, data}})
 	}
 }
--- a/internal/lab/world/result.go
+++ b/internal/simulation/emulator/result.go
@@ -1,13 +1,13 @@
-package world
+package emulator
 
 import (
 	"math"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"tulipglade/internal/faults"
-	"tulipglade/internal/judge"
-	"tulipglade/internal/lab/des"
+	"tulipglade/internal/faultinject"
+	"tulipglade/internal/invariant"
+	"tulipglade/internal/simulation/eventqueue"
 )
 
 // Result is what a run has shown. Shares are of 1; worth is what classes say a call is worth.
@@ -22,31 +22,31 @@
 	WorstClass  float64 `json:"worst_class"`
 	WorstTenant float64 `json:"worst_tenant"` // within its share
 
-	Calls           int64             `json:"calls"`
-	Outcomes        map[string]int64  `json:"outcomes"`
-	AttemptsPerTry  float64           `json:"attempts_per_try"`
-	TriesPerCall    float64           `json:"tries_per_call"`
-	CrossSite       float64           `json:"cross_site"` // attempts that crossed, for each call
-	Waste           float64           `json:"waste"`      // box work that served no answer, of the work asked for
-	SecondRuns      int64             `json:"second_runs"`
-	Executions      int64             `json:"executions"`
-	Overdriven      int64             `json:"overdriven"` // times that a box turned slow from being crowded
-	Dials           int64             `json:"dials"`
-	Probes          int64             `json:"probes,omitempty"`
-	Datagrams       int64             `json:"datagrams,omitempty"`
-	DiscoveryCalls  int64             `json:"discovery_calls"`
-	Events          uint64            `json:"events"`
-	Decisions       uint64            `json:"decisions"`
-	Capacity        float64           `json:"capacity_per_s"` // calls a second that the fleet can do when warm and well
-	Broken          map[string]int    `json:"broken"`
-	Classes         []PerClass        `json:"classes"`
-	Tenants         []PerTenant       `json:"tenants"`
-	Violations      []judge.Violation `json:"violations,omitempty"`
-	Series          Series            `json:"series"`
-	Arrivals        int64             `json:"arrivals"` // calls, with those of the warm-up
-	Latency         []Quantile        `json:"latency"`  // of all calls that were served
-	Faults          []faults.Fault    `json:"faults"`   // as they were played
-	ServiceAfterEnd float64           `json:"last_10s"` // worth in the last 10 s of arrivals
+	Calls           int64                 `json:"calls"`
+	Outcomes        map[string]int64      `json:"outcomes"`
+	AttemptsPerTry  float64               `json:"attempts_per_try"`
+	TriesPerCall    float64               `json:"tries_per_call"`
+	CrossSite       float64               `json:"cross_site"` // attempts that crossed, for each call
+	Waste           float64               `json:"waste"`      // box work that served no answer, of the work asked for
+	SecondRuns      int64                 `json:"second_runs"`
+	Executions      int64                 `json:"executions"`
+	Overdriven      int64                 `json:"overdriven"` // times that a box turned slow from being crowded
+	Dials           int64                 `json:"dials"`
+	Probes          int64                 `json:"probes,omitempty"`
+	Datagrams       int64                 `json:"datagrams,omitempty"`
+	DiscoveryCalls  int64                 `json:"discovery_calls"`
+	Events          uint64                `json:"events"`
+	Decisions       uint64                `json:"decisions"`
+	Capacity        float64               `json:"capacity_per_s"` // calls a second that the fleet can do when warm and well
+	Broken          map[string]int        `json:"broken"`
+	Classes         []PerClass            `json:"classes"`
+	Tenants         []PerTenant           `json:"tenants"`
+	Violations      []invariant.Violation `json:"violations,omitempty"`
+	Series          Series                `json:"series"`
+	Arrivals        int64                 `json:"arrivals"` // calls, with those of the warm-up
+	Latency         []Quantile            `json:"latency"`  // of all calls that were served
+	Faults          []faultinject.Fault   `json:"faults"`   // as they were played
+	ServiceAfterEnd float64               `json:"last_10s"` // worth in the last 10 s of arrivals
 }
 
 // Quantile is the time within which this share of calls was served.
@@ -129,7 +129,7 @@
 		within: make([]sums, len(w.sc.Tenants)), outcomes: make([][outcomes]int64, len(w.classes)),
 		total: make([]float64, len(w.classes))}
 	for range w.classes {
-		r.times = append(r.times, hdrhistogram.New(1, 100*int64(des.Second), 3))
+		r.times = append(r.times, hdrhistogram.New(1, 100*int64(eventqueue.Second), 3))
 	}
 	n := int(math.Ceil(w.sc.Seconds))
 	r.series = Series{make([]float64, n), make([]float64, n), make([]int64, n), make([]int64, n), make([]int64, n), make([]int64, n)}
@@ -145,7 +145,7 @@
 }
 
 func (r *recorder) asked(k *call) {
-	x, sec := r.worth(k), int((k.due-origin)/des.Second)
+	x, sec := r.worth(k), int((k.due-origin)/eventqueue.Second)
 	r.series.Asked[sec] += x
 	r.series.Calls[sec]++
 	if !k.counted {
@@ -160,8 +160,8 @@
 	}
 }
 
-func (r *recorder) ended(k *call, how int, now des.Time) {
-	x, sec := 0.0, int((k.due-origin)/des.Second)
+func (r *recorder) ended(k *call, how int, now eventqueue.Time) {
+	x, sec := 0.0, int((k.due-origin)/eventqueue.Second)
 	switch how {
 	case outcomeServed:
 		x = r.worth(k)
@@ -186,7 +186,7 @@
 	}
 	if how <= outcomeLate {
 		// Longer than the histogram's 100 s no deadline lets anything take but by configuration; it keeps its bound.
-		_ = r.times[k.Class].RecordValue(min(max(now-k.due, 1), 100*int64(des.Second)))
+		_ = r.times[k.Class].RecordValue(min(max(now-k.due, 1), 100*int64(eventqueue.Second)))
 		r.total[k.Class] += float64(now-k.due) / 1000
 	}
 }
@@ -225,7 +225,7 @@
 		Datagrams: r.datagrams, DiscoveryCalls: r.callsMade, Events: w.sim.Done(), Broken: map[string]int{},
 		Violations: w.judge.Violations(), Capacity: w.capacity / w.meanWork * 1e6, WorstClass: 1, WorstTenant: 1}
 	res.Arrivals, res.Faults = int64(w.crowd.calls), w.faults
-	all, times := sums{}, hdrhistogram.New(1, 100*int64(des.Second), 3)
+	all, times := sums{}, hdrhistogram.New(1, 100*int64(eventqueue.Second), 3)
 	for i, c := range r.classes {
 		all.asked, all.got = all.asked+c.asked, all.got+c.got
 		p := PerClass{Name: w.sc.Classes[i].Name, Worth: c.share(), Outcomes: map[string]int64{}}
--- a/internal/lab/world/station.go
+++ b/internal/simulation/emulator/station.go
@@ -1,13 +1,13 @@
-package world
+package emulator
 
 import (
 	"math"
 
-	"tulipglade"
-	"tulipglade/internal/clients"
-	"tulipglade/internal/judge"
-	"tulipglade/internal/lab/des"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/invariant"
+	"tulipglade/internal/simulation/eventqueue"
+	"tulipglade/internal/simulation/scenario"
+	"tulipglade/internal/workload"
 )
 
 // Station is a row of boxes fed by Poisson arrivals, without clients, nodes or network: what queueing theory has exact
@@ -35,13 +35,13 @@
 	Events  uint64
 }
 
-const stationWork = 100 * des.Millisecond
+const stationWork = 100 * eventqueue.Millisecond
 
 type station struct {
 	Station
 	w       *World
-	src     des.Source
-	rand    des.Stream
+	src     eventqueue.Source
+	rand    eventqueue.Stream
 	node    *Node
 	gap     float64
 	seen    int64
@@ -63,18 +63,18 @@
 	sc.Fleet.Conns, sc.Net = scenario.Connections{}, scenario.Net{}
 	sc.Fleet.Kinds = []scenario.Kind{{Share: 1, Cores: s.Cores, Speed: scenario.Range{1, 1}, Slots: s.Slots, Queue: s.Room,
 		ColdFrom: scenario.Range{1, 1}, Cold: scenario.Range{0, 0}}}
-	w := &World{sc: &sc, seed: s.Seed, cut: []int{0}, judge: judge.New(judge.Config{}, origin), ledgers: map[int]*ledger{}}
+	w := &World{sc: &sc, seed: s.Seed, cut: []int{0}, judge: invariant.New(invariant.Config{}, origin), ledgers: map[int]*ledger{}}
 	w.rec = newRecorder(w)
 	w.sim.Run(origin)
 	for i := range s.Boxes {
-		w.boxes = append(w.boxes, w.newBox(i, tulipglade.HostID(i+1), "box"))
+		w.boxes = append(w.boxes, w.newBox(i, balancer.HostID(i+1), "box"))
 	}
-	st := &station{Station: s, w: w, src: des.NewSource(sourceCrowd), rand: des.NewStream(s.Seed, "arrivals"),
+	st := &station{Station: s, w: w, src: eventqueue.NewSource(sourceCrowd), rand: eventqueue.NewStream(s.Seed, "arrivals"),
 		node: w.newNode(0, "node"), holding: make([]int64, 1, 64), sum: make([]float64, 64),
 		sigma: math.Sqrt(math.Log1p(s.CV * s.CV))}
 	st.gap = float64(stationWork) / (s.Rho * float64(s.Cores*s.Boxes))
 	st.holding[0] = int64(s.Boxes)
-	w.sim.After(&st.src, 0, des.Event{To: st, Kind: clientNext})
+	w.sim.After(&st.src, 0, eventqueue.Event{To: st, Kind: clientNext})
 	for st.seen < s.Warm+s.Jobs || st.done+st.lost < st.counted {
 		if !w.sim.Step(math.MaxInt64) {
 			break
@@ -90,9 +90,9 @@
 }
 
 // Handle takes arrivals, and the ends of jobs.
-func (st *station) Handle(now des.Time, e des.Event) {
+func (st *station) Handle(now eventqueue.Time, e eventqueue.Event) {
 	if e.P != nil {
-		st.ended(now, e.P.(*attempt), tulipglade.Outcome(e.A))
+		st.ended(now, e.P.(*attempt), balancer.Outcome(e.A))
 		return
 	}
 	if st.seen == st.Warm+st.Jobs {
@@ -100,10 +100,10 @@
 	}
 	st.seen++
 	st.arrive(now)
-	st.w.sim.After(&st.src, des.Span(math.Round(st.gap*st.rand.ExpFloat64())), des.Event{To: st, Kind: clientNext})
+	st.w.sim.After(&st.src, eventqueue.Span(math.Round(st.gap*st.rand.ExpFloat64())), eventqueue.Event{To: st, Kind: clientNext})
 }
 
-func (st *station) arrive(now des.Time) {
+func (st *station) arrive(now eventqueue.Time) {
 	counts := st.seen > st.Warm
 	if counts {
 		st.counted++
@@ -132,7 +132,7 @@
 	case "exp":
 		a.work *= st.rand.ExpFloat64()
 	case "lognormal":
-		a.work *= clients.Lognormal(st.sigma, st.rand.NormFloat64())
+		a.work *= workload.Lognormal(st.sigma, st.rand.NormFloat64())
 	}
 	b.coming++
 	before := b.Held()
@@ -150,10 +150,10 @@
 	st.holding[to]++
 }
 
-func (st *station) ended(now des.Time, a *attempt, out tulipglade.Outcome) {
+func (st *station) ended(now eventqueue.Time, a *attempt, out balancer.Outcome) {
 	counts := a.req.call.counted
 	switch {
-	case out == tulipglade.OK:
+	case out == balancer.OK:
 		held := a.box.Held()
 		st.moved(held+1, held)
 		if counts {
--- a/internal/lab/des/way.go
+++ b/internal/simulation/eventqueue/delay.go
@@ -1,4 +1,4 @@
-package des
+package eventqueue
 
 import (
 	"math/rand/v2"
--- a/internal/lab/des/des.go
+++ b/internal/simulation/eventqueue/eventqueue.go
@@ -1,6 +1,6 @@
-// Package des is a discrete-event core: a virtual clock in µs, a queue of events with a defined order, and one
+// Package eventqueue is a discrete-event core: a virtual clock in µs, a queue of events with a defined order, and one
 // random stream for each component. It reads no wall clock and no global random source, and starts no goroutine.
-package des
+package eventqueue
 
 import (
 	"math"
--- a/internal/lab/des/des_test.go
+++ b/internal/simulation/eventqueue/eventqueue_test.go
@@ -1,4 +1,4 @@
-package des
+package eventqueue
 
 import (
 	"container/heap"
--- a/internal/lab/experiment/compare.go
+++ b/internal/simulation/experiment/compare.go
@@ -7,7 +7,7 @@
 	"slices"
 	"sort"
 
-	"tulipglade/internal/lab/des"
+	"tulipglade/internal/simulation/eventqueue"
 )
 
 // Comparison is how A differs from B, over pairs of the same scenario, settings and seed.
@@ -71,7 +71,7 @@
 	n := float64(c.Pairs)
 	c.A, c.B = c.A/n, c.B/n
 	c.Diff = c.A - c.B
-	r, means := des.NewStream(1, "bootstrap"), make([]float64, resamples)
+	r, means := eventqueue.NewStream(1, "bootstrap"), make([]float64, resamples)
 	for i := range means {
 		for range diffs {
 			means[i] += diffs[r.IntN(len(diffs))] / n
--- a/internal/lab/experiment/cost.go
+++ b/internal/simulation/experiment/cost.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"tulipglade"
-	"tulipglade/internal/lab/des"
-	"tulipglade/internal/lab/policy"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/simulation/eventqueue"
+	"tulipglade/internal/simulation/policy"
+	"tulipglade/internal/simulation/scenario"
 )
 
 // Cost is what one node's decisions cost, with so many hosts and nodes in all.
@@ -22,24 +22,24 @@
 
 // What a decision is measured under.
 const (
-	costWait  = 150 * des.Millisecond // until an attempt is answered
-	costPerS  = 14.0                  // requests a second for each host: 60% of what it can do
-	costWarm  = 3 * des.Second
+	costWait  = 150 * eventqueue.Millisecond // until an attempt is answered
+	costPerS  = 14.0                         // requests a second for each host: 60% of what it can do
+	costWarm  = 3 * eventqueue.Second
 	costMost  = 200000 // requests
 	costLeast = 200
 )
 
 type costNode struct {
-	sim   des.Sim
-	src   des.Source
+	sim   eventqueue.Sim
+	src   eventqueue.Source
 	p     policy.Policy
-	rand  des.Stream
+	rand  eventqueue.Stream
 	gap   float64
-	next  tulipglade.ReqID
+	next  balancer.ReqID
 	spent time.Duration
 	asked int64
-	tries map[tulipglade.ReqID]int
-	cfg   tulipglade.Config
+	tries map[balancer.ReqID]int
+	cfg   balancer.Config
 }
 
 const (
@@ -60,25 +60,25 @@
 	if err != nil {
 		return Cost{}, err
 	}
-	n := &costNode{src: des.NewSource(1), rand: des.NewStream(1, "cost"), tries: map[tulipglade.ReqID]int{}}
+	n := &costNode{src: eventqueue.NewSource(1), rand: eventqueue.NewStream(1, "cost"), tries: map[balancer.ReqID]int{}}
 	n.gap = 1e6 * float64(nodes) / (costPerS * float64(hosts))
 	n.cfg = sc.Config(0, make([]float64, len(sc.Tenants)))
 	n.cfg.AskDiscovery = false
-	n.sim.Run(1000 * des.Second)
+	n.sim.Run(1000 * eventqueue.Second)
 	n.p, err = maker(policy.Env{Config: n.cfg, Seed: 1, Actions: n, Publish: func(int, []byte) {},
-		Truth: func(tulipglade.HostID) float64 { return 1 }})
+		Truth: func(balancer.HostID) float64 { return 1 }})
 	if err != nil {
 		return Cost{}, err
 	}
-	list := make([]tulipglade.Host, hosts)
+	list := make([]balancer.Host, hosts)
 	for i := range list {
-		list[i] = tulipglade.Host{ID: tulipglade.HostID(i + 1), Phase: tulipglade.PhaseReady, Zone: i % 3, Cell: i / 8, Weight: 1}
+		list[i] = balancer.Host{ID: balancer.HostID(i + 1), Phase: balancer.PhaseReady, Zone: i % 3, Cell: i / 8, Weight: 1}
 	}
-	n.p.Members(n.sim.Now(), tulipglade.ListFull, list)
+	n.p.Members(n.sim.Now(), balancer.ListFull, list)
 	began := time.Now()
-	n.p.Members(n.sim.Now(), tulipglade.ListFull, list)
+	n.p.Members(n.sim.Now(), balancer.ListFull, list)
 	c := Cost{Policy: name, Hosts: hosts, Nodes: nodes, PerS: 1e6 / n.gap, PerList: float64(time.Since(began).Nanoseconds()) / 1000}
-	n.sim.After(&n.src, 0, des.Event{To: n, Kind: costRequest})
+	n.sim.After(&n.src, 0, eventqueue.Event{To: n, Kind: costRequest})
 	warm, began := n.sim.Now()+costWarm, time.Now()
 	for n.sim.Now() < warm && time.Since(began) < budget {
 		n.sim.Step(warm)
@@ -92,47 +92,47 @@
 }
 
 // Handle takes the node's events.
-func (n *costNode) Handle(now des.Time, e des.Event) {
+func (n *costNode) Handle(now eventqueue.Time, e eventqueue.Event) {
 	began := time.Now()
 	switch e.Kind {
 	case costRequest:
 		n.next++
 		n.asked++
 		class := int(n.next) % len(n.cfg.Classes)
-		n.p.Request(now, tulipglade.Arrival{ID: n.next, Key: uint64(n.next)%300 + 1, Class: class, Tenant: int(n.next) % len(n.cfg.Tenants),
+		n.p.Request(now, balancer.Arrival{ID: n.next, Key: uint64(n.next)%300 + 1, Class: class, Tenant: int(n.next) % len(n.cfg.Tenants),
 			Deadline: now + n.cfg.Classes[class].Deadline})
 	case costSettled:
-		id := tulipglade.ReqID(e.A)
+		id := balancer.ReqID(e.A)
 		no := n.tries[id] - 1
 		delete(n.tries, id)
-		n.p.Settled(now, tulipglade.Settlement{ID: id, Attempt: no, Host: e.P.(tulipglade.HostID), Outcome: tulipglade.OK,
+		n.p.Settled(now, balancer.Settlement{ID: id, Attempt: no, Host: e.P.(balancer.HostID), Outcome: balancer.OK,
 			Took: costWait, Closed: true})
 	case costWake:
-		n.p.Wake(now, tulipglade.Token(e.A))
+		n.p.Wake(now, balancer.Token(e.A))
 	}
 	n.spent += time.Since(began)
 	if e.Kind == costRequest {
-		n.sim.After(&n.src, des.Span(n.gap*n.rand.ExpFloat64()), des.Event{To: n, Kind: costRequest})
+		n.sim.After(&n.src, eventqueue.Span(n.gap*n.rand.ExpFloat64()), eventqueue.Event{To: n, Kind: costRequest})
 	}
 }
 
 // Try answers after a constant time.
-func (n *costNode) Try(id tulipglade.ReqID, h tulipglade.HostID, _ tulipglade.Span) {
+func (n *costNode) Try(id balancer.ReqID, h balancer.HostID, _ balancer.Span) {
 	n.tries[id]++
-	n.sim.After(&n.src, costWait, des.Event{To: n, Kind: costSettled, A: int64(id), P: h})
+	n.sim.After(&n.src, costWait, eventqueue.Event{To: n, Kind: costSettled, A: int64(id), P: h})
 }
 
 // WakeAt sets a timer.
-func (n *costNode) WakeAt(t tulipglade.Token, delay tulipglade.Span) {
-	n.sim.After(&n.src, delay, des.Event{To: n, Kind: costWake, A: int64(t)})
+func (n *costNode) WakeAt(t balancer.Token, delay balancer.Span) {
+	n.sim.After(&n.src, delay, eventqueue.Event{To: n, Kind: costWake, A: int64(t)})
 }
 
 // The other actions have no consequence here.
 
-func (n *costNode) Cancel(tulipglade.ReqID, int)              {}
-func (n *costNode) Decline(tulipglade.ReqID, tulipglade.Span) {}
-func (n *costNode) Fail(tulipglade.ReqID)                     {}
-func (n *costNode) Probe(tulipglade.HostID)                   {}
-func (n *costNode) Observe(bool)                              {}
-func (n *costNode) Fetch()                                    {}
-func (n *costNode) Log(string)                                {}
+func (n *costNode) Cancel(balancer.ReqID, int)            {}
+func (n *costNode) Decline(balancer.ReqID, balancer.Span) {}
+func (n *costNode) Fail(balancer.ReqID)                   {}
+func (n *costNode) Probe(balancer.HostID)                 {}
+func (n *costNode) Observe(bool)                          {}
+func (n *costNode) Fetch()                                {}
+func (n *costNode) Log(string)                            {}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -13,8 +13,8 @@
 	"strings"
 	"testing"
 
-	"tulipglade/internal/lab/scenario"
-	"tulipglade/internal/lab/world"
+	"tulipglade/internal/simulation/emulator"
+	"tulipglade/internal/simulation/scenario"
 )
 
 const sweepText = `scenario = "tiny.toml"
@@ -170,7 +170,7 @@
 func rowsWith(policy string, worth ...float64) []Row {
 	var rows []Row
 	for i, w := range worth {
-		rows = append(rows, Row{Cell{Policy: policy, Seed: uint64(i)}, &world.Result{Scenario: "x", Worth: w}})
+		rows = append(rows, Row{Cell{Policy: policy, Seed: uint64(i)}, &emulator.Result{Scenario: "x", Worth: w}})
 	}
 	return rows
 }
--- a/internal/lab/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -5,18 +5,18 @@
 import (
 	"fmt"
 
-	"tulipglade/internal/lab/policy"
-	"tulipglade/internal/lab/scenario"
-	"tulipglade/internal/lab/world"
+	"tulipglade/internal/simulation/emulator"
+	"tulipglade/internal/simulation/policy"
+	"tulipglade/internal/simulation/scenario"
 )
 
 // Run plays a scenario once.
-func Run(sc *scenario.Scenario, name string, seed uint64, opts ...world.Option) (*world.Result, error) {
+func Run(sc *scenario.Scenario, name string, seed uint64, opts ...emulator.Option) (*emulator.Result, error) {
 	maker, err := policy.Find(name)
 	if err != nil {
 		return nil, err
 	}
-	w, err := world.New(sc, seed, maker, opts...)
+	w, err := emulator.New(sc, seed, maker, opts...)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", sc.Name, err)
 	}
--- a/internal/lab/experiment/shrink.go
+++ b/internal/simulation/experiment/shrink.go
@@ -5,17 +5,17 @@
 	"fmt"
 	"math"
 
-	"tulipglade/internal/faults"
-	"tulipglade/internal/judge"
-	"tulipglade/internal/lab/scenario"
-	"tulipglade/internal/lab/world"
+	"tulipglade/internal/faultinject"
+	"tulipglade/internal/invariant"
+	"tulipglade/internal/simulation/emulator"
+	"tulipglade/internal/simulation/scenario"
 )
 
 // Shrunk is a failing case reduced.
 type Shrunk struct {
 	Scenario  *scenario.Scenario
-	Rule      judge.Rule
-	Violation judge.Violation
+	Rule      invariant.Rule
+	Violation invariant.Violation
 	Runs      int
 	// Before and after.
 	Faults, Calls [2]int
@@ -30,7 +30,7 @@
 // from a stream of its own.
 func Shrink(sc *scenario.Scenario, policy string, seed uint64, runs int) (*Shrunk, error) {
 	now := *sc
-	now.Faults, now.Drawn = world.Faults(sc, seed), faults.Drawn{}
+	now.Faults, now.Drawn = emulator.Faults(sc, seed), faultinject.Drawn{}
 	first, err := Run(&now, policy, seed)
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 	if fails(short) {
 		now = short
 	}
-	now.Faults = DDMin(now.Faults, func(list []faults.Fault) bool {
+	now.Faults = DDMin(now.Faults, func(list []faultinject.Fault) bool {
 		try := now
 		try.Faults = list
 		return fails(try)
--- a/internal/lab/experiment/survey.go
+++ b/internal/simulation/experiment/survey.go
@@ -7,9 +7,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"tulipglade/internal/judge"
-	"tulipglade/internal/lab/policy"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/invariant"
+	"tulipglade/internal/simulation/policy"
+	"tulipglade/internal/simulation/scenario"
 )
 
 // Plain is the policy that a survey holds the module against.
@@ -17,10 +17,10 @@
 
 // Surveyed is one deployment that a survey drew.
 type Surveyed struct {
-	Seed   uint64             `json:"seed"`
-	Module float64            `json:"module"` // worth served in time, of that asked for
-	Plain  float64            `json:"plain"`
-	Broken map[judge.Rule]int `json:"broken,omitempty"`
+	Seed   uint64                 `json:"seed"`
+	Module float64                `json:"module"` // worth served in time, of that asked for
+	Plain  float64                `json:"plain"`
+	Broken map[invariant.Rule]int `json:"broken,omitempty"`
 	// Fault is why it failed, empty where it did not; Turned are then the settings that it takes to fail.
 	Fault  string   `json:"fault,omitempty"`
 	Turned []string `json:"turned,omitempty"`
@@ -28,7 +28,7 @@
 
 // try plays a deployment under both policies.
 func try(d scenario.Drawn, seed uint64, margin float64) (Surveyed, error) {
-	out := Surveyed{Seed: seed, Broken: map[judge.Rule]int{}}
+	out := Surveyed{Seed: seed, Broken: map[invariant.Rule]int{}}
 	sc := d.Scenario()
 	if err := sc.Check(); err != nil {
 		return out, err
--- a/internal/lab/experiment/survey_test.go
+++ b/internal/simulation/experiment/survey_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/simulation/scenario"
 )
 
 // found are draws on which the module once served far less than the plain policy, each for a fault that has been mended.
--- a/internal/lab/experiment/sweep.go
+++ b/internal/simulation/experiment/sweep.go
@@ -20,9 +20,9 @@
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sync/errgroup"
 
-	"tulipglade/internal/lab/policy"
-	"tulipglade/internal/lab/scenario"
-	"tulipglade/internal/lab/world"
+	"tulipglade/internal/simulation/emulator"
+	"tulipglade/internal/simulation/policy"
+	"tulipglade/internal/simulation/scenario"
 	"tulipglade/internal/tomlfile"
 )
 
@@ -94,7 +94,7 @@
 // Row is one line of a results file.
 type Row struct {
 	Cell
-	Result *world.Result `json:"result"`
+	Result *emulator.Result `json:"result"`
 }
 
 // header is the first line of a results file: what it is of.
@@ -213,7 +213,7 @@
 }
 
 // resume reads what a file holds already; one that is not there is begun. A last line that was cut short is dropped.
-func resume(file, hash string) (map[string]*world.Result, error) {
+func resume(file, hash string) (map[string]*emulator.Result, error) {
 	head, err := json.Marshal(header{hash})
 	if err != nil {
 		return nil, err
@@ -235,7 +235,7 @@
 			return nil, err
 		}
 	}
-	have := map[string]*world.Result{}
+	have := map[string]*emulator.Result{}
 	for _, r := range rows {
 		have[r.key()] = r.Result
 	}
@@ -297,21 +297,21 @@
 }
 
 // Metrics are the figures of a result that can be compared, tabled and plotted, by name.
-var Metrics = map[string]func(*world.Result) float64{
-	"score":        func(r *world.Result) float64 { return r.Score },
-	"worth":        func(r *world.Result) float64 { return r.Worth },
-	"worst_window": func(r *world.Result) float64 { return r.WorstWindow },
-	"worst_class":  func(r *world.Result) float64 { return r.WorstClass },
-	"worst_tenant": func(r *world.Result) float64 { return r.WorstTenant },
-	"last_10s":     func(r *world.Result) float64 { return r.ServiceAfterEnd },
-	"waste":        func(r *world.Result) float64 { return r.Waste },
-	"cross_site":   func(r *world.Result) float64 { return r.CrossSite },
-	"attempts":     func(r *world.Result) float64 { return r.AttemptsPerTry },
-	"tries":        func(r *world.Result) float64 { return r.TriesPerCall },
-	"p50_ms":       func(r *world.Result) float64 { return latency(r, 50) },
-	"p99_ms":       func(r *world.Result) float64 { return latency(r, 99) },
-	"p999_ms":      func(r *world.Result) float64 { return latency(r, 99.9) },
-	"rules_broken": func(r *world.Result) float64 {
+var Metrics = map[string]func(*emulator.Result) float64{
+	"score":        func(r *emulator.Result) float64 { return r.Score },
+	"worth":        func(r *emulator.Result) float64 { return r.Worth },
+	"worst_window": func(r *emulator.Result) float64 { return r.WorstWindow },
+	"worst_class":  func(r *emulator.Result) float64 { return r.WorstClass },
+	"worst_tenant": func(r *emulator.Result) float64 { return r.WorstTenant },
+	"last_10s":     func(r *emulator.Result) float64 { return r.ServiceAfterEnd },
+	"waste":        func(r *emulator.Result) float64 { return r.Waste },
+	"cross_site":   func(r *emulator.Result) float64 { return r.CrossSite },
+	"attempts":     func(r *emulator.Result) float64 { return r.AttemptsPerTry },
+	"tries":        func(r *emulator.Result) float64 { return r.TriesPerCall },
+	"p50_ms":       func(r *emulator.Result) float64 { return latency(r, 50) },
+	"p99_ms":       func(r *emulator.Result) float64 { return latency(r, 99) },
+	"p999_ms":      func(r *emulator.Result) float64 { return latency(r, 99.9) },
+	"rules_broken": func(r *emulator.Result) float64 {
 		n := 0
 		for _, x := range r.Broken {
 			n += x
@@ -320,7 +320,7 @@
 	},
 }
 
-func latency(r *world.Result, q float64) float64 {
+func latency(r *emulator.Result, q float64) float64 {
 	for _, x := range r.Latency {
 		if x.Q == q {
 			return x.Ms
--- a/internal/lab/failovers/failovers.go
+++ b/internal/simulation/failoversim/failoversim.go
@@ -1,7 +1,7 @@
-// Package failovers plays internal/failover in virtual time: zones that are lost, weak and come back, nodes that tell what they see and
+// Package failoversim plays internal/failover in virtual time: zones that are lost, weak and come back, nodes that tell what they see and
 // take plans, directors that are stopped, cut off and replaced, and a network that loses, delays and repeats. Work is a fluid: what a
 // zone is sent beyond what it can do is lost. All is drawn from a seed.
-package failovers
+package failoversim
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"time"
 
 	"tulipglade/internal/failover"
-	"tulipglade/internal/fence"
-	"tulipglade/internal/lab/des"
-	"tulipglade/internal/lab/tally"
+	"tulipglade/internal/fencing"
 	"tulipglade/internal/lease"
+	"tulipglade/internal/simulation/eventqueue"
+	"tulipglade/internal/simulation/stats"
 )
 
 // Without is a part that is left out, to show that the checks find it.
@@ -69,8 +69,8 @@
 	r       *rand.Rand
 	events  *rand.Rand // what happens to zones and directors is the same whoever plans
 	without Without
-	sim     des.Sim
-	src     des.Source
+	sim     eventqueue.Sim
+	src     eventqueue.Source
 	now     time.Duration
 	top     failover.Topology
 	rules   failover.Rules
@@ -107,7 +107,7 @@
 	name    string
 	sums    *failover.Collector
 	planner *failover.Planner
-	token   fence.Token
+	token   fencing.Token
 	stop    time.Duration
 	cut     time.Duration
 	prev    *failover.Plan // that its planner goes on from, and since when
@@ -116,18 +116,18 @@
 
 func (p *play) after(d time.Duration, f func()) {
 	const us = time.Microsecond
-	p.sim.After(&p.src, des.Span((max(d, 0)+us-1)/us), des.Event{To: p, P: f}) // never sooner: what is not due yet would be set anew for ever
+	p.sim.After(&p.src, eventqueue.Span((max(d, 0)+us-1)/us), eventqueue.Event{To: p, P: f}) // never sooner: what is not due yet would be set anew for ever
 }
 
 // Handle does what is due.
-func (p *play) Handle(now des.Time, e des.Event) {
+func (p *play) Handle(now eventqueue.Time, e eventqueue.Event) {
 	p.now = time.Duration(now) * time.Microsecond
 	e.P.(func())()
 }
 
 // send brings a message to its place: mostly soon, at times never, late or twice.
 func (p *play) send(f func()) {
-	for _, d := range des.Way(p.r, time.Millisecond, 50*time.Millisecond, 3*time.Second) {
+	for _, d := range eventqueue.Way(p.r, time.Millisecond, 50*time.Millisecond, 3*time.Second) {
 		p.after(d, f)
 	}
 }
@@ -168,7 +168,7 @@
 	}
 	p.event = p.now
 	p.out.Events++
-	p.after(des.Between(p.events, 14*time.Second, 18*time.Second), func() {
+	p.after(eventqueue.Between(p.events, 14*time.Second, 18*time.Second), func() {
 		for _, z := range hit {
 			p.cap[z], p.from[z] = full, p.now
 		}
@@ -270,7 +270,7 @@
 		return // it cannot renew, and its guard has it plan nothing
 	}
 	if p.r.Float64() < 0.01 {
-		d.cut = p.now + des.Between(p.r, 2*time.Second, 8*time.Second)
+		d.cut = p.now + eventqueue.Between(p.r, 2*time.Second, 8*time.Second)
 	}
 	c := lease.Command{Kind: lease.Renew, Name: "director", Token: d.token, Ticks: 4}
 	if d.token == 0 {
@@ -295,7 +295,7 @@
 	}
 	// It may be stopped between its check and its act.
 	if p.r.Float64() < 0.02 {
-		d.stop = p.now + des.Between(p.r, 2*time.Second, 8*time.Second)
+		d.stop = p.now + eventqueue.Between(p.r, 2*time.Second, 8*time.Second)
 	}
 	d.run(func() { d.publish(sums) })
 }
@@ -420,7 +420,7 @@
 
 // Play plays one schedule.
 func Play(seed uint64, without Without) Outcome {
-	p := &play{r: rand.New(rand.NewPCG(seed, 0xfa11)), events: rand.New(rand.NewPCG(seed, 0xe7e27)), src: des.NewSource(1), without: without, top: failover.Grid(regions, zones), rules: failover.Usual,
+	p := &play{r: rand.New(rand.NewPCG(seed, 0xfa11)), events: rand.New(rand.NewPCG(seed, 0xe7e27)), src: eventqueue.NewSource(1), without: without, top: failover.Grid(regions, zones), rules: failover.Usual,
 		seat: lease.New(), from: make([]time.Duration, regions*zones)}
 	p.out.Schedules = 1
 	if without.Rate {
@@ -450,12 +450,12 @@
 			n := &node{p: p, zone: z, name: fmt.Sprint("n", z, "-", i), held: failover.NewHeld(p.rules, len(p.top.Zones), len(worth)),
 				seen: make([]float64, len(p.top.Zones))}
 			p.nodes = append(p.nodes, n)
-			p.after(des.Between(p.r, 0, tells), func() { n.tell(directors) })
+			p.after(eventqueue.Between(p.r, 0, tells), func() { n.tell(directors) })
 		}
 	}
 	if !without.Plans {
 		for _, d := range directors {
-			p.after(des.Between(p.r, 0, tells), d.turn)
+			p.after(eventqueue.Between(p.r, 0, tells), d.turn)
 		}
 	}
 	var tick func()
@@ -465,9 +465,9 @@
 	}
 	tick()
 	p.event = -settled
-	p.after(des.Between(p.events, 8*time.Second, 12*time.Second), p.happen)
+	p.after(eventqueue.Between(p.events, 8*time.Second, 12*time.Second), p.happen)
 	if p.died = 2 * whole; p.events.Float64() < 0.3 { // nobody directs from then on
-		p.died = des.Between(p.events, 15*time.Second, 30*time.Second)
+		p.died = eventqueue.Between(p.events, 15*time.Second, 30*time.Second)
 		p.out.Died++
 		p.after(p.died, func() {
 			for _, d := range directors {
@@ -476,7 +476,7 @@
 		})
 	}
 	p.after(0, p.account)
-	p.sim.Run(des.Time(whole / time.Microsecond))
+	p.sim.Run(eventqueue.Time(whole / time.Microsecond))
 	share := func(a, of float64) float64 {
 		if of == 0 {
 			return 1
@@ -491,7 +491,7 @@
 
 // Many plays schedules of seeds from the first, on all cores. Worth and what crosses are means.
 func Many(ctx context.Context, first uint64, schedules int, without Without) (sum Outcome, err error) {
-	all, err := tally.Play(ctx, schedules, func(i int) Outcome { return Play(first+uint64(i), without) })
+	all, err := stats.Play(ctx, schedules, func(i int) Outcome { return Play(first+uint64(i), without) })
 	if err != nil {
 		return sum, err
 	}
@@ -503,7 +503,7 @@
 		if o.Broken() > 0 && sum.Broken() == 0 {
 			sum.First = int64(first) + int64(i)
 		}
-		tally.Add(&sum, o, 1/float64(schedules))
+		stats.Add(&sum, o, 1/float64(schedules))
 	}
 	sum.Alone = alone / max(float64(sum.Died), 1)
 	return sum, nil
--- a/internal/lab/failovers/failovers_test.go
+++ b/internal/simulation/failoversim/failoversim_test.go
@@ -1,4 +1,4 @@
-package failovers
+package failoversim
 
 import "testing"
 
--- a/internal/lab/leases/group.go
+++ b/internal/simulation/leasesim/group.go
@@ -1,4 +1,4 @@
-package leases
+package leasesim
 
 import (
 	"errors"
@@ -10,9 +10,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	membership "tulipglade/internal/group"
-	"tulipglade/internal/lab/des"
+	membership "tulipglade/internal/consensus"
 	"tulipglade/internal/lease"
+	"tulipglade/internal/simulation/eventqueue"
 )
 
 const (
@@ -211,7 +211,7 @@
 		})
 	}
 	if p.faults.Lossy && p.wild() { // bad, but raft can still elect over it
-		for _, d := range des.Way(p.r, time.Millisecond, wire/2, 400*time.Millisecond) {
+		for _, d := range eventqueue.Way(p.r, time.Millisecond, wire/2, 400*time.Millisecond) {
 			p.after(d, arrive)
 		}
 	} else {
--- a/internal/lab/leases/group_test.go
+++ b/internal/simulation/leasesim/group_test.go
@@ -1,4 +1,4 @@
-package leases
+package leasesim
 
 import "testing"
 
--- a/internal/lab/leases/leases.go
+++ b/internal/simulation/leasesim/leasesim.go
@@ -1,7 +1,7 @@
-// Package leases plays internal/lease in virtual time: a group whose leaders come and go, holders whose clocks are off and whose
+// Package leasesim plays internal/lease in virtual time: a group whose leaders come and go, holders whose clocks are off and whose
 // processes are stopped, a network that loses, delays and repeats, and what the holders act upon. All is drawn from a seed, so a
 // schedule that breaks what must hold can be had again.
-package leases
+package leasesim
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"tulipglade/internal/fence"
-	"tulipglade/internal/lab/des"
-	"tulipglade/internal/lab/tally"
+	"tulipglade/internal/fencing"
 	"tulipglade/internal/lease"
+	"tulipglade/internal/simulation/eventqueue"
+	"tulipglade/internal/simulation/stats"
 )
 
 // Without is a part that is left out, to show that the checks find what it is there for.
@@ -107,14 +107,14 @@
 	r       *rand.Rand
 	faults  Faults
 	without Without
-	sim     des.Sim
-	src     des.Source
+	sim     eventqueue.Sim
+	src     eventqueue.Source
 	now     time.Duration
 	state   *lease.State
 	leader  int           // counts leaders; 0: there is none
 	leaders int           // so far
 	ticked  time.Duration // when the last tick was applied
-	fence   fence.Fence
+	fence   fencing.Fence
 	acts    []*act
 	last    time.Duration // of the acts
 	orphans map[int]orphan
@@ -137,17 +137,17 @@
 
 func (p *play) after(d time.Duration, f func()) {
 	const us = time.Microsecond
-	p.sim.After(&p.src, des.Span((d+us-1)/us), des.Event{To: p, P: f}) // never sooner: what is not due yet would be set anew for ever
+	p.sim.After(&p.src, eventqueue.Span((d+us-1)/us), eventqueue.Event{To: p, P: f}) // never sooner: what is not due yet would be set anew for ever
 }
 
 // Handle does what is due.
-func (p *play) Handle(now des.Time, e des.Event) {
+func (p *play) Handle(now eventqueue.Time, e eventqueue.Event) {
 	p.now = time.Duration(now) * time.Microsecond
 	e.P.(func())()
 }
 
 func (p *play) between(least, most time.Duration) time.Duration {
-	return des.Between(p.r, least, most)
+	return eventqueue.Between(p.r, least, most)
 }
 
 func (p *play) chance(x float64) bool { return p.r.Float64() < x }
@@ -328,7 +328,7 @@
 // land is an act where it acts.
 func (p *play) land(g lease.Grant) {
 	if err := p.fence.Begin(g); err != nil && !p.without.Fence {
-		if err == fence.ErrOld {
+		if err == fencing.ErrOld {
 			p.out.Old++
 		} else {
 			p.out.Busy++
@@ -360,7 +360,7 @@
 
 // Play plays one schedule: with a group of so many members, or, where that is 0, with a State that many leaders share.
 func Play(seed uint64, without Without, members int) (out Outcome, gaps Gaps) {
-	p := &play{src: des.NewSource(1), orphans: map[int]orphan{}, r: rand.New(rand.NewPCG(seed, 0x1ea5e)), without: without, state: lease.New(),
+	p := &play{src: eventqueue.NewSource(1), orphans: map[int]orphan{}, r: rand.New(rand.NewPCG(seed, 0x1ea5e)), without: without, state: lease.New(),
 		newest: map[int]lease.Token{}, given: map[lease.Token]string{}}
 	defer func() {
 		if broke := recover(); broke != nil { // raft does where what must hold does not
@@ -391,7 +391,7 @@
 		}
 		h.start()
 	}
-	for p.sim.Step(des.Time(whole / time.Microsecond)) {
+	for p.sim.Step(eventqueue.Time(whole / time.Microsecond)) {
 		if p.sim.Done() > eventsMost { // members that have lost what they had said to have talk without end
 			p.out.Split++
 		}
@@ -425,7 +425,7 @@
 		Outcome
 		Gaps
 	}
-	all, err := tally.Play(ctx, schedules, func(i int) (s shown) {
+	all, err := stats.Play(ctx, schedules, func(i int) (s shown) {
 		s.Outcome, s.Gaps = Play(first+uint64(i), without, members)
 		return s
 	})
@@ -447,7 +447,7 @@
 		if o.Broken() > 0 && sum.Broken() == 0 {
 			sum.First = int64(first) + int64(i)
 		}
-		tally.Add(&sum, o.Outcome, 0)
+		stats.Add(&sum, o.Outcome, 0)
 	}
 	return sum, took, err
 }
--- a/internal/lab/plots/plots.go
+++ b/internal/simulation/plots/plots.go
@@ -15,10 +15,10 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"tulipglade/internal/faults"
-	"tulipglade/internal/lab/experiment"
-	"tulipglade/internal/lab/world"
+	"tulipglade/internal/faultinject"
 	"tulipglade/internal/load"
+	"tulipglade/internal/simulation/emulator"
+	"tulipglade/internal/simulation/experiment"
 )
 
 const width, height = 9 * vg.Inch, 4.5 * vg.Inch
@@ -70,7 +70,7 @@
 }
 
 // Service draws the share of worth served in each second, one line a result, with the faults of the first shaded.
-func Service(file string, results []*world.Result) error {
+func Service(file string, results []*emulator.Result) error {
 	p := newPlot("Service over time: "+results[0].Scenario, "s", "worth served in time, of that asked for")
 	p.Y.Min, p.Y.Max = 0, 1.02
 	if err := shade(p, results[0].Faults, float64(len(results[0].Series.Asked)), 1.02); err != nil {
@@ -104,7 +104,7 @@
 func step(q float64) float64 { return -math.Log10(1 - min(q, 99.999)/100) }
 
 // Latency draws the percentiles of the time to a served answer, one line a result.
-func Latency(file string, results []*world.Result) error {
+func Latency(file string, results []*emulator.Result) error {
 	p := newPlot("Time to a served answer: "+results[0].Scenario, "percentile", "ms from when the call was due")
 	p.X.Tick.Marker, p.Legend.Top = nines{}, true
 	for i, r := range results {
@@ -191,7 +191,7 @@
 }
 
 // Load draws a load run: p50, p99 and the longest time of each second's served calls, and the share that was not served.
-func Load(file string, r *load.Result, list []faults.Fault) error {
+func Load(file string, r *load.Result, list []faultinject.Fault) error {
 	p := newPlot("Load: "+r.Scenario, "s since the start, by when calls were due", "ms")
 	p.Legend.Top = true
 	var p50, p99, most, lost plotter.XYs
@@ -222,7 +222,7 @@
 }
 
 // shade marks the time of each fault.
-func shade(p *plot.Plot, list []faults.Fault, length, top float64) error {
+func shade(p *plot.Plot, list []faultinject.Fault, length, top float64) error {
 	for i, f := range list {
 		from, till := float64(f.At)/1000, min(float64(f.End())/1000, length)
 		area, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: till, Y: 0}, {X: till, Y: top}, {X: from, Y: top}})
--- a/internal/lab/policy/policy.go
+++ b/internal/simulation/policy/policy.go
@@ -8,28 +8,28 @@
 	"math/rand/v2"
 	"slices"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 )
 
 // Policy takes a node's events. What it wants done it says through the Actions of its Env.
 type Policy interface {
-	Members(now tulipglade.Time, kind tulipglade.ListKind, list []tulipglade.Host)
-	Request(now tulipglade.Time, a tulipglade.Arrival)
-	Settled(now tulipglade.Time, s tulipglade.Settlement)
-	Gone(now tulipglade.Time, id tulipglade.ReqID)
-	Wake(now tulipglade.Time, t tulipglade.Token)
-	Checked(now tulipglade.Time, host tulipglade.HostID, out tulipglade.Outcome, took tulipglade.Span, r *tulipglade.Report)
-	Peer(now tulipglade.Time, from int, data []byte)
+	Members(now balancer.Time, kind balancer.ListKind, list []balancer.Host)
+	Request(now balancer.Time, a balancer.Arrival)
+	Settled(now balancer.Time, s balancer.Settlement)
+	Gone(now balancer.Time, id balancer.ReqID)
+	Wake(now balancer.Time, t balancer.Token)
+	Checked(now balancer.Time, host balancer.HostID, out balancer.Outcome, took balancer.Span, r *balancer.Report)
+	Peer(now balancer.Time, from int, data []byte)
 }
 
 // Env is what a policy is given at its start.
 type Env struct {
-	Config  tulipglade.Config
+	Config  balancer.Config
 	Seed    uint64
 	Node    int
-	Actions tulipglade.Actions
-	Publish func(to int, data []byte)            // a datagram to another node, or to all for -1; late or never
-	Truth   func(host tulipglade.HostID) float64 // time in µs for which a box has work, which no real node can see
+	Actions balancer.Actions
+	Publish func(to int, data []byte)          // a datagram to another node, or to all for -1; late or never
+	Truth   func(host balancer.HostID) float64 // time in µs for which a box has work, which no real node can see
 }
 
 // Maker makes a policy for one node.
@@ -39,7 +39,7 @@
 const Module = "tulipglade"
 
 var makers = map[string]Maker{
-	Module: func(e Env) (Policy, error) { return tulipglade.New(e.Config, e.Seed, e.Actions) },
+	Module: func(e Env) (Policy, error) { return balancer.New(e.Config, e.Seed, e.Actions) },
 	"random": plainMaker(func(p *plain, r *request, from []*host) *host {
 		return from[p.rand.IntN(len(from))]
 	}),
@@ -82,16 +82,16 @@
 }
 
 type host struct {
-	tulipglade.Host
+	balancer.Host
 	out int // attempts of this node at it
 }
 
 type request struct {
-	tulipglade.Arrival
+	balancer.Arrival
 	tries []*host
 	site  []int // of each try, and its rack and time, as they were
 	rack  []int
-	at    []tulipglade.Time
+	at    []balancer.Time
 	maybe int // the try that may have run; -1: none
 }
 
@@ -104,11 +104,11 @@
 	pick  func(p *plain, r *request, from []*host) *host
 	turn  int
 	hosts []*host // in service, by id
-	byID  map[tulipglade.HostID]*host
-	reqs  map[tulipglade.ReqID]*request
+	byID  map[balancer.HostID]*host
+	reqs  map[balancer.ReqID]*request
 	begun bool
 	fails int
-	extra func(now tulipglade.Time) // on the beat, if any
+	extra func(now balancer.Time) // on the beat, if any
 	from  []*host
 }
 
@@ -125,8 +125,8 @@
 
 func newPlain(e Env, pick func(*plain, *request, []*host) *host) *plain {
 	e.Config.MaxAttempts = max(e.Config.MaxAttempts, 1)
-	return &plain{env: e, rand: rand.New(rand.NewPCG(e.Seed, 1)), pick: pick, byID: map[tulipglade.HostID]*host{},
-		reqs: map[tulipglade.ReqID]*request{}}
+	return &plain{env: e, rand: rand.New(rand.NewPCG(e.Seed, 1)), pick: pick, byID: map[balancer.HostID]*host{},
+		reqs: map[balancer.ReqID]*request{}}
 }
 
 func least(p *plain, from []*host, load func(*host) float64) *host {
@@ -145,23 +145,23 @@
 	return best
 }
 
-func (p *plain) Members(_ tulipglade.Time, kind tulipglade.ListKind, list []tulipglade.Host) {
+func (p *plain) Members(_ balancer.Time, kind balancer.ListKind, list []balancer.Host) {
 	if !p.begun && p.env.Config.AskDiscovery {
-		p.ask(tulipglade.Span(p.rand.Float64() * float64(p.env.Config.Tick) * float64(max(p.env.Config.Peers, 1))))
+		p.ask(balancer.Span(p.rand.Float64() * float64(p.env.Config.Tick) * float64(max(p.env.Config.Peers, 1))))
 	}
 	if !p.begun && p.extra != nil {
 		p.env.Actions.WakeAt(tokenBeat, beat)
 	}
 	p.begun = true
-	if kind == tulipglade.ListFailed {
+	if kind == balancer.ListFailed {
 		p.fails++
-		p.ask(tulipglade.Span(250000 * (1 + p.rand.Float64()) * float64(min(p.fails, 8))))
+		p.ask(balancer.Span(250000 * (1 + p.rand.Float64()) * float64(min(p.fails, 8))))
 		return
 	}
 	p.fails = 0
-	if kind != tulipglade.ListDelta {
+	if kind != balancer.ListDelta {
 		for _, h := range p.byID {
-			h.Phase = tulipglade.PhaseGone
+			h.Phase = balancer.PhaseGone
 		}
 	}
 	for _, e := range list {
@@ -174,26 +174,26 @@
 	}
 	p.hosts = p.hosts[:0]
 	for id, h := range p.byID {
-		if h.Phase == tulipglade.PhaseReady {
+		if h.Phase == balancer.PhaseReady {
 			p.hosts = append(p.hosts, h)
-		} else if h.Phase == tulipglade.PhaseGone && h.out == 0 {
+		} else if h.Phase == balancer.PhaseGone && h.out == 0 {
 			delete(p.byID, id)
 		}
 	}
 	slices.SortFunc(p.hosts, func(a, b *host) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-func (p *plain) ask(after tulipglade.Span) { p.env.Actions.WakeAt(tokenAsk, after) }
+func (p *plain) ask(after balancer.Span) { p.env.Actions.WakeAt(tokenAsk, after) }
 
-func (p *plain) Request(now tulipglade.Time, a tulipglade.Arrival) {
+func (p *plain) Request(now balancer.Time, a balancer.Arrival) {
 	r := &request{Arrival: a, maybe: -1}
 	p.reqs[a.ID] = r
-	p.env.Actions.WakeAt(tulipglade.Token(a.ID)*tokens+tokenEnd, max(a.Deadline-now, 0))
+	p.env.Actions.WakeAt(balancer.Token(a.ID)*tokens+tokenEnd, max(a.Deadline-now, 0))
 	p.try(now, r)
 }
 
 // try sends the request to a host that its class allows, or ends it where there is none.
-func (p *plain) try(now tulipglade.Time, r *request) {
+func (p *plain) try(now balancer.Time, r *request) {
 	c := &p.env.Config.Classes[r.Class]
 	from := p.from[:0]
 	if len(r.tries) == 0 {
@@ -220,20 +220,20 @@
 	p.env.Actions.Try(r.ID, h.ID, 0)
 }
 
-func (p *plain) mayGo(now tulipglade.Time, c *tulipglade.Class, r *request, h *host) bool {
+func (p *plain) mayGo(now balancer.Time, c *balancer.Class, r *request, h *host) bool {
 	i := r.maybe
-	if i < 0 || c.Effect == tulipglade.Repeatable {
+	if i < 0 || c.Effect == balancer.Repeatable {
 		return true
 	}
-	if c.Effect == tulipglade.Once || now-r.at[i]+2*p.env.Config.Tick >= c.Window {
+	if c.Effect == balancer.Once || now-r.at[i]+2*p.env.Config.Tick >= c.Window {
 		return false
 	}
-	return c.Scope == tulipglade.ScopeAll || h.Zone == r.site[i] && (c.Scope == tulipglade.ScopeZone || h.Cell == r.rack[i])
+	return c.Scope == balancer.ScopeAll || h.Zone == r.site[i] && (c.Scope == balancer.ScopeZone || h.Cell == r.rack[i])
 }
 
 func (p *plain) end(r *request) {
 	c := &p.env.Config.Classes[r.Class]
-	if r.maybe < 0 || c.Effect == tulipglade.Repeatable || c.Effect == tulipglade.ByKey && c.Scope == tulipglade.ScopeAll {
+	if r.maybe < 0 || c.Effect == balancer.Repeatable || c.Effect == balancer.ByKey && c.Scope == balancer.ScopeAll {
 		p.env.Actions.Decline(r.ID, 0)
 	} else {
 		p.env.Actions.Fail(r.ID)
@@ -241,7 +241,7 @@
 	delete(p.reqs, r.ID)
 }
 
-func (p *plain) Settled(now tulipglade.Time, s tulipglade.Settlement) {
+func (p *plain) Settled(now balancer.Time, s balancer.Settlement) {
 	if h := p.byID[s.Host]; h != nil {
 		h.out--
 	}
@@ -253,15 +253,15 @@
 		delete(p.reqs, s.ID)
 		return
 	}
-	if ran := s.Outcome != tulipglade.Full && s.Outcome != tulipglade.ConnectFailed && s.Outcome != tulipglade.Moot; ran && r.maybe < 0 {
+	if ran := s.Outcome != balancer.Full && s.Outcome != balancer.ConnectFailed && s.Outcome != balancer.Moot; ran && r.maybe < 0 {
 		r.maybe = s.Attempt
 	}
 	p.try(now, r)
 }
 
-func (p *plain) Gone(_ tulipglade.Time, id tulipglade.ReqID) { delete(p.reqs, id) }
+func (p *plain) Gone(_ balancer.Time, id balancer.ReqID) { delete(p.reqs, id) }
 
-func (p *plain) Wake(now tulipglade.Time, t tulipglade.Token) {
+func (p *plain) Wake(now balancer.Time, t balancer.Token) {
 	switch t % tokens {
 	case tokenAsk:
 		p.env.Actions.Observe(true)
@@ -269,7 +269,7 @@
 		p.extra(now)
 		p.env.Actions.WakeAt(tokenBeat, beat)
 	case tokenEnd:
-		if r := p.reqs[tulipglade.ReqID(t/tokens)]; r != nil {
+		if r := p.reqs[balancer.ReqID(t/tokens)]; r != nil {
 			if n := len(r.tries); n > 0 && r.maybe < 0 { // the last attempt is still out
 				r.maybe = n - 1
 			}
@@ -278,7 +278,7 @@
 	}
 }
 
-func (p *plain) Checked(tulipglade.Time, tulipglade.HostID, tulipglade.Outcome, tulipglade.Span, *tulipglade.Report) {
+func (p *plain) Checked(balancer.Time, balancer.HostID, balancer.Outcome, balancer.Span, *balancer.Report) {
 }
 
-func (p *plain) Peer(tulipglade.Time, int, []byte) {}
+func (p *plain) Peer(balancer.Time, int, []byte) {}
--- a/internal/lab/policy/shared.go
+++ b/internal/simulation/policy/shared.go
@@ -3,11 +3,11 @@
 import (
 	"encoding/binary"
 
-	"tulipglade"
+	"tulipglade/internal/balancer"
 )
 
 // beat is how often nodes of the policy least-shared tell the others what they have out.
-const beat tulipglade.Span = 100000
+const beat balancer.Span = 100000
 
 const (
 	maxDatagram = 256
@@ -18,12 +18,12 @@
 // each other: each sends the hosts where it has most out, in one datagram a beat.
 type shared struct {
 	*plain
-	others map[int]map[tulipglade.HostID]int // by node, of its last datagram
-	sum    map[tulipglade.HostID]int
+	others map[int]map[balancer.HostID]int // by node, of its last datagram
+	sum    map[balancer.HostID]int
 }
 
 func newShared(e Env) *shared {
-	s := &shared{others: map[int]map[tulipglade.HostID]int{}, sum: map[tulipglade.HostID]int{}}
+	s := &shared{others: map[int]map[balancer.HostID]int{}, sum: map[balancer.HostID]int{}}
 	s.plain = newPlain(e, func(p *plain, _ *request, from []*host) *host {
 		return least(p, from, func(h *host) float64 { return float64(h.out + s.sum[h.ID]) })
 	})
@@ -31,7 +31,7 @@
 	return s
 }
 
-func (s *shared) tell(tulipglade.Time) {
+func (s *shared) tell(balancer.Time) {
 	data := make([]byte, 0, maxDatagram)
 	for level := 255; level > 0 && len(data)+recordSize <= maxDatagram; level-- {
 		if level > 16 { // hosts with so many are rare: one pass for all of them
@@ -53,15 +53,15 @@
 }
 
 // Peer takes another node's datagram in place of its last one.
-func (s *shared) Peer(_ tulipglade.Time, from int, data []byte) {
+func (s *shared) Peer(_ balancer.Time, from int, data []byte) {
 	for id, n := range s.others[from] {
 		if s.sum[id] -= n; s.sum[id] == 0 {
 			delete(s.sum, id)
 		}
 	}
-	told := map[tulipglade.HostID]int{}
+	told := map[balancer.HostID]int{}
 	for ; len(data) >= recordSize; data = data[recordSize:] {
-		id, n := tulipglade.HostID(binary.BigEndian.Uint64(data)), int(data[8])
+		id, n := balancer.HostID(binary.BigEndian.Uint64(data)), int(data[8])
 		told[id] += n
 		s.sum[id] += n
 	}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -13,8 +13,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"tulipglade"
-	"tulipglade/internal/faults"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/faultinject"
 	"tulipglade/internal/tomlfile"
 )
 
@@ -23,23 +23,23 @@
 
 // Scenario is one world. Times are in ms unless a name says otherwise; work is time on one core of speed 1.
 type Scenario struct {
-	Name      string         `toml:"name"`
-	About     string         `toml:"about"`
-	Seconds   float64        `toml:"seconds"`    // of arrivals; what is open then is played to its end
-	WarmUp    float64        `toml:"warm_up_s"`  // arrivals before this are not counted
-	OnlyCalls []int          `toml:"only_calls"` // not empty: the clients' other calls are left out (made by shrink)
-	Fleet     Fleet          `toml:"fleet"`
-	Nodes     Nodes          `toml:"nodes"`
-	Load      Load           `toml:"load"`
-	Clients   Clients        `toml:"clients"`
-	Classes   []Class        `toml:"class"`
-	Tenants   []Tenant       `toml:"tenant"`
-	Net       Net            `toml:"net"`
-	Discovery Discovery      `toml:"discovery"`
-	Rules     Rules          `toml:"rules"`
-	Goal      Goal           `toml:"goal"`
-	Faults    []faults.Fault `toml:"fault"`
-	Drawn     faults.Drawn   `toml:"random_faults"`
+	Name      string              `toml:"name"`
+	About     string              `toml:"about"`
+	Seconds   float64             `toml:"seconds"`    // of arrivals; what is open then is played to its end
+	WarmUp    float64             `toml:"warm_up_s"`  // arrivals before this are not counted
+	OnlyCalls []int               `toml:"only_calls"` // not empty: the clients' other calls are left out (made by shrink)
+	Fleet     Fleet               `toml:"fleet"`
+	Nodes     Nodes               `toml:"nodes"`
+	Load      Load                `toml:"load"`
+	Clients   Clients             `toml:"clients"`
+	Classes   []Class             `toml:"class"`
+	Tenants   []Tenant            `toml:"tenant"`
+	Net       Net                 `toml:"net"`
+	Discovery Discovery           `toml:"discovery"`
+	Rules     Rules               `toml:"rules"`
+	Goal      Goal                `toml:"goal"`
+	Faults    []faultinject.Fault `toml:"fault"`
+	Drawn     faultinject.Drawn   `toml:"random_faults"`
 }
 
 // Fleet is the boxes.
@@ -327,8 +327,8 @@
 
 // Effects and scopes as the files call them.
 var (
-	effects = map[string]tulipglade.Effect{"repeatable": tulipglade.Repeatable, "by_key": tulipglade.ByKey, "once": tulipglade.Once}
-	scopes  = map[string]tulipglade.Scope{"all": tulipglade.ScopeAll, "site": tulipglade.ScopeZone, "rack": tulipglade.ScopeCell}
+	effects = map[string]balancer.Effect{"repeatable": balancer.Repeatable, "by_key": balancer.ByKey, "once": balancer.Once}
+	scopes  = map[string]balancer.Scope{"all": balancer.ScopeAll, "site": balancer.ScopeZone, "rack": balancer.ScopeCell}
 )
 
 // Check fills in what was left out and tells what is impossible.
@@ -496,8 +496,8 @@
 }
 
 // Scope is what there is to be hit by faults.
-func (s *Scenario) Scope(boxSite, nodeSite func(int) string) faults.Scope {
-	sc := faults.Scope{Boxes: s.Fleet.Boxes, Nodes: s.Nodes.Count, Sites: s.Fleet.Sites, BoxSite: boxSite, NodeSite: nodeSite}
+func (s *Scenario) Scope(boxSite, nodeSite func(int) string) faultinject.Scope {
+	sc := faultinject.Scope{Boxes: s.Fleet.Boxes, Nodes: s.Nodes.Count, Sites: s.Fleet.Sites, BoxSite: boxSite, NodeSite: nodeSite}
 	for _, t := range s.Tenants {
 		sc.Tenants = append(sc.Tenants, t.Name)
 	}
@@ -519,7 +519,7 @@
 }
 
 // Told is a report with those fields only that are told.
-func (r *Report) Told(all tulipglade.Report) tulipglade.Report {
+func (r *Report) Told(all balancer.Report) balancer.Report {
 	if !r.Tells("held") {
 		all.Outstanding = -1
 	}
@@ -537,22 +537,22 @@
 
 // Settled returns the faults of the file and those drawn at random, with nothing left open, in the order in which
 // they begin.
-func (s *Scenario) Settled(r faults.Rand) []faults.Fault {
+func (s *Scenario) Settled(r faultinject.Rand) []faultinject.Fault {
 	name := func(i int) string { return s.Fleet.Sites[s.Site(i)] }
 	scope := s.Scope(name, name)
-	var all []faults.Fault
+	var all []faultinject.Fault
 	for _, f := range s.Faults {
 		all = append(all, f.Settle(scope, r).Expand()...)
 	}
 	all = append(all, s.Drawn.Draw(scope, int64(s.Seconds*1000), r)...)
-	slices.SortStableFunc(all, func(a, b faults.Fault) int { return int(min(max(a.At-b.At, -1), 1)) })
+	slices.SortStableFunc(all, func(a, b faultinject.Fault) int { return int(min(max(a.At-b.At, -1), 1)) })
 	return all
 }
 
 // Config is what a node of that site is told of the deployment. Its own number is the caller's to add.
-func (s *Scenario) Config(site int, quota []float64) tulipglade.Config {
-	us := func(ms float64) tulipglade.Span { return tulipglade.Span(math.Round(ms * 1000)) }
-	c := tulipglade.Config{Zone: site, Peers: s.Nodes.Count, MaxAttempts: s.Rules.MaxAttempts,
+func (s *Scenario) Config(site int, quota []float64) balancer.Config {
+	us := func(ms float64) balancer.Span { return balancer.Span(math.Round(ms * 1000)) }
+	c := balancer.Config{Zone: site, Peers: s.Nodes.Count, MaxAttempts: s.Rules.MaxAttempts,
 		MayDuplicate: s.Rules.MayDuplicate, MayCancel: s.Rules.MayCancel, MayProbe: s.Rules.MayProbe,
 		AskDiscovery: s.Discovery.Ask, AskEvery: us(s.Discovery.AskEvery), Tick: us(s.Nodes.Tick),
 		MaxRetryAfter: us(s.Clients.MaxRetryAfter), ColdFrom: s.Rules.ColdFrom, ColdRamp: us(s.Rules.ColdRamp),
@@ -562,11 +562,11 @@
 		c.MaxRetryAfter = 0
 	}
 	for _, k := range s.Classes {
-		c.Classes = append(c.Classes, tulipglade.Class{Aim: us(k.Aim), Deadline: us(k.Deadline), Window: us(k.Window),
+		c.Classes = append(c.Classes, balancer.Class{Aim: us(k.Aim), Deadline: us(k.Deadline), Window: us(k.Window),
 			Effect: effects[k.Effect], Scope: scopes[k.Scope], LateShare: k.LateShare, Worth: k.Worth})
 	}
 	for i, t := range s.Tenants {
-		c.Tenants = append(c.Tenants, tulipglade.Tenant{Share: t.Share, Quota: quota[i]})
+		c.Tenants = append(c.Tenants, balancer.Tenant{Share: t.Share, Quota: quota[i]})
 	}
 	return c
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"tulipglade/internal/faults"
+	"tulipglade/internal/faultinject"
 )
 
 func TestShippedScenariosAreSound(t *testing.T) {
@@ -101,30 +101,30 @@
 		t.Fatal(err)
 	}
 	all := sc.Settled(rand.New(rand.NewPCG(1, 1)))
-	if !slices.IsSortedFunc(all, func(a, b faults.Fault) int { return int(a.At - b.At) }) {
+	if !slices.IsSortedFunc(all, func(a, b faultinject.Fault) int { return int(a.At - b.At) }) {
 		t.Error("not in the order of time")
 	}
-	count := map[faults.Kind][]faults.Fault{}
+	count := map[faultinject.Kind][]faultinject.Fault{}
 	scope := sc.Scope(nil, nil)
 	for _, f := range all {
 		count[f.Kind] = append(count[f.Kind], f)
 		if err := f.Check("f", scope); err != nil {
 			t.Errorf("%v: %v", f, err)
 		}
-		if f.At+f.For > int64(sc.Seconds*1000) && f.Kind != faults.Drain {
+		if f.At+f.For > int64(sc.Seconds*1000) && f.Kind != faultinject.Drain {
 			t.Errorf("%v ends after the run", f)
 		}
 	}
 	if len(all) != 5-1+12+40 {
 		t.Errorf("%d faults", len(all))
 	}
-	if n := len(count[faults.FastErrors][0].Boxes); n != 3 {
+	if n := len(count[faultinject.FastErrors][0].Boxes); n != 3 {
 		t.Errorf("a quarter of 12 boxes are %d", n)
 	}
-	if b := count[faults.Slow][0].Boxes; !slices.Equal(b, []int{1, 4, 7, 10}) {
+	if b := count[faultinject.Slow][0].Boxes; !slices.Equal(b, []int{1, 4, 7, 10}) {
 		t.Errorf("the boxes of west are %v", b)
 	}
-	if f := count[faults.NodeKill][0]; len(f.Nodes) != 1 {
+	if f := count[faultinject.NodeKill][0]; len(f.Nodes) != 1 {
 		t.Errorf("%v", f)
 	}
 }
--- a/internal/lab/tally/tally.go
+++ b/internal/simulation/stats/stats.go
@@ -1,5 +1,5 @@
-// Package tally plays many schedules and adds up what they show.
-package tally
+// Package stats plays many schedules and adds up what they show.
+package stats
 
 import (
 	"context"
--- a/internal/freshness/freshness.go
+++ b/internal/staleness/staleness.go
@@ -1,10 +1,10 @@
-// Package freshness bounds the age of the list of backends that a node sends requests by.
+// Package staleness bounds the age of the list of backends that a node sends requests by.
 //
 // A node hears of drains and removals from discovery alone. A list carries a version and no age, so a node that has not heard for a while, or
 // has just started with the list of its configuration, can't tell whether the list is current. A Lease is what it may go by: each proof
 // that the list was current at some time lets requests be sent for a fixed time after that. It does no input or output; times are
 // monotonic, in microseconds.
-package freshness
+package staleness
 
 // Time is a point on a monotonic clock and Span a length of time, both in microseconds.
 type (
--- a/internal/freshness/freshness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -1,4 +1,4 @@
-package freshness
+package staleness
 
 import "testing"
 
--- a/internal/clients/arrivals.go
+++ b/internal/workload/arrivals.go
@@ -1,6 +1,6 @@
-// Package clients holds how clients behave: when they call and for what, and when they try again. It does no I/O and
+// Package workload holds how clients behave: when they call and for what, and when they try again. It does no I/O and
 // reads no clock; the lab plays it in virtual time and the load generator on sockets, so both send the same calls.
-package clients
+package workload
 
 import (
 	"bufio"
@@ -13,15 +13,15 @@
 	"sort"
 	"strings"
 
-	"tulipglade/internal/faults"
-	"tulipglade/internal/lab/des"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/faultinject"
+	"tulipglade/internal/simulation/eventqueue"
+	"tulipglade/internal/simulation/scenario"
 )
 
 // Call is what a client wants: a first try, and the repeats that are folded into it.
 type Call struct {
-	N      uint64   // its number in the schedule, from 0
-	At     des.Time // when it is due, µs since the start
+	N      uint64          // its number in the schedule, from 0
+	At     eventqueue.Time // when it is due, µs since the start
 	Class  int
 	Tenant int
 	Site   int
@@ -41,11 +41,11 @@
 type Schedule struct {
 	sc      *scenario.Scenario
 	seed    uint64
-	rand    des.Stream
+	rand    eventqueue.Stream
 	perUs   float64 // at level 1
 	now     float64 // µs
 	n       uint64
-	surges  []faults.Fault
+	surges  []faultinject.Fault
 	classes []float64
 	tenants []float64
 	sites   []float64
@@ -55,8 +55,8 @@
 
 // NewSchedule returns the schedule of a scenario over a fleet that can do so many µs of work in each µs, with the
 // surges among the faults, which have been settled.
-func NewSchedule(sc *scenario.Scenario, seed uint64, capacity float64, list []faults.Fault) (*Schedule, error) {
-	s := &Schedule{sc: sc, seed: seed, rand: des.NewStream(seed, "arrivals")}
+func NewSchedule(sc *scenario.Scenario, seed uint64, capacity float64, list []faultinject.Fault) (*Schedule, error) {
+	s := &Schedule{sc: sc, seed: seed, rand: eventqueue.NewStream(seed, "arrivals")}
 	var classes, tenants, sites, keys []float64
 	for _, k := range sc.Classes {
 		classes = append(classes, k.Share)
@@ -76,7 +76,7 @@
 	}
 	s.classes, s.tenants, s.sites, s.keys = cumulate(classes), cumulate(tenants), cumulate(sites), cumulate(keys)
 	for _, f := range list {
-		if f.Kind == faults.Surge {
+		if f.Kind == faultinject.Surge {
 			s.surges = append(s.surges, f)
 		}
 	}
@@ -102,7 +102,7 @@
 	case "exact":
 		return int64(c.Work)
 	case "rough":
-		d := des.NewDraws(seed, c.N, drawHint)
+		d := eventqueue.NewDraws(seed, c.N, drawHint)
 		return int64(c.Work * Lognormal(roughHint, d.Norm()))
 	}
 	return 0
@@ -194,7 +194,7 @@
 		if err != nil {
 			return Call{}, err
 		}
-		c.At = des.Time(float64(c.At) / s.sc.Load.Speed)
+		c.At = eventqueue.Time(float64(c.At) / s.sc.Load.Speed)
 		if float64(c.At) >= s.sc.Seconds*1e6 {
 			return Call{}, errors.Join(io.EOF, s.trace.Close())
 		}
@@ -223,7 +223,7 @@
 			return Call{}, io.EOF
 		}
 	}
-	c := Call{N: s.n, At: des.Time(s.now)}
+	c := Call{N: s.n, At: eventqueue.Time(s.now)}
 	s.n++
 	_, tenants := s.factor(s.now)
 	c.Class = pickOf(s.classes, s.rand.Float64())
@@ -238,7 +238,7 @@
 
 // DrawWork is the work of call number n, in µs on one core of speed 1.
 func DrawWork(sc *scenario.Scenario, seed, n uint64, class int) float64 {
-	d, c := des.NewDraws(seed, n, drawWork), &sc.Classes[class]
+	d, c := eventqueue.NewDraws(seed, n, drawWork), &sc.Classes[class]
 	x := c.Work * 1000
 	switch c.Dist {
 	case "exp":
@@ -259,7 +259,7 @@
 	file  *os.File
 	in    *bufio.Scanner
 	line  int
-	last  des.Time
+	last  eventqueue.Time
 	sizes [3]int // of classes, tenants, sites
 }
 
--- a/internal/clients/retry.go
+++ b/internal/workload/retry.go
@@ -1,11 +1,11 @@
-package clients
+package workload
 
 import (
 	"math"
 
-	"tulipglade"
-	"tulipglade/internal/lab/des"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/simulation/eventqueue"
+	"tulipglade/internal/simulation/scenario"
 )
 
 // Answer is what a client makes of one try.
@@ -28,7 +28,7 @@
 type Retry struct {
 	sc      *scenario.Scenario
 	seed    uint64
-	classes []tulipglade.Class
+	classes []balancer.Class
 }
 
 // NewRetry returns what clients of the scenario do.
@@ -37,9 +37,9 @@
 }
 
 // Patience is how long a client waits for a try that begins so long after its call was due, in µs.
-func (r *Retry) Patience(c *Call, since des.Span) des.Span {
+func (r *Retry) Patience(c *Call, since eventqueue.Span) eventqueue.Span {
 	whole := r.classes[c.Class].Deadline
-	return min(des.Span(r.sc.Clients.TryShare*float64(whole)), whole-since)
+	return min(eventqueue.Span(r.sc.Clients.TryShare*float64(whole)), whole-since)
 }
 
 // Again tells whether a client repeats its call, and after how long. Tries are those made by now, since is the time from
@@ -47,18 +47,18 @@
 //
 // What is safe to repeat is repeated after any failure, and so is what all boxes drop by key, within its window; the rest
 // only after a refusal, or where no node was reached.
-func (r *Retry) Again(c *Call, how Answer, tries int, since, retryIn des.Span) (wait des.Span, again bool) {
+func (r *Retry) Again(c *Call, how Answer, tries int, since, retryIn eventqueue.Span) (wait eventqueue.Span, again bool) {
 	s, class := &r.sc.Clients, &r.classes[c.Class]
-	harmless := how == Refused || how == Unreachable || s.RetryFailed || class.Effect == tulipglade.Repeatable ||
-		class.Effect == tulipglade.ByKey && class.Scope == tulipglade.ScopeAll && since < class.Window
+	harmless := how == Refused || how == Unreachable || s.RetryFailed || class.Effect == balancer.Repeatable ||
+		class.Effect == balancer.ByKey && class.Scope == balancer.ScopeAll && since < class.Window
 	if !harmless || how == Served || tries > s.Retries {
 		return 0, false
 	}
-	d := des.NewDraws(r.seed, c.N<<8|uint64(tries-1), drawRetry)
+	d := eventqueue.NewDraws(r.seed, c.N<<8|uint64(tries-1), drawRetry)
 	ms := s.Backoff * math.Pow(s.Growth, float64(tries-1))
-	wait = des.Span(1000 * ms * (1 - s.Jitter + s.Jitter*d.Exp()))
+	wait = eventqueue.Span(1000 * ms * (1 - s.Jitter + s.Jitter*d.Exp()))
 	if d.Float64() < s.Heed {
-		wait = max(wait, min(retryIn, des.Span(1000*s.MaxRetryAfter)))
+		wait = max(wait, min(retryIn, eventqueue.Span(1000*s.MaxRetryAfter)))
 	}
 	return wait, since+wait < class.Deadline
 }
--- a/internal/clients/clients_test.go
+++ b/internal/workload/workload_test.go
@@ -1,4 +1,4 @@
-package clients
+package workload
 
 import (
 	"compress/gzip"
@@ -11,8 +11,8 @@
 	"strings"
 	"testing"
 
-	"tulipglade/internal/faults"
-	"tulipglade/internal/lab/scenario"
+	"tulipglade/internal/faultinject"
+	"tulipglade/internal/simulation/scenario"
 )
 
 func scene(t testing.TB, text string) *scenario.Scenario {
@@ -24,7 +24,7 @@
 	return sc
 }
 
-func all(t testing.TB, sc *scenario.Scenario, list ...faults.Fault) []Call {
+func all(t testing.TB, sc *scenario.Scenario, list ...faultinject.Fault) []Call {
 	t.Helper()
 	s, err := NewSchedule(sc, 1, 40, list)
 	if err != nil {
@@ -95,7 +95,7 @@
 }
 
 func TestSurgeOfOneTenant(t *testing.T) {
-	calls := all(t, scene(t, "seconds = 60.0\nload.per_s = 500.0"), faults.Fault{Kind: faults.Surge, At: 20000, For: 20000, Size: 5, Tenant: "small"})
+	calls := all(t, scene(t, "seconds = 60.0\nload.per_s = 500.0"), faultinject.Fault{Kind: faultinject.Surge, At: 20000, For: 20000, Size: 5, Tenant: "small"})
 	var by [3][3]float64
 	for _, c := range calls {
 		by[c.At/20e6][c.Tenant]++
@@ -112,7 +112,7 @@
 			t.Errorf("tenant %d after the surge: %.0f calls, want about %.0f", i, got, 10000*share)
 		}
 	}
-	silent := all(t, scene(t, "seconds = 9.0\nload.per_s = 500.0"), faults.Fault{Kind: faults.Surge, At: 3000, For: 3000, Size: 0})
+	silent := all(t, scene(t, "seconds = 9.0\nload.per_s = 500.0"), faultinject.Fault{Kind: faultinject.Surge, At: 3000, For: 3000, Size: 0})
 	if count(silent, 3.02, 6) != 0 || count(silent, 6.02, 9) < 1200 {
 		t.Errorf("%d calls while there are none, %d after", count(silent, 3.02, 6), count(silent, 6.02, 9))
 	}
