--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -66,24 +66,24 @@
 	}
 	switch ev.Code {
 	case simprotocol.Members:
-		b.Members(now, ev.List, ev.Hosts)
+		b.HandleEndpoints(now, ev.List, ev.Hosts)
 	case simprotocol.Request:
 		if n := ev.Arrival.Class; n >= len(b.Config().Classes) {
 			return fmt.Errorf("record Request: class %d is not in the settings", n)
 		}
-		b.Request(now, ev.Arrival)
+		b.HandleRequest(now, ev.Arrival)
 	case simprotocol.Streaming:
-		b.Streaming(now, ev.Settled.ID)
+		b.HandleResponseStart(now, ev.Settled.ID)
 	case simprotocol.Settled:
-		b.Settled(now, ev.Settled)
+		b.HandleAttemptResult(now, ev.Settled)
 	case simprotocol.Gone:
-		b.Gone(now, ev.Settled.ID)
+		b.HandleCancellation(now, ev.Settled.ID)
 	case simprotocol.Elapsed:
-		b.Wake(now, ev.Token)
+		b.HandleTimer(now, ev.Token)
 	case simprotocol.Check:
-		b.Checked(now, ev.Settled.Host, ev.Settled.Outcome, ev.Settled.Took, ev.Settled.Report)
+		b.HandleHealthCheck(now, ev.Settled.Endpoint, ev.Settled.Outcome, ev.Settled.Latency, ev.Settled.Load)
 	case simprotocol.Peer:
-		b.Peer(now, ev.From, ev.Data)
+		b.HandlePeerMessage(now, ev.From, ev.Data)
 	}
 	return nil
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -67,7 +67,7 @@
 	}
 	live[7] = nil
 	_ = w.Flush(&bytes.Buffer{})
-	broken := simprotocol.Event{Code: simprotocol.Members, Instance: 7, Hosts: []balancer.Host{{ID: 1, Phase: balancer.PhaseReady}}}
+	broken := simprotocol.Event{Code: simprotocol.Members, Instance: 7, Hosts: []balancer.Endpoint{{ID: 1, Phase: balancer.PhaseReady}}}
 	live[7] = &balancer.Balancer{}
 	if err := step(live, w, 1, &broken); err != nil {
 		t.Fatal(err)
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -53,20 +53,20 @@
 
 // ---- events ----
 
-// Wake is a timer that has come due.
-func (b *Balancer) Wake(now Time, t Token) {
+// HandleTimer is a timer that has come due.
+func (b *Balancer) HandleTimer(now Time, t TimerID) {
 	b.now = now
-	r := b.reqs[ReqID(t/wakeKinds)]
+	r := b.reqs[RequestID(t/wakeKinds)]
 	switch kind := t % wakeKinds; {
 	case kind == wakeControl:
-		b.act.WakeAt(wakeControl, Span(float64(b.period)*(0.9+b.random()/5))) // gateways fall out of step
+		b.act.SetTimer(wakeControl, Span(float64(b.period)*(0.9+b.random()/5))) // gateways fall out of step
 		b.logged = max(b.logged-1, 0)
 		b.control()
 		b.release()
 	case kind == wakeAsk:
 		if !b.watching && now >= b.askAt {
-			b.act.Observe(true)
-			b.askAgain(float64(b.cfg.AskEvery) / 2)
+			b.act.WatchEndpoints(true)
+			b.askAgain(float64(b.cfg.PollInterval) / 2)
 		}
 	case r == nil || r.started:
 	case kind == wakeEnd || r.held && now >= b.lastStart(r):
@@ -79,25 +79,25 @@
 	}
 }
 
-// Request is a client's request: held, and released at once where slots allow.
-func (b *Balancer) Request(now Time, a Arrival) {
+// HandleRequest is a client's request: held, and released at once where slots allow.
+func (b *Balancer) HandleRequest(now Time, a Request) {
 	b.now = now
 	c := &b.cfg.Classes[a.Class]
 	r := &request{id: a.ID, class: a.Class, tenant: a.Tenant % len(b.tenants), deadline: a.Deadline,
-		most: b.cfg.MaxAttempts, hint: b.classes[a.Class].distance(a.Hint)}
+		most: b.cfg.MaxAttempts, hint: b.classes[a.Class].distance(a.CostHint)}
 	r.size = math.Exp(r.hint * b.classes[a.Class].belief())
-	if b.cfg.WarmKeys {
-		r.key = a.Key
+	if b.cfg.KeyAffinity {
+		r.key = a.AffinityKey
 	}
-	r.aimAt, r.halfAt = min(b.began(a)+c.Aim, r.deadline), now+(a.Deadline-now)/2 // from the first try on
+	r.aimAt, r.halfAt = min(b.began(a)+c.LatencyObjective, r.deadline), now+(a.Deadline-now)/2 // from the first try on
 	b.reqs[r.id] = r
 	b.tenants[r.tenant].arrived++
 	end := r.deadline
-	if c.LateShare == 0 && b.cfg.MayCancel && r.aimAt > now {
+	if c.LateValue == 0 && b.cfg.AllowCancel && r.aimAt > now {
 		// An answer past the aim is worth nothing: spare the host the work.
-		end = r.aimAt - min(b.cfg.Tick, (r.aimAt-now)/8) - Span(b.way)
+		end = r.aimAt - min(b.cfg.TickInterval, (r.aimAt-now)/8) - Span(b.way)
 	}
-	b.act.WakeAt(Token(r.id)*wakeKinds+wakeEnd, max(end-now, 0))
+	b.act.SetTimer(TimerID(r.id)*wakeKinds+wakeEnd, max(end-now, 0))
 	b.hold(r, false)
 	if b.over && r.aimAt <= now || b.classes[a.Class].answers > 0 && b.lastStart(r) <= now {
 		b.end(r) // what would be late anyway is refused first
@@ -105,21 +105,21 @@
 	b.release()
 }
 
-// Settled is the end of one attempt.
-func (b *Balancer) Settled(now Time, s Settlement) {
+// HandleAttemptResult is the end of one attempt.
+func (b *Balancer) HandleAttemptResult(now Time, s AttemptResult) {
 	b.now = now
 	r := b.reqs[s.ID]
 	if r == nil || s.Attempt >= len(r.tries) || !r.tries[s.Attempt].open {
 		return
 	}
 	a := &r.tries[s.Attempt]
-	a.open, a.ran = false, s.Outcome != Full && s.Outcome != ConnectFailed && s.Outcome != Moot
+	a.open, a.ran = false, s.Outcome != OutcomeRejected && s.Outcome != OutcomeConnectFailed && s.Outcome != OutcomeNotSent
 	b.book(r, a.host, -1, s)
-	if s.Outcome == OK || s.Outcome == TimedOut {
-		b.noteAnswer(r, a, float64(s.Took), s.Outcome == OK)
+	if s.Outcome == OutcomeOK || s.Outcome == OutcomeTimeout {
+		b.noteAnswer(r, a, float64(s.Latency), s.Outcome == OutcomeOK)
 	}
 	b.learn(a.host, r.class, s)
-	if s.Closed {
+	if s.RequestDone {
 		b.finish(r)
 	} else if !r.done && r.open == 0 {
 		b.again(r)
@@ -135,7 +135,7 @@
 	b.ease()
 	warm := b.regroup()
 	if b.deaf() && len(b.group) > 0 { // are they answered again?
-		b.act.Probe(b.group[int(b.random()*float64(len(b.group)))].ID)
+		b.act.CheckHealth(b.group[int(b.random()*float64(len(b.group)))].ID)
 	}
 	if dt := float64(b.now - b.controlAt); dt >= float64(b.period)/2 || b.overloaded() != b.over && dt > 0 {
 		b.controlAt = b.now
@@ -212,7 +212,7 @@
 	}
 	b.group = b.group[:0]
 	ready := b.ready()
-	at := int(math.Mod(float64(b.cfg.Self)*golden, 1) * float64(len(ready)))
+	at := int(math.Mod(float64(b.cfg.PeerIndex)*golden, 1) * float64(len(ready)))
 	for _, out := range []bool{false, true} { // those judged out only fill up
 		for i := range ready {
 			if h := ready[(at+i)%len(ready)]; len(b.group) < b.size && out == (b.now < h.outTill) {
@@ -221,7 +221,7 @@
 		}
 	}
 	b.usualBad = b.medianBad()
-	b.sharers = max(1, float64(b.cfg.Peers)*float64(len(b.group))/float64(max(len(ready), 1)))
+	b.sharers = max(1, float64(b.cfg.PeerCount)*float64(len(b.group))/float64(max(len(ready), 1)))
 	return b.tally()
 }
 
@@ -242,11 +242,11 @@
 // pick draws hosts in proportion to the tenant's slots, or to the room lent; with no host fit, of all in use.
 func (b *Balancer) pick(r *request, lent bool) (drawn []*host) {
 	from := b.group
-	if mayHaveRun(r.tries) != nil && b.cfg.Classes[r.class].Effect == ByKey { // its group of hosts
+	if mayHaveRun(r.tries) != nil && b.cfg.Classes[r.class].Idempotency == IdempotentByKey { // its group of hosts
 		from = b.hosts
 	}
 	fit := b.anyFit()
-	sure := b.cfg.Classes[r.class].Effect == Once && slices.ContainsFunc(from, b.trusted)
+	sure := b.cfg.Classes[r.class].Idempotency == NonIdempotent && slices.ContainsFunc(from, b.trusted)
 	weights := b.weights[:len(from)]
 	for i, h := range from {
 		weights[i] = 0
@@ -281,12 +281,12 @@
 // and then even if it would be late: what is foreseen may be wrong, and only answers mend it.
 func (b *Balancer) inTime(r *request, h *host) bool {
 	c, f, till := &b.cfg.Classes[r.class], b.foresee(r, h), r.aimAt
-	if c.LateShare > 0 {
+	if c.LateValue > 0 {
 		till = r.deadline
 	}
 	took, left := f.took*b.slowness(h), float64(till-b.now)
 	return took == 0 || took*sure <= left ||
-		f.held == 0 && (took <= left || c.Effect != Once && b.now-b.triedAt > b.period)
+		f.held == 0 && (took <= left || c.Idempotency != NonIdempotent && b.now-b.triedAt > b.period)
 }
 
 // room is what is left of a host's limit: all where a probe will tell, none where its fraction is spent.
@@ -303,11 +303,13 @@
 
 // probing tells whether to ask hosts what they hold before placing: where that is cheap and they tell.
 func (b *Balancer) probing() bool {
-	return b.cfg.MayProbe && b.cfg.Probe*probeDraws <= probeWorth && !b.mute && !b.deaf()
+	return b.cfg.AllowHealthChecks && b.cfg.HealthCheckCost*probeDraws <= probeWorth && !b.mute && !b.deaf()
 }
 
 // deaf tells that no probe has been answered for a while, though some were sent: then nobody waits for any.
-func (b *Balancer) deaf() bool { return b.cfg.MayProbe && b.askedAt > 0 && b.now-b.askedAt > b.period }
+func (b *Balancer) deaf() bool {
+	return b.cfg.AllowHealthChecks && b.askedAt > 0 && b.now-b.askedAt > b.period
+}
 
 // draws is how many hosts are drawn for a request.
 func (b *Balancer) draws() int {
@@ -317,10 +319,10 @@
 	return 2
 }
 
-// Checked is the end of a probe.
-func (b *Balancer) Checked(now Time, id HostID, out Outcome, took Span, rep *Report) {
+// HandleHealthCheck is the end of a probe.
+func (b *Balancer) HandleHealthCheck(now Time, id EndpointID, out Outcome, took Span, rep *LoadReport) {
 	b.now = now
-	if h := b.byID[id]; h != nil && out == OK {
+	if h := b.byID[id]; h != nil && out == OutcomeOK {
 		b.observe(h, rep)
 		b.mute, b.askedAt = rep == nil || rep.Outstanding < 0, 0
 		b.probeTook += smoothing * (float64(took) - b.probeTook)
@@ -331,16 +333,18 @@
 // ---- holding and release ----
 
 func (b *Balancer) await(r *request) {
-	b.act.WakeAt(Token(r.id)*wakeKinds+wakeHeld, max(0, min(b.lastStart(r)-b.now, b.beat(r))))
+	b.act.SetTimer(TimerID(r.id)*wakeKinds+wakeHeld, max(0, min(b.lastStart(r)-b.now, b.beat(r))))
 }
 
 // beat is how often a held request is looked at where nothing else happens.
-func (b *Balancer) beat(r *request) Span { return max(Span(b.classes[r.class].mean/4), 2*b.cfg.Tick) }
+func (b *Balancer) beat(r *request) Span {
+	return max(Span(b.classes[r.class].mean/4), 2*b.cfg.TickInterval)
+}
 
 // lastStart is when a held request is refused, as it would be late: a refusal before the aim costs less.
 func (b *Balancer) lastStart(r *request) Time {
-	till, tick := r.aimAt, min(2*b.cfg.Tick, b.cfg.Classes[r.class].Aim/4)
-	if len(r.tries) > 0 && b.cfg.Classes[r.class].LateShare > 0 {
+	till, tick := r.aimAt, min(2*b.cfg.TickInterval, b.cfg.Classes[r.class].LatencyObjective/4)
+	if len(r.tries) > 0 && b.cfg.Classes[r.class].LateValue > 0 {
 		till = r.deadline
 	}
 	last := till - max(Span(b.need(r)), tick)
@@ -386,7 +390,7 @@
 	clear(b.gains)
 	for _, r := range b.tenants[i].held {
 		if !r.done && r.held {
-			b.gains[r.class] = b.cfg.Classes[r.class].Worth / b.classes[r.class].mean
+			b.gains[r.class] = b.cfg.Classes[r.class].PriorityWeight / b.classes[r.class].mean
 		}
 	}
 	for c := b.draw(b.gains); c >= 0; c = b.draw(b.gains) {
@@ -432,11 +436,11 @@
 // ask probes the hosts drawn for a request, which waits for the slowest but not for ever.
 func (b *Balancer) ask(r *request) {
 	b.askedAt = cmp.Or(b.askedAt, b.now)
-	r.asked, r.askTill = b.now, b.now+max(Span(4*b.probeTook), 2*b.cfg.Tick)
+	r.asked, r.askTill = b.now, b.now+max(Span(4*b.probeTook), 2*b.cfg.TickInterval)
 	for _, h := range r.drawn {
-		b.act.Probe(h.ID)
+		b.act.CheckHealth(h.ID)
 	}
-	b.act.WakeAt(Token(r.id)*wakeKinds+wakeAsked, r.askTill-b.now)
+	b.act.SetTimer(TimerID(r.id)*wakeKinds+wakeAsked, r.askTill-b.now)
 }
 
 // ---- attempts and rules ----
@@ -445,7 +449,7 @@
 func (b *Balancer) allowed(r *request, h *host) bool {
 	n := len(r.tries)
 	justFailed := n > 0 && r.tries[n-1].host == h && len(b.hosts) > 1
-	if justFailed || (safety.Attempt{Had: n, Most: r.most, InFlight: r.open}).Check() != safety.Allowed {
+	if justFailed || (safety.Attempt{Made: n, Max: r.most, InFlight: r.open}).Check() != safety.Allowed {
 		return false
 	}
 	return b.maySend(r, h, r.tries) == safety.Allowed && b.coldRoom(h)
@@ -456,40 +460,40 @@
 	return safety.Send{
 		Now:         b.now,
 		Deadline:    r.deadline,
-		RequestOver: r.done || r.started,
+		RequestDone: r.done || r.started,
 		ListCurrent: b.lease.Valid(b.now),
 		Rules:       b.rules(r),
-		Earlier:     mayHaveRun(before),
-		To:          safety.Backend{InService: h.Phase == PhaseReady, Zone: h.Zone, Cell: h.Cell},
+		Prior:       mayHaveRun(before),
+		Backend:     safety.Backend{InService: h.Phase == PhaseReady, Zone: h.Zone, Cell: h.Cell},
 	}.Check()
 }
 
 // rules are those of a request's class. Of the window for repeats, some is kept for the way to the host.
 func (b *Balancer) rules(r *request) safety.Rules {
 	c := &b.cfg.Classes[r.class]
-	return safety.Rules{Effect: c.Effect, Scope: c.Scope, Window: c.Window, Spare: 2 * b.cfg.Tick}
+	return safety.Rules{Idempotency: c.Idempotency, KeyScope: c.KeyScope, Window: c.IdempotencyWindow, Margin: 2 * b.cfg.TickInterval}
 }
 
 // mayRepeat tells whether there is any place where a request may be sent once more without its effect
 // happening twice.
 func (b *Balancer) mayRepeat(r *request) bool {
-	return safety.Repeat(b.now, b.rules(r), mayHaveRun(r.tries), nil) == safety.Allowed
+	return safety.MayRetry(b.now, b.rules(r), mayHaveRun(r.tries), nil) == safety.Allowed
 }
 
-// MayBegin tells whether an attempt that has waited for its connection may begin, and if not, why: much may
+// MayStartAttempt tells whether an attempt that has waited for its connection may begin, and if not, why: much may
 // have changed.
-func (b *Balancer) MayBegin(now Time, id ReqID, attempt int) safety.Reason {
+func (b *Balancer) MayStartAttempt(now Time, id RequestID, attempt int) safety.Reason {
 	b.now = now
 	r := b.reqs[id]
 	if r == nil || attempt >= len(r.tries) {
-		return safety.RequestOver
+		return safety.RequestDone
 	}
 	return b.maySend(r, r.tries[attempt].host, r.tries[:attempt])
 }
 
 // mayDecline tells whether a refusal, which promises that a repeat does no harm, would be true.
 func (b *Balancer) mayDecline(r *request) bool {
-	return safety.Refuse(b.rules(r), mayHaveRun(r.tries)) == safety.Allowed
+	return safety.MayReject(b.rules(r), mayHaveRun(r.tries)) == safety.Allowed
 }
 
 // send is the only way to Try.
@@ -505,12 +509,12 @@
 		b.triedAt = b.now
 	}
 	r.tries = append(r.tries, attempt{h, h.Zone, h.Cell, b.now, true, true, f})
-	b.book(r, h, 1, Settlement{})
+	b.book(r, h, 1, AttemptResult{})
 	h.tokens--
 	if h.report.Outstanding >= 0 {
 		h.report.Outstanding++
 	}
-	b.act.Try(r.id, h.ID, 0)
+	b.act.SendAttempt(r.id, h.ID, 0)
 	return true
 }
 
@@ -520,7 +524,7 @@
 	case r.done:
 		return
 	case b.mayDecline(r):
-		b.act.Decline(r.id, b.cfg.MaxRetryAfter)
+		b.act.Reject(r.id, b.cfg.MaxRetryAfter)
 	default:
 		b.act.Fail(r.id)
 	}
@@ -534,8 +538,8 @@
 	b.forget(r)
 }
 
-// Gone is a client that left, or a request whose time ran out: nothing more is owed for it.
-func (b *Balancer) Gone(now Time, id ReqID) {
+// HandleCancellation is a client that left, or a request whose time ran out: nothing more is owed for it.
+func (b *Balancer) HandleCancellation(now Time, id RequestID) {
 	b.now = now
 	r := b.reqs[id]
 	if r == nil {
@@ -543,8 +547,8 @@
 	}
 	b.finish(r)
 	for i := range r.tries {
-		if r.tries[i].open && b.cfg.MayCancel {
-			b.act.Cancel(id, i)
+		if r.tries[i].open && b.cfg.AllowCancel {
+			b.act.CancelAttempt(id, i)
 		}
 	}
 	b.release()
@@ -575,28 +579,28 @@
 // hundreds of gateways would save them up, and spend them in one moment. So all together keep the budget.
 func (b *Balancer) coldRoom(h *host) bool {
 	warmth := b.warmth(h)
-	if warmth == 1 || b.cfg.ColdMultiple <= 0 || b.cfg.ColdWindow <= 0 {
+	if warmth == 1 || b.cfg.OverloadFactor <= 0 || b.cfg.OverloadWindow <= 0 {
 		return true
 	}
 	rate := b.coldRate(h, warmth)
 	h.tokens, h.tokensAt = h.tokens+rate*float64(b.now-h.tokensAt), b.now
-	h.tokens -= max(math.Ceil(h.tokens-1-rate*coldBurst*float64(b.cfg.ColdWindow)), 0)
+	h.tokens -= max(math.Ceil(h.tokens-1-rate*coldBurst*float64(b.cfg.OverloadWindow)), 0)
 	return h.tokens >= 1
 }
 
 // learn takes one outcome into the host's limit and health and the class's latency.
-func (b *Balancer) learn(h *host, class int, s Settlement) {
+func (b *Balancer) learn(h *host, class int, s AttemptResult) {
 	c := &b.classes[class]
-	took := float64(s.Took)
-	target := c.base * math.Pow(float64(b.cfg.Classes[class].Aim)/c.base, targetPart) / b.warmth(h)
+	took := float64(s.Latency)
+	target := c.base * math.Pow(float64(b.cfg.Classes[class].LatencyObjective)/c.base, targetPart) / b.warmth(h)
 	switch s.Outcome {
-	case HostError, Reset: // how soon it came says nothing of work done: latency and limits learn nothing
+	case OutcomeServerError, OutcomeReset: // how soon it came says nothing of work done: latency and limits learn nothing
 		h.answered = b.now
 		if h.bad += badGain * (1 - h.bad); h.bad > badOut+badUsual*b.usualBad {
 			b.eject(h)
 		}
 		return
-	case OK:
+	case OutcomeOK:
 		h.fails, h.answered = 0, b.now
 		if h.bad -= badGain * h.bad; h.bad < badSuspect {
 			h.outs = 0
@@ -605,13 +609,13 @@
 		c.n++
 		c.mean += latencyGain * (took - c.mean)
 		b.answers += math.Floor(b.warmth(h))
-	case Full:
+	case OutcomeRejected:
 		h.answered, took = b.now, 3*target    // turned away: as late as can be
 		if h.fails++; h.fails >= ejectAfter { // it came at once, so the next would follow at once
 			b.eject(h)
 		}
-	case ConnectFailed, TimedOut, Cancelled:
-		cut := s.Outcome == Cancelled || s.Outcome == TimedOut
+	case OutcomeConnectFailed, OutcomeTimeout, OutcomeCanceled:
+		cut := s.Outcome == OutcomeCanceled || s.Outcome == OutcomeTimeout
 		if cut && took < target { // cut short before it was late, it proves nothing
 			return
 		}
@@ -626,10 +630,10 @@
 	// A standing queue slows a host for all and may choke it: latency is kept between uncongested and aim.
 	excess := min(took/target, 3) - 1
 	u := h.report.Utilization
-	told := s.Outcome == OK && u >= 0 && b.now-h.reportAt < reportFresh*b.period
+	told := s.Outcome == OutcomeOK && u >= 0 && b.now-h.reportAt < reportFresh*b.period
 	if told { // what the host says of all its work tells more than how long one answer took
 		excess = min(max((u-busyFull)/(1-busyFull), -1), 1) + min(max(h.report.Backlog, 0), 1)
-	} else if s.Outcome != OK {
+	} else if s.Outcome != OutcomeOK {
 		excess *= cutWorth
 	}
 	// With few answers a host, they speak for the others too: what is learned is pooled.
@@ -669,32 +673,34 @@
 
 // ---- discovery ----
 
-// Members is news about the list of hosts that holds as of now.
-func (b *Balancer) Members(now Time, kind ListKind, list []Host) { b.MembersAsOf(now, now, kind, list) }
+// HandleEndpoints is news about the list of hosts that holds as of now.
+func (b *Balancer) HandleEndpoints(now Time, kind ListKind, list []Endpoint) {
+	b.HandleEndpointsAsOf(now, now, kind, list)
+}
 
-// MembersAsOf is news about the list of hosts, or a call that has failed. It was current, or nothing newer
+// HandleEndpointsAsOf is news about the list of hosts, or a call that has failed. It was current, or nothing newer
 // could be had, at asOf.
-func (b *Balancer) MembersAsOf(now, asOf Time, kind ListKind, list []Host) {
+func (b *Balancer) HandleEndpointsAsOf(now, asOf Time, kind ListKind, list []Endpoint) {
 	b.now = now
 	if !b.begun {
-		b.begun, b.controlAt, b.watching = true, now, !b.cfg.AskDiscovery
-		b.busy = limitFirst * float64(len(list)) / float64(max(b.cfg.Peers, 1))
+		b.begun, b.controlAt, b.watching = true, now, !b.cfg.PollDiscovery
+		b.busy = limitFirst * float64(len(list)) / float64(max(b.cfg.PeerCount, 1))
 		b.lease = staleness.New(now, b.cfg.ListLease)
-		b.act.WakeAt(wakeControl, b.period)
-		b.act.WakeAt(wakeAsk, Span(b.random()*b.firstCallWithin()))
+		b.act.SetTimer(wakeControl, b.period)
+		b.act.SetTimer(wakeAsk, Span(b.random()*b.firstCallWithin()))
 	}
 	b.noteEvidence(kind, asOf)
 	switch kind {
-	case ListFailed, ListSilent, ListBusy:
+	case ListFailed, ListTimeout, ListOverloaded:
 		b.watching = false
 		b.log("discovery: lost")
-		told := float64(ToldWithin)
+		told := float64(NotificationDeadline)
 		busy := max(askLatest*told, b.askSpread()) // sooner, all would stand in line for nothing
 		if b.lease.Bounded() {
 			busy = askLatest * told // later, the list would be too old to send by
 		}
-		most := map[ListKind]float64{ListFailed: askLatest * told, ListSilent: askAnew * told,
-			ListBusy: busy}[kind]
+		most := map[ListKind]float64{ListFailed: askLatest * told, ListTimeout: askAnew * told,
+			ListOverloaded: busy}[kind]
 		b.askAgain(min(max(float64(b.period)/4, b.askSpread())*math.Exp2(float64(b.askFails)), most))
 		b.askFails = min(b.askFails+1, ejectMost)
 		b.release() // what waited for word of the list
@@ -708,7 +714,7 @@
 		// Taken to be like the others. Its first turn is at a time of our own: hundreds hear of it together.
 		h.limit, h.fails, h.outTill, h.bad, h.outs = b.typical*b.part(h), 0, 0, 0, 0
 		h.slow, h.cores = 1, 0
-		h.rank = mix(cmp.Or(h.Key, uint64(h.ID)))
+		h.rank = mix(cmp.Or(h.StableKey, uint64(h.ID)))
 		h.tokens, h.tokensAt, h.answered = b.phase(h), b.now, b.now
 	}
 	b.sort()
@@ -721,27 +727,27 @@
 func (b *Balancer) noteEvidence(kind ListKind, asOf Time) {
 	switch kind {
 	case ListDelta, ListFull:
-		b.lease.Note(staleness.Answered, asOf)
-	case ListFailed, ListBusy:
-		b.lease.Note(staleness.Refused, asOf)
-	case ListSilent:
-		b.lease.Note(staleness.Silent, asOf)
+		b.lease.Record(staleness.Answered, asOf)
+	case ListFailed, ListOverloaded:
+		b.lease.Record(staleness.Rejected, asOf)
+	case ListTimeout:
+		b.lease.Record(staleness.NoAnswer, asOf)
 	}
 }
 
 // firstCallWithin is the time over which gateways that start together spread their first calls to discovery.
 // Where nothing is sent before the answer, it is short.
 func (b *Balancer) firstCallWithin() float64 {
-	within := min(b.askSpread(), askFirst*float64(b.cfg.AskEvery))
+	within := min(b.askSpread(), askFirst*float64(b.cfg.PollInterval))
 	if b.lease.Bounded() {
-		within = min(within, askFirstLeased*float64(ToldWithin))
+		within = min(within, askFirstLeased*float64(NotificationDeadline))
 	}
 	return within
 }
 
-// ListMustBeHeardAnew ends the lease of the list at a time at the latest, as after a move of discovery: what
+// ExpireListAt ends the lease of the list at a time at the latest, as after a move of discovery: what
 // was heard before says nothing of the list there.
-func (b *Balancer) ListMustBeHeardAnew(now, at Time) {
+func (b *Balancer) ExpireListAt(now, at Time) {
 	b.now = now
 	b.lease.Shorten(at)
 }
@@ -753,6 +759,6 @@
 
 // askAgain sets the next call to discovery, at a chance moment so that gateways do not call together.
 func (b *Balancer) askAgain(after float64) {
-	b.askAt = b.now + b.cfg.Tick + Span(after*(0.25+0.75*b.random()))
-	b.act.WakeAt(wakeAsk, b.askAt-b.now)
+	b.askAt = b.now + b.cfg.TickInterval + Span(after*(0.25+0.75*b.random()))
+	b.act.SetTimer(wakeAsk, b.askAt-b.now)
 }
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -16,49 +16,49 @@
 	b      *Balancer
 	now    Time
 	log    []string // every action, in order
-	tries  map[ReqID][]HostID
-	final  map[ReqID]string
+	tries  map[RequestID][]EndpointID
+	final  map[RequestID]string
 	wakes  []wake
 	lines  int
 	asked  int
-	probes []HostID
+	probes []EndpointID
 
-	seenTry  map[ReqID]bool
+	seenTry  map[RequestID]bool
 	firstAsk Time
 }
 
 type wake struct {
 	at    Time
-	token Token
+	token TimerID
 }
 
 func (g *gateway) note(f string, a ...any) { g.log = append(g.log, fmt.Sprintf(f, a...)) }
-func (g *gateway) Try(id ReqID, h HostID, _ Span) {
+func (g *gateway) SendAttempt(id RequestID, h EndpointID, _ Span) {
 	if g.final[id] != "" {
 		g.t.Errorf("Try for %d after its final answer", id)
 	}
 	g.tries[id] = append(g.tries[id], h)
 	g.note("try %d %d", id, h)
 }
-func (g *gateway) Cancel(id ReqID, n int) { g.note("cancel %d %d", id, n) }
-func (g *gateway) finish(id ReqID, how string) {
+func (g *gateway) CancelAttempt(id RequestID, n int) { g.note("cancel %d %d", id, n) }
+func (g *gateway) finish(id RequestID, how string) {
 	if g.final[id] != "" {
 		g.t.Errorf("second final answer for %d", id)
 	}
 	g.final[id] = how
 	g.note("%s %d", how, id)
 }
-func (g *gateway) Decline(id ReqID, _ Span) { g.finish(id, "decline") }
-func (g *gateway) Fail(id ReqID)            { g.finish(id, "fail") }
-func (g *gateway) Probe(h HostID)           { g.probes = append(g.probes, h) }
-func (g *gateway) WakeAt(t Token, d Span)   { g.wakes = append(g.wakes, wake{g.now + max(d, 1), t}) }
-func (g *gateway) Observe(bool) {
+func (g *gateway) Reject(id RequestID, _ Span) { g.finish(id, "decline") }
+func (g *gateway) Fail(id RequestID)           { g.finish(id, "fail") }
+func (g *gateway) CheckHealth(h EndpointID)    { g.probes = append(g.probes, h) }
+func (g *gateway) SetTimer(t TimerID, d Span)  { g.wakes = append(g.wakes, wake{g.now + max(d, 1), t}) }
+func (g *gateway) WatchEndpoints(bool) {
 	if g.asked++; g.asked == 1 {
 		g.firstAsk = g.now
 	}
 }
-func (g *gateway) Fetch()       {}
-func (g *gateway) Log(s string) { g.lines++; g.note("log %s", s) }
+func (g *gateway) PollEndpoints() {}
+func (g *gateway) Log(s string)   { g.lines++; g.note("log %s", s) }
 
 // run moves time on by d, firing timers in order.
 func (g *gateway) run(d Span) {
@@ -76,18 +76,18 @@
 		w := g.wakes[next]
 		g.wakes = append(g.wakes[:next], g.wakes[next+1:]...)
 		g.now = max(g.now, w.at)
-		g.b.Wake(g.now, w.token)
+		g.b.HandleTimer(g.now, w.token)
 	}
 	g.now = till
 }
 
-func (g *gateway) request(id ReqID, class, tenant int) {
-	g.b.Request(g.now, Arrival{ID: id, Class: class, Tenant: tenant, Deadline: g.now + g.b.cfg.Classes[class].Deadline})
+func (g *gateway) request(id RequestID, class, tenant int) {
+	g.b.HandleRequest(g.now, Request{ID: id, Class: class, Tenant: tenant, Deadline: g.now + g.b.cfg.Classes[class].Deadline})
 }
 
-func (g *gateway) settle(id ReqID, n int, out Outcome) {
-	g.b.Settled(g.now, Settlement{ID: id, Attempt: n, Host: g.tries[id][n], Outcome: out, Took: ms, Closed: out == OK})
-	if out == OK && g.final[id] == "" {
+func (g *gateway) settle(id RequestID, n int, out Outcome) {
+	g.b.HandleAttemptResult(g.now, AttemptResult{ID: id, Attempt: n, Endpoint: g.tries[id][n], Outcome: out, Latency: ms, RequestDone: out == OutcomeOK})
+	if out == OutcomeOK && g.final[id] == "" {
 		g.final[id] = "served"
 	}
 }
@@ -95,45 +95,45 @@
 const ms = 1000
 
 func settings() Config {
-	return Config{Peers: 1, MaxAttempts: 4, MayCancel: true, Tick: ms, AskEvery: 10000 * ms,
+	return Config{PeerCount: 1, MaxAttempts: 4, AllowCancel: true, TickInterval: ms, PollInterval: 10000 * ms,
 		Classes: []Class{
-			{Aim: 200 * ms, Deadline: 500 * ms, Effect: Repeatable},
-			{Aim: 200 * ms, Deadline: 500 * ms, Effect: Once, Window: 5000 * ms},
-			{Aim: 400 * ms, Deadline: 900 * ms, Effect: ByKey, Scope: ScopeAll, Window: 100 * ms},
-			{Aim: 400 * ms, Deadline: 900 * ms, Effect: ByKey, Scope: ScopeZone, Window: 100 * ms},
-			{Aim: 400 * ms, Deadline: 900 * ms, Effect: ByKey, Scope: ScopeCell, Window: 100 * ms},
-			{Aim: 200 * ms, Deadline: 500 * ms, Effect: Once, LateShare: 0.3},
+			{LatencyObjective: 200 * ms, Deadline: 500 * ms, Idempotency: Idempotent},
+			{LatencyObjective: 200 * ms, Deadline: 500 * ms, Idempotency: NonIdempotent, IdempotencyWindow: 5000 * ms},
+			{LatencyObjective: 400 * ms, Deadline: 900 * ms, Idempotency: IdempotentByKey, KeyScope: ScopeAll, IdempotencyWindow: 100 * ms},
+			{LatencyObjective: 400 * ms, Deadline: 900 * ms, Idempotency: IdempotentByKey, KeyScope: ScopeZone, IdempotencyWindow: 100 * ms},
+			{LatencyObjective: 400 * ms, Deadline: 900 * ms, Idempotency: IdempotentByKey, KeyScope: ScopeCell, IdempotencyWindow: 100 * ms},
+			{LatencyObjective: 200 * ms, Deadline: 500 * ms, Idempotency: NonIdempotent, LateValue: 0.3},
 		},
-		ColdFrom: 0.1, ColdRamp: 20000 * ms, ColdMultiple: 3, ColdWindow: 2000 * ms}
+		SlowStartInitial: 0.1, SlowStartDuration: 20000 * ms, OverloadFactor: 3, OverloadWindow: 2000 * ms}
 }
 
-func start(t *testing.T, cfg Config, hosts ...Host) *gateway {
+func start(t *testing.T, cfg Config, hosts ...Endpoint) *gateway {
 	t.Helper()
 	return startSeed(t, 7, cfg, hosts...)
 }
 
-func startSeed(t *testing.T, seed uint64, cfg Config, hosts ...Host) *gateway {
+func startSeed(t *testing.T, seed uint64, cfg Config, hosts ...Endpoint) *gateway {
 	t.Helper()
-	g := &gateway{t: t, now: 1e9, tries: map[ReqID][]HostID{}, final: map[ReqID]string{}, seenTry: map[ReqID]bool{}}
+	g := &gateway{t: t, now: 1e9, tries: map[RequestID][]EndpointID{}, final: map[RequestID]string{}, seenTry: map[RequestID]bool{}}
 	b, err := New(cfg, seed, g)
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.b = b
-	b.Members(g.now, ListCached, hosts)
+	b.HandleEndpoints(g.now, ListCached, hosts)
 	g.run(ms)
 	return g
 }
 
-func hosts(n int) []Host {
-	var out []Host
+func hosts(n int) []Endpoint {
+	var out []Endpoint
 	for i := range n {
-		out = append(out, Host{ID: HostID(i + 1), Phase: PhaseReady, Zone: i % 2, Cell: i % 3, Weight: 1})
+		out = append(out, Endpoint{ID: EndpointID(i + 1), Phase: PhaseReady, Zone: i % 2, Cell: i % 3, Weight: 1})
 	}
 	return out
 }
 
-func wantFinal(t *testing.T, g *gateway, id ReqID, how string) {
+func wantFinal(t *testing.T, g *gateway, id RequestID, how string) {
 	t.Helper()
 	if g.final[id] != how {
 		t.Errorf("request %d: final answer %q, want %q", id, g.final[id], how)
@@ -146,11 +146,11 @@
 	for class := range settings().Classes {
 		for _, n := range []int{0, 3} { // no host at all, and hosts that never answer
 			g := start(t, settings(), hosts(n)...)
-			for id := ReqID(1); id <= 100; id++ {
+			for id := RequestID(1); id <= 100; id++ {
 				g.request(id, class, 0)
 			}
 			g.run(g.b.cfg.Classes[class].Deadline)
-			for id := ReqID(1); id <= 100; id++ {
+			for id := RequestID(1); id <= 100; id++ {
 				if g.final[id] == "" {
 					t.Fatalf("class %d, %d hosts: request %d has no answer at its deadline", class, n, id)
 				}
@@ -162,7 +162,7 @@
 func TestNothingFollowsTheEnd(t *testing.T) {
 	// Each interleaving of outcome, timers, the client leaving and a late outcome; the fake fails the test on
 	// a second answer or a Try after it.
-	for _, first := range []Outcome{OK, HostError, Full, TimedOut, ConnectFailed, Reset, Cancelled, Moot} {
+	for _, first := range []Outcome{OutcomeOK, OutcomeServerError, OutcomeRejected, OutcomeTimeout, OutcomeConnectFailed, OutcomeReset, OutcomeCanceled, OutcomeNotSent} {
 		for _, order := range []string{"outcome-gone", "gone-outcome", "timer-outcome", "outcome-timer", "outcome-outcome"} {
 			for class := range settings().Classes {
 				g := start(t, settings(), hosts(4)...)
@@ -172,7 +172,7 @@
 					case "outcome":
 						g.settle(1, len(g.tries[1])-1, first)
 					case "gone":
-						g.b.Gone(g.now, 1)
+						g.b.HandleCancellation(g.now, 1)
 						if g.final[1] == "" {
 							g.final[1] = "gone"
 						}
@@ -204,7 +204,7 @@
 	for _, over := range []bool{false, true} {
 		g := start(t, settings())
 		g.b.over = over
-		g.b.Request(g.now, Arrival{ID: 1, Class: 0, Deadline: g.now + 220*ms}) // aim 200 ms, mean 50
+		g.b.HandleRequest(g.now, Request{ID: 1, Class: 0, Deadline: g.now + 220*ms}) // aim 200 ms, mean 50
 		g.run(105 * ms)
 		wantFinal(t, g, 1, "")
 		g.run(20 * ms) // within a beat
@@ -214,7 +214,7 @@
 
 func TestClientInAHurryIsAnsweredFirst(t *testing.T) {
 	g := start(t, settings())
-	g.b.Request(g.now, Arrival{ID: 1, Class: 5, Deadline: g.now + 20*ms})
+	g.b.HandleRequest(g.now, Request{ID: 1, Class: 5, Deadline: g.now + 20*ms})
 	g.run(20 * ms)
 	wantFinal(t, g, 1, "decline")
 }
@@ -231,7 +231,7 @@
 		t.Errorf("%d at the host, log %v; want 1 and no cancel", h.out.n, g.log)
 	}
 	limit := h.limit
-	g.b.Settled(g.now, Settlement{ID: 1, Host: h.ID, Outcome: OK, Took: 200 * ms, Closed: true})
+	g.b.HandleAttemptResult(g.now, AttemptResult{ID: 1, Endpoint: h.ID, Outcome: OutcomeOK, Latency: 200 * ms, RequestDone: true})
 	if h.out.n != 0 || h.limit >= limit || len(g.b.reqs) != 0 {
 		t.Errorf("%d at the host after its end, limit %g of %g, %d requests", h.out.n, h.limit, limit, len(g.b.reqs))
 	}
@@ -241,7 +241,7 @@
 	g := start(t, settings(), hosts(3)...)
 	g.request(1, 0, 0)
 	r := g.b.reqs[1]
-	g.b.Gone(g.now, 1)
+	g.b.HandleCancellation(g.now, 1)
 	g.final[1] = "gone"
 	g.b.end(r) // a second answer fails the test in the fake
 	if g.b.send(r, g.b.hosts[0]) {
@@ -266,10 +266,10 @@
 func TestStreamHasNoDeadline(t *testing.T) {
 	g := start(t, settings(), hosts(3)...)
 	g.request(1, 0, 0)
-	g.b.Streaming(g.now, 1)
+	g.b.HandleResponseStart(g.now, 1)
 	g.run(2000 * ms)
 	wantFinal(t, g, 1, "")
-	g.settle(1, 0, OK)
+	g.settle(1, 0, OutcomeOK)
 	if len(g.b.reqs) != 0 {
 		t.Error("the request is still kept")
 	}
@@ -278,21 +278,21 @@
 // ---- rule 2: no effect twice ----
 
 func TestRepeatsByOutcome(t *testing.T) {
-	for _, out := range []Outcome{HostError, Full, TimedOut, ConnectFailed, Reset, Cancelled, Moot} {
-		proven := out == Full || out == ConnectFailed || out == Moot
+	for _, out := range []Outcome{OutcomeServerError, OutcomeRejected, OutcomeTimeout, OutcomeConnectFailed, OutcomeReset, OutcomeCanceled, OutcomeNotSent} {
+		proven := out == OutcomeRejected || out == OutcomeConnectFailed || out == OutcomeNotSent
 		for class, c := range settings().Classes {
 			g := start(t, settings(), hosts(6)...)
 			g.request(1, class, 0)
 			g.settle(1, 0, out)
 			again := len(g.tries[1]) > 1
-			if c.Effect == Once && again != proven {
+			if c.Idempotency == NonIdempotent && again != proven {
 				t.Errorf("once after %d: tried again %v, want %v", out, again, proven)
 			}
-			if c.Effect == Repeatable && !again {
+			if c.Idempotency == Idempotent && !again {
 				t.Errorf("repeatable after %d: not tried again", out)
 			}
 			g.run(c.Deadline)
-			harmless := c.Effect == Repeatable || c.Effect == ByKey && c.Scope == ScopeAll
+			harmless := c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll
 			if !harmless && g.final[1] == "decline" && (again || !proven) {
 				t.Errorf("class %d after %d: refused though it may have run", class, out)
 			}
@@ -306,7 +306,7 @@
 			list := hosts(6)
 			g := start(t, settings(), list...)
 			g.request(1, class, 0)
-			g.settle(1, 0, Reset)
+			g.settle(1, 0, OutcomeReset)
 			if len(g.tries[1]) < 2 {
 				t.Fatal("not tried again")
 			}
@@ -322,7 +322,7 @@
 	list := hosts(2) // two zones of one host
 	g := start(t, settings(), list...)
 	g.request(1, 3, 0)
-	g.settle(1, 0, ConnectFailed)
+	g.settle(1, 0, OutcomeConnectFailed)
 	if len(g.tries[1]) != 2 || g.tries[1][0] == g.tries[1][1] {
 		t.Errorf("tries %v, want one on each host", g.tries[1])
 	}
@@ -332,7 +332,7 @@
 	g := start(t, settings(), hosts(6)...)
 	g.request(1, 2, 0)
 	g.run(99 * ms)
-	g.settle(1, 0, Reset)
+	g.settle(1, 0, OutcomeReset)
 	if len(g.tries[1]) != 1 {
 		t.Error("sent again at the end of the window")
 	}
@@ -343,9 +343,9 @@
 	g := start(t, settings(), hosts(6)...)
 	g.request(1, 2, 0)
 	g.run(90 * ms)
-	g.settle(1, 0, Full) // never ran: starts no window
+	g.settle(1, 0, OutcomeRejected) // never ran: starts no window
 	g.run(90 * ms)
-	g.settle(1, 1, Reset)
+	g.settle(1, 1, OutcomeReset)
 	if len(g.tries[1]) != 3 {
 		t.Errorf("%d tries, want 3", len(g.tries[1]))
 	}
@@ -355,7 +355,7 @@
 	g := start(t, settings(), hosts(8)...)
 	g.request(1, 1, 0)
 	for i := 0; i < len(g.tries[1]); i++ {
-		g.settle(1, i, Full)
+		g.settle(1, i, OutcomeRejected)
 	}
 	if len(g.tries[1]) != 4 {
 		t.Errorf("%d tries, want MaxAttempts", len(g.tries[1]))
@@ -371,13 +371,13 @@
 		case "draining", "gone":
 			list[0].Phase = PhaseDraining
 			if how == "gone" {
-				list[0].Phase = PhaseGone
+				list[0].Phase = PhaseRemoved
 			}
-			g.b.Members(g.now, ListDelta, list[:1])
+			g.b.HandleEndpoints(g.now, ListDelta, list[:1])
 		case "left off":
-			g.b.Members(g.now, ListFull, list[1:])
+			g.b.HandleEndpoints(g.now, ListFull, list[1:])
 		}
-		for id := ReqID(1); id <= 60; id++ {
+		for id := RequestID(1); id <= 60; id++ {
 			g.request(id, 0, 0)
 			for _, h := range g.tries[id] {
 				if h == 1 {
@@ -386,20 +386,20 @@
 			}
 			g.run(10 * ms)
 			if len(g.tries[id]) > 0 {
-				g.settle(id, 0, OK)
+				g.settle(id, 0, OutcomeOK)
 			}
 		}
-		list[0].Phase, list[0].Started = PhaseReady, 5 // it comes back, started long ago
-		g.b.Members(g.now, ListDelta, list[:1])
+		list[0].Phase, list[0].StartedAt = PhaseReady, 5 // it comes back, started long ago
+		g.b.HandleEndpoints(g.now, ListDelta, list[:1])
 		back := false
-		for id := ReqID(101); id <= 160; id++ {
+		for id := RequestID(101); id <= 160; id++ {
 			g.request(id, 0, 0)
 			for _, h := range g.tries[id] {
 				back = back || h == 1
 			}
 			g.run(10 * ms)
 			if len(g.tries[id]) > 0 {
-				g.settle(id, 0, OK)
+				g.settle(id, 0, OutcomeOK)
 			}
 		}
 		if !back {
@@ -409,7 +409,7 @@
 }
 
 func TestADrainingHostIsNoLastResort(t *testing.T) {
-	g := start(t, settings(), Host{ID: 1, Phase: PhaseDraining})
+	g := start(t, settings(), Endpoint{ID: 1, Phase: PhaseDraining})
 	g.request(1, 0, 0)
 	g.run(1000 * ms)
 	if len(g.tries[1]) != 0 {
@@ -420,8 +420,8 @@
 // ---- rule 4: cold hosts ----
 
 // coldSent drives quick answers and counts what each host got in the window after cold ones came.
-func coldSent(g *gateway, from ReqID) map[HostID]int {
-	sent := map[HostID]int{}
+func coldSent(g *gateway, from RequestID) map[EndpointID]int {
+	sent := map[EndpointID]int{}
 	for id := from; id < from+2000; id++ { // a request each millisecond: two windows
 		g.request(id, 0, 0)
 		for i := 0; i < len(g.tries[id]); i++ {
@@ -431,7 +431,7 @@
 		}
 		g.run(ms)
 		if len(g.tries[id]) > 0 && g.final[id] == "" {
-			g.settle(id, 0, OK)
+			g.settle(id, 0, OutcomeOK)
 		}
 	}
 	return sent
@@ -444,12 +444,12 @@
 		warm := coldSent(g, 1)
 		cold := list[:1]
 		if how == "new" {
-			cold = []Host{{ID: 99, Phase: PhaseReady}}
+			cold = []Endpoint{{ID: 99, Phase: PhaseReady}}
 		}
-		cold[0].Started = g.now
-		g.b.Members(g.now, ListDelta, cold)
+		cold[0].StartedAt = g.now
+		g.b.HandleEndpoints(g.now, ListDelta, cold)
 		got := coldSent(g, 10001)[cold[0].ID]
-		for from := ReqID(20001); got == 0 && from < 50000; from += 10000 { // it is seldom drawn at first
+		for from := RequestID(20001); got == 0 && from < 50000; from += 10000 { // it is seldom drawn at first
 			got = coldSent(g, from)[cold[0].ID]
 		}
 		// In a window of 2 s, at most the multiple of what the host can do by the window's end.
@@ -463,7 +463,7 @@
 func TestAWholeColdFleetIsUsedSparingly(t *testing.T) {
 	list := hosts(4)
 	for i := range list {
-		list[i].Started = 1e9
+		list[i].StartedAt = 1e9
 	}
 	g := start(t, settings(), list...)
 	for h, n := range coldSent(g, 1) {
@@ -479,40 +479,44 @@
 func TestAttemptThatWaitedIsLookedAtAgain(t *testing.T) {
 	// Guards: between the decision for an attempt and its first byte lies the time of a connection, in which its host may begin to drain, the
 	// window for repeats end, its client leave; it was sent all the same.
-	keyed := Class{Aim: 200 * ms, Deadline: 5000 * ms, Effect: ByKey, Window: 1000 * ms}
+	keyed := Class{LatencyObjective: 200 * ms, Deadline: 5000 * ms, Idempotency: IdempotentByKey, IdempotencyWindow: 1000 * ms}
 	for name, c := range map[string]struct {
 		class Class
 		ran   bool // an attempt before it may have run
 		since func(g *gateway)
 		want  bool
 	}{
-		"nothing":                    {keyed, false, func(*gateway) {}, true},
-		"its host drains":            {keyed, false, func(g *gateway) { g.b.Members(g.now, ListDelta, []Host{{ID: g.tries[1][0], Phase: PhaseDraining}}) }, false},
-		"its host is gone":           {keyed, false, func(g *gateway) { g.b.Members(g.now, ListDelta, []Host{{ID: g.tries[1][0], Phase: PhaseGone}}) }, false},
-		"its host left off":          {keyed, false, func(g *gateway) { g.b.Members(g.now, ListFull, []Host{{ID: 99, Phase: PhaseReady}}) }, false},
-		"its client left":            {keyed, false, func(g *gateway) { g.b.Gone(g.now, 1) }, false},
+		"nothing": {keyed, false, func(*gateway) {}, true},
+		"its host drains": {keyed, false, func(g *gateway) {
+			g.b.HandleEndpoints(g.now, ListDelta, []Endpoint{{ID: g.tries[1][0], Phase: PhaseDraining}})
+		}, false},
+		"its host is gone": {keyed, false, func(g *gateway) {
+			g.b.HandleEndpoints(g.now, ListDelta, []Endpoint{{ID: g.tries[1][0], Phase: PhaseRemoved}})
+		}, false},
+		"its host left off":          {keyed, false, func(g *gateway) { g.b.HandleEndpoints(g.now, ListFull, []Endpoint{{ID: 99, Phase: PhaseReady}}) }, false},
+		"its client left":            {keyed, false, func(g *gateway) { g.b.HandleCancellation(g.now, 1) }, false},
 		"its deadline":               {keyed, false, func(g *gateway) { g.now += 5000 * ms }, false},
 		"the window, none ran":       {keyed, false, func(g *gateway) { g.now += 1200 * ms }, true},
 		"within the window":          {keyed, true, func(g *gateway) { g.now += 100 * ms }, true},
 		"the window":                 {keyed, true, func(g *gateway) { g.now += 1200 * ms }, false},
-		"a first one that runs once": {Class{Aim: 200 * ms, Deadline: 5000 * ms, Effect: Once}, false, func(*gateway) {}, true},
+		"a first one that runs once": {Class{LatencyObjective: 200 * ms, Deadline: 5000 * ms, Idempotency: NonIdempotent}, false, func(*gateway) {}, true},
 	} {
 		cfg := settings()
 		cfg.Classes = []Class{c.class}
 		g := start(t, cfg, hosts(3)...)
 		g.request(1, 0, 0)
 		if c.ran {
-			g.settle(1, 0, Reset)
+			g.settle(1, 0, OutcomeReset)
 		}
 		if n := len(g.tries[1]); n == 0 || c.ran && n != 2 {
 			t.Fatalf("%s: %d attempts", name, n)
 		}
 		c.since(g)
-		if got := g.b.MayBegin(g.now, 1, len(g.tries[1])-1); (got == safety.Allowed) != c.want {
+		if got := g.b.MayStartAttempt(g.now, 1, len(g.tries[1])-1); (got == safety.Allowed) != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
-	if start(t, settings(), hosts(1)...).b.MayBegin(0, 7, 0) == safety.Allowed {
+	if start(t, settings(), hosts(1)...).b.MayStartAttempt(0, 7, 0) == safety.Allowed {
 		t.Error("an attempt that never was")
 	}
 }
@@ -521,31 +525,31 @@
 
 func TestDiscoveryIsAskedUntilItAnswers(t *testing.T) {
 	cfg := settings()
-	cfg.AskDiscovery = true
+	cfg.PollDiscovery = true
 	g := start(t, cfg, hosts(2)...)
 	if g.asked != 1 {
 		t.Fatalf("asked %d times at start", g.asked)
 	}
-	g.run(cfg.AskEvery / 2)
+	g.run(cfg.PollInterval / 2)
 	if g.asked < 2 {
 		t.Error("a call without any answer was not repeated")
 	}
 	before := g.asked
 	for range 5 {
-		g.b.Members(g.now, ListFailed, nil)
-		g.run(cfg.AskEvery / 2)
+		g.b.HandleEndpoints(g.now, ListFailed, nil)
+		g.run(cfg.PollInterval / 2)
 	}
 	if n := g.asked - before; n < 5 || n > 15 {
 		t.Errorf("%d calls for 5 failures", n)
 	}
-	g.b.Members(g.now, ListFull, hosts(2))
+	g.b.HandleEndpoints(g.now, ListFull, hosts(2))
 	before = g.asked
-	g.run(10 * cfg.AskEvery)
+	g.run(10 * cfg.PollInterval)
 	if g.asked != before {
 		t.Error("asked again while subscribed")
 	}
-	g.b.Members(g.now, ListFailed, nil) // the subscription dropped
-	g.run(cfg.AskEvery / 4)
+	g.b.HandleEndpoints(g.now, ListFailed, nil) // the subscription dropped
+	g.run(cfg.PollInterval / 4)
 	if g.asked == before {
 		t.Error("a dropped subscription was not renewed")
 	}
@@ -560,19 +564,19 @@
 	// over the time that discovery needs for all; hosts that drained got requests meanwhile (join+mass, 664 in one day).
 	for _, peers := range []int{3, 300, 1024} {
 		cfg := settings()
-		cfg.AskDiscovery, cfg.Peers = true, peers
+		cfg.PollDiscovery, cfg.PeerCount = true, peers
 		for seed := range uint64(20) {
 			g := startSeed(t, seed, cfg, hosts(2)...)
-			g.run(cfg.AskEvery)
-			g.b.Members(g.now, ListDelta, nil)
+			g.run(cfg.PollInterval)
+			g.b.HandleEndpoints(g.now, ListDelta, nil)
 			before := g.asked
-			g.b.Members(g.now, ListSilent, nil)
+			g.b.HandleEndpoints(g.now, ListTimeout, nil)
 			if g.run(700 * ms); g.asked != before+1 {
 				t.Fatalf("%d gateways: %d calls within 0.7 s of a silence", peers, g.asked-before)
 			}
 			for range 20 { // it is out of reach, and nobody knows when it is back: a call that is not answered is given up after 3.2 s
 				before = g.asked
-				g.b.Members(g.now, ListSilent, nil)
+				g.b.HandleEndpoints(g.now, ListTimeout, nil)
 				if g.run(700 * ms); g.asked != before+1 {
 					t.Fatalf("%d gateways: %d calls within 0.7 s of another silence", peers, g.asked-before)
 				}
@@ -590,15 +594,15 @@
 		peers  int
 		within Span // of the failure, so that 6 s also hold the call that failed, if nothing was heard, and the answer to the next
 	}{{ListFailed, 1, 3100 * ms}, {ListFailed, 6, 3100 * ms}, {ListFailed, 30, 3100 * ms}, {ListFailed, 350, 3100 * ms},
-		{ListFailed, 1024, 3100 * ms}, {ListSilent, 350, 700 * ms}, {ListBusy, 6, 3100 * ms}, {ListBusy, 20, 3100 * ms}} {
+		{ListFailed, 1024, 3100 * ms}, {ListTimeout, 350, 700 * ms}, {ListOverloaded, 6, 3100 * ms}, {ListOverloaded, 20, 3100 * ms}} {
 		cfg := settings()
-		cfg.AskDiscovery, cfg.Peers = true, c.peers
+		cfg.PollDiscovery, cfg.PeerCount = true, c.peers
 		for seed := range uint64(10) {
 			g := startSeed(t, seed, cfg, hosts(2)...)
-			g.run(cfg.AskEvery)
+			g.run(cfg.PollInterval)
 			for k := range 12 {
 				before := g.asked
-				g.b.Members(g.now, c.kind, nil)
+				g.b.HandleEndpoints(g.now, c.kind, nil)
 				if g.run(c.within); g.asked == before {
 					t.Fatalf("kind %d, %d gateways: no call within %d ms of failure %d", c.kind, c.peers, c.within/ms, k+1)
 				}
@@ -620,7 +624,7 @@
 func tenants(shares ...float64) Config {
 	cfg := settings()
 	for _, s := range shares {
-		cfg.Tenants = append(cfg.Tenants, Tenant{Share: s})
+		cfg.Tenants = append(cfg.Tenants, Tenant{QuotaFraction: s})
 	}
 	return cfg
 }
@@ -720,10 +724,10 @@
 	for seed := range 30 {
 		g := start(t, tenants(0.5, 0.5), hosts(2)...)
 		g.b.seed = uint64(seed)
-		for id := ReqID(1); id <= 40; id++ { // tenant 0 fills every slot and waits
+		for id := RequestID(1); id <= 40; id++ { // tenant 0 fills every slot and waits
 			g.request(id, 0, 0)
 		}
-		first := ReqID(1)
+		first := RequestID(1)
 		for len(g.tries[first]) == 0 {
 			first++
 		}
@@ -731,7 +735,7 @@
 		if len(g.tries[100]) != 0 {
 			t.Fatal("no slot should have been free")
 		}
-		g.settle(first, 0, OK)
+		g.settle(first, 0, OutcomeOK)
 		if len(g.tries[100]) != 1 {
 			t.Fatal("the freed slot did not go to the tenant below its share")
 		}
@@ -742,9 +746,9 @@
 	// Guards: with reports of idle hosts the mode stayed underload while most requests were refused.
 	g := start(t, settings(), hosts(2)...)
 	for _, h := range g.b.hosts {
-		g.b.observe(h, &Report{Outstanding: -1, Backlog: -1, Utilization: 0.3})
+		g.b.observe(h, &LoadReport{Outstanding: -1, Backlog: -1, Utilization: 0.3})
 	}
-	for id := ReqID(1); id <= 40; id++ {
+	for id := RequestID(1); id <= 40; id++ {
 		g.request(id, 2, 0)
 	}
 	g.b.control()
@@ -753,7 +757,7 @@
 	}
 	g = start(t, settings(), hosts(2)...)
 	for _, h := range g.b.hosts {
-		g.b.observe(h, &Report{Outstanding: -1, Backlog: -1, Utilization: 0.97})
+		g.b.observe(h, &LoadReport{Outstanding: -1, Backlog: -1, Utilization: 0.97})
 	}
 	if !g.b.overloaded() {
 		t.Error("reports of busy hosts are not overload")
@@ -767,7 +771,7 @@
 
 func TestIdleSlotsAreLent(t *testing.T) {
 	g := start(t, tenants(0.1, 0.9), hosts(2)...)
-	for id := ReqID(1); id <= 12; id++ {
+	for id := RequestID(1); id <= 12; id++ {
 		g.request(id, 0, 0)
 	}
 	if float64(g.b.tenants[0].out.n) <= g.b.tenants[0].slots {
@@ -777,7 +781,7 @@
 
 func TestInflightIsCapped(t *testing.T) {
 	g := start(t, settings(), hosts(3)...)
-	for id := ReqID(1); id <= 500; id++ {
+	for id := RequestID(1); id <= 500; id++ {
 		g.request(id, 0, 0)
 	}
 	for _, h := range g.b.hosts {
@@ -790,9 +794,9 @@
 func TestManyGatewaysShareAHost(t *testing.T) {
 	// Guards: with at least one request a host and gateway, sixteen gateways overfilled every host.
 	cfg := settings()
-	cfg.Peers = 60
+	cfg.PeerCount = 60
 	g := start(t, cfg, hosts(40)...)
-	for id := ReqID(1); id <= 200; id++ {
+	for id := RequestID(1); id <= 200; id++ {
 		g.request(id, 0, 0)
 	}
 	if n := g.b.tenants[0].out.n; n > 5 {
@@ -803,22 +807,22 @@
 func TestRepeatPastItsAimIsRefusedFirst(t *testing.T) {
 	// Guards: in an overload half the hosts' work went to clients' repeats whose aim had long gone by.
 	g := start(t, settings(), hosts(3)...)
-	g.b.Request(g.now, Arrival{ID: 1, Deadline: g.now + 300*ms}) // this is how long these clients wait
+	g.b.HandleRequest(g.now, Request{ID: 1, Deadline: g.now + 300*ms}) // this is how long these clients wait
 	g.b.over = true
-	g.b.Request(g.now, Arrival{ID: 2, Deadline: g.now + 300*ms})
-	g.b.Request(g.now, Arrival{ID: 3, Deadline: g.now + 200*ms}) // of 500 ms in all 300 are gone, and the aim was 200
+	g.b.HandleRequest(g.now, Request{ID: 2, Deadline: g.now + 300*ms})
+	g.b.HandleRequest(g.now, Request{ID: 3, Deadline: g.now + 200*ms}) // of 500 ms in all 300 are gone, and the aim was 200
 	if len(g.tries[2]) != 1 {
 		t.Error("a first try was not placed")
 	}
 	wantFinal(t, g, 3, "decline")
 	g.b.over = false
-	g.b.Request(g.now, Arrival{ID: 4, Deadline: g.now + 200*ms})
+	g.b.HandleRequest(g.now, Request{ID: 4, Deadline: g.now + 200*ms})
 	if len(g.tries[4]) != 1 {
 		t.Error("a repeat was not placed although there is room")
 	}
 	g.b.over = true // class 5 pays for late answers
-	g.b.Request(g.now, Arrival{ID: 5, Class: 5, Deadline: g.now + 300*ms})
-	g.b.Request(g.now, Arrival{ID: 6, Class: 5, Deadline: g.now + 200*ms})
+	g.b.HandleRequest(g.now, Request{ID: 5, Class: 5, Deadline: g.now + 300*ms})
+	g.b.HandleRequest(g.now, Request{ID: 6, Class: 5, Deadline: g.now + 200*ms})
 	if len(g.tries[6]) != 1 {
 		t.Error("a repeat that is still worth something was not placed")
 	}
@@ -844,12 +848,12 @@
 func TestManyGatewaysRaiseAHostGently(t *testing.T) {
 	// Guards: sixteen gateways each took full steps up and jammed every host (incidents ifaf628, id09d36).
 	cfg := settings()
-	cfg.Peers = 60
+	cfg.PeerCount = 60
 	g := start(t, cfg, hosts(2)...)
 	h := g.b.hosts[0]
 	before := h.limit
 	h.out.mean = 1 // in use
-	g.b.learn(h, 0, Settlement{Outcome: OK, Took: 0})
+	g.b.learn(h, 0, AttemptResult{Outcome: OutcomeOK, Latency: 0})
 	if rise := h.limit - before; rise <= 0 || rise > 0.11*before {
 		t.Errorf("limit rose by %g from %g in one step of one of sixty gateways", rise, before)
 	}
@@ -860,21 +864,21 @@
 	// at a tenth of what they can do and others jammed, and requests were refused.
 	for _, c := range []struct {
 		name            string
-		report          Report
+		report          LoadReport
 		took            Span
 		least, greatest float64
 	}{
-		{"idle, a long answer", Report{-1, 0, 0.3}, 190 * ms, limitFirst + 0.1, 2 * limitFirst},
-		{"full, a short answer", Report{-1, 0, 1}, ms, 0, 0.97 * limitFirst},
-		{"a queue", Report{-1, 3, 0.95}, ms, 0, 0.97 * limitFirst},
-		{"tells nothing, a long answer", Report{-1, -1, -1}, 190 * ms, 0, 0.97 * limitFirst},
+		{"idle, a long answer", LoadReport{-1, 0, 0.3}, 190 * ms, limitFirst + 0.1, 2 * limitFirst},
+		{"full, a short answer", LoadReport{-1, 0, 1}, ms, 0, 0.97 * limitFirst},
+		{"a queue", LoadReport{-1, 3, 0.95}, ms, 0, 0.97 * limitFirst},
+		{"tells nothing, a long answer", LoadReport{-1, -1, -1}, 190 * ms, 0, 0.97 * limitFirst},
 	} {
 		g := start(t, settings(), hosts(4)...)
 		h := g.b.hosts[0]
 		h.out.mean = limitFirst // in use
 		for range 3 {
 			g.b.observe(h, &c.report)
-			g.b.learn(h, 0, Settlement{Outcome: OK, Took: c.took})
+			g.b.learn(h, 0, AttemptResult{Outcome: OutcomeOK, Latency: c.took})
 		}
 		if h.limit < c.least || h.limit > c.greatest {
 			t.Errorf("%s: limit %g after three answers, want %g to %g", c.name, h.limit, c.least, c.greatest)
@@ -886,7 +890,7 @@
 	// Guards: as a zone went, each host was of half as many gateways again, and each held on to what it had learned for
 	// itself: all together sent half as much again to hosts that were full.
 	cfg := settings()
-	cfg.Peers = 60
+	cfg.PeerCount = 60
 	list := hosts(30)
 	for i := range list {
 		list[i].Weight = float64(1 + i%2)
@@ -904,7 +908,7 @@
 		}
 	}
 	before, sharers := sum(), b.sharers
-	b.Members(b.now, ListFull, list[:20])
+	b.HandleEndpoints(b.now, ListFull, list[:20])
 	if got := sum(); b.sharers < 1.4*sharers || math.Abs(got-before) > 0.01*before {
 		t.Errorf("%g gateways a host, then %g; all together %g at a host, then %g", sharers, b.sharers, before, got)
 	}
@@ -915,18 +919,18 @@
 	// worth. A class of little worth goes on being served, too.
 	cfg := settings()
 	cfg.Classes[1] = cfg.Classes[0]
-	cfg.Classes[1].Worth = 5
+	cfg.Classes[1].PriorityWeight = 5
 	g := start(t, cfg, hosts(2)...)
 	served := [2]int{}
-	for id := ReqID(1); id <= 4000; id += 2 { // far more than two hosts take
+	for id := RequestID(1); id <= 4000; id += 2 { // far more than two hosts take
 		for class := range 2 {
-			g.request(id+ReqID(class), class, 0)
+			g.request(id+RequestID(class), class, 0)
 		}
 		g.run(5 * ms)
 		for old := max(id, 41) - 40; old < id+2; old++ {
 			if len(g.tries[old]) == 1 && g.final[old] == "" {
 				served[(old-1)%2]++
-				g.settle(old, 0, OK)
+				g.settle(old, 0, OutcomeOK)
 				break
 			}
 		}
@@ -940,7 +944,7 @@
 	// Guards: limits shrank with a host's warmth. But a cold host has all its cores, only slower ones: with 36 of 60 hosts new,
 	// half of the requests were refused while these reported a utilization of 0.2. Its budget is coldRoom's matter.
 	g := start(t, settings(), hosts(2)...)
-	g.b.Members(g.now, ListDelta, []Host{{ID: 9, Phase: PhaseReady, Weight: 1, Started: g.now}})
+	g.b.HandleEndpoints(g.now, ListDelta, []Endpoint{{ID: 9, Phase: PhaseReady, Weight: 1, StartedAt: g.now}})
 	cold, warm := g.b.byID[9], g.b.byID[1]
 	if part := g.b.limitOf(cold) / g.b.limitOf(warm); g.b.warmth(cold) > 0.11 || part < 0.25 || part > 0.5 {
 		t.Errorf("a host at %.2f of its capacity may hold %.2f of what a warm one may", g.b.warmth(cold), part)
@@ -950,10 +954,10 @@
 func TestAKeyMeetsTheSameHosts(t *testing.T) {
 	// Guards: hosts spare a third to two thirds of the work for a key that they have lately met, and keys went anywhere.
 	cfg := settings()
-	cfg.WarmKeys = true
+	cfg.KeyAffinity = true
 	list := hosts(6)
-	first := map[uint64]HostID{}
-	sent := map[HostID]float64{}
+	first := map[uint64]EndpointID{}
+	sent := map[EndpointID]float64{}
 	const keys = 3000
 	for i := range 2 { // two gateways, of different seeds
 		g := startSeed(t, uint64(i+1), cfg, list...)
@@ -981,9 +985,9 @@
 			t.Errorf("host %d is met by %g keys, its slots are for %.0f", h.ID, n, want)
 		}
 	}
-	cfg.WarmKeys = false
+	cfg.KeyAffinity = false
 	g := start(t, cfg, list...)
-	g.b.Request(g.now, Arrival{ID: 1, Key: 7, Deadline: g.now + 900*ms})
+	g.b.HandleRequest(g.now, Request{ID: 1, AffinityKey: 7, Deadline: g.now + 900*ms})
 	if g.b.reqs[1].key != 0 {
 		t.Error("a key counts where hosts do not spare work for it")
 	}
@@ -995,7 +999,7 @@
 		list := hosts(4)
 		list[0].Weight, list[1].Weight = weight, weight
 		cfg := settings()
-		cfg.Self = -7
+		cfg.PeerIndex = -7
 		g := start(t, cfg, list...)
 		for _, h := range g.b.hosts {
 			if h.limit < limitFirst/4 || h.limit > limitFirst*4 {
@@ -1011,7 +1015,7 @@
 	g := start(t, settings(), hosts(4)...)
 	h := g.b.hosts[0]
 	for range ejectAfter {
-		g.b.learn(h, 0, Settlement{Outcome: Full, Took: ms})
+		g.b.learn(h, 0, AttemptResult{Outcome: OutcomeRejected, Latency: ms})
 	}
 	if g.b.fit(h) {
 		t.Fatal("still used")
@@ -1027,7 +1031,7 @@
 func TestFailingHostIsJudgedOutAndComesBack(t *testing.T) {
 	g := start(t, settings(), hosts(4)...)
 	for range ejectAfter {
-		g.b.learn(g.b.hosts[0], 0, Settlement{Outcome: ConnectFailed})
+		g.b.learn(g.b.hosts[0], 0, AttemptResult{Outcome: OutcomeConnectFailed})
 	}
 	if g.b.fit(g.b.hosts[0]) {
 		t.Fatal("still used")
@@ -1038,7 +1042,7 @@
 	}
 	for _, h := range g.b.hosts {
 		for range 10 {
-			g.b.learn(h, 0, Settlement{Outcome: ConnectFailed})
+			g.b.learn(h, 0, AttemptResult{Outcome: OutcomeConnectFailed})
 		}
 	}
 	g.request(1, 0, 0)
@@ -1052,7 +1056,7 @@
 	// in a row, looked fast and idle, and drew requests to it; its short times made all others look congested.
 	g := start(t, settings(), hosts(4)...)
 	h, c := g.b.hosts[0], g.b.classes[0]
-	limit, bad := h.limit, Settlement{Outcome: HostError, Took: 1}
+	limit, bad := h.limit, AttemptResult{Outcome: OutcomeServerError, Latency: 1}
 	for range 4 {
 		g.b.learn(h, 0, bad)
 		g.b.learn(h, 0, bad)
@@ -1067,16 +1071,16 @@
 	}
 	first := h.outTill - g.now
 	g.run(2 * first)
-	if g.b.learn(h, 0, Settlement{Outcome: Reset}); h.outTill-g.now < first {
+	if g.b.learn(h, 0, AttemptResult{Outcome: OutcomeReset}); h.outTill-g.now < first {
 		t.Error("back with an error, it is left alone no longer than the first time")
 	}
 	odd := g.b.hosts[1]
 	for i := range 200 {
-		out := OK
+		out := OutcomeOK
 		if i%20 == 0 {
-			out = HostError
+			out = OutcomeServerError
 		}
-		if g.b.learn(odd, 0, Settlement{Outcome: out, Took: ms}); !g.b.fit(odd) {
+		if g.b.learn(odd, 0, AttemptResult{Outcome: out, Latency: ms}); !g.b.fit(odd) {
 			t.Fatal("judged out by an odd error")
 		}
 	}
@@ -1088,11 +1092,11 @@
 	g := start(t, settings(), hosts(4)...)
 	for i := range 50 {
 		for _, h := range g.b.hosts {
-			out := OK
+			out := OutcomeOK
 			if i%5 < 2 {
-				out = Reset
+				out = OutcomeReset
 			}
-			if g.b.learn(h, 0, Settlement{Outcome: out, Took: ms}); i > 10 && !g.b.fit(h) {
+			if g.b.learn(h, 0, AttemptResult{Outcome: out, Latency: ms}); i > 10 && !g.b.fit(h) {
 				t.Fatalf("host %d is out with an error share of %.2f, where %.2f is usual", h.ID, h.bad, g.b.usualBad)
 			}
 			h.outTill = min(h.outTill, g.now) // what happened before the first control does not count here
@@ -1105,12 +1109,12 @@
 	// Guards: requests that must run once found out that a host fails, and each error lost one for good.
 	g := start(t, settings(), hosts(3)...)
 	suspect := g.b.hosts[0]
-	g.b.learn(suspect, 0, Settlement{Outcome: HostError})
-	for id := ReqID(1); id < 200; id += 2 {
+	g.b.learn(suspect, 0, AttemptResult{Outcome: OutcomeServerError})
+	for id := RequestID(1); id < 200; id += 2 {
 		g.request(id, 1, 0)
 		g.request(id+1, 0, 0)
-		g.settle(id, 0, OK)
-		g.settle(id+1, 0, OK)
+		g.settle(id, 0, OutcomeOK)
+		g.settle(id+1, 0, OutcomeOK)
 		if g.tries[id][0] == suspect.ID && suspect.bad >= badSuspect {
 			t.Fatal("a request that must run once went to a host that had just failed")
 		}
@@ -1137,11 +1141,11 @@
 	// Guards: work that takes long by chance drew limits below one request a host, and with half of the hosts draining
 	// or cold a fifth of all requests was refused while no host had anything waiting.
 	cfg := settings()
-	cfg.Peers = 3
+	cfg.PeerCount = 3
 	g := start(t, cfg, hosts(4)...)
 	for range 500 {
 		for _, h := range g.b.hosts {
-			g.b.learn(h, 0, Settlement{Outcome: OK, Took: 500 * ms})
+			g.b.learn(h, 0, AttemptResult{Outcome: OutcomeOK, Latency: 500 * ms})
 		}
 	}
 	for _, h := range g.b.hosts {
@@ -1157,7 +1161,7 @@
 	h := g.b.hosts[0]
 	for range 10 {
 		h.answered = g.now
-		g.b.learn(h, 0, Settlement{Outcome: TimedOut, Took: 500 * ms})
+		g.b.learn(h, 0, AttemptResult{Outcome: OutcomeTimeout, Latency: 500 * ms})
 	}
 	if !g.b.fit(h) {
 		t.Error("judged out while answering")
@@ -1169,7 +1173,7 @@
 	g := start(t, settings(), hosts(1)...)
 	h := g.b.hosts[0]
 	before := h.limit
-	g.b.learn(h, 0, Settlement{Outcome: Cancelled, Took: 199 * ms})
+	g.b.learn(h, 0, AttemptResult{Outcome: OutcomeCanceled, Latency: 199 * ms})
 	if h.limit >= before {
 		t.Errorf("limit %g after an attempt cut at the aim, was %g", h.limit, before)
 	}
@@ -1182,7 +1186,7 @@
 	h := g.b.hosts[0]
 	before := h.limit
 	g.b.classes[0].mean = 10 * ms
-	g.b.learn(h, 0, Settlement{Outcome: Cancelled, Took: 30 * ms})
+	g.b.learn(h, 0, AttemptResult{Outcome: OutcomeCanceled, Latency: 30 * ms})
 	if h.limit != before {
 		t.Errorf("limit %g after an attempt cut early, was %g", h.limit, before)
 	}
@@ -1198,7 +1202,7 @@
 	g.b.controlAt = g.now - g.b.period
 	g.b.control()
 	g.run(60 * ms) // one and a half means
-	for id := ReqID(1); id <= 6; id++ {
+	for id := RequestID(1); id <= 6; id++ {
 		g.request(id, 0, 0)
 		if len(g.tries[id]) > 0 && g.tries[id][0] == 1 {
 			t.Fatal("a silent host got a request")
@@ -1215,14 +1219,14 @@
 	// Guards: a long day replaces every host many times over. What the module keeps is what is there now, and its log
 	// does not fall silent for good.
 	g := start(t, settings(), hosts(4)...)
-	id := ReqID(0)
+	id := RequestID(0)
 	for i := range 300 {
-		gone, fresh := Host{ID: g.b.hosts[0].ID}, Host{ID: HostID(1000 + i), Phase: PhaseReady, Weight: 1}
-		g.b.Members(g.now, ListDelta, []Host{gone, fresh})
+		gone, fresh := Endpoint{ID: g.b.hosts[0].ID}, Endpoint{ID: EndpointID(1000 + i), Phase: PhaseReady, Weight: 1}
+		g.b.HandleEndpoints(g.now, ListDelta, []Endpoint{gone, fresh})
 		for range 8 {
 			id++
 			g.request(id, int(id%3), 0)
-			g.settle(id, 0, OK)
+			g.settle(id, 0, OutcomeOK)
 		}
 		g.b.log("line")
 		g.run(g.b.period)
@@ -1238,8 +1242,8 @@
 func TestLogIsBounded(t *testing.T) {
 	g := start(t, settings(), hosts(2)...)
 	for range 500 {
-		g.b.Members(g.now, ListFailed, nil)
-		g.b.Members(g.now, ListFull, hosts(2))
+		g.b.HandleEndpoints(g.now, ListFailed, nil)
+		g.b.HandleEndpoints(g.now, ListFull, hosts(2))
 	}
 	if g.lines == 0 || g.lines > logLines {
 		t.Errorf("%d lines, want some and at most %d", g.lines, logLines)
@@ -1250,16 +1254,16 @@
 	if _, err := New(Config{}, 1, nil); err == nil {
 		t.Error("no classes: no error")
 	}
-	if _, err := New(Config{Classes: []Class{{Aim: 5}}}, 1, nil); err == nil {
+	if _, err := New(Config{Classes: []Class{{LatencyObjective: 5}}}, 1, nil); err == nil {
 		t.Error("no deadline: no error")
 	}
 }
 
 func TestBareSettings(t *testing.T) {
 	// No tenants, no cold rules, no limits, an aim past the deadline, a tenant not in the settings.
-	cfg := Config{Classes: []Class{{Aim: 900 * ms, Deadline: 100 * ms}}}
+	cfg := Config{Classes: []Class{{LatencyObjective: 900 * ms, Deadline: 100 * ms}}}
 	g := start(t, cfg, hosts(1)...)
-	g.b.Request(g.now, Arrival{ID: 1, Tenant: 9, Deadline: g.now + 100*ms})
+	g.b.HandleRequest(g.now, Request{ID: 1, Tenant: 9, Deadline: g.now + 100*ms})
 	if len(g.tries[1]) != 1 {
 		t.Error("not placed")
 	}
@@ -1275,10 +1279,10 @@
 	all := append(others, g)
 	for i := range 3000 {
 		for _, x := range all {
-			id := ReqID(i + 1)
+			id := RequestID(i + 1)
 			x.request(id, i%5, i%2)
-			if j := ReqID(i - 10); i > 10 && len(x.tries[j]) > 0 && x.final[j] == "" {
-				x.settle(j, len(x.tries[j])-1, []Outcome{OK, OK, OK, Full, HostError, OK, Reset}[i%7])
+			if j := RequestID(i - 10); i > 10 && len(x.tries[j]) > 0 && x.final[j] == "" {
+				x.settle(j, len(x.tries[j])-1, []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeRejected, OutcomeServerError, OutcomeOK, OutcomeReset}[i%7])
 			}
 			x.run(3 * ms)
 		}
@@ -1303,26 +1307,26 @@
 	g.request(2, 0, 0) // repeatable
 	next := settings()
 	next.MaxAttempts = 1
-	next.Classes = append(next.Classes, Class{Aim: 200 * ms, Deadline: 500 * ms, Effect: Repeatable})
+	next.Classes = append(next.Classes, Class{LatencyObjective: 200 * ms, Deadline: 500 * ms, Idempotency: Idempotent})
 	learned := g.b.classes[0].mean
-	if err := g.b.Retune(g.now, next, []int{0, 1, 2, 3, 4, 5, 1}, []int{0}); err != nil {
+	if err := g.b.Reconfigure(g.now, next, []int{0, 1, 2, 3, 4, 5, 1}, []int{0}); err != nil {
 		t.Fatal(err)
 	}
-	g.settle(1, 0, Reset)
+	g.settle(1, 0, OutcomeReset)
 	wantFinal(t, g, 1, "fail")
-	g.settle(2, 0, Reset)
+	g.settle(2, 0, OutcomeReset)
 	g.run(ms)
 	if len(g.tries[2]) != 2 {
 		t.Errorf("%d attempts by the rules it came under, want a second", len(g.tries[2]))
 	}
 	g.request(3, 6, 0) // what was once may be repeated now, but only 1 attempt is left
-	g.settle(3, 0, Reset)
+	g.settle(3, 0, OutcomeReset)
 	wantFinal(t, g, 3, "decline")
 	if g.b.classes[0].mean != learned {
 		t.Errorf("the mean latency of a class that stayed went from %v to %v", learned, g.b.classes[0].mean)
 	}
 	next.Classes[0].Deadline = 0
-	if err := g.b.Retune(g.now, next, []int{0, 1, 2, 3, 4, 5, 6}, []int{0}); err == nil || g.b.cfg.Classes[0].Deadline == 0 {
+	if err := g.b.Reconfigure(g.now, next, []int{0, 1, 2, 3, 4, 5, 6}, []int{0}); err == nil || g.b.cfg.Classes[0].Deadline == 0 {
 		t.Errorf("unsound settings: %v, deadline %d", err, g.b.cfg.Classes[0].Deadline)
 	}
 }
@@ -1331,24 +1335,24 @@
 	// Guards: a tenant that comes finds no room for its counts at the hosts known, one that goes takes those along whose
 	// requests are held.
 	cfg := settings()
-	cfg.Tenants = []Tenant{{Share: 0.5}, {Share: 0.5}}
+	cfg.Tenants = []Tenant{{QuotaFraction: 0.5}, {QuotaFraction: 0.5}}
 	g := start(t, cfg, hosts(2)...)
-	for id := ReqID(1); id <= 60; id++ {
+	for id := RequestID(1); id <= 60; id++ {
 		g.request(id, 0, int(id)%2)
 	}
 	held := len(g.b.tenants[1].held)
 	if held == 0 {
 		t.Fatal("nothing is held")
 	}
-	cfg.Tenants = []Tenant{{Share: 0.5}, {}, {Share: 0.5}}
-	if err := g.b.Retune(g.now, cfg, []int{0, 1, 2, 3, 4, 5}, []int{0, 1, -1}); err != nil {
+	cfg.Tenants = []Tenant{{QuotaFraction: 0.5}, {}, {QuotaFraction: 0.5}}
+	if err := g.b.Reconfigure(g.now, cfg, []int{0, 1, 2, 3, 4, 5}, []int{0, 1, -1}); err != nil {
 		t.Fatal(err)
 	}
-	for id := ReqID(61); id <= 70; id++ {
+	for id := RequestID(61); id <= 70; id++ {
 		g.request(id, 0, 2)
 	}
 	g.run(2000 * ms)
-	for id := ReqID(1); id <= 70; id++ {
+	for id := RequestID(1); id <= 70; id++ {
 		if g.final[id] == "" && len(g.tries[id]) == 0 {
 			t.Errorf("request %d, held as the tenants changed, has no answer and no attempt", id)
 		}
@@ -1360,27 +1364,27 @@
 	// cold host; and what makes no sense spoils nothing.
 	cfg := settings()
 	list := hosts(4)
-	list[3].Started = 1e9 - 1000*ms
+	list[3].StartedAt = 1e9 - 1000*ms
 	g := start(t, cfg, list...)
-	for id := ReqID(1); id < 200; id++ {
+	for id := RequestID(1); id < 200; id++ {
 		g.request(id, 0, 0)
-		g.settle(id, 0, OK)
+		g.settle(id, 0, OutcomeOK)
 		g.run(5 * ms)
 	}
 	g.b.byID[1].bad, g.b.byID[1].limit = 0.3, 17
 	before := g.b.byID[4].tokens
-	m := g.b.Export(g.now)
-	if now := g.b.byID[4].tokens; now != before/2 || m.Hosts[4].Tokens != before/2 {
-		t.Errorf("of %v tokens one has %v and the other %v", before, now, m.Hosts[4].Tokens)
+	m := g.b.ExportState(g.now)
+	if now := g.b.byID[4].tokens; now != before/2 || m.Endpoints[4].Tokens != before/2 {
+		t.Errorf("of %v tokens one has %v and the other %v", before, now, m.Endpoints[4].Tokens)
 	}
 	next := startSeed(t, 8, cfg, list...)
-	next.b.Import(next.now, m)
+	next.b.ImportState(next.now, m)
 	if h := next.b.byID[1]; h.bad != 0.3 || h.limit != 17 || next.b.classes[0].mean != g.b.classes[0].mean || next.b.rate != g.b.rate {
 		t.Errorf("bad %v, limit %v, mean %v, rate %v", h.bad, h.limit, next.b.classes[0].mean, next.b.rate)
 	}
 	alone := startSeed(t, 9, cfg, list...)
-	alone.b.Import(alone.now, m)
-	next.b.Share(2)
+	alone.b.ImportState(alone.now, m)
+	next.b.SetProcessCount(2)
 	alone.run(500 * ms)
 	next.now = alone.now
 	for _, g := range []*gateway{alone, next} {
@@ -1391,11 +1395,11 @@
 		t.Errorf("one process has earned %v, one of two %v", a, b)
 	}
 	odd := m
-	odd.Hosts = map[uint64]HostMemory{1: {Limit: math.NaN(), Bad: 7}, 2: {Limit: -1}, 9: {Limit: 5}}
-	odd.Classes, odd.Rate = []ClassMemory{{0, 0}}, math.Inf(1)
+	odd.Endpoints = map[uint64]LearnedEndpoint{1: {Limit: math.NaN(), ErrorShare: 7}, 2: {Limit: -1}, 9: {Limit: 5}}
+	odd.Classes, odd.AnswerRate = []LearnedClass{{0, 0}}, math.Inf(1)
 	third := startSeed(t, 10, cfg, list...)
 	limit := third.b.byID[1].limit
-	third.b.Import(third.now, odd)
+	third.b.ImportState(third.now, odd)
 	if third.b.byID[1].limit != limit || third.b.byID[2].limit <= 0 || third.b.rate != 0 {
 		t.Errorf("limits %v and %v, rate %v", third.b.byID[1].limit, third.b.byID[2].limit, third.b.rate)
 	}
@@ -1405,11 +1409,11 @@
 func TestRetunedTenantTakesOverNothing(t *testing.T) {
 	cfg := tenants(0.9, 0.1)
 	g := start(t, cfg, hosts(3)...)
-	for id := ReqID(1); id <= 60; id++ {
+	for id := RequestID(1); id <= 60; id++ {
 		g.request(id, 0, 0)
 		if len(g.tries[id]) == 1 {
 			g.run(20 * ms)
-			g.settle(id, 0, OK)
+			g.settle(id, 0, OutcomeOK)
 		}
 		g.run(10 * ms)
 	}
@@ -1419,7 +1423,7 @@
 	}
 	per := g.b.hosts[0].per[0]
 	next := tenants(0.5, 0.5)
-	if err := g.b.Retune(g.now, next, []int{0, 1, 2, 3, 4, 5}, []int{-1, 0}); err != nil {
+	if err := g.b.Reconfigure(g.now, next, []int{0, 1, 2, 3, 4, 5}, []int{-1, 0}); err != nil {
 		t.Fatal(err)
 	}
 	if u := g.b.tenants[0].used; u != [2]float64{} {
@@ -1438,7 +1442,7 @@
 	h := g.b.hosts[0]
 	for range 2 { // the second time the parts are as they were
 		h.slots[0] *= 1.2
-		if err := g.b.Retune(g.now, next, []int{0, 1, 2, 3, 4, 5}, []int{-1, 1}); err != nil {
+		if err := g.b.Reconfigure(g.now, next, []int{0, 1, 2, 3, 4, 5}, []int{-1, 1}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -1454,8 +1458,8 @@
 	if len(g.tries[1]) != 0 || !g.b.holding() {
 		t.Fatal("not held")
 	}
-	g.b.Gone(g.now, 1)
-	g.b.Members(g.now, ListFull, hosts(2))
+	g.b.HandleCancellation(g.now, 1)
+	g.b.HandleEndpoints(g.now, ListFull, hosts(2))
 	g.run(400 * ms)
 	if len(g.tries[1]) != 0 {
 		t.Errorf("tried %d times", len(g.tries[1]))
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -10,23 +10,23 @@
 // timers; each method only has to start the work and come back.
 type proxy struct{}
 
-func (proxy) Try(id balancer.ReqID, h balancer.HostID, _ balancer.Span) {
+func (proxy) SendAttempt(id balancer.RequestID, h balancer.EndpointID, _ balancer.Span) {
 	fmt.Println("send request", id, "to host", h)
 }
-func (proxy) Cancel(balancer.ReqID, int)            {}
-func (proxy) Decline(balancer.ReqID, balancer.Span) {}
-func (proxy) Fail(balancer.ReqID)                   {}
-func (proxy) Probe(balancer.HostID)                 {}
-func (proxy) WakeAt(balancer.Token, balancer.Span)  {}
-func (proxy) Observe(bool)                          {}
-func (proxy) Fetch()                                {}
-func (proxy) Log(text string)                       { fmt.Println(text) }
+func (proxy) CancelAttempt(balancer.RequestID, int)    {}
+func (proxy) Reject(balancer.RequestID, balancer.Span) {}
+func (proxy) Fail(balancer.RequestID)                  {}
+func (proxy) CheckHealth(balancer.EndpointID)          {}
+func (proxy) SetTimer(balancer.TimerID, balancer.Span) {}
+func (proxy) WatchEndpoints(bool)                      {}
+func (proxy) PollEndpoints()                           {}
+func (proxy) Log(text string)                          { fmt.Println(text) }
 
 func Example() {
 	cfg := balancer.Config{
-		Peers:       1,
+		PeerCount:   1,
 		MaxAttempts: 3,
-		Classes:     []balancer.Class{{Aim: 200_000, Deadline: 1_000_000, Effect: balancer.Repeatable}},
+		Classes:     []balancer.Class{{LatencyObjective: 200_000, Deadline: 1_000_000, Idempotency: balancer.Idempotent}},
 	}
 	b, err := balancer.New(cfg, 1, proxy{})
 	if err != nil {
@@ -34,8 +34,8 @@
 		return
 	}
 	now := balancer.Time(1_000_000) // microseconds on the gateway's clock
-	b.Members(now, balancer.ListFull, []balancer.Host{{ID: 7, Phase: balancer.PhaseReady, Weight: 1}})
-	b.Request(now, balancer.Arrival{ID: 42, Deadline: now + 1_000_000})
-	b.Settled(now+30_000, balancer.Settlement{ID: 42, Host: 7, Outcome: balancer.OK, Took: 30_000, Closed: true})
+	b.HandleEndpoints(now, balancer.ListFull, []balancer.Endpoint{{ID: 7, Phase: balancer.PhaseReady, Weight: 1}})
+	b.HandleRequest(now, balancer.Request{ID: 42, Deadline: now + 1_000_000})
+	b.HandleAttemptResult(now+30_000, balancer.AttemptResult{ID: 42, Endpoint: 7, Outcome: balancer.OutcomeOK, Latency: 30_000, RequestDone: true})
 	// Output: send request 42 to host 7
 }
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -8,12 +8,12 @@
 
 // What must hold for the sum over many gateways, each of which sees its own part only.
 
-func fleet(t *testing.T, n int, cfg Config, list []Host) []*gateway {
+func fleet(t *testing.T, n int, cfg Config, list []Endpoint) []*gateway {
 	t.Helper()
-	cfg.Peers = n
+	cfg.PeerCount = n
 	var all []*gateway
 	for i := range n {
-		cfg.Self = i
+		cfg.PeerIndex = i
 		all = append(all, startSeed(t, mix(uint64(i)+1), cfg, list...))
 	}
 	return all
@@ -21,12 +21,12 @@
 
 // press keeps every gateway full of requests for d, answers each attempt after took, and returns the mean number
 // in flight over all gateways and the attempts that each host got.
-func press(all []*gateway, from ReqID, d, took Span, share func(ReqID) int) (mean float64, sent map[HostID]int) {
-	sent = map[HostID]int{}
+func press(all []*gateway, from RequestID, d, took Span, share func(RequestID) int) (mean float64, sent map[EndpointID]int) {
+	sent = map[EndpointID]int{}
 	id, steps := from, 0
 	type out struct {
 		g  *gateway
-		id ReqID
+		id RequestID
 		at Time
 	}
 	var flying []out
@@ -35,7 +35,7 @@
 		kept := flying[:0]
 		for _, o := range flying {
 			if o.at <= o.g.now {
-				o.g.b.Settled(o.g.now, Settlement{ID: o.id, Host: o.g.tries[o.id][0], Outcome: OK, Took: took, Closed: true})
+				o.g.b.HandleAttemptResult(o.g.now, AttemptResult{ID: o.id, Endpoint: o.g.tries[o.id][0], Outcome: OutcomeOK, Latency: took, RequestDone: true})
 				o.g.final[o.id] = "served"
 			} else {
 				kept = append(kept, o)
@@ -46,7 +46,7 @@
 			id++
 			g.request(id, 0, share(id))
 			g.run(10 * ms)
-			for i := max(id, from+ReqID(len(all))*20) - ReqID(len(all))*20; i <= id; i++ {
+			for i := max(id, from+RequestID(len(all))*20) - RequestID(len(all))*20; i <= id; i++ {
 				if len(g.tries[i]) > 0 && g.final[i] == "" && !g.seenTry[i] {
 					g.seenTry[i] = true
 					sent[g.tries[i][0]]++
@@ -59,7 +59,7 @@
 	return mean / float64(steps), sent
 }
 
-func one(ReqID) int { return 0 }
+func one(RequestID) int { return 0 }
 
 // level is about the latency at which limits stay as they are: a quarter of the way from 50 ms to the aim of 200.
 const level = 70 * ms
@@ -86,9 +86,9 @@
 	list := hosts(4)
 	all := fleet(t, n, settings(), list)
 	_, warm := press(all, 1, 4000*ms, level, one)
-	cold := []Host{{ID: 99, Phase: PhaseReady, Started: all[0].now}}
+	cold := []Endpoint{{ID: 99, Phase: PhaseReady, StartedAt: all[0].now}}
 	for _, g := range all {
-		g.b.Members(g.now, ListDelta, cold)
+		g.b.HandleEndpoints(g.now, ListDelta, cold)
 	}
 	_, sent := press(all, 1000000, 2000*ms, level, one)
 	perWindow := float64(warm[1]+warm[2]+warm[3]+warm[4]) / 4 / 2
@@ -103,13 +103,13 @@
 	// Guards: all gateways held a connection to every host, and filled what hosts accept (midlands at size).
 	list := hosts(40)
 	all := fleet(t, 200, settings(), list)
-	users := map[HostID]int{}
+	users := map[EndpointID]int{}
 	for _, g := range all {
 		if len(g.b.group) > 10 {
 			t.Fatalf("%d hosts in a subset", len(g.b.group))
 		}
 		before := append([]*host(nil), g.b.group...)
-		g.b.Members(g.now, ListDelta, []Host{{ID: 77, Phase: PhaseReady}})
+		g.b.HandleEndpoints(g.now, ListDelta, []Endpoint{{ID: 77, Phase: PhaseReady}})
 		lost := 0
 		for _, h := range before {
 			users[h.ID]++
@@ -164,14 +164,14 @@
 		users, total := map[uint64]int{}, 0
 		for i := range c.gateways {
 			cfg := settings()
-			cfg.Peers, cfg.Self = c.gateways, i
+			cfg.PeerCount, cfg.PeerIndex = c.gateways, i
 			list := hosts(c.hosts)
 			for k := range list {
-				list[k].Key = uint64(k + 1)
-				list[k].ID = HostID(1 + (k+i)%c.hosts)
+				list[k].StableKey = uint64(k + 1)
+				list[k].ID = EndpointID(1 + (k+i)%c.hosts)
 			}
 			for _, h := range startSeed(t, uint64(i), cfg, list...).b.group {
-				users[h.Key]++
+				users[h.StableKey]++
 				total++
 			}
 		}
@@ -206,7 +206,7 @@
 	}{{3, 3, 400 * ms}, {80, 80, 8000 * ms}, {200, 190, 30000 * ms}} { // the service alone needs 50 ms for each
 		n := c.gateways
 		cfg := settings()
-		cfg.AskDiscovery = true
+		cfg.PollDiscovery = true
 		all := fleet(t, n, cfg, hosts(20))
 		q := &queue{each: 50 * ms, patience: 2000 * ms, free: all[0].now}
 		type answer struct {
@@ -220,13 +220,13 @@
 				for len(waits[i]) > 0 && waits[i][0].at <= g.now {
 					kind := ListDelta
 					if !waits[i][0].ok {
-						kind = ListBusy
+						kind = ListOverloaded
 						failed++
 					} else if heard[i] == 0 {
 						heard[i] = g.now
 					}
 					waits[i] = waits[i][1:]
-					g.b.Members(g.now, kind, nil)
+					g.b.HandleEndpoints(g.now, kind, nil)
 				}
 				for ; calls[i] < g.asked; calls[i]++ {
 					at, ok := q.call(g.now)
@@ -253,7 +253,7 @@
 	for _, n := range []int{1, 3, 20, 30, 350} {
 		for _, small := range []bool{false, true} {
 			cfg := settings()
-			cfg.Peers, cfg.ColdFrom, cfg.ColdRamp, cfg.ColdMultiple, cfg.ColdWindow = n, 0.2, 1000*second, 3, 3*second
+			cfg.PeerCount, cfg.SlowStartInitial, cfg.SlowStartDuration, cfg.OverloadFactor, cfg.OverloadWindow = n, 0.2, 1000*second, 3, 3*second
 			capacity := 30.0 / float64(second) // of a warm host, all of it in use
 			list := hosts(5)
 			if small {
@@ -262,13 +262,13 @@
 				}
 			}
 			born := func(i int, now Time) *gateway {
-				cfg.Self = i
+				cfg.PeerIndex = i
 				g := startSeed(t, uint64(i)+uint64(now), cfg, list...)
-				cold := Host{ID: 99, Key: 99, Phase: PhaseReady, Started: g.now}
+				cold := Endpoint{ID: 99, StableKey: 99, Phase: PhaseReady, StartedAt: g.now}
 				if small {
 					cold.Weight = 1
 				}
-				g.b.Members(g.now, ListDelta, []Host{cold})
+				g.b.HandleEndpoints(g.now, ListDelta, []Endpoint{cold})
 				g.b.rate = capacity / g.b.sharers
 				g.b.now += now
 				g.b.byID[99].tokensAt = g.b.now
@@ -304,7 +304,7 @@
 						sent = append(sent, now)
 					}
 				}
-				for len(sent) > 0 && sent[0] <= now-cfg.ColdWindow {
+				for len(sent) > 0 && sent[0] <= now-cfg.OverloadWindow {
 					sent = sent[1:]
 				}
 				worst = max(worst, len(sent))
@@ -329,13 +329,13 @@
 	}
 	all := fleet(t, n, settings(), hosts(5))
 	for _, g := range all {
-		g.b.Members(g.now, ListDelta, []Host{{ID: 99, Phase: PhaseReady, Started: g.now}})
+		g.b.HandleEndpoints(g.now, ListDelta, []Endpoint{{ID: 99, Phase: PhaseReady, StartedAt: g.now}})
 	}
 	if k := ready(all); k > 0 {
 		t.Errorf("%d of %d gateways may send to a new host at once", k, n)
 	}
 	for _, g := range all {
-		g.b.now += g.b.cfg.ColdWindow
+		g.b.now += g.b.cfg.OverloadWindow
 	}
 	if k := ready(all); k > n/20 {
 		t.Errorf("%d of %d gateways may send to a host of which nothing is known within a window", k, n)
@@ -345,7 +345,7 @@
 func TestGatewaysFallOutOfStep(t *testing.T) {
 	// Guards: gateways that start together decided together ever after, and called discovery together.
 	cfg := settings()
-	cfg.AskDiscovery = true
+	cfg.PollDiscovery = true
 	controls, calls := map[Time]int{}, map[Time]int{}
 	for _, g := range fleet(t, 50, cfg, hosts(4)) {
 		g.run(2000 * ms)
@@ -365,7 +365,7 @@
 
 func probing() Config {
 	cfg := settings()
-	cfg.MayProbe, cfg.Probe = true, 0.001
+	cfg.AllowHealthChecks, cfg.HealthCheckCost = true, 0.001
 	return cfg
 }
 
@@ -378,7 +378,7 @@
 		t.Fatalf("%d probes, tries %v; want %d probes and no try yet", len(g.probes), g.tries[1], probeDraws)
 	}
 	for i, h := range g.probes {
-		g.b.Checked(g.now, h, OK, ms, &Report{Outstanding: float64(3 - i), Backlog: -1, Utilization: -1})
+		g.b.HandleHealthCheck(g.now, h, OutcomeOK, ms, &LoadReport{Outstanding: float64(3 - i), Backlog: -1, Utilization: -1})
 	}
 	if len(g.tries[1]) != 1 || g.tries[1][0] != g.probes[2] {
 		t.Errorf("probed %v, tried %v; want the last, it holds least", g.probes, g.tries[1])
@@ -388,7 +388,7 @@
 func TestProbeThatDoesNotAnswerIsNotWaitedFor(t *testing.T) {
 	g := start(t, probing(), hosts(6)...)
 	g.request(1, 0, 0)
-	g.b.Checked(g.now, g.probes[0], OK, ms, &Report{Outstanding: 1, Backlog: -1, Utilization: -1})
+	g.b.HandleHealthCheck(g.now, g.probes[0], OutcomeOK, ms, &LoadReport{Outstanding: 1, Backlog: -1, Utilization: -1})
 	g.run(3 * ms)
 	if len(g.tries[1]) != 1 || g.tries[1][0] != g.probes[0] {
 		t.Errorf("probed %v, tried %v; want the one that answered", g.probes, g.tries[1])
@@ -399,7 +399,7 @@
 	g := start(t, probing(), hosts(6)...)
 	g.request(1, 0, 0)
 	for _, h := range g.probes {
-		g.b.Checked(g.now, h, OK, ms, &Report{Outstanding: limitFirst, Backlog: -1, Utilization: -1})
+		g.b.HandleHealthCheck(g.now, h, OutcomeOK, ms, &LoadReport{Outstanding: limitFirst, Backlog: -1, Utilization: -1})
 	}
 	if len(g.tries[1]) != 0 {
 		t.Errorf("tried %v though all were full", g.tries[1])
@@ -413,9 +413,9 @@
 
 func TestNoProbesWhereDearOrForbiddenOrMute(t *testing.T) {
 	dear := probing()
-	dear.Probe = 0.01
+	dear.HealthCheckCost = 0.01
 	forbidden := probing()
-	forbidden.MayProbe = false
+	forbidden.AllowHealthChecks = false
 	for _, cfg := range []Config{dear, forbidden} {
 		g := start(t, cfg, hosts(6)...)
 		g.request(1, 0, 0)
@@ -425,7 +425,7 @@
 	}
 	g := start(t, probing(), hosts(6)...)
 	g.request(1, 0, 0)
-	g.b.Checked(g.now, g.probes[0], OK, ms, &Report{Outstanding: -1, Backlog: 2, Utilization: 0.5})
+	g.b.HandleHealthCheck(g.now, g.probes[0], OutcomeOK, ms, &LoadReport{Outstanding: -1, Backlog: 2, Utilization: 0.5})
 	g.run(20 * ms)
 	n := len(g.probes)
 	g.request(2, 0, 0)
@@ -438,9 +438,9 @@
 	// Guards: a cold host's limit rose because little of it looked like much (zagreb big-2 0.98 to 0.91).
 	g := start(t, settings(), hosts(4)...)
 	h := g.b.hosts[0]
-	h.Started = g.now
+	h.StartedAt = g.now
 	before := h.limit
-	g.b.learn(h, 0, Settlement{Outcome: OK, Took: ms})
+	g.b.learn(h, 0, AttemptResult{Outcome: OutcomeOK, Latency: ms})
 	if h.limit != before {
 		t.Errorf("limit went from %g to %g with nothing in flight", before, h.limit)
 	}
--- a/internal/balancer/foresee.go
+++ b/internal/balancer/foresee.go
@@ -51,23 +51,23 @@
 }
 
 // began is when the first try of a request came, as far as can be told.
-func (b *Balancer) began(a Arrival) Time {
+func (b *Balancer) began(a Request) Time {
 	set, left := &b.cfg.Classes[a.Class], a.Deadline-b.now
 	at, usual := b.classes[a.Class].commonest(left, set.Deadline)
 	switch {
-	case a.Repeat && at >= usual:
+	case a.IsRetry && at >= usual:
 		// Each try is given up after a time of its own, or with the whole request, which is not sooner here: in between.
 		return b.now - max(set.Deadline-left, 0)/2
-	case a.Repeat, !b.cfg.Marked && set.LateShare == 0 && (at < usual-1 || at > usual+1): // first tries wait alike, repeats do not
+	case a.IsRetry, !b.cfg.ClientsMarkRetries && set.LateValue == 0 && (at < usual-1 || at > usual+1): // first tries wait alike, repeats do not
 		return min(b.now, a.Deadline-set.Deadline)
-	case b.cfg.Marked && at == len(b.classes[a.Class].patience)-1: // a first try, whose client waits as long as any may
+	case b.cfg.ClientsMarkRetries && at == len(b.classes[a.Class].patience)-1: // a first try, whose client waits as long as any may
 		b.way += sizeGain * (float64(set.Deadline-left) - b.way)
 	}
 	return b.now - Span(b.way)
 }
 
 // noteCores learns from a report how many requests a host works on at once.
-func (h *host) noteCores(rep *Report) {
+func (h *host) noteCores(rep *LoadReport) {
 	if rep.Outstanding >= 0 && rep.Backlog >= 0 {
 		h.cores = max(h.cores, 1, math.Round(rep.Outstanding-rep.Backlog))
 	}
@@ -75,7 +75,7 @@
 
 // fresh tells whether a report says more than our own part of what a host holds.
 func (b *Balancer) fresh(h *host) bool {
-	return h.report.Outstanding >= 0 && b.now-h.heardAt <= 2*b.cfg.Tick
+	return h.report.Outstanding >= 0 && b.now-h.heardAt <= 2*b.cfg.TickInterval
 }
 
 // used is our part of what a host holds, by a fresh report or else our own attempts.
@@ -104,7 +104,7 @@
 // need is the time that a request takes on a host that has nothing else to do, or the mean of its class with the time in queues
 // where hosts tell too little. It is half of the aim at most: only answers bring it down, so it must not keep all requests out.
 func (b *Balancer) need(r *request) float64 {
-	c, half := &b.classes[r.class], float64(b.cfg.Classes[r.class].Aim)/2
+	c, half := &b.classes[r.class], float64(b.cfg.Classes[r.class].LatencyObjective)/2
 	if c.answers > 0 {
 		return r.size * min(c.work, half)
 	}
--- a/internal/balancer/foresee_test.go
+++ b/internal/balancer/foresee_test.go
@@ -8,36 +8,36 @@
 // boxes are hosts of one core that tell what they hold, behind a gateway that may probe them.
 type boxes struct {
 	*gateway
-	work   func(ReqID) Span // that a request takes, alone
-	queue  map[HostID][]box // first in, first out
+	work   func(RequestID) Span // that a request takes, alone
+	queue  map[EndpointID][]box // first in, first out
 	late   int
 	served int
 	mute   bool // probes get no answer
-	sent   map[ReqID]Time
+	sent   map[RequestID]Time
 }
 
 type box struct {
-	id  ReqID
+	id  RequestID
 	end Time
 }
 
 func startBoxes(t *testing.T, cfg Config, n int) *boxes {
-	cfg.MayProbe, cfg.Probe = true, 0.001
-	return &boxes{gateway: start(t, cfg, hosts(n)...), queue: map[HostID][]box{}, sent: map[ReqID]Time{},
-		work: func(ReqID) Span { return 40 * ms }}
+	cfg.AllowHealthChecks, cfg.HealthCheckCost = true, 0.001
+	return &boxes{gateway: start(t, cfg, hosts(n)...), queue: map[EndpointID][]box{}, sent: map[RequestID]Time{},
+		work: func(RequestID) Span { return 40 * ms }}
 }
 
 // report is what a host tells.
-func (b *boxes) report(h HostID) *Report {
+func (b *boxes) report(h EndpointID) *LoadReport {
 	n := float64(len(b.queue[h]))
-	return &Report{Outstanding: n, Backlog: max(n-1, 0), Utilization: min(n, 1)}
+	return &LoadReport{Outstanding: n, Backlog: max(n-1, 0), Utilization: min(n, 1)}
 }
 
 // pass lets a millisecond go by: probes are answered, hosts begin and end work.
 func (b *boxes) pass() {
 	for _, h := range b.probes {
 		if !b.mute {
-			b.b.Checked(b.now, h, OK, ms, b.report(h))
+			b.b.HandleHealthCheck(b.now, h, OutcomeOK, ms, b.report(h))
 		}
 	}
 	b.probes = b.probes[:0]
@@ -53,7 +53,7 @@
 			b.queue[h] = append(b.queue[h], box{id, begin + b.work(id)})
 		}
 	}
-	for i := range HostID(20) {
+	for i := range EndpointID(20) {
 		for h := i + 1; len(b.queue[h]) > 0 && b.queue[h][0].end <= b.now; {
 			id := b.queue[h][0].id
 			b.queue[h] = b.queue[h][1:]
@@ -63,7 +63,7 @@
 			} else {
 				b.late++
 			}
-			b.b.Settled(b.now, Settlement{ID: id, Host: h, Outcome: OK, Took: b.now - b.sent[id], Closed: true, Report: b.report(h)})
+			b.b.HandleAttemptResult(b.now, AttemptResult{ID: id, Endpoint: h, Outcome: OutcomeOK, Latency: b.now - b.sent[id], RequestDone: true, Load: b.report(h)})
 			if !done {
 				b.final[id] = "served"
 			}
@@ -72,9 +72,9 @@
 }
 
 // offer has a request come every so often for a time.
-func (b *boxes) offer(first ReqID, n int, every Span) {
+func (b *boxes) offer(first RequestID, n int, every Span) {
 	for k := range n {
-		b.request(first+ReqID(k), 0, 0)
+		b.request(first+RequestID(k), 0, 0)
 		for range every / ms {
 			b.pass()
 		}
@@ -102,14 +102,14 @@
 func TestSlownessIsForgotten(t *testing.T) {
 	b := startBoxes(t, oneClass(), 4)
 	b.offer(1, 100, 15*ms)
-	b.work = func(ReqID) Span { return 500 * ms }
+	b.work = func(RequestID) Span { return 500 * ms }
 	b.offer(1001, 300, 15*ms)
 	before := len(b.sent)
 	b.offer(2001, 100, 15*ms)
 	if n := len(b.sent) - before; n == 0 || n > 6 {
 		t.Errorf("%d requests sent in 1.5 s that could not be in time", n)
 	}
-	b.work = func(ReqID) Span { return 40 * ms }
+	b.work = func(RequestID) Span { return 40 * ms }
 	b.offer(3001, 100, 15*ms)
 	b.served = 0
 	b.offer(4001, 100, 15*ms)
@@ -128,18 +128,18 @@
 	}{{"exact", true, "decline"}, {"noise", false, "served"}} {
 		t.Run(c.name, func(t *testing.T) {
 			b := startBoxes(t, oneClass(), 4)
-			hint := func(id ReqID) Span { return (10 + 60*(Span(id)%2)) * ms }
-			b.work = func(id ReqID) Span { return 40 * ms }
+			hint := func(id RequestID) Span { return (10 + 60*(Span(id)%2)) * ms }
+			b.work = func(id RequestID) Span { return 40 * ms }
 			if c.exact {
 				b.work = hint
 			}
-			ask := func(id ReqID, hint Span) {
-				b.b.Request(b.now, Arrival{ID: id, Deadline: b.now + b.b.cfg.Classes[0].Deadline, Hint: hint})
+			ask := func(id RequestID, hint Span) {
+				b.b.HandleRequest(b.now, Request{ID: id, Deadline: b.now + b.b.cfg.Classes[0].Deadline, CostHint: hint})
 				for range 20 {
 					b.pass()
 				}
 			}
-			for id := ReqID(1); id < 200; id++ {
+			for id := RequestID(1); id < 200; id++ {
 				ask(id, hint(id))
 			}
 			ask(1000, 1000*ms)
@@ -173,11 +173,11 @@
 
 // A probe that is answered without a word of what the host holds is of no use, and none waits for another.
 func TestProbesThatTellNothing(t *testing.T) {
-	for name, rep := range map[string]*Report{"no report": nil, "other fields": {-1, 2, 0.5}} {
+	for name, rep := range map[string]*LoadReport{"no report": nil, "other fields": {-1, 2, 0.5}} {
 		b := startBoxes(t, oneClass(), 4)
 		b.mute = true
 		b.request(1, 0, 0)
-		b.b.Checked(b.now, b.probes[0], OK, ms, rep)
+		b.b.HandleHealthCheck(b.now, b.probes[0], OutcomeOK, ms, rep)
 		b.request(2, 0, 0)
 		b.pass()
 		if b.b.probing() || len(b.tries[2]) != 1 {
@@ -190,13 +190,13 @@
 // from its first try, as far as its deadline tells.
 func TestMarkedRepeats(t *testing.T) {
 	cfg := oneClass()
-	cfg.Marked = true
+	cfg.ClientsMarkRetries = true
 	g := start(t, cfg, hosts(4)...)
-	ask := func(id ReqID, left Span, repeat bool) Span {
-		g.b.Request(g.now, Arrival{ID: id, Deadline: g.now + left, Repeat: repeat})
+	ask := func(id RequestID, left Span, repeat bool) Span {
+		g.b.HandleRequest(g.now, Request{ID: id, Deadline: g.now + left, IsRetry: repeat})
 		return g.b.reqs[id].aimAt - g.now
 	}
-	for id := ReqID(1); id < 100; id++ { // most give a try 300 ms
+	for id := RequestID(1); id < 100; id++ { // most give a try 300 ms
 		ask(id, 300*ms, false)
 	}
 	for id, c := range []struct {
@@ -206,7 +206,7 @@
 	}{{300 * ms, false, 200 * ms}, {490 * ms, false, 200 * ms}, // first tries
 		{400 * ms, true, 150 * ms}, {300 * ms, true, 100 * ms}, // somewhere between now and 500 ms before its end
 		{250 * ms, true, -50 * ms}, {100 * ms, true, -200 * ms}} { // ends with the whole request, which began 500 ms before
-		if got := ask(ReqID(1000+id), c.left, c.repeat); math.Abs(float64(got-c.want)) > ms {
+		if got := ask(RequestID(1000+id), c.left, c.repeat); math.Abs(float64(got-c.want)) > ms {
 			t.Errorf("%d ms left, repeat %v: aim in %d µs, want %d", c.left/ms, c.repeat, got, c.want)
 		}
 	}
@@ -216,13 +216,13 @@
 func TestCoresAreLearned(t *testing.T) {
 	g := start(t, oneClass(), hosts(2)...)
 	h := g.b.byID[1]
-	for _, r := range []Report{{3, 0, 0.2}, {9, 1, 0.9}, {4, 0, 0.3}} {
+	for _, r := range []LoadReport{{3, 0, 0.2}, {9, 1, 0.9}, {4, 0, 0.3}} {
 		g.b.observe(h, &r)
 	}
 	if h.cores != 8 {
 		t.Errorf("%v cores, want 8", h.cores)
 	}
-	g.b.observe(g.b.byID[2], &Report{5, -1, 0.5})
+	g.b.observe(g.b.byID[2], &LoadReport{5, -1, 0.5})
 	if c := g.b.byID[2].cores; c != 0 {
 		t.Errorf("%v cores where no queue is told", c)
 	}
@@ -232,10 +232,10 @@
 func TestWayCountsAgainstTheAim(t *testing.T) {
 	for _, marked := range []bool{true, false} {
 		cfg := oneClass()
-		cfg.Marked = marked
+		cfg.ClientsMarkRetries = marked
 		g := start(t, cfg) // no host: all is held
-		for id := ReqID(1); id < 200; id++ {
-			g.b.Request(g.now, Arrival{ID: id, Deadline: g.now + 490*ms})
+		for id := RequestID(1); id < 200; id++ {
+			g.b.HandleRequest(g.now, Request{ID: id, Deadline: g.now + 490*ms})
 			g.run(ms)
 		}
 		aim := g.b.reqs[199].aimAt - (g.now - ms)
@@ -260,8 +260,8 @@
 // requests that are about to be answered.
 func TestCoarseTickSparesTheAim(t *testing.T) {
 	cfg := oneClass()
-	cfg.Tick = 5 * ms
-	cfg.Classes[0].Aim, cfg.Classes[0].Deadline = 10*ms, 10*ms
+	cfg.TickInterval = 5 * ms
+	cfg.Classes[0].LatencyObjective, cfg.Classes[0].Deadline = 10*ms, 10*ms
 	g := start(t, cfg, hosts(4)...)
 	g.request(1, 0, 0)
 	g.run(8 * ms)
@@ -275,14 +275,14 @@
 // As limits move, what all hosts may hold moves with them: with long aims the next period is far away.
 func TestCapacityFollowsLimits(t *testing.T) {
 	cfg := oneClass()
-	cfg.Classes[0].Aim, cfg.Classes[0].Deadline = 10000*ms, 20000*ms
+	cfg.Classes[0].LatencyObjective, cfg.Classes[0].Deadline = 10000*ms, 20000*ms
 	g := start(t, cfg, hosts(4)...)
-	for id := ReqID(1); id <= 200; id++ {
+	for id := RequestID(1); id <= 200; id++ {
 		g.request(id, 0, 0)
 	}
 	before, sum := g.b.capacity, 0.0
-	for id := ReqID(1); id <= 20; id++ {
-		g.settle(id, 0, OK) // at once: limits rise
+	for id := RequestID(1); id <= 20; id++ {
+		g.settle(id, 0, OutcomeOK) // at once: limits rise
 	}
 	for _, h := range g.b.group {
 		sum += g.b.limitOf(h)
@@ -302,7 +302,7 @@
 	b.request(1000, 0, 0)
 	b.pass()
 	before := b.b.classes[0].work
-	b.b.Settled(b.now, Settlement{ID: 1000, Host: b.tries[1000][0], Outcome: OK, Closed: true})
+	b.b.HandleAttemptResult(b.now, AttemptResult{ID: 1000, Endpoint: b.tries[1000][0], Outcome: OutcomeOK, RequestDone: true})
 	if got := b.b.classes[0].work; got != before || before < 30*ms || before > 50*ms {
 		t.Errorf("work %.0f, before %.0f, truly %d", got, before, 40*ms)
 	}
--- a/internal/balancer/lease_test.go
+++ b/internal/balancer/lease_test.go
@@ -9,21 +9,21 @@
 // leased are settings under which nothing is sent by a list of unknown age.
 func leased() Config {
 	cfg := settings()
-	cfg.ListLease, cfg.AskDiscovery = ToldWithin, true
+	cfg.ListLease, cfg.PollDiscovery = NotificationDeadline, true
 	return cfg
 }
 
 // Nothing is sent by a list of which nothing is known but that it was once so. A request waits for word, and goes out as that comes.
 func TestNothingIsSentByAListOfUnknownAge(t *testing.T) {
-	for name, word := range map[string]ListKind{"an answer": ListDelta, "a refusal": ListFailed, "too many callers": ListBusy,
-		"no answer to the first call": ListSilent} {
+	for name, word := range map[string]ListKind{"an answer": ListDelta, "a refusal": ListFailed, "too many callers": ListOverloaded,
+		"no answer to the first call": ListTimeout} {
 		g := start(t, leased(), hosts(4)...)
 		g.request(1, 0, 0)
 		g.run(20 * ms)
 		if len(g.tries[1]) > 0 {
 			t.Errorf("%s: sent before it", name)
 		}
-		g.b.MembersAsOf(g.now, g.now, word, nil)
+		g.b.HandleEndpointsAsOf(g.now, g.now, word, nil)
 		if len(g.tries[1]) != 1 {
 			t.Errorf("%s: %d attempts behind it", name, len(g.tries[1]))
 		}
@@ -35,28 +35,28 @@
 func TestLeaseEndsAndIsRenewed(t *testing.T) {
 	g := start(t, leased(), hosts(4)...)
 	heard := g.now
-	g.b.MembersAsOf(g.now, heard, ListDelta, nil)
-	sent := func(id ReqID) bool {
+	g.b.HandleEndpointsAsOf(g.now, heard, ListDelta, nil)
+	sent := func(id RequestID) bool {
 		g.request(id, 0, 0)
-		defer g.b.Gone(g.now, id)
+		defer g.b.HandleCancellation(g.now, id)
 		return len(g.tries[id]) > 0
 	}
-	g.run(ToldWithin - 10*ms)
+	g.run(NotificationDeadline - 10*ms)
 	if !sent(1) {
 		t.Error("not sent while the lease holds")
 	}
-	g.b.MembersAsOf(g.now, g.now, ListSilent, nil)
-	g.b.MembersAsOf(g.now, g.now, ListCached, hosts(4))
-	if g.run(heard + ToldWithin - g.now); sent(2) {
+	g.b.HandleEndpointsAsOf(g.now, g.now, ListTimeout, nil)
+	g.b.HandleEndpointsAsOf(g.now, g.now, ListCached, hosts(4))
+	if g.run(heard + NotificationDeadline - g.now); sent(2) {
 		t.Error("sent after the end of the lease")
 	}
-	if current, until := g.b.ListCurrent(g.now); current || until != heard+ToldWithin {
+	if current, until := g.b.ListCurrent(g.now); current || until != heard+NotificationDeadline {
 		t.Errorf("current %v, until %d", current, until)
 	}
-	if g.b.MembersAsOf(g.now, g.now, ListFailed, nil); !sent(3) {
+	if g.b.HandleEndpointsAsOf(g.now, g.now, ListFailed, nil); !sent(3) {
 		t.Error("not sent though nothing newer could be had")
 	}
-	g.b.ListMustBeHeardAnew(g.now, g.now+100*ms)
+	g.b.ExpireListAt(g.now, g.now+100*ms)
 	if g.run(100 * ms); sent(4) {
 		t.Error("sent by what was heard before a move of discovery")
 	}
@@ -65,16 +65,16 @@
 // An attempt that has waited for its connection is not begun by a list that has become too old meanwhile.
 func TestAttemptDoesNotBeginByAnOldList(t *testing.T) {
 	cfg := leased()
-	cfg.Classes[0].Aim, cfg.Classes[0].Deadline = 2*ToldWithin, 2*ToldWithin
+	cfg.Classes[0].LatencyObjective, cfg.Classes[0].Deadline = 2*NotificationDeadline, 2*NotificationDeadline
 	g := start(t, cfg, hosts(4)...)
-	g.b.MembersAsOf(g.now, g.now, ListDelta, nil)
+	g.b.HandleEndpointsAsOf(g.now, g.now, ListDelta, nil)
 	if g.request(1, 0, 0); len(g.tries[1]) != 1 {
 		t.Fatal("not sent")
 	}
-	if why := g.b.MayBegin(g.now, 1, 0); why != safety.Allowed {
+	if why := g.b.MayStartAttempt(g.now, 1, 0); why != safety.Allowed {
 		t.Error(why)
 	}
-	if why := g.b.MayBegin(g.now+ToldWithin, 1, 0); why != safety.ListStale {
+	if why := g.b.MayStartAttempt(g.now+NotificationDeadline, 1, 0); why != safety.ListStale {
 		t.Errorf("%v, want %v", why, safety.ListStale)
 	}
 }
@@ -83,18 +83,18 @@
 // a list that is not asked for is too old before it is told.
 func TestCallsComeBeforeTheListIsTooOld(t *testing.T) {
 	cfg := leased()
-	cfg.Peers = 300
+	cfg.PeerCount = 300
 	for seed := range uint64(50) {
 		g := startSeed(t, seed, cfg, hosts(4)...)
 		began := g.now
-		g.run(ToldWithin)
-		if g.asked == 0 || g.firstAsk-began > ToldWithin/12 {
+		g.run(NotificationDeadline)
+		if g.asked == 0 || g.firstAsk-began > NotificationDeadline/12 {
 			t.Fatalf("seed %d: first call after %d us", seed, g.firstAsk-began)
 		}
-		g.b.MembersAsOf(g.now, g.now, ListBusy, nil)
+		g.b.HandleEndpointsAsOf(g.now, g.now, ListOverloaded, nil)
 		g.asked = 0
-		if g.run(ToldWithin/2 + 10*ms); g.asked == 0 {
-			t.Fatalf("seed %d: no call %d us after too many callers", seed, ToldWithin/2)
+		if g.run(NotificationDeadline/2 + 10*ms); g.asked == 0 {
+			t.Fatalf("seed %d: no call %d us after too many callers", seed, NotificationDeadline/2)
 		}
 	}
 }
@@ -102,18 +102,18 @@
 // Another process goes on with what is left of the lease on the list that it takes over, less what the hand-over may have taken.
 func TestLeaseIsHandedOver(t *testing.T) {
 	g := start(t, leased(), hosts(4)...)
-	g.b.MembersAsOf(g.now, g.now, ListDelta, nil)
+	g.b.HandleEndpointsAsOf(g.now, g.now, ListDelta, nil)
 	heard := g.now
 	g.run(1000 * ms)
 	next := start(t, leased(), hosts(4)...)
 	next.run(g.now - next.now)
-	next.b.Import(next.now, g.b.Export(g.now))
-	if _, until := next.b.ListCurrent(next.now); until != heard+ToldWithin-handoverWithin {
+	next.b.ImportState(next.now, g.b.ExportState(g.now))
+	if _, until := next.b.ListCurrent(next.now); until != heard+NotificationDeadline-handoverWithin {
 		t.Errorf("until %d us after it was heard", until-heard)
 	}
 	late := start(t, leased(), hosts(4)...)
-	for _, left := range []Span{0, -1, handoverWithin, ToldWithin + 1} {
-		if late.b.Import(late.now, Memory{ListLeft: left}); late.b.lease.Valid(late.now) {
+	for _, left := range []Span{0, -1, handoverWithin, NotificationDeadline + 1} {
+		if late.b.ImportState(late.now, Learned{ListLeaseLeft: left}); late.b.lease.Valid(late.now) {
 			t.Errorf("%d us left are taken for a lease", left)
 		}
 	}
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -15,7 +15,7 @@
 )
 
 type host struct {
-	Host
+	Endpoint
 	out      meter     // own attempts
 	per      []int     // the same by tenant
 	slots    []float64 // its row of the slot matrix
@@ -30,7 +30,7 @@
 	answered Time    // last sign of life while attempts were out
 	tokens   float64 // turns while it is cold: the whole ones are open, the rest is how far the next has come
 	tokensAt Time
-	report   Report
+	report   LoadReport
 	reportAt Time // when the report last changed
 	heardAt  Time // when the last report came
 }
@@ -55,7 +55,7 @@
 }
 
 type request struct {
-	id                      ReqID
+	id                      RequestID
 	class, tenant           int
 	key                     uint64  // 0: of no use
 	hint                    float64 // its client's guess, as the logarithm of what it is of the usual one
@@ -112,15 +112,15 @@
 // Balancer decides for one gateway. It is not safe for concurrent use.
 type Balancer struct {
 	cfg     Config
-	act     Actions
+	act     Commands
 	seed    uint64
 	born    uint64 // the seed at start
 	now     Time
 	begun   bool
 	hosts   []*host // by rank, in the same order at every gateway
 	group   []*host // the subset in use
-	byID    map[HostID]*host
-	reqs    map[ReqID]*request
+	byID    map[EndpointID]*host
+	reqs    map[RequestID]*request
 	tenants []tenantState
 	classes []classState
 	weights []float64
@@ -160,8 +160,8 @@
 }
 
 // New returns a Balancer for one gateway, or an error where the settings leave nothing sound to do.
-func New(cfg Config, seed uint64, act Actions) (*Balancer, error) {
-	b := &Balancer{act: act, seed: seed, born: seed, byID: map[HostID]*host{}, reqs: map[ReqID]*request{}, shared: 1}
+func New(cfg Config, seed uint64, act Commands) (*Balancer, error) {
+	b := &Balancer{act: act, seed: seed, born: seed, byID: map[EndpointID]*host{}, reqs: map[RequestID]*request{}, shared: 1}
 	if err := b.settle(cfg); err != nil {
 		return nil, err
 	}
@@ -179,31 +179,31 @@
 		if c.Deadline <= 0 {
 			return fmt.Errorf("settings: class %d has no deadline", i)
 		}
-		if !(c.Worth > 0) {
-			c.Worth = 1
+		if !(c.PriorityWeight > 0) {
+			c.PriorityWeight = 1
 		}
-		if c.Aim <= 0 || c.Aim > c.Deadline {
-			c.Aim = c.Deadline
+		if c.LatencyObjective <= 0 || c.LatencyObjective > c.Deadline {
+			c.LatencyObjective = c.Deadline
 		}
-		b.period = max(b.period, 2*c.Aim)
-		quarter := float64(c.Aim) / 4
+		b.period = max(b.period, 2*c.LatencyObjective)
+		quarter := float64(c.LatencyObjective) / 4
 		b.classes = append(b.classes, classState{base: quarter, mean: quarter, work: quarter})
-		b.aim += float64(c.Aim) / float64(len(cfg.Classes))
+		b.aim += float64(c.LatencyObjective) / float64(len(cfg.Classes))
 		b.work = b.aim / 4
 	}
 	b.silence, b.wanted, b.gains = b.period/2, 1, make([]float64, len(cfg.Classes))
-	cfg.MaxAttempts, cfg.Self = max(cfg.MaxAttempts, 1), max(cfg.Self, 0)
-	cfg.ColdFrom = min(max(cfg.ColdFrom, 0.05), 1)
+	cfg.MaxAttempts, cfg.PeerIndex = max(cfg.MaxAttempts, 1), max(cfg.PeerIndex, 0)
+	cfg.SlowStartInitial = min(max(cfg.SlowStartInitial, 0.05), 1)
 	total := 0.0
 	for _, t := range cfg.Tenants {
-		total += max(t.Share, 0)
+		total += max(t.QuotaFraction, 0)
 	}
 	b.tenants = make([]tenantState, max(len(cfg.Tenants), 1))
 	b.turns, b.blocked = make([]float64, len(b.tenants)), make([]bool, len(b.tenants))
 	for i := range b.tenants {
 		b.tenants[i].share = 1 / float64(len(b.tenants))
 		if total > 0 {
-			b.tenants[i].share = max(cfg.Tenants[i].Share, 0) / total
+			b.tenants[i].share = max(cfg.Tenants[i].QuotaFraction, 0) / total
 		}
 		b.tenants[i].demand, b.tenants[i].want = b.tenants[i].share, b.tenants[i].share
 	}
@@ -211,10 +211,10 @@
 	return nil
 }
 
-// Retune takes up new settings. Requests that are open keep the rules they came under: the classes and tenants they
+// Reconfigure takes up new settings. Requests that are open keep the rules they came under: the classes and tenants they
 // belong to must stay in cfg under their numbers. classes and tenants tell, for each of cfg's, the number of the one whose
 // learning it goes on with, or -1; a tenant's requests go with it, so that number is its own.
-func (b *Balancer) Retune(now Time, cfg Config, classes, tenants []int) error {
+func (b *Balancer) Reconfigure(now Time, cfg Config, classes, tenants []int) error {
 	next := &Balancer{}
 	if err := next.settle(cfg); err != nil {
 		return err
@@ -253,107 +253,107 @@
 	return nil
 }
 
-// Memory is what a gateway has learned, for another process that takes its place. Hosts are known by Key; classes and
+// Learned is what a gateway has learned, for another process that takes its place. Hosts are known by Key; classes and
 // tenants are in the order of the settings that both have.
-type Memory struct {
-	Hosts    map[uint64]HostMemory `json:"Hosts"`
-	Classes  []ClassMemory         `json:"Classes"`
-	Tenants  []TenantMemory        `json:"Tenants"`
-	Busy     float64               `json:"Busy"`
-	Rate     float64               `json:"Rate"`
-	ModeTime [2]float64            `json:"ModeTime"`
-	Over     bool                  `json:"Over"`
-	ListLeft Span                  `json:"ListLeft"` // for how much longer requests may be sent by the list that goes with it
-}
-
-// HostMemory is what was learned of a host's process, as of Started.
-type HostMemory struct {
-	Started  Time    `json:"Started"`
-	Limit    float64 `json:"Limit"`
-	Bad      float64 `json:"Bad"`
-	Tokens   float64 `json:"Tokens"`
-	Fails    int     `json:"Fails"`
-	Outs     int     `json:"Outs"`
-	OutTill  Time    `json:"OutTill"`
-	TokensAt Time    `json:"TokensAt"`
-	Queue    float64 `json:"Queue"` // by its last report, as the next two
-	Util     float64 `json:"Util"`
-	Holding  float64 `json:"Holding"`
-}
-
-// ClassMemory is what was learned of a class.
-type ClassMemory struct {
-	Base float64 `json:"Base"`
-	Mean float64 `json:"Mean"`
-}
-
-// TenantMemory is what was learned of a tenant.
-type TenantMemory struct {
-	Demand float64    `json:"Demand"`
-	Want   float64    `json:"Want"`
-	Used   [2]float64 `json:"Used"`
-}
-
-// Export returns what was learned. Of what is left of the cold budgets, half goes with it.
-func (b *Balancer) Export(now Time) Memory {
+type Learned struct {
+	Endpoints     map[uint64]LearnedEndpoint `json:"Hosts"`
+	Classes       []LearnedClass             `json:"Classes"`
+	Tenants       []LearnedTenant            `json:"Tenants"`
+	MeanInFlight  float64                    `json:"Busy"`
+	AnswerRate    float64                    `json:"Rate"`
+	ModeTime      [2]float64                 `json:"ModeTime"`
+	Overloaded    bool                       `json:"Over"`
+	ListLeaseLeft Span                       `json:"ListLeft"` // for how much longer requests may be sent by the list that goes with it
+}
+
+// LearnedEndpoint is what was learned of a host's process, as of Started.
+type LearnedEndpoint struct {
+	StartedAt           Time    `json:"Started"`
+	Limit               float64 `json:"Limit"`
+	ErrorShare          float64 `json:"Bad"`
+	Tokens              float64 `json:"Tokens"`
+	ConsecutiveFailures int     `json:"Fails"`
+	Ejections           int     `json:"Outs"`
+	EjectedUntil        Time    `json:"OutTill"`
+	TokensAt            Time    `json:"TokensAt"`
+	Backlog             float64 `json:"Queue"` // by its last report, as the next two
+	Utilization         float64 `json:"Util"`
+	Outstanding         float64 `json:"Holding"`
+}
+
+// LearnedClass is what was learned of a class.
+type LearnedClass struct {
+	BaseLatency float64 `json:"Base"`
+	MeanLatency float64 `json:"Mean"`
+}
+
+// LearnedTenant is what was learned of a tenant.
+type LearnedTenant struct {
+	Demand      float64    `json:"Demand"`
+	QuotaTarget float64    `json:"Want"`
+	Used        [2]float64 `json:"Used"`
+}
+
+// ExportState returns what was learned. Of what is left of the cold budgets, half goes with it.
+func (b *Balancer) ExportState(now Time) Learned {
 	b.now = now
-	m := Memory{Hosts: map[uint64]HostMemory{}, Busy: b.busy, Rate: b.rate, ModeTime: b.modeTime, Over: b.over}
+	m := Learned{Endpoints: map[uint64]LearnedEndpoint{}, MeanInFlight: b.busy, AnswerRate: b.rate, ModeTime: b.modeTime, Overloaded: b.over}
 	if b.lease.Bounded() {
-		m.ListLeft = max(b.lease.Until()-b.now, 0)
+		m.ListLeaseLeft = max(b.lease.Until()-b.now, 0)
 	}
 	for _, h := range b.hosts {
 		h.tokens /= 2
-		m.Hosts[cmp.Or(h.Key, uint64(h.ID))] = HostMemory{Started: h.Started, Limit: h.limit, Bad: h.bad, Tokens: h.tokens, Fails: h.fails,
-			Outs: h.outs, OutTill: h.outTill, TokensAt: h.tokensAt, Queue: h.report.Backlog, Util: h.report.Utilization, Holding: h.report.Outstanding}
+		m.Endpoints[cmp.Or(h.StableKey, uint64(h.ID))] = LearnedEndpoint{StartedAt: h.StartedAt, Limit: h.limit, ErrorShare: h.bad, Tokens: h.tokens, ConsecutiveFailures: h.fails,
+			Ejections: h.outs, EjectedUntil: h.outTill, TokensAt: h.tokensAt, Backlog: h.report.Backlog, Utilization: h.report.Utilization, Outstanding: h.report.Outstanding}
 	}
 	for i := range b.classes {
-		m.Classes = append(m.Classes, ClassMemory{b.classes[i].base, b.classes[i].mean})
+		m.Classes = append(m.Classes, LearnedClass{b.classes[i].base, b.classes[i].mean})
 	}
 	for i := range b.tenants {
 		t := &b.tenants[i]
-		m.Tenants = append(m.Tenants, TenantMemory{t.demand, t.want, t.used})
+		m.Tenants = append(m.Tenants, LearnedTenant{t.demand, t.want, t.used})
 	}
 	return m
 }
 
-// Import takes up what another process has learned of the hosts that are listed. What makes no sense is left out.
-func (b *Balancer) Import(now Time, m Memory) {
+// ImportState takes up what another process has learned of the hosts that are listed. What makes no sense is left out.
+func (b *Balancer) ImportState(now Time, m Learned) {
 	b.now = now
 	sound := func(v ...float64) bool {
 		return !slices.ContainsFunc(v, func(v float64) bool { return !(v >= 0 && v < 1e15) })
 	}
 	for _, h := range b.hosts {
-		o, ok := m.Hosts[cmp.Or(h.Key, uint64(h.ID))]
-		if !ok || o.Started != h.Started || !sound(o.Limit, o.Bad) || o.Limit == 0 || o.Bad > 1 || math.IsNaN(o.Tokens) {
+		o, ok := m.Endpoints[cmp.Or(h.StableKey, uint64(h.ID))]
+		if !ok || o.StartedAt != h.StartedAt || !sound(o.Limit, o.ErrorShare) || o.Limit == 0 || o.ErrorShare > 1 || math.IsNaN(o.Tokens) {
 			continue
 		}
-		h.limit, h.bad, h.fails, h.outs = o.Limit, o.Bad, min(max(o.Fails, 0), ejectAfter), min(max(o.Outs, 0), 2*ejectMost)
+		h.limit, h.bad, h.fails, h.outs = o.Limit, o.ErrorShare, min(max(o.ConsecutiveFailures, 0), ejectAfter), min(max(o.Ejections, 0), 2*ejectMost)
 		h.tokens, h.tokensAt = o.Tokens, now
-		h.outTill = min(o.OutTill, now+b.period<<ejectMost)
-		h.report, h.reportAt, h.heardAt = Report{o.Holding, o.Queue, o.Util}, now, 0
-		if !sound(o.Queue, o.Util) {
-			h.report = Report{-1, -1, -1}
+		h.outTill = min(o.EjectedUntil, now+b.period<<ejectMost)
+		h.report, h.reportAt, h.heardAt = LoadReport{o.Outstanding, o.Backlog, o.Utilization}, now, 0
+		if !sound(o.Backlog, o.Utilization) {
+			h.report = LoadReport{-1, -1, -1}
 		}
 	}
 	if len(m.Classes) == len(b.classes) {
 		for i, c := range m.Classes {
-			if sound(c.Base, c.Mean) && c.Base > 0 && c.Mean > 0 {
-				b.classes[i].base, b.classes[i].mean = c.Base, c.Mean
+			if sound(c.BaseLatency, c.MeanLatency) && c.BaseLatency > 0 && c.MeanLatency > 0 {
+				b.classes[i].base, b.classes[i].mean = c.BaseLatency, c.MeanLatency
 			}
 		}
 	}
 	if len(m.Tenants) == len(b.tenants) {
 		for i, t := range m.Tenants {
-			if sound(t.Demand, t.Want, t.Used[0], t.Used[1]) {
-				b.tenants[i].demand, b.tenants[i].want, b.tenants[i].used = t.Demand, t.Want, t.Used
+			if sound(t.Demand, t.QuotaTarget, t.Used[0], t.Used[1]) {
+				b.tenants[i].demand, b.tenants[i].want, b.tenants[i].used = t.Demand, t.QuotaTarget, t.Used
 			}
 		}
 	}
-	if sound(m.Busy, m.Rate, m.ModeTime[0], m.ModeTime[1]) {
-		b.busy, b.rate, b.modeTime, b.over = m.Busy, m.Rate, m.ModeTime, m.Over
+	if sound(m.MeanInFlight, m.AnswerRate, m.ModeTime[0], m.ModeTime[1]) {
+		b.busy, b.rate, b.modeTime, b.over = m.MeanInFlight, m.AnswerRate, m.ModeTime, m.Overloaded
 	}
-	if left := m.ListLeft - handoverWithin; left > 0 && m.ListLeft <= b.cfg.ListLease {
-		b.lease.Note(staleness.Answered, now+left-b.cfg.ListLease)
+	if left := m.ListLeaseLeft - handoverWithin; left > 0 && m.ListLeaseLeft <= b.cfg.ListLease {
+		b.lease.Record(staleness.Answered, now+left-b.cfg.ListLease)
 	}
 	b.control()
 	b.release()
@@ -362,8 +362,8 @@
 // handoverWithin is how long it may take until what one process has given is with the next.
 const handoverWithin Span = 500_000
 
-// Share tells how many processes are this gateway: they spend the cold budgets together.
-func (b *Balancer) Share(processes int) { b.shared = float64(max(processes, 1)) }
+// SetProcessCount tells how many processes are this gateway: they spend the cold budgets together.
+func (b *Balancer) SetProcessCount(processes int) { b.shared = float64(max(processes, 1)) }
 
 // Config returns the settings in force, defaults filled in.
 func (b *Balancer) Config() Config { return b.cfg }
@@ -414,7 +414,7 @@
 }
 
 // observe keeps a host's report and when it last changed.
-func (b *Balancer) observe(h *host, rep *Report) {
+func (b *Balancer) observe(h *host, rep *LoadReport) {
 	if rep == nil {
 		return
 	}
@@ -447,27 +447,27 @@
 }
 
 // mayHaveRun is the first of these attempts that may have executed, or is still out.
-func mayHaveRun(tries []attempt) *safety.Earlier {
+func mayHaveRun(tries []attempt) *safety.PriorAttempt {
 	for i := range tries {
 		if a := &tries[i]; a.open || a.ran {
-			return &safety.Earlier{SentAt: a.sent, Zone: a.zone, Cell: a.cell}
+			return &safety.PriorAttempt{SentAt: a.sent, Zone: a.zone, Cell: a.cell}
 		}
 	}
 	return nil
 }
 
-// Streaming is the start of a streamed answer: from here on no deadline counts.
-func (b *Balancer) Streaming(now Time, id ReqID) {
+// HandleResponseStart is the start of a streamed answer: from here on no deadline counts.
+func (b *Balancer) HandleResponseStart(now Time, id RequestID) {
 	b.now = now
 	if r := b.reqs[id]; r != nil {
 		r.started = true
 	}
 }
 
-// Loading tells that a request's one attempt has begun to go out while the request is still coming in, and later that all
+// HandleUpload tells that a request's one attempt has begun to go out while the request is still coming in, and later that all
 // of it has gone: in between its host has no work with it, and no deadline counts. It can't be sent again, and how long its
 // answer may take is the gateway's to say.
-func (b *Balancer) Loading(now Time, id ReqID, on bool) {
+func (b *Balancer) HandleUpload(now Time, id RequestID, on bool) {
 	b.now = now
 	r := b.reqs[id]
 	if r == nil || r.open == 0 || r.loading == on {
@@ -484,37 +484,37 @@
 	b.release()
 }
 
-// Peer is a message of another gateway. None is sent, so none is heeded.
-func (b *Balancer) Peer(now Time, from int, data []byte) { b.now = now }
+// HandlePeerMessage is a message of another gateway. None is sent, so none is heeded.
+func (b *Balancer) HandlePeerMessage(now Time, from int, data []byte) { b.now = now }
 
 // merge applies a list to the hosts known and returns those that are new processes. A host that a whole list
 // leaves off is gone; its record stays until its last attempt has ended.
-func (b *Balancer) merge(kind ListKind, list []Host) (fresh []*host) {
-	named := map[HostID]bool{}
+func (b *Balancer) merge(kind ListKind, list []Endpoint) (fresh []*host) {
+	named := map[EndpointID]bool{}
 	for _, e := range list {
 		named[e.ID] = true
 		h := b.byID[e.ID]
 		if h == nil {
-			if e.Phase == PhaseGone {
+			if e.Phase == PhaseRemoved {
 				continue
 			}
 			h = &host{per: make([]int, len(b.tenants)), slots: make([]float64, len(b.tenants))}
-			h.Started = -1
+			h.StartedAt = -1
 			b.byID[e.ID] = h
 			b.hosts = append(b.hosts, h)
 		}
-		if e.Started != h.Started {
-			h.report, h.reportAt = Report{-1, -1, -1}, 0
+		if e.StartedAt != h.StartedAt {
+			h.report, h.reportAt = LoadReport{-1, -1, -1}, 0
 			fresh = append(fresh, h)
 		}
-		h.Host = e
+		h.Endpoint = e
 	}
 	kept := b.hosts[:0]
 	for _, h := range b.hosts {
 		if kind != ListDelta && !named[h.ID] {
-			h.Phase = PhaseGone
+			h.Phase = PhaseRemoved
 		}
-		if h.Phase == PhaseGone && h.out.n == 0 {
+		if h.Phase == PhaseRemoved && h.out.n == 0 {
 			delete(b.byID, h.ID)
 			continue
 		}
@@ -532,24 +532,24 @@
 
 // warmth is the least part of its capacity that a host has by now.
 func (b *Balancer) warmth(h *host) float64 {
-	age := b.now - h.Started
-	if h.Started <= 0 || b.cfg.ColdRamp <= 0 || age >= b.cfg.ColdRamp {
+	age := b.now - h.StartedAt
+	if h.StartedAt <= 0 || b.cfg.SlowStartDuration <= 0 || age >= b.cfg.SlowStartDuration {
 		return 1
 	}
-	return b.cfg.ColdFrom + (1-b.cfg.ColdFrom)*float64(max(age, 0))/float64(b.cfg.ColdRamp)
+	return b.cfg.SlowStartInitial + (1-b.cfg.SlowStartInitial)*float64(max(age, 0))/float64(b.cfg.SlowStartDuration)
 }
 
 // coldRate is how many attempts in a microsecond a cold host may have of this process.
 func (b *Balancer) coldRate(h *host, warmth float64) float64 {
-	return max(b.rate, 2/float64(b.period)/b.sharers) * warmth * b.cfg.ColdMultiple * coldPart * min(b.part(h), 1) / b.shared
+	return max(b.rate, 2/float64(b.period)/b.sharers) * warmth * b.cfg.OverloadFactor * coldPart * min(b.part(h), 1) / b.shared
 }
 
 // phase is how far this gateway's next turn at a cold host has come as it first hears of it. The turns of all are one schedule on the clock
 // that all machines read: each start of a host begins it at a point of its own, and gateways stand evenly on it, by a step that has
 // nothing in common with the one that chose their subsets. One that starts anew has no turn more than it would have had.
 func (b *Balancer) phase(h *host) float64 {
-	start := float64(mix(h.rank^mix(uint64(h.Started)))>>11) / (1 << 53)
-	return math.Mod(start+float64(b.cfg.Self)*math.Sqrt2+b.coldRate(h, b.warmth(h))*float64(max(b.now-h.Started, 0)), 1)
+	start := float64(mix(h.rank^mix(uint64(h.StartedAt)))>>11) / (1 << 53)
+	return math.Mod(start+float64(b.cfg.PeerIndex)*math.Sqrt2+b.coldRate(h, b.warmth(h))*float64(max(b.now-h.StartedAt, 0)), 1)
 }
 
 // part is a host's nominal capacity, where the mean of all hosts is 1. It is held within bounds: one senseless weight
@@ -677,7 +677,7 @@
 // askSpread is the time over which the gateways spread their calls to discovery. It answers in turn, and
 // works for nothing on what has waited too long: called by all at once, and soon again, it answers nobody.
 func (b *Balancer) askSpread() float64 {
-	return float64(b.cfg.AskEvery) * float64(b.cfg.Peers-1) * askEach
+	return float64(b.cfg.PollInterval) * float64(b.cfg.PeerCount-1) * askEach
 }
 
 func (b *Balancer) horizon(slots float64) Span {
@@ -685,9 +685,9 @@
 }
 
 // book counts an attempt in or out, with what its end brought.
-func (b *Balancer) book(r *request, h *host, n int, s Settlement) {
-	b.tenants[r.tenant].served += float64(s.Took)
-	b.observe(h, s.Report)
+func (b *Balancer) book(r *request, h *host, n int, s AttemptResult) {
+	b.tenants[r.tenant].served += float64(s.Latency)
+	b.observe(h, s.Load)
 	r.open += n
 	if r.loading { // it was not counted
 		r.loading = false
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -145,7 +145,7 @@
 		}{at + ".deadline_us", class.Deadline}, struct {
 			field string
 			value int64
-		}{at + ".aim_us", class.Aim})
+		}{at + ".aim_us", class.LatencyObjective})
 	}
 	for _, p := range positive {
 		if p.value <= 0 {
@@ -155,12 +155,12 @@
 	if s.Limits.MaxOpen < 0 {
 		return nil, fmt.Errorf("settings.limits.max_open: %d is below 0", s.Limits.MaxOpen)
 	}
-	if module.AskDiscovery && module.AskEvery <= 0 {
-		return nil, fmt.Errorf("settings.rules.ask_every_us: %d is not above 0, and discovery must be asked", module.AskEvery)
+	if module.PollDiscovery && module.PollInterval <= 0 {
+		return nil, fmt.Errorf("settings.rules.ask_every_us: %d is not above 0, and discovery must be asked", module.PollInterval)
 	}
 	c.Grace = s.Rules.Drain
-	if module.AskDiscovery {
-		module.ListLease = balancer.ToldWithin
+	if module.PollDiscovery {
+		module.ListLease = balancer.NotificationDeadline
 	}
 	c.Node = node.Settings{Module: module, Seed: seed, Zones: s.Zones, MaxOpen: s.Limits.MaxOpen,
 		ConnectTimeout: s.Limits.ConnectTimeout, Keepalive: s.Limits.Keepalive, Reports: len(reports) > 0, Grace: s.Rules.Grace, DrainGrace: s.Rules.Drain,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -63,12 +63,12 @@
 	running.Cores, running.MemoryMB = old.Cores, old.MemoryMB
 	running.Node.Seed, running.Node.Sockets, running.Node.Memory = old.Node.Seed, old.Node.Sockets, old.Node.Memory
 	running.Node.Zones, running.Node.Module.Zone = old.Node.Zones, old.Node.Module.Zone
-	running.Node.Module.AskDiscovery, running.Node.Module.ListLease = old.Node.Module.AskDiscovery, old.Node.Module.ListLease
-	if !running.Node.Module.AskDiscovery {
+	running.Node.Module.PollDiscovery, running.Node.Module.ListLease = old.Node.Module.PollDiscovery, old.Node.Module.ListLease
+	if !running.Node.Module.PollDiscovery {
 		w.heed(running.Grace)
 	}
 	if !reflect.DeepEqual(old.Node, running.Node) {
-		n.Retune(running.Node)
+		n.Reconfigure(running.Node)
 	}
 	return &running
 }
@@ -87,7 +87,7 @@
 		{"limits", old.Cores != c.Cores || old.MemoryMB != c.MemoryMB || old.Node.Sockets != c.Node.Sockets},
 		{"settings.zones", !slices.Equal(old.Node.Zones, c.Node.Zones)},
 		{"settings.my_zone", old.Node.Module.Zone != c.Node.Module.Zone},
-		{"settings.discovery", old.Node.Module.AskDiscovery != c.Node.Module.AskDiscovery},
+		{"settings.discovery", old.Node.Module.PollDiscovery != c.Node.Module.PollDiscovery},
 	} {
 		if f.differs {
 			fields = append(fields, f.name)
@@ -152,12 +152,12 @@
 	if err != nil {
 		return fmt.Errorf("serve: %w", err)
 	}
-	n.Members(known, true)
-	if !c.Node.Module.AskDiscovery {
+	n.UpdateEndpoints(known, true)
+	if !c.Node.Module.PollDiscovery {
 		w.pushed(c.Grace, func(err error) { log.Warn("the agent that pushes lists does not answer", "err", err) })
 	}
 	if old != nil {
-		n.Import(old.Handed)
+		n.ImportState(old.Handed)
 	}
 	with := &shares{n: n, mb: c.MemoryMB}
 	stop, stopped := make(chan struct{}), make(chan struct{})
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -158,10 +158,12 @@
 // heard collects what a watch tells.
 type heard chan string
 
-func (h heard) MembersAsOf(l protocol.List, _ time.Time) { h <- fmt.Sprint("list ", l.Rev, l.All) }
-func (h heard) Moved(time.Duration)                      {}
+func (h heard) UpdateEndpointsAsOf(l protocol.List, _ time.Time) {
+	h <- fmt.Sprint("list ", l.Rev, l.All)
+}
+func (h heard) Moved(time.Duration) {}
 func (h heard) MembersFailed(_ error, how balancer.ListKind, _ time.Time) {
-	h <- map[balancer.ListKind]string{balancer.ListFailed: "failed", balancer.ListSilent: "silent", balancer.ListBusy: "busy"}[how]
+	h <- map[balancer.ListKind]string{balancer.ListFailed: "failed", balancer.ListTimeout: "silent", balancer.ListOverloaded: "busy"}[how]
 }
 
 func (h heard) want(t *testing.T, want string) {
@@ -197,18 +199,18 @@
 	to := make(heard, 10)
 	w := newWatch(srv.Listener.Addr().String(), 41)
 	w.to, w.vary = to, 0
-	w.Observe(true)
-	w.Observe(true) // already watching: no second call
+	w.Watch(true)
+	w.Watch(true) // already watching: no second call
 	answers <- `{"rev":41,"all":false,"targets":[]}`
 	to.want(t, "list 41 false")
 	answers <- `{"rev":43,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"in_service"}]}`
 	to.want(t, "list 43 true")
 	answers <- ""
 	to.want(t, "failed")
-	w.Observe(true)
+	w.Watch(true)
 	answers <- `{`
 	to.want(t, "failed")
-	w.Fetch()
+	w.Poll()
 	answers <- `{"rev":50,"all":true,"targets":[]}`
 	to.want(t, "list 50 true")
 	var got []string
@@ -248,7 +250,7 @@
 	to := make(heard, 10)
 	w := newWatch(old.Listener.Addr().String(), 41)
 	w.to, w.vary, w.slack = to, 0, time.Minute // longer than this test takes
-	w.Observe(true)
+	w.Watch(true)
 	if got := <-held; got != "/v1/endpoints?since=41&timeout_ms=0" {
 		t.Error(got)
 	}
@@ -284,9 +286,9 @@
 		to := make(heard, 100)
 		w := newWatch(srv.Listener.Addr().String(), 1)
 		w.to = to
-		w.Observe(true)
+		w.Watch(true)
 		to.want(t, want)
-		w.Observe(false)
+		w.Watch(false)
 		srv.Close()
 	}
 }
@@ -301,11 +303,11 @@
 	w := newWatch(srv.Listener.Addr().String(), 1)
 	w.to, w.pause = to, 20*time.Millisecond
 	began := time.Now()
-	w.Observe(true)
+	w.Watch(true)
 	for range 5 {
 		to.want(t, "list 1 false")
 	}
-	w.Observe(false)
+	w.Watch(false)
 	if took := time.Since(began); took < 4*w.pause {
 		t.Errorf("five calls in %v", took)
 	}
@@ -324,7 +326,7 @@
 	w.to, w.pause = to, 20*time.Millisecond
 	began := time.Now()
 	for range 5 {
-		w.Observe(true)
+		w.Watch(true)
 		to.want(t, "failed")
 	}
 	if took := time.Since(began); took < 4*w.pause {
@@ -372,7 +374,7 @@
 	to := make(heard, 1)
 	w := newWatch(ln.Addr().String(), 1)
 	w.to, w.slack = to, 50*time.Millisecond
-	w.Observe(true)
+	w.Watch(true)
 	to.want(t, "silent")
 }
 
@@ -399,7 +401,7 @@
 	w := newWatch(srv.Listener.Addr().String(), 41)
 	w.to, w.pause, w.over, w.slack = to, time.Millisecond, time.Millisecond, time.Minute
 	w.wait, w.vary = 200*time.Millisecond, 100*time.Millisecond
-	w.Observe(true)
+	w.Watch(true)
 	for range cap(waits) {
 		to.want(t, "list 41 false")
 	}
@@ -448,7 +450,7 @@
 			to := make(heard, 1)
 			w := newWatch(srv.Listener.Addr().String(), 1)
 			w.to, w.turn = to, c.turn
-			w.Observe(true)
+			w.Watch(true)
 			to.want(t, name)
 			srv.Close()
 		}
@@ -476,7 +478,7 @@
 	to := make(heard, 1)
 	w := newWatch(full.Addr().String(), 1)
 	w.to, w.slack, w.turn = to, 50*time.Millisecond, 0
-	w.Observe(true)
+	w.Watch(true)
 	to.want(t, "silent")
 }
 
@@ -705,7 +707,7 @@
 			t.Fatal(got)
 		}
 	}
-	w.Observe(false)
+	w.Watch(false)
 }
 
 // A node to which lists are pushed hears of a drain without having asked for anything.
@@ -796,9 +798,9 @@
 	to := make(heard, 10)
 	w := newWatch(srv.Listener.Addr().String(), 41)
 	w.to, w.slack, w.pause = to, 200*time.Millisecond, time.Millisecond
-	w.Observe(true)
+	w.Watch(true)
 	to.want(t, "silent")
-	w.Observe(true)
+	w.Watch(true)
 	to.want(t, "list 42 false")
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -814,8 +816,8 @@
 	asOf  chan time.Time
 }
 
-func (m moves) Moved(within time.Duration)                  { m.moved <- within }
-func (m moves) MembersAsOf(_ protocol.List, asOf time.Time) { m.asOf <- asOf }
+func (m moves) Moved(within time.Duration)                          { m.moved <- within }
+func (m moves) UpdateEndpointsAsOf(_ protocol.List, asOf time.Time) { m.asOf <- asOf }
 
 // A move of discovery is told at once, also before the first call: what was heard before counts for 4 s at most. An answer of the address left behind
 // says nothing of the list at the new one, and one that comes late says no more than it could have when it was due.
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -41,7 +41,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.others += others
-	s.n.Share(s.others + 1)
+	s.n.SetProcessCount(s.others + 1)
 	memory(s.mb, s.others+1)
 }
 
@@ -98,7 +98,7 @@
 // Give is the Offer's.
 func (g *giver) Give() ([]byte, int, error) {
 	answer := make(chan node.Handed, 1)
-	g.n.Export(func(h node.Handed) { answer <- h })
+	g.n.ExportState(func(h node.Handed) { answer <- h })
 	var h node.Handed
 	select {
 	case h = <-answer:
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -32,8 +32,8 @@
 
 // listener is who hears of the list of backends.
 type listener interface {
-	// MembersAsOf is an answer that held at a time.
-	MembersAsOf(l protocol.List, asOf time.Time)
+	// UpdateEndpointsAsOf is an answer that held at a time.
+	UpdateEndpointsAsOf(l protocol.List, asOf time.Time)
 	// MembersFailed is a call that has failed. Nothing newer could be had as of a time.
 	MembersFailed(err error, how balancer.ListKind, asOf time.Time)
 	// Moved tells that what was heard before counts for so long at most.
@@ -60,9 +60,9 @@
 func how(err error) balancer.ListKind {
 	switch {
 	case errors.Is(err, errSilent):
-		return balancer.ListSilent
+		return balancer.ListTimeout
 	case errors.Is(err, errBusy):
-		return balancer.ListBusy
+		return balancer.ListOverloaded
 	}
 	return balancer.ListFailed
 }
@@ -107,7 +107,7 @@
 func (w *watch) pushed(grace int64, lost func(error)) {
 	w.vary, w.lost = 0, lost // the agent is on this machine, and nobody else's
 	w.heed(grace)
-	w.Observe(true)
+	w.Watch(true)
 }
 
 // heed sets how long calls to an agent may take, from the next one on, where a drain must be heeded within grace, in microseconds.
@@ -120,8 +120,8 @@
 	w.over = w.slack
 }
 
-// Observe begins to watch, or ends that once the call at hand has come back.
-func (w *watch) Observe(on bool) {
+// Watch begins to watch, or ends that once the call at hand has come back.
+func (w *watch) Watch(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.wanted = on
@@ -153,8 +153,8 @@
 	}
 }
 
-// Fetch asks for the whole list once.
-func (w *watch) Fetch() {
+// Poll asks for the whole list once.
+func (w *watch) Poll() {
 	go func() {
 		for {
 			w.mu.Lock()
@@ -308,7 +308,7 @@
 		asOf = earlier(time.Now(), began.Add(wait+answerSpare))
 	}
 	w.mu.Unlock()
-	w.to.MembersAsOf(l, asOf)
+	w.to.UpdateEndpointsAsOf(l, asOf)
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/fake/backend.go
+++ b/internal/fake/backend.go
@@ -460,18 +460,18 @@
 	x.answers <- w.response(x, p, out)
 }
 
-var outcomeNames = map[balancer.Outcome]string{balancer.OK: "ok", balancer.HostError: "error", balancer.Full: "full",
-	balancer.Reset: "reset"}
+var outcomeNames = map[balancer.Outcome]string{balancer.OutcomeOK: "ok", balancer.OutcomeServerError: "error", balancer.OutcomeRejected: "full",
+	balancer.OutcomeReset: "reset"}
 
 // response words an answer as PROTOCOL says; nil is a reset.
 func (w *World) response(x *exchange, p emulator.Pending, out balancer.Outcome) []byte {
 	status, extra, body := 200, "", "ran "+x.id+"\n"
 	switch out {
-	case balancer.Reset:
+	case balancer.OutcomeReset:
 		return nil
-	case balancer.HostError:
+	case balancer.OutcomeServerError:
 		status, body = 500, ""
-	case balancer.Full:
+	case balancer.OutcomeRejected:
 		status, extra, body = 503, "X-Never-Ran: 1\r\n", ""
 	}
 	if text := reportText(p.Report); text != "" {
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -121,7 +121,7 @@
 		}
 	}
 	l.runs[id] = n + 1
-	if n > 0 && l.classes[class].Effect == balancer.Once {
+	if n > 0 && l.classes[class].Idempotency == balancer.NonIdempotent {
 		l.sums.Twice++
 		return true
 	}
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -22,15 +22,15 @@
 // reportFields are what a report may hold: as scenarios name it, as settings do, and as it is written on sockets.
 var reportFields = []struct {
 	scenario, setting, wire string
-	of                      func(balancer.Report) float64
+	of                      func(balancer.LoadReport) float64
 }{
-	{"held", "outstanding", "inflight", func(r balancer.Report) float64 { return r.Outstanding }},
-	{"queue", "backlog", "queue", func(r balancer.Report) float64 { return r.Backlog }},
-	{"util", "utilization", "util", func(r balancer.Report) float64 { return r.Utilization }},
+	{"held", "outstanding", "inflight", func(r balancer.LoadReport) float64 { return r.Outstanding }},
+	{"queue", "backlog", "queue", func(r balancer.LoadReport) float64 { return r.Backlog }},
+	{"util", "utilization", "util", func(r balancer.LoadReport) float64 { return r.Utilization }},
 }
 
 // reportText is a report as it is written, empty where it tells nothing.
-func reportText(r balancer.Report) string {
+func reportText(r balancer.LoadReport) string {
 	var parts []string
 	for _, f := range reportFields {
 		if v := f.of(r); v >= 0 {
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -244,7 +244,7 @@
 }
 
 var phaseNames = map[balancer.Phase]string{balancer.PhaseReady: "in_service", balancer.PhaseDraining: "terminating",
-	balancer.PhaseGone: "terminated"}
+	balancer.PhaseRemoved: "terminated"}
 
 func (e effects) Began(f faultinject.Fault) {
 	w := e.w
@@ -367,7 +367,7 @@
 // list is what discovery tells a node: what changed after a version, or all.
 func (w *World) list(node, since int) (lines []line, rev int) {
 	for _, l := range w.state {
-		if l.rev > since && (since >= 0 || l.Phase != balancer.PhaseGone) {
+		if l.rev > since && (since >= 0 || l.Phase != balancer.PhaseRemoved) {
 			lines = append(lines, l)
 		}
 	}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -46,7 +46,7 @@
 
 // Box is what the rules need to know of a box.
 type Box struct {
-	ID         balancer.HostID
+	ID         balancer.EndpointID
 	Site, Rack int // racks are numbered over all sites
 }
 
@@ -77,7 +77,7 @@
 	at      balancer.Time
 	what    string
 	attempt int
-	box     balancer.HostID
+	box     balancer.EndpointID
 }
 
 type try struct {
@@ -102,7 +102,7 @@
 
 type pair struct {
 	node int
-	box  balancer.HostID
+	box  balancer.EndpointID
 }
 
 // told is what a node has heard of a box.
@@ -116,19 +116,19 @@
 type Judge struct {
 	cfg    Config
 	origin balancer.Time
-	reqs   map[balancer.ReqID]*request
+	reqs   map[balancer.RequestID]*request
 	told   map[pair]told
-	cold   map[balancer.HostID]*budget
+	cold   map[balancer.EndpointID]*budget
 	counts map[Rule]int
 	list   []Violation
-	ended  []balancer.ReqID // over, the longest ago first; those past remembered are forgotten
+	ended  []balancer.RequestID // over, the longest ago first; those past remembered are forgotten
 	pool   []*request
 }
 
 // New returns a judge; origin is the instant that its reports count from.
 func New(cfg Config, origin balancer.Time) *Judge {
-	return &Judge{cfg: cfg, origin: origin, reqs: map[balancer.ReqID]*request{}, told: map[pair]told{},
-		cold: map[balancer.HostID]*budget{}, counts: map[Rule]int{}}
+	return &Judge{cfg: cfg, origin: origin, reqs: map[balancer.RequestID]*request{}, told: map[pair]told{},
+		cold: map[balancer.EndpointID]*budget{}, counts: map[Rule]int{}}
 }
 
 // Broken counts the violations by rule.
@@ -148,7 +148,7 @@
 	return n
 }
 
-func (j *Judge) broken(rule Rule, at balancer.Time, node int, id balancer.ReqID, r *request, format string, args ...any) {
+func (j *Judge) broken(rule Rule, at balancer.Time, node int, id balancer.RequestID, r *request, format string, args ...any) {
 	j.counts[rule]++
 	if len(j.list) >= kept {
 		return
@@ -166,12 +166,12 @@
 	j.list = append(j.list, v)
 }
 
-func (r *request) note(at balancer.Time, what string, attempt int, box balancer.HostID) {
+func (r *request) note(at balancer.Time, what string, attempt int, box balancer.EndpointID) {
 	r.history = append(r.history, step{at, what, attempt, box})
 }
 
 // Taken is a request that a node has taken.
-func (j *Judge) Taken(now balancer.Time, node int, id balancer.ReqID, class int, deadline balancer.Time) {
+func (j *Judge) Taken(now balancer.Time, node int, id balancer.RequestID, class int, deadline balancer.Time) {
 	var r *request
 	if n := len(j.pool); n > 0 {
 		r, j.pool = j.pool[n-1], j.pool[:n-1]
@@ -184,7 +184,7 @@
 }
 
 // Sent is an attempt that a node sends.
-func (j *Judge) Sent(now balancer.Time, node int, id balancer.ReqID, b Box) {
+func (j *Judge) Sent(now balancer.Time, node int, id balancer.RequestID, b Box) {
 	if t, ok := j.told[pair{node, b.ID}]; ok && t.goes && now > t.goesAt+j.cfg.DrainGrace {
 		defer func() {
 			j.broken(NoDrained, now, node, id, j.reqs[id], "box %d was sent to %d ms after the node was told that it goes",
@@ -221,39 +221,39 @@
 // outside tells why a class does not allow a repeat of t at b, or nothing if it does.
 func outside(c *balancer.Class, t *try, b Box, now balancer.Time) string {
 	switch {
-	case c.Effect == balancer.Repeatable:
-	case c.Effect == balancer.Once:
+	case c.Idempotency == balancer.Idempotent:
+	case c.Idempotency == balancer.NonIdempotent:
 		return "it must never run twice"
-	case now-t.at > c.Window:
+	case now-t.at > c.IdempotencyWindow:
 		return "the time for which repeats are dropped is over"
-	case c.Scope == balancer.ScopeZone && b.Site != t.box.Site:
+	case c.KeyScope == balancer.ScopeZone && b.Site != t.box.Site:
 		return "repeats are dropped within the site only"
-	case c.Scope == balancer.ScopeCell && (b.Rack != t.box.Rack):
+	case c.KeyScope == balancer.ScopeCell && (b.Rack != t.box.Rack):
 		return "repeats are dropped within the rack only"
 	}
 	return ""
 }
 
 // Settled is the end of an attempt, as the node was told.
-func (j *Judge) Settled(now balancer.Time, id balancer.ReqID, attempt int, out balancer.Outcome) {
+func (j *Judge) Settled(now balancer.Time, id balancer.RequestID, attempt int, out balancer.Outcome) {
 	r := j.reqs[id]
 	if r == nil || attempt >= len(r.tries) || !r.tries[attempt].open {
 		return
 	}
 	t := &r.tries[attempt]
 	t.open, r.open = false, r.open-1
-	t.maybe = out != balancer.Full && out != balancer.ConnectFailed && out != balancer.Moot
+	t.maybe = out != balancer.OutcomeRejected && out != balancer.OutcomeConnectFailed && out != balancer.OutcomeNotSent
 	r.note(now, outcomes[out], attempt, t.box.ID)
 	j.forget(id, r)
 }
 
-var outcomes = map[balancer.Outcome]string{balancer.OK: "outcome ok",
-	balancer.HostError: "outcome error", balancer.Full: "outcome full", balancer.TimedOut: "outcome timed out",
-	balancer.ConnectFailed: "outcome not connected", balancer.Reset: "outcome reset",
-	balancer.Cancelled: "outcome cancelled", balancer.Moot: "outcome moot"}
+var outcomes = map[balancer.Outcome]string{balancer.OutcomeOK: "outcome ok",
+	balancer.OutcomeServerError: "outcome error", balancer.OutcomeRejected: "outcome full", balancer.OutcomeTimeout: "outcome timed out",
+	balancer.OutcomeConnectFailed: "outcome not connected", balancer.OutcomeReset: "outcome reset",
+	balancer.OutcomeCanceled: "outcome cancelled", balancer.OutcomeNotSent: "outcome moot"}
 
 // Answered is the final answer that a node gives.
-func (j *Judge) Answered(now balancer.Time, node int, id balancer.ReqID, how Final) {
+func (j *Judge) Answered(now balancer.Time, node int, id balancer.RequestID, how Final) {
 	r := j.reqs[id]
 	if r == nil {
 		j.broken(OneAnswer, now, node, id, nil, "%s, though it ended long ago or was never taken", how)
@@ -266,7 +266,7 @@
 	case r.gone:
 	case now > r.deadline+j.cfg.AnswerGrace:
 		j.broken(OneAnswer, now, node, id, r, "answered %d ms after its deadline", (now-r.deadline)/1000)
-	case how == Refused && c.Effect != balancer.Repeatable && !(c.Effect == balancer.ByKey && c.Scope == balancer.ScopeAll):
+	case how == Refused && c.Idempotency != balancer.Idempotent && !(c.Idempotency == balancer.IdempotentByKey && c.KeyScope == balancer.ScopeAll):
 		if i := slices.IndexFunc(r.tries, func(t try) bool { return t.open || t.maybe }); i >= 0 {
 			j.broken(NoSecond, now, node, id, r, "refused although attempt %d may have run", i)
 		}
@@ -276,7 +276,7 @@
 }
 
 // Gone is a client that left: nothing more is owed to it.
-func (j *Judge) Gone(now balancer.Time, id balancer.ReqID) {
+func (j *Judge) Gone(now balancer.Time, id balancer.RequestID) {
 	if r := j.reqs[id]; r != nil && !r.answered {
 		r.gone = true
 		r.note(now, "client gone", -1, 0)
@@ -298,7 +298,7 @@
 	}
 }
 
-func (j *Judge) forget(id balancer.ReqID, r *request) {
+func (j *Judge) forget(id balancer.RequestID, r *request) {
 	if !(r.answered || r.gone) || r.open > 0 || r.over {
 		return
 	}
@@ -313,7 +313,7 @@
 }
 
 // Told is what a node hears of a box, or is deemed to have heard.
-func (j *Judge) Told(now balancer.Time, node int, box balancer.HostID, phase balancer.Phase, started balancer.Time) {
+func (j *Judge) Told(now balancer.Time, node int, box balancer.EndpointID, phase balancer.Phase, started balancer.Time) {
 	p := pair{node, box}
 	t := j.told[p]
 	t.started = max(started, 1)
@@ -327,7 +327,7 @@
 
 // Close ends the run: whatever is still owed by then was never answered.
 func (j *Judge) Close(now balancer.Time) {
-	ids := make([]balancer.ReqID, 0, len(j.reqs))
+	ids := make([]balancer.RequestID, 0, len(j.reqs))
 	for id := range j.reqs {
 		ids = append(ids, id)
 	}
@@ -360,7 +360,7 @@
 
 // Reached is work (in µs of a core at speed 1) that came to a cold box, whether it took it or not. Capacity is what
 // the box can do at the moment, in such µs for each µs.
-func (j *Judge) Reached(now balancer.Time, node int, box balancer.HostID, started balancer.Time, work, capacity float64) {
+func (j *Judge) Reached(now balancer.Time, node int, box balancer.EndpointID, started balancer.Time, work, capacity float64) {
 	if j.cfg.ColdMultiple <= 0 || j.cfg.ColdWindow <= 0 {
 		return
 	}
@@ -400,4 +400,4 @@
 }
 
 // Warm is a box that is cold no longer.
-func (j *Judge) Warm(box balancer.HostID) { delete(j.cold, box) }
+func (j *Judge) Warm(box balancer.EndpointID) { delete(j.cold, box) }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -11,11 +11,11 @@
 func cfg() Config {
 	return Config{AnswerGrace: 20 * ms, DrainGrace: 500 * ms, ColdMultiple: 3, ColdWindow: 3000 * ms,
 		Classes: []balancer.Class{
-			{Effect: balancer.Repeatable},
-			{Effect: balancer.Once},
-			{Effect: balancer.ByKey, Scope: balancer.ScopeCell, Window: 6000 * ms},
-			{Effect: balancer.ByKey, Scope: balancer.ScopeZone, Window: 6000 * ms},
-			{Effect: balancer.ByKey, Scope: balancer.ScopeAll, Window: 6000 * ms},
+			{Idempotency: balancer.Idempotent},
+			{Idempotency: balancer.NonIdempotent},
+			{Idempotency: balancer.IdempotentByKey, KeyScope: balancer.ScopeCell, IdempotencyWindow: 6000 * ms},
+			{Idempotency: balancer.IdempotentByKey, KeyScope: balancer.ScopeZone, IdempotencyWindow: 6000 * ms},
+			{Idempotency: balancer.IdempotentByKey, KeyScope: balancer.ScopeAll, IdempotencyWindow: 6000 * ms},
 		}}
 }
 
@@ -56,35 +56,35 @@
 		"never taken":                      {func(j *Judge) { j.Answered(1, 0, 1, Failed) }, OneAnswer},
 		"sent after its answer":            {func(j *Judge) { j.Taken(0, 0, 1, read, 9); j.Answered(1, 0, 1, Failed); j.Sent(2, 0, 1, near) }, OneAnswer},
 		"sent after the client left":       {func(j *Judge) { j.Taken(0, 0, 1, read, 9); j.Gone(1, 1); j.Sent(2, 0, 1, near) }, OneAnswer},
-		"a read again after a time-out":    {func(j *Judge) { attempt(j, read, near, balancer.TimedOut); j.Sent(20*ms, 0, 1, far) }, ""},
+		"a read again after a time-out":    {func(j *Judge) { attempt(j, read, near, balancer.OutcomeTimeout); j.Sent(20*ms, 0, 1, far) }, ""},
 		"two at once":                      {func(j *Judge) { j.Taken(0, 0, 1, read, 9); j.Sent(0, 0, 1, near); j.Sent(1, 0, 1, far) }, NoSecond},
-		"once, not connected":              {func(j *Judge) { attempt(j, once, near, balancer.ConnectFailed); j.Sent(20*ms, 0, 1, far) }, ""},
-		"once, turned away":                {func(j *Judge) { attempt(j, once, near, balancer.Full); j.Sent(20*ms, 0, 1, far) }, ""},
-		"once, reset":                      {func(j *Judge) { attempt(j, once, near, balancer.Reset); j.Sent(20*ms, 0, 1, far) }, NoSecond},
-		"once, cancelled":                  {func(j *Judge) { attempt(j, once, near, balancer.Cancelled); j.Sent(20*ms, 0, 1, far) }, NoSecond},
-		"once, error":                      {func(j *Judge) { attempt(j, once, near, balancer.HostError); j.Sent(20*ms, 0, 1, far) }, NoSecond},
-		"by key within the rack":           {func(j *Judge) { attempt(j, rack, near, balancer.Reset); j.Sent(20*ms, 0, 1, beside) }, ""},
-		"by key outside the rack":          {func(j *Judge) { attempt(j, rack, near, balancer.Reset); j.Sent(20*ms, 0, 1, sameTwn) }, NoSecond},
-		"by key within the site":           {func(j *Judge) { attempt(j, site, near, balancer.Reset); j.Sent(20*ms, 0, 1, sameTwn) }, ""},
-		"by key outside the site":          {func(j *Judge) { attempt(j, site, near, balancer.Reset); j.Sent(20*ms, 0, 1, far) }, NoSecond},
-		"by key anywhere":                  {func(j *Judge) { attempt(j, all, near, balancer.Reset); j.Sent(20*ms, 0, 1, far) }, ""},
-		"by key at the window's end":       {func(j *Judge) { attempt(j, rack, near, balancer.Reset); j.Sent(6000*ms, 0, 1, near) }, ""},
-		"by key past the window":           {func(j *Judge) { attempt(j, rack, near, balancer.Reset); j.Sent(6001*ms, 0, 1, near) }, NoSecond},
-		"refused, may have run":            {func(j *Judge) { attempt(j, once, near, balancer.Reset); j.Answered(20*ms, 0, 1, Refused) }, NoSecond},
+		"once, not connected":              {func(j *Judge) { attempt(j, once, near, balancer.OutcomeConnectFailed); j.Sent(20*ms, 0, 1, far) }, ""},
+		"once, turned away":                {func(j *Judge) { attempt(j, once, near, balancer.OutcomeRejected); j.Sent(20*ms, 0, 1, far) }, ""},
+		"once, reset":                      {func(j *Judge) { attempt(j, once, near, balancer.OutcomeReset); j.Sent(20*ms, 0, 1, far) }, NoSecond},
+		"once, cancelled":                  {func(j *Judge) { attempt(j, once, near, balancer.OutcomeCanceled); j.Sent(20*ms, 0, 1, far) }, NoSecond},
+		"once, error":                      {func(j *Judge) { attempt(j, once, near, balancer.OutcomeServerError); j.Sent(20*ms, 0, 1, far) }, NoSecond},
+		"by key within the rack":           {func(j *Judge) { attempt(j, rack, near, balancer.OutcomeReset); j.Sent(20*ms, 0, 1, beside) }, ""},
+		"by key outside the rack":          {func(j *Judge) { attempt(j, rack, near, balancer.OutcomeReset); j.Sent(20*ms, 0, 1, sameTwn) }, NoSecond},
+		"by key within the site":           {func(j *Judge) { attempt(j, site, near, balancer.OutcomeReset); j.Sent(20*ms, 0, 1, sameTwn) }, ""},
+		"by key outside the site":          {func(j *Judge) { attempt(j, site, near, balancer.OutcomeReset); j.Sent(20*ms, 0, 1, far) }, NoSecond},
+		"by key anywhere":                  {func(j *Judge) { attempt(j, all, near, balancer.OutcomeReset); j.Sent(20*ms, 0, 1, far) }, ""},
+		"by key at the window's end":       {func(j *Judge) { attempt(j, rack, near, balancer.OutcomeReset); j.Sent(6000*ms, 0, 1, near) }, ""},
+		"by key past the window":           {func(j *Judge) { attempt(j, rack, near, balancer.OutcomeReset); j.Sent(6001*ms, 0, 1, near) }, NoSecond},
+		"refused, may have run":            {func(j *Judge) { attempt(j, once, near, balancer.OutcomeReset); j.Answered(20*ms, 0, 1, Refused) }, NoSecond},
 		"refused, still out":               {func(j *Judge) { j.Taken(0, 0, 1, once, 9); j.Sent(0, 0, 1, near); j.Answered(1, 0, 1, Refused) }, NoSecond},
-		"refused, never ran":               {func(j *Judge) { attempt(j, once, near, balancer.Full); j.Answered(20*ms, 0, 1, Refused) }, ""},
-		"refused, by key anywhere":         {func(j *Judge) { attempt(j, all, near, balancer.Reset); j.Answered(20*ms, 0, 1, Refused) }, ""},
-		"failed, may have run":             {func(j *Judge) { attempt(j, once, near, balancer.Reset); j.Answered(20*ms, 0, 1, Failed) }, ""},
+		"refused, never ran":               {func(j *Judge) { attempt(j, once, near, balancer.OutcomeRejected); j.Answered(20*ms, 0, 1, Refused) }, ""},
+		"refused, by key anywhere":         {func(j *Judge) { attempt(j, all, near, balancer.OutcomeReset); j.Answered(20*ms, 0, 1, Refused) }, ""},
+		"failed, may have run":             {func(j *Judge) { attempt(j, once, near, balancer.OutcomeReset); j.Answered(20*ms, 0, 1, Failed) }, ""},
 		"drained, at the grace's end":      {func(j *Judge) { drained(j, 500*ms) }, ""},
 		"drained, past the grace":          {func(j *Judge) { drained(j, 501*ms) }, NoDrained},
 		"drained, told again":              {func(j *Judge) { j.Told(-300*ms, 0, 1, balancer.PhaseDraining, 0); drained(j, 300*ms) }, NoDrained},
 		"drained, back in service": {func(j *Judge) {
-			j.Told(0, 0, 1, balancer.PhaseGone, 0)
+			j.Told(0, 0, 1, balancer.PhaseRemoved, 0)
 			j.Told(1, 0, 1, balancer.PhaseReady, 1)
 			attempt2(j, 900*ms)
 		}, ""},
-		"drained, told to another node":     {func(j *Judge) { j.Told(0, 1, 1, balancer.PhaseGone, 0); attempt2(j, 900*ms) }, ""},
-		"drained, told before a restart":    {func(j *Judge) { j.Told(0, 0, 1, balancer.PhaseGone, 0); j.Died(0); attempt2(j, 900*ms) }, ""},
+		"drained, told to another node":     {func(j *Judge) { j.Told(0, 1, 1, balancer.PhaseRemoved, 0); attempt2(j, 900*ms) }, ""},
+		"drained, told before a restart":    {func(j *Judge) { j.Told(0, 0, 1, balancer.PhaseRemoved, 0); j.Died(0); attempt2(j, 900*ms) }, ""},
 		"cold box within its budget":        {func(j *Judge) { push(j, 0, 8800*ms) }, ""},
 		"cold box pushed":                   {func(j *Judge) { push(j, 0, 9900*ms) }, NoPush},
 		"cold box, by nodes that know not":  {func(j *Judge) { push(j, 7, 9900*ms) }, ""},
@@ -131,14 +131,14 @@
 // What is over is forgotten after a while: a run of any length needs memory only for what is open.
 func TestMemoryIsBounded(t *testing.T) {
 	j := New(cfg(), 0)
-	for id := balancer.ReqID(1); id < 5*remembered; id++ {
+	for id := balancer.RequestID(1); id < 5*remembered; id++ {
 		j.Taken(0, 0, id, read, 100)
 		j.Answered(1, 0, id, Failed)
 	}
 	if len(j.reqs) > remembered+1 || j.Open() != 0 {
 		t.Errorf("%d requests kept, %d open", len(j.reqs), j.Open())
 	}
-	for id := balancer.ReqID(1); id < 100; id++ {
+	for id := balancer.RequestID(1); id < 100; id++ {
 		j.Answered(2, 0, id, Failed)
 	}
 	if len(j.Violations()) != kept || j.Broken()[OneAnswer] != 99 {
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -396,9 +396,9 @@
 func (r *runner) request(dst []byte, t *try) []byte {
 	e, sc := t.e, r.plan.Scenario
 	class := &sc.Classes[e.call.Class]
-	effect := r.classes[e.call.Class].Effect
+	effect := r.classes[e.call.Class].Idempotency
 	method := "POST /"
-	if effect == balancer.Repeatable {
+	if effect == balancer.Idempotent {
 		method = "GET /"
 	}
 	dst = append(append(dst, method...), class.Name...)
@@ -417,11 +417,11 @@
 	if sc.Clients.Marks && e.tries > 1 {
 		dst = append(dst, "\r\nX-Second-Try: 1"...)
 	}
-	if effect == balancer.ByKey {
+	if effect == balancer.IdempotentByKey {
 		dst = append(dst, "\r\nIdempotency-Key: "...)
 		dst = fmt.Appendf(dst, "%016x%016x", r.nonce, e.call.N)
 	}
-	if effect != balancer.Repeatable {
+	if effect != balancer.Idempotent {
 		dst = append(dst, "\r\nContent-Length: 0"...)
 	}
 	return append(dst, "\r\n\r\n"...)
--- a/internal/node/account_test.go
+++ b/internal/node/account_test.go
@@ -24,26 +24,26 @@
 	module
 	fail     func(format string, args ...any)
 	of       *Node
-	taken    map[balancer.ReqID]bool
+	taken    map[balancer.RequestID]bool
 	ids      map[string]bool // the clients' own, of those
 	outcomes map[[2]uint64]int
 }
 
-func (b *books) Request(now balancer.Time, a balancer.Arrival) {
+func (b *books) HandleRequest(now balancer.Time, a balancer.Request) {
 	if b.taken[a.ID] {
 		b.fail("request %d is taken twice", a.ID)
 	}
 	b.taken[a.ID] = true
 	b.ids[string(b.of.requests[a.ID].msg.Get("x-trace-id"))] = true
-	b.module.Request(now, a)
+	b.module.HandleRequest(now, a)
 }
 
-func (b *books) Settled(now balancer.Time, s balancer.Settlement) {
+func (b *books) HandleAttemptResult(now balancer.Time, s balancer.AttemptResult) {
 	key := [2]uint64{uint64(s.ID), uint64(s.Attempt)}
 	if b.outcomes[key]++; b.outcomes[key] > 1 {
 		b.fail("attempt %v has %d outcomes", key, b.outcomes[key])
 	}
-	b.module.Settled(now, s)
+	b.module.HandleAttemptResult(now, s)
 }
 
 // How a host of the account takes a request, each of which is on a line of docs/account.md.
@@ -249,11 +249,11 @@
 			s.ConnectTimeout, s.Sockets = 100_000, rapid.SampledFrom([]int{0, 64}).Draw(rt, "descriptors")
 			s.Grace = 5_000_000 // what is overdue is the module's fault, or this machine's
 			for i := range s.Module.Classes {
-				s.Module.Classes[i].Aim, s.Module.Classes[i].Deadline = 200_000, 300_000
+				s.Module.Classes[i].LatencyObjective, s.Module.Classes[i].Deadline = 200_000, 300_000
 			}
 		})
 		defer stop()
-		b := &books{fail: fail, of: n, ids: map[string]bool{}, taken: map[balancer.ReqID]bool{}, outcomes: map[[2]uint64]int{}}
+		b := &books{fail: fail, of: n, ids: map[string]bool{}, taken: map[balancer.RequestID]bool{}, outcomes: map[[2]uint64]int{}}
 		twice := rapid.Bool().Draw(rt, "known to answer twice")
 		on(n, func() {
 			b.module, n.bal = n.bal, b
@@ -282,7 +282,7 @@
 				on(n, n.closeIdleClients)
 				continue
 			case "settings":
-				retuned(n, func(s *Settings) { s.Module.MaxAttempts, s.Module.MayCancel = 1+i%3, i%2 == 0 })
+				retuned(n, func(s *Settings) { s.Module.MaxAttempts, s.Module.AllowCancel = 1+i%3, i%2 == 0 })
 				continue
 			}
 			one := list[i%len(list)]
@@ -297,7 +297,7 @@
 			case "moves away":
 				one.Endpoint = "127.0.0.1:1"
 			}
-			n.Members(protocol.List{Rev: int64(i + 1), Targets: []protocol.Target{one}}, false)
+			n.UpdateEndpoints(protocol.List{Rev: int64(i + 1), Targets: []protocol.Target{one}}, false)
 		}
 		g.Wait()
 		kept, patience := "", time.Now().Add(5*time.Second) // far beyond any timer set
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -34,14 +34,14 @@
 func (n *Node) audit(a *attempt, first firstByte) {
 	h, r := a.host, a.req
 	if left := h.leftAt; left > 0 && first.at > left+n.set.DrainGrace+auditSlack {
-		n.violation(a, safety.BackendLeaving, first.at-left)
+		n.violation(a, safety.BackendDraining, first.at-left)
 	}
 	if first.lease > 0 && first.at > first.lease+n.set.DrainGrace+auditSlack {
 		n.violation(a, safety.ListStale, first.at-first.lease)
 	}
 	if r.client != nil {
 		if gone := r.client.endedAt.Load(); gone > 0 && first.at > gone+goneMost {
-			n.violation(a, safety.ClientGone, first.at-gone)
+			n.violation(a, safety.ClientDisconnected, first.at-gone)
 		}
 	}
 	if over := first.told - (a.till - first.at); a.till != never && over > deadlineSlack {
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -494,7 +494,7 @@
 
 // mayClose tells whether the connection may be ended between two requests, and if not, why: what has come, and waits to be read, asks for an answer.
 func (c *client) mayClose() safety.Reason {
-	return safety.Close{RequestOpen: c.req != nil || c.writing || c.upload != nil, Unread: c.unread() > 0 || !c.clean()}.Check()
+	return safety.Close{RequestInProgress: c.req != nil || c.writing || c.upload != nil, UnreadInput: c.unread() > 0 || !c.clean()}.Check()
 }
 
 // sweepClients ends what clients hold on to and do not use: connections that never ask, requests that begin and do
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -22,9 +22,9 @@
 // startDownload has the connection leave the poller. What has come of the answer is in b.in.
 func (b *backend) startDownload() {
 	n, a := b.n, b.att
-	if out := outcome(&b.msg); out != balancer.OK || a.req.done || a.probe { // nobody wants it
+	if out := outcome(&b.msg); out != balancer.OutcomeOK || a.req.done || a.probe { // nobody wants it
 		if a.probe {
-			out = balancer.Reset // what it says of its load could not be read
+			out = balancer.OutcomeReset // what it says of its load could not be read
 		}
 		report := loadReport(&b.msg)
 		n.closeBackend(b, endUnwantedBytes)
@@ -56,7 +56,7 @@
 			_ = file.Close()
 		}
 		n.closeBackend(b, endCutOff)
-		n.settle(a, balancer.Reset, nil)
+		n.settle(a, balancer.OutcomeReset, nil)
 		return
 	}
 	if file != nil {
@@ -71,7 +71,7 @@
 	if !n.end(r) {
 		in.release()
 		n.closeBackend(b, endGivenUp)
-		n.settle(a, balancer.OK, report)
+		n.settle(a, balancer.OutcomeOK, report)
 		return
 	}
 	length := msg.Length()
@@ -108,7 +108,7 @@
 	} else {
 		n.flowQueue = append(n.flowQueue, start)
 	}
-	n.settle(a, balancer.OK, report)
+	n.settle(a, balancer.OutcomeOK, report)
 }
 
 // downloaded is the end of a flow from a backend.
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -168,7 +168,7 @@
 	if err := call(n.Standby); err != nil {
 		t.Errorf("standby without a list: %v", err)
 	}
-	n.Members(protocol.List{All: true, Targets: []protocol.Target{{UID: "a", Endpoint: "127.0.0.1:1"}}}, false)
+	n.UpdateEndpoints(protocol.List{All: true, Targets: []protocol.Target{{UID: "a", Endpoint: "127.0.0.1:1"}}}, false)
 	until(n, func() bool { return n.listed })
 	if err := call(n.Status); err != nil {
 		t.Errorf("status with a list: %v", err)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -18,15 +18,15 @@
 	List    protocol.List    `json:"List"`
 	Classes []string         `json:"Classes"` // those that Learned speaks of, in its order
 	Tenants []string         `json:"Tenants"`
-	Learned balancer.Memory  `json:"Learned"`
+	Learned balancer.Learned `json:"Learned"`
 	IDs     map[string]int64 `json:"IDs"` // of requests that may be running, and until when, on the clock that both have
 }
 
 // idsHanded bounds the ids that are handed over.
 const idsHanded = 1 << 12
 
-// Export hands on what this node has, and with it half of what is left of cold hosts' budgets.
-func (n *Node) Export(to func(Handed)) {
+// ExportState hands on what this node has, and with it half of what is left of cold hosts' budgets.
+func (n *Node) ExportState(to func(Handed)) {
 	n.post(func() { // behind the list that a process starts with
 		h := Handed{List: protocol.List{Rev: n.rev, All: true}, Classes: n.set.Classes, Tenants: n.set.Tenants, IDs: map[string]int64{}}
 		for uid, host := range n.byUID {
@@ -39,7 +39,7 @@
 				h.IDs[string(r.msg.Get("x-trace-id"))] = till
 			}
 		}
-		h.Learned = n.bal.Export(n.now())
+		h.Learned = n.bal.ExportState(n.now())
 		to(h)
 	})
 }
@@ -49,13 +49,13 @@
 	return protocol.Target{UID: uid, Endpoint: h.addr, Zone: h.zone, Cell: h.cell, State: h.state, Weight: h.weight, BootMs: h.boot}
 }
 
-// Import takes up what an older process of this node has learned, of the hosts that it has been told of.
-func (n *Node) Import(h Handed) {
+// ImportState takes up what an older process of this node has learned, of the hosts that it has been told of.
+func (n *Node) ImportState(h Handed) {
 	n.post(func() {
 		if !slices.Equal(h.Classes, n.set.Classes) || !slices.Equal(h.Tenants, n.set.Tenants) { // the settings are others by now
 			h.Learned.Classes, h.Learned.Tenants = nil, nil
 		}
-		n.bal.Import(n.now(), h.Learned)
+		n.bal.ImportState(n.now(), h.Learned)
 		for id, till := range h.IDs {
 			if _, held := n.ids[id]; held || till < n.now() || len(n.ids) >= maxIDs {
 				continue
@@ -69,12 +69,12 @@
 // idsMost is for how long an id that was handed over is kept at most, in microseconds.
 const idsMost = 60_000_000
 
-// Share tells how many processes are this node: each has its part of the descriptors, of the memory for large messages,
+// SetProcessCount tells how many processes are this node: each has its part of the descriptors, of the memory for large messages,
 // and of the cold hosts' budgets.
-func (n *Node) Share(processes int) {
+func (n *Node) SetProcessCount(processes int) {
 	n.ask(func() {
 		n.shared = processes
-		n.bal.Share(processes)
+		n.bal.SetProcessCount(processes)
 		n.makeRoom(0)
 	})
 }
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -12,7 +12,7 @@
 
 // leased has the node send nothing by a list of unknown age.
 func leased(s *Settings) {
-	s.Module.AskDiscovery, s.Module.AskEvery, s.Module.ListLease = true, 10_000_000, balancer.ToldWithin
+	s.Module.PollDiscovery, s.Module.PollInterval, s.Module.ListLease = true, 10_000_000, balancer.NotificationDeadline
 	s.DrainGrace = 500_000
 }
 
@@ -20,7 +20,7 @@
 func TestReadyWithWordOfTheList(t *testing.T) {
 	app := newApp(t, serve)
 	for name, word := range map[string]func(*Node){
-		"an answer": func(n *Node) { n.Members(protocol.List{Rev: 1}, false) },
+		"an answer": func(n *Node) { n.UpdateEndpoints(protocol.List{Rev: 1}, false) },
 		"a refusal": func(n *Node) { n.MembersFailed(errors.New("refused"), balancer.ListFailed, n.epoch) },
 		"no word": func(n *Node) {
 			on(n, func() { n.list.since -= readyWithin })
@@ -37,7 +37,7 @@
 			if code, _, _ := conn.ask(ready); code != 200 {
 				t.Errorf("after: %d", code)
 			}
-			on(n, func() { n.bal.ListMustBeHeardAnew(n.now(), n.now()) })
+			on(n, func() { n.bal.ExpireListAt(n.now(), n.now()) })
 			if code, _, _ := conn.ask(ready); code != 200 {
 				t.Errorf("with a list that has become too old: %d", code)
 			}
@@ -68,9 +68,9 @@
 			}
 			targets := app.targets()
 			targets[0].State = protocol.Terminating
-			n.Members(protocol.List{Rev: 1, Targets: targets}, false)
+			n.UpdateEndpoints(protocol.List{Rev: 1, Targets: targets}, false)
 			until(n, func() bool { return len(ends.outcomes) > 0 })
-			if ends.outcomes[0] != balancer.Moot || app.seen.Load() > 1 {
+			if ends.outcomes[0] != balancer.OutcomeNotSent || app.seen.Load() > 1 {
 				t.Errorf("ended as %v, %d requests at the backend", ends.outcomes, app.seen.Load())
 			}
 		})
@@ -92,9 +92,9 @@
 			want   safety.Reason
 		}{
 			{"as it should be", func(*firstByte) {}, safety.Allowed},
-			{"backend left", func(*firstByte) { h.leftAt = now - n.set.DrainGrace - auditSlack - 1 }, safety.BackendLeaving},
+			{"backend left", func(*firstByte) { h.leftAt = now - n.set.DrainGrace - auditSlack - 1 }, safety.BackendDraining},
 			{"list too old", func(f *firstByte) { f.lease = now - n.set.DrainGrace - auditSlack - 1 }, safety.ListStale},
-			{"client gone", func(*firstByte) { r.client.endedAt.Store(now - goneMost - 1) }, safety.ClientGone},
+			{"client gone", func(*firstByte) { r.client.endedAt.Store(now - goneMost - 1) }, safety.ClientDisconnected},
 			{"more time than is left", func(f *firstByte) { f.told += deadlineSlack + 1 }, safety.DeadlinePassed},
 		} {
 			clear(n.violations)
@@ -115,22 +115,22 @@
 // to be behind has been restarted with other versions, and must not end the service.
 func TestOldAnswerRenewsNoLease(t *testing.T) {
 	n, _ := start(t, newApp(t, serve).targets(), leased)
-	n.Members(protocol.List{Rev: 9}, false)
-	on(n, func() { n.bal.ListMustBeHeardAnew(n.now(), n.now()) })
+	n.UpdateEndpoints(protocol.List{Rev: 9}, false)
+	on(n, func() { n.bal.ExpireListAt(n.now(), n.now()) })
 	for _, step := range []struct {
 		name string
 		do   func()
 		want bool
 	}{
-		{"behind", func() { n.Members(protocol.List{Rev: 8}, false) }, false},
-		{"behind again", func() { n.Members(protocol.List{Rev: 8}, false) }, true},
-		{"run out", func() { on(n, func() { n.bal.ListMustBeHeardAnew(n.now(), n.now()) }) }, false},
-		{"up to date in between", func() { n.Members(protocol.List{Rev: 9}, false) }, true},
-		{"run out again", func() { on(n, func() { n.bal.ListMustBeHeardAnew(n.now(), n.now()) }) }, false},
-		{"behind once more", func() { n.Members(protocol.List{Rev: 8}, false) }, false},
-		{"the same", func() { n.Members(protocol.List{Rev: 9}, false) }, true},
+		{"behind", func() { n.UpdateEndpoints(protocol.List{Rev: 8}, false) }, false},
+		{"behind again", func() { n.UpdateEndpoints(protocol.List{Rev: 8}, false) }, true},
+		{"run out", func() { on(n, func() { n.bal.ExpireListAt(n.now(), n.now()) }) }, false},
+		{"up to date in between", func() { n.UpdateEndpoints(protocol.List{Rev: 9}, false) }, true},
+		{"run out again", func() { on(n, func() { n.bal.ExpireListAt(n.now(), n.now()) }) }, false},
+		{"behind once more", func() { n.UpdateEndpoints(protocol.List{Rev: 8}, false) }, false},
+		{"the same", func() { n.UpdateEndpoints(protocol.List{Rev: 9}, false) }, true},
 		{"moved", func() { n.Moved(0) }, false},
-		{"lower versions there", func() { n.Members(protocol.List{Rev: 1}, false) }, true},
+		{"lower versions there", func() { n.UpdateEndpoints(protocol.List{Rev: 1}, false) }, true},
 	} {
 		step.do()
 		on(n, func() {
@@ -145,16 +145,16 @@
 func TestNoProbeByAnOldList(t *testing.T) {
 	n, _ := start(t, newApp(t, serve).targets(), func(s *Settings) {
 		leased(s)
-		s.Module.MayProbe = true
+		s.Module.AllowHealthChecks = true
 	})
 	on(n, func() {
-		if n.Probe(1); n.hosts[1].dials > 0 {
+		if n.CheckHealth(1); n.hosts[1].dials > 0 {
 			t.Error("probed")
 		}
 	})
-	n.Members(protocol.List{Rev: 1}, false)
+	n.UpdateEndpoints(protocol.List{Rev: 1}, false)
 	on(n, func() {
-		if n.Probe(1); n.hosts[1].dials != 1 {
+		if n.CheckHealth(1); n.hosts[1].dials != 1 {
 			t.Error("not probed by a list that is current")
 		}
 	})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,26 +39,26 @@
 // Discovery is how a node asks for news about backends. Its methods must not block; what they lead to comes
 // back through Node.Members and Node.MembersFailed.
 type Discovery interface {
-	Observe(on bool)
-	Fetch()
+	Watch(on bool)
+	Poll()
 }
 
 // module is what the node asks of the decision module: a tulipglade.Balancer.
 type module interface {
-	MembersAsOf(now, asOf balancer.Time, kind balancer.ListKind, list []balancer.Host)
-	Request(now balancer.Time, a balancer.Arrival)
-	Loading(now balancer.Time, id balancer.ReqID, on bool)
-	Settled(now balancer.Time, s balancer.Settlement)
-	Checked(now balancer.Time, id balancer.HostID, out balancer.Outcome, took balancer.Span, rep *balancer.Report)
-	MayBegin(now balancer.Time, id balancer.ReqID, attempt int) safety.Reason
+	HandleEndpointsAsOf(now, asOf balancer.Time, kind balancer.ListKind, list []balancer.Endpoint)
+	HandleRequest(now balancer.Time, a balancer.Request)
+	HandleUpload(now balancer.Time, id balancer.RequestID, on bool)
+	HandleAttemptResult(now balancer.Time, s balancer.AttemptResult)
+	HandleHealthCheck(now balancer.Time, id balancer.EndpointID, out balancer.Outcome, took balancer.Span, rep *balancer.LoadReport)
+	MayStartAttempt(now balancer.Time, id balancer.RequestID, attempt int) safety.Reason
 	ListCurrent(now balancer.Time) (current bool, until balancer.Time)
-	ListMustBeHeardAnew(now, at balancer.Time)
-	Gone(now balancer.Time, id balancer.ReqID)
-	Wake(now balancer.Time, t balancer.Token)
-	Retune(now balancer.Time, cfg balancer.Config, classes, tenants []int) error
-	Export(now balancer.Time) balancer.Memory
-	Import(now balancer.Time, m balancer.Memory)
-	Share(processes int)
+	ExpireListAt(now, at balancer.Time)
+	HandleCancellation(now balancer.Time, id balancer.RequestID)
+	HandleTimer(now balancer.Time, t balancer.TimerID)
+	Reconfigure(now balancer.Time, cfg balancer.Config, classes, tenants []int) error
+	ExportState(now balancer.Time) balancer.Learned
+	ImportState(now balancer.Time, m balancer.Learned)
+	SetProcessCount(processes int)
 }
 
 // reserve is the part of the descriptors that are neither clients' nor backends': standard streams, poller,
@@ -87,18 +87,18 @@
 	timerSeq uint64
 
 	classes, tenants, zones map[string]int
-	requests                map[balancer.ReqID]*request
+	requests                map[balancer.RequestID]*request
 	ids                     map[string]struct{} // the clients' own, each until its request's time is over
-	lastID                  balancer.ReqID
+	lastID                  balancer.RequestID
 	open                    int // requests taken and not answered
 	writing                 int // answers on their way out
 	flows                   int // large messages on their way through
 	flowQueue               []func()
 	kept                    int // bytes that clients have sent behind a request that is not answered
-	hosts                   map[balancer.HostID]*host
+	hosts                   map[balancer.EndpointID]*host
 	forgotten               tombstones
 	byUID                   map[string]*host
-	lastHost                balancer.HostID
+	lastHost                balancer.EndpointID
 	rev                     int64          // the latest version of the list of backends
 	warned                  map[string]int // lines by text since the last sweep
 	clients                 map[*client]struct{}
@@ -124,8 +124,8 @@
 	set.nameless()
 	n := &Node{set: &set, log: log, discovery: discovery, list: listState{since: start.UnixMicro()}, epoch: start, epochUs: start.UnixMicro(),
 		wake: make(chan struct{}, 1), classes: index(set.Classes), tenants: index(set.Tenants),
-		zones: index(set.Zones), requests: map[balancer.ReqID]*request{}, byUID: map[string]*host{},
-		hosts: map[balancer.HostID]*host{}, warned: map[string]int{},
+		zones: index(set.Zones), requests: map[balancer.RequestID]*request{}, byUID: map[string]*host{},
+		hosts: map[balancer.EndpointID]*host{}, warned: map[string]int{},
 		clients: map[*client]struct{}{}, ids: map[string]struct{}{}, violations: map[safety.Reason]int{}, tracing: traces(log)}
 	bal, err := balancer.New(set.Module, set.Seed, n)
 	if err != nil {
@@ -314,11 +314,11 @@
 
 // ---- discovery ----
 
-// Members is news about the backends. Cached tells that the list may be out of date.
-func (n *Node) Members(l protocol.List, cached bool) { n.members(l, cached, time.Now()) }
+// UpdateEndpoints is news about the backends. Cached tells that the list may be out of date.
+func (n *Node) UpdateEndpoints(l protocol.List, cached bool) { n.members(l, cached, time.Now()) }
 
-// MembersAsOf is an answer of discovery's that held at a time.
-func (n *Node) MembersAsOf(l protocol.List, asOf time.Time) { n.members(l, false, asOf) }
+// UpdateEndpointsAsOf is an answer of discovery's that held at a time.
+func (n *Node) UpdateEndpointsAsOf(l protocol.List, asOf time.Time) { n.members(l, false, asOf) }
 
 func (n *Node) members(l protocol.List, cached bool, asOf time.Time) {
 	n.post(func() {
@@ -337,10 +337,10 @@
 			n.log.Info("backends", "rev", l.Rev, "all", l.All, "cached", cached, "entries", len(hosts))
 		}
 		n.listed = n.listed || len(hosts) > 0
-		if len(hosts) == 0 && kind == balancer.ListDelta && !n.set.Module.AskDiscovery {
+		if len(hosts) == 0 && kind == balancer.ListDelta && !n.set.Module.PollDiscovery {
 			return // where nothing was asked, nothing is owed: the module hears of changes alone
 		}
-		n.bal.MembersAsOf(n.now(), n.timeOf(asOf), kind, hosts)
+		n.bal.HandleEndpointsAsOf(n.now(), n.timeOf(asOf), kind, hosts)
 		n.noteList()
 	})
 }
@@ -349,7 +349,7 @@
 func (n *Node) MembersFailed(err error, how balancer.ListKind, asOf time.Time) {
 	n.post(func() {
 		n.log.Warn("discovery failed", "err", err)
-		n.bal.MembersAsOf(n.now(), n.timeOf(asOf), how, nil)
+		n.bal.HandleEndpointsAsOf(n.now(), n.timeOf(asOf), how, nil)
 		n.noteList()
 	})
 }
@@ -358,6 +358,6 @@
 func (n *Node) Moved(within time.Duration) {
 	n.post(func() {
 		n.list.moved = true
-		n.bal.ListMustBeHeardAnew(n.now(), n.now()+within.Microseconds())
+		n.bal.ExpireListAt(n.now(), n.now()+within.Microseconds())
 	})
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -39,8 +39,8 @@
 // silent is a discovery that nobody asks.
 type silent struct{}
 
-func (silent) Observe(bool) {}
-func (silent) Fetch()       {}
+func (silent) Watch(bool) {}
+func (silent) Poll()      {}
 
 // start runs a node on a port of its own that knows these backends.
 func start(t *testing.T, targets []protocol.Target, change func(*Settings)) (*Node, string) {
@@ -55,11 +55,11 @@
 	t.Helper()
 	second := int64(time.Second / time.Microsecond)
 	set := Settings{Classes: []string{"read", "once", "keyed"}, Tenants: []string{"t"}, Zones: []string{"z"},
-		ConnectTimeout: second, Keepalive: 30 * second, Grace: 20_000, Module: balancer.Config{Peers: 1, MaxAttempts: 3,
-			MayCancel: true, Tick: 1000, Tenants: []balancer.Tenant{{Share: 1}}, Classes: []balancer.Class{
-				{Aim: 10 * second, Deadline: 10 * second},
-				{Aim: 10 * second, Deadline: 10 * second, Effect: balancer.Once},
-				{Aim: 10 * second, Deadline: 10 * second, Effect: balancer.ByKey, Scope: balancer.ScopeCell, Window: 5 * second},
+		ConnectTimeout: second, Keepalive: 30 * second, Grace: 20_000, Module: balancer.Config{PeerCount: 1, MaxAttempts: 3,
+			AllowCancel: true, TickInterval: 1000, Tenants: []balancer.Tenant{{QuotaFraction: 1}}, Classes: []balancer.Class{
+				{LatencyObjective: 10 * second, Deadline: 10 * second},
+				{LatencyObjective: 10 * second, Deadline: 10 * second, Idempotency: balancer.NonIdempotent},
+				{LatencyObjective: 10 * second, Deadline: 10 * second, Idempotency: balancer.IdempotentByKey, KeyScope: balancer.ScopeCell, IdempotencyWindow: 5 * second},
 			}}}
 	if change != nil {
 		change(&set)
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Members(protocol.List{All: true, Targets: targets}, true)
+	n.UpdateEndpoints(protocol.List{All: true, Targets: targets}, true)
 	stop := make(chan struct{})
 	go n.Run(stop)
 	go func() { _ = loop.Serve(ln) }()
@@ -461,17 +461,17 @@
 	n.post(func() {
 		defer close(checked)
 		r := n.requests[n.lastID]
-		n.Try(r.id, 1, 0)
-		n.set.Module.MayDuplicate = true
-		n.Try(r.id, 1, -1)
-		n.Try(r.id, 1, 0) // the fourth of three
+		n.SendAttempt(r.id, 1, 0)
+		n.set.Module.AllowHedging = true
+		n.SendAttempt(r.id, 1, -1)
+		n.SendAttempt(r.id, 1, 0) // the fourth of three
 		for _, a := range r.attempts[1:] {
 			if !a.over || a.backend != nil {
 				t.Errorf("attempt %d went out", a.number)
 			}
 		}
-		n.Try(r.id+1, 1, 0)
-		n.Try(r.id, 99, 0)
+		n.SendAttempt(r.id+1, 1, 0)
+		n.SendAttempt(r.id, 99, 0)
 		if len(r.attempts) != 4 || len(n.requests) != 1 {
 			t.Errorf("%d attempts of %d requests", len(r.attempts), len(n.requests))
 		}
@@ -652,7 +652,7 @@
 			until(n, func() bool { return len(n.hosts[1].waiting) == 1 })
 			told := app.targets()[0]
 			told.State = state
-			n.Members(protocol.List{Rev: 1, Targets: []protocol.Target{told, target("b", other)}}, false)
+			n.UpdateEndpoints(protocol.List{Rev: 1, Targets: []protocol.Target{told, target("b", other)}}, false)
 			until(n, func() bool { return len(n.hosts) == 2 })
 			on(n, func() {
 				for _, b := range n.hosts[1].idle { // it has rested
@@ -695,7 +695,7 @@
 	for _, state := range []protocol.State{protocol.Terminating, protocol.Terminated} {
 		gone := target("a", a)
 		gone.State = state
-		n.Members(protocol.List{Rev: 2, Targets: []protocol.Target{gone}}, false)
+		n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{gone}}, false)
 		before := a.seen.Load()
 		for range 20 {
 			if code, _, _ := conn.ask(text("read", 9000)); code != 200 {
@@ -714,7 +714,7 @@
 	c := target("cold", cold)
 	c.BootMs = time.Now().UnixMilli()
 	_, addr := start(t, []protocol.Target{target("warm", warm), c}, func(s *Settings) {
-		s.Module.ColdFrom, s.Module.ColdRamp, s.Module.ColdMultiple, s.Module.ColdWindow = 0.1, 60_000_000, 3, 3_000_000
+		s.Module.SlowStartInitial, s.Module.SlowStartDuration, s.Module.OverloadFactor, s.Module.OverloadWindow = 0.1, 60_000_000, 3, 3_000_000
 	})
 	conn := dial(t, addr)
 	for range 100 {
@@ -742,7 +742,7 @@
 		fresh := target(fmt.Sprint("s-", i), a)
 		gone := target(fmt.Sprint("s-", i-1), a)
 		gone.State = protocol.Terminated
-		n.Members(protocol.List{Rev: int64(i + 1), Targets: []protocol.Target{fresh, gone}}, false)
+		n.UpdateEndpoints(protocol.List{Rev: int64(i + 1), Targets: []protocol.Target{fresh, gone}}, false)
 		if code, _, _ := conn.ask(text("once", 9000)); code != 200 {
 			t.Fatal(code)
 		}
@@ -781,8 +781,8 @@
 		n.merge(protocol.List{Rev: 11, Targets: []protocol.Target{entry("gone", protocol.Terminated, 5)}}, balancer.ListDelta)
 		got, kind := n.merge(protocol.List{Rev: 9, All: true, Targets: []protocol.Target{entry("kept", protocol.Terminated, 4),
 			entry("gone", 0, 5), entry("drains", 0, 5), entry("leaves", protocol.Terminating, 5), entry("new", 0, 6)}}, balancer.ListFull)
-		want := []balancer.Host{{ID: 4, Key: xxhash.Sum64String("leaves"), Phase: balancer.PhaseDraining, Weight: 1, Started: 5000},
-			{ID: 6, Key: xxhash.Sum64String("new"), Phase: balancer.PhaseReady, Weight: 1, Started: 6000}}
+		want := []balancer.Endpoint{{ID: 4, StableKey: xxhash.Sum64String("leaves"), Phase: balancer.PhaseDraining, Weight: 1, StartedAt: 5000},
+			{ID: 6, StableKey: xxhash.Sum64String("new"), Phase: balancer.PhaseReady, Weight: 1, StartedAt: 6000}}
 		if diff := cmp.Diff(want, got); diff != "" || kind != balancer.ListDelta {
 			t.Errorf("kind %d\n%s", kind, diff)
 		}
@@ -809,7 +809,7 @@
 	<-arrived
 	e := target("a", a)
 	e.State = protocol.Terminating
-	n.Members(protocol.List{Rev: 2, Targets: []protocol.Target{e}}, false)
+	n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{e}}, false)
 	on(n, func() {})
 	close(release)
 	if code, _, _ := conn.answer(); code != 200 {
@@ -930,7 +930,7 @@
 	conn.ask(text("read", 9000))
 	anew := target("a", a)
 	anew.BootMs = 1000
-	n.Members(protocol.List{Rev: 2, Targets: []protocol.Target{anew}}, false)
+	n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{anew}}, false)
 	conn.ask(text("read", 9000))
 	if got := a.connections(); got != 2 {
 		t.Errorf("%d connections, want 2", got)
@@ -1210,7 +1210,7 @@
 		"closes": {true, false}, "resets": {true, true}, "closes, nothing is cancelled": {false, false}, "resets, nothing is cancelled": {false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWaiting(t, func(s *Settings) { s.Module.MayCancel = c.cancel })
+			w := newWaiting(t, func(s *Settings) { s.Module.AllowCancel = c.cancel })
 			if c.reset {
 				_ = w.second.Conn.(*net.TCPConn).SetLinger(0)
 			}
@@ -1230,9 +1230,9 @@
 	outcomes []balancer.Outcome
 }
 
-func (e *endings) Settled(now balancer.Time, s balancer.Settlement) {
+func (e *endings) HandleAttemptResult(now balancer.Time, s balancer.AttemptResult) {
 	e.outcomes = append(e.outcomes, s.Outcome)
-	e.module.Settled(now, s)
+	e.module.HandleAttemptResult(now, s)
 }
 
 // A client may be gone before Run's goroutine hears of its request, or of the connection that its request waits for, and word of that stands
@@ -1255,7 +1255,7 @@
 		behindOf(n, 2)
 		close(free)
 		until(n, func() bool { return n.lastID == 2 && len(n.clients) == 0 && len(n.requests) == 0 })
-		if !slices.Equal(ends.outcomes, []balancer.Outcome{balancer.Moot}) {
+		if !slices.Equal(ends.outcomes, []balancer.Outcome{balancer.OutcomeNotSent}) {
 			t.Errorf("attempts that ended as %v, want one that never began", ends.outcomes)
 		}
 	})
@@ -1267,7 +1267,7 @@
 				for !a.req.client.hasEnded() {
 					runtime.Gosched()
 				}
-				if why := w.n.mayBegin(a); why != safety.ClientGone {
+				if why := w.n.mayBegin(a); why != safety.ClientDisconnected {
 					t.Errorf("may begin: %v", why)
 				}
 			}
@@ -1396,7 +1396,7 @@
 		}
 		return l
 	}
-	n, addr := start(t, list("old", protocol.InService), func(s *Settings) { s.Sockets, s.Module.Peers, s.Module.Self = 512, many, many-1 })
+	n, addr := start(t, list("old", protocol.InService), func(s *Settings) { s.Sockets, s.Module.PeerCount, s.Module.PeerIndex = 512, many, many-1 })
 	conn := dial(t, addr)
 	ask := func() {
 		t.Helper()
@@ -1407,8 +1407,8 @@
 		}
 	}
 	ask()
-	n.Members(protocol.List{Rev: 2, Targets: append(list("new", protocol.InService), list("old", protocol.Terminating)...)}, false)
-	n.Members(protocol.List{Rev: 3, Targets: list("old", protocol.Terminated)}, false)
+	n.UpdateEndpoints(protocol.List{Rev: 2, Targets: append(list("new", protocol.InService), list("old", protocol.Terminating)...)}, false)
+	n.UpdateEndpoints(protocol.List{Rev: 3, Targets: list("old", protocol.Terminated)}, false)
 	ask()
 	on(n, func() {
 		left := 0
@@ -1426,7 +1426,7 @@
 	})
 	again := *n.set
 	again.Module.MaxAttempts = 2
-	n.Retune(again)
+	n.Reconfigure(again)
 	ask()
 }
 
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -19,7 +19,7 @@
 
 // host is one backend that discovery has named. Its id is never used again.
 type host struct {
-	id        balancer.HostID
+	id        balancer.EndpointID
 	addr      string
 	state     protocol.State
 	boot      int64
@@ -61,13 +61,13 @@
 // merge takes a list into the pool and turns it into the module's form. A list that is older than the last one, as
 // that of a discovery which has just taken over may be, adds hosts and tells of drains, but brings nothing back that
 // is known to have gone on since, and what it leaves off is not gone.
-func (n *Node) merge(l protocol.List, kind balancer.ListKind) ([]balancer.Host, balancer.ListKind) {
+func (n *Node) merge(l protocol.List, kind balancer.ListKind) ([]balancer.Endpoint, balancer.ListKind) {
 	old := l.Rev < n.rev
 	n.rev = max(n.rev, l.Rev)
 	if old {
 		kind = balancer.ListDelta
 	}
-	out := make([]balancer.Host, 0, len(l.Targets))
+	out := make([]balancer.Endpoint, 0, len(l.Targets))
 	listed := make(map[*host]bool, len(l.Targets))
 	for _, t := range l.Targets {
 		h := n.byUID[t.UID]
@@ -100,9 +100,9 @@
 			zone = -1
 		}
 		phase := map[protocol.State]balancer.Phase{protocol.InService: balancer.PhaseReady,
-			protocol.Terminating: balancer.PhaseDraining, protocol.Terminated: balancer.PhaseGone}[t.State]
-		out = append(out, balancer.Host{ID: h.id, Key: xxhash.Sum64String(t.UID), Phase: phase, Zone: zone, Cell: t.Cell, Weight: t.Weight,
-			Started: t.BootMs * 1000})
+			protocol.Terminating: balancer.PhaseDraining, protocol.Terminated: balancer.PhaseRemoved}[t.State]
+		out = append(out, balancer.Endpoint{ID: h.id, StableKey: xxhash.Sum64String(t.UID), Phase: phase, Zone: zone, Cell: t.Cell, Weight: t.Weight,
+			StartedAt: t.BootMs * 1000})
 	}
 	for _, h := range n.hosts {
 		if kind != balancer.ListDelta && !listed[h] && h.goneAt == 0 {
@@ -227,7 +227,7 @@
 	resting := len(h.idle)+h.dials > len(h.waiting) && len(h.idle) > 0
 	if !resting && !a.probe && !n.makeRoom(1) {
 		n.warn("no descriptor for a connection", "descriptors", n.descriptors)
-		n.settle(a, balancer.ConnectFailed, nil)
+		n.settle(a, balancer.OutcomeConnectFailed, nil)
 		return
 	}
 	at := len(h.waiting)
@@ -242,7 +242,7 @@
 	}
 	n.at(n.now()+n.set.ConnectTimeout, func() {
 		if !a.over && a.backend == nil {
-			n.giveUp(a, balancer.ConnectFailed)
+			n.giveUp(a, balancer.OutcomeConnectFailed)
 		}
 	})
 }
@@ -296,7 +296,7 @@
 			if last := h.waiting[len(h.waiting)-1]; last.probe {
 				w = last
 			}
-			n.giveUp(w, balancer.ConnectFailed)
+			n.giveUp(w, balancer.OutcomeConnectFailed)
 		}
 		return
 	}
@@ -324,7 +324,7 @@
 	for len(h.waiting) > 0 {
 		if a := h.waiting[0]; n.mayBegin(a) != safety.Allowed { // since it was asked for
 			h.waiting = h.waiting[1:]
-			n.settle(a, balancer.Moot, nil)
+			n.settle(a, balancer.OutcomeNotSent, nil)
 		} else if b := n.rested(h); b != nil {
 			h.waiting = h.waiting[1:]
 			n.send(b, a)
@@ -343,14 +343,14 @@
 func (n *Node) mayBegin(a *attempt) (why safety.Reason) {
 	switch {
 	case a.probe && a.host.state != protocol.InService:
-		why = safety.BackendLeaving
+		why = safety.BackendDraining
 	case a.probe:
 	case a.req.done:
-		why = safety.RequestOver
+		why = safety.RequestDone
 	case n.left(a.req):
-		why = safety.ClientGone
+		why = safety.ClientDisconnected
 	default:
-		why = n.bal.MayBegin(n.now(), a.req.id, a.number)
+		why = n.bal.MayStartAttempt(n.now(), a.req.id, a.number)
 	}
 	if why != safety.Allowed {
 		n.withheld(a, why)
@@ -435,7 +435,7 @@
 			n.pump(b, a)
 		case r.upload != nil: // not all of it was written: it has never begun
 			n.closeBackend(b, endNotWhole)
-			n.settle(a, balancer.ConnectFailed, nil)
+			n.settle(a, balancer.OutcomeConnectFailed, nil)
 		default:
 			n.sent(b, a, err)
 		}
@@ -451,7 +451,7 @@
 	b.att = nil
 	if !a.over {
 		a.backend = nil
-		n.settle(a, balancer.Moot, nil)
+		n.settle(a, balancer.OutcomeNotSent, nil)
 	}
 	if b.hungUp || b.in != nil {
 		n.closeBackend(b, endNotClean)
@@ -472,7 +472,7 @@
 		n.closeBackend(b, endWriteFailed)
 	case err != nil: // not all of the request was written: it has never begun
 		n.closeBackend(b, endWriteFailed)
-		n.settle(a, balancer.ConnectFailed, nil)
+		n.settle(a, balancer.OutcomeConnectFailed, nil)
 	case b.hungUp && b.down != nil:
 		b.written = true
 		n.downloadBegins(b, nil, nil, nil)
@@ -546,7 +546,7 @@
 		a := b.down.att
 		b.n.warn("bad answer", "host", b.host.addr, "err", err)
 		b.n.closeBackend(b, endBadAnswer)
-		b.n.settle(a, balancer.Reset, nil)
+		b.n.settle(a, balancer.OutcomeReset, nil)
 	}
 }
 
@@ -560,7 +560,7 @@
 	case err != nil:
 		n.warn("bad answer", "host", b.host.addr, "err", err)
 		n.closeBackend(b, endBadAnswer)
-		n.settle(a, balancer.Reset, nil) // it may have run
+		n.settle(a, balancer.OutcomeReset, nil) // it may have run
 	case whole:
 		b.finish(more > 0)
 	case large:
@@ -571,13 +571,13 @@
 // errEarly is a large answer to a request that has not been written: there is no room for it.
 var errEarly = errors.New("a large answer before the end of its request")
 
-func loadReport(msg *protocol.Message) *balancer.Report {
+func loadReport(msg *protocol.Message) *balancer.LoadReport {
 	return toReport(msg.Get(protocol.LoadHeader))
 }
 
-func toReport(text []byte) *balancer.Report {
+func toReport(text []byte) *balancer.LoadReport {
 	if load, ok := protocol.ParseLoad(text); ok {
-		return &balancer.Report{Outstanding: load.Outstanding, Backlog: load.Backlog, Utilization: load.Utilization}
+		return &balancer.LoadReport{Outstanding: load.Outstanding, Backlog: load.Backlog, Utilization: load.Utilization}
 	}
 	return nil
 }
@@ -606,9 +606,9 @@
 	}
 	report := loadReport(&msg)
 	out := outcome(&msg)
-	if a.probe && out == balancer.OK {
+	if a.probe && out == balancer.OutcomeOK {
 		report = probeReport(&msg, msg.Body(in.bytes()))
-	} else if out == balancer.OK {
+	} else if out == balancer.OutcomeOK {
 		if msg.NoBody && a.req.client != nil {
 			a.req.client.headSize = max(msg.Length(), protocol.UntilClose)
 			if msg.Length() < 0 {
@@ -633,7 +633,7 @@
 		n.supply(b.host)
 	case !b.written && a.till == never && !b.allIn(): // the request was still coming in, and will never be whole
 		n.closeBackend(b, endPeerClosed)
-		n.settle(a, balancer.ConnectFailed, nil)
+		n.settle(a, balancer.OutcomeConnectFailed, nil)
 	case !b.written:
 		b.hungUp = true // whether all was written decides what this means
 	default:
@@ -651,7 +651,7 @@
 		return
 	}
 	n.closeBackend(b, endPeerClosed)
-	n.settle(a, balancer.Reset, nil)
+	n.settle(a, balancer.OutcomeReset, nil)
 }
 
 // closeBackend ends a connection. An attempt on it must be settled by the caller.
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -21,8 +21,8 @@
 	probeHealth = "/health"
 )
 
-// Probe asks a host for its load. The module hears of exactly one outcome through Checked.
-func (n *Node) Probe(hostID balancer.HostID) {
+// CheckHealth asks a host for its load. The module hears of exactly one outcome through Checked.
+func (n *Node) CheckHealth(hostID balancer.EndpointID) {
 	h := n.hosts[hostID]
 	if h == nil {
 		n.log.Error("probe without a host", "host", hostID)
@@ -33,12 +33,12 @@
 	a := &attempt{probe: true, req: &request{set: n.set}, host: h, sent: now, till: now + n.set.ConnectTimeout}
 	h.probes++
 	switch {
-	case h.state != protocol.InService, !n.set.Module.MayProbe, !current:
-		n.settle(a, balancer.Moot, nil) // it wants nothing new
+	case h.state != protocol.InService, !n.set.Module.AllowHealthChecks, !current:
+		n.settle(a, balancer.OutcomeNotSent, nil) // it wants nothing new
 	case h.probes > probesMost:
-		n.settle(a, balancer.Moot, nil)
+		n.settle(a, balancer.OutcomeNotSent, nil)
 	case len(h.idle) == 0 && n.sockets() > 0 && n.descriptors+1 > n.sockets()-reserve:
-		n.settle(a, balancer.ConnectFailed, nil)
+		n.settle(a, balancer.OutcomeConnectFailed, nil)
 	default:
 		n.at(a.till, func() { n.late(a) })
 		n.connect(a)
@@ -55,16 +55,16 @@
 }
 
 // checked tells the module how a probe has ended.
-func (n *Node) checked(a *attempt, outcome balancer.Outcome, report *balancer.Report) {
+func (n *Node) checked(a *attempt, outcome balancer.Outcome, report *balancer.LoadReport) {
 	took := n.now() - a.sent
 	n.later = append(n.later, func() {
 		a.host.probes--
-		n.bal.Checked(n.now(), a.host.id, outcome, took, report)
+		n.bal.HandleHealthCheck(n.now(), a.host.id, outcome, took, report)
 	})
 }
 
 // probeReport is what the answer to a probe says of its host's load: in its body, or as any answer may.
-func probeReport(msg *protocol.Message, body []byte) *balancer.Report {
+func probeReport(msg *protocol.Message, body []byte) *balancer.LoadReport {
 	if report := loadReport(msg); report != nil {
 		return report
 	}
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -16,11 +16,11 @@
 type told struct {
 	module
 	probes   chan string
-	arrivals chan balancer.Arrival
+	arrivals chan balancer.Request
 }
 
-func (m *told) Checked(now balancer.Time, id balancer.HostID, out balancer.Outcome, took balancer.Span, rep *balancer.Report) {
-	m.module.Checked(now, id, out, took, rep)
+func (m *told) HandleHealthCheck(now balancer.Time, id balancer.EndpointID, out balancer.Outcome, took balancer.Span, rep *balancer.LoadReport) {
+	m.module.HandleHealthCheck(now, id, out, took, rep)
 	text := fmt.Sprint(out)
 	if rep != nil {
 		text += fmt.Sprint(" ", *rep)
@@ -28,14 +28,14 @@
 	m.probes <- text
 }
 
-func (m *told) Request(now balancer.Time, a balancer.Arrival) {
+func (m *told) HandleRequest(now balancer.Time, a balancer.Request) {
 	m.arrivals <- a
-	m.module.Request(now, a)
+	m.module.HandleRequest(now, a)
 }
 
 // listen has the module's ears: it must be called before anything is asked of the node.
 func listen(n *Node) *told {
-	m := &told{probes: make(chan string, 100), arrivals: make(chan balancer.Arrival, 100)}
+	m := &told{probes: make(chan string, 100), arrivals: make(chan balancer.Request, 100)}
 	on(n, func() { m.module, n.bal = n.bal, m })
 	return m
 }
@@ -53,7 +53,7 @@
 
 // mayProbe are settings as of a deployment whose hosts may be probed, but no module that does so by itself.
 func mayProbe(s *Settings) {
-	s.Module.MayProbe, s.Reports, s.Module.Probe = true, true, 1
+	s.Module.AllowHealthChecks, s.Reports, s.Module.HealthCheckCost = true, true, 1
 	s.ConnectTimeout = 200_000
 }
 
@@ -90,7 +90,7 @@
 			a := newApp(t, c.host)
 			n, _ := start(t, []protocol.Target{target("a", a)}, mayProbe)
 			m := listen(n)
-			on(n, func() { n.Probe(n.byUID["a"].id) })
+			on(n, func() { n.CheckHealth(n.byUID["a"].id) })
 			if got := next(t, m.probes); got != c.want {
 				t.Errorf("%q, want %q", got, c.want)
 			}
@@ -118,14 +118,14 @@
 	}{
 		{"draining", mayProbe, func(n *Node) { n.byUID["a"].state = protocol.Terminating }, "80"},
 		{"gone", mayProbe, func(n *Node) { n.byUID["a"].state = protocol.Terminated }, "80"},
-		{"forbidden", func(s *Settings) { mayProbe(s); s.Module.MayProbe = false }, func(*Node) {}, "80"},
+		{"forbidden", func(s *Settings) { mayProbe(s); s.Module.AllowHealthChecks = false }, func(*Node) {}, "80"},
 		{"no descriptor left", mayProbe, func(n *Node) { n.set.Sockets = reserve + leastRoom; n.descriptors = leastRoom }, "50"},
 	} {
 		n, _ := start(t, []protocol.Target{target("a", a)}, c.change)
 		m := listen(n)
 		on(n, func() {
 			c.leave(n)
-			n.Probe(n.byUID["a"].id)
+			n.CheckHealth(n.byUID["a"].id)
 		})
 		if got := next(t, m.probes); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
@@ -134,7 +134,7 @@
 	n, _ := start(t, []protocol.Target{target("a", a)}, mayProbe)
 	m := listen(n)
 	on(n, func() { // the connection comes up after that
-		n.Probe(n.byUID["a"].id)
+		n.CheckHealth(n.byUID["a"].id)
 		n.byUID["a"].state = protocol.Terminating
 	})
 	if got := next(t, m.probes); got != "80" {
@@ -152,7 +152,7 @@
 	m := listen(n)
 	on(n, func() {
 		for range 100 {
-			n.Probe(n.byUID["a"].id)
+			n.CheckHealth(n.byUID["a"].id)
 		}
 		if n.descriptors > probesMost {
 			t.Errorf("%d connections", n.descriptors)
@@ -180,8 +180,8 @@
 	m := listen(n)
 	on(n, func() {
 		h := n.byUID["a"]
-		n.Probe(h.id)
-		n.Probe(h.id)
+		n.CheckHealth(h.id)
+		n.CheckHealth(h.id)
 		r := &attempt{req: &request{set: n.set}, host: h, till: never}
 		n.connect(r)
 		for _, w := range h.waiting {
@@ -205,8 +205,8 @@
 	for text, want := range map[string]int64{"X-Size-Hint: 48211\r\n": 48211, "": 0, "X-Size-Hint: 0\r\n": 0, "X-Size-Hint: -5\r\n": 0,
 		"X-Size-Hint: much\r\n": 0, "X-Size-Hint: 1e9\r\n": 0, "X-Size-Hint: 99999999999999999999\r\n": 0} {
 		code, _, _ := conn.ask(hinted(text))
-		if got := next(t, m.arrivals); code != 200 || got.Hint != want {
-			t.Errorf("%q: answer %d, hint %d, want %d", text, code, got.Hint, want)
+		if got := next(t, m.arrivals); code != 200 || got.CostHint != want {
+			t.Errorf("%q: answer %d, hint %d, want %d", text, code, got.CostHint, want)
 		}
 	}
 }
@@ -229,13 +229,13 @@
 		a, arrived, release := waits(t)
 		n, _ := start(t, []protocol.Target{target("a", a)}, func(s *Settings) { mayProbe(s); s.ConnectTimeout = 10_000_000 })
 		m := listen(n)
-		on(n, func() { n.Probe(n.byUID["a"].id) })
+		on(n, func() { n.CheckHealth(n.byUID["a"].id) })
 		<-arrived
 		next := target("a", a)
 		next.State, next.BootMs = c.state, c.boot
-		n.Members(protocol.List{Rev: 2, Targets: []protocol.Target{next}}, false)
+		n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{next}}, false)
 		on(n, func() {
-			n.Probe(n.byUID["a"].id)
+			n.CheckHealth(n.byUID["a"].id)
 			if h := n.byUID["a"]; c.state != protocol.InService && h.dials+len(h.waiting) > 0 {
 				t.Errorf("%s: asked again", c.name)
 			}
@@ -269,7 +269,7 @@
 	a, arrived, release := waits(t)
 	defer close(release)
 	n, _ := start(t, []protocol.Target{target("a", a)}, func(s *Settings) { mayProbe(s); s.ConnectTimeout = 60_000_000 })
-	on(n, func() { n.Probe(n.byUID["a"].id) })
+	on(n, func() { n.CheckHealth(n.byUID["a"].id) })
 	<-arrived
 	drained := make(chan struct{})
 	n.Drain(0, func() { close(drained) })
