--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -11,7 +11,7 @@
 
 // request is one that this node has taken: it gets exactly one answer.
 type request struct {
-	id       balancer.ReqID
+	id       balancer.RequestID
 	traceID  string    // its client's own
 	set      *Settings // that it came under
 	msg      *protocol.Message
@@ -75,7 +75,7 @@
 		return nil, 400, "X-Trace-Id is in use"
 	}
 	c := &n.set.Module.Classes[class]
-	if c.Effect == balancer.ByKey && len(msg.Get("idempotency-key")) == 0 {
+	if c.Idempotency == balancer.IdempotentByKey && len(msg.Get("idempotency-key")) == 0 {
 		return nil, 400, "no Idempotency-Key"
 	}
 	wait := c.Deadline
@@ -105,8 +105,8 @@
 	id, trace := r.id, r.traceID
 	n.ids[trace] = struct{}{}
 	n.at(r.deadline+n.set.Grace, func() { n.overdue(id, trace) })
-	n.bal.Request(n.now(), balancer.Arrival{ID: r.id, Class: r.class, Tenant: r.tenant, Deadline: r.deadline,
-		Key: protocol.Subject(r.msg.Target), Repeat: string(r.msg.Get("x-second-try")) == "1", Hint: sizeHint(r.msg.Get("x-size-hint"))})
+	n.bal.HandleRequest(n.now(), balancer.Request{ID: r.id, Class: r.class, Tenant: r.tenant, Deadline: r.deadline,
+		AffinityKey: protocol.Subject(r.msg.Target), IsRetry: string(r.msg.Get("x-second-try")) == "1", CostHint: sizeHint(r.msg.Get("x-size-hint"))})
 }
 
 // sizeHint reads a client's guess at the work, in microseconds; 0 is none. It is no more than a guess: one that is no number
@@ -120,7 +120,7 @@
 }
 
 // overdue ends what is left of a request after its time.
-func (n *Node) overdue(id balancer.ReqID, trace string) {
+func (n *Node) overdue(id balancer.RequestID, trace string) {
 	r := n.requests[id]
 	if r != nil && r.upload != nil && !r.done && n.now() < r.deadline { // its time begins, or began, with its last byte
 		n.at(min(r.deadline, n.now()+overdueEvery)+n.set.Grace, func() { n.overdue(id, trace) })
@@ -130,7 +130,7 @@
 	if r != nil && !r.done { // the module owed an answer by now; the client must not wait for ever
 		n.log.Error("request overdue", "id", r.id, "attempts", len(r.attempts))
 		n.answer(r, nil, 504, nil, []byte("overdue\n"), 0)
-		n.bal.Gone(n.now(), r.id)
+		n.bal.HandleCancellation(n.now(), r.id)
 	}
 }
 
@@ -166,7 +166,7 @@
 	for _, a := range r.attempts {
 		if b := a.backend; !a.over && b != nil && b.att == a && !b.written && b.down == nil && a.till != never {
 			n.closeBackend(b, endWithheld)
-			n.settle(a, balancer.Cancelled, nil)
+			n.settle(a, balancer.OutcomeCanceled, nil)
 		}
 	}
 }
@@ -183,7 +183,7 @@
 func (n *Node) clientGone(r *request) {
 	if n.end(r) {
 		n.traceRequest(r, "client gone", "attempts", len(r.attempts))
-		n.bal.Gone(n.now(), r.id)
+		n.bal.HandleCancellation(n.now(), r.id)
 	}
 }
 
@@ -203,17 +203,17 @@
 func outcome(msg *protocol.Message) balancer.Outcome {
 	switch msg.Status {
 	case 200:
-		return balancer.OK
+		return balancer.OutcomeOK
 	case 503, 504:
 		if string(msg.Get("x-never-ran")) == "1" {
-			return balancer.Full
+			return balancer.OutcomeRejected
 		}
 	}
-	return balancer.HostError
+	return balancer.OutcomeServerError
 }
 
 // settle gives an attempt its one outcome. The module hears of it after the call it may be in.
-func (n *Node) settle(a *attempt, outcome balancer.Outcome, report *balancer.Report) {
+func (n *Node) settle(a *attempt, outcome balancer.Outcome, report *balancer.LoadReport) {
 	if a.over {
 		return
 	}
@@ -223,25 +223,25 @@
 		return
 	}
 	n.traceRequest(a.req, "attempt over", "attempt", a.number, "host", a.host.addr, "outcome", int(outcome), "took_us", n.now()-a.sent)
-	s := balancer.Settlement{ID: a.req.id, Attempt: a.number, Host: a.host.id, Outcome: outcome,
-		Took: n.now() - a.sent, Report: report}
+	s := balancer.AttemptResult{ID: a.req.id, Attempt: a.number, Endpoint: a.host.id, Outcome: outcome,
+		Latency: n.now() - a.sent, Load: report}
 	if a.till == never { // it had not all been sent: that took its client's time, not the host's
-		s.Took = 0
+		s.Latency = 0
 	}
 	n.later = append(n.later, func() {
 		a.req.out--
-		s.Closed = a.req.done
-		n.bal.Settled(n.now(), s)
+		s.RequestDone = a.req.done
+		n.bal.HandleAttemptResult(n.now(), s)
 		n.forget(a.req)
 	})
 }
 
 // ---- the module's Actions ----
 
-var _ balancer.Actions = (*Node)(nil)
+var _ balancer.Commands = (*Node)(nil)
 
-// Try sends a request to a host.
-func (n *Node) Try(id balancer.ReqID, hostID balancer.HostID, timeout balancer.Span) {
+// SendAttempt sends a request to a host.
+func (n *Node) SendAttempt(id balancer.RequestID, hostID balancer.EndpointID, timeout balancer.Span) {
 	r := n.requests[id]
 	h := n.hosts[hostID]
 	if r == nil || h == nil {
@@ -257,13 +257,13 @@
 	}
 	switch {
 	case r.done || n.left(r) || now >= r.deadline || len(r.attempts) > max(r.set.Module.MaxAttempts, 1):
-		n.settle(a, balancer.Moot, nil)
+		n.settle(a, balancer.OutcomeNotSent, nil)
 		return
-	case !r.set.Module.MayDuplicate && r.out > 1:
-		n.settle(a, balancer.Moot, nil)
+	case !r.set.Module.AllowHedging && r.out > 1:
+		n.settle(a, balancer.OutcomeNotSent, nil)
 		return
 	case a.till <= now:
-		n.settle(a, balancer.TimedOut, nil)
+		n.settle(a, balancer.OutcomeTimeout, nil)
 		return
 	}
 	n.at(a.till, func() { n.late(a) })
@@ -273,7 +273,7 @@
 // late gives up an attempt whose time has passed.
 func (n *Node) late(a *attempt) {
 	if !a.over && n.now() >= a.till {
-		n.giveUp(a, balancer.TimedOut)
+		n.giveUp(a, balancer.OutcomeTimeout)
 	}
 }
 
@@ -283,29 +283,29 @@
 		n.closeBackend(b, endGivenUp)
 	} else {
 		a.host.waiting = slices.DeleteFunc(a.host.waiting, func(w *attempt) bool { return w == a })
-		if outcome == balancer.TimedOut {
-			outcome = balancer.ConnectFailed
+		if outcome == balancer.OutcomeTimeout {
+			outcome = balancer.OutcomeConnectFailed
 		}
 	}
 	n.settle(a, outcome, nil)
 }
 
-// Cancel stops waiting for an attempt.
-func (n *Node) Cancel(id balancer.ReqID, number int) {
+// CancelAttempt stops waiting for an attempt.
+func (n *Node) CancelAttempt(id balancer.RequestID, number int) {
 	if r := n.requests[id]; r != nil && number < len(r.attempts) && !r.attempts[number].over {
-		n.giveUp(r.attempts[number], balancer.Cancelled)
+		n.giveUp(r.attempts[number], balancer.OutcomeCanceled)
 	}
 }
 
-// Decline refuses a request: trying again does no harm.
-func (n *Node) Decline(id balancer.ReqID, retryIn balancer.Span) {
+// Reject refuses a request: trying again does no harm.
+func (n *Node) Reject(id balancer.RequestID, retryIn balancer.Span) {
 	if r := n.requests[id]; r != nil {
 		n.answer(r, nil, 503, nil, []byte("refused\n"), retryIn)
 	}
 }
 
 // Fail ends a request without a promise about its effect.
-func (n *Node) Fail(id balancer.ReqID) {
+func (n *Node) Fail(id balancer.RequestID) {
 	r := n.requests[id]
 	if r == nil {
 		return
@@ -317,16 +317,16 @@
 	n.answer(r, nil, status, nil, []byte("failed\n"), 0)
 }
 
-// WakeAt sets one of the module's timers.
-func (n *Node) WakeAt(t balancer.Token, delay balancer.Span) {
-	n.at(n.now()+max(delay, 1), func() { n.bal.Wake(n.now(), t) })
+// SetTimer sets one of the module's timers.
+func (n *Node) SetTimer(t balancer.TimerID, delay balancer.Span) {
+	n.at(n.now()+max(delay, 1), func() { n.bal.HandleTimer(n.now(), t) })
 }
 
-// Observe asks discovery for changes from here on.
-func (n *Node) Observe(on bool) { n.discovery.Observe(on) }
+// WatchEndpoints asks discovery for changes from here on.
+func (n *Node) WatchEndpoints(on bool) { n.discovery.Watch(on) }
 
-// Fetch asks discovery for the whole list, once.
-func (n *Node) Fetch() { n.discovery.Fetch() }
+// PollEndpoints asks discovery for the whole list, once.
+func (n *Node) PollEndpoints() { n.discovery.Poll() }
 
 // Log writes a line of the module's.
 func (n *Node) Log(text string) { n.log.Info("decision", "text", text) }
--- a/internal/node/retune.go
+++ b/internal/node/retune.go
@@ -2,10 +2,10 @@
 
 import "tulipglade/internal/balancer"
 
-// Retune takes up new settings, which must be sound: their Module is one that tulipglade.New takes. Requests that are
+// Reconfigure takes up new settings, which must be sound: their Module is one that tulipglade.New takes. Requests that are
 // open, and what they lead to, keep the settings that they came under. What was learned of a class or a tenant lives on
 // under its name.
-func (n *Node) Retune(set Settings) {
+func (n *Node) Reconfigure(set Settings) {
 	n.post(func() { n.retune(set) })
 }
 
@@ -56,7 +56,7 @@
 			set.Tenants, set.Module.Tenants = append(set.Tenants, old.Tenants[i]), append(set.Module.Tenants, balancer.Tenant{})
 		}
 	}
-	if err := n.bal.Retune(n.now(), set.Module, from, tenantsFrom); err != nil {
+	if err := n.bal.Reconfigure(n.now(), set.Module, from, tenantsFrom); err != nil {
 		n.log.Error("settings not taken up", "err", err)
 		return
 	}
@@ -69,7 +69,7 @@
 // that one has learned, nor the other way round.
 func (s *Settings) nameless() {
 	if len(s.Tenants) == 0 {
-		s.Tenants, s.Module.Tenants = []string{""}, []balancer.Tenant{{Share: 1}}
+		s.Tenants, s.Module.Tenants = []string{""}, []balancer.Tenant{{QuotaFraction: 1}}
 	}
 }
 
--- a/internal/node/retune_test.go
+++ b/internal/node/retune_test.go
@@ -27,7 +27,7 @@
 				set.Module.Classes = append(set.Module.Classes, n.set.Module.Classes[i])
 			}
 		}
-		set.Tenants, set.Module.Tenants = []string{"t"}, []balancer.Tenant{{Share: 1}}
+		set.Tenants, set.Module.Tenants = []string{"t"}, []balancer.Tenant{{QuotaFraction: 1}}
 		change(&set)
 		n.retune(set)
 		close(done)
@@ -70,7 +70,7 @@
 	}
 	add := func(s *Settings) {
 		s.Classes = append(s.Classes, "once")
-		s.Module.Classes = append(s.Module.Classes, balancer.Class{Aim: 10_000_000, Deadline: 10_000_000})
+		s.Module.Classes = append(s.Module.Classes, balancer.Class{LatencyObjective: 10_000_000, Deadline: 10_000_000})
 	}
 	retuned(n, add)
 	until(n, func() bool {
@@ -166,7 +166,7 @@
 	}
 	for turn := range 50 {
 		retuned(n, func(s *Settings) {
-			s.Module.Classes[0].Aim = int64(9_000_000 + turn)
+			s.Module.Classes[0].LatencyObjective = int64(9_000_000 + turn)
 			s.Module.MaxAttempts = 1 + turn%3
 		})
 		for before := served.Load(); served.Load() < before+4 && !t.Failed(); {
--- a/internal/node/shut_test.go
+++ b/internal/node/shut_test.go
@@ -244,7 +244,7 @@
 		t.Run(name, func(t *testing.T) {
 			n, _ := start(t, nil, func(s *Settings) {
 				for i := range s.Module.Classes {
-					s.Module.Classes[i].Deadline, s.Module.Classes[i].Aim = test.deadline, test.deadline
+					s.Module.Classes[i].Deadline, s.Module.Classes[i].LatencyObjective = test.deadline, test.deadline
 				}
 			})
 			ended := make(chan struct{})
@@ -343,7 +343,7 @@
 	ended := make(chan struct{})
 	n.Drain(0, func() { close(ended) })
 	retuned(n, func(s *Settings) { s.Classes, s.Module.Classes = s.Classes[:1], s.Module.Classes[:1] }) // its class is no more
-	n.Members(protocol.List{Rev: 1, All: true, Targets: app.targets()}, false)
+	n.UpdateEndpoints(protocol.List{Rev: 1, All: true, Targets: app.targets()}, false)
 	if code, body, closing := conn.answer(); code != 200 || body != "body of /once" || !closing {
 		t.Errorf("%d %q, closing %v", code, body, closing)
 	}
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -79,13 +79,13 @@
 	c, u := r.client, r.upload
 	u.flowing = true
 	r.deadline, a.till = never, never
-	n.bal.Loading(n.now(), r.id, true)
+	n.bal.HandleUpload(n.now(), r.id, true)
 	f := u.newFlow(c, func(parts ...[]byte) error { return b.socket.write(parts) })
 	f.broken = func() {
 		n.post(func() {
 			if !a.over { // not all of it was written: it has never begun
 				n.closeBackend(b, endWriteFailed)
-				n.settle(a, balancer.ConnectFailed, nil)
+				n.settle(a, balancer.OutcomeConnectFailed, nil)
 			}
 		})
 	}
@@ -141,7 +141,7 @@
 		r.deadline = n.answerBy(now, now+r.wait)
 		a.sent, a.till = now, r.deadline
 		n.at(a.till, func() { n.late(a) })
-		n.bal.Loading(now, r.id, false)
+		n.bal.HandleUpload(now, r.id, false)
 		if f.written == nil && !b.answered && !b.closed {
 			b.written = true
 			if b.down != nil {
@@ -172,12 +172,12 @@
 		}
 		c.last = true
 		n.answer(r, nil, status, nil, []byte(err.Error()+"\n"), 0)
-		n.bal.Gone(n.now(), r.id)
+		n.bal.HandleCancellation(n.now(), r.id)
 	default:
 		c.gone(endPeerClosed)
 	}
 	if err != nil && a != nil && !a.over {
-		n.giveUp(a, balancer.ConnectFailed)
+		n.giveUp(a, balancer.OutcomeConnectFailed)
 	}
 }
 
--- a/internal/safety/safety.go
+++ b/internal/safety/safety.go
@@ -9,22 +9,22 @@
 	Span = int64
 )
 
-// Effect says how often a request may run.
-type Effect uint8
+// Idempotency says how often a request may run.
+type Idempotency uint8
 
 // The kinds of effect.
 const (
-	Repeatable Effect = iota
-	ByKey             // repeats are dropped by the backends of one Scope for Rules.Window
-	Once              // must never run twice
+	Idempotent      Idempotency = iota
+	IdempotentByKey             // repeats are dropped by the backends of one Scope for Rules.Window
+	NonIdempotent               // must never run twice
 )
 
-// Scope is the group of backends that drops the repeats of a ByKey request.
-type Scope uint8
+// KeyScope is the group of backends that drops the repeats of a ByKey request.
+type KeyScope uint8
 
 // The groups of backends.
 const (
-	ScopeAll Scope = iota
+	ScopeAll KeyScope = iota
 	ScopeZone
 	ScopeCell
 )
@@ -34,20 +34,20 @@
 
 // The reasons.
 const (
-	Allowed         Reason = iota
-	RequestOver            // it has its final answer, or its answer has begun
-	ClientGone             // its client has closed the connection or cancelled
-	DeadlinePassed         // its client no longer waits
-	AttemptsUsed           // it has had as many attempts as the settings allow
-	AttemptInFlight        // another attempt is out, and second copies are not allowed
-	ListStale              // the list of backends is not known to be current
-	BackendLeaving         // the backend drains or is gone
-	MayHaveRun             // it may have run already, and must not run twice
-	WindowOver             // repeats of its key are not dropped any longer
-	OutsideScope           // repeats of its key are not dropped there
-	RequestOpen            // the connection carries a request that has no answer yet
-	InputUnread            // the connection holds input that nobody has read
-	ShuttingDown           // the process takes no more requests
+	Allowed                  Reason = iota
+	RequestDone                     // it has its final answer, or its answer has begun
+	ClientDisconnected              // its client has closed the connection or cancelled
+	DeadlinePassed                  // its client no longer waits
+	AttemptsUsed                    // it has had as many attempts as the settings allow
+	AttemptInFlight                 // another attempt is out, and second copies are not allowed
+	ListStale                       // the list of backends is not known to be current
+	BackendDraining                 // the backend drains or is gone
+	MayHaveExecuted                 // it may have run already, and must not run twice
+	IdempotencyWindowExpired        // repeats of its key are not dropped any longer
+	OutsideKeyScope                 // repeats of its key are not dropped there
+	RequestInProgress               // the connection carries a request that has no answer yet
+	UnreadInput                     // the connection holds input that nobody has read
+	ShuttingDown                    // the process takes no more requests
 	reasons
 )
 
@@ -64,10 +64,10 @@
 
 // Rules are what the settings say of a request's class.
 type Rules struct {
-	Effect Effect
-	Scope  Scope
-	Window Span // repeats of a key are dropped for so long after the first attempt was sent
-	Spare  Span // of the window, for what passes between a decision and the backend's clock
+	Idempotency Idempotency
+	KeyScope    KeyScope
+	Window      Span // repeats of a key are dropped for so long after the first attempt was sent
+	Margin      Span // of the window, for what passes between a decision and the backend's clock
 }
 
 // Backend is where an attempt would go.
@@ -76,79 +76,79 @@
 	Zone, Cell int
 }
 
-// Earlier is an attempt of the same request that has run, or may have.
-type Earlier struct {
+// PriorAttempt is an attempt of the same request that has run, or may have.
+type PriorAttempt struct {
 	SentAt     Time
 	Zone, Cell int
 }
 
-// Repeat tells whether a request of which an earlier attempt may have run may be sent to a backend. Without an earlier attempt it may;
+// MayRetry tells whether a request of which an earlier attempt may have run may be sent to a backend. Without an earlier attempt it may;
 // without a backend the question is whether there could be one at all.
-func Repeat(now Time, rules Rules, earlier *Earlier, at *Backend) Reason {
+func MayRetry(now Time, rules Rules, earlier *PriorAttempt, at *Backend) Reason {
 	switch {
-	case earlier == nil || rules.Effect == Repeatable:
+	case earlier == nil || rules.Idempotency == Idempotent:
 		return Allowed
-	case rules.Effect == Once:
-		return MayHaveRun
-	case now-earlier.SentAt+rules.Spare >= rules.Window:
-		return WindowOver
-	case at == nil || rules.Scope == ScopeAll:
+	case rules.Idempotency == NonIdempotent:
+		return MayHaveExecuted
+	case now-earlier.SentAt+rules.Margin >= rules.Window:
+		return IdempotencyWindowExpired
+	case at == nil || rules.KeyScope == ScopeAll:
 		return Allowed
-	case rules.Scope == ScopeZone && earlier.Zone == at.Zone, rules.Scope == ScopeCell && earlier.Cell == at.Cell:
+	case rules.KeyScope == ScopeZone && earlier.Zone == at.Zone, rules.KeyScope == ScopeCell && earlier.Cell == at.Cell:
 		return Allowed
 	}
-	return OutsideScope
+	return OutsideKeyScope
 }
 
-// Refuse tells whether a refusal, which promises that a repeat does no harm, would be true.
-func Refuse(rules Rules, earlier *Earlier) Reason {
-	if earlier == nil || rules.Effect == Repeatable || rules.Effect == ByKey && rules.Scope == ScopeAll {
+// MayReject tells whether a refusal, which promises that a repeat does no harm, would be true.
+func MayReject(rules Rules, earlier *PriorAttempt) Reason {
+	if earlier == nil || rules.Idempotency == Idempotent || rules.Idempotency == IdempotentByKey && rules.KeyScope == ScopeAll {
 		return Allowed
 	}
-	return MayHaveRun
+	return MayHaveExecuted
 }
 
 // Send is what the sending of an attempt depends on. It is checked as the attempt is decided on, and again at its first byte.
 type Send struct {
-	Now, Deadline Time
-	RequestOver   bool
-	ClientGone    bool
-	ListCurrent   bool // the list of backends is recent enough to send by
-	Rules         Rules
-	Earlier       *Earlier
-	To            Backend
+	Now, Deadline      Time
+	RequestDone        bool
+	ClientDisconnected bool
+	ListCurrent        bool // the list of backends is recent enough to send by
+	Rules              Rules
+	Prior              *PriorAttempt
+	Backend            Backend
 }
 
 // Check tells whether the attempt may be sent.
 func (s Send) Check() Reason {
 	switch {
-	case s.RequestOver:
-		return RequestOver
-	case s.ClientGone:
-		return ClientGone
+	case s.RequestDone:
+		return RequestDone
+	case s.ClientDisconnected:
+		return ClientDisconnected
 	case s.Now >= s.Deadline:
 		return DeadlinePassed
 	case !s.ListCurrent:
 		return ListStale
-	case !s.To.InService:
-		return BackendLeaving
+	case !s.Backend.InService:
+		return BackendDraining
 	}
-	return Repeat(s.Now, s.Rules, s.Earlier, &s.To)
+	return MayRetry(s.Now, s.Rules, s.Prior, &s.Backend)
 }
 
 // Attempt is what a further attempt of a request depends on beyond Send: how many it has had.
 type Attempt struct {
-	Had, Most    int
+	Made, Max    int
 	InFlight     int
-	MayDuplicate bool // two attempts may be in flight together
+	AllowHedging bool // two attempts may be in flight together
 }
 
 // Check tells whether the request may have one more attempt.
 func (a Attempt) Check() Reason {
 	switch {
-	case a.Had >= a.Most:
+	case a.Made >= a.Max:
 		return AttemptsUsed
-	case a.InFlight > 0 && !a.MayDuplicate:
+	case a.InFlight > 0 && !a.AllowHedging:
 		return AttemptInFlight
 	}
 	return Allowed
@@ -156,17 +156,17 @@
 
 // Close is what the closing of a client's connection depends on, whatever the close is for.
 type Close struct {
-	RequestOpen bool // a request has been taken from it, or an answer is on its way out
-	Unread      bool // input has come that nobody has read
+	RequestInProgress bool // a request has been taken from it, or an answer is on its way out
+	UnreadInput       bool // input has come that nobody has read
 }
 
 // Check tells whether the connection may be closed.
 func (c Close) Check() Reason {
 	switch {
-	case c.RequestOpen:
-		return RequestOpen
-	case c.Unread:
-		return InputUnread
+	case c.RequestInProgress:
+		return RequestInProgress
+	case c.UnreadInput:
+		return UnreadInput
 	}
 	return Allowed
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -62,11 +62,11 @@
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return balancer.Config{}, nil, err
 	}
-	c := balancer.Config{Zone: s.Zone, Peers: s.Peers, Self: s.Self, Tick: s.Tick, MaxAttempts: s.Limits.Attempts,
-		MayDuplicate: s.Limits.Duplicate, MayCancel: s.Limits.Cancelling, MayProbe: s.Limits.Probing,
-		AskDiscovery: s.Discovery == "ask", AskEvery: s.Rules.AskEvery, ColdFrom: s.Rules.ColdFrom,
-		ColdRamp: s.Rules.Ramp, ColdMultiple: s.Rules.Multiple, ColdWindow: s.Rules.Window,
-		CrossZone: s.Prices.CrossZone, WarmKeys: s.Specifics.WarmKeys, Marked: s.Clients.Marks, Probe: s.Prices.Probe}
+	c := balancer.Config{Zone: s.Zone, PeerCount: s.Peers, PeerIndex: s.Self, TickInterval: s.Tick, MaxAttempts: s.Limits.Attempts,
+		AllowHedging: s.Limits.Duplicate, AllowCancel: s.Limits.Cancelling, AllowHealthChecks: s.Limits.Probing,
+		PollDiscovery: s.Discovery == "ask", PollInterval: s.Rules.AskEvery, SlowStartInitial: s.Rules.ColdFrom,
+		SlowStartDuration: s.Rules.Ramp, OverloadFactor: s.Rules.Multiple, OverloadWindow: s.Rules.Window,
+		CrossZoneCost: s.Prices.CrossZone, KeyAffinity: s.Specifics.WarmKeys, ClientsMarkRetries: s.Clients.Marks, HealthCheckCost: s.Prices.Probe}
 	if s.Discovery != "ask" && s.Discovery != "push" {
 		return c, nil, fmt.Errorf("discovery %q is neither push nor ask", s.Discovery)
 	}
@@ -77,11 +77,11 @@
 		c.MaxRetryAfter = s.Limits.MaxRetryAfter
 	}
 	for _, t := range s.Tenants {
-		c.Tenants = append(c.Tenants, balancer.Tenant{Share: t.Share, Quota: t.Quota})
+		c.Tenants = append(c.Tenants, balancer.Tenant{QuotaFraction: t.Share, QuotaPerSecond: t.Quota})
 	}
-	effects := map[string]balancer.Effect{"repeatable": balancer.Repeatable, "by_key": balancer.ByKey,
-		"once": balancer.Once}
-	scopes := map[string]balancer.Scope{"": balancer.ScopeAll, "all": balancer.ScopeAll,
+	effects := map[string]balancer.Idempotency{"repeatable": balancer.Idempotent, "by_key": balancer.IdempotentByKey,
+		"once": balancer.NonIdempotent}
+	scopes := map[string]balancer.KeyScope{"": balancer.ScopeAll, "all": balancer.ScopeAll,
 		"zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
 	for i, p := range s.Classes {
 		effect, ok := effects[p.Effect]
@@ -92,8 +92,8 @@
 		if !ok {
 			return c, nil, fmt.Errorf("profiles[%d]: unknown key_scope %q", i, p.Scope)
 		}
-		c.Classes = append(c.Classes, balancer.Class{Aim: p.Aim, Deadline: p.Deadline, Window: p.Window,
-			Effect: effect, Scope: scope, LateShare: p.Late, Worth: p.Worth})
+		c.Classes = append(c.Classes, balancer.Class{LatencyObjective: p.Aim, Deadline: p.Deadline, IdempotencyWindow: p.Window,
+			Idempotency: effect, KeyScope: scope, LateValue: p.Late, PriorityWeight: p.Worth})
 	}
 	return c, s.Report.Fields, nil
 }
--- a/internal/simprotocol/simprotocol.go
+++ b/internal/simprotocol/simprotocol.go
@@ -43,10 +43,10 @@
 	Seed     uint64
 	Config   balancer.Config
 	List     balancer.ListKind
-	Hosts    []balancer.Host
-	Arrival  balancer.Arrival
-	Settled  balancer.Settlement
-	Token    balancer.Token
+	Hosts    []balancer.Endpoint
+	Arrival  balancer.Request
+	Settled  balancer.AttemptResult
+	Token    balancer.TimerID
 	From     int
 	Data     []byte
 }
@@ -61,7 +61,7 @@
 type Reader struct {
 	in     io.Reader
 	buf    bytes.Buffer
-	lists  [16][]balancer.Host
+	lists  [16][]balancer.Endpoint
 	known  [16]bool
 	fields map[uint32][]string
 }
@@ -113,8 +113,8 @@
 func u16(b []byte) int    { return int(binary.BigEndian.Uint16(b)) }
 func u32(b []byte) uint32 { return binary.BigEndian.Uint32(b) }
 
-func host(b []byte) balancer.HostID {
-	return balancer.HostID(u32(b))<<16 | balancer.HostID(u16(b[4:]))
+func host(b []byte) balancer.EndpointID {
+	return balancer.EndpointID(u32(b))<<16 | balancer.EndpointID(u16(b[4:]))
 }
 
 // slice cuts n units of size unit out of the tail at the place that rec names.
@@ -169,35 +169,35 @@
 		if at > math.MaxInt64 {
 			return ev, false, fmt.Errorf("record Request: client_deadline_us %d is out of range", at)
 		}
-		ev.Arrival = balancer.Arrival{ID: balancer.ReqID(u32(rec[5:])), Key: binary.BigEndian.Uint64(rec[14:]), Tenant: u16(rec[22:]),
-			Deadline: int64(at), Class: u16(rec[32:]), Repeat: rec[9]&2 != 0}
+		ev.Arrival = balancer.Request{ID: balancer.RequestID(u32(rec[5:])), AffinityKey: binary.BigEndian.Uint64(rec[14:]), Tenant: u16(rec[22:]),
+			Deadline: int64(at), Class: u16(rec[32:]), IsRetry: rec[9]&2 != 0}
 		if rec[9]&1 != 0 {
-			ev.Arrival.Hint = int64(u32(rec[10:]))
+			ev.Arrival.CostHint = int64(u32(rec[10:]))
 		}
 	case Streaming:
-		ev.Settled = balancer.Settlement{ID: balancer.ReqID(u32(rec[5:])), Took: int64(u32(rec[9:])),
-			Host: host(rec[13:]), Attempt: u16(rec[19:])}
+		ev.Settled = balancer.AttemptResult{ID: balancer.RequestID(u32(rec[5:])), Latency: int64(u32(rec[9:])),
+			Endpoint: host(rec[13:]), Attempt: u16(rec[19:])}
 	case Settled:
 		code, err := outcome(u16(rec[11:]))
 		if err != nil {
 			return ev, false, fmt.Errorf("record Settled: %w", err)
 		}
-		ev.Settled = balancer.Settlement{ID: balancer.ReqID(u32(rec[5:])), Attempt: u16(rec[9:]), Outcome: code,
-			Took: int64(u32(rec[13:])), Host: host(rec[17:]), Closed: rec[23] != 0}
-		if ev.Settled.Report, err = r.report(ev.Instance, rec[24:]); err != nil {
+		ev.Settled = balancer.AttemptResult{ID: balancer.RequestID(u32(rec[5:])), Attempt: u16(rec[9:]), Outcome: code,
+			Latency: int64(u32(rec[13:])), Endpoint: host(rec[17:]), RequestDone: rec[23] != 0}
+		if ev.Settled.Load, err = r.report(ev.Instance, rec[24:]); err != nil {
 			return ev, false, fmt.Errorf("record Settled: %w", err)
 		}
 	case Gone:
-		ev.Settled.ID = balancer.ReqID(u32(rec[5:]))
+		ev.Settled.ID = balancer.RequestID(u32(rec[5:]))
 	case Elapsed:
-		ev.Token = balancer.Token(binary.BigEndian.Uint64(rec[5:]))
+		ev.Token = balancer.TimerID(binary.BigEndian.Uint64(rec[5:]))
 	case Check:
 		code, err := outcome(u16(rec[5:]))
 		if err != nil {
 			return ev, false, fmt.Errorf("record CheckResult: %w", err)
 		}
-		ev.Settled = balancer.Settlement{Outcome: code, Host: host(rec[7:]), Took: int64(u32(rec[13:]))}
-		if ev.Settled.Report, err = r.report(ev.Instance, rec[17:]); err != nil {
+		ev.Settled = balancer.AttemptResult{Outcome: code, Endpoint: host(rec[7:]), Latency: int64(u32(rec[13:]))}
+		if ev.Settled.Load, err = r.report(ev.Instance, rec[17:]); err != nil {
 			return ev, false, fmt.Errorf("record CheckResult: %w", err)
 		}
 	case Peer:
@@ -220,8 +220,8 @@
 	return balancer.Outcome(n), nil
 }
 
-func entries(raw []byte) ([]balancer.Host, error) {
-	out := make([]balancer.Host, 0, len(raw)/entrySize)
+func entries(raw []byte) ([]balancer.Endpoint, error) {
+	out := make([]balancer.Endpoint, 0, len(raw)/entrySize)
 	for i := 0; i < len(raw); i += entrySize {
 		e := raw[i:]
 		if e[0] > byte(balancer.PhaseDraining) {
@@ -231,15 +231,15 @@
 		if at > math.MaxInt64 {
 			return nil, fmt.Errorf("record Inventory: entry %d: start time %d is out of range", i/entrySize, at)
 		}
-		out = append(out, balancer.Host{Phase: balancer.Phase(e[0]), Weight: float64(f32(e[1:])),
-			Cell: u16(e[5:]), Zone: u16(e[7:]), Started: int64(at), ID: host(e[17:])})
+		out = append(out, balancer.Endpoint{Phase: balancer.Phase(e[0]), Weight: float64(f32(e[1:])),
+			Cell: u16(e[5:]), Zone: u16(e[7:]), StartedAt: int64(at), ID: host(e[17:])})
 	}
 	return out, nil
 }
 
 func f32(b []byte) float32 { return math.Float32frombits(u32(b)) }
 
-func (r *Reader) report(inst uint32, rec []byte) (*balancer.Report, error) {
+func (r *Reader) report(inst uint32, rec []byte) (*balancer.LoadReport, error) {
 	n := int(rec[0])
 	if n > 4 {
 		return nil, fmt.Errorf("load report of %d values", n)
@@ -247,7 +247,7 @@
 	if n == 0 {
 		return nil, nil
 	}
-	rep := &balancer.Report{Outstanding: -1, Backlog: -1, Utilization: -1}
+	rep := &balancer.LoadReport{Outstanding: -1, Backlog: -1, Utilization: -1}
 	for i, name := range r.fields[inst] {
 		if i >= n {
 			break
@@ -311,59 +311,59 @@
 	ID uint32
 }
 
-func putHost(b []byte, h balancer.HostID) {
+func putHost(b []byte, h balancer.EndpointID) {
 	binary.BigEndian.PutUint32(b, uint32(h>>16))
 	binary.BigEndian.PutUint16(b[4:], uint16(h))
 }
 
 func span(d balancer.Span) uint32 { return uint32(max(0, min(d, math.MaxUint32))) }
 
-func (a Instance) req(code byte, id balancer.ReqID) []byte {
+func (a Instance) req(code byte, id balancer.RequestID) []byte {
 	rec := a.W.add(code, a.ID)
 	binary.BigEndian.PutUint32(rec[5:], uint32(id))
 	return rec
 }
 
-// Try launches an attempt.
-func (a Instance) Try(id balancer.ReqID, h balancer.HostID, timeout balancer.Span) {
+// SendAttempt launches an attempt.
+func (a Instance) SendAttempt(id balancer.RequestID, h balancer.EndpointID, timeout balancer.Span) {
 	rec := a.req(83, id)
 	putHost(rec[9:], h)
 	binary.BigEndian.PutUint32(rec[15:], span(timeout))
 }
 
-// Cancel quits waiting on an attempt.
-func (a Instance) Cancel(id balancer.ReqID, attempt int) {
+// CancelAttempt quits waiting on an attempt.
+func (a Instance) CancelAttempt(id balancer.RequestID, attempt int) {
 	binary.BigEndian.PutUint16(a.req(86, id)[9:], uint16(attempt))
 }
 
-// Decline refuses a request.
-func (a Instance) Decline(id balancer.ReqID, retryIn balancer.Span) {
+// Reject refuses a request.
+func (a Instance) Reject(id balancer.RequestID, retryIn balancer.Span) {
 	binary.BigEndian.PutUint32(a.req(90, id)[9:], span(retryIn))
 }
 
 // Fail ends a request as failed.
-func (a Instance) Fail(id balancer.ReqID) { a.req(82, id) }
+func (a Instance) Fail(id balancer.RequestID) { a.req(82, id) }
 
-// Probe health-checks a host.
-func (a Instance) Probe(h balancer.HostID) { putHost(a.W.add(84, a.ID)[5:], h) }
+// CheckHealth health-checks a host.
+func (a Instance) CheckHealth(h balancer.EndpointID) { putHost(a.W.add(84, a.ID)[5:], h) }
 
-// WakeAt asks for an Elapsed event.
-func (a Instance) WakeAt(t balancer.Token, delay balancer.Span) {
+// SetTimer asks for an Elapsed event.
+func (a Instance) SetTimer(t balancer.TimerID, delay balancer.Span) {
 	rec := a.W.add(80, a.ID)
 	binary.BigEndian.PutUint64(rec[5:], uint64(t))
 	binary.BigEndian.PutUint32(rec[13:], span(delay))
 }
 
-// Observe subscribes to discovery, or ends that.
-func (a Instance) Observe(on bool) {
+// WatchEndpoints subscribes to discovery, or ends that.
+func (a Instance) WatchEndpoints(on bool) {
 	rec := a.W.add(88, a.ID)
 	if on {
 		rec[5] = 1
 	}
 }
 
-// Fetch asks discovery for the whole list, once.
-func (a Instance) Fetch() { a.W.add(91, a.ID) }
+// PollEndpoints asks discovery for the whole list, once.
+func (a Instance) PollEndpoints() { a.W.add(91, a.ID) }
 
 // Log writes a line for the report.
 func (a Instance) Log(s string) { a.W.text(a.W.add(85, a.ID)[5:], s) }
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -101,9 +101,9 @@
 	if e[0].Seed != 0x0102030405060708 || e[0].Config.Zone != 1 || len(e[0].Config.Classes) != 2 {
 		t.Errorf("PowerOn %+v", e[0])
 	}
-	want := []balancer.Host{
+	want := []balancer.Endpoint{
 		{ID: 0x0a124a072bc3, Phase: balancer.PhaseReady, Weight: 1},
-		{ID: 0x0a9011f22bec, Phase: balancer.PhaseDraining, Weight: 1.5, Cell: 4, Zone: 1, Started: 0x5d1420},
+		{ID: 0x0a9011f22bec, Phase: balancer.PhaseDraining, Weight: 1.5, Cell: 4, Zone: 1, StartedAt: 0x5d1420},
 	}
 	if e[1].List != balancer.ListCached || len(e[1].Hosts) != 2 || e[1].Hosts[0] != want[0] || e[1].Hosts[1] != want[1] {
 		t.Errorf("Members %+v", e[1])
@@ -111,21 +111,21 @@
 	if e[2].List != balancer.ListFailed || e[2].Hosts != nil {
 		t.Errorf("failed Members %+v", e[2])
 	}
-	if got := e[3].Arrival; got != (balancer.Arrival{ID: 0x5d3a91c4, Class: 1, Tenant: 2, Deadline: 0x8405da, Key: 0x91f03b7c55d20a64, Repeat: true, Hint: 12000}) {
+	if got := e[3].Arrival; got != (balancer.Request{ID: 0x5d3a91c4, Class: 1, Tenant: 2, Deadline: 0x8405da, AffinityKey: 0x91f03b7c55d20a64, IsRetry: true, CostHint: 12000}) {
 		t.Errorf("Request %+v", got)
 	}
 	if e[4].Token != 0x4d {
 		t.Errorf("Elapsed %+v", e[4])
 	}
-	if s := e[5].Settled; s.ID != 0x5d3a91c4 || s.Took != 0x2422 || s.Host != want[0].ID {
+	if s := e[5].Settled; s.ID != 0x5d3a91c4 || s.Latency != 0x2422 || s.Endpoint != want[0].ID {
 		t.Errorf("Streaming %+v", s)
 	}
 	s := e[6].Settled
-	if s.ID != 0x5d3a91c4 || s.Attempt != 1 || s.Outcome != balancer.OK || s.Took != 0x4844 || !s.Closed ||
-		s.Host != want[0].ID || *s.Report != (balancer.Report{Outstanding: -1, Backlog: 3, Utilization: 0.5}) {
-		t.Errorf("Settled %+v %+v", s, s.Report)
+	if s.ID != 0x5d3a91c4 || s.Attempt != 1 || s.Outcome != balancer.OutcomeOK || s.Latency != 0x4844 || !s.RequestDone ||
+		s.Endpoint != want[0].ID || *s.Load != (balancer.LoadReport{Outstanding: -1, Backlog: 3, Utilization: 0.5}) {
+		t.Errorf("Settled %+v %+v", s, s.Load)
 	}
-	if s := e[7].Settled; s.Outcome != balancer.ConnectFailed || s.Host != want[1].ID || s.Took != 0x578 || s.Report != nil {
+	if s := e[7].Settled; s.Outcome != balancer.OutcomeConnectFailed || s.Endpoint != want[1].ID || s.Latency != 0x578 || s.Load != nil {
 		t.Errorf("CheckResult %+v", s)
 	}
 	if e[8].From != 2 || string(e[8].Data) != "hi 7" {
@@ -139,17 +139,17 @@
 func TestEveryAction(t *testing.T) {
 	w := &Writer{}
 	a := Instance{W: w, ID: 3}
-	host := balancer.HostID(0x0a124a072bc3)
-	a.Try(0x5d3a91c4, host, 80000)
-	a.WakeAt(0x4d, 500000)
+	host := balancer.EndpointID(0x0a124a072bc3)
+	a.SendAttempt(0x5d3a91c4, host, 80000)
+	a.SetTimer(0x4d, 500000)
 	Instance{W: w, ID: 5}.Log("two servers known")
-	a.Cancel(0x5d3a91c4, 1)
-	a.Observe(true)
-	a.Observe(false)
-	a.Probe(0x0a9011f22bec)
+	a.CancelAttempt(0x5d3a91c4, 1)
+	a.WatchEndpoints(true)
+	a.WatchEndpoints(false)
+	a.CheckHealth(0x0a9011f22bec)
 	a.Fail(0x0e6f2b19)
-	a.Decline(0x0e6f2b19, 250000)
-	a.Fetch()
+	a.Reject(0x0e6f2b19, 250000)
+	a.PollEndpoints()
 	w.Fault(3, "index out of range")
 	var out bytes.Buffer
 	if err := w.Flush(&out); err != nil {
@@ -202,7 +202,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, want := range []balancer.HostID{1<<16 | 1, 2<<16 | 2, 2<<16 | 2} {
+	for i, want := range []balancer.EndpointID{1<<16 | 1, 2<<16 | 2, 2<<16 | 2} {
 		if got := append(b.Events, later.Events...)[i].Hosts[0].ID; got != want {
 			t.Errorf("event %d names host %x, want %x", i, got, want)
 		}
@@ -214,8 +214,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Classes[0].Scope != balancer.ScopeCell || c.Classes[1].Effect != balancer.Once || !c.AskDiscovery ||
-		c.MaxRetryAfter != 0 || c.MaxAttempts != 6 || c.ColdMultiple != 3 || c.Tenants[0].Quota != 10 || len(fields) != 2 {
+	if c.Classes[0].KeyScope != balancer.ScopeCell || c.Classes[1].Idempotency != balancer.NonIdempotent || !c.PollDiscovery ||
+		c.MaxRetryAfter != 0 || c.MaxAttempts != 6 || c.OverloadFactor != 3 || c.Tenants[0].QuotaPerSecond != 10 || len(fields) != 2 {
 		t.Errorf("%+v %v", c, fields)
 	}
 	if c, _, err = settings.Parse([]byte(`{"discovery":"push","profiles":[{"deadline_us":5,"effect":"repeatable"}]}`)); err != nil ||
--- a/internal/simulation/emulator/backend.go
+++ b/internal/simulation/emulator/backend.go
@@ -46,7 +46,7 @@
 	conn    bool // it holds a connection
 	ran     bool
 	lost    bool // its request or answer was lost in a cut
-	report  balancer.Report
+	report  balancer.LoadReport
 	pending any // of a Live
 }
 
@@ -63,7 +63,7 @@
 	w      *World
 	src    eventqueue.Source
 	rand   eventqueue.Stream
-	id     balancer.HostID
+	id     balancer.EndpointID
 	place  int // its address: what replaces it has the same
 	site   int
 	rack   int
@@ -101,7 +101,7 @@
 	keys          []metKey
 	busy          float64 // core time used since the last refresh of the report
 	busyAt        eventqueue.Time
-	next, visible balancer.Report
+	next, visible balancer.LoadReport
 }
 
 type metKey struct {
@@ -124,9 +124,9 @@
 	return x
 }
 
-var unknown = balancer.Report{Outstanding: -1, Backlog: -1, Utilization: -1}
+var unknown = balancer.LoadReport{Outstanding: -1, Backlog: -1, Utilization: -1}
 
-func (w *World) newBox(place int, id balancer.HostID, name string) *Box {
+func (w *World) newBox(place int, id balancer.EndpointID, name string) *Box {
 	b := &Box{w: w, src: eventqueue.NewSource(sourceBox | uint32(id)), rand: eventqueue.NewStream(w.seed, name), id: id, place: place,
 		site: w.sc.Site(place), life: &boxLife{}, up: true, slow: 1, at: w.sim.Now(), visible: unknown}
 	sites := len(w.sc.Fleet.Sites)
@@ -286,7 +286,7 @@
 		return
 	}
 	if !b.up || a.life != b.life {
-		a.reply(now, balancer.Reset) // the process that had accepted the connection is gone
+		a.reply(now, balancer.OutcomeReset) // the process that had accepted the connection is gone
 		return
 	}
 	c := &b.w.sc.Fleet.Conns
@@ -300,13 +300,13 @@
 	switch {
 	case a.fresh && c.PerCore > 0 && float64(b.life.conns) > c.PerCore*float64(b.kind.Cores),
 		b.draining, len(b.heap) >= b.slots && b.queued >= b.room:
-		a.reply(now, balancer.Full)
+		a.reply(now, balancer.OutcomeRejected)
 		return
 	case d.Float64() < max(b.errors, b.kind.Errors):
-		a.reply(now, balancer.HostError)
+		a.reply(now, balancer.OutcomeServerError)
 		return
 	}
-	if a.req.call.effect == balancer.ByKey && b.kind.KeyedDrop && b.ledger.repeat(now, a) {
+	if a.req.call.effect == balancer.IdempotentByKey && b.kind.KeyedDrop && b.ledger.repeat(now, a) {
 		return
 	}
 	b.accept(now, a)
@@ -328,7 +328,7 @@
 func (b *Box) begin(now eventqueue.Time, a *attempt) {
 	a.state, a.ran = running, true
 	a.req.call.runs++
-	if a.req.call.runs > 1 && a.req.call.effect == balancer.Once {
+	if a.req.call.runs > 1 && a.req.call.effect == balancer.NonIdempotent {
 		b.w.rec.secondRuns++
 	}
 	if b.w.sc.Fleet.Affinity.Gain > 0 && b.meet(now, a.req.call.Key) {
@@ -375,17 +375,17 @@
 		a := heap.Pop(&b.heap).(*attempt)
 		a.state = over
 		b.w.rec.work(a)
-		out := balancer.OK
+		out := balancer.OutcomeOK
 		if b.resets > 0 || b.garbage > 0 || b.w.sc.Net.Reset > 0 {
 			d := eventqueue.NewDraws(b.w.seed, uint64(a.req.id)<<8|uint64(a.no), drawReset)
 			if d.Float64() < max(b.resets, b.w.sc.Net.Reset) {
-				out = balancer.Reset
+				out = balancer.OutcomeReset
 			} else if d.Float64() < b.garbage { // what a node makes of an answer that it cannot read
-				out = balancer.HostError
+				out = balancer.OutcomeServerError
 			}
 		}
 		a.reply(now, out)
-		if a.req.call.effect == balancer.ByKey && b.kind.KeyedDrop {
+		if a.req.call.effect == balancer.IdempotentByKey && b.kind.KeyedDrop {
 			b.ledger.finished(now, a)
 		}
 	}
@@ -404,7 +404,7 @@
 		}
 		b.queued--
 		if b.kind.DropExpired && now >= a.req.deadline {
-			b.never(now, a, balancer.Full)
+			b.never(now, a, balancer.OutcomeRejected)
 			continue
 		}
 		b.begin(now, a)
@@ -424,7 +424,7 @@
 	if out != 0 {
 		a.reply(now, out)
 	}
-	if a.req.call.effect == balancer.ByKey && b.kind.KeyedDrop {
+	if a.req.call.effect == balancer.IdempotentByKey && b.kind.KeyedDrop {
 		b.ledger.dropped(now, a)
 	}
 }
@@ -454,9 +454,9 @@
 		if silent {
 			a.lose(b.w)
 		} else {
-			a.reply(now, balancer.Reset)
+			a.reply(now, balancer.OutcomeReset)
 		}
-		if a.req.call.effect == balancer.ByKey && b.kind.KeyedDrop {
+		if a.req.call.effect == balancer.IdempotentByKey && b.kind.KeyedDrop {
 			b.ledger.died(now, a)
 		}
 	}
@@ -537,10 +537,10 @@
 		l.inOrder[0] = nil
 		l.inOrder = l.inOrder[1:]
 	}
-	key, window := a.req.call.N, l.w.classes[a.req.call.Class].Window
+	key, window := a.req.call.N, l.w.classes[a.req.call.Class].IdempotencyWindow
 	if r := l.runs[key]; r != nil && now-r.at <= window {
 		if r.first == nil {
-			a.reply(now, balancer.OK)
+			a.reply(now, balancer.OutcomeOK)
 		} else {
 			a.state = joined
 			r.waiters = append(r.waiters, a)
@@ -558,9 +558,9 @@
 		r.first = nil
 		for _, x := range r.waiters {
 			if x.box.up && x.life == x.box.life {
-				x.reply(now, balancer.OK)
+				x.reply(now, balancer.OutcomeOK)
 			} else {
-				x.reply(now, balancer.Reset)
+				x.reply(now, balancer.OutcomeReset)
 			}
 		}
 		r.waiters = nil
@@ -572,7 +572,7 @@
 	if r := l.runs[a.req.call.N]; r != nil && r.first == a {
 		delete(l.runs, r.key)
 		for _, x := range r.waiters {
-			x.reply(now, balancer.Reset)
+			x.reply(now, balancer.OutcomeReset)
 		}
 	}
 }
@@ -586,7 +586,7 @@
 	delete(l.runs, r.key)
 	for _, x := range r.waiters {
 		if !x.box.up || x.life != x.box.life {
-			x.reply(now, balancer.Reset)
+			x.reply(now, balancer.OutcomeReset)
 		} else if !l.repeat(now, x) {
 			x.box.accept(now, x)
 		}
--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -26,7 +26,7 @@
 // call is a call in the lab: what the client wants, and how far it has got.
 type call struct {
 	workload.Call
-	effect   balancer.Effect
+	effect   balancer.Idempotency
 	overOwn  bool // beyond its tenant's share
 	counted  bool // after the warm-up
 	ended    bool
@@ -43,7 +43,7 @@
 	src    eventqueue.Source
 	rand   eventqueue.Stream
 	calls  uint64
-	ids    balancer.ReqID
+	ids    balancer.RequestID
 	plan   *workload.Schedule
 	retry  *workload.Retry
 	next   workload.Call
@@ -110,7 +110,7 @@
 		return
 	}
 	class := &s.Classes[k.Class]
-	k.effect = c.w.classes[k.Class].Effect
+	k.effect = c.w.classes[k.Class].Idempotency
 	k.deadline = now + us(class.Deadline)
 	k.counted = now >= origin+eventqueue.Span(s.WarmUp*1e6)
 	if sec := now / eventqueue.Second; sec != c.second {
--- a/internal/simulation/emulator/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -14,7 +14,7 @@
 
 // change is one line of the list, in the order in which discovery learned it.
 type change struct {
-	host balancer.Host
+	host balancer.Endpoint
 	at   eventqueue.Time
 }
 
@@ -29,7 +29,7 @@
 type news struct {
 	life    *nodeLife
 	kind    balancer.ListKind
-	list    []balancer.Host
+	list    []balancer.Endpoint
 	version int
 	watch   bool
 }
@@ -43,14 +43,14 @@
 	log     []change
 	free    eventqueue.Time // when it is done with the calls that it has
 	down    int
-	whole   []balancer.Host // as of wholeAt, shared by all who are told it
+	whole   []balancer.Endpoint // as of wholeAt, shared by all who are told it
 	wholeAt int
 }
 
 func (d *discovery) version() int { return len(d.log) }
 
 // noticed sets the moment at which discovery learns of a change.
-func (d *discovery) noticed(after eventqueue.Span, h balancer.Host) {
+func (d *discovery) noticed(after eventqueue.Span, h balancer.Endpoint) {
 	d.w.sim.After(&d.src, after, eventqueue.Event{To: d, Kind: discChanged, P: &change{host: h}})
 }
 
@@ -71,7 +71,7 @@
 	}
 }
 
-func (d *discovery) add(now eventqueue.Time, h balancer.Host) {
+func (d *discovery) add(now eventqueue.Time, h balancer.Endpoint) {
 	d.log = append(d.log, change{h, now})
 	for _, n := range d.w.nodes {
 		d.notify(n)
@@ -86,9 +86,9 @@
 }
 
 // between are the latest lines of those that changed after one version and up to another.
-func (d *discovery) between(from, to int) []balancer.Host {
-	at := map[balancer.HostID]int{}
-	var list []balancer.Host
+func (d *discovery) between(from, to int) []balancer.Endpoint {
+	at := map[balancer.EndpointID]int{}
+	var list []balancer.Endpoint
 	for _, c := range d.log[from:to] {
 		if i, ok := at[c.host.ID]; ok {
 			list[i] = c.host
@@ -101,12 +101,12 @@
 }
 
 // listAt is the whole list as of a version.
-func (d *discovery) listAt(version int) []balancer.Host {
+func (d *discovery) listAt(version int) []balancer.Endpoint {
 	if d.whole != nil && d.wholeAt == version {
 		return d.whole
 	}
-	at := map[balancer.HostID]int{}
-	var all, list []balancer.Host
+	at := map[balancer.EndpointID]int{}
+	var all, list []balancer.Endpoint
 	for _, c := range d.log[:version] {
 		if i, ok := at[c.host.ID]; ok {
 			all[i] = c.host
@@ -116,7 +116,7 @@
 		all = append(all, c.host)
 	}
 	for _, h := range all {
-		if h.Phase != balancer.PhaseGone {
+		if h.Phase != balancer.PhaseRemoved {
 			list = append(list, h)
 		}
 	}
@@ -193,7 +193,7 @@
 	n.askFailed = m.kind == balancer.ListFailed
 	if m.kind == balancer.ListFailed {
 		n.watching = false
-		n.policy.Members(n.clock(now), m.kind, nil)
+		n.policy.HandleEndpoints(n.clock(now), m.kind, nil)
 		return
 	}
 	if m.version < n.version {
@@ -209,20 +209,20 @@
 }
 
 // tell hands a list to the policy, and to the judge what is new in it.
-func (n *Node) tell(now eventqueue.Time, kind balancer.ListKind, list []balancer.Host, version int) {
+func (n *Node) tell(now eventqueue.Time, kind balancer.ListKind, list []balancer.Endpoint, version int) {
 	from := n.version
 	if kind == balancer.ListCached {
 		from = n.w.first // of those known from the start there is nothing to be told
 	}
 	for _, h := range n.w.disc.between(min(from, version), version) {
-		n.w.judge.Told(now, n.index, h.ID, h.Phase, h.Started)
+		n.w.judge.Told(now, n.index, h.ID, h.Phase, h.StartedAt)
 	}
 	for _, h := range list {
 		n.told[h.ID] = true
 	}
 	n.version, n.deemed = version, max(n.deemed, version)
 	n.decisions++
-	n.policy.Members(n.clock(now), kind, list)
+	n.policy.HandleEndpoints(n.clock(now), kind, list)
 }
 
 // catchUp tells the judge what the rules take as told: a node that neither watches nor asks for so long (four times
@@ -240,6 +240,6 @@
 			return
 		}
 		n.deemed++
-		n.w.judge.Told(max(c.at, n.asked)+every, n.index, c.host.ID, c.host.Phase, c.host.Started)
+		n.w.judge.Told(max(c.at, n.asked)+every, n.index, c.host.ID, c.host.Phase, c.host.StartedAt)
 	}
 }
--- a/internal/simulation/emulator/emulator.go
+++ b/internal/simulation/emulator/emulator.go
@@ -52,8 +52,8 @@
 	end      eventqueue.Time // of arrivals
 	classes  []balancer.Class
 	boxes    []*Box // by place: the one that has the address now
-	byID     map[balancer.HostID]*Box
-	lastID   balancer.HostID
+	byID     map[balancer.EndpointID]*Box
+	lastID   balancer.EndpointID
 	nodes    []*Node
 	disc     *discovery
 	crowd    *crowd
@@ -85,7 +85,7 @@
 // New builds the world of a scenario, which has been checked. The error names what the scenario asks for and cannot be
 // had, such as a trace file or a policy's settings.
 func New(sc *scenario.Scenario, seed uint64, maker policy.Maker, opts ...Option) (*World, error) {
-	w := &World{sc: sc, seed: seed, make: maker, byID: map[balancer.HostID]*Box{}, ledgers: map[int]*ledger{},
+	w := &World{sc: sc, seed: seed, make: maker, byID: map[balancer.EndpointID]*Box{}, ledgers: map[int]*ledger{},
 		cut: make([]int, len(sc.Fleet.Sites)), active: map[int]bool{}, faultSrc: eventqueue.NewSource(sourceFault),
 		classes: sc.Config(0, make([]float64, len(sc.Tenants))).Classes, faults: Faults(sc, seed),
 		perm: func(n int) []int {
@@ -107,9 +107,9 @@
 	w.rec = newRecorder(w)
 	w.boxes, w.nodes = make([]*Box, sc.Fleet.Boxes), make([]*Node, sc.Nodes.Count)
 	for _, place := range w.perm(len(w.boxes)) {
-		w.boxes[place] = w.newBox(place, balancer.HostID(place+1), fmt.Sprint("box ", place))
+		w.boxes[place] = w.newBox(place, balancer.EndpointID(place+1), fmt.Sprint("box ", place))
 	}
-	w.lastID = balancer.HostID(len(w.boxes))
+	w.lastID = balancer.EndpointID(len(w.boxes))
 	w.disc = &discovery{w: w, src: eventqueue.NewSource(sourceDiscovery), rand: eventqueue.NewStream(seed, "discovery"), free: origin}
 	for _, b := range w.boxes {
 		w.byID[b.id] = b
@@ -150,9 +150,9 @@
 	return w, nil
 }
 
-func (w *World) line(b *Box, phase balancer.Phase) balancer.Host {
-	return balancer.Host{ID: b.id, Phase: phase, Zone: b.site, Cell: b.rack, Weight: math.Round(b.full()*100) / 100,
-		Started: b.life.started}
+func (w *World) line(b *Box, phase balancer.Phase) balancer.Endpoint {
+	return balancer.Endpoint{ID: b.id, Phase: phase, Zone: b.site, Cell: b.rack, Weight: math.Round(b.full()*100) / 100,
+		StartedAt: b.life.started}
 }
 
 // kindOf spreads the kinds over the places in proportion to their shares, mixed, and alike for all seeds.
--- a/internal/simulation/emulator/emulator_test.go
+++ b/internal/simulation/emulator/emulator_test.go
@@ -184,18 +184,18 @@
 // broken wraps a sound policy to break one rule.
 type broken struct {
 	policy.Policy
-	balancer.Actions
+	balancer.Commands
 	env   policy.Env
 	what  string
 	seen  int
-	ready []balancer.HostID // as first told, whatever came later
-	cold  balancer.HostID
-	class map[balancer.ReqID]int
+	ready []balancer.EndpointID // as first told, whatever came later
+	cold  balancer.EndpointID
+	class map[balancer.RequestID]int
 }
 
 func breaker(what string) policy.Maker {
 	return func(e policy.Env) (policy.Policy, error) {
-		b := &broken{Actions: e.Actions, env: e, what: what, class: map[balancer.ReqID]int{}}
+		b := &broken{Commands: e.Actions, env: e, what: what, class: map[balancer.RequestID]int{}}
 		e.Actions = b
 		m, err := policy.Find("least-outstanding")
 		if err != nil {
@@ -206,59 +206,59 @@
 	}
 }
 
-func (b *broken) Members(now balancer.Time, kind balancer.ListKind, list []balancer.Host) {
+func (b *broken) HandleEndpoints(now balancer.Time, kind balancer.ListKind, list []balancer.Endpoint) {
 	for _, h := range list {
 		if b.seen < 1 {
 			b.ready = append(b.ready, h.ID)
 		}
-		if h.Started > 0 && h.Phase == balancer.PhaseReady {
+		if h.StartedAt > 0 && h.Phase == balancer.PhaseReady {
 			b.cold = h.ID
 		}
 	}
 	b.seen++
-	b.Policy.Members(now, kind, list)
+	b.Policy.HandleEndpoints(now, kind, list)
 }
 
-func (b *broken) Request(now balancer.Time, a balancer.Arrival) {
+func (b *broken) HandleRequest(now balancer.Time, a balancer.Request) {
 	b.class[a.ID] = a.Class
 	switch {
 	case b.what == "forgets some" && a.ID%50 == 0:
 		return
 	case b.what == "sends two at once" && a.ID%50 == 0:
-		b.Actions.Try(a.ID, b.ready[0], 0)
-		b.Actions.Try(a.ID, b.ready[1], 0)
+		b.Commands.SendAttempt(a.ID, b.ready[0], 0)
+		b.Commands.SendAttempt(a.ID, b.ready[1], 0)
 		return
 	}
-	b.Policy.Request(now, a)
+	b.Policy.HandleRequest(now, a)
 }
 
-func (b *broken) Try(id balancer.ReqID, h balancer.HostID, timeout balancer.Span) {
+func (b *broken) SendAttempt(id balancer.RequestID, h balancer.EndpointID, timeout balancer.Span) {
 	switch {
 	case b.what == "ignores drains":
 		h = b.ready[int(id)%len(b.ready)]
 	case b.what == "floods a cold box" && b.cold != 0:
 		h = b.cold
 	}
-	b.Actions.Try(id, h, timeout)
+	b.Commands.SendAttempt(id, h, timeout)
 }
 
-func (b *broken) Fail(id balancer.ReqID) {
+func (b *broken) Fail(id balancer.RequestID) {
 	switch b.what {
 	case "repeats what must run once":
-		if b.env.Config.Classes[b.class[id]].Effect == balancer.Once {
-			b.Actions.Try(id, b.ready[int(id)%len(b.ready)], 0)
+		if b.env.Config.Classes[b.class[id]].Idempotency == balancer.NonIdempotent {
+			b.Commands.SendAttempt(id, b.ready[int(id)%len(b.ready)], 0)
 		}
 	case "refuses what may have run":
-		b.Actions.Decline(id, 0)
+		b.Commands.Reject(id, 0)
 		return
 	}
-	b.Actions.Fail(id)
+	b.Commands.Fail(id)
 }
 
-func (b *broken) Decline(id balancer.ReqID, in balancer.Span) {
-	b.Actions.Decline(id, in)
+func (b *broken) Reject(id balancer.RequestID, in balancer.Span) {
+	b.Commands.Reject(id, in)
 	if b.what == "answers twice" {
-		b.Actions.Fail(id)
+		b.Commands.Fail(id)
 	}
 }
 
@@ -410,9 +410,9 @@
 	loss float64
 }
 
-func (c *counting) Peer(now balancer.Time, from int, data []byte) {
+func (c *counting) HandlePeerMessage(now balancer.Time, from int, data []byte) {
 	(*c.got)[c.loss]++
-	c.Policy.Peer(now, from, data)
+	c.Policy.HandlePeerMessage(now, from, data)
 }
 
 // The module keeps every rule on random worlds with any faults. A failing seed is a bug report: shrink it.
--- a/internal/simulation/emulator/faults.go
+++ b/internal/simulation/emulator/faults.go
@@ -53,15 +53,15 @@
 			case w.parted(a.req.node.site, a.box.site) || a.box.silent:
 				kept = append(kept, a)
 			default:
-				w.sim.After(&w.faultSrc, 0, eventqueue.Event{To: a.req.to, Kind: nodeReply, P: a, A: int64(balancer.Reset)})
+				w.sim.After(&w.faultSrc, 0, eventqueue.Event{To: a.req.to, Kind: nodeReply, P: a, A: int64(balancer.OutcomeReset)})
 			}
 		}
 		clear(w.swallowed[len(kept):])
 		w.swallowed = kept
 	case faultDrained:
-		if b := w.byID[balancer.HostID(e.A)]; b.draining && e.P == b.life {
+		if b := w.byID[balancer.EndpointID(e.A)]; b.draining && e.P == b.life {
 			b.die(now, false)
-			w.disc.noticed(w.notice(false), w.line(b, balancer.PhaseGone))
+			w.disc.noticed(w.notice(false), w.line(b, balancer.PhaseRemoved))
 		}
 	case faultFront:
 		if n := e.P.(*Node); n.life == nil {
@@ -188,7 +188,7 @@
 		return
 	}
 	b.die(now, silent)
-	w.disc.noticed(w.notice(silent), w.line(b, balancer.PhaseGone))
+	w.disc.noticed(w.notice(silent), w.line(b, balancer.PhaseRemoved))
 }
 
 func (w *World) downNodes(now eventqueue.Time, which func(*Node) bool) {
--- a/internal/simulation/emulator/live.go
+++ b/internal/simulation/emulator/live.go
@@ -63,7 +63,7 @@
 type Pending struct {
 	Any    any
 	Ran    bool // it has begun to run
-	Report balancer.Report
+	Report balancer.LoadReport
 	a      *attempt
 }
 
@@ -94,7 +94,7 @@
 func NewLive(sc *scenario.Scenario, seed uint64, out Effects) *Live {
 	own := *sc
 	own.Net.Same, own.Net.Cross, own.Net.Jitter = 0, 0, 0 // sockets have delays of their own
-	w := &World{sc: &own, seed: seed, byID: map[balancer.HostID]*Box{}, ledgers: map[int]*ledger{}, active: map[int]bool{},
+	w := &World{sc: &own, seed: seed, byID: map[balancer.EndpointID]*Box{}, ledgers: map[int]*ledger{}, active: map[int]bool{},
 		cut: make([]int, len(sc.Fleet.Sites)), faultSrc: eventqueue.NewSource(sourceFault), faults: Faults(sc, seed),
 		classes: sc.Config(0, make([]float64, len(sc.Tenants))).Classes, meanWork: workload.MeanWork(sc),
 		judge: invariant.New(invariant.Config{}, origin)}
@@ -104,7 +104,7 @@
 	l := &Live{w: w, out: out}
 	w.ran = func(a *attempt) { out.Ran(a.pending) }
 	for place := range sc.Fleet.Boxes {
-		b := w.newBox(place, balancer.HostID(place+1), "box")
+		b := w.newBox(place, balancer.EndpointID(place+1), "box")
 		w.boxes, w.byID[b.id] = append(w.boxes, b), b
 		w.capacity += b.full()
 		w.disc.log = append(w.disc.log, change{w.line(b, balancer.PhaseReady), origin})
@@ -112,7 +112,7 @@
 			w.sim.After(&b.src, eventqueue.Span(b.rand.Float64()*float64(every)), eventqueue.Event{To: b, Kind: boxRefresh})
 		}
 	}
-	w.lastID = balancer.HostID(len(w.boxes))
+	w.lastID = balancer.EndpointID(len(w.boxes))
 	for i := range sc.Nodes.Count {
 		l.nodes = append(l.nodes, &Node{w: w, index: i, site: sc.Site(i)})
 	}
@@ -196,8 +196,8 @@
 func (l *Live) tell() {
 	for ; l.listed < l.w.disc.version(); l.listed++ {
 		h := l.w.disc.log[l.listed].host
-		started := h.Started - origin
-		if h.Started == 0 {
+		started := h.StartedAt - origin
+		if h.StartedAt == 0 {
 			started = -1
 		}
 		l.out.Listed(Line{Box: int(h.ID), Place: l.w.byID[h.ID].place, Site: h.Zone, Rack: h.Cell, Weight: h.Weight, Phase: h.Phase,
@@ -228,8 +228,8 @@
 	w.sim.Run(origin + now)
 	b := w.boxes[in.Place]
 	id := xxhash.Sum64String(in.ID)
-	c := &call{Call: workload.Call{N: xxhash.Sum64String(in.Repeat), Class: in.Class, Key: in.Key}, effect: w.classes[in.Class].Effect}
-	r := &request{id: balancer.ReqID(id >> 8), call: c, node: l.nodes[in.Node], to: liveEnd{l}, deadline: math.MaxInt64}
+	c := &call{Call: workload.Call{N: xxhash.Sum64String(in.Repeat), Class: in.Class, Key: in.Key}, effect: w.classes[in.Class].Idempotency}
+	r := &request{id: balancer.RequestID(id >> 8), call: c, node: l.nodes[in.Node], to: liveEnd{l}, deadline: math.MaxInt64}
 	if in.Timeout > 0 {
 		r.deadline = w.sim.Now() + in.Timeout
 	}
@@ -245,7 +245,7 @@
 }
 
 // Probe is what the box at an address tells of itself when it is asked.
-func (l *Live) Probe(now eventqueue.Time, place int) balancer.Report {
+func (l *Live) Probe(now eventqueue.Time, place int) balancer.LoadReport {
 	l.w.sim.Run(origin + now)
 	return l.w.probed(l.w.boxes[place])
 }
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -26,7 +26,7 @@
 
 // request is one try of a call, as a node has it.
 type request struct {
-	id       balancer.ReqID
+	id       balancer.RequestID
 	call     *call
 	node     *Node
 	life     *nodeLife
@@ -56,7 +56,7 @@
 	life *nodeLife
 	sent eventqueue.Time
 	out  balancer.Outcome
-	rep  balancer.Report
+	rep  balancer.LoadReport
 }
 
 type datagram struct {
@@ -74,9 +74,9 @@
 	starts uint64
 	life   *nodeLife // nil: dead
 	policy policy.Policy
-	reqs   map[balancer.ReqID]*request
+	reqs   map[balancer.RequestID]*request
 	pools  map[*Box]*pool
-	told   map[balancer.HostID]bool // ever named to this life: nothing else may be sent to
+	told   map[balancer.EndpointID]bool // ever named to this life: nothing else may be sent to
 
 	watching  bool
 	version   int // of the list as last heard
@@ -103,11 +103,11 @@
 	for _, off := range n.offs {
 		n.life.clockOff += off
 	}
-	n.reqs, n.pools, n.told = map[balancer.ReqID]*request{}, map[*Box]*pool{}, map[balancer.HostID]bool{}
+	n.reqs, n.pools, n.told = map[balancer.RequestID]*request{}, map[*Box]*pool{}, map[balancer.EndpointID]bool{}
 	n.watching, n.notifying, n.askFailed, n.asked = false, false, false, now
 	seed := eventqueue.NewStream(n.w.seed, "policy").Uint64() ^ uint64(n.index+1)<<32 ^ n.starts
 	cfg := n.w.sc.Config(n.site, n.w.quota)
-	cfg.Self = n.index
+	cfg.PeerIndex = n.index
 	p, err := n.w.make(policy.Env{Config: cfg, Seed: seed, Node: n.index, Actions: n,
 		Publish: n.publish, Truth: n.truth})
 	if err != nil {
@@ -121,7 +121,7 @@
 }
 
 // truth is what only an oracle can know: the time in µs after which an ordinary request sent now would be answered.
-func (n *Node) truth(id balancer.HostID) float64 {
+func (n *Node) truth(id balancer.EndpointID) float64 {
 	b := n.w.byID[id]
 	if b == nil || !b.up || b.draining || b.frozen || n.w.parted(n.site, b.site) {
 		return math.Inf(1)
@@ -191,20 +191,20 @@
 		}
 	case nodeWake:
 		if e.P.(*nodeLife) == n.life {
-			n.policy.Wake(n.clock(now), balancer.Token(e.A))
+			n.policy.HandleTimer(n.clock(now), balancer.TimerID(e.A))
 		}
 	case nodeLeft:
 		if r := e.P.(*request); n.life != nil && r.life == n.life && !r.final {
 			r.final = true
 			n.w.judge.Gone(now, r.id)
-			n.policy.Gone(n.clock(now), r.id)
+			n.policy.HandleCancellation(n.clock(now), r.id)
 			n.forget(r)
 		}
 	case nodeList:
 		n.hear(now, e.P.(*news))
 	case nodeDatagram:
 		if d := e.P.(*datagram); n.life != nil {
-			n.policy.Peer(n.clock(now), d.from, d.data)
+			n.policy.HandlePeerMessage(n.clock(now), d.from, d.data)
 		}
 	case nodeSweep:
 		n.sweep(now, e.P.(*pool))
@@ -216,7 +216,7 @@
 			if p.rep == unknown {
 				rep = nil
 			}
-			n.policy.Checked(n.clock(now), p.box.id, p.out, now-p.sent, rep)
+			n.policy.HandleHealthCheck(n.clock(now), p.box.id, p.out, now-p.sent, rep)
 		}
 	}
 }
@@ -230,12 +230,12 @@
 	n.reqs[r.id] = r
 	n.w.judge.Taken(now, n.index, r.id, r.call.Class, r.deadline)
 	n.decisions++
-	n.policy.Request(n.clock(now), balancer.Arrival{ID: r.id, Key: r.call.Key, Class: r.call.Class, Tenant: r.call.Tenant,
-		Deadline: r.deadline + n.life.clockOff, Hint: workload.Hint(n.w.sc, n.w.seed, &r.call.Call), Repeat: n.w.sc.Clients.Marks && r.try > 0})
+	n.policy.HandleRequest(n.clock(now), balancer.Request{ID: r.id, AffinityKey: r.call.Key, Class: r.call.Class, Tenant: r.call.Tenant,
+		Deadline: r.deadline + n.life.clockOff, CostHint: workload.Hint(n.w.sc, n.w.seed, &r.call.Call), IsRetry: n.w.sc.Clients.Marks && r.try > 0})
 }
 
-// Try sends an attempt.
-func (n *Node) Try(id balancer.ReqID, host balancer.HostID, timeout balancer.Span) {
+// SendAttempt sends an attempt.
+func (n *Node) SendAttempt(id balancer.RequestID, host balancer.EndpointID, timeout balancer.Span) {
 	now := n.w.sim.Now()
 	b := n.w.byID[host]
 	r := n.reqs[id]
@@ -248,7 +248,7 @@
 		if r != nil {
 			a := &attempt{req: r, no: len(r.attempts), box: b, sent: now, open: true}
 			r.attempts, r.out = append(r.attempts, a), r.out+1
-			n.w.sim.After(&n.src, 0, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.Moot)})
+			n.w.sim.After(&n.src, 0, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.OutcomeNotSent)})
 		}
 		return
 	}
@@ -264,7 +264,7 @@
 	if timeout > 0 {
 		end = min(end, now+timeout)
 	}
-	n.w.sim.At(&n.src, end, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.TimedOut)})
+	n.w.sim.At(&n.src, end, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.OutcomeTimeout)})
 	n.dispatch(now, a, d.Float64())
 }
 
@@ -283,7 +283,7 @@
 		case chance < n.w.sc.Net.Stale: // the box had closed it meanwhile
 			p.life.conns--
 			a.conn = false
-			n.w.sim.After(&n.src, 2*one, eventqueue.Event{To: n, Kind: nodeReply, P: a, A: int64(balancer.Reset)})
+			n.w.sim.After(&n.src, 2*one, eventqueue.Event{To: n, Kind: nodeReply, P: a, A: int64(balancer.OutcomeReset)})
 		case n.w.parted(n.site, b.site):
 			a.lose(n.w)
 		default:
@@ -295,9 +295,9 @@
 	c := &n.w.sc.Fleet.Conns
 	switch {
 	case n.w.parted(n.site, b.site) || b.silent:
-		n.w.sim.After(&n.src, us(c.Timeout), eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.ConnectFailed)})
+		n.w.sim.After(&n.src, us(c.Timeout), eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.OutcomeConnectFailed)})
 	case !b.up || b.retired:
-		n.w.sim.After(&n.src, 2*one, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.ConnectFailed)})
+		n.w.sim.After(&n.src, 2*one, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.OutcomeConnectFailed)})
 	default:
 		a.fresh, a.conn = true, true
 		b.life.conns++
@@ -316,18 +316,18 @@
 	a.open, r.out = false, r.out-1
 	n.release(now, a, out, answered)
 	n.w.judge.Settled(now, r.id, a.no, out)
-	if out == balancer.OK && !r.final {
+	if out == balancer.OutcomeOK && !r.final {
 		r.final = true
 		n.w.judge.Answered(now, n.index, r.id, invariant.Served)
 		n.w.rec.useful(a)
 		n.answer(r, invariant.Served, 0)
 	}
-	s := balancer.Settlement{ID: r.id, Attempt: a.no, Host: a.box.id, Outcome: out, Took: now - a.sent, Closed: r.final}
-	if answered && a.report != unknown && out != balancer.Reset {
-		s.Report = &a.report
+	s := balancer.AttemptResult{ID: r.id, Attempt: a.no, Endpoint: a.box.id, Outcome: out, Latency: now - a.sent, RequestDone: r.final}
+	if answered && a.report != unknown && out != balancer.OutcomeReset {
+		s.Load = &a.report
 	}
 	n.decisions++
-	n.policy.Settled(n.clock(now), s)
+	n.policy.HandleAttemptResult(n.clock(now), s)
 	n.forget(r)
 }
 
@@ -338,7 +338,7 @@
 	}
 	a.conn = false
 	p := n.pools[a.box]
-	if !answered || out == balancer.Reset || p == nil || p.life != a.life || a.life != a.box.life {
+	if !answered || out == balancer.OutcomeReset || p == nil || p.life != a.life || a.life != a.box.life {
 		a.life.conns--
 		return
 	}
@@ -374,20 +374,20 @@
 	}
 }
 
-// Cancel gives up an attempt: its connection closes, and the box may drop what still waits.
-func (n *Node) Cancel(id balancer.ReqID, no int) {
+// CancelAttempt gives up an attempt: its connection closes, and the box may drop what still waits.
+func (n *Node) CancelAttempt(id balancer.RequestID, no int) {
 	r := n.reqs[id]
 	if r == nil || no >= len(r.attempts) || !r.attempts[no].open {
 		return
 	}
 	a := r.attempts[no]
-	n.w.sim.After(&n.src, 0, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.Cancelled)})
+	n.w.sim.After(&n.src, 0, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.OutcomeCanceled)})
 	if !n.w.parted(n.site, a.box.site) {
 		n.w.sim.After(&n.src, n.w.delay(&n.rand, n.site, a.box.site), eventqueue.Event{To: a.box, Kind: boxCancel, P: a})
 	}
 }
 
-func (n *Node) final(id balancer.ReqID, how invariant.Final, retryIn balancer.Span) {
+func (n *Node) final(id balancer.RequestID, how invariant.Final, retryIn balancer.Span) {
 	now := n.w.sim.Now()
 	n.w.judge.Answered(now, n.index, id, how)
 	r := n.reqs[id]
@@ -404,26 +404,26 @@
 		eventqueue.Event{To: n.w.crowd, Kind: clientAnswer + uint8(how), P: r, A: retryIn})
 }
 
-// Decline refuses a request.
-func (n *Node) Decline(id balancer.ReqID, retryIn balancer.Span) {
+// Reject refuses a request.
+func (n *Node) Reject(id balancer.RequestID, retryIn balancer.Span) {
 	n.final(id, invariant.Refused, retryIn)
 }
 
 // Fail ends a request as failed.
-func (n *Node) Fail(id balancer.ReqID) { n.final(id, invariant.Failed, 0) }
+func (n *Node) Fail(id balancer.RequestID) { n.final(id, invariant.Failed, 0) }
 
-// WakeAt sets a timer.
-func (n *Node) WakeAt(t balancer.Token, delay balancer.Span) {
+// SetTimer sets a timer.
+func (n *Node) SetTimer(t balancer.TimerID, delay balancer.Span) {
 	n.w.sim.After(&n.src, delay, eventqueue.Event{To: n, Kind: nodeWake, P: n.life, A: int64(t)})
 }
 
-// Probe asks a box for its load, beside its queue.
-func (n *Node) Probe(host balancer.HostID) {
+// CheckHealth asks a box for its load, beside its queue.
+func (n *Node) CheckHealth(host balancer.EndpointID) {
 	now, b := n.w.sim.Now(), n.w.byID[host]
-	p := &probe{box: b, life: n.life, sent: now, out: balancer.OK, rep: unknown}
+	p := &probe{box: b, life: n.life, sent: now, out: balancer.OutcomeOK, rep: unknown}
 	d := n.w.delay(&n.rand, n.site, b.site) + n.w.delay(&n.rand, b.site, n.site)
 	if n.w.parted(n.site, b.site) || b.silent || !b.up || b.frozen {
-		p.out, d = balancer.ConnectFailed, us(n.w.sc.Fleet.Conns.Timeout)
+		p.out, d = balancer.OutcomeConnectFailed, us(n.w.sc.Fleet.Conns.Timeout)
 	} else {
 		p.rep = n.w.probed(b)
 	}
@@ -432,13 +432,13 @@
 }
 
 // probed is what a box tells when it is asked.
-func (w *World) probed(b *Box) balancer.Report {
-	return w.sc.Fleet.Report.Told(balancer.Report{Outstanding: float64(b.Held()), Backlog: float64(b.queued),
+func (w *World) probed(b *Box) balancer.LoadReport {
+	return w.sc.Fleet.Report.Told(balancer.LoadReport{Outstanding: float64(b.Held()), Backlog: float64(b.queued),
 		Utilization: b.visible.Utilization})
 }
 
-// Observe begins or ends a watch on the list.
-func (n *Node) Observe(on bool) {
+// WatchEndpoints begins or ends a watch on the list.
+func (n *Node) WatchEndpoints(on bool) {
 	if !on {
 		n.watching = false
 		return
@@ -447,8 +447,8 @@
 	n.w.disc.ask(n, false)
 }
 
-// Fetch asks for the whole list, once.
-func (n *Node) Fetch() {
+// PollEndpoints asks for the whole list, once.
+func (n *Node) PollEndpoints() {
 	n.asked = n.w.sim.Now()
 	n.w.disc.ask(n, true)
 }
--- a/internal/simulation/emulator/station.go
+++ b/internal/simulation/emulator/station.go
@@ -67,7 +67,7 @@
 	w.rec = newRecorder(w)
 	w.sim.Run(origin)
 	for i := range s.Boxes {
-		w.boxes = append(w.boxes, w.newBox(i, balancer.HostID(i+1), "box"))
+		w.boxes = append(w.boxes, w.newBox(i, balancer.EndpointID(i+1), "box"))
 	}
 	st := &station{Station: s, w: w, src: eventqueue.NewSource(sourceCrowd), rand: eventqueue.NewStream(s.Seed, "arrivals"),
 		node: w.newNode(0, "node"), holding: make([]int64, 1, 64), sum: make([]float64, 64),
@@ -153,7 +153,7 @@
 func (st *station) ended(now eventqueue.Time, a *attempt, out balancer.Outcome) {
 	counts := a.req.call.counted
 	switch {
-	case out == balancer.OK:
+	case out == balancer.OutcomeOK:
 		held := a.box.Held()
 		st.moved(held+1, held)
 		if counts {
--- a/internal/simulation/experiment/cost.go
+++ b/internal/simulation/experiment/cost.go
@@ -35,10 +35,10 @@
 	p     policy.Policy
 	rand  eventqueue.Stream
 	gap   float64
-	next  balancer.ReqID
+	next  balancer.RequestID
 	spent time.Duration
 	asked int64
-	tries map[balancer.ReqID]int
+	tries map[balancer.RequestID]int
 	cfg   balancer.Config
 }
 
@@ -60,23 +60,23 @@
 	if err != nil {
 		return Cost{}, err
 	}
-	n := &costNode{src: eventqueue.NewSource(1), rand: eventqueue.NewStream(1, "cost"), tries: map[balancer.ReqID]int{}}
+	n := &costNode{src: eventqueue.NewSource(1), rand: eventqueue.NewStream(1, "cost"), tries: map[balancer.RequestID]int{}}
 	n.gap = 1e6 * float64(nodes) / (costPerS * float64(hosts))
 	n.cfg = sc.Config(0, make([]float64, len(sc.Tenants)))
-	n.cfg.AskDiscovery = false
+	n.cfg.PollDiscovery = false
 	n.sim.Run(1000 * eventqueue.Second)
 	n.p, err = maker(policy.Env{Config: n.cfg, Seed: 1, Actions: n, Publish: func(int, []byte) {},
-		Truth: func(balancer.HostID) float64 { return 1 }})
+		Truth: func(balancer.EndpointID) float64 { return 1 }})
 	if err != nil {
 		return Cost{}, err
 	}
-	list := make([]balancer.Host, hosts)
+	list := make([]balancer.Endpoint, hosts)
 	for i := range list {
-		list[i] = balancer.Host{ID: balancer.HostID(i + 1), Phase: balancer.PhaseReady, Zone: i % 3, Cell: i / 8, Weight: 1}
+		list[i] = balancer.Endpoint{ID: balancer.EndpointID(i + 1), Phase: balancer.PhaseReady, Zone: i % 3, Cell: i / 8, Weight: 1}
 	}
-	n.p.Members(n.sim.Now(), balancer.ListFull, list)
+	n.p.HandleEndpoints(n.sim.Now(), balancer.ListFull, list)
 	began := time.Now()
-	n.p.Members(n.sim.Now(), balancer.ListFull, list)
+	n.p.HandleEndpoints(n.sim.Now(), balancer.ListFull, list)
 	c := Cost{Policy: name, Hosts: hosts, Nodes: nodes, PerS: 1e6 / n.gap, PerList: float64(time.Since(began).Nanoseconds()) / 1000}
 	n.sim.After(&n.src, 0, eventqueue.Event{To: n, Kind: costRequest})
 	warm, began := n.sim.Now()+costWarm, time.Now()
@@ -99,16 +99,16 @@
 		n.next++
 		n.asked++
 		class := int(n.next) % len(n.cfg.Classes)
-		n.p.Request(now, balancer.Arrival{ID: n.next, Key: uint64(n.next)%300 + 1, Class: class, Tenant: int(n.next) % len(n.cfg.Tenants),
+		n.p.HandleRequest(now, balancer.Request{ID: n.next, AffinityKey: uint64(n.next)%300 + 1, Class: class, Tenant: int(n.next) % len(n.cfg.Tenants),
 			Deadline: now + n.cfg.Classes[class].Deadline})
 	case costSettled:
-		id := balancer.ReqID(e.A)
+		id := balancer.RequestID(e.A)
 		no := n.tries[id] - 1
 		delete(n.tries, id)
-		n.p.Settled(now, balancer.Settlement{ID: id, Attempt: no, Host: e.P.(balancer.HostID), Outcome: balancer.OK,
-			Took: costWait, Closed: true})
+		n.p.HandleAttemptResult(now, balancer.AttemptResult{ID: id, Attempt: no, Endpoint: e.P.(balancer.EndpointID), Outcome: balancer.OutcomeOK,
+			Latency: costWait, RequestDone: true})
 	case costWake:
-		n.p.Wake(now, balancer.Token(e.A))
+		n.p.HandleTimer(now, balancer.TimerID(e.A))
 	}
 	n.spent += time.Since(began)
 	if e.Kind == costRequest {
@@ -116,23 +116,23 @@
 	}
 }
 
-// Try answers after a constant time.
-func (n *costNode) Try(id balancer.ReqID, h balancer.HostID, _ balancer.Span) {
+// SendAttempt answers after a constant time.
+func (n *costNode) SendAttempt(id balancer.RequestID, h balancer.EndpointID, _ balancer.Span) {
 	n.tries[id]++
 	n.sim.After(&n.src, costWait, eventqueue.Event{To: n, Kind: costSettled, A: int64(id), P: h})
 }
 
-// WakeAt sets a timer.
-func (n *costNode) WakeAt(t balancer.Token, delay balancer.Span) {
+// SetTimer sets a timer.
+func (n *costNode) SetTimer(t balancer.TimerID, delay balancer.Span) {
 	n.sim.After(&n.src, delay, eventqueue.Event{To: n, Kind: costWake, A: int64(t)})
 }
 
 // The other actions have no consequence here.
 
-func (n *costNode) Cancel(balancer.ReqID, int)            {}
-func (n *costNode) Decline(balancer.ReqID, balancer.Span) {}
-func (n *costNode) Fail(balancer.ReqID)                   {}
-func (n *costNode) Probe(balancer.HostID)                 {}
-func (n *costNode) Observe(bool)                          {}
-func (n *costNode) Fetch()                                {}
-func (n *costNode) Log(string)                            {}
+func (n *costNode) CancelAttempt(balancer.RequestID, int)    {}
+func (n *costNode) Reject(balancer.RequestID, balancer.Span) {}
+func (n *costNode) Fail(balancer.RequestID)                  {}
+func (n *costNode) CheckHealth(balancer.EndpointID)          {}
+func (n *costNode) WatchEndpoints(bool)                      {}
+func (n *costNode) PollEndpoints()                           {}
+func (n *costNode) Log(string)                               {}
--- a/internal/simulation/policy/policy.go
+++ b/internal/simulation/policy/policy.go
@@ -13,13 +13,13 @@
 
 // Policy takes a node's events. What it wants done it says through the Actions of its Env.
 type Policy interface {
-	Members(now balancer.Time, kind balancer.ListKind, list []balancer.Host)
-	Request(now balancer.Time, a balancer.Arrival)
-	Settled(now balancer.Time, s balancer.Settlement)
-	Gone(now balancer.Time, id balancer.ReqID)
-	Wake(now balancer.Time, t balancer.Token)
-	Checked(now balancer.Time, host balancer.HostID, out balancer.Outcome, took balancer.Span, r *balancer.Report)
-	Peer(now balancer.Time, from int, data []byte)
+	HandleEndpoints(now balancer.Time, kind balancer.ListKind, list []balancer.Endpoint)
+	HandleRequest(now balancer.Time, a balancer.Request)
+	HandleAttemptResult(now balancer.Time, s balancer.AttemptResult)
+	HandleCancellation(now balancer.Time, id balancer.RequestID)
+	HandleTimer(now balancer.Time, t balancer.TimerID)
+	HandleHealthCheck(now balancer.Time, host balancer.EndpointID, out balancer.Outcome, took balancer.Span, r *balancer.LoadReport)
+	HandlePeerMessage(now balancer.Time, from int, data []byte)
 }
 
 // Env is what a policy is given at its start.
@@ -27,9 +27,9 @@
 	Config  balancer.Config
 	Seed    uint64
 	Node    int
-	Actions balancer.Actions
-	Publish func(to int, data []byte)          // a datagram to another node, or to all for -1; late or never
-	Truth   func(host balancer.HostID) float64 // time in µs for which a box has work, which no real node can see
+	Actions balancer.Commands
+	Publish func(to int, data []byte)              // a datagram to another node, or to all for -1; late or never
+	Truth   func(host balancer.EndpointID) float64 // time in µs for which a box has work, which no real node can see
 }
 
 // Maker makes a policy for one node.
@@ -82,12 +82,12 @@
 }
 
 type host struct {
-	balancer.Host
+	balancer.Endpoint
 	out int // attempts of this node at it
 }
 
 type request struct {
-	balancer.Arrival
+	balancer.Request
 	tries []*host
 	site  []int // of each try, and its rack and time, as they were
 	rack  []int
@@ -104,8 +104,8 @@
 	pick  func(p *plain, r *request, from []*host) *host
 	turn  int
 	hosts []*host // in service, by id
-	byID  map[balancer.HostID]*host
-	reqs  map[balancer.ReqID]*request
+	byID  map[balancer.EndpointID]*host
+	reqs  map[balancer.RequestID]*request
 	begun bool
 	fails int
 	extra func(now balancer.Time) // on the beat, if any
@@ -125,8 +125,8 @@
 
 func newPlain(e Env, pick func(*plain, *request, []*host) *host) *plain {
 	e.Config.MaxAttempts = max(e.Config.MaxAttempts, 1)
-	return &plain{env: e, rand: rand.New(rand.NewPCG(e.Seed, 1)), pick: pick, byID: map[balancer.HostID]*host{},
-		reqs: map[balancer.ReqID]*request{}}
+	return &plain{env: e, rand: rand.New(rand.NewPCG(e.Seed, 1)), pick: pick, byID: map[balancer.EndpointID]*host{},
+		reqs: map[balancer.RequestID]*request{}}
 }
 
 func least(p *plain, from []*host, load func(*host) float64) *host {
@@ -145,12 +145,12 @@
 	return best
 }
 
-func (p *plain) Members(_ balancer.Time, kind balancer.ListKind, list []balancer.Host) {
-	if !p.begun && p.env.Config.AskDiscovery {
-		p.ask(balancer.Span(p.rand.Float64() * float64(p.env.Config.Tick) * float64(max(p.env.Config.Peers, 1))))
+func (p *plain) HandleEndpoints(_ balancer.Time, kind balancer.ListKind, list []balancer.Endpoint) {
+	if !p.begun && p.env.Config.PollDiscovery {
+		p.ask(balancer.Span(p.rand.Float64() * float64(p.env.Config.TickInterval) * float64(max(p.env.Config.PeerCount, 1))))
 	}
 	if !p.begun && p.extra != nil {
-		p.env.Actions.WakeAt(tokenBeat, beat)
+		p.env.Actions.SetTimer(tokenBeat, beat)
 	}
 	p.begun = true
 	if kind == balancer.ListFailed {
@@ -161,7 +161,7 @@
 	p.fails = 0
 	if kind != balancer.ListDelta {
 		for _, h := range p.byID {
-			h.Phase = balancer.PhaseGone
+			h.Phase = balancer.PhaseRemoved
 		}
 	}
 	for _, e := range list {
@@ -170,25 +170,25 @@
 			h = &host{}
 			p.byID[e.ID] = h
 		}
-		h.Host = e
+		h.Endpoint = e
 	}
 	p.hosts = p.hosts[:0]
 	for id, h := range p.byID {
 		if h.Phase == balancer.PhaseReady {
 			p.hosts = append(p.hosts, h)
-		} else if h.Phase == balancer.PhaseGone && h.out == 0 {
+		} else if h.Phase == balancer.PhaseRemoved && h.out == 0 {
 			delete(p.byID, id)
 		}
 	}
 	slices.SortFunc(p.hosts, func(a, b *host) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-func (p *plain) ask(after balancer.Span) { p.env.Actions.WakeAt(tokenAsk, after) }
+func (p *plain) ask(after balancer.Span) { p.env.Actions.SetTimer(tokenAsk, after) }
 
-func (p *plain) Request(now balancer.Time, a balancer.Arrival) {
-	r := &request{Arrival: a, maybe: -1}
+func (p *plain) HandleRequest(now balancer.Time, a balancer.Request) {
+	r := &request{Request: a, maybe: -1}
 	p.reqs[a.ID] = r
-	p.env.Actions.WakeAt(balancer.Token(a.ID)*tokens+tokenEnd, max(a.Deadline-now, 0))
+	p.env.Actions.SetTimer(balancer.TimerID(a.ID)*tokens+tokenEnd, max(a.Deadline-now, 0))
 	p.try(now, r)
 }
 
@@ -217,59 +217,59 @@
 	}
 	r.tries, r.site, r.rack, r.at = append(r.tries, h), append(r.site, h.Zone), append(r.rack, h.Cell), append(r.at, now)
 	h.out++
-	p.env.Actions.Try(r.ID, h.ID, 0)
+	p.env.Actions.SendAttempt(r.ID, h.ID, 0)
 }
 
 func (p *plain) mayGo(now balancer.Time, c *balancer.Class, r *request, h *host) bool {
 	i := r.maybe
-	if i < 0 || c.Effect == balancer.Repeatable {
+	if i < 0 || c.Idempotency == balancer.Idempotent {
 		return true
 	}
-	if c.Effect == balancer.Once || now-r.at[i]+2*p.env.Config.Tick >= c.Window {
+	if c.Idempotency == balancer.NonIdempotent || now-r.at[i]+2*p.env.Config.TickInterval >= c.IdempotencyWindow {
 		return false
 	}
-	return c.Scope == balancer.ScopeAll || h.Zone == r.site[i] && (c.Scope == balancer.ScopeZone || h.Cell == r.rack[i])
+	return c.KeyScope == balancer.ScopeAll || h.Zone == r.site[i] && (c.KeyScope == balancer.ScopeZone || h.Cell == r.rack[i])
 }
 
 func (p *plain) end(r *request) {
 	c := &p.env.Config.Classes[r.Class]
-	if r.maybe < 0 || c.Effect == balancer.Repeatable || c.Effect == balancer.ByKey && c.Scope == balancer.ScopeAll {
-		p.env.Actions.Decline(r.ID, 0)
+	if r.maybe < 0 || c.Idempotency == balancer.Idempotent || c.Idempotency == balancer.IdempotentByKey && c.KeyScope == balancer.ScopeAll {
+		p.env.Actions.Reject(r.ID, 0)
 	} else {
 		p.env.Actions.Fail(r.ID)
 	}
 	delete(p.reqs, r.ID)
 }
 
-func (p *plain) Settled(now balancer.Time, s balancer.Settlement) {
-	if h := p.byID[s.Host]; h != nil {
+func (p *plain) HandleAttemptResult(now balancer.Time, s balancer.AttemptResult) {
+	if h := p.byID[s.Endpoint]; h != nil {
 		h.out--
 	}
 	r := p.reqs[s.ID]
 	if r == nil {
 		return
 	}
-	if s.Closed {
+	if s.RequestDone {
 		delete(p.reqs, s.ID)
 		return
 	}
-	if ran := s.Outcome != balancer.Full && s.Outcome != balancer.ConnectFailed && s.Outcome != balancer.Moot; ran && r.maybe < 0 {
+	if ran := s.Outcome != balancer.OutcomeRejected && s.Outcome != balancer.OutcomeConnectFailed && s.Outcome != balancer.OutcomeNotSent; ran && r.maybe < 0 {
 		r.maybe = s.Attempt
 	}
 	p.try(now, r)
 }
 
-func (p *plain) Gone(_ balancer.Time, id balancer.ReqID) { delete(p.reqs, id) }
+func (p *plain) HandleCancellation(_ balancer.Time, id balancer.RequestID) { delete(p.reqs, id) }
 
-func (p *plain) Wake(now balancer.Time, t balancer.Token) {
+func (p *plain) HandleTimer(now balancer.Time, t balancer.TimerID) {
 	switch t % tokens {
 	case tokenAsk:
-		p.env.Actions.Observe(true)
+		p.env.Actions.WatchEndpoints(true)
 	case tokenBeat:
 		p.extra(now)
-		p.env.Actions.WakeAt(tokenBeat, beat)
+		p.env.Actions.SetTimer(tokenBeat, beat)
 	case tokenEnd:
-		if r := p.reqs[balancer.ReqID(t/tokens)]; r != nil {
+		if r := p.reqs[balancer.RequestID(t/tokens)]; r != nil {
 			if n := len(r.tries); n > 0 && r.maybe < 0 { // the last attempt is still out
 				r.maybe = n - 1
 			}
@@ -278,7 +278,7 @@
 	}
 }
 
-func (p *plain) Checked(balancer.Time, balancer.HostID, balancer.Outcome, balancer.Span, *balancer.Report) {
+func (p *plain) HandleHealthCheck(balancer.Time, balancer.EndpointID, balancer.Outcome, balancer.Span, *balancer.LoadReport) {
 }
 
-func (p *plain) Peer(balancer.Time, int, []byte) {}
+func (p *plain) HandlePeerMessage(balancer.Time, int, []byte) {}
--- a/internal/simulation/policy/shared.go
+++ b/internal/simulation/policy/shared.go
@@ -18,12 +18,12 @@
 // each other: each sends the hosts where it has most out, in one datagram a beat.
 type shared struct {
 	*plain
-	others map[int]map[balancer.HostID]int // by node, of its last datagram
-	sum    map[balancer.HostID]int
+	others map[int]map[balancer.EndpointID]int // by node, of its last datagram
+	sum    map[balancer.EndpointID]int
 }
 
 func newShared(e Env) *shared {
-	s := &shared{others: map[int]map[balancer.HostID]int{}, sum: map[balancer.HostID]int{}}
+	s := &shared{others: map[int]map[balancer.EndpointID]int{}, sum: map[balancer.EndpointID]int{}}
 	s.plain = newPlain(e, func(p *plain, _ *request, from []*host) *host {
 		return least(p, from, func(h *host) float64 { return float64(h.out + s.sum[h.ID]) })
 	})
@@ -52,16 +52,16 @@
 	s.env.Publish(-1, data)
 }
 
-// Peer takes another node's datagram in place of its last one.
-func (s *shared) Peer(_ balancer.Time, from int, data []byte) {
+// HandlePeerMessage takes another node's datagram in place of its last one.
+func (s *shared) HandlePeerMessage(_ balancer.Time, from int, data []byte) {
 	for id, n := range s.others[from] {
 		if s.sum[id] -= n; s.sum[id] == 0 {
 			delete(s.sum, id)
 		}
 	}
-	told := map[balancer.HostID]int{}
+	told := map[balancer.EndpointID]int{}
 	for ; len(data) >= recordSize; data = data[recordSize:] {
-		id, n := balancer.HostID(binary.BigEndian.Uint64(data)), int(data[8])
+		id, n := balancer.EndpointID(binary.BigEndian.Uint64(data)), int(data[8])
 		told[id] += n
 		s.sum[id] += n
 	}
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -327,8 +327,8 @@
 
 // Effects and scopes as the files call them.
 var (
-	effects = map[string]balancer.Effect{"repeatable": balancer.Repeatable, "by_key": balancer.ByKey, "once": balancer.Once}
-	scopes  = map[string]balancer.Scope{"all": balancer.ScopeAll, "site": balancer.ScopeZone, "rack": balancer.ScopeCell}
+	effects = map[string]balancer.Idempotency{"repeatable": balancer.Idempotent, "by_key": balancer.IdempotentByKey, "once": balancer.NonIdempotent}
+	scopes  = map[string]balancer.KeyScope{"all": balancer.ScopeAll, "site": balancer.ScopeZone, "rack": balancer.ScopeCell}
 )
 
 // Check fills in what was left out and tells what is impossible.
@@ -519,7 +519,7 @@
 }
 
 // Told is a report with those fields only that are told.
-func (r *Report) Told(all balancer.Report) balancer.Report {
+func (r *Report) Told(all balancer.LoadReport) balancer.LoadReport {
 	if !r.Tells("held") {
 		all.Outstanding = -1
 	}
@@ -552,21 +552,21 @@
 // Config is what a node of that site is told of the deployment. Its own number is the caller's to add.
 func (s *Scenario) Config(site int, quota []float64) balancer.Config {
 	us := func(ms float64) balancer.Span { return balancer.Span(math.Round(ms * 1000)) }
-	c := balancer.Config{Zone: site, Peers: s.Nodes.Count, MaxAttempts: s.Rules.MaxAttempts,
-		MayDuplicate: s.Rules.MayDuplicate, MayCancel: s.Rules.MayCancel, MayProbe: s.Rules.MayProbe,
-		AskDiscovery: s.Discovery.Ask, AskEvery: us(s.Discovery.AskEvery), Tick: us(s.Nodes.Tick),
-		MaxRetryAfter: us(s.Clients.MaxRetryAfter), ColdFrom: s.Rules.ColdFrom, ColdRamp: us(s.Rules.ColdRamp),
-		ColdMultiple: s.Rules.ColdMultiple, ColdWindow: us(s.Rules.ColdWindow), CrossZone: s.Rules.CrossSite,
-		Probe: s.Rules.Probe, Marked: s.Clients.Marks, WarmKeys: s.Fleet.Affinity.Gain > 0}
+	c := balancer.Config{Zone: site, PeerCount: s.Nodes.Count, MaxAttempts: s.Rules.MaxAttempts,
+		AllowHedging: s.Rules.MayDuplicate, AllowCancel: s.Rules.MayCancel, AllowHealthChecks: s.Rules.MayProbe,
+		PollDiscovery: s.Discovery.Ask, PollInterval: us(s.Discovery.AskEvery), TickInterval: us(s.Nodes.Tick),
+		MaxRetryAfter: us(s.Clients.MaxRetryAfter), SlowStartInitial: s.Rules.ColdFrom, SlowStartDuration: us(s.Rules.ColdRamp),
+		OverloadFactor: s.Rules.ColdMultiple, OverloadWindow: us(s.Rules.ColdWindow), CrossZoneCost: s.Rules.CrossSite,
+		HealthCheckCost: s.Rules.Probe, ClientsMarkRetries: s.Clients.Marks, KeyAffinity: s.Fleet.Affinity.Gain > 0}
 	if s.Clients.Heed == 0 {
 		c.MaxRetryAfter = 0
 	}
 	for _, k := range s.Classes {
-		c.Classes = append(c.Classes, balancer.Class{Aim: us(k.Aim), Deadline: us(k.Deadline), Window: us(k.Window),
-			Effect: effects[k.Effect], Scope: scopes[k.Scope], LateShare: k.LateShare, Worth: k.Worth})
+		c.Classes = append(c.Classes, balancer.Class{LatencyObjective: us(k.Aim), Deadline: us(k.Deadline), IdempotencyWindow: us(k.Window),
+			Idempotency: effects[k.Effect], KeyScope: scopes[k.Scope], LateValue: k.LateShare, PriorityWeight: k.Worth})
 	}
 	for i, t := range s.Tenants {
-		c.Tenants = append(c.Tenants, balancer.Tenant{Share: t.Share, Quota: quota[i]})
+		c.Tenants = append(c.Tenants, balancer.Tenant{QuotaFraction: t.Share, QuotaPerSecond: quota[i]})
 	}
 	return c
 }
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -18,8 +18,8 @@
 // The kinds of evidence.
 const (
 	Answered Evidence = iota // a sound answer: the list was current when it was written
-	Refused                  // refused, reset, turned away, or no sound list: nothing newer could be had at that time
-	Silent                   // not answered at all: the news may have been lost on the way
+	Rejected                 // refused, reset, turned away, or no sound list: nothing newer could be had at that time
+	NoAnswer                 // not answered at all: the news may have been lost on the way
 )
 
 // silentMost is how many calls in a row may go unanswered before discovery counts as unreachable. The first may be a watch whose connection was
@@ -39,10 +39,10 @@
 	return Lease{length: length, until: now, silent: silentMost - 1}
 }
 
-// Note takes in what a call has shown: that the list was current, or that nothing newer could be had, as of a time. For an answer that is the time at
+// Record takes in what a call has shown: that the list was current, or that nothing newer could be had, as of a time. For an answer that is the time at
 // which it arrived, and no later than the call was to wait; for a refusal, that at which it came; where nothing came, that at which the call began.
-func (l *Lease) Note(evidence Evidence, asOf Time) {
-	if evidence == Silent {
+func (l *Lease) Record(evidence Evidence, asOf Time) {
+	if evidence == NoAnswer {
 		if l.silent++; l.silent < silentMost {
 			return
 		}
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -17,15 +17,15 @@
 		"nothing known":                 {nil, 100},
 		"answered":                      {[]note{{Answered, 200}}, 200 + length},
 		"an older answer takes nothing": {[]note{{Answered, 200}, {Answered, 150}}, 200 + length},
-		"refused":                       {[]note{{Refused, 300}}, 300 + length},
-		"first call silent":             {[]note{{Silent, 300}}, 300 + length},
-		"a watch silent":                {[]note{{Answered, 200}, {Silent, 300}}, 200 + length},
-		"and the call after it":         {[]note{{Answered, 200}, {Silent, 300}, {Silent, 400}}, 400 + length},
-		"a word in between":             {[]note{{Answered, 200}, {Silent, 300}, {Refused, 350}, {Silent, 400}}, 350 + length},
+		"refused":                       {[]note{{Rejected, 300}}, 300 + length},
+		"first call silent":             {[]note{{NoAnswer, 300}}, 300 + length},
+		"a watch silent":                {[]note{{Answered, 200}, {NoAnswer, 300}}, 200 + length},
+		"and the call after it":         {[]note{{Answered, 200}, {NoAnswer, 300}, {NoAnswer, 400}}, 400 + length},
+		"a word in between":             {[]note{{Answered, 200}, {NoAnswer, 300}, {Rejected, 350}, {NoAnswer, 400}}, 350 + length},
 	} {
 		l := New(100, length)
 		for _, n := range test.notes {
-			l.Note(n.evidence, n.asOf)
+			l.Record(n.evidence, n.asOf)
 		}
 		if l.Until() != test.until || l.Valid(test.until) || !l.Valid(test.until-1) {
 			t.Errorf("%s: until %d, want %d", name, l.Until(), test.until)
@@ -36,7 +36,7 @@
 // After a move of discovery, what was heard before counts for so long at most.
 func TestLeaseIsShortened(t *testing.T) {
 	l := New(100, length)
-	l.Note(Answered, 200)
+	l.Record(Answered, 200)
 	l.Shorten(1000)
 	if l.Valid(1000) || !l.Valid(999) {
 		t.Error("not shortened")
@@ -45,7 +45,7 @@
 	if l.Valid(1000) {
 		t.Error("made longer")
 	}
-	if l.Note(Answered, 900); !l.Valid(1000) {
+	if l.Record(Answered, 900); !l.Valid(1000) {
 		t.Error("not renewed by what is heard after the move")
 	}
 }
--- a/internal/workload/retry.go
+++ b/internal/workload/retry.go
@@ -49,8 +49,8 @@
 // only after a refusal, or where no node was reached.
 func (r *Retry) Again(c *Call, how Answer, tries int, since, retryIn eventqueue.Span) (wait eventqueue.Span, again bool) {
 	s, class := &r.sc.Clients, &r.classes[c.Class]
-	harmless := how == Refused || how == Unreachable || s.RetryFailed || class.Effect == balancer.Repeatable ||
-		class.Effect == balancer.ByKey && class.Scope == balancer.ScopeAll && since < class.Window
+	harmless := how == Refused || how == Unreachable || s.RetryFailed || class.Idempotency == balancer.Idempotent ||
+		class.Idempotency == balancer.IdempotentByKey && class.KeyScope == balancer.ScopeAll && since < class.IdempotencyWindow
 	if !harmless || how == Served || tries > s.Retries {
 		return 0, false
 	}
