--- a/cmd/tulipagent/main.go
+++ b/cmd/tulipagent/main.go
@@ -70,16 +70,16 @@
 	switch {
 	case members[id] == "":
 		return fmt.Errorf("--id: %d is none of the members", id)
-	case terms.Interval < agent.Beat:
-		return fmt.Errorf("--interval: %v is below %v", terms.Interval, agent.Beat)
+	case terms.Interval < agent.TickInterval:
+		return fmt.Errorf("--interval: %v is below %v", terms.Interval, agent.TickInterval)
 	case terms.Drift < 0 || terms.Drift > 0.2:
 		return fmt.Errorf("--drift: %g is not within 0 and 0.2", terms.Drift)
 	}
-	kept, err := consensus.Founded(members, terms)
+	kept, err := consensus.Bootstrap(members, terms)
 	if err != nil {
 		return err
 	}
-	return agent.Make(cmd.String("dir"), agent.Identity{Group: cmd.String("group"), ID: id, Address: members[id]}, kept)
+	return agent.Create(cmd.String("dir"), agent.Identity{Group: cmd.String("group"), ID: id, Address: members[id]}, kept)
 }
 
 func join(_ context.Context, cmd *cli.Command) error {
@@ -90,7 +90,7 @@
 	if cmd.Uint64("id") == 0 {
 		return errors.New("--id: it must be above 0")
 	}
-	return agent.Make(cmd.String("dir"), agent.Identity{Group: cmd.String("group"), ID: cmd.Uint64("id"), Address: address}, consensus.Joining())
+	return agent.Create(cmd.String("dir"), agent.Identity{Group: cmd.String("group"), ID: cmd.Uint64("id"), Address: address}, consensus.EmptyState())
 }
 
 func serve(ctx context.Context, cmd *cli.Command) error {
@@ -100,13 +100,13 @@
 		if err != nil {
 			return err
 		}
-		o.Plans = plans
+		o.Failover = plans
 	}
 	return agent.Serve(ctx, cmd.String("dir"), o)
 }
 
 // topology reads the zones, the prices between them, and the classes.
-func topology(file string) (*agent.Plans, error) {
+func topology(file string) (*agent.FailoverOptions, error) {
 	var in struct {
 		Zone  []failover.Zone `toml:"zone"`
 		Price [][]float64     `toml:"price"`
@@ -118,9 +118,9 @@
 	if err := tomlfile.Load(file, &in); err != nil {
 		return nil, fmt.Errorf("--topology: %w", err)
 	}
-	p := &agent.Plans{Topology: failover.Topology{Zones: in.Zone, Price: in.Price}, Rules: failover.Usual}
+	p := &agent.FailoverOptions{Topology: failover.Topology{Zones: in.Zone, Cost: in.Price}, Rules: failover.DefaultRules}
 	for _, c := range in.Class {
-		p.Worth = append(p.Worth, c.Worth)
+		p.PriorityWeights = append(p.PriorityWeights, c.Worth)
 	}
 	if len(in.Zone) == 0 || len(in.Class) == 0 {
 		return nil, fmt.Errorf("--topology: %s: it has no zones, or no classes", file)
@@ -137,7 +137,7 @@
 		return err
 	}
 	defer disk.Close()
-	fmt.Fprintf(cmd.Root().Writer, "ok: member %d of %s at %s, term %d, snapshot to %d, %d entries after it\n", disk.Who.ID, disk.Who.Group,
-		disk.Who.Address, kept.Hard.GetTerm(), kept.Snapshot.GetMetadata().GetIndex(), len(kept.Entries))
+	fmt.Fprintf(cmd.Root().Writer, "ok: member %d of %s at %s, term %d, snapshot to %d, %d entries after it\n", disk.Identity.ID, disk.Identity.Group,
+		disk.Identity.Address, kept.HardState.GetTerm(), kept.Snapshot.GetMetadata().GetIndex(), len(kept.Entries))
 	return nil
 }
--- a/cmd/tulipctl/lease.go
+++ b/cmd/tulipctl/lease.go
@@ -66,7 +66,7 @@
 func leaseList(ctx context.Context, cmd *cli.Command) error {
 	c, ctx, stop := asking(ctx, cmd)
 	defer stop()
-	v, err := c.Look(ctx)
+	v, err := c.ReadStatus(ctx)
 	if err != nil {
 		return no("leases: %v", err)
 	}
@@ -83,12 +83,12 @@
 	t := table(cmd)
 	fmt.Fprintln(t, "name\tseat\tholder\ttoken\tends within\tseats")
 	for _, l := range v.Leases {
-		for _, g := range l.Held {
+		for _, g := range l.Grants {
 			// From one tick at once to all of them by a slow clock.
-			fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%v\t%d\n", l.Name, g.Seat, g.Who, g.Token, time.Duration(g.Till-v.Tick)*v.Terms.Interval, l.Most)
+			fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%v\t%d\n", l.Name, g.Slot, g.Holder, g.Token, time.Duration(g.ExpiresAt-v.Tick)*v.Terms.Interval, l.MaxHolders)
 		}
-		if len(l.Held) == 0 {
-			fmt.Fprintf(t, "%s\t-\t-\t-\t-\t%d\n", l.Name, l.Most)
+		if len(l.Grants) == 0 {
+			fmt.Fprintf(t, "%s\t-\t-\t-\t-\t%d\n", l.Name, l.MaxHolders)
 		}
 	}
 	if err := t.Flush(); err != nil {
@@ -116,7 +116,7 @@
 	if len(args) < 2 {
 		return errors.New("lease run: NAME -- COMMAND, please")
 	}
-	if least := 2*deadlineexec.Term + margin; cmd.Duration("for") < least {
+	if least := 2*deadlineexec.TerminationNotice + margin; cmd.Duration("for") < least {
 		return fmt.Errorf("--for: %v is below %v", cmd.Duration("for"), least)
 	}
 	within, again := cmd.Duration("within"), time.Duration(0)
@@ -125,7 +125,7 @@
 	}
 	c := agent.NewClient(cmd.StringSlice("agents"), nil)
 	asked, stop := context.WithTimeout(ctx, within)
-	l, err := agent.Hold(asked, c, agent.Wanted{Name: args[0], For: cmd.Duration("for"), Margin: margin, Again: again})
+	l, err := agent.Acquire(asked, c, agent.LeaseOptions{Name: args[0], Duration: cmd.Duration("for"), Margin: margin, RetryInterval: again})
 	stop()
 	if err != nil {
 		return no("lease %s: %v", args[0], err)
@@ -161,8 +161,8 @@
 // underLease runs a command that is over before the lease may end, whatever becomes of this process.
 func underLease(ctx context.Context, cmd *cli.Command, l *agent.Lease, env, args []string) error {
 	g, _ := l.Grant()
-	till := func() time.Duration { return agent.Clock() + l.Left() - margin }
-	p, err := deadlineexec.Start(till(), append(append(os.Environ(), "TULIP_LEASE="+g.Name, fmt.Sprint("TULIP_LEASE_SEAT=", g.Seat),
+	till := func() time.Duration { return agent.Clock() + l.Remaining() - margin }
+	p, err := deadlineexec.Start(till(), append(append(os.Environ(), "TULIP_LEASE="+g.Name, fmt.Sprint("TULIP_LEASE_SEAT=", g.Slot),
 		fmt.Sprint("TULIP_LEASE_TOKEN=", g.Token)), env...), cmd.Root().Writer, cmd.Root().ErrWriter, args...)
 	if err != nil {
 		return err
@@ -204,7 +204,7 @@
 	}
 	c, ctx, stop := asking(ctx, cmd)
 	defer stop()
-	l, err := agent.Hold(ctx, c, agent.Wanted{Name: cmd.Args().Get(0), For: 2 * time.Second})
+	l, err := agent.Acquire(ctx, c, agent.LeaseOptions{Name: cmd.Args().Get(0), Duration: 2 * time.Second})
 	if err != nil {
 		return no("lease note: %v", err)
 	}
@@ -221,7 +221,7 @@
 	}
 	c, ctx, stop := asking(ctx, cmd)
 	defer stop()
-	if _, err := c.Do(ctx, "most", lease.Command{Name: cmd.Args().Get(0), Most: most}); err != nil {
+	if _, err := c.Do(ctx, "most", lease.Command{Name: cmd.Args().Get(0), MaxHolders: most}); err != nil {
 		return no("lease seats: %v", err)
 	}
 	return nil
@@ -233,13 +233,13 @@
 	type line struct {
 		Address string `json:"address"`
 		Error   string `json:"error,omitempty"`
-		consensus.View
+		consensus.Status
 	}
 	var all []line
 	led, of := 0, 0
 	for _, a := range cmd.StringSlice("agents") {
 		v, err := c.Status(ctx, a)
-		l := line{Address: a, View: v}
+		l := line{Address: a, Status: v}
 		if err != nil {
 			l.Error = err.Error()
 		} else if of = max(of, len(v.Members)); v.Leader != 0 {
@@ -272,7 +272,7 @@
 }
 
 func agentsChange(ctx context.Context, cmd *cli.Command) error {
-	change := agent.Change{Add: map[uint64]string{}}
+	change := agent.MembershipChange{Add: map[uint64]string{}}
 	for _, m := range cmd.StringSlice("add") {
 		number, address, ok := strings.Cut(m, "=")
 		id, err := strconv.ParseUint(number, 10, 64)
@@ -293,7 +293,7 @@
 	}
 	c, ctx, stop := asking(ctx, cmd)
 	defer stop()
-	if err := c.Change(ctx, change); err != nil {
+	if err := c.ChangeMembers(ctx, change); err != nil {
 		return no("agents change: %v", err)
 	}
 	return nil
--- a/cmd/tulipctl/roll.go
+++ b/cmd/tulipctl/roll.go
@@ -42,7 +42,7 @@
 	args []string
 	http *http.Client
 	mu   sync.Mutex // of the notes, which are to arrive in order
-	roll *rollout.Roll
+	roll *rollout.Rollout
 }
 
 func rollRun(ctx context.Context, cmd *cli.Command) error {
@@ -71,7 +71,7 @@
 		within, again = max(within, wait), 300*time.Millisecond
 	}
 	asked, stop := context.WithTimeout(ctx, within)
-	l, err := agent.Hold(asked, c, agent.Wanted{Name: cmd.String("lease"), For: cmd.Duration("for"), Margin: margin, Again: again})
+	l, err := agent.Acquire(asked, c, agent.LeaseOptions{Name: cmd.String("lease"), Duration: cmd.Duration("for"), Margin: margin, RetryInterval: again})
 	stop()
 	if err != nil {
 		return no("roll: lease %s: %v", cmd.String("lease"), err)
@@ -102,7 +102,7 @@
 func noteOf(ctx context.Context, c *agent.Client, l *agent.Lease, within time.Duration) (string, error) {
 	ctx, stop := context.WithTimeout(ctx, within)
 	defer stop()
-	v, err := c.Look(ctx)
+	v, err := c.ReadStatus(ctx)
 	if err != nil {
 		return "", err
 	}
@@ -112,7 +112,7 @@
 			return known.Note, nil
 		}
 	}
-	return "", agent.ErrDoubt
+	return "", agent.ErrUncertain
 }
 
 // all goes on until there is nothing left to do, or something has failed.
@@ -181,15 +181,15 @@
 
 // one takes one node through what is left of its steps.
 func (r *roller) one(ctx context.Context, t rollout.Task) error {
-	fmt.Fprintf(r.cmd.Root().Writer, "%s: %s%s\n", t.Name, t.Step, map[bool]string{true: ", taken over"}[t.Again])
+	fmt.Fprintf(r.cmd.Root().Writer, "%s: %s%s\n", t.Name, t.Step, map[bool]string{true: ", taken over"}[t.Retry])
 	step := t.Step
-	if t.Again && step == rollout.Change {
-		if step = r.whereItStands(ctx, t.Node); step == rollout.Back {
+	if t.Retry && step == rollout.Change {
+		if step = r.whereItStands(ctx, t.Node); step == rollout.Resume {
 			fmt.Fprintf(r.cmd.Root().Writer, "%s: it has had the command\n", t.Name)
 		}
 	}
 	if step == rollout.Standby {
-		if err := r.put(ctx, t.Node, "standby"); err != nil && !t.Again { // of one that died meanwhile the command makes a new one
+		if err := r.put(ctx, t.Node, "standby"); err != nil && !t.Retry { // of one that died meanwhile the command makes a new one
 			return err
 		}
 		if err := pause(ctx, r.cmd.Duration("settle")); err != nil {
@@ -201,18 +201,18 @@
 		step = rollout.Change
 	}
 	if step == rollout.Change {
-		if _, err := r.l.Begin(0); err != nil {
+		if _, err := r.l.BeginAction(0); err != nil {
 			return err
 		}
-		if err := underLease(ctx, r.cmd, r.l, []string{"TULIP_NODE=" + t.Name, "TULIP_SITE=" + t.Site, "TULIP_OPERATOR=" + t.Operator,
+		if err := underLease(ctx, r.cmd, r.l, []string{"TULIP_NODE=" + t.Name, "TULIP_SITE=" + t.Site, "TULIP_OPERATOR=" + t.Admin,
 			"TULIP_LISTEN=" + t.Listen}, r.args); err != nil {
 			return fmt.Errorf("command: %w", err)
 		}
-		if err := r.note(ctx, func() { r.roll.Reached(t.Name, rollout.Back) }); err != nil {
+		if err := r.note(ctx, func() { r.roll.Reached(t.Name, rollout.Resume) }); err != nil {
 			return err
 		}
 	}
-	for till := time.Now().Add(r.cmd.Duration("up")); !r.yes(ctx, "GET", "http://"+t.Operator+"/status"); {
+	for till := time.Now().Add(r.cmd.Duration("up")); !r.yes(ctx, "GET", "http://"+t.Admin+"/status"); {
 		if time.Now().After(till) {
 			return fmt.Errorf("it does not serve within %v after the command", r.cmd.Duration("up"))
 		}
@@ -227,9 +227,9 @@
 func (r *roller) whereItStands(ctx context.Context, n rollout.Node) rollout.Step {
 	for range 100 { // what has just been started needs its list of backends first
 		switch {
-		case !r.yes(ctx, "GET", "http://"+n.Operator+"/status"):
+		case !r.yes(ctx, "GET", "http://"+n.Admin+"/status"):
 		case r.yes(ctx, "GET", "http://"+n.Listen+"/ready"):
-			return rollout.Back
+			return rollout.Resume
 		default:
 			return rollout.Change
 		}
@@ -272,11 +272,11 @@
 func (r *roller) put(ctx context.Context, n rollout.Node, what string) error {
 	var last error
 	for range 5 {
-		g, err := r.l.Begin(callWithin)
+		g, err := r.l.BeginAction(callWithin)
 		if err != nil {
 			return err
 		}
-		status, text, err := r.call(ctx, "PUT", under(g, "http://"+n.Operator+"/"+what))
+		status, text, err := r.call(ctx, "PUT", under(g, "http://"+n.Admin+"/"+what))
 		switch {
 		case err == nil && status == 200:
 			return nil
@@ -294,5 +294,5 @@
 }
 
 func under(g lease.Grant, url string) string {
-	return fmt.Sprintf("%s?lease=%s&seat=%d&token=%d", url, g.Name, g.Seat, g.Token)
+	return fmt.Sprintf("%s?lease=%s&seat=%d&token=%d", url, g.Name, g.Slot, g.Token)
 }
--- a/cmd/tulipglade/main.go
+++ b/cmd/tulipglade/main.go
@@ -17,7 +17,7 @@
 
 // hangups is there from the first moment that a program has: a platform that changes the configuration sends SIGHUP to all processes,
 // also to one that it has just started.
-var hangups = daemon.Hangups()
+var hangups = daemon.NotifyReload()
 
 func main() {
 	if err := command().Run(context.Background(), os.Args); err != nil {
@@ -57,7 +57,7 @@
 		return err
 	}
 	fmt.Fprintf(cmd.Root().Writer, "ok: %d classes, %d tenants, %d backends known\n",
-		len(c.Node.Classes), len(c.Node.Tenants), len(c.Known.Targets))
+		len(c.Node.Classes), len(c.Node.Tenants), len(c.Endpoints.Targets))
 	return nil
 }
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -203,7 +203,7 @@
 		}
 		size, whole, err := m.Request(buf[:len(buf)+n])
 		if buf = buf[:size]; err != nil {
-			return protocol.RefusalStatus(err), err.Error()
+			return protocol.RejectionStatus(err), err.Error()
 		}
 		if whole {
 			break
@@ -216,18 +216,18 @@
 	return s.ask(string(m.Method), string(m.Path()), query)
 }
 
-// Seen is the newest token that calls have named of each lease, for the process that takes this one's place.
-func (s *Server) Seen() []fencing.Grant {
+// SeenTokens is the newest token that calls have named of each lease, for the process that takes this one's place.
+func (s *Server) SeenTokens() []fencing.Grant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fence.Seen()
+	return s.fence.SeenTokens()
 }
 
-// Know takes in what the process before has Seen.
-func (s *Server) Know(seen []fencing.Grant) {
+// RestoreTokens takes in what the process before has Seen.
+func (s *Server) RestoreTokens(seen []fencing.Grant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fence.Know(seen)
+	s.fence.RestoreTokens(seen)
 }
 
 // errToken is a call that names a lease, and half of what goes with it.
@@ -251,9 +251,9 @@
 	}
 	n, err := strconv.ParseUint(token, 10, 64)
 	if err == nil && seat != "" {
-		g.Seat, err = strconv.Atoi(seat)
+		g.Slot, err = strconv.Atoi(seat)
 	}
-	if err != nil || n == 0 || g.Name == "" || g.Seat < 0 {
+	if err != nil || n == 0 || g.Name == "" || g.Slot < 0 {
 		return g, true, errToken
 	}
 	g.Token = fencing.Token(n)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -30,20 +30,20 @@
 	"tulipglade/internal/loopback"
 )
 
-// Beat is one step of the clock by which a leader is missed; Silence is for how many of them, to twice as many.
+// TickInterval is one step of the clock by which a leader is missed; Silence is for how many of them, to twice as many.
 const (
-	Beat    = 50 * time.Millisecond
-	Silence = 10
-	// Linger is for how long a member that was removed stays.
-	Linger = 10 * time.Second
+	TickInterval  = 50 * time.Millisecond
+	ElectionTicks = 10
+	// RemovedGrace is for how long a member that was removed stays.
+	RemovedGrace = 10 * time.Second
 
 	compactEach = 2000 // entries
 	patience    = 100  // beats until a request is given up
 	queueMost   = 1024 // of what waits for the member
 	postMost    = 256  // of messages that wait for another one
-	postWithin  = Silence * Beat
+	postWithin  = ElectionTicks * TickInterval
 	idlePost    = time.Minute
-	bodyMost    = 4 * lease.NoteMost // of a request: quotes in a note take more than they are
+	bodyMost    = 4 * lease.MaxNoteBytes // of a request: quotes in a note take more than they are
 	messageMost = 32 << 20
 	connsMost   = 4096 // nodes that tell keep one each
 	batch       = 256  // requests between two writes
@@ -57,12 +57,12 @@
 
 // Options are what an Agent is made of. What is not set is as in service.
 type Options struct {
-	Log      *slog.Logger
-	Clock    func() time.Duration                                    // monotonic
-	Disk     func(consensus.Disk) consensus.Disk                     // what lies before the disk
-	Dial     func(context.Context, string, string) (net.Conn, error) // to the others
-	Plans    *Plans                                                  // of failover; nil: it takes no part
-	Listener net.Listener                                            // already open, at the member's address
+	Log         *slog.Logger
+	Clock       func() time.Duration                                    // monotonic
+	WrapStorage func(consensus.Storage) consensus.Storage               // what lies before the disk
+	Dial        func(context.Context, string, string) (net.Conn, error) // to the others
+	Failover    *FailoverOptions                                        // of failover; nil: it takes no part
+	Listener    net.Listener                                            // already open, at the member's address
 }
 
 // Agent is one member at work.
@@ -115,20 +115,20 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, disk.Close()) }()
-	a := &Agent{o: o, who: disk.Who, do: make(chan func(), queueMost), down: make(chan struct{}), log: o.Log, posts: map[string]chan post{}}
+	a := &Agent{o: o, who: disk.Identity, do: make(chan func(), queueMost), down: make(chan struct{}), log: o.Log, posts: map[string]chan post{}}
 	a.client = &http.Client{Timeout: postWithin, Transport: &http.Transport{DialContext: o.Dial, MaxIdleConnsPerHost: 2, IdleConnTimeout: idlePost,
 		DisableCompression: true}}
-	var saves consensus.Disk = disk
-	if o.Disk != nil {
-		saves = o.Disk(disk)
+	var saves consensus.Storage = disk
+	if o.WrapStorage != nil {
+		saves = o.WrapStorage(disk)
 	}
 	var seed [16]byte
 	if _, err := crand.Read(seed[:]); err != nil {
 		return err
 	}
 	r := rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:])))
-	a.member, err = consensus.New(consensus.Options{ID: a.who.ID, Clock: o.Clock, Rand: r, Disk: saves, Send: a.send, Silence: Silence, Compact: compactEach,
-		Patience: patience}, kept)
+	a.member, err = consensus.New(consensus.Options{ID: a.who.ID, Clock: o.Clock, Rand: r, Storage: saves, Send: a.send, ElectionTicks: ElectionTicks, SnapshotEntries: compactEach,
+		RequestTimeoutTicks: patience}, kept)
 	if err != nil {
 		return err
 	}
@@ -143,8 +143,8 @@
 	defer a.wait.Wait()
 	defer a.client.CloseIdleConnections()
 	mux := a.handler(ctx)
-	if o.Plans != nil {
-		d, err := newDirector(a, *o.Plans)
+	if o.Failover != nil {
+		d, err := newDirector(a, *o.Failover)
 		if err != nil {
 			return errors.Join(err, ln.Close())
 		}
@@ -154,7 +154,7 @@
 	}
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 5 * time.Second, IdleTimeout: idlePost,
 		MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
-	a.log.Info("agent serves", "group", a.who.Group, "id", a.who.ID, "addr", a.who.Address, "members", len(a.member.View().Members))
+	a.log.Info("agent serves", "group", a.who.Group, "id", a.who.ID, "addr", a.who.Address, "members", len(a.member.Status().Members))
 	var g errgroup.Group
 	g.Go(func() error {
 		defer stop()
@@ -179,7 +179,7 @@
 
 // run is the member's goroutine.
 func (a *Agent) run(ctx context.Context) error {
-	beat := time.NewTicker(Beat)
+	beat := time.NewTicker(TickInterval)
 	defer beat.Stop()
 	led, leader, removed := false, uint64(0), time.Duration(0)
 	for {
@@ -187,7 +187,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-beat.C:
-			a.member.Beat()
+			a.member.Tick()
 		case f := <-a.do:
 			f()
 		}
@@ -198,7 +198,7 @@
 			a.log.Error("the disk failed: this member ends", "err", err)
 			return fmt.Errorf("disk: %w", err)
 		}
-		switch leads := a.member.Leads(); {
+		switch leads := a.member.IsLeader(); {
 		case leads != led:
 			led = leads
 			a.log.Info("lead", "leads", leads, "term", a.member.Term())
@@ -211,8 +211,8 @@
 			removed = 0
 		case removed == 0:
 			removed = now
-			a.log.Info("removed from the group", "stays", Linger)
-		case now-removed > Linger:
+			a.log.Info("removed from the group", "stays", RemovedGrace)
+		case now-removed > RemovedGrace:
 			return nil
 		}
 	}
@@ -312,14 +312,14 @@
 
 // ---- what is asked ----
 
-// Answer is what a request comes back with. Code says why not; see codes.
-type Answer struct {
-	Grant  *lease.Grant    `json:"grant,omitempty"`
-	Terms  *lease.Terms    `json:"terms,omitempty"`
-	View   *consensus.View `json:"view,omitempty"`
-	Code   string          `json:"code,omitempty"`
-	Error  string          `json:"error,omitempty"`
-	Leader string          `json:"leader,omitempty"` // where to ask instead, if it is known
+// Response is what a request comes back with. Code says why not; see codes.
+type Response struct {
+	Grant  *lease.Grant      `json:"grant,omitempty"`
+	Terms  *lease.Terms      `json:"terms,omitempty"`
+	Status *consensus.Status `json:"view,omitempty"`
+	Code   string            `json:"code,omitempty"`
+	Error  string            `json:"error,omitempty"`
+	Leader string            `json:"leader,omitempty"` // where to ask instead, if it is known
 }
 
 // codes are the refusals, by what they are called in an Answer, and their statuses.
@@ -327,14 +327,14 @@
 	err    error
 	status int
 }{
-	"taken": {lease.ErrTaken, 409}, "not-held": {lease.ErrNotHeld, 409}, "fewer": {lease.ErrFewer, 409}, "bad": {lease.ErrBad, 400},
-	"full": {lease.ErrFull, 507}, "unsure": {consensus.ErrUnsure, 503}, "busy": {consensus.ErrBusy, 503}, "not-now": {consensus.ErrNotNow, 409},
+	"taken": {lease.ErrNoFreeSlot, 409}, "not-held": {lease.ErrNotGranted, 409}, "fewer": {lease.ErrFewer, 409}, "bad": {lease.ErrInvalid, 400},
+	"full": {lease.ErrFull, 507}, "unsure": {consensus.ErrOutcomeUnknown, 503}, "busy": {consensus.ErrBusy, 503}, "not-now": {consensus.ErrInvalidChange, 409},
 }
 
 const codeLeader = "not-leader"
 
 // verbs are the commands on leases, by their paths.
-var verbs = map[string]lease.Kind{"acquire": lease.Acquire, "renew": lease.Renew, "release": lease.Release, "most": lease.Most, "note": lease.Note}
+var verbs = map[string]lease.Kind{"acquire": lease.Acquire, "renew": lease.Renew, "release": lease.Release, "most": lease.SetMaxHolders, "note": lease.SetNote}
 
 func (a *Agent) handler(ctx context.Context) *http.ServeMux {
 	mux := http.NewServeMux()
@@ -350,47 +350,47 @@
 			return
 		}
 		c.Kind = kind
-		a.answer(ctx, w, r, func(reply func(Answer, error)) {
-			a.member.Ask(c, func(g lease.Grant, err error) {
+		a.answer(ctx, w, r, func(reply func(Response, error)) {
+			a.member.Propose(c, func(g lease.Grant, err error) {
 				terms := a.member.Terms()
-				reply(Answer{Grant: &g, Terms: &terms}, err)
+				reply(Response{Grant: &g, Terms: &terms}, err)
 			})
 		})
 	})
 	mux.HandleFunc("GET /leases", func(w http.ResponseWriter, r *http.Request) {
-		a.answer(ctx, w, r, func(reply func(Answer, error)) {
-			a.member.Look(func(err error) {
-				v := a.member.View()
-				reply(Answer{View: &v}, err)
+		a.answer(ctx, w, r, func(reply func(Response, error)) {
+			a.member.ReadIndex(func(err error) {
+				v := a.member.Status()
+				reply(Response{Status: &v}, err)
 			})
 		})
 	})
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) { // of this member, whatever it is worth
-		a.answer(ctx, w, r, func(reply func(Answer, error)) {
-			v := a.member.View()
-			reply(Answer{View: &v}, nil)
+		a.answer(ctx, w, r, func(reply func(Response, error)) {
+			v := a.member.Status()
+			reply(Response{Status: &v}, nil)
 		})
 	})
 	mux.HandleFunc("POST /members", func(w http.ResponseWriter, r *http.Request) {
-		var c Change
+		var c MembershipChange
 		if !read(w, r, &c) {
 			return
 		}
 		for _, addr := range c.Add {
 			if err := CheckAddress(addr); err != nil {
-				tell(w, 400, Answer{Code: "bad", Error: err.Error()})
+				tell(w, 400, Response{Code: "bad", Error: err.Error()})
 				return
 			}
 		}
-		a.answer(ctx, w, r, func(reply func(Answer, error)) {
-			a.member.Change(c.Add, c.Remove, func(err error) { reply(Answer{}, err) })
+		a.answer(ctx, w, r, func(reply func(Response, error)) {
+			a.member.ChangeMembers(c.Add, c.Remove, func(err error) { reply(Response{}, err) })
 		})
 	})
 	return mux
 }
 
-// Change is a change of members.
-type Change struct {
+// MembershipChange is a change of members.
+type MembershipChange struct {
 	Add    map[uint64]string `json:"add,omitempty"`
 	Remove []uint64          `json:"remove,omitempty"`
 }
@@ -398,40 +398,40 @@
 func read(w http.ResponseWriter, r *http.Request, into any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMost))
 	if err := d.Decode(into); err != nil {
-		tell(w, 400, Answer{Code: "bad", Error: err.Error()})
+		tell(w, 400, Response{Code: "bad", Error: err.Error()})
 		return false
 	}
 	return true
 }
 
-func tell(w http.ResponseWriter, status int, a Answer) {
+func tell(w http.ResponseWriter, status int, a Response) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(a) // whoever asked may have gone
 }
 
 // answer has the member's goroutine do something, and answers with what comes of it.
-func (a *Agent) answer(ctx context.Context, w http.ResponseWriter, r *http.Request, do func(reply func(Answer, error))) {
+func (a *Agent) answer(ctx context.Context, w http.ResponseWriter, r *http.Request, do func(reply func(Response, error))) {
 	type result struct {
-		Answer
+		Response
 		err error
 	}
 	got := make(chan result, 1)
-	if !a.ask(func() { do(func(of Answer, err error) { got <- result{of, err} }) }) {
-		tell(w, 503, Answer{Code: "busy", Error: consensus.ErrBusy.Error()})
+	if !a.ask(func() { do(func(of Response, err error) { got <- result{of, err} }) }) {
+		tell(w, 503, Response{Code: "busy", Error: consensus.ErrBusy.Error()})
 		return
 	}
 	select {
 	case is := <-got:
-		status, out := 200, is.Answer
+		status, out := 200, is.Response
 		if is.err != nil {
-			status, out = 500, Answer{Error: is.err.Error()}
+			status, out = 500, Response{Error: is.err.Error()}
 			for code, c := range codes {
 				if errors.Is(is.err, c.err) {
 					status, out.Code = c.status, code
 				}
 			}
-			var not consensus.NotLeader
+			var not consensus.NotLeaderError
 			if errors.As(is.err, &not) {
 				status, out.Code, out.Leader = http.StatusMisdirectedRequest, codeLeader, not.Address
 			}
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -22,8 +22,8 @@
 	hopsMost  = 4                      // by which members send one on, until it waits
 )
 
-// ErrNobody is what a request ends with that no member has answered in its time.
-var ErrNobody = errors.New("no member of the group has answered")
+// ErrNoMembers is what a request ends with that no member has answered in its time.
+var ErrNoMembers = errors.New("no member of the group has answered")
 
 // Client asks a group: the member that it believes to lead, and, where that does not answer, the others in turn. Its methods may be
 // called from any goroutine.
@@ -44,7 +44,7 @@
 }
 
 // one asks one member once.
-func (c *Client) one(ctx context.Context, to, method, path string, body any, within time.Duration) (a Answer, err error) {
+func (c *Client) one(ctx context.Context, to, method, path string, body any, within time.Duration) (a Response, err error) {
 	raw := []byte{}
 	if body != nil {
 		if raw, err = json.Marshal(body); err != nil {
@@ -76,15 +76,15 @@
 	case ok:
 		return a, fmt.Errorf("%w (%s)", known.err, a.Error)
 	case a.Code == codeLeader:
-		return a, consensus.NotLeader{Address: a.Leader}
+		return a, consensus.NotLeaderError{Address: a.Leader}
 	}
 	return a, fmt.Errorf("%s: status %d: %s", to, resp.StatusCode, a.Error)
 }
 
 // ask asks until somebody who can has answered, or ctx ends. Sent is called before each attempt goes out. An attempt that was lost
 // may have been carried out: only what may be asked twice may be asked here.
-func (c *Client) ask(ctx context.Context, method, path string, body any, within time.Duration, sent func()) (Answer, error) {
-	last := ErrNobody
+func (c *Client) ask(ctx context.Context, method, path string, body any, within time.Duration, sent func()) (Response, error) {
+	last := ErrNoMembers
 	next, silent := rand.IntN(len(c.members)), ""
 	c.mu.Lock()
 	to := c.to
@@ -98,13 +98,13 @@
 			sent()
 		}
 		a, err := c.one(ctx, to, method, path, body, within)
-		var not consensus.NotLeader
+		var not consensus.NotLeaderError
 		switch {
 		case errors.As(err, &not) && not.Address != "" && not.Address != silent && hops < hopsMost:
 			hops++
 			to = not.Address
 			continue
-		case err == nil, a.Code != "" && !errors.As(err, &not) && !errors.Is(err, consensus.ErrUnsure) && !errors.Is(err, consensus.ErrBusy):
+		case err == nil, a.Code != "" && !errors.As(err, &not) && !errors.Is(err, consensus.ErrOutcomeUnknown) && !errors.Is(err, consensus.ErrBusy):
 			c.mu.Lock()
 			c.to = to
 			c.mu.Unlock()
@@ -117,46 +117,46 @@
 		to, hops = "", 0
 		select {
 		case <-ctx.Done():
-			return Answer{}, fmt.Errorf("%w: %w", ErrNobody, last)
+			return Response{}, fmt.Errorf("%w: %w", ErrNoMembers, last)
 		case <-time.After(askPause):
 		}
 	}
 }
 
-// Look is what the group has agreed on by now.
-func (c *Client) Look(ctx context.Context) (consensus.View, error) {
+// ReadStatus is what the group has agreed on by now.
+func (c *Client) ReadStatus(ctx context.Context) (consensus.Status, error) {
 	return viewOf(c.ask(ctx, "GET", "/leases", nil, askWithin, nil))
 }
 
 // viewOf is what an answer shows. One without a view, or in which time does not go on, is none of an agent's.
-func viewOf(a Answer, err error) (consensus.View, error) {
-	if err == nil && (a.View == nil || a.View.Terms.Interval <= 0 && len(a.View.Members) > 0) {
+func viewOf(a Response, err error) (consensus.Status, error) {
+	if err == nil && (a.Status == nil || a.Status.Terms.Interval <= 0 && len(a.Status.Members) > 0) {
 		err = errors.New("an answer that makes no sense")
 	}
 	if err != nil {
-		return consensus.View{}, err
+		return consensus.Status{}, err
 	}
-	return *a.View, nil
+	return *a.Status, nil
 }
 
 // Status is what one member knows, whatever that is worth.
-func (c *Client) Status(ctx context.Context, member string) (consensus.View, error) {
+func (c *Client) Status(ctx context.Context, member string) (consensus.Status, error) {
 	return viewOf(c.one(ctx, member, "GET", "/status", nil, askWithin))
 }
 
-// Change changes the members, and returns once that is done. It is asked again only where nothing was done; where that is not known, as
+// ChangeMembers changes the members, and returns once that is done. It is asked again only where nothing was done; where that is not known, as
 // another has come to lead, the members show it.
-func (c *Client) Change(ctx context.Context, change Change) error {
+func (c *Client) ChangeMembers(ctx context.Context, change MembershipChange) error {
 	for {
-		v, err := c.Look(ctx)
+		v, err := c.ReadStatus(ctx)
 		if err != nil {
 			return err
 		}
 		_, err = c.one(ctx, v.Members[v.Leader], "POST", "/members", change, 0)
-		var not consensus.NotLeader
+		var not consensus.NotLeaderError
 		switch {
 		case errors.As(err, &not):
-		case errors.Is(err, consensus.ErrUnsure):
+		case errors.Is(err, consensus.ErrOutcomeUnknown):
 			return c.changed(ctx, change)
 		default:
 			return err
@@ -168,9 +168,9 @@
 }
 
 // changed waits until the members are as a change has them.
-func (c *Client) changed(ctx context.Context, change Change) error {
+func (c *Client) changed(ctx context.Context, change MembershipChange) error {
 	for {
-		v, err := c.Look(ctx)
+		v, err := c.ReadStatus(ctx)
 		if err != nil {
 			return err
 		}
@@ -185,7 +185,7 @@
 			return nil
 		}
 		if err := pause(ctx, askPause); err != nil {
-			return fmt.Errorf("%w: %w", consensus.ErrUnsure, err)
+			return fmt.Errorf("%w: %w", consensus.ErrOutcomeUnknown, err)
 		}
 	}
 }
--- a/internal/agent/client_test.go
+++ b/internal/agent/client_test.go
@@ -16,7 +16,7 @@
 )
 
 // member answers as a test says.
-func member(t *testing.T, answer func(n int64) (int, Answer)) (addr string, asked *atomic.Int64) {
+func member(t *testing.T, answer func(n int64) (int, Response)) (addr string, asked *atomic.Int64) {
 	asked = &atomic.Int64{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		status, a := answer(asked.Add(1))
@@ -46,11 +46,11 @@
 		}
 	}()
 	grant := lease.Grant{Name: "x", Token: 7}
-	other, asked := member(t, func(n int64) (int, Answer) {
+	other, asked := member(t, func(n int64) (int, Response) {
 		if n < 5 {
-			return 421, Answer{Code: codeLeader, Leader: ln.Addr().String()}
+			return 421, Response{Code: codeLeader, Leader: ln.Addr().String()}
 		}
-		return 200, Answer{Grant: &grant}
+		return 200, Response{Grant: &grant}
 	})
 	c := NewClient([]string{other}, nil)
 	c.to = ln.Addr().String()
@@ -71,11 +71,11 @@
 // last reason.
 func TestAnswers(t *testing.T) {
 	for code, is := range codes {
-		addr, asked := member(t, func(n int64) (int, Answer) {
+		addr, asked := member(t, func(n int64) (int, Response) {
 			if n > 1 {
-				return 200, Answer{Grant: &lease.Grant{Token: 1}}
+				return 200, Response{Grant: &lease.Grant{Token: 1}}
 			}
-			return is.status, Answer{Code: code, Error: is.err.Error()}
+			return is.status, Response{Code: code, Error: is.err.Error()}
 		})
 		_, err := NewClient([]string{addr}, nil).Do(t.Context(), "renew", lease.Command{})
 		again := code == "unsure" || code == "busy"
@@ -83,12 +83,12 @@
 			t.Errorf("%s: %v, asked %d times", code, err, asked.Load())
 		}
 	}
-	addr, _ := member(t, func(int64) (int, Answer) { return 421, Answer{Code: codeLeader} })
+	addr, _ := member(t, func(int64) (int, Response) { return 421, Response{Code: codeLeader} })
 	ctx, stop := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer stop()
-	_, err := NewClient([]string{addr}, nil).Look(ctx)
-	var not consensus.NotLeader
-	if !errors.Is(err, ErrNobody) || !errors.As(err, &not) {
+	_, err := NewClient([]string{addr}, nil).ReadStatus(ctx)
+	var not consensus.NotLeaderError
+	if !errors.Is(err, ErrNoMembers) || !errors.As(err, &not) {
 		t.Error(err)
 	}
 }
@@ -103,17 +103,17 @@
 			_ = json.NewDecoder(r.Body).Decode(&c) // nothing: number 0, which is found below
 		}
 		if r.URL.Path == "/lease/acquire" {
-			if seen[c.Ask] || c.Ask == 0 {
-				t.Errorf("number %d again", c.Ask)
+			if seen[c.RequestID] || c.RequestID == 0 {
+				t.Errorf("number %d again", c.RequestID)
 			}
-			seen[c.Ask] = true
+			seen[c.RequestID] = true
 		}
-		tell(w, 200, Answer{Grant: &lease.Grant{Name: "x", Token: lease.Token(len(seen))}, Terms: &terms, View: &consensus.View{Terms: terms}})
+		tell(w, 200, Response{Grant: &lease.Grant{Name: "x", Token: lease.Token(len(seen))}, Terms: &terms, Status: &consensus.Status{Terms: terms}})
 	}))
 	defer s.Close()
 	c := NewClient([]string{s.Listener.Addr().String()}, nil)
 	for range 3 {
-		l, err := Hold(t.Context(), c, Wanted{Name: "x", Who: "me", For: 10 * time.Second})
+		l, err := Acquire(t.Context(), c, LeaseOptions{Name: "x", Holder: "me", Duration: 10 * time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/director.go
+++ b/internal/agent/director.go
@@ -15,11 +15,11 @@
 	"tulipglade/internal/lease"
 )
 
-// Plans has an agent take part in failover: it takes in what its machine's nodes tell, and is the director when it has the seat.
-type Plans struct {
-	Topology failover.Topology
-	Worth    []float64 // by class, of a core-second
-	Rules    failover.Rules
+// FailoverOptions has an agent take part in failover: it takes in what its machine's nodes tell, and is the director when it has the seat.
+type FailoverOptions struct {
+	Topology        failover.Topology
+	PriorityWeights []float64 // by class, of a core-second
+	Rules           failover.Rules
 }
 
 const (
@@ -31,13 +31,13 @@
 	// listens is for how long a new director only listens: so that all that tell have been heard.
 	listens = 3 * each
 	// digestsMost is how many bytes those of one agent may have: 4 KB for each node that a Collector keeps.
-	digestsMost = failover.NodesMost << 12
+	digestsMost = failover.MaxNodes << 12
 )
 
 // director is an agent's part in failover.
 type director struct {
 	a      *Agent
-	p      Plans
+	p      FailoverOptions
 	client *Client
 
 	mu   sync.Mutex
@@ -45,23 +45,23 @@
 	told map[string]failover.Digest // by the nodes of this agent, since they were passed on last
 }
 
-func newDirector(a *Agent, p Plans) (*director, error) {
-	if _, err := failover.NewPlanner(p.Topology, p.Worth, p.Rules); err != nil {
+func newDirector(a *Agent, p FailoverOptions) (*director, error) {
+	if _, err := failover.NewPlanner(p.Topology, p.PriorityWeights, p.Rules); err != nil {
 		return nil, err
 	}
-	if size := failover.Size(len(p.Topology.Zones), len(p.Worth)); size > lease.NoteMost {
-		return nil, fmt.Errorf("topology: a plan of %d zones and %d classes may have %d bytes, and a note %d", len(p.Topology.Zones), len(p.Worth), size,
-			lease.NoteMost)
+	if size := failover.PlanSize(len(p.Topology.Zones), len(p.PriorityWeights)); size > lease.MaxNoteBytes {
+		return nil, fmt.Errorf("topology: a plan of %d zones and %d classes may have %d bytes, and a note %d", len(p.Topology.Zones), len(p.PriorityWeights), size,
+			lease.MaxNoteBytes)
 	}
 	var members []string
-	for _, address := range a.member.View().Members {
+	for _, address := range a.member.Status().Members {
 		members = append(members, address)
 	}
 	if len(members) == 0 { // one that joins knows nobody but itself yet, and is sent on
 		members = []string{a.who.Address}
 	}
 	return &director{a: a, p: p, client: NewClient(members, a.client.Transport), told: map[string]failover.Digest{},
-		sums: failover.NewCollector(len(p.Topology.Zones), len(p.Worth))}, nil
+		sums: failover.NewCollector(len(p.Topology.Zones), len(p.PriorityWeights))}, nil
 }
 
 // routes are what nodes, and other agents, ask.
@@ -72,7 +72,7 @@
 			return
 		}
 		d.mu.Lock()
-		if _, known := d.told[in.Node]; known || len(d.told) < failover.NodesMost {
+		if _, known := d.told[in.Node]; known || len(d.told) < failover.MaxNodes {
 			d.told[in.Node] = in // what is wrong with it the director finds
 		}
 		d.mu.Unlock()
@@ -109,7 +109,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, one := range in {
-		d.sums.Take(one, d.a.o.Clock())
+		d.sums.Add(one, d.a.o.Clock())
 	}
 }
 
@@ -119,10 +119,10 @@
 	got := make(chan is, 1)
 	if !d.a.ask(func() {
 		var i is
-		for _, l := range d.a.member.View().Leases {
+		for _, l := range d.a.member.Status().Leases {
 			if l.Name == directorLease {
-				if i.plan = l.Note; len(l.Held) > 0 {
-					i.who = l.Held[0].Who
+				if i.plan = l.Note; len(l.Grants) > 0 {
+					i.who = l.Grants[0].Holder
 				}
 			}
 		}
@@ -186,7 +186,7 @@
 // direct plans whenever this agent has the seat.
 func (d *director) direct(ctx context.Context) {
 	for ctx.Err() == nil {
-		l, err := Hold(ctx, d.client, Wanted{Name: directorLease, For: directorFor, Margin: each / 2, Who: d.a.who.Address, Clock: d.a.o.Clock, Again: each})
+		l, err := Acquire(ctx, d.client, LeaseOptions{Name: directorLease, Duration: directorFor, Margin: each / 2, Holder: d.a.who.Address, Clock: d.a.o.Clock, RetryInterval: each})
 		if err == nil {
 			d.a.log.Info("director", "directs", true)
 			err = d.plan(ctx, l)
@@ -206,7 +206,7 @@
 
 // plan publishes plans until the seat is in doubt.
 func (d *director) plan(ctx context.Context, l *Lease) error {
-	planner, err := failover.NewPlanner(d.p.Topology, d.p.Worth, d.p.Rules)
+	planner, err := failover.NewPlanner(d.p.Topology, d.p.PriorityWeights, d.p.Rules)
 	if err != nil {
 		return err
 	}
@@ -215,7 +215,7 @@
 		return err
 	}
 	now := d.a.o.Clock()
-	if last != nil && last.Check(len(d.p.Topology.Zones), len(d.p.Worth)) == nil {
+	if last != nil && last.Check(len(d.p.Topology.Zones), len(d.p.PriorityWeights)) == nil {
 		planner.Adopt(last, now)
 	}
 	tick := time.NewTicker(each)
@@ -224,7 +224,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.Doubt():
+		case <-l.Uncertain():
 			return l.Reason()
 		case <-tick.C:
 		}
@@ -232,17 +232,17 @@
 			continue
 		}
 		d.mu.Lock()
-		sums := d.sums.Sums(now)
+		sums := d.sums.Totals(now)
 		d.mu.Unlock()
 		err := d.publish(ctx, l, planner, now, sums)
-		if err != nil && !errors.Is(err, failover.ErrNobody) { // what there is grows old by itself
+		if err != nil && !errors.Is(err, failover.ErrNoCapacity) { // what there is grows old by itself
 			return err
 		}
 	}
 }
 
-func (d *director) publish(ctx context.Context, l *Lease, planner *failover.Planner, now time.Duration, sums failover.Sums) error {
-	g, err := l.Begin(each)
+func (d *director) publish(ctx context.Context, l *Lease, planner *failover.Planner, now time.Duration, sums failover.Totals) error {
+	g, err := l.BeginAction(each)
 	if err != nil {
 		return err
 	}
@@ -264,7 +264,7 @@
 
 // last is the plan that was agreed on last.
 func (d *director) last(ctx context.Context) (*failover.Plan, error) {
-	v, err := d.client.Look(ctx)
+	v, err := d.client.ReadStatus(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/agent/director_test.go
+++ b/internal/agent/director_test.go
@@ -42,7 +42,7 @@
 	}
 	var all []failover.Digest
 	for i := range nodes {
-		one := failover.Digest{Node: fmt.Sprintf("n%0127d", i), Life: 1, Seq: 1, Zone: i % zones, Demand: many(classes), Can: many(zones)}
+		one := failover.Digest{Node: fmt.Sprintf("n%0127d", i), Incarnation: 1, Sequence: 1, Zone: i % zones, Demand: many(classes), Capacity: many(zones)}
 		all = append(all, one)
 		post("/digest", one)
 	}
@@ -50,7 +50,7 @@
 		t.Errorf("%d of %d nodes heard", len(d.told), nodes)
 	}
 	post("/digests", all)
-	if s := d.sums.Sums(0); s.Demand[0][0] < nodes/zones*math.Pi*0.99 {
+	if s := d.sums.Totals(0); s.Demand[0][0] < nodes/zones*math.Pi*0.99 {
 		t.Errorf("demand of zone 0: %v", s.Demand[0][0])
 	}
 }
--- a/internal/agent/disk.go
+++ b/internal/agent/disk.go
@@ -19,7 +19,7 @@
 
 // Identity is who a member is. It is written once, when its folder is made.
 type Identity struct {
-	Form    int    `json:"form"` // of the file
+	Version int    `json:"form"` // of the file
 	Group   string `json:"group"`
 	ID      uint64 `json:"id"`
 	Address string `json:"address"` // where the others reach it
@@ -31,23 +31,23 @@
 )
 
 var (
-	meta, entries                           = []byte("meta"), []byte("log")
-	keyWho, keyHard, keySnap                = []byte("identity"), []byte("hard"), []byte("snapshot")
-	errNoFile                               = errors.New("no member lives here: make one by init or join")
-	errThere                                = errors.New("a member lives here already; one that has lost its disk can only come as a new one")
-	lockWithin                              = time.Second
-	marshal                                 = proto.MarshalOptions{Deterministic: true}
-	_                        consensus.Disk = (*Disk)(nil)
+	meta, entries                              = []byte("meta"), []byte("log")
+	keyWho, keyHard, keySnap                   = []byte("identity"), []byte("hard"), []byte("snapshot")
+	errNoFile                                  = errors.New("no member lives here: make one by init or join")
+	errThere                                   = errors.New("a member lives here already; one that has lost its disk can only come as a new one")
+	lockWithin                                 = time.Second
+	marshal                                    = proto.MarshalOptions{Deterministic: true}
+	_                        consensus.Storage = (*Storage)(nil)
 )
 
-// Disk is a member's folder, in bbolt: each Save is one transaction, and on the medium when it returns.
-type Disk struct {
-	db  *bbolt.DB
-	Who Identity
+// Storage is a member's folder, in bbolt: each Save is one transaction, and on the medium when it returns.
+type Storage struct {
+	db       *bbolt.DB
+	Identity Identity
 }
 
-// Make makes a member's folder with what it keeps at first.
-func Make(dir string, who Identity, kept consensus.Kept) error {
+// Create makes a member's folder with what it keeps at first.
+func Create(dir string, who Identity, kept consensus.DurableState) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -59,8 +59,8 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	d := &Disk{db: db}
-	who.Form = form
+	d := &Storage{db: db}
+	who.Version = form
 	err = db.Update(func(tx *bbolt.Tx) error {
 		for _, name := range [][]byte{meta, entries} {
 			if _, err := tx.CreateBucket(name); err != nil {
@@ -74,43 +74,43 @@
 		return tx.Bucket(meta).Put(keyWho, raw)
 	})
 	if err == nil {
-		err = d.Save(consensus.Write{Hard: kept.Hard, Snapshot: kept.Snapshot})
+		err = d.Save(consensus.StorageUpdate{HardState: kept.HardState, Snapshot: kept.Snapshot})
 	}
 	return errors.Join(err, db.Close())
 }
 
 // Open opens a member's folder, which nobody else may have open, and returns what it keeps.
-func Open(dir string) (*Disk, consensus.Kept, error) {
+func Open(dir string) (*Storage, consensus.DurableState, error) {
 	path := filepath.Join(dir, fileName)
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
-		return nil, consensus.Kept{}, fmt.Errorf("%s: %w", dir, errNoFile)
+		return nil, consensus.DurableState{}, fmt.Errorf("%s: %w", dir, errNoFile)
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWithin})
 	if err != nil {
-		return nil, consensus.Kept{}, fmt.Errorf("%s: %w", path, err)
+		return nil, consensus.DurableState{}, fmt.Errorf("%s: %w", path, err)
 	}
-	d := &Disk{db: db}
+	d := &Storage{db: db}
 	kept, err := d.load()
 	if err != nil {
-		return nil, consensus.Kept{}, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
+		return nil, consensus.DurableState{}, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
 	}
 	return d, kept, nil
 }
 
-func (d *Disk) load() (kept consensus.Kept, err error) {
+func (d *Storage) load() (kept consensus.DurableState, err error) {
 	err = d.db.View(func(tx *bbolt.Tx) error {
 		m, log := tx.Bucket(meta), tx.Bucket(entries)
 		if m == nil || log == nil {
 			return errors.New("not a member's file")
 		}
-		if err := json.Unmarshal(m.Get(keyWho), &d.Who); err != nil {
+		if err := json.Unmarshal(m.Get(keyWho), &d.Identity); err != nil {
 			return fmt.Errorf("identity: %w", err)
 		}
-		if d.Who.Form != form {
-			return fmt.Errorf("form %d, this program reads %d", d.Who.Form, form)
+		if d.Identity.Version != form {
+			return fmt.Errorf("form %d, this program reads %d", d.Identity.Version, form)
 		}
-		kept.Hard = &pb.HardState{}
-		if err := proto.Unmarshal(m.Get(keyHard), kept.Hard); err != nil {
+		kept.HardState = &pb.HardState{}
+		if err := proto.Unmarshal(m.Get(keyHard), kept.HardState); err != nil {
 			return fmt.Errorf("hard state: %w", err)
 		}
 		if raw := m.Get(keySnap); raw != nil {
@@ -137,7 +137,7 @@
 }
 
 // Save writes in one transaction.
-func (d *Disk) Save(w consensus.Write) error {
+func (d *Storage) Save(w consensus.StorageUpdate) error {
 	return d.db.Update(func(tx *bbolt.Tx) error {
 		m, log := tx.Bucket(meta), tx.Bucket(entries)
 		put := func(b *bbolt.Bucket, key []byte, v proto.Message) error {
@@ -147,8 +147,8 @@
 			}
 			return b.Put(key, raw)
 		}
-		if w.Hard != nil {
-			if err := put(m, keyHard, w.Hard); err != nil {
+		if w.HardState != nil {
+			if err := put(m, keyHard, w.HardState); err != nil {
 				return err
 			}
 		}
@@ -158,8 +158,8 @@
 			}
 		}
 		last := uint64(math.MaxUint64)
-		if !w.Replace {
-			last = w.Before
+		if !w.ReplaceLog {
+			last = w.CompactBefore
 		}
 		if err := drop(log, 0, last); err != nil {
 			return err
@@ -192,4 +192,4 @@
 }
 
 // Close lets the folder go.
-func (d *Disk) Close() error { return d.db.Close() }
+func (d *Storage) Close() error { return d.db.Close() }
--- a/internal/agent/disk_test.go
+++ b/internal/agent/disk_test.go
@@ -26,12 +26,12 @@
 			t.Fatal(err)
 		}
 		defer os.RemoveAll(dir)
-		want, err := consensus.Founded(map[uint64]string{1: "127.0.0.1:1"}, lease.Terms{})
+		want, err := consensus.Bootstrap(map[uint64]string{1: "127.0.0.1:1"}, lease.Terms{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		who := Identity{Form: form, Group: "g", ID: 1, Address: "127.0.0.1:1"}
-		if err := Make(dir, who, want); err != nil {
+		who := Identity{Version: form, Group: "g", ID: 1, Address: "127.0.0.1:1"}
+		if err := Create(dir, who, want); err != nil {
 			t.Fatal(err)
 		}
 		last, before := uint64(1), uint64(1)
@@ -40,20 +40,20 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if diff := cmp.Diff(want, got, protocmp.Transform(), cmpopts.EquateEmpty()); diff != "" || d.Who != who {
-				t.Fatal(diff, d.Who)
+			if diff := cmp.Diff(want, got, protocmp.Transform(), cmpopts.EquateEmpty()); diff != "" || d.Identity != who {
+				t.Fatal(diff, d.Identity)
 			}
 			for range rapid.IntRange(1, 8).Draw(t, "writes") {
-				var w consensus.Write
+				var w consensus.StorageUpdate
 				switch rapid.IntRange(0, 3).Draw(t, "kind") {
 				case 0:
-					w.Hard = &pb.HardState{Term: proto.Uint64(rapid.Uint64().Draw(t, "term")), Commit: proto.Uint64(before)}
+					w.HardState = &pb.HardState{Term: proto.Uint64(rapid.Uint64().Draw(t, "term")), Commit: proto.Uint64(before)}
 				case 1: // a snapshot of its own
 					before = rapid.Uint64Range(before, last).Draw(t, "before")
-					w.Before, w.Snapshot = before, snap(last)
+					w.CompactBefore, w.Snapshot = before, snap(last)
 				case 2: // one of another's
 					last += rapid.Uint64Range(1, 300).Draw(t, "ahead")
-					before, w.Replace, w.Snapshot = last, true, snap(last)
+					before, w.ReplaceLog, w.Snapshot = last, true, snap(last)
 				}
 				if n := rapid.IntRange(0, 5).Draw(t, "entries"); n > 0 {
 					first := rapid.Uint64Range(before+1, last+1).Draw(t, "first")
@@ -66,7 +66,7 @@
 				if err := d.Save(w); err != nil {
 					t.Fatal(err)
 				}
-				want = want.After(w)
+				want = want.EntriesAfter(w)
 			}
 			if err := d.Close(); err != nil {
 				t.Fatal(err)
@@ -93,10 +93,10 @@
 	if _, _, err := Open(dir); !errors.Is(err, errNoFile) {
 		t.Error("an empty folder:", err)
 	}
-	if err := Make(dir, Identity{ID: 1}, consensus.Joining()); err != nil {
+	if err := Create(dir, Identity{ID: 1}, consensus.EmptyState()); err != nil {
 		t.Fatal(err)
 	}
-	if err := Make(dir, Identity{ID: 1}, consensus.Joining()); !errors.Is(err, errThere) {
+	if err := Create(dir, Identity{ID: 1}, consensus.EmptyState()); !errors.Is(err, errThere) {
 		t.Error("made twice:", err)
 	}
 	d, _, err := Open(dir)
--- a/internal/agent/holder.go
+++ b/internal/agent/holder.go
@@ -25,22 +25,22 @@
 	return time.Duration(ts.Nano())
 }
 
-// Wanted is a lease that somebody wants to hold.
-type Wanted struct {
-	Name   string
-	For    time.Duration // how long it is to last without being renewed
-	Margin time.Duration // of it: how long before its end it counts as in doubt
-	Who    string        // shown to operators; default: machine, process and a random number
-	Clock  func() time.Duration
-	// Again is how long to wait before one that is taken is asked for again; 0: not at all.
-	Again time.Duration
+// LeaseOptions is a lease that somebody wants to hold.
+type LeaseOptions struct {
+	Name     string
+	Duration time.Duration // how long it is to last without being renewed
+	Margin   time.Duration // of it: how long before its end it counts as in doubt
+	Holder   string        // shown to operators; default: machine, process and a random number
+	Clock    func() time.Duration
+	// RetryInterval is how long to wait before one that is taken is asked for again; 0: not at all.
+	RetryInterval time.Duration
 }
 
 // Lease is one that is held, as far as this side knows. It is renewed until it is released or lost. Its methods may be called from any
 // goroutine.
 type Lease struct {
 	c      *Client
-	w      Wanted
+	w      LeaseOptions
 	ticks  uint64
 	doubt  chan struct{}
 	stop   context.CancelFunc
@@ -50,14 +50,14 @@
 	reason error
 }
 
-// ErrDoubt is why nothing may begin any more under a lease: it could not be renewed in time.
+// ErrUncertain is why nothing may begin any more under a lease: it could not be renewed in time.
 var (
-	ErrDoubt    = errors.New("the lease is in doubt")
-	errReleased = errors.New("the lease was released")
+	ErrUncertain = errors.New("the lease is in doubt")
+	errReleased  = errors.New("the lease was released")
 )
 
-// Name is a holder's: another for each process.
-func Name() string {
+// HolderName is a holder's: another for each process.
+func HolderName() string {
 	host, err := os.Hostname()
 	if err != nil {
 		host = "?"
@@ -73,15 +73,15 @@
 
 func init() { asks.Store(uint64(Clock())) }
 
-// Hold asks for a lease, and waits for it where Again says so.
-func Hold(ctx context.Context, c *Client, w Wanted) (*Lease, error) {
+// Acquire asks for a lease, and waits for it where Again says so.
+func Acquire(ctx context.Context, c *Client, w LeaseOptions) (*Lease, error) {
 	if w.Clock == nil {
 		w.Clock = Clock
 	}
-	if w.Who == "" {
-		w.Who = Name()
+	if w.Holder == "" {
+		w.Holder = HolderName()
 	}
-	v, err := c.Look(ctx)
+	v, err := c.ReadStatus(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -89,29 +89,29 @@
 		return nil, errors.New("a group without terms")
 	}
 	ticks := uint64(2)
-	for v.Terms.Sure(ticks) < w.For {
+	for v.Terms.GuaranteedDuration(ticks) < w.Duration {
 		ticks++
 	}
 	l := &Lease{c: c, w: w, ticks: ticks, doubt: make(chan struct{}), ended: make(chan struct{}), guard: lease.Guard{Terms: v.Terms}}
 	for {
 		ask := asks.Add(1)
 		asked := w.Clock() // before the first of all attempts: an earlier one may be what is answered
-		g, err := c.Do(ctx, "acquire", lease.Command{Name: w.Name, Who: w.Who, Ask: ask, Ticks: ticks})
+		g, err := c.Do(ctx, "acquire", lease.Command{Name: w.Name, Holder: w.Holder, RequestID: ask, Ticks: ticks})
 		if err == nil {
 			l.guard.Granted(g, ticks, asked)
-			if _, ok := l.guard.Begin(w.Clock(), 0); ok {
+			if _, ok := l.guard.BeginAction(w.Clock(), 0); ok {
 				break
 			}
 			_, _ = c.Do(ctx, "release", lease.Command{Name: g.Name, Token: g.Token}) // it came so late that it may be over
 			continue
 		}
-		if !errors.Is(err, lease.ErrTaken) || w.Again == 0 {
+		if !errors.Is(err, lease.ErrNoFreeSlot) || w.RetryInterval == 0 {
 			return nil, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(w.Again):
+		case <-time.After(w.RetryInterval):
 		}
 	}
 	keep, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -124,19 +124,19 @@
 func (l *Lease) keep(ctx context.Context) {
 	defer close(l.ended)
 	for {
-		left := l.Left() - l.w.Margin
+		left := l.Remaining() - l.w.Margin
 		if left <= 0 {
-			l.end(ErrDoubt)
+			l.end(ErrUncertain)
 			return
 		}
-		wait := min(left, l.w.For/3)
+		wait := min(left, l.w.Duration/3)
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
 		}
 		g, _ := l.Grant()
-		try, stop := context.WithTimeout(ctx, max(l.Left()-l.w.Margin, time.Millisecond))
+		try, stop := context.WithTimeout(ctx, max(l.Remaining()-l.w.Margin, time.Millisecond))
 		var asked time.Duration
 		a, err := l.c.ask(try, "POST", "/lease/renew", lease.Command{Name: g.Name, Token: g.Token, Ticks: l.ticks}, askWithin,
 			func() { asked = l.w.Clock() })
@@ -146,7 +146,7 @@
 			l.mu.Lock()
 			l.guard.Granted(*a.Grant, l.ticks, asked)
 			l.mu.Unlock()
-		case errors.Is(err, lease.ErrNotHeld), errors.Is(err, lease.ErrFewer):
+		case errors.Is(err, lease.ErrNotGranted), errors.Is(err, lease.ErrFewer):
 			l.end(err)
 			return
 		}
@@ -162,8 +162,8 @@
 	}
 }
 
-// Doubt is closed once nothing may begin any more; Reason then says why.
-func (l *Lease) Doubt() <-chan struct{} { return l.doubt }
+// Uncertain is closed once nothing may begin any more; Reason then says why.
+func (l *Lease) Uncertain() <-chan struct{} { return l.doubt }
 
 // Reason is why it is in doubt; nil: it is not.
 func (l *Lease) Reason() error {
@@ -172,16 +172,16 @@
 	return l.reason
 }
 
-// Begin tells whether an act that takes so long at most may begin, and under which grant.
-func (l *Lease) Begin(longest time.Duration) (lease.Grant, error) {
+// BeginAction tells whether an act that takes so long at most may begin, and under which grant.
+func (l *Lease) BeginAction(longest time.Duration) (lease.Grant, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reason != nil {
 		return lease.Grant{}, l.reason
 	}
-	g, ok := l.guard.Begin(l.w.Clock(), longest)
+	g, ok := l.guard.BeginAction(l.w.Clock(), longest)
 	if !ok {
-		return g, ErrDoubt
+		return g, ErrUncertain
 	}
 	return g, nil
 }
@@ -193,11 +193,11 @@
 	return l.guard.Grant()
 }
 
-// Left is for how long it is sure to last without being renewed.
-func (l *Lease) Left() time.Duration {
+// Remaining is for how long it is sure to last without being renewed.
+func (l *Lease) Remaining() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.guard.Left(l.w.Clock())
+	return l.guard.Remaining(l.w.Clock())
 }
 
 // Note leaves a text for whoever holds it next.
@@ -214,7 +214,7 @@
 	l.end(errReleased)
 	for {
 		l.mu.Lock()
-		free := l.guard.Free(l.w.Clock())
+		free := l.guard.Expired(l.w.Clock())
 		l.mu.Unlock()
 		if free {
 			break
@@ -227,7 +227,7 @@
 	}
 	g, _ := l.Grant()
 	_, err := l.c.Do(ctx, "release", lease.Command{Name: g.Name, Token: g.Token})
-	if errors.Is(err, lease.ErrNotHeld) { // it has ended by itself, or an earlier attempt was heard
+	if errors.Is(err, lease.ErrNotGranted) { // it has ended by itself, or an earlier attempt was heard
 		return nil
 	}
 	return err
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -24,35 +24,35 @@
 	"tulipglade/internal/lease"
 )
 
-// Write is what must be durable, all of it or nothing.
-type Write struct {
-	Hard     *pb.HardState // nil: as it was
-	Snapshot *pb.Snapshot  // nil: as it was
-	Replace  bool          // the snapshot came from another member: it replaces all entries
-	Entries  []*pb.Entry   // they replace all of their and later indexes
-	Before   uint64        // entries up to this index may be forgotten
+// StorageUpdate is what must be durable, all of it or nothing.
+type StorageUpdate struct {
+	HardState     *pb.HardState // nil: as it was
+	Snapshot      *pb.Snapshot  // nil: as it was
+	ReplaceLog    bool          // the snapshot came from another member: it replaces all entries
+	Entries       []*pb.Entry   // they replace all of their and later indexes
+	CompactBefore uint64        // entries up to this index may be forgotten
 }
 
-// Disk keeps what a member must not forget. Once Save has returned nil it is durable, also when the machine goes down. After an
+// Storage keeps what a member must not forget. Once Save has returned nil it is durable, also when the machine goes down. After an
 // error nobody knows, and the member ends.
-type Disk interface{ Save(Write) error }
+type Storage interface{ Save(StorageUpdate) error }
 
-// Kept is what a Disk has: an entry before the snapshot's end is of no use.
-type Kept struct {
-	Hard     *pb.HardState
-	Snapshot *pb.Snapshot
-	Entries  []*pb.Entry
+// DurableState is what a Disk has: an entry before the snapshot's end is of no use.
+type DurableState struct {
+	HardState *pb.HardState
+	Snapshot  *pb.Snapshot
+	Entries   []*pb.Entry
 }
 
-// After is what is kept once a Write is durable.
-func (k Kept) After(w Write) Kept {
-	if w.Hard != nil {
-		k.Hard = w.Hard
+// EntriesAfter is what is kept once a Write is durable.
+func (k DurableState) EntriesAfter(w StorageUpdate) DurableState {
+	if w.HardState != nil {
+		k.HardState = w.HardState
 	}
 	if w.Snapshot != nil {
 		k.Snapshot = w.Snapshot
 	}
-	if w.Replace {
+	if w.ReplaceLog {
 		k.Entries = nil
 	}
 	from := func(index uint64) int {
@@ -61,52 +61,52 @@
 	if len(w.Entries) > 0 {
 		k.Entries = append(slices.Clip(k.Entries[:from(w.Entries[0].GetIndex())]), w.Entries...)
 	}
-	k.Entries = k.Entries[from(w.Before+1):]
+	k.Entries = k.Entries[from(w.CompactBefore+1):]
 	return k
 }
 
-// Founded is what each of a new group's first members keeps. It must be the same for all of them.
-func Founded(members map[uint64]string, terms lease.Terms) (Kept, error) {
+// Bootstrap is what each of a new group's first members keeps. It must be the same for all of them.
+func Bootstrap(members map[uint64]string, terms lease.Terms) (DurableState, error) {
 	leases, err := lease.New().Snapshot()
 	if err != nil {
-		return Kept{}, err
+		return DurableState{}, err
 	}
 	ids := slices.Sorted(maps.Keys(members))
 	data, err := json.Marshal(snapshot{Version: version, Terms: terms, Members: members, Highest: ids[len(ids)-1], Leases: leases})
 	if err != nil {
-		return Kept{}, err
+		return DurableState{}, err
 	}
 	one := uint64(1)
-	return Kept{Hard: &pb.HardState{Term: &one, Commit: &one}, Snapshot: &pb.Snapshot{Data: data,
+	return DurableState{HardState: &pb.HardState{Term: &one, Commit: &one}, Snapshot: &pb.Snapshot{Data: data,
 		Metadata: &pb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &pb.ConfState{Voters: ids}}}}, nil
 }
 
-// Joining is what a member keeps that was added to a group, and has not heard of it yet.
-func Joining() Kept { return Kept{Hard: &pb.HardState{}} }
+// EmptyState is what a member keeps that was added to a group, and has not heard of it yet.
+func EmptyState() DurableState { return DurableState{HardState: &pb.HardState{}} }
 
 // Options are what a Member is made of.
 type Options struct {
-	ID       uint64
-	Clock    func() time.Duration // monotonic, from any origin
-	Rand     *rand.Rand
-	Disk     Disk
-	Send     func(to string, m *pb.Message) // to a member's address; it may be lost
-	Silence  int                            // beats without a leader before an election: so many, to twice as many
-	Compact  uint64                         // entries between two snapshots
-	Patience int                            // beats until a request that hears nothing is given up
+	ID                  uint64
+	Clock               func() time.Duration // monotonic, from any origin
+	Rand                *rand.Rand
+	Storage             Storage
+	Send                func(to string, m *pb.Message) // to a member's address; it may be lost
+	ElectionTicks       int                            // beats without a leader before an election: so many, to twice as many
+	SnapshotEntries     uint64                         // entries between two snapshots
+	RequestTimeoutTicks int                            // beats until a request that hears nothing is given up
 }
 
 // Why a request is not answered with a grant, or a refusal of the lease package.
 var (
-	ErrUnsure = errors.New("not known whether it was carried out: ask again")
-	ErrBusy   = errors.New("too many requests at a time, or another change of members")
-	ErrNotNow = errors.New("no such change of members")
+	ErrOutcomeUnknown = errors.New("not known whether it was carried out: ask again")
+	ErrBusy           = errors.New("too many requests at a time, or another change of members")
+	ErrInvalidChange  = errors.New("no such change of members")
 )
 
-// NotLeader is the answer of a member that does not lead. The address is empty where it knows of no leader.
-type NotLeader struct{ Address string }
+// NotLeaderError is the answer of a member that does not lead. The address is empty where it knows of no leader.
+type NotLeaderError struct{ Address string }
 
-func (n NotLeader) Error() string { return "this member does not lead; leader: " + n.Address }
+func (n NotLeaderError) Error() string { return "this member does not lead; leader: " + n.Address }
 
 const (
 	version     = 1
@@ -117,31 +117,31 @@
 )
 
 type snapshot struct {
-	Version int               `json:"version"`
-	Terms   lease.Terms       `json:"terms"`
-	Members map[uint64]string `json:"members"`
-	Highest uint64            `json:"highest"` // id of a member that there ever was
-	Leaving []uint64          `json:"leaving,omitempty"`
-	Leases  json.RawMessage   `json:"leases"`
+	Version  int               `json:"version"`
+	Terms    lease.Terms       `json:"terms"`
+	Members  map[uint64]string `json:"members"`
+	Highest  uint64            `json:"highest"` // id of a member that there ever was
+	Removing []uint64          `json:"leaving,omitempty"`
+	Leases   json.RawMessage   `json:"leases"`
 }
 
-// mark tells a member its own proposals.
-type mark struct {
-	By   uint64 `json:"by"`
-	Life uint64 `json:"life"`
-	Seq  uint64 `json:"seq"`
+// requestKey tells a member its own proposals.
+type requestKey struct {
+	Member      uint64 `json:"by"`
+	Incarnation uint64 `json:"life"`
+	Sequence    uint64 `json:"seq"`
 }
 
 type proposal struct {
-	mark
+	requestKey
 	lease.Command
 }
 
-// change is the context of a change of members.
-type change struct {
-	mark
-	Add   map[uint64]string `json:"add,omitempty"`
-	Leave []uint64          `json:"leave,omitempty"` // who leaves once those have caught up
+// membershipChange is the context of a change of members.
+type membershipChange struct {
+	requestKey
+	Add    map[uint64]string `json:"add,omitempty"`
+	Remove []uint64          `json:"leave,omitempty"` // who leaves once those have caught up
 }
 
 type request struct {
@@ -186,9 +186,9 @@
 }
 
 // New returns a Member that goes on from what was kept.
-func New(o Options, kept Kept) (*Member, error) {
+func New(o Options, kept DurableState) (*Member, error) {
 	m := &Member{o: o, log: raft.NewMemoryStorage(), waiting: map[uint64]*request{}, heard: map[uint64]string{}, life: o.Rand.Uint64()}
-	if kept.Hard == nil {
+	if kept.HardState == nil {
 		return nil, errors.New("nothing kept: not a member of any group")
 	}
 	m.state, m.members, m.conf = lease.New(), map[uint64]string{}, &pb.ConfState{}
@@ -197,7 +197,7 @@
 			return nil, err
 		}
 	}
-	if err := m.log.SetHardState(kept.Hard); err != nil {
+	if err := m.log.SetHardState(kept.HardState); err != nil {
 		return nil, err
 	}
 	entries := slices.DeleteFunc(slices.Clone(kept.Entries), func(e *pb.Entry) bool { return e.GetIndex() <= m.applied })
@@ -205,14 +205,14 @@
 		return nil, err
 	}
 	var err error
-	m.node, err = raft.NewRawNode(&raft.Config{ID: o.ID, ElectionTick: o.Silence, HeartbeatTick: 1, Storage: m.log, Applied: m.applied,
+	m.node, err = raft.NewRawNode(&raft.Config{ID: o.ID, ElectionTick: o.ElectionTicks, HeartbeatTick: 1, Storage: m.log, Applied: m.applied,
 		MaxSizePerMsg: 256 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 4 << 20, CheckQuorum: true, PreVote: true,
 		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: quiet{}})
 	m.draw()
 	return m, err
 }
 
-func (m *Member) draw() { m.quiet, m.patient = 0, m.o.Silence+m.o.Rand.IntN(m.o.Silence) }
+func (m *Member) draw() { m.quiet, m.patient = 0, m.o.ElectionTicks+m.o.Rand.IntN(m.o.ElectionTicks) }
 
 // restore takes up a snapshot.
 func (m *Member) restore(s *pb.Snapshot) error {
@@ -228,7 +228,7 @@
 		return err
 	}
 	m.state, m.members, m.highest, m.terms, m.conf = state, in.Members, in.Highest, in.Terms, s.GetMetadata().GetConfState()
-	m.leaving = in.Leaving
+	m.leaving = in.Removing
 	m.applied, m.snapped, m.term = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex(), s.GetMetadata().GetTerm()
 	m.ticked = m.o.Clock() // some of its ticks may have been applied just now
 	return nil
@@ -263,8 +263,8 @@
 	return nil
 }
 
-// Beat is one step of the clock by which leaders are missed.
-func (m *Member) Beat() {
+// Tick is one step of the clock by which leaders are missed.
+func (m *Member) Tick() {
 	if m.err != nil {
 		return
 	}
@@ -282,8 +282,8 @@
 		}
 	}
 	for _, seq := range slices.Sorted(maps.Keys(m.waiting)) {
-		if r := m.waiting[seq]; r != nil && !r.patient && m.beats-r.since > m.o.Patience {
-			m.answer(seq, lease.Grant{}, ErrUnsure)
+		if r := m.waiting[seq]; r != nil && !r.patient && m.beats-r.since > m.o.RequestTimeoutTicks {
+			m.answer(seq, lease.Grant{}, ErrOutcomeUnknown)
 		}
 	}
 }
@@ -292,14 +292,14 @@
 // not before it has applied an entry of its own term, and with it all ticks of the leaders before.
 func (m *Member) tick() {
 	now := m.o.Clock()
-	if m.ticking || m.term != m.node.BasicStatus().GetTerm() || !m.state.Held() || now < m.ticked+m.terms.Interval {
+	if m.ticking || m.term != m.node.BasicStatus().GetTerm() || !m.state.Granted() || now < m.ticked+m.terms.Interval {
 		return
 	}
 	m.ticking = m.propose(0, lease.Command{Kind: lease.Tick}) == nil
 }
 
 func (m *Member) propose(seq uint64, c lease.Command) error {
-	data, err := json.Marshal(proposal{mark{m.o.ID, m.life, seq}, c})
+	data, err := json.Marshal(proposal{requestKey{m.o.ID, m.life, seq}, c})
 	if err != nil {
 		return err
 	}
@@ -313,9 +313,9 @@
 func (m *Member) wait(r request) (uint64, error) {
 	switch {
 	case m.err != nil:
-		return 0, ErrUnsure
+		return 0, ErrOutcomeUnknown
 	case !m.leads:
-		return 0, NotLeader{m.members[m.node.BasicStatus().Lead]}
+		return 0, NotLeaderError{m.members[m.node.BasicStatus().Lead]}
 	case len(m.waiting) >= waitingMost:
 		return 0, ErrBusy
 	}
@@ -325,10 +325,10 @@
 	return m.seq, nil
 }
 
-// Ask has the group carry out a command. The reply comes once, perhaps before Ask returns.
-func (m *Member) Ask(c lease.Command, reply func(lease.Grant, error)) {
+// Propose has the group carry out a command. The reply comes once, perhaps before Ask returns.
+func (m *Member) Propose(c lease.Command, reply func(lease.Grant, error)) {
 	if c.Kind == lease.Tick {
-		reply(lease.Grant{}, lease.ErrBad)
+		reply(lease.Grant{}, lease.ErrInvalid)
 		return
 	}
 	seq, err := m.wait(request{reply: reply})
@@ -341,8 +341,8 @@
 	}
 }
 
-// Look calls back once View shows all that was agreed on before this call.
-func (m *Member) Look(reply func(error)) {
+// ReadIndex calls back once View shows all that was agreed on before this call.
+func (m *Member) ReadIndex(reply func(error)) {
 	seq, err := m.wait(request{look: reply})
 	if err != nil {
 		reply(err)
@@ -351,15 +351,15 @@
 	m.node.ReadIndex([]byte(fmt.Sprint(m.life, "-", seq)))
 }
 
-// Change adds members, by id and address, and removes others, in one step by joint consensus. Who is added has no say before it
+// ChangeMembers adds members, by id and address, and removes others, in one step by joint consensus. Who is added has no say before it
 // has caught up, and nobody leaves before that. The reply comes once those who leave have no say any more; where this member is to leave,
 // another leads before that, and it is not known here. While some have not caught up the only other change is to give them up, by
 // removing them.
-func (m *Member) Change(add map[uint64]string, remove []uint64, reply func(error)) {
-	in := change{Add: add}
+func (m *Member) ChangeMembers(add map[uint64]string, remove []uint64, reply func(error)) {
+	in := membershipChange{Add: add}
 	var changes []*pb.ConfChangeSingle
 	no := func(format string, args ...any) {
-		reply(fmt.Errorf("%w: "+format, append([]any{ErrNotNow}, args...)...))
+		reply(fmt.Errorf("%w: "+format, append([]any{ErrInvalidChange}, args...)...))
 	}
 	for _, id := range slices.Sorted(maps.Keys(add)) {
 		if id <= m.highest || add[id] == "" {
@@ -379,7 +379,7 @@
 	}
 	learners := m.conf.GetLearners()
 	if len(add) > 0 {
-		in.Leave = remove
+		in.Remove = remove
 	}
 	switch left := len(m.conf.GetVoters()) + len(learners) + len(add) - len(remove); {
 	case len(changes) == 0 || left < 1:
@@ -390,7 +390,7 @@
 		return
 	}
 	if m.leads && len(add) == 0 && slices.Contains(remove, m.o.ID) {
-		reply(NotLeader{m.handOver(remove)}) // nothing was done: whoever leads then does it
+		reply(NotLeaderError{m.handOver(remove)}) // nothing was done: whoever leads then does it
 		return
 	}
 	seq, err := m.wait(request{reply: func(_ lease.Grant, err error) { reply(err) }})
@@ -399,9 +399,9 @@
 		return
 	}
 	if m.joint != 0 {
-		m.answer(m.joint, lease.Grant{}, ErrUnsure)
+		m.answer(m.joint, lease.Grant{}, ErrOutcomeUnknown)
 	}
-	in.mark, m.joint = mark{m.o.ID, m.life, seq}, seq
+	in.requestKey, m.joint = requestKey{m.o.ID, m.life, seq}, seq
 	if err := m.proposeChange(in, changes); err != nil {
 		m.answer(seq, lease.Grant{}, ErrBusy)
 	}
@@ -411,7 +411,7 @@
 	return &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: proto.Uint64(id)}
 }
 
-func (m *Member) proposeChange(in change, changes []*pb.ConfChangeSingle) error {
+func (m *Member) proposeChange(in membershipChange, changes []*pb.ConfChangeSingle) error {
 	context, err := json.Marshal(in)
 	if err != nil {
 		return err
@@ -442,7 +442,7 @@
 			changes = append(changes, single(pb.ConfChangeRemoveNode, id))
 		}
 	}
-	m.taking = m.proposeChange(change{}, changes) == nil
+	m.taking = m.proposeChange(membershipChange{}, changes) == nil
 }
 
 // handOver has another member lead that is none of these, if there is one: the one that is least behind. It returns its address.
@@ -481,12 +481,12 @@
 func (m *Member) Flush() error {
 	for m.err == nil && m.node.HasReady() {
 		rd := m.node.Ready()
-		w := Write{Hard: rd.HardState, Entries: rd.Entries}
+		w := StorageUpdate{HardState: rd.HardState, Entries: rd.Entries}
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			w.Snapshot, w.Replace = rd.Snapshot, true
+			w.Snapshot, w.ReplaceLog = rd.Snapshot, true
 		}
-		if w.Hard != nil || w.Snapshot != nil || len(w.Entries) > 0 {
-			if m.err = m.o.Disk.Save(w); m.err != nil {
+		if w.HardState != nil || w.Snapshot != nil || len(w.Entries) > 0 {
+			if m.err = m.o.Storage.Save(w); m.err != nil {
 				break
 			}
 		}
@@ -518,7 +518,7 @@
 			m.looks = m.looks[1:]
 			m.answer(seq, lease.Grant{}, nil)
 		}
-		if m.err == nil && (m.changed || m.applied >= m.snapped+m.o.Compact) {
+		if m.err == nil && (m.changed || m.applied >= m.snapped+m.o.SnapshotEntries) {
 			// After a change at once: a new member refuses a snapshot in which it is not yet one.
 			m.err = m.compact()
 		}
@@ -530,14 +530,14 @@
 }
 
 // take has raft's own memory follow the disk.
-func (m *Member) take(w Write) error {
+func (m *Member) take(w StorageUpdate) error {
 	if w.Snapshot != nil {
 		if err := errors.Join(m.restore(w.Snapshot), m.log.ApplySnapshot(w.Snapshot)); err != nil {
 			return err
 		}
 	}
-	if w.Hard != nil {
-		if err := m.log.SetHardState(w.Hard); err != nil {
+	if w.HardState != nil {
+		if err := m.log.SetHardState(w.HardState); err != nil {
 			return err
 		}
 	}
@@ -553,7 +553,7 @@
 	m.draw()
 	if !leads {
 		for _, seq := range slices.Sorted(maps.Keys(m.waiting)) {
-			m.answer(seq, lease.Grant{}, ErrUnsure)
+			m.answer(seq, lease.Grant{}, ErrOutcomeUnknown)
 		}
 	}
 }
@@ -572,13 +572,13 @@
 		return fmt.Errorf("entry %d: %w", m.applied, err)
 	}
 	g, err := m.state.Apply(p.Command)
-	mine := p.By == m.o.ID && p.Life == m.life
+	mine := p.Member == m.o.ID && p.Incarnation == m.life
 	if p.Kind == lease.Tick {
 		m.ticked = m.o.Clock()
 		m.ticking = m.ticking && !mine
 	}
 	if mine {
-		m.answer(p.Seq, g, err)
+		m.answer(p.Sequence, g, err)
 	}
 	return nil
 }
@@ -586,7 +586,7 @@
 func (m *Member) applyChange(e *pb.Entry) error {
 	var (
 		cc pb.ConfChangeV2
-		in change
+		in membershipChange
 	)
 	if err := proto.Unmarshal(e.Data, &cc); err != nil {
 		return fmt.Errorf("entry %d: %w", m.applied, err)
@@ -597,14 +597,14 @@
 		}
 	}
 	m.conf, m.changed, m.taking = m.node.ApplyConfChange(&cc), true, false
-	if r := m.waiting[in.Seq]; r != nil && in.By == m.o.ID && in.Life == m.life {
+	if r := m.waiting[in.Sequence]; r != nil && in.Member == m.o.ID && in.Incarnation == m.life {
 		r.patient = true
 	}
 	for id, address := range in.Add {
 		m.members[id], m.highest = address, max(m.highest, id)
 	}
-	if in.Seq != 0 { // else it is a step of one
-		m.leaving = in.Leave
+	if in.Sequence != 0 { // else it is a step of one
+		m.leaving = in.Remove
 	}
 	if len(m.conf.GetVotersOutgoing()) > 0 {
 		return nil
@@ -639,7 +639,7 @@
 	}
 	m.snapped, m.changed = m.applied, false
 	before := m.applied - min(m.applied, behind)
-	if err := m.o.Disk.Save(Write{Snapshot: s, Before: before}); err != nil {
+	if err := m.o.Storage.Save(StorageUpdate{Snapshot: s, CompactBefore: before}); err != nil {
 		return err
 	}
 	if first, err := m.log.FirstIndex(); err != nil || before < first {
@@ -660,8 +660,8 @@
 	m.node.ReportSnapshot(id, status)
 }
 
-// View is what a member knows. Of one that does not lead it may be old.
-type View struct {
+// Status is what a member knows. Of one that does not lead it may be old.
+type Status struct {
 	ID      uint64            `json:"id"`
 	Leader  uint64            `json:"leader"` // 0: it knows of none
 	Term    uint64            `json:"term"`
@@ -672,14 +672,14 @@
 	Leases  []lease.Lease     `json:"leases,omitempty"`
 }
 
-// View is what this member knows now.
-func (m *Member) View() View {
+// Status is what this member knows now.
+func (m *Member) Status() Status {
 	s := m.node.BasicStatus()
-	return View{m.o.ID, s.Lead, s.GetTerm(), m.applied, m.state.Now(), m.terms, maps.Clone(m.members), m.state.All()}
+	return Status{m.o.ID, s.Lead, s.GetTerm(), m.applied, m.state.Now(), m.terms, maps.Clone(m.members), m.state.All()}
 }
 
-// Leads tells whether this member believes to lead. Another may lead already.
-func (m *Member) Leads() bool { return m.leads }
+// IsLeader tells whether this member believes to lead. Another may lead already.
+func (m *Member) IsLeader() bool { return m.leads }
 
 // Leader is whom this member believes to lead; 0: nobody.
 func (m *Member) Leader() uint64 { return m.node.BasicStatus().Lead }
@@ -696,8 +696,8 @@
 	return len(m.members) > 0 && m.members[m.o.ID] == "" && m.applied > 0
 }
 
-// Sum is the same for members that have agreed on the same, as of the entry that was applied last.
-func (m *Member) Sum() (applied uint64, sum uint64) {
+// Checksum is the same for members that have agreed on the same, as of the entry that was applied last.
+func (m *Member) Checksum() (applied uint64, sum uint64) {
 	raw, err := m.state.Snapshot()
 	if err != nil {
 		panic(err) // it has been written before
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -23,14 +23,14 @@
 }
 
 type disk struct {
-	Kept
+	DurableState
 	writes int
 	err    error
 }
 
-func (d *disk) Save(w Write) error {
+func (d *disk) Save(w StorageUpdate) error {
 	d.writes++
-	d.Kept = d.Kept.After(w)
+	d.DurableState = d.DurableState.EntriesAfter(w)
 	return d.err
 }
 
@@ -43,19 +43,19 @@
 		who[id+1] = string(rune('a' + id))
 	}
 	for id := range who {
-		kept, err := Founded(who, lease.Terms{Interval: interval, Drift: 0.01})
+		kept, err := Bootstrap(who, lease.Terms{Interval: interval, Drift: 0.01})
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.disks[id] = &disk{Kept: kept}
+		l.disks[id] = &disk{DurableState: kept}
 		l.start(id)
 	}
 	return l
 }
 
 func (l *lan) start(id uint64) {
-	m, err := New(Options{ID: id, Clock: func() time.Duration { return l.now }, Rand: rand.New(rand.NewPCG(id, 1)), Disk: l.disks[id],
-		Send: func(_ string, m *pb.Message) { l.post = append(l.post, m) }, Silence: 10, Compact: 20, Patience: 30}, l.disks[id].Kept)
+	m, err := New(Options{ID: id, Clock: func() time.Duration { return l.now }, Rand: rand.New(rand.NewPCG(id, 1)), Storage: l.disks[id],
+		Send: func(_ string, m *pb.Message) { l.post = append(l.post, m) }, ElectionTicks: 10, SnapshotEntries: 20, RequestTimeoutTicks: 30}, l.disks[id].DurableState)
 	if err != nil {
 		l.t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 	for range n {
 		l.now += interval / 2
 		for _, id := range slices.Sorted(maps.Keys(l.members)) {
-			l.members[id].Beat()
+			l.members[id].Tick()
 		}
 		l.settle()
 	}
@@ -104,7 +104,7 @@
 	for range 100 {
 		l.beats(1)
 		for _, id := range slices.Sorted(maps.Keys(l.members)) {
-			if l.members[id].Leads() {
+			if l.members[id].IsLeader() {
 				return l.members[id]
 			}
 		}
@@ -115,20 +115,20 @@
 
 func (l *lan) ask(m *Member, c lease.Command) (g lease.Grant, err error) {
 	err = errors.New("no answer")
-	m.Ask(c, func(got lease.Grant, e error) { g, err = got, e })
+	m.Propose(c, func(got lease.Grant, e error) { g, err = got, e })
 	l.settle()
 	return g, err
 }
 
 func (l *lan) change(m *Member, add map[uint64]string, remove ...uint64) *error {
 	err := errors.New("no answer")
-	m.Change(add, remove, func(e error) { err = e })
+	m.ChangeMembers(add, remove, func(e error) { err = e })
 	l.settle()
 	return &err
 }
 
 func acquire(name string) lease.Command {
-	return lease.Command{Kind: lease.Acquire, Name: name, Who: "w", Ask: 1, Ticks: 4}
+	return lease.Command{Kind: lease.Acquire, Name: name, Holder: "w", RequestID: 1, Ticks: 4}
 }
 
 // A lease is granted by whoever leads, outlives a change of leader, and ends by ticks.
@@ -143,18 +143,18 @@
 		if m == lead {
 			continue
 		}
-		var not NotLeader
-		if _, err := l.ask(m, acquire("x")); !errors.As(err, &not) || not.Address != string(rune('a'+lead.View().ID-1)) {
+		var not NotLeaderError
+		if _, err := l.ask(m, acquire("x")); !errors.As(err, &not) || not.Address != string(rune('a'+lead.Status().ID-1)) {
 			t.Errorf("member %d: %v", id, err)
 		}
 	}
-	delete(l.members, lead.View().ID)
+	delete(l.members, lead.Status().ID)
 	lead = l.leader()
 	if _, err := l.ask(lead, lease.Command{Kind: lease.Renew, Name: "x", Token: 1, Ticks: 4}); err != nil {
 		t.Error("it ended with its leader:", err)
 	}
 	l.beats(20)
-	if _, err := l.ask(lead, lease.Command{Kind: lease.Renew, Name: "x", Token: 1, Ticks: 4}); !errors.Is(err, lease.ErrNotHeld) {
+	if _, err := l.ask(lead, lease.Command{Kind: lease.Renew, Name: "x", Token: 1, Ticks: 4}); !errors.Is(err, lease.ErrNotGranted) {
 		t.Error("it has not ended:", err)
 	}
 	if g, err := l.ask(lead, acquire("x")); err != nil || g.Token != 2 {
@@ -172,9 +172,9 @@
 	}
 	hold(l, lead)
 	var at []time.Duration
-	for tick := lead.View().Tick; len(at) < 20; {
-		if l.beats(1); lead.View().Tick != tick {
-			tick = lead.View().Tick
+	for tick := lead.Status().Tick; len(at) < 20; {
+		if l.beats(1); lead.Status().Tick != tick {
+			tick = lead.Status().Tick
 			at = append(at, l.now)
 		}
 	}
@@ -201,16 +201,16 @@
 	lead := l.leader()
 	hold(l, lead)
 	l.beats(10)
-	tick := lead.View().Tick
+	tick := lead.Status().Tick
 	for range 8 { // four intervals, in which nobody answers
 		l.now += interval / 2
-		lead.Beat()
+		lead.Tick()
 		if err := lead.Flush(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if l.settle(); lead.View().Tick != tick+1 {
-		t.Errorf("%d ticks at once", lead.View().Tick-tick)
+	if l.settle(); lead.Status().Tick != tick+1 {
+		t.Errorf("%d ticks at once", lead.Status().Tick-tick)
 	}
 }
 
@@ -220,11 +220,11 @@
 	old := l.leader()
 	hold(l, old)
 	l.beats(10)
-	tick := old.View().Tick
+	tick := old.Status().Tick
 	l.now += 2 * interval
-	old.Beat()
+	old.Tick()
 	l.deliver(func(m *pb.Message) bool { return len(m.GetEntries()) > 0 || m.GetType() == pb.MsgAppResp }) // not that it is agreed on
-	delete(l.members, old.View().ID)
+	delete(l.members, old.Status().ID)
 	l.post = nil
 	var next *Member
 	for _, id := range slices.Sorted(maps.Keys(l.members)) {
@@ -233,22 +233,22 @@
 			next.node.TickQuiesced() // silence: who has just heard of a leader gives no vote
 		}
 	}
-	if old.View().Tick != tick+1 || next.View().Tick != tick {
-		t.Fatalf("the old leader is at %d, the next at %d, want %d and %d", old.View().Tick, next.View().Tick, tick+1, tick)
+	if old.Status().Tick != tick+1 || next.Status().Tick != tick {
+		t.Fatalf("the old leader is at %d, the next at %d, want %d and %d", old.Status().Tick, next.Status().Tick, tick+1, tick)
 	}
 	if err := next.node.Campaign(); err != nil {
 		t.Fatal(err)
 	}
 	l.deliver(func(m *pb.Message) bool { return m.GetType() != pb.MsgApp })
-	if !next.Leads() {
+	if !next.IsLeader() {
 		t.Fatal("it does not lead")
 	}
 	for range 4 {
 		l.now += interval / 2
-		next.Beat()
+		next.Tick()
 	}
-	if l.settle(); next.View().Tick != tick+1 {
-		t.Errorf("%d ticks at once", next.View().Tick-tick)
+	if l.settle(); next.Status().Tick != tick+1 {
+		t.Errorf("%d ticks at once", next.Status().Tick-tick)
 	}
 }
 
@@ -257,24 +257,24 @@
 	l := newLan(t, 1)
 	lead := l.leader()
 	hold(l, lead)
-	for tick := lead.View().Tick; lead.View().Tick == tick; {
+	for tick := lead.Status().Tick; lead.Status().Tick == tick; {
 		l.beats(1)
 	}
 	if err := lead.compact(); err != nil {
 		t.Fatal(err)
 	}
-	tick := lead.View().Tick
+	tick := lead.Status().Tick
 	l.start(1)
 	again := l.members[1]
 	if err := again.node.Campaign(); err != nil {
 		t.Fatal(err)
 	}
 	l.settle()
-	if again.Beat(); !again.Leads() {
+	if again.Tick(); !again.IsLeader() {
 		t.Fatal("it does not lead")
 	}
-	if l.settle(); again.View().Tick != tick {
-		t.Errorf("the next tick is there at once: %d after %d", again.View().Tick, tick)
+	if l.settle(); again.Status().Tick != tick {
+		t.Errorf("the next tick is there at once: %d after %d", again.Status().Tick, tick)
 	}
 }
 
@@ -284,16 +284,16 @@
 	l := newLan(t, 3)
 	lead := l.leader()
 	for i := range uint64(60) { // so that what a new one needs is not in the log any more
-		if _, err := l.ask(lead, lease.Command{Kind: lease.Acquire, Name: "y", Who: "w", Ask: i, Ticks: 1}); err != nil && !errors.Is(err, lease.ErrTaken) {
+		if _, err := l.ask(lead, lease.Command{Kind: lease.Acquire, Name: "y", Holder: "w", RequestID: i, Ticks: 1}); err != nil && !errors.Is(err, lease.ErrNoFreeSlot) {
 			t.Fatal(err)
 		}
 	}
-	old := lead.View().ID%3 + 1
-	if err := *l.change(lead, map[uint64]string{3: "c"}); !errors.Is(err, ErrNotNow) {
+	old := lead.Status().ID%3 + 1
+	if err := *l.change(lead, map[uint64]string{3: "c"}); !errors.Is(err, ErrInvalidChange) {
 		t.Error("an id that was there before:", err)
 	}
 	first := l.change(lead, map[uint64]string{4: "d"}, old)
-	delete(l.members, lead.View().ID%3+1) // with a say of the new one, which is not there, two of four would be too few
+	delete(l.members, lead.Status().ID%3+1) // with a say of the new one, which is not there, two of four would be too few
 	l.beats(40)
 	if _, err := l.ask(lead, acquire("x")); err != nil {
 		t.Error("the group waits for one that has not come:", err)
@@ -304,18 +304,18 @@
 	if err := *l.change(lead, nil, 4); err != nil {
 		t.Error("it can't be given up:", err)
 	}
-	if !errors.Is(*first, ErrUnsure) {
+	if !errors.Is(*first, ErrOutcomeUnknown) {
 		t.Error("the first change:", *first)
 	}
 	l.start(old)
-	l.disks[5] = &disk{Kept: Joining()}
+	l.disks[5] = &disk{DurableState: EmptyState()}
 	l.start(5)
 	second := l.change(lead, map[uint64]string{5: "e"}, old)
 	l.beats(20)
 	if *second != nil {
 		t.Fatal("a change with all there:", *second)
 	}
-	if v := l.members[5].View(); len(v.Members) != 3 || v.Members[5] != "e" || v.Members[old] != "" || v.Applied != lead.View().Applied {
+	if v := l.members[5].Status(); len(v.Members) != 3 || v.Members[5] != "e" || v.Members[old] != "" || v.Applied != lead.Status().Applied {
 		t.Errorf("the new one: %+v", v)
 	}
 	if !l.members[old].Removed() {
@@ -329,26 +329,26 @@
 	l := newLan(t, 3)
 	lead := l.leader()
 	first, second := errors.New("no answer"), errors.New("no answer")
-	lead.Change(nil, []uint64{lead.View().ID%3 + 1}, func(err error) { first = err })
-	lead.Change(nil, []uint64{(lead.View().ID+1)%3 + 1}, func(err error) { second = err })
+	lead.ChangeMembers(nil, []uint64{lead.Status().ID%3 + 1}, func(err error) { first = err })
+	lead.ChangeMembers(nil, []uint64{(lead.Status().ID+1)%3 + 1}, func(err error) { second = err })
 	if l.settle(); first != nil || !errors.Is(second, ErrBusy) {
 		t.Error(first, second)
 	}
-	if n := len(lead.View().Members); n != 2 {
+	if n := len(lead.Status().Members); n != 2 {
 		t.Errorf("%d members", n)
 	}
-	if err := lead.proposeChange(change{}, []*pb.ConfChangeSingle{single(pb.ConfChangeAddLearnerNode, 8)}); err != nil {
+	if err := lead.proposeChange(membershipChange{}, []*pb.ConfChangeSingle{single(pb.ConfChangeAddLearnerNode, 8)}); err != nil {
 		t.Fatal(err)
 	}
 	var other uint64
-	for id := range lead.View().Members {
-		if id != lead.View().ID {
+	for id := range lead.Status().Members {
+		if id != lead.Status().ID {
 			other = id
 		}
 	}
 	dropped := l.change(lead, nil, other)
 	l.beats(40)
-	if !errors.Is(*dropped, ErrUnsure) {
+	if !errors.Is(*dropped, ErrOutcomeUnknown) {
 		t.Error("a change that raft has dropped:", *dropped)
 	}
 }
@@ -359,23 +359,23 @@
 	for n := 1; n <= 3; n += 2 {
 		l := newLan(t, n)
 		lead := l.leader()
-		self, fresh := lead.View().ID, uint64(n+1)
-		l.disks[fresh] = &disk{Kept: Joining()}
+		self, fresh := lead.Status().ID, uint64(n+1)
+		l.disks[fresh] = &disk{DurableState: EmptyState()}
 		l.start(fresh)
 		done := l.change(lead, map[uint64]string{fresh: string(rune('a' + fresh - 1))}, self)
 		removed := func() bool { return lead.Removed() }
 		for range 60 {
-			if led := lead.Leads(); !led && removed() {
+			if led := lead.IsLeader(); !led && removed() {
 				break
 			}
 			l.beats(1)
 		}
-		if !errors.Is(*done, ErrUnsure) || !removed() {
+		if !errors.Is(*done, ErrOutcomeUnknown) || !removed() {
 			t.Errorf("of %d: %v, removed %v", n, *done, removed())
 		}
 		delete(l.members, self) // at once
 		next := l.leader()
-		if v := next.View(); len(v.Members) != n || v.Members[self] != "" {
+		if v := next.Status(); len(v.Members) != n || v.Members[self] != "" {
 			t.Errorf("of %d: %v", n, v.Members)
 		}
 		if _, err := l.ask(next, acquire("x")); err != nil {
@@ -384,12 +384,12 @@
 	}
 	l := newLan(t, 3)
 	lead := l.leader()
-	var not NotLeader
-	if err := *l.change(lead, nil, lead.View().ID); !errors.As(err, &not) || not.Address == "" || lead.Leads() || len(lead.View().Members) != 3 {
-		t.Errorf("a removal without a new one: %v, leads %v", err, lead.Leads())
+	var not NotLeaderError
+	if err := *l.change(lead, nil, lead.Status().ID); !errors.As(err, &not) || not.Address == "" || lead.IsLeader() || len(lead.Status().Members) != 3 {
+		t.Errorf("a removal without a new one: %v, leads %v", err, lead.IsLeader())
 	}
 	lead = l.leader()
-	lead.leaving = []uint64{lead.View().ID} // another is to lead, and has not come to yet
+	lead.leaving = []uint64{lead.Status().ID} // another is to lead, and has not come to yet
 	if err := *l.change(lead, map[uint64]string{9: "i"}); !errors.Is(err, ErrBusy) {
 		t.Error("a change while one is to leave:", err)
 	}
@@ -400,26 +400,26 @@
 	l := newLan(t, 3)
 	lead := l.leader()
 	rest := maps.Clone(l.members)
-	delete(rest, lead.View().ID)
-	l.members = map[uint64]*Member{lead.View().ID: lead}
+	delete(rest, lead.Status().ID)
+	l.members = map[uint64]*Member{lead.Status().ID: lead}
 	var got error
-	lead.Ask(acquire("x"), func(_ lease.Grant, err error) { got = err })
+	lead.Propose(acquire("x"), func(_ lease.Grant, err error) { got = err })
 	l.beats(30)
-	if !errors.Is(got, ErrUnsure) || lead.Leads() {
-		t.Error(got, lead.Leads())
+	if !errors.Is(got, ErrOutcomeUnknown) || lead.IsLeader() {
+		t.Error(got, lead.IsLeader())
 	}
 	maps.Copy(l.members, rest)
 	lead = l.leader()
 	if g, err := l.ask(lead, acquire("x")); err != nil || g.Token != 1 {
 		t.Error(g, err)
 	}
-	l.disks[lead.View().ID].err = errors.New("no sync")
+	l.disks[lead.Status().ID].err = errors.New("no sync")
 	got = nil
-	lead.Ask(acquire("z"), func(_ lease.Grant, err error) { got = err })
-	if err := lead.Flush(); err == nil || !errors.Is(got, ErrUnsure) {
+	lead.Propose(acquire("z"), func(_ lease.Grant, err error) { got = err })
+	if err := lead.Flush(); err == nil || !errors.Is(got, ErrOutcomeUnknown) {
 		t.Error("after a failed write:", err, got)
 	}
-	if lead.Beat(); lead.Flush() == nil {
+	if lead.Tick(); lead.Flush() == nil {
 		t.Error("it goes on")
 	}
 }
@@ -432,8 +432,8 @@
 		t.Fatal(err)
 	}
 	err := errors.New("no answer")
-	lead.Look(func(e error) { err = e })
-	if l.settle(); err != nil || len(lead.View().Leases) != 1 {
-		t.Error(err, lead.View())
+	lead.ReadIndex(func(e error) { err = e })
+	if l.settle(); err != nil || len(lead.Status().Leases) != 1 {
+		t.Error(err, lead.Status())
 	}
 }
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -20,16 +20,16 @@
 
 // Config is all that a node is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Operator  string // where operators call; empty: nowhere
-	Cores     float64
-	MemoryMB  int
-	Known     protocol.List
-	Node      node.Settings
-	Grace     int64 // after the word that a host drains or is gone, for what still goes to it, in microseconds
-	tree      any   // the file as it stands, which the next one is held against
+	Name          string
+	Listen        string
+	Discovery     string
+	Admin         string // where operators call; empty: nowhere
+	Cores         float64
+	MemoryMB      int
+	Endpoints     protocol.List
+	Node          node.Settings
+	ShutdownGrace int64 // after the word that a host drains or is gone, for what still goes to it, in microseconds
+	tree          any   // the file as it stands, which the next one is held against
 }
 
 // Load reads the configuration file and checks it. Listen and discovery may be given in the environment
@@ -78,8 +78,8 @@
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	c := &Config{tree: tree, Name: or(in.Name, getenv("GW_NAME")), Listen: or(in.Listen, getenv("GW_LISTEN")),
-		Discovery: or(in.Discovery, getenv("GW_DISCOVERY")), Operator: or(in.Operator, getenv("GW_OPERATOR")), Cores: in.Limits.Cores, MemoryMB: in.Limits.MemoryMB}
-	for _, a := range []struct{ field, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"operator", c.Operator}} {
+		Discovery: or(in.Discovery, getenv("GW_DISCOVERY")), Admin: or(in.Operator, getenv("GW_OPERATOR")), Cores: in.Limits.Cores, MemoryMB: in.Limits.MemoryMB}
+	for _, a := range []struct{ field, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"operator", c.Admin}} {
 		if a.field == "operator" && a.addr == "" {
 			continue
 		}
@@ -104,10 +104,10 @@
 			return nil, fmt.Errorf("seed: %w", err)
 		}
 	}
-	c.Known.All = true
+	c.Endpoints.All = true
 	if len(in.Known) > 0 {
 		var err error
-		if c.Known, err = protocol.ParseList(in.Known); err != nil {
+		if c.Endpoints, err = protocol.ParseList(in.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -158,13 +158,13 @@
 	if module.PollDiscovery && module.PollInterval <= 0 {
 		return nil, fmt.Errorf("settings.rules.ask_every_us: %d is not above 0, and discovery must be asked", module.PollInterval)
 	}
-	c.Grace = s.Rules.Drain
+	c.ShutdownGrace = s.Rules.Drain
 	if module.PollDiscovery {
 		module.ListLease = balancer.NotificationDeadline
 	}
-	c.Node = node.Settings{Module: module, Seed: seed, Zones: s.Zones, MaxOpen: s.Limits.MaxOpen,
-		ConnectTimeout: s.Limits.ConnectTimeout, Keepalive: s.Limits.Keepalive, Reports: len(reports) > 0, Grace: s.Rules.Grace, DrainGrace: s.Rules.Drain,
-		Sockets: in.Limits.Sockets, Memory: int64(in.Limits.MemoryMB) << 20}
+	c.Node = node.Settings{Balancer: module, Seed: seed, Zones: s.Zones, MaxInFlight: s.Limits.MaxOpen,
+		ConnectTimeout: s.Limits.ConnectTimeout, Keepalive: s.Limits.Keepalive, LoadReports: len(reports) > 0, OverdueGrace: s.Rules.Grace, DrainGrace: s.Rules.Drain,
+		MaxDescriptors: in.Limits.Sockets, MemoryLimit: int64(in.Limits.MemoryMB) << 20}
 	if c.Node.Classes, err = names("settings.profiles", s.Classes); err != nil {
 		return nil, err
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -36,8 +36,8 @@
 		return 0, fmt.Errorf("limit of descriptors: %w", err)
 	}
 	sockets = int(min(files.Cur, 1<<20))
-	if c.Node.Sockets > 0 {
-		sockets = min(sockets, c.Node.Sockets)
+	if c.Node.MaxDescriptors > 0 {
+		sockets = min(sockets, c.Node.MaxDescriptors)
 	}
 	return sockets, node.ConfigurePoller(slog.NewLogLogger(log.Handler(), slog.LevelWarn).Writer())
 }
@@ -57,15 +57,15 @@
 	if fields := fixed(old, c); len(fields) > 0 {
 		log.Warn("changes need a restart", "fields", strings.Join(fields, ","))
 	}
-	w.Move(c.Discovery)
+	w.SetAddress(c.Discovery)
 	running := *c // but for what takes a restart
-	running.Name, running.Listen, running.Operator, running.Known = old.Name, old.Listen, old.Operator, old.Known
+	running.Name, running.Listen, running.Admin, running.Endpoints = old.Name, old.Listen, old.Admin, old.Endpoints
 	running.Cores, running.MemoryMB = old.Cores, old.MemoryMB
-	running.Node.Seed, running.Node.Sockets, running.Node.Memory = old.Node.Seed, old.Node.Sockets, old.Node.Memory
-	running.Node.Zones, running.Node.Module.Zone = old.Node.Zones, old.Node.Module.Zone
-	running.Node.Module.PollDiscovery, running.Node.Module.ListLease = old.Node.Module.PollDiscovery, old.Node.Module.ListLease
-	if !running.Node.Module.PollDiscovery {
-		w.heed(running.Grace)
+	running.Node.Seed, running.Node.MaxDescriptors, running.Node.MemoryLimit = old.Node.Seed, old.Node.MaxDescriptors, old.Node.MemoryLimit
+	running.Node.Zones, running.Node.Balancer.Zone = old.Node.Zones, old.Node.Balancer.Zone
+	running.Node.Balancer.PollDiscovery, running.Node.Balancer.ListLease = old.Node.Balancer.PollDiscovery, old.Node.Balancer.ListLease
+	if !running.Node.Balancer.PollDiscovery {
+		w.heed(running.ShutdownGrace)
 	}
 	if !reflect.DeepEqual(old.Node, running.Node) {
 		n.Reconfigure(running.Node)
@@ -83,11 +83,11 @@
 	}{
 		{"name", old.Name != c.Name},
 		{"listen", old.Listen != c.Listen},
-		{"operator", old.Operator != c.Operator},
-		{"limits", old.Cores != c.Cores || old.MemoryMB != c.MemoryMB || old.Node.Sockets != c.Node.Sockets},
+		{"operator", old.Admin != c.Admin},
+		{"limits", old.Cores != c.Cores || old.MemoryMB != c.MemoryMB || old.Node.MaxDescriptors != c.Node.MaxDescriptors},
 		{"settings.zones", !slices.Equal(old.Node.Zones, c.Node.Zones)},
-		{"settings.my_zone", old.Node.Module.Zone != c.Node.Module.Zone},
-		{"settings.discovery", old.Node.Module.PollDiscovery != c.Node.Module.PollDiscovery},
+		{"settings.my_zone", old.Node.Balancer.Zone != c.Node.Balancer.Zone},
+		{"settings.discovery", old.Node.Balancer.PollDiscovery != c.Node.Balancer.PollDiscovery},
 	} {
 		if f.differs {
 			fields = append(fields, f.name)
@@ -96,9 +96,9 @@
 	return fields
 }
 
-// Hangups takes SIGHUP in from here on; before that, one ends the process. A program calls it before it reads its configuration: a
+// NotifyReload takes SIGHUP in from here on; before that, one ends the process. A program calls it before it reads its configuration: a
 // SIGHUP that crosses its start stands for a file that is newer than the one it may have read.
-func Hangups() <-chan os.Signal {
+func NotifyReload() <-chan os.Signal {
 	hup := make(chan os.Signal, 1) // one that waits stands for all behind it: the file is read after them
 	signal.Notify(hup, syscall.SIGHUP)
 	return hup
@@ -111,15 +111,15 @@
 	defer release()
 	set := c.Node
 	var err error
-	if set.Sockets, err = limit(c, log); err != nil {
+	if set.MaxDescriptors, err = limit(c, log); err != nil {
 		return err
 	}
-	known := c.Known
+	known := c.Endpoints
 	path := offerPath(c, log)
 	var old *taken
 	if path != "" {
-		if old = takeOver(path, log); old != nil && old.List.Rev >= known.Rev && len(old.List.Targets) > 0 {
-			known = old.List
+		if old = takeOver(path, log); old != nil && old.EndpointList.Rev >= known.Rev && len(old.EndpointList.Targets) > 0 {
+			known = old.EndpointList
 		}
 		if old != nil {
 			defer func() { _ = old.Close() }()
@@ -133,31 +133,31 @@
 	w.to = n
 	at := ""
 	var calls *admin.Server
-	if c.Operator != "" { // before any client is taken: should this fail, an older process serves on
-		if calls, err = admin.Listen(c.Operator, n, log); err != nil {
+	if c.Admin != "" { // before any client is taken: should this fail, an older process serves on
+		if calls, err = admin.Listen(c.Admin, n, log); err != nil {
 			return err
 		}
 		defer func() { _ = calls.Close() }()
 		at = calls.Addr().String()
 		if old != nil {
-			calls.Know(old.Fence)
+			calls.RestoreTokens(old.Fence)
 		}
 	}
 	ln, err := listen(c, old)
 	if err != nil {
 		return err
 	}
-	gate := &node.Gate{Listener: ln}
+	gate := &node.GatedListener{Listener: ln}
 	loop, err := n.Serve()
 	if err != nil {
 		return fmt.Errorf("serve: %w", err)
 	}
 	n.UpdateEndpoints(known, true)
-	if !c.Node.Module.PollDiscovery {
-		w.pushed(c.Grace, func(err error) { log.Warn("the agent that pushes lists does not answer", "err", err) })
+	if !c.Node.Balancer.PollDiscovery {
+		w.pushed(c.ShutdownGrace, func(err error) { log.Warn("the agent that pushes lists does not answer", "err", err) })
 	}
 	if old != nil {
-		n.ImportState(old.Handed)
+		n.ImportState(old.HotRestartState)
 	}
 	with := &shares{n: n, mb: c.MemoryMB}
 	stop, stopped := make(chan struct{}), make(chan struct{})
@@ -169,12 +169,12 @@
 	go func() { failed <- loop.Serve(gate) }()
 	if old != nil {
 		with.add(1)
-		old.Serve(func() {
+		old.ReportServing(func() {
 			with.add(-1)
 			log.Info("the older process has ended")
 		})
 	}
-	g := &giver{n: n, calls: calls, gate: gate, with: with, log: log}
+	g := &predecessor{n: n, calls: calls, gate: gate, with: with, log: log}
 	withdraw := offer(path, g, log)
 	defer withdraw()
 	go func() { // beside the rest, so also while the node drains
@@ -188,7 +188,7 @@
 		}
 	}()
 	log.Info("serving", "name", c.Name, "listen", ln.Addr().String(), "discovery", c.Discovery, "operator", at,
-		"backends", len(known.Targets), "sockets", set.Sockets, "memory_mb", c.MemoryMB)
+		"backends", len(known.Targets), "sockets", set.MaxDescriptors, "memory_mb", c.MemoryMB)
 	select {
 	case err := <-failed:
 		return fmt.Errorf("serve: %w", err)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -35,8 +35,8 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]any{"n3", "127.0.0.1:0", 192, int64(41), 1, []string{"read"}, 20000, 1024, uint64(0x8c1f30d27a5be964), 6},
-		[]any{c.Name, c.Listen, c.MemoryMB, c.Known.Rev, len(c.Known.Targets), c.Node.Classes, c.Node.MaxOpen, c.Node.Sockets, c.Node.Seed,
-			c.Node.Module.MaxAttempts}); diff != "" {
+		[]any{c.Name, c.Listen, c.MemoryMB, c.Endpoints.Rev, len(c.Endpoints.Targets), c.Node.Classes, c.Node.MaxInFlight, c.Node.MaxDescriptors, c.Node.Seed,
+			c.Node.Balancer.MaxAttempts}); diff != "" {
 		t.Error(diff)
 	}
 	for _, bad := range []struct{ from, to, says string }{
@@ -74,7 +74,7 @@
 		t.Errorf("from the environment: %v", err)
 	}
 	env = func(name string) string { return map[string]string{"GW_OPERATOR": "127.0.0.1:7"}[name] }
-	if c, err := Parse([]byte(good), env); err != nil || c.Operator != "127.0.0.1:7" {
+	if c, err := Parse([]byte(good), env); err != nil || c.Admin != "127.0.0.1:7" {
 		t.Errorf("the operator's address from the environment: %v", err)
 	}
 }
@@ -161,8 +161,8 @@
 func (h heard) UpdateEndpointsAsOf(l protocol.List, _ time.Time) {
 	h <- fmt.Sprint("list ", l.Rev, l.All)
 }
-func (h heard) Moved(time.Duration) {}
-func (h heard) MembersFailed(_ error, how balancer.ListKind, _ time.Time) {
+func (h heard) DiscoveryAddressChanged(time.Duration) {}
+func (h heard) DiscoveryCallFailed(_ error, how balancer.ListKind, _ time.Time) {
 	h <- map[balancer.ListKind]string{balancer.ListFailed: "failed", balancer.ListTimeout: "silent", balancer.ListOverloaded: "busy"}[how]
 }
 
@@ -254,16 +254,16 @@
 	if got := <-held; got != "/v1/endpoints?since=41&timeout_ms=0" {
 		t.Error(got)
 	}
-	w.Move(next.Listener.Addr().String())
+	w.SetAddress(next.Listener.Addr().String())
 	select {
 	case <-held:
 	case <-time.After(10 * time.Second):
 		t.Fatal("the call at hand goes on")
 	}
-	to.want(t, "failed")  // the empty list, and nothing before it
-	w.Move("127.0.0.1:1") // nobody is there
+	to.want(t, "failed")        // the empty list, and nothing before it
+	w.SetAddress("127.0.0.1:1") // nobody is there
 	to.want(t, "failed")
-	w.Move(next.Listener.Addr().String())
+	w.SetAddress(next.Listener.Addr().String())
 	to.want(t, "list 7 true")
 	var got []string
 	for range 3 {
@@ -526,7 +526,7 @@
 		t.Fatal(err)
 	}
 	files := make(chan string, 3)
-	out, ended, hup := make(lines, 100), make(chan error, 1), Hangups()
+	out, ended, hup := make(lines, 100), make(chan error, 1), NotifyReload()
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
 		ended <- Serve(ctx, c, func() (*Config, error) { return parse(<-files) }, hup, slog.New(slog.NewTextHandler(out, nil)))
@@ -602,7 +602,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Operator = "127.0.0.1:0"
+	c.Admin = "127.0.0.1:0"
 	out, ended := make(lines, 100), make(chan error, 1)
 	go func() { ended <- Serve(context.Background(), c, nil, nil, slog.New(slog.NewTextHandler(out, nil))) }()
 	addr, operator := "", ""
@@ -645,7 +645,7 @@
 		t.Fatal(err)
 	}
 	defer busy.Close()
-	c.Listen, c.Operator = busy.Addr().String(), ""
+	c.Listen, c.Admin = busy.Addr().String(), ""
 	if err := Serve(context.Background(), c, nil, nil, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "listen") {
 		t.Errorf("an address in use: %v", err)
 	}
@@ -696,7 +696,7 @@
 		to.want(t, want)
 	}
 	srv.CloseClientConnections() // the agent dies, and nobody waits for an answer there
-	w.Move(next.Listener.Addr().String())
+	w.SetAddress(next.Listener.Addr().String())
 	for got := ""; got != "list 7 true"; {
 		select {
 		case got = <-to:
@@ -816,7 +816,7 @@
 	asOf  chan time.Time
 }
 
-func (m moves) Moved(within time.Duration)                          { m.moved <- within }
+func (m moves) DiscoveryAddressChanged(within time.Duration)        { m.moved <- within }
 func (m moves) UpdateEndpointsAsOf(_ protocol.List, asOf time.Time) { m.asOf <- asOf }
 
 // A move of discovery is told at once, also before the first call: what was heard before counts for 4 s at most. An answer of the address left behind
@@ -825,14 +825,14 @@
 	to := moves{make(heard, 10), make(chan time.Duration, 1), make(chan time.Time, 1)}
 	w := newWatch("127.0.0.1:1", 41)
 	w.to = to
-	w.Move("127.0.0.1:2")
+	w.SetAddress("127.0.0.1:2")
 	if len(to.moved) == 0 { // it is told within the call
 		t.Fatal("a move is not told")
 	}
 	if got := <-to.moved; got != movedWithin {
 		t.Errorf("told to count for %v", got)
 	}
-	w.Move("127.0.0.1:2") // it is there already
+	w.SetAddress("127.0.0.1:2") // it is there already
 	if len(to.moved) > 0 {
 		t.Error("told again without a move")
 	}
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -47,13 +47,13 @@
 
 // handed is what goes from an older process to a newer one.
 type handed struct {
-	node.Handed
+	node.HotRestartState
 	Fence []fencing.Grant `json:"Fence"` // the newest tokens that operators' calls have named
 }
 
 // taken is what an older process has handed over.
 type taken struct {
-	*hotrestart.Taken
+	*hotrestart.Handoff
 	handed
 	ln netpoll.Listener
 }
@@ -61,16 +61,16 @@
 // takeOver asks an older process of this node for its place. Where there is none, or it does not answer, this one starts
 // on its own.
 func takeOver(path string, log *slog.Logger) *taken {
-	t, err := hotrestart.Take(path)
+	t, err := hotrestart.Receive(path)
 	if err != nil {
 		log.Info("nothing taken over", "err", err)
 		return nil
 	}
-	got := &taken{Taken: t}
+	got := &taken{Handoff: t}
 	err = jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(t.Body, &got.handed)
 	t.Body = nil
 	if err == nil {
-		got.ln, err = node.Inherit(t.Listener)
+		got.ln, err = node.InheritListener(t.Listener)
 	}
 	if err != nil {
 		log.Warn("nothing taken over", "err", err)
@@ -78,15 +78,15 @@
 		_ = t.Close()
 		return nil
 	}
-	log.Info("taken over", "rev", got.List.Rev, "backends", len(got.List.Targets), "open", len(got.IDs))
+	log.Info("taken over", "rev", got.EndpointList.Rev, "backends", len(got.EndpointList.Targets), "open", len(got.RequestIDs))
 	return got
 }
 
-// giver hands this process's place to a newer one.
-type giver struct {
+// predecessor hands this process's place to a newer one.
+type predecessor struct {
 	n     *node.Node
 	calls *admin.Server
-	gate  *node.Gate
+	gate  *node.GatedListener
 	with  *shares
 	log   *slog.Logger
 
@@ -95,17 +95,17 @@
 	stopping bool
 }
 
-// Give is the Offer's.
-func (g *giver) Give() ([]byte, int, error) {
-	answer := make(chan node.Handed, 1)
-	g.n.ExportState(func(h node.Handed) { answer <- h })
-	var h node.Handed
+// State is the Offer's.
+func (g *predecessor) State() ([]byte, int, error) {
+	answer := make(chan node.HotRestartState, 1)
+	g.n.ExportState(func(h node.HotRestartState) { answer <- h })
+	var h node.HotRestartState
 	select {
 	case h = <-answer:
-	case <-time.After(hotrestart.Within):
+	case <-time.After(hotrestart.Timeout):
 		return nil, -1, errors.New("the node did not answer in time")
 	}
-	body, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(handed{h, g.calls.Seen()})
+	body, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(handed{h, g.calls.SeenTokens()})
 	fd := -1
 	if err == nil {
 		fd, err = syscall.Dup(g.gate.Fd())
@@ -115,22 +115,22 @@
 		return nil, -1, err
 	}
 	g.with.add(1)
-	g.log.Info("handed over", "rev", h.List.Rev, "backends", len(h.List.Targets), "open", len(h.IDs), "bytes", len(body))
+	g.log.Info("handed over", "rev", h.EndpointList.Rev, "backends", len(h.EndpointList.Targets), "open", len(h.RequestIDs), "bytes", len(body))
 	return body, fd, nil
 }
 
-// Serving is the Offer's: what comes now finds the newer process, as this one leaves.
-func (g *giver) Serving() {
+// SuccessorServing is the Offer's: what comes now finds the newer process, as this one leaves.
+func (g *predecessor) SuccessorServing() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.next = true
 	if g.stopping {
-		g.gate.Shut()
+		g.gate.StopAccepting()
 	}
 }
 
-// Gone is the Offer's.
-func (g *giver) Gone() {
+// SuccessorExited is the Offer's.
+func (g *predecessor) SuccessorExited() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stopping && g.next {
@@ -142,12 +142,12 @@
 }
 
 // stop tells that this process leaves: it accepts no more if another does.
-func (g *giver) stop() {
+func (g *predecessor) stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.stopping = true
 	if g.next {
-		g.gate.Shut()
+		g.gate.StopAccepting()
 	}
 }
 
@@ -156,12 +156,12 @@
 	if t != nil {
 		return t.ln, nil
 	}
-	return node.Listen(c.Listen, c.Operator != "")
+	return node.Listen(c.Listen, c.Admin != "")
 }
 
 // offerPath is where processes of this node meet, or nothing: only those that an operator can call are upgraded.
 func offerPath(c *Config, log *slog.Logger) string {
-	if c.Operator == "" {
+	if c.Admin == "" {
 		return ""
 	}
 	path, err := hotrestart.Path(os.Getenv("TMPDIR"), c.Name, c.Listen)
@@ -172,7 +172,7 @@
 }
 
 // offer has this process hand its place over when a newer one asks.
-func offer(path string, g *giver, log *slog.Logger) func() {
+func offer(path string, g *predecessor, log *slog.Logger) func() {
 	if path == "" {
 		return func() {}
 	}
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -34,10 +34,10 @@
 type listener interface {
 	// UpdateEndpointsAsOf is an answer that held at a time.
 	UpdateEndpointsAsOf(l protocol.List, asOf time.Time)
-	// MembersFailed is a call that has failed. Nothing newer could be had as of a time.
-	MembersFailed(err error, how balancer.ListKind, asOf time.Time)
-	// Moved tells that what was heard before counts for so long at most.
-	Moved(within time.Duration)
+	// DiscoveryCallFailed is a call that has failed. Nothing newer could be had as of a time.
+	DiscoveryCallFailed(err error, how balancer.ListKind, asOf time.Time)
+	// DiscoveryAddressChanged tells that what was heard before counts for so long at most.
+	DiscoveryAddressChanged(within time.Duration)
 }
 
 // movedWithin is for how long after a move of discovery what was heard before still counts (protocol, new configurations).
@@ -136,16 +136,16 @@
 	}
 }
 
-// Move turns to discovery at another address. A call at hand is given up, and a watch goes on there at once, also
+// SetAddress turns to discovery at another address. A call at hand is given up, and a watch goes on there at once, also
 // one that has failed: the module would ask again only after its pause, which grows with each failure.
-func (w *watch) Move(addr string) {
+func (w *watch) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if addr == w.addr {
 		return
 	}
 	w.addr, w.whole = addr, true
-	w.to.Moved(movedWithin)
+	w.to.DiscoveryAddressChanged(movedWithin)
 	close(w.moved)
 	w.moved = make(chan struct{})
 	if w.wanted {
@@ -297,7 +297,7 @@
 		if errors.Is(err, errSilent) {
 			asOf = began
 		}
-		w.to.MembersFailed(err, how(err), asOf)
+		w.to.DiscoveryCallFailed(err, how(err), asOf)
 		return
 	}
 	var asOf time.Time // an answer of the address left behind says nothing of the list at the new one
--- a/internal/deadlineexec/deadlineexec.go
+++ b/internal/deadlineexec/deadlineexec.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// Term is how long before its time a command is asked to end, by SIGTERM.
-const Term = time.Second
+// TerminationNotice is how long before its time a command is asked to end, by SIGTERM.
+const TerminationNotice = time.Second
 
 // Killed is the exit status of a command that was ended.
 const Killed = 124
@@ -134,11 +134,11 @@
 			return Killed
 		}
 		wait := till - now
-		if !asked && wait <= Term {
+		if !asked && wait <= TerminationNotice {
 			asked = true
 			tell(syscall.SIGTERM)
 		} else if !asked {
-			wait -= Term
+			wait -= TerminationNotice
 		}
 		select {
 		case <-done:
@@ -154,7 +154,7 @@
 			till = max(till, t)
 		case <-gone:
 			gone = nil
-			till = min(till, now+Term)
+			till = min(till, now+TerminationNotice)
 		case <-time.After(min(wait, 50*time.Millisecond)): // clock may not be the one that timers go by
 		}
 	}
--- a/internal/deadlineexec/deadlineexec_test.go
+++ b/internal/deadlineexec/deadlineexec_test.go
@@ -55,12 +55,12 @@
 func TestTheTimeIsUp(t *testing.T) {
 	var out bytes.Buffer
 	began := clock()
-	err := start(t, Term+300*time.Millisecond, &out, "sh", "-c", "trap 'echo asked' TERM; (trap '' TERM; sleep 100) & while :; do sleep 0.05; done").Wait()
+	err := start(t, TerminationNotice+300*time.Millisecond, &out, "sh", "-c", "trap 'echo asked' TERM; (trap '' TERM; sleep 100) & while :; do sleep 0.05; done").Wait()
 	took := clock() - began
 	if !errors.Is(err, ErrKilled) || !strings.Contains(out.String(), "asked") {
 		t.Errorf("%v %q", err, out.String())
 	}
-	if took < Term+300*time.Millisecond {
+	if took < TerminationNotice+300*time.Millisecond {
 		t.Errorf("over after %v: it had longer", took)
 	}
 }
@@ -68,15 +68,15 @@
 // The end is put off, and then the parent is gone.
 func TestPutOffAndEnded(t *testing.T) {
 	var out bytes.Buffer
-	c := start(t, 2*Term, &out, "sh", "-c", "sleep 0.3; echo there; sleep 100")
+	c := start(t, 2*TerminationNotice, &out, "sh", "-c", "sleep 0.3; echo there; sleep 100")
 	c.Until(clock() + time.Hour)
 	c.Until(clock()) // never sooner
-	time.AfterFunc(2*Term+300*time.Millisecond, c.End)
+	time.AfterFunc(2*TerminationNotice+300*time.Millisecond, c.End)
 	began := clock()
 	if err := c.Wait(); !errors.Is(err, ErrKilled) || out.String() != "there\n" {
 		t.Errorf("%v %q", err, out.String())
 	}
-	if took := clock() - began; took < 2*Term+300*time.Millisecond {
+	if took := clock() - began; took < 2*TerminationNotice+300*time.Millisecond {
 		t.Errorf("over after %v: the end was put off", took)
 	}
 }
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -22,15 +22,15 @@
 // Topology is how zones lie to each other.
 type Topology struct {
 	Zones []Zone
-	Price [][]float64 // from, to; in any one unit
+	Cost  [][]float64 // from, to; in any one unit
 }
 
 // Check tells what is impossible about it.
 func (t Topology) Check() error {
-	if len(t.Price) != len(t.Zones) {
-		return fmt.Errorf("prices from %d zones, there are %d", len(t.Price), len(t.Zones))
+	if len(t.Cost) != len(t.Zones) {
+		return fmt.Errorf("prices from %d zones, there are %d", len(t.Cost), len(t.Zones))
 	}
-	for i, row := range t.Price {
+	for i, row := range t.Cost {
 		if len(row) != len(t.Zones) {
 			return fmt.Errorf("zone %s: %d prices, there are %d zones", t.Zones[i].Name, len(row), len(t.Zones))
 		}
@@ -52,22 +52,22 @@
 		}
 	}
 	for i := range t.Zones {
-		t.Price = append(t.Price, make([]float64, len(t.Zones)))
+		t.Cost = append(t.Cost, make([]float64, len(t.Zones)))
 		for j := range t.Zones {
 			switch {
 			case i == j:
 			case t.Zones[i].Region == t.Zones[j].Region:
-				t.Price[i][j] = 1
+				t.Cost[i][j] = 1
 			default:
-				t.Price[i][j] = 5
+				t.Cost[i][j] = 5
 			}
 		}
 	}
 	return t
 }
 
-// Sums are what is known of the fleet at a time. Work is core-seconds per second.
-type Sums struct {
+// Totals are what is known of the fleet at a time. Work is core-seconds per second.
+type Totals struct {
 	Capacity []float64   // by zone: what its boxes can do now, warm as they are
 	Demand   [][]float64 // by zone where it enters and class
 	Noise    float64     // by which share demand varies with nothing going on
@@ -75,21 +75,21 @@
 
 // Rules are how careful a Planner is.
 type Rules struct {
-	Headroom float64       // share of what a zone can do that nothing from elsewhere is planned into
-	Rate     float64       // share of what a zone can do by which what is planned for it may grow in a second
-	Band     float64       // how many times the noise a row must be off before it is changed
-	Valid    time.Duration // of a plan, without a newer one
-	Fade     time.Duration // over which it then loses its say
+	Headroom      float64       // share of what a zone can do that nothing from elsewhere is planned into
+	MaxGrowthRate float64       // share of what a zone can do by which what is planned for it may grow in a second
+	NoiseBand     float64       // how many times the noise a row must be off before it is changed
+	ValidFor      time.Duration // of a plan, without a newer one
+	FadeOver      time.Duration // over which it then loses its say
 }
 
-// Usual are the rules where nothing else is said. A tenth for what a zone does not know yet, and the noise of its load; a quarter a
+// DefaultRules are the rules where nothing else is said. A tenth for what a zone does not know yet, and the noise of its load; a quarter a
 // second, so that a zone that takes up half of another has 2 s to show that it can.
-var Usual = Rules{Headroom: 0.1, Rate: 0.25, Band: 2, Valid: 3 * time.Second, Fade: 10 * time.Second}
+var DefaultRules = Rules{Headroom: 0.1, MaxGrowthRate: 0.25, NoiseBand: 2, ValidFor: 3 * time.Second, FadeOver: 10 * time.Second}
 
 // Row is where requests of one class that enter at one zone go.
 type Row struct {
 	Shares []float64 `json:"shares"` // by zone; together 1
-	Why    string    `json:"why"`
+	Reason string    `json:"why"`
 }
 
 // Plan is for a whole fleet.
@@ -99,8 +99,8 @@
 	Rows     [][]Row       `json:"rows"` // by zone where requests enter, and class
 }
 
-// Size is how many bytes the JSON of a plan may have at most: numbers of 24 digits, and reasons of 200 bytes.
-func Size(zones, classes int) int { return 100 + zones*classes*(zones*25+230) }
+// PlanSize is how many bytes the JSON of a plan may have at most: numbers of 24 digits, and reasons of 200 bytes.
+func PlanSize(zones, classes int) int { return 100 + zones*classes*(zones*25+230) }
 
 // Newer tells whether p is to be taken in the place of another.
 func (p *Plan) Newer(than *Plan) bool {
@@ -148,8 +148,8 @@
 
 var errSums = errors.New("sums that make no sense")
 
-// ErrNobody is that of sums in which nobody can do anything: whoever plans by them has heard of nobody, and what there is is better.
-var ErrNobody = errors.New("no zone is known to be able to do anything")
+// ErrNoCapacity is that of sums in which nobody can do anything: whoever plans by them has heard of nobody, and what there is is better.
+var ErrNoCapacity = errors.New("no zone is known to be able to do anything")
 
 // NewPlanner returns one that has made no plan yet; worth is by class, for a core-second.
 func NewPlanner(top Topology, worth []float64, rules Rules) (*Planner, error) {
@@ -176,7 +176,7 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(abroad(a), abroad(b)), cmp.Compare(top.Price[a[0]][a[1]], top.Price[b[0]][b[1]]))
+		return cmp.Or(cmp.Compare(abroad(a), abroad(b)), cmp.Compare(top.Cost[a[0]][a[1]], top.Cost[b[0]][b[1]]))
 	}
 	slices.SortStableFunc(pairs, far)
 	for i, pair := range pairs {
@@ -206,11 +206,11 @@
 }
 
 // room is what a zone can take in, less headroom.
-func (p *Planner) room(s Sums, z int) float64 { return s.Capacity[z] * (1 - p.rules.Headroom) }
+func (p *Planner) room(s Totals, z int) float64 { return s.Capacity[z] * (1 - p.rules.Headroom) }
 
 // target is where what fits would go, were there no plan yet, and what fits nowhere. What all zones together have room for goes to the classes of
 // the most worth; of the first that does not fit whole, home keeps what it has room for.
-func (p *Planner) target(s Sums) (f flows, stays [][]float64) {
+func (p *Planner) target(s Totals) (f flows, stays [][]float64) {
 	f, stays = p.flows(), make([][]float64, len(p.top.Zones))
 	free, left := make([]float64, len(p.top.Zones)), 0.0
 	for z := range free {
@@ -234,7 +234,7 @@
 }
 
 // Target is where what fits would go, by zone where it enters, class and zone where it goes, had it all the time, and what fits nowhere.
-func (p *Planner) Target(s Sums) (to [][][]float64, stays [][]float64) { return p.target(s) }
+func (p *Planner) Target(s Totals) (to [][][]float64, stays [][]float64) { return p.target(s) }
 
 // place puts classes at home, the first of them first, and what is left of all of them over one ring of edges after the other.
 func (p *Planner) place(classes []int, f flows, rest [][]float64, free []float64) {
@@ -280,12 +280,12 @@
 }
 
 // Step makes the next plan. The first is the target itself: there is nothing to go on from.
-func (p *Planner) Step(now time.Duration, token fencing.Token, s Sums) (*Plan, error) {
+func (p *Planner) Step(now time.Duration, token fencing.Token, s Totals) (*Plan, error) {
 	if err := p.check(s); err != nil {
 		return nil, err
 	}
 	if !slices.ContainsFunc(s.Capacity, func(x float64) bool { return x > 0 }) {
-		return nil, ErrNobody
+		return nil, ErrNoCapacity
 	}
 	fits, stays := p.target(s)
 	want := p.flows()
@@ -314,7 +314,7 @@
 	return next, nil
 }
 
-func (p *Planner) check(s Sums) error {
+func (p *Planner) check(s Totals) error {
 	if len(s.Capacity) != len(p.top.Zones) || len(s.Demand) != len(p.top.Zones) || !(s.Noise >= 0) {
 		return errSums
 	}
@@ -332,7 +332,7 @@
 }
 
 // toward goes from the plan before in the direction of the target, as far as the rules allow.
-func (p *Planner) toward(s Sums, fits, want flows, was *Plan, seconds float64) flows {
+func (p *Planner) toward(s Totals, fits, want flows, was *Plan, seconds float64) flows {
 	got := p.flows()
 	for z := range got {
 		for c, d := range s.Demand[z] {
@@ -342,7 +342,7 @@
 				off = max(off, math.Abs(want[z][c][to]-share*d))
 			}
 			// Near enough stays; but what is to be all at home again goes there, so that a calm day ends with nothing over an edge.
-			if off <= p.rules.Band*s.Noise*d && want[z][c][z] < d-tiny {
+			if off <= p.rules.NoiseBand*s.Noise*d && want[z][c][z] < d-tiny {
 				want[z][c] = slices.Clone(got[z][c])
 			}
 		}
@@ -358,7 +358,7 @@
 	}
 	for to := range scale {
 		scale[to] = 1
-		if may := p.rules.Rate * seconds * s.Capacity[to]; grows[to] > may {
+		if may := p.rules.MaxGrowthRate * seconds * s.Capacity[to]; grows[to] > may {
 			scale[to] = may / grows[to]
 		}
 	}
@@ -387,12 +387,12 @@
 
 // conserve takes back what a zone has no room for beside what it is to serve of its own; what comes back stays at home, and may leave
 // less room there: so it goes round until nothing comes back. Work only goes home by it, so that it ends; a few rounds do.
-func (p *Planner) conserve(s Sums, fits, f flows) {
+func (p *Planner) conserve(s Totals, fits, f flows) {
 	for p.takeBack(s, fits, f) {
 	}
 }
 
-func (p *Planner) takeBack(s Sums, fits, f flows) (any bool) {
+func (p *Planner) takeBack(s Totals, fits, f flows) (any bool) {
 	for to := range f {
 		own, come := 0.0, 0.0
 		for z := range f {
@@ -421,15 +421,15 @@
 }
 
 // row words where one class of one zone goes.
-func (p *Planner) row(z int, s Sums, got, want []float64, stays float64) Row {
+func (p *Planner) row(z int, s Totals, got, want []float64, stays float64) Row {
 	total := 0.0
 	for _, x := range got {
 		total += x
 	}
-	r := Row{Shares: make([]float64, len(got)), Why: "at home: it fits"}
+	r := Row{Shares: make([]float64, len(got)), Reason: "at home: it fits"}
 	if total <= 0 {
 		r.Shares[z] = 1
-		r.Why = "at home: nothing comes"
+		r.Reason = "at home: nothing comes"
 		return r
 	}
 	away := 0.0
@@ -445,39 +445,39 @@
 	}
 	switch {
 	case s.Capacity[z] == 0:
-		r.Why = "elsewhere: nothing at home can serve"
+		r.Reason = "elsewhere: nothing at home can serve"
 	case away > 0:
-		r.Why = fmt.Sprintf("%.0f%% elsewhere: home can do %.3g of what enters", 100*away/total, s.Capacity[z])
+		r.Reason = fmt.Sprintf("%.0f%% elsewhere: home can do %.3g of what enters", 100*away/total, s.Capacity[z])
 	}
 	if stays > 1e-9 {
-		r.Why += fmt.Sprintf("; %.0f%% fits nowhere and is refused at home", 100*stays/total)
+		r.Reason += fmt.Sprintf("; %.0f%% fits nowhere and is refused at home", 100*stays/total)
 	}
 	if late > 1e-9*total {
-		r.Why += fmt.Sprintf("; %.0f%% still to move, as fast as receivers may grow", 100*late/total)
+		r.Reason += fmt.Sprintf("; %.0f%% still to move, as fast as receivers may grow", 100*late/total)
 	}
 	return r
 }
 
-// Held is a plan as a node has it.
-type Held struct {
+// CurrentPlan is a plan as a node has it.
+type CurrentPlan struct {
 	rules          Rules
 	zones, classes int
 	plan           *Plan
 	at             time.Duration
 }
 
-// NewHeld returns one without a plan.
-func NewHeld(rules Rules, zones, classes int) *Held {
-	return &Held{rules: rules, zones: zones, classes: classes}
+// NewCurrentPlan returns one without a plan.
+func NewCurrentPlan(rules Rules, zones, classes int) *CurrentPlan {
+	return &CurrentPlan{rules: rules, zones: zones, classes: classes}
 }
 
-// ErrOlder is a plan that is not newer than the one that is held.
-var ErrOlder = errors.New("not newer than the plan that is held")
+// ErrStalePlan is a plan that is not newer than the one that is held.
+var ErrStalePlan = errors.New("not newer than the plan that is held")
 
-// Take takes a plan whole, or not at all.
-func (h *Held) Take(p *Plan, now time.Duration) error {
+// Update takes a plan whole, or not at all.
+func (h *CurrentPlan) Update(p *Plan, now time.Duration) error {
 	if !p.Newer(h.plan) {
-		return ErrOlder
+		return ErrStalePlan
 	}
 	if err := p.Check(h.zones, h.classes); err != nil {
 		return err
@@ -488,12 +488,12 @@
 
 // Shares are where requests of a class that enter at a zone should go, and how much that counts: 1 while the plan is valid, then less and
 // less; 0 where there is none, and the node decides by itself.
-func (h *Held) Shares(now time.Duration, zone, class int) (shares []float64, counts float64) {
+func (h *CurrentPlan) Shares(now time.Duration, zone, class int) (shares []float64, counts float64) {
 	if h.plan == nil {
 		return nil, 0
 	}
-	old := now - h.at - h.rules.Valid
-	counts = 1 - float64(max(old, 0))/float64(h.rules.Fade)
+	old := now - h.at - h.rules.ValidFor
+	counts = 1 - float64(max(old, 0))/float64(h.rules.FadeOver)
 	if counts <= 0 {
 		return nil, 0
 	}
--- a/internal/failover/plan_test.go
+++ b/internal/failover/plan_test.go
@@ -17,8 +17,8 @@
 	"tulipglade/internal/fencing"
 )
 
-func draw(t *rapid.T, zones, classes int) Sums {
-	s := Sums{Noise: rapid.Float64Range(0, 0.1).Draw(t, "noise")}
+func draw(t *rapid.T, zones, classes int) Totals {
+	s := Totals{Noise: rapid.Float64Range(0, 0.1).Draw(t, "noise")}
 	for range zones {
 		s.Capacity = append(s.Capacity, rapid.SampledFrom([]float64{0, 1, 50, 100, 100, 100}).Draw(t, "capacity"))
 		var d []float64
@@ -36,11 +36,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		top := Grid(rapid.IntRange(1, 3).Draw(t, "regions"), rapid.IntRange(1, 3).Draw(t, "zones"))
 		n, worth := len(top.Zones), []float64{3, 1}
-		p, err := NewPlanner(top, worth, Usual)
+		p, err := NewPlanner(top, worth, DefaultRules)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := NewHeld(Usual, n, len(worth))
+		h := NewCurrentPlan(DefaultRules, n, len(worth))
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
 			dt := time.Duration(rapid.IntRange(100, 2000).Draw(t, "ms")) * time.Millisecond
@@ -51,7 +51,7 @@
 			last := p.last
 			plan, err := p.Step(now, 1, s)
 			if slices.Max(s.Capacity) == 0 {
-				if !errors.Is(err, ErrNobody) || p.last != last {
+				if !errors.Is(err, ErrNoCapacity) || p.last != last {
 					t.Fatal("with nobody known:", err)
 				}
 				now -= dt // it goes on from the plan before
@@ -60,11 +60,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := h.Take(plan, now); err != nil {
+			if err := h.Update(plan, now); err != nil {
 				t.Fatal(err)
 			}
-			if raw, err := json.Marshal(plan); err != nil || len(raw) > Size(n, len(worth)) {
-				t.Fatalf("%v: a plan of %d bytes, at most %d were said", err, len(raw), Size(n, len(worth)))
+			if raw, err := json.Marshal(plan); err != nil || len(raw) > PlanSize(n, len(worth)) {
+				t.Fatalf("%v: a plan of %d bytes, at most %d were said", err, len(raw), PlanSize(n, len(worth)))
 			}
 			for to := range n {
 				own, come, grown, natural := 0.0, 0.0, 0.0, 0.0
@@ -82,7 +82,7 @@
 						}
 					}
 				}
-				if room := s.Capacity[to] * (1 - Usual.Headroom); come > max(room-own, 0)+1e-6 {
+				if room := s.Capacity[to] * (1 - DefaultRules.Headroom); come > max(room-own, 0)+1e-6 {
 					t.Fatalf("zone %d: %.3f come beside %.3f of its own, it has room for %.3f", to, come, own, room)
 				}
 				// What a zone could not take any more comes back to its own: that is no growth by choice.
@@ -92,7 +92,7 @@
 						back += d * (1 - was.Rows[to][c].Shares[to])
 					}
 				}
-				if was != nil && grown > natural+Usual.Rate*dt.Seconds()*s.Capacity[to]+back+1e-6 {
+				if was != nil && grown > natural+DefaultRules.MaxGrowthRate*dt.Seconds()*s.Capacity[to]+back+1e-6 {
 					t.Fatalf("zone %d grows from %.3f to %.3f in %v", to, natural, grown, dt)
 				}
 			}
@@ -102,10 +102,10 @@
 }
 
 // near checks that the target sends nothing over an edge while a nearer zone has room for it.
-func near(t *rapid.T, p *Planner, s Sums, f flows) {
+func near(t *rapid.T, p *Planner, s Totals, f flows) {
 	free := make([]float64, len(f))
 	for to := range f {
-		free[to] = s.Capacity[to] * (1 - Usual.Headroom)
+		free[to] = s.Capacity[to] * (1 - DefaultRules.Headroom)
 		for z := range f {
 			for c := range f[z] {
 				free[to] -= f[z][c][to]
@@ -139,14 +139,14 @@
 func TestBesideTheOptimum(t *testing.T) {
 	top, worth := Grid(3, 3), []float64{5, 3, 1}
 	n, classes := len(top.Zones), len(worth)
-	p, err := NewPlanner(top, worth, Usual)
+	p, err := NewPlanner(top, worth, DefaultRules)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := rand.New(rand.NewPCG(1, 2))
 	var more []float64
 	for range 60 { // 200 and more were played once: docs/failover-design.md
-		s := Sums{Noise: 0.02}
+		s := Totals{Noise: 0.02}
 		for range n {
 			s.Capacity = append(s.Capacity, []float64{0, 30, 100, 100, 100}[r.IntN(5)])
 			s.Demand = append(s.Demand, []float64{40 * r.Float64(), 40 * r.Float64(), 40 * r.Float64()})
@@ -161,13 +161,13 @@
 				row := z*classes + c
 				b[row] = s.Demand[z][c]
 				for to := range n {
-					cost[at(z, c, to)] = top.Price[z][to] - 1000*worth[c]
+					cost[at(z, c, to)] = top.Cost[z][to] - 1000*worth[c]
 					a.Set(row, at(z, c, to), 1)
 					a.Set(n*classes+to, at(z, c, to), 1)
 				}
 				a.Set(row, n*classes*n+row, 1)
 			}
-			b[n*classes+z] = s.Capacity[z] * (1 - Usual.Headroom)
+			b[n*classes+z] = s.Capacity[z] * (1 - DefaultRules.Headroom)
 			a.Set(n*classes+z, n*classes*n+n*classes+z, 1)
 		}
 		_, x, err := lp.Simplex(cost, a, b, 1e-9, nil)
@@ -180,8 +180,8 @@
 				ours += worth[c] * (s.Demand[z][c] - stays[z][c])
 				for to := range n {
 					best += worth[c] * x[at(z, c, to)]
-					pays += top.Price[z][to] * f[z][c][to]
-					must += top.Price[z][to] * x[at(z, c, to)]
+					pays += top.Cost[z][to] * f[z][c][to]
+					must += top.Cost[z][to] * x[at(z, c, to)]
 				}
 			}
 		}
@@ -199,8 +199,8 @@
 	}
 }
 
-func sums(n int, capacity, demand float64) Sums {
-	s := Sums{Noise: 0.02}
+func sums(n int, capacity, demand float64) Totals {
+	s := Totals{Noise: 0.02}
 	for range n {
 		s.Capacity, s.Demand = append(s.Capacity, capacity), append(s.Demand, []float64{demand / 2, demand / 2})
 	}
@@ -211,12 +211,12 @@
 // back as it warms up, and in the end nothing crosses. No zone turns more than once each way.
 func TestAZoneIsLostAndComesBack(t *testing.T) {
 	top := Grid(3, 3)
-	p, err := NewPlanner(top, []float64{3, 1}, Usual)
+	p, err := NewPlanner(top, []float64{3, 1}, DefaultRules)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Duration(0)
-	step := func(s Sums) *Plan {
+	step := func(s Totals) *Plan {
 		now += 500 * time.Millisecond
 		plan, err := p.Step(now, 1, s)
 		if err != nil {
@@ -249,7 +249,7 @@
 		}
 	}
 	if served < 0.99 {
-		t.Errorf("3 s after the loss %.2f of it are elsewhere: %s", served, p.last.Rows[0][1].Why)
+		t.Errorf("3 s after the loss %.2f of it are elsewhere: %s", served, p.last.Rows[0][1].Reason)
 	}
 	// 60 are to be moved, the region has room for 2 x 30.
 	if r, a := away(p.last, 0); r < 0.99 || a > 0.01 {
@@ -284,7 +284,7 @@
 	}
 	for z, rows := range p.last.Rows {
 		for c, r := range rows {
-			if r.Shares[z] < 1-1e-6 || !strings.HasPrefix(r.Why, "at home") {
+			if r.Shares[z] < 1-1e-6 || !strings.HasPrefix(r.Reason, "at home") {
 				t.Errorf("zone %d, class %d: %v", z, c, r)
 			}
 		}
@@ -332,12 +332,12 @@
 		}
 		return changes, jump
 	}
-	calm, step := play(Usual)
-	loose := Usual
-	loose.Band = 0
+	calm, step := play(DefaultRules)
+	loose := DefaultRules
+	loose.NoiseBand = 0
 	restless, _ := play(loose)
-	loose = Usual
-	loose.Rate = 1e9
+	loose = DefaultRules
+	loose.MaxGrowthRate = 1e9
 	_, jump := play(loose)
 	if calm*2 >= restless || step >= jump*0.9 {
 		t.Errorf("%d changes, without the band %d; %.2f at once, without the rate %.2f", calm, restless, step, jump)
@@ -349,7 +349,7 @@
 	plan := func(token, revision uint64, shares ...float64) *Plan {
 		return &Plan{Token: fencing.Token(token), Revision: revision, Rows: [][]Row{{{Shares: shares}}, {{Shares: shares}}}}
 	}
-	h := NewHeld(Usual, 2, 1)
+	h := NewCurrentPlan(DefaultRules, 2, 1)
 	if _, counts := h.Shares(0, 0, 0); counts != 0 {
 		t.Error("it counts without a plan:", counts)
 	}
@@ -360,17 +360,17 @@
 		{plan(2, 5, 0.5, 0.5), ""}, {plan(2, 5, 1, 0), "newer"}, {plan(2, 4, 1, 0), "newer"}, {plan(1, 9, 1, 0), "newer"}, {plan(2, 6, 0.5, 0.6), "shares"},
 		{plan(3, 1, math.NaN(), 1), "shares"}, {plan(3, 1, -1, 2), "shares"}, {plan(3, 1, 1), "shares"}, {&Plan{Token: 3, Revision: 1}, "zones"}, {plan(3, 1, 0, 1), ""},
 	} {
-		if err := h.Take(c.p, 0); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
+		if err := h.Update(c.p, 0); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%d: %v, want %q", i, err, c.want)
 		}
 	}
-	if !errors.Is(h.Take(plan(3, 1, 0, 1), 0), ErrOlder) {
+	if !errors.Is(h.Update(plan(3, 1, 0, 1), 0), ErrStalePlan) {
 		t.Error("the same plan twice")
 	}
 	last := 1.0
 	for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
 		_, counts := h.Shares(now, 1, 0)
-		if now <= Usual.Valid && counts != 1 || counts > last || last-counts > 0.0101 {
+		if now <= DefaultRules.ValidFor && counts != 1 || counts > last || last-counts > 0.0101 {
 			t.Fatalf("at %v it counts %.3f, before %.3f", now, counts, last)
 		}
 		last = counts
@@ -381,11 +381,11 @@
 }
 
 func BenchmarkStep(b *testing.B) {
-	p, err := NewPlanner(Grid(3, 3), []float64{3, 2, 1}, Usual)
+	p, err := NewPlanner(Grid(3, 3), []float64{3, 2, 1}, DefaultRules)
 	if err != nil {
 		b.Fatal(err)
 	}
-	s := Sums{Noise: 0.02}
+	s := Totals{Noise: 0.02}
 	for z := range 9 {
 		s.Capacity, s.Demand = append(s.Capacity, 3000*float64(1+z%3)), append(s.Demand, []float64{1000, 1500, 2000})
 	}
@@ -399,12 +399,12 @@
 
 // A zone of the region comes before one abroad, whatever the prices say.
 func TestTheRegionComesFirst(t *testing.T) {
-	top := Topology{Zones: []Zone{{"a", "x"}, {"b", "x"}, {"c", "y"}}, Price: [][]float64{{0, 9, 1}, {9, 0, 1}, {1, 1, 0}}}
-	p, err := NewPlanner(top, []float64{1}, Usual)
+	top := Topology{Zones: []Zone{{"a", "x"}, {"b", "x"}, {"c", "y"}}, Cost: [][]float64{{0, 9, 1}, {9, 0, 1}, {1, 1, 0}}}
+	p, err := NewPlanner(top, []float64{1}, DefaultRules)
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan, err := p.Step(0, 1, Sums{Capacity: []float64{0, 100, 100}, Demand: [][]float64{{50}, {0}, {0}}})
+	plan, err := p.Step(0, 1, Totals{Capacity: []float64{0, 100, 100}, Demand: [][]float64{{50}, {0}, {0}}})
 	if err != nil || plan.Rows[0][0].Shares[1] != 1 {
 		t.Error(plan, err)
 	}
--- a/internal/failover/sums.go
+++ b/internal/failover/sums.go
@@ -8,18 +8,18 @@
 
 // Digest is what one node tells of itself, again and again.
 type Digest struct {
-	Node   string    `json:"node"`
-	Life   uint64    `json:"life"` // larger for a process that was started later
-	Seq    uint64    `json:"seq"`
-	Zone   int       `json:"zone"`   // where its requests enter
-	Demand []float64 `json:"demand"` // by class: core-seconds per second of what came in
-	Can    []float64 `json:"can"`    // by zone: core-seconds per second that its boxes can do, as this node has learned; below 0: it does not know
+	Node        string    `json:"node"`
+	Incarnation uint64    `json:"life"` // larger for a process that was started later
+	Sequence    uint64    `json:"seq"`
+	Zone        int       `json:"zone"`   // where its requests enter
+	Demand      []float64 `json:"demand"` // by class: core-seconds per second of what came in
+	Capacity    []float64 `json:"can"`    // by zone: core-seconds per second that its boxes can do, as this node has learned; below 0: it does not know
 }
 
 // Bounds of what a Collector keeps and believes.
 const (
-	// NodesMost is how many nodes a Collector keeps.
-	NodesMost = 4096
+	// MaxNodes is how many nodes a Collector keeps.
+	MaxNodes = 4096
 	// timesMost is how many times the median node of its zone a node counts for at most. A front that is uneven gives one node twice the
 	// mean; what is beyond that is more likely wrong than true, and is felt at that node only.
 	timesMost = 4
@@ -46,31 +46,31 @@
 	return &Collector{zones: zones, classes: classes, nodes: map[string]heard{}, mean: make([]float64, zones), vary: make([]float64, zones)}
 }
 
-// Take takes in a digest. One that makes no sense, or is not newer than what that node has told, changes nothing.
-func (c *Collector) Take(d Digest, now time.Duration) bool {
+// Add takes in a digest. One that makes no sense, or is not newer than what that node has told, changes nothing.
+func (c *Collector) Add(d Digest, now time.Duration) bool {
 	sane := func(list []float64, n int) bool {
 		return len(list) == n && !slices.ContainsFunc(list, func(x float64) bool { return math.IsNaN(x) || math.IsInf(x, 0) })
 	}
 	was, known := c.nodes[d.Node]
 	switch {
-	case d.Node == "" || d.Zone < 0 || d.Zone >= c.zones || !sane(d.Demand, c.classes) || !sane(d.Can, c.zones):
+	case d.Node == "" || d.Zone < 0 || d.Zone >= c.zones || !sane(d.Demand, c.classes) || !sane(d.Capacity, c.zones):
 		return false
 	case slices.ContainsFunc(d.Demand, func(x float64) bool { return x < 0 }):
 		return false
-	case known && (d.Life < was.Life || d.Life == was.Life && d.Seq <= was.Seq):
+	case known && (d.Incarnation < was.Incarnation || d.Incarnation == was.Incarnation && d.Sequence <= was.Sequence):
 		return false
-	case !known && len(c.nodes) >= NodesMost:
+	case !known && len(c.nodes) >= MaxNodes:
 		return false
 	}
-	d.Demand, d.Can = slices.Clone(d.Demand), slices.Clone(d.Can)
+	d.Demand, d.Capacity = slices.Clone(d.Demand), slices.Clone(d.Capacity)
 	c.nodes[d.Node] = heard{d, now}
 	return true
 }
 
-// Sums are what all nodes together have told of late. A zone that no node can see can do nothing, as far as is known: so nothing is planned
+// Totals are what all nodes together have told of late. A zone that no node can see can do nothing, as far as is known: so nothing is planned
 // into it.
-func (c *Collector) Sums(now time.Duration) Sums {
-	s := Sums{Capacity: make([]float64, c.zones), Demand: make([][]float64, c.zones)}
+func (c *Collector) Totals(now time.Duration) Totals {
+	s := Totals{Capacity: make([]float64, c.zones), Demand: make([][]float64, c.zones)}
 	for name, n := range c.nodes {
 		if now-n.at > stale {
 			delete(c.nodes, name)
@@ -79,8 +79,8 @@
 	for z := range c.zones {
 		var can []float64
 		for _, n := range c.nodes {
-			if n.Can[z] >= 0 {
-				can = append(can, n.Can[z])
+			if n.Capacity[z] >= 0 {
+				can = append(can, n.Capacity[z])
 			}
 		}
 		s.Capacity[z] = median(can)
@@ -107,7 +107,7 @@
 }
 
 // noise is how much demand varies, the middle one of all zones: an event at one of them is none.
-func (c *Collector) noise(s Sums) float64 {
+func (c *Collector) noise(s Totals) float64 {
 	var all []float64
 	for z, demand := range s.Demand {
 		d := 0.0
--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -8,36 +8,36 @@
 
 // Grant is a seat of a lease that somebody holds.
 type Grant struct {
-	Name  string `json:"name"`
-	Seat  int    `json:"seat"` // from 0; each has a fence of its own
-	Who   string `json:"who,omitempty"`
-	Ask   uint64 `json:"ask,omitempty"` // the asker's own number of the request that it answers
-	Token Token  `json:"token"`
-	Till  uint64 `json:"till,omitempty"` // the tick at which it ends
+	Name      string `json:"name"`
+	Slot      int    `json:"seat"` // from 0; each has a fence of its own
+	Holder    string `json:"who,omitempty"`
+	RequestID uint64 `json:"ask,omitempty"` // the asker's own number of the request that it answers
+	Token     Token  `json:"token"`
+	ExpiresAt uint64 `json:"till,omitempty"` // the tick at which it ends
 }
 
 // Why an act is refused where it lands.
 var (
-	ErrOld  = errors.New("the token is older than one that was seen")
-	ErrBusy = errors.New("an act of an older token is not over")
+	ErrStaleToken = errors.New("the token is older than one that was seen")
+	ErrBusy       = errors.New("an act of an older token is not over")
 )
 
 // fencesMost bounds the seats that a Fence knows by themselves.
 const fencesMost = 1024
 
-// Seen is the newest token of each seat that is known, for whoever takes this one's place.
-func (f *Fence) Seen() []Grant {
+// SeenTokens is the newest token of each seat that is known, for whoever takes this one's place.
+func (f *Fence) SeenTokens() []Grant {
 	var all []Grant
 	for k, s := range f.seats {
-		all = append(all, Grant{Name: k.name, Seat: k.seat, Token: s.newest})
+		all = append(all, Grant{Name: k.name, Slot: k.seat, Token: s.newest})
 	}
 	return all
 }
 
-// Know takes in what another one has Seen.
-func (f *Fence) Know(seen []Grant) {
+// RestoreTokens takes in what another one has Seen.
+func (f *Fence) RestoreTokens(seen []Grant) {
 	for _, g := range seen {
-		k := seat{g.Name, g.Seat}
+		k := seat{g.Name, g.Slot}
 		if f.seats[k] == nil {
 			f.makeRoom()
 			f.seats[k] = &fenced{}
@@ -61,23 +61,23 @@
 // before the earlier one's act is over. It is as lasting as whoever keeps it: one that starts anew knows nothing, unless it is
 // given a floor.
 type Fence struct {
-	Floor Token // below this nothing is taken, of whatever seat
-	seats map[seat]*fenced
+	MinToken Token // below this nothing is taken, of whatever seat
+	seats    map[seat]*fenced
 }
 
 // Begin asks for an act under a grant. Each that was let in must End.
 func (f *Fence) Begin(g Grant) error {
-	k := seat{g.Name, g.Seat}
+	k := seat{g.Name, g.Slot}
 	s := f.seats[k]
 	switch {
-	case s == nil && g.Token < f.Floor:
-		return ErrOld
+	case s == nil && g.Token < f.MinToken:
+		return ErrStaleToken
 	case s == nil:
 		f.makeRoom()
 		s = &fenced{}
 		f.seats[k] = s
 	case g.Token < s.newest:
-		return ErrOld
+		return ErrStaleToken
 	}
 	s.newest = g.Token // also where it has to wait: from here on the earlier holder begins nothing more
 	if s.acts > 0 && s.running != g.Token {
@@ -89,7 +89,7 @@
 
 // End is the end of an act that Begin let in.
 func (f *Fence) End(g Grant) {
-	if s := f.seats[seat{g.Name, g.Seat}]; s != nil && s.running == g.Token && s.acts > 0 {
+	if s := f.seats[seat{g.Name, g.Slot}]; s != nil && s.running == g.Token && s.acts > 0 {
 		s.acts--
 	}
 }
@@ -111,7 +111,7 @@
 		}
 	}
 	if least > 0 {
-		f.Floor = max(f.Floor, least)
+		f.MinToken = max(f.MinToken, least)
 		delete(f.seats, oldest)
 	}
 }
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -32,8 +32,8 @@
 	maxPath  = 100 // the system takes 107
 )
 
-// Within bounds what the newer process waits for in all.
-const Within = 500 * time.Millisecond
+// Timeout bounds what the newer process waits for in all.
+const Timeout = 500 * time.Millisecond
 
 // Path is where a node offers itself, by its name and address: other nodes may share the folder.
 func Path(dir, name, listen string) (string, error) {
@@ -47,21 +47,21 @@
 	return p, nil
 }
 
-// Giver is the older process. Its methods are called from goroutines of an Offer's.
-type Giver interface {
-	// Give returns what is handed over, and a descriptor of the listening socket, which the Offer closes. It is a bare one:
+// Predecessor is the older process. Its methods are called from goroutines of an Offer's.
+type Predecessor interface {
+	// State returns what is handed over, and a descriptor of the listening socket, which the Offer closes. It is a bare one:
 	// os.File's Fd sets a socket to blocking, for all processes that have it. From here on two processes share what one had.
-	Give() (body []byte, listener int, err error)
-	// Serving tells that the newer process accepts connections.
-	Serving()
-	// Gone tells that the newer process has ended, or has never come to serve.
-	Gone()
+	State() (body []byte, listener int, err error)
+	// SuccessorServing tells that the newer process accepts connections.
+	SuccessorServing()
+	// SuccessorExited tells that the newer process has ended, or has never come to serve.
+	SuccessorExited()
 }
 
 // Offer waits for a newer process until it is closed.
 type Offer struct {
 	ln   *net.UnixListener
-	to   Giver
+	to   Predecessor
 	wait sync.WaitGroup
 
 	mu     sync.Mutex
@@ -70,7 +70,7 @@
 }
 
 // NewOffer begins to wait at path. A file that an earlier process has left there goes.
-func NewOffer(path string, to Giver) (*Offer, error) {
+func NewOffer(path string, to Predecessor) (*Offer, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
@@ -121,16 +121,16 @@
 	if closed {
 		return
 	}
-	_ = conn.SetDeadline(time.Now().Add(Within))
+	_ = conn.SetDeadline(time.Now().Add(Timeout))
 	hello := make([]byte, len(greeting))
 	if _, err := io.ReadFull(conn, hello); err != nil || string(hello) != greeting {
 		return
 	}
-	body, listener, err := o.to.Give()
+	body, listener, err := o.to.State()
 	if err != nil {
 		return
 	}
-	defer o.to.Gone()
+	defer o.to.SuccessorExited()
 	head := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32([]byte(magic), uint32(len(body))), xxhash.Sum64(body))
 	_, _, err = conn.WriteMsgUnix(head, unix.UnixRights(listener), nil)
 	_ = unix.Close(listener)
@@ -147,22 +147,22 @@
 			return
 		}
 		if word[0] == serving {
-			o.to.Serving()
+			o.to.SuccessorServing()
 		}
 	}
 }
 
-// Taken is what the newer process has been handed.
-type Taken struct {
+// Handoff is what the newer process has been handed.
+type Handoff struct {
 	Body     []byte
 	Listener int // a descriptor
 	conn     *net.UnixConn
 }
 
-// Take asks the process that offers itself at path. It returns within Within.
-func Take(path string) (*Taken, error) { return take(path, Within) }
+// Receive asks the process that offers itself at path. It returns within Within.
+func Receive(path string) (*Handoff, error) { return take(path, Timeout) }
 
-func take(path string, within time.Duration) (t *Taken, err error) {
+func take(path string, within time.Duration) (t *Handoff, err error) {
 	end := time.Now().Add(within)
 	raw, err := net.DialTimeout("unix", path, within)
 	if err != nil {
@@ -205,7 +205,7 @@
 		return nil, errors.New("damaged on its way")
 	}
 	_ = conn.SetDeadline(time.Time{})
-	return &Taken{Body: body, Listener: listener, conn: conn}, nil
+	return &Handoff{Body: body, Listener: listener, conn: conn}, nil
 }
 
 func descriptor(oob []byte) (int, error) {
@@ -222,8 +222,8 @@
 	return -1, errors.New("no descriptor came")
 }
 
-// Serve tells the older process that this one accepts connections, and calls gone when that has ended.
-func (t *Taken) Serve(gone func()) {
+// ReportServing tells the older process that this one accepts connections, and calls gone when that has ended.
+func (t *Handoff) ReportServing(gone func()) {
 	_, _ = t.conn.Write([]byte{serving})
 	go func() {
 		_, _ = io.Copy(io.Discard, t.conn)
@@ -233,4 +233,4 @@
 }
 
 // Close ends the connection to the older process.
-func (t *Taken) Close() error { return t.conn.Close() }
+func (t *Handoff) Close() error { return t.conn.Close() }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -24,7 +24,7 @@
 	serving, gone chan struct{}
 }
 
-func (o *older) Give() ([]byte, int, error) {
+func (o *older) State() ([]byte, int, error) {
 	if o.err != nil {
 		return nil, -1, o.err
 	}
@@ -43,8 +43,8 @@
 	})
 	return is
 }
-func (o *older) Serving() { o.serving <- struct{}{} }
-func (o *older) Gone()    { o.gone <- struct{}{} }
+func (o *older) SuccessorServing() { o.serving <- struct{}{} }
+func (o *older) SuccessorExited()  { o.gone <- struct{}{} }
 
 func newOlder(t *testing.T) *older {
 	t.Helper()
@@ -90,7 +90,7 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	got, err := Take(at)
+	got, err := Receive(at)
 	if err != nil || !bytes.Equal(got.Body, first.body) {
 		t.Fatal(err, len(got.Body))
 	}
@@ -104,7 +104,7 @@
 	}
 	_ = file.Close()
 	gone := make(chan struct{}, 1)
-	got.Serve(func() { gone <- struct{}{} })
+	got.ReportServing(func() { gone <- struct{}{} })
 	wait(t, first.serving, "the older hears that the newer serves")
 	second := newOlder(t)
 	o2, err := NewOffer(at, second)
@@ -123,7 +123,7 @@
 	}
 	_ = conn.Close()
 	_ = ln.Close()
-	third, err := Take(at)
+	third, err := Receive(at)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,7 +184,7 @@
 		tries++
 		p := filepath.Join(dir, strconv.Itoa(tries)) // the one before is removed as its listener closes
 		relay(t, at, p, most, change)
-		if got, err := Take(p); err == nil {
+		if got, err := Receive(p); err == nil {
 			t.Errorf("%s: taken, %q", name, got.Body)
 		}
 		wait(t, o.gone, "the older hears that it came to nothing")
@@ -203,11 +203,11 @@
 	if _, err := take(p, 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a process that says nothing: %v", err)
 	}
-	if _, err := Take(filepath.Join(dir, "nobody.sock")); err == nil {
+	if _, err := Receive(filepath.Join(dir, "nobody.sock")); err == nil {
 		t.Error("nobody there: taken")
 	}
 	o.err = errors.New("no")
-	if _, err := Take(at); err == nil {
+	if _, err := Receive(at); err == nil {
 		t.Error("nothing given: taken")
 	}
 	if _, err := Path("", "n", "l"); err == nil {
--- a/internal/lease/guard.go
+++ b/internal/lease/guard.go
@@ -8,9 +8,9 @@
 	Drift    float64       // by which share a clock may be fast or slow; below 1
 }
 
-// Sure is how long, by the holder's own clock, a grant of so many ticks lasts at least. The first tick may follow the grant at
+// GuaranteedDuration is how long, by the holder's own clock, a grant of so many ticks lasts at least. The first tick may follow the grant at
 // once; the leader's clock may be fast, so that intervals are short, and the holder's slow.
-func (t Terms) Sure(ticks uint64) time.Duration {
+func (t Terms) GuaranteedDuration(ticks uint64) time.Duration {
 	if ticks == 0 {
 		return 0
 	}
@@ -31,7 +31,7 @@
 // Granted takes in the answer to a request, acquisition or renewal, of so many ticks that was sent at that time: before it went out,
 // not when the answer came. An answer that is late or comes again changes nothing for the worse.
 func (g *Guard) Granted(grant Grant, ticks uint64, asked time.Duration) {
-	till := asked + g.Terms.Sure(ticks)
+	till := asked + g.Terms.GuaranteedDuration(ticks)
 	switch {
 	case grant.Token <= g.past, g.held && grant.Token < g.grant.Token: // of an earlier holding
 	case g.held && grant.Token == g.grant.Token:
@@ -41,8 +41,8 @@
 	}
 }
 
-// Begin tells whether an act that takes so long at most, from now to its end where it acts, may begin, and under which grant.
-func (g *Guard) Begin(now, longest time.Duration) (Grant, bool) {
+// BeginAction tells whether an act that takes so long at most, from now to its end where it acts, may begin, and under which grant.
+func (g *Guard) BeginAction(now, longest time.Duration) (Grant, bool) {
 	end := now + time.Duration(float64(longest)*(1+g.Terms.Drift))
 	if !g.held || end > g.till {
 		return Grant{}, false
@@ -54,12 +54,12 @@
 // Grant is what is held, as far as this side knows: to be renewed, or released.
 func (g *Guard) Grant() (Grant, bool) { return g.grant, g.held }
 
-// Free tells whether all acts that were begun are surely over. Before that nothing may be released: the next holder would begin
+// Expired tells whether all acts that were begun are surely over. Before that nothing may be released: the next holder would begin
 // while an act of this one is still on its way.
-func (g *Guard) Free(now time.Duration) bool { return now >= g.busy }
+func (g *Guard) Expired(now time.Duration) bool { return now >= g.busy }
 
-// Left is for how long the lease is sure to last.
-func (g *Guard) Left(now time.Duration) time.Duration {
+// Remaining is for how long the lease is sure to last.
+func (g *Guard) Remaining(now time.Duration) time.Duration {
 	if !g.held {
 		return 0
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -24,38 +24,38 @@
 
 // The kinds of commands.
 const (
-	Tick    Kind = iota // an interval has gone by
-	Acquire             // Name, Who, Ask, Ticks: a seat, if one is free
-	Renew               // Name, Token, Ticks: it ends no sooner than so many ticks from now
-	Release             // Name, Token
-	Most                // Name, Most: how many may hold it; 1 where nothing was said
-	Note                // Name, Token, Text: what its holder leaves for the next one, such as how far it got; empty: nothing
+	Tick          Kind = iota // an interval has gone by
+	Acquire                   // Name, Who, Ask, Ticks: a seat, if one is free
+	Renew                     // Name, Token, Ticks: it ends no sooner than so many ticks from now
+	Release                   // Name, Token
+	SetMaxHolders             // Name, Most: how many may hold it; 1 where nothing was said
+	SetNote                   // Name, Token, Text: what its holder leaves for the next one, such as how far it got; empty: nothing
 )
 
 // Command is what a group agrees to do next.
 type Command struct {
-	Kind  Kind   `json:"kind"`
-	Name  string `json:"name,omitempty"`
-	Who   string `json:"who,omitempty"`
-	Ask   uint64 `json:"ask,omitempty"`
-	Token Token  `json:"token,omitempty"`
-	Ticks uint64 `json:"ticks,omitempty"`
-	Most  int    `json:"most,omitempty"`
-	Text  string `json:"text,omitempty"`
+	Kind       Kind   `json:"kind"`
+	Name       string `json:"name,omitempty"`
+	Holder     string `json:"who,omitempty"`
+	RequestID  uint64 `json:"ask,omitempty"`
+	Token      Token  `json:"token,omitempty"`
+	Ticks      uint64 `json:"ticks,omitempty"`
+	MaxHolders int    `json:"most,omitempty"`
+	Text       string `json:"text,omitempty"`
 }
 
 // Why a command is refused. A refusal changes nothing.
 var (
-	ErrTaken   = errors.New("all seats are held")
-	ErrNotHeld = errors.New("no such grant: it has ended, or never was")
-	ErrFewer   = errors.New("fewer may hold it now: this seat is not renewed")
-	ErrBad     = errors.New("a command that makes no sense")
-	ErrFull    = errors.New("too many leases")
+	ErrNoFreeSlot = errors.New("all seats are held")
+	ErrNotGranted = errors.New("no such grant: it has ended, or never was")
+	ErrFewer      = errors.New("fewer may hold it now: this seat is not renewed")
+	ErrInvalid    = errors.New("a command that makes no sense")
+	ErrFull       = errors.New("too many leases")
 )
 
-// NoteMost is how many bytes a note may have: that of a rolling change names up to 1,024 nodes, each by up to nameMost
+// MaxNoteBytes is how many bytes a note may have: that of a rolling change names up to 1,024 nodes, each by up to nameMost
 // bytes. notesMost of them make 20 MB, and more where a snapshot has to quote what is in them.
-const NoteMost = 160 << 10
+const MaxNoteBytes = 160 << 10
 
 // Bounds of what a State holds.
 const (
@@ -68,9 +68,9 @@
 
 // lease is one name.
 type lease struct {
-	Most int     `json:"most"`
-	Held []Grant `json:"held"` // by seat
-	Note string  `json:"note,omitempty"`
+	MaxHolders int     `json:"most"`
+	Grants     []Grant `json:"held"` // by seat
+	Note       string  `json:"note,omitempty"`
 }
 
 // State is what a group agrees on. The same commands in the same order give the same State and the same answers.
@@ -88,70 +88,70 @@
 	if c.Kind == Tick {
 		s.tick++
 		for name, l := range s.leases {
-			l.Held = slices.DeleteFunc(l.Held, func(g Grant) bool { return g.Till <= s.tick })
+			l.Grants = slices.DeleteFunc(l.Grants, func(g Grant) bool { return g.ExpiresAt <= s.tick })
 			s.tidy(name)
 		}
 		return Grant{}, nil
 	}
-	if c.Name == "" || len(c.Name) > nameMost || len(c.Who) > nameMost || c.Ticks > ticksMost || len(c.Text) > NoteMost {
-		return Grant{}, ErrBad
+	if c.Name == "" || len(c.Name) > nameMost || len(c.Holder) > nameMost || c.Ticks > ticksMost || len(c.Text) > MaxNoteBytes {
+		return Grant{}, ErrInvalid
 	}
 	l := s.leases[c.Name]
 	if l == nil {
-		if l = (&lease{Most: 1}); len(s.leases) >= leasesMost && (c.Kind == Acquire || c.Kind == Most) {
+		if l = (&lease{MaxHolders: 1}); len(s.leases) >= leasesMost && (c.Kind == Acquire || c.Kind == SetMaxHolders) {
 			return Grant{}, ErrFull
 		}
 		s.leases[c.Name] = l
 	}
 	defer s.tidy(c.Name)
-	at := slices.IndexFunc(l.Held, func(g Grant) bool {
-		return c.Kind == Acquire && g.Who == c.Who && g.Ask == c.Ask || c.Kind != Acquire && g.Token == c.Token
+	at := slices.IndexFunc(l.Grants, func(g Grant) bool {
+		return c.Kind == Acquire && g.Holder == c.Holder && g.RequestID == c.RequestID || c.Kind != Acquire && g.Token == c.Token
 	})
 	switch {
-	case c.Kind == Most:
-		if c.Most < 1 || c.Most > seatsMost {
-			return Grant{}, ErrBad
+	case c.Kind == SetMaxHolders:
+		if c.MaxHolders < 1 || c.MaxHolders > seatsMost {
+			return Grant{}, ErrInvalid
 		}
-		l.Most = c.Most
+		l.MaxHolders = c.MaxHolders
 		return Grant{}, nil
-	case c.Kind == Acquire && (c.Who == "" || c.Ticks == 0), c.Kind == Renew && c.Ticks == 0, c.Kind > Note:
-		return Grant{}, ErrBad
+	case c.Kind == Acquire && (c.Holder == "" || c.Ticks == 0), c.Kind == Renew && c.Ticks == 0, c.Kind > SetNote:
+		return Grant{}, ErrInvalid
 	case c.Kind == Acquire && at >= 0: // asked twice: it has it already, and no longer for that
-		return l.Held[at], nil
+		return l.Grants[at], nil
 	case c.Kind == Acquire:
 		return s.acquire(l, c)
 	case at < 0:
-		return Grant{}, ErrNotHeld
+		return Grant{}, ErrNotGranted
 	case c.Kind == Release:
-		g := l.Held[at]
-		l.Held = slices.Delete(l.Held, at, at+1)
+		g := l.Grants[at]
+		l.Grants = slices.Delete(l.Grants, at, at+1)
 		return g, nil
-	case c.Kind == Note && l.Note == "" && c.Text != "" && s.notes() >= notesMost:
+	case c.Kind == SetNote && l.Note == "" && c.Text != "" && s.notes() >= notesMost:
 		return Grant{}, ErrFull
-	case c.Kind == Note:
+	case c.Kind == SetNote:
 		l.Note = c.Text
-		return l.Held[at], nil
-	case l.Held[at].Seat >= l.Most:
-		return l.Held[at], ErrFewer
+		return l.Grants[at], nil
+	case l.Grants[at].Slot >= l.MaxHolders:
+		return l.Grants[at], ErrFewer
 	}
-	l.Held[at].Till = max(l.Held[at].Till, s.tick+c.Ticks)
-	return l.Held[at], nil
+	l.Grants[at].ExpiresAt = max(l.Grants[at].ExpiresAt, s.tick+c.Ticks)
+	return l.Grants[at], nil
 }
 
 func (s *State) acquire(l *lease, c Command) (Grant, error) {
 	seat := 0
-	for _, g := range l.Held { // by seat: the first gap
-		if g.Seat == seat {
+	for _, g := range l.Grants { // by seat: the first gap
+		if g.Slot == seat {
 			seat++
 		}
 	}
-	if seat >= l.Most || len(l.Held) >= l.Most {
-		return Grant{}, ErrTaken
+	if seat >= l.MaxHolders || len(l.Grants) >= l.MaxHolders {
+		return Grant{}, ErrNoFreeSlot
 	}
 	s.token++
-	g := Grant{Name: c.Name, Seat: seat, Who: c.Who, Ask: c.Ask, Token: s.token, Till: s.tick + c.Ticks}
-	l.Held = append(l.Held, g)
-	slices.SortFunc(l.Held, func(a, b Grant) int { return cmp.Compare(a.Seat, b.Seat) })
+	g := Grant{Name: c.Name, Slot: seat, Holder: c.Holder, RequestID: c.RequestID, Token: s.token, ExpiresAt: s.tick + c.Ticks}
+	l.Grants = append(l.Grants, g)
+	slices.SortFunc(l.Grants, func(a, b Grant) int { return cmp.Compare(a.Slot, b.Slot) })
 	return g, nil
 }
 
@@ -166,33 +166,33 @@
 
 // tidy forgets a name of which nothing is to be remembered.
 func (s *State) tidy(name string) {
-	if l := s.leases[name]; l != nil && len(l.Held) == 0 && l.Most == 1 && l.Note == "" {
+	if l := s.leases[name]; l != nil && len(l.Grants) == 0 && l.MaxHolders == 1 && l.Note == "" {
 		delete(s.leases, name)
 	}
 }
 
 // Lease is what is known of one.
 type Lease struct {
-	Name string  `json:"name"`
-	Most int     `json:"most"`
-	Held []Grant `json:"held"` // by seat
-	Note string  `json:"note,omitempty"`
+	Name       string  `json:"name"`
+	MaxHolders int     `json:"most"`
+	Grants     []Grant `json:"held"` // by seat
+	Note       string  `json:"note,omitempty"`
 }
 
 // All are the leases of which something is known, by name.
 func (s *State) All() []Lease {
 	all := make([]Lease, 0, len(s.leases))
 	for name, l := range s.leases {
-		all = append(all, Lease{name, l.Most, slices.Clone(l.Held), l.Note})
+		all = append(all, Lease{name, l.MaxHolders, slices.Clone(l.Grants), l.Note})
 	}
 	slices.SortFunc(all, func(a, b Lease) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
-// Held tells whether anybody holds anything: without it time need not go on.
-func (s *State) Held() bool {
+// Granted tells whether anybody holds anything: without it time need not go on.
+func (s *State) Granted() bool {
 	for _, l := range s.leases {
-		if len(l.Held) > 0 {
+		if len(l.Grants) > 0 {
 			return true
 		}
 	}
@@ -228,12 +228,12 @@
 	}
 	s := &State{in.Tick, in.Token, map[string]*lease{}}
 	for name, l := range in.Leases {
-		if l == nil || l.Most < 1 {
+		if l == nil || l.MaxHolders < 1 {
 			return nil, fmt.Errorf("snapshot of leases: %q: nothing, or no seats", name)
 		}
-		for i, g := range l.Held {
-			if g.Name != name || g.Token > in.Token || g.Till <= in.Tick || i > 0 && g.Seat <= l.Held[i-1].Seat {
-				return nil, fmt.Errorf("snapshot of leases: %q: seat %d makes no sense", name, g.Seat)
+		for i, g := range l.Grants {
+			if g.Name != name || g.Token > in.Token || g.ExpiresAt <= in.Tick || i > 0 && g.Slot <= l.Grants[i-1].Slot {
+				return nil, fmt.Errorf("snapshot of leases: %q: seat %d makes no sense", name, g.Slot)
 			}
 		}
 		s.leases[name] = l
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -17,38 +17,38 @@
 		token Token
 		till  uint64
 	}{
-		{Command{Kind: Acquire, Name: "roll", Who: "a", Ask: 1, Ticks: 3}, nil, 1, 3},
-		{Command{Kind: Acquire, Name: "roll", Who: "b", Ask: 1, Ticks: 3}, ErrTaken, 0, 0},
+		{Command{Kind: Acquire, Name: "roll", Holder: "a", RequestID: 1, Ticks: 3}, nil, 1, 3},
+		{Command{Kind: Acquire, Name: "roll", Holder: "b", RequestID: 1, Ticks: 3}, ErrNoFreeSlot, 0, 0},
 		{Command{Kind: Tick}, nil, 0, 0},
-		{Command{Kind: Acquire, Name: "roll", Who: "a", Ask: 1, Ticks: 9}, nil, 1, 3}, // asked twice: no longer for that
-		{Command{Kind: Acquire, Name: "roll", Who: "a", Ask: 2, Ticks: 3}, ErrTaken, 0, 0},
+		{Command{Kind: Acquire, Name: "roll", Holder: "a", RequestID: 1, Ticks: 9}, nil, 1, 3}, // asked twice: no longer for that
+		{Command{Kind: Acquire, Name: "roll", Holder: "a", RequestID: 2, Ticks: 3}, ErrNoFreeSlot, 0, 0},
 		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 3}, nil, 1, 4},
 		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 1}, nil, 1, 4}, // never sooner
-		{Command{Kind: Renew, Name: "other", Token: 1, Ticks: 3}, ErrNotHeld, 0, 0},
+		{Command{Kind: Renew, Name: "other", Token: 1, Ticks: 3}, ErrNotGranted, 0, 0},
 		{Command{Kind: Tick}, nil, 0, 0},
 		{Command{Kind: Tick}, nil, 0, 0},
 		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 1}, nil, 1, 4},
 		{Command{Kind: Tick}, nil, 0, 0},
-		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 3}, ErrNotHeld, 0, 0}, // it has ended
-		{Command{Kind: Acquire, Name: "roll", Who: "b", Ask: 1, Ticks: 3}, nil, 2, 7},
-		{Command{Kind: Release, Name: "roll", Token: 1}, ErrNotHeld, 0, 0}, // late, and not its own any more
+		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 3}, ErrNotGranted, 0, 0}, // it has ended
+		{Command{Kind: Acquire, Name: "roll", Holder: "b", RequestID: 1, Ticks: 3}, nil, 2, 7},
+		{Command{Kind: Release, Name: "roll", Token: 1}, ErrNotGranted, 0, 0}, // late, and not its own any more
 		{Command{Kind: Release, Name: "roll", Token: 2}, nil, 2, 7},
-		{Command{Kind: Most, Name: "roll", Most: 2}, nil, 0, 0},
-		{Command{Kind: Acquire, Name: "roll", Who: "a", Ask: 3, Ticks: 9}, nil, 3, 13},
-		{Command{Kind: Acquire, Name: "roll", Who: "b", Ask: 2, Ticks: 9}, nil, 4, 13},
-		{Command{Kind: Most, Name: "roll", Most: 1}, nil, 0, 0}, // while two hold
+		{Command{Kind: SetMaxHolders, Name: "roll", MaxHolders: 2}, nil, 0, 0},
+		{Command{Kind: Acquire, Name: "roll", Holder: "a", RequestID: 3, Ticks: 9}, nil, 3, 13},
+		{Command{Kind: Acquire, Name: "roll", Holder: "b", RequestID: 2, Ticks: 9}, nil, 4, 13},
+		{Command{Kind: SetMaxHolders, Name: "roll", MaxHolders: 1}, nil, 0, 0}, // while two hold
 		{Command{Kind: Renew, Name: "roll", Token: 3, Ticks: 10}, nil, 3, 14},
 		{Command{Kind: Renew, Name: "roll", Token: 4, Ticks: 10}, ErrFewer, 4, 13},
 		{Command{Kind: Release, Name: "roll", Token: 3}, nil, 3, 14},
-		{Command{Kind: Acquire, Name: "roll", Who: "c", Ask: 1, Ticks: 3}, ErrTaken, 0, 0}, // the other seat is still held
-		{Command{Kind: Acquire, Name: "", Who: "c", Ask: 1, Ticks: 3}, ErrBad, 0, 0},
-		{Command{Kind: Acquire, Name: "x", Who: "c", Ask: 1}, ErrBad, 0, 0},
-		{Command{Kind: Acquire, Name: "x", Who: "c", Ask: 1, Ticks: ticksMost + 1}, ErrBad, 0, 0},
-		{Command{Kind: Most, Name: "x"}, ErrBad, 0, 0},
-		{Command{Kind: 9, Name: "x"}, ErrBad, 0, 0},
+		{Command{Kind: Acquire, Name: "roll", Holder: "c", RequestID: 1, Ticks: 3}, ErrNoFreeSlot, 0, 0}, // the other seat is still held
+		{Command{Kind: Acquire, Name: "", Holder: "c", RequestID: 1, Ticks: 3}, ErrInvalid, 0, 0},
+		{Command{Kind: Acquire, Name: "x", Holder: "c", RequestID: 1}, ErrInvalid, 0, 0},
+		{Command{Kind: Acquire, Name: "x", Holder: "c", RequestID: 1, Ticks: ticksMost + 1}, ErrInvalid, 0, 0},
+		{Command{Kind: SetMaxHolders, Name: "x"}, ErrInvalid, 0, 0},
+		{Command{Kind: 9, Name: "x"}, ErrInvalid, 0, 0},
 	} {
 		g, err := s.Apply(c.Command)
-		if !errors.Is(err, c.err) || g.Token != c.token || g.Till != c.till {
+		if !errors.Is(err, c.err) || g.Token != c.token || g.ExpiresAt != c.till {
 			t.Errorf("%d: %+v: %+v %v, want %d until %d, %v", i, c.Command, g, err, c.token, c.till, c.err)
 		}
 	}
@@ -64,9 +64,9 @@
 		s, newest := New(), Token(0)
 		for range rapid.IntRange(1, 60).Draw(rt, "n") {
 			c := Command{Kind: Kind(rapid.IntRange(0, 5).Draw(rt, "kind")), Name: rapid.SampledFrom([]string{"", "x", "y"}).Draw(rt, "name"),
-				Who: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "who"), Ask: rapid.Uint64Range(1, 3).Draw(rt, "ask"),
+				Holder: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "who"), RequestID: rapid.Uint64Range(1, 3).Draw(rt, "ask"),
 				Token: Token(rapid.Uint64Range(0, 9).Draw(rt, "token")), Ticks: rapid.Uint64Range(0, 4).Draw(rt, "ticks"),
-				Most: rapid.IntRange(0, 3).Draw(rt, "most")}
+				MaxHolders: rapid.IntRange(0, 3).Draw(rt, "most")}
 			before, err := s.Snapshot()
 			if err != nil {
 				rt.Fatal(err)
@@ -89,12 +89,12 @@
 				newest = g.Token
 			}
 			for name, l := range s.leases {
-				if len(l.Held) == 0 && l.Most == 1 {
+				if len(l.Grants) == 0 && l.MaxHolders == 1 {
 					rt.Fatalf("%s is kept for nothing", name)
 				}
-				for i, g := range l.Held {
-					if g.Token > newest || g.Till <= s.tick || i > 0 && l.Held[i-1].Seat >= g.Seat {
-						rt.Fatalf("%+v among %+v at tick %d", g, l.Held, s.tick)
+				for i, g := range l.Grants {
+					if g.Token > newest || g.ExpiresAt <= s.tick || i > 0 && l.Grants[i-1].Slot >= g.Slot {
+						rt.Fatalf("%+v among %+v at tick %d", g, l.Grants, s.tick)
 					}
 				}
 			}
@@ -118,7 +118,7 @@
 	g := Guard{Terms: Terms{Interval: s, Drift: 0}}
 	begins := func(now, longest time.Duration, want Token) {
 		t.Helper()
-		if grant, ok := g.Begin(now, longest); ok != (want > 0) || grant.Token != want {
+		if grant, ok := g.BeginAction(now, longest); ok != (want > 0) || grant.Token != want {
 			t.Errorf("at %v for %v: %v %v, want %d", now, longest, grant.Token, ok, want)
 		}
 	}
@@ -126,7 +126,7 @@
 	g.Granted(Grant{Token: 5}, 11, 0) // sure until 10 s, whenever the answer came
 	begins(8*s, 2*s, 5)
 	begins(8*s, 2*s+1, 0)
-	if g.Free(10*s-1) || !g.Free(10*s) {
+	if g.Expired(10*s-1) || !g.Expired(10*s) {
 		t.Error("free before its act is over, or not after")
 	}
 	g.Granted(Grant{Token: 5}, 11, 4*s)
@@ -138,10 +138,10 @@
 	begins(13*s, s, 0)
 	g.Granted(Grant{Token: 7}, 11, 20*s)
 	begins(21*s, s, 7)
-	if left := g.Left(25 * s); left != 5*s {
+	if left := g.Remaining(25 * s); left != 5*s {
 		t.Error(left)
 	}
-	if sure := (Terms{Interval: s, Drift: 0.5}).Sure(4); sure != s {
+	if sure := (Terms{Interval: s, Drift: 0.5}).GuaranteedDuration(4); sure != s {
 		t.Errorf("a third of three intervals: %v", sure)
 	}
 }
@@ -151,7 +151,7 @@
 	s := New()
 	hold := func(name string) Token {
 		t.Helper()
-		g, err := s.Apply(Command{Kind: Acquire, Name: name, Who: "a", Ask: 1, Ticks: 1})
+		g, err := s.Apply(Command{Kind: Acquire, Name: name, Holder: "a", RequestID: 1, Ticks: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -159,15 +159,15 @@
 	}
 	note := func(name string, token Token, text string, want error) {
 		t.Helper()
-		if _, err := s.Apply(Command{Kind: Note, Name: name, Token: token, Text: text}); !errors.Is(err, want) {
+		if _, err := s.Apply(Command{Kind: SetNote, Name: name, Token: token, Text: text}); !errors.Is(err, want) {
 			t.Errorf("%s: %v, want %v", name, err, want)
 		}
 	}
 	first := hold("x")
 	note("x", first, "half done", nil)
-	note("x", first, string(make([]byte, NoteMost+1)), ErrBad)
+	note("x", first, string(make([]byte, MaxNoteBytes+1)), ErrInvalid)
 	_, _ = s.Apply(Command{Kind: Tick}) // can't be refused
-	note("x", first, "mine", ErrNotHeld)
+	note("x", first, "mine", ErrNotGranted)
 	raw, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 	if s, err = Restore(raw); err != nil {
 		t.Fatal(err)
 	}
-	if all := s.All(); len(all) != 1 || all[0].Note != "half done" || s.Held() {
+	if all := s.All(); len(all) != 1 || all[0].Note != "half done" || s.Granted() {
 		t.Errorf("%+v", all)
 	}
 	note("x", hold("x"), "", nil)
--- a/internal/node/account_test.go
+++ b/internal/node/account_test.go
@@ -246,10 +246,10 @@
 			list = append(list, protocol.Target{UID: "nobody", Endpoint: "127.0.0.1:1", Zone: "z", Weight: 1})
 		}
 		n, addr, stop := begin(t, list, func(s *Settings) {
-			s.ConnectTimeout, s.Sockets = 100_000, rapid.SampledFrom([]int{0, 64}).Draw(rt, "descriptors")
-			s.Grace = 5_000_000 // what is overdue is the module's fault, or this machine's
-			for i := range s.Module.Classes {
-				s.Module.Classes[i].LatencyObjective, s.Module.Classes[i].Deadline = 200_000, 300_000
+			s.ConnectTimeout, s.MaxDescriptors = 100_000, rapid.SampledFrom([]int{0, 64}).Draw(rt, "descriptors")
+			s.OverdueGrace = 5_000_000 // what is overdue is the module's fault, or this machine's
+			for i := range s.Balancer.Classes {
+				s.Balancer.Classes[i].LatencyObjective, s.Balancer.Classes[i].Deadline = 200_000, 300_000
 			}
 		})
 		defer stop()
@@ -282,7 +282,7 @@
 				on(n, n.closeIdleClients)
 				continue
 			case "settings":
-				retuned(n, func(s *Settings) { s.Module.MaxAttempts, s.Module.AllowCancel = 1+i%3, i%2 == 0 })
+				retuned(n, func(s *Settings) { s.Balancer.MaxAttempts, s.Balancer.AllowCancel = 1+i%3, i%2 == 0 })
 				continue
 			}
 			one := list[i%len(list)]
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -376,7 +376,7 @@
 	}
 	switch {
 	case err != nil:
-		c.refuse(protocol.RefusalStatus(err), err.Error())
+		c.refuse(protocol.RejectionStatus(err), err.Error())
 	case whole:
 		c.asked = true
 		c.setIdle(false)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -186,8 +186,8 @@
 
 // longest is the longest deadline there is.
 func (n *Node) longest() (most int64) {
-	for i := range n.set.Module.Classes {
-		most = max(most, n.set.Module.Classes[i].Deadline)
+	for i := range n.set.Balancer.Classes {
+		most = max(most, n.set.Balancer.Classes[i].Deadline)
 	}
 	return most
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -13,30 +13,30 @@
 	"tulipglade/internal/protocol"
 )
 
-// Handed is what one process of a node gives the next: together they are one node to hosts and clients.
-type Handed struct {
-	List    protocol.List    `json:"List"`
-	Classes []string         `json:"Classes"` // those that Learned speaks of, in its order
-	Tenants []string         `json:"Tenants"`
-	Learned balancer.Learned `json:"Learned"`
-	IDs     map[string]int64 `json:"IDs"` // of requests that may be running, and until when, on the clock that both have
+// HotRestartState is what one process of a node gives the next: together they are one node to hosts and clients.
+type HotRestartState struct {
+	EndpointList protocol.List    `json:"List"`
+	Classes      []string         `json:"Classes"` // those that Learned speaks of, in its order
+	Tenants      []string         `json:"Tenants"`
+	Learned      balancer.Learned `json:"Learned"`
+	RequestIDs   map[string]int64 `json:"IDs"` // of requests that may be running, and until when, on the clock that both have
 }
 
 // idsHanded bounds the ids that are handed over.
 const idsHanded = 1 << 12
 
 // ExportState hands on what this node has, and with it half of what is left of cold hosts' budgets.
-func (n *Node) ExportState(to func(Handed)) {
+func (n *Node) ExportState(to func(HotRestartState)) {
 	n.post(func() { // behind the list that a process starts with
-		h := Handed{List: protocol.List{Rev: n.rev, All: true}, Classes: n.set.Classes, Tenants: n.set.Tenants, IDs: map[string]int64{}}
+		h := HotRestartState{EndpointList: protocol.List{Rev: n.rev, All: true}, Classes: n.set.Classes, Tenants: n.set.Tenants, RequestIDs: map[string]int64{}}
 		for uid, host := range n.byUID {
 			if host.goneAt == 0 {
-				h.List.Targets = append(h.List.Targets, host.target(uid))
+				h.EndpointList.Targets = append(h.EndpointList.Targets, host.target(uid))
 			}
 		}
 		for _, r := range n.requests {
-			if till := min(r.deadline, n.now()+r.set.Module.Classes[r.class].Deadline); len(h.IDs) < idsHanded && r.msg != nil {
-				h.IDs[string(r.msg.Get("x-trace-id"))] = till
+			if till := min(r.deadline, n.now()+r.set.Balancer.Classes[r.class].Deadline); len(h.RequestIDs) < idsHanded && r.msg != nil {
+				h.RequestIDs[string(r.msg.Get("x-trace-id"))] = till
 			}
 		}
 		h.Learned = n.bal.ExportState(n.now())
@@ -50,13 +50,13 @@
 }
 
 // ImportState takes up what an older process of this node has learned, of the hosts that it has been told of.
-func (n *Node) ImportState(h Handed) {
+func (n *Node) ImportState(h HotRestartState) {
 	n.post(func() {
 		if !slices.Equal(h.Classes, n.set.Classes) || !slices.Equal(h.Tenants, n.set.Tenants) { // the settings are others by now
 			h.Learned.Classes, h.Learned.Tenants = nil, nil
 		}
 		n.bal.ImportState(n.now(), h.Learned)
-		for id, till := range h.IDs {
+		for id, till := range h.RequestIDs {
 			if _, held := n.ids[id]; held || till < n.now() || len(n.ids) >= maxIDs {
 				continue
 			}
@@ -81,7 +81,7 @@
 
 // sockets is how many descriptors this process may hold; 0: any.
 func (n *Node) sockets() int {
-	return max(n.set.Sockets/max(n.shared, 1), min(n.set.Sockets, reserve+leastRoom))
+	return max(n.set.MaxDescriptors/max(n.shared, 1), min(n.set.MaxDescriptors, reserve+leastRoom))
 }
 
 // leastRoom is what is left to serve with, however few descriptors processes share.
@@ -94,8 +94,8 @@
 	addr net.Addr
 }
 
-// Inherit makes a listener of a descriptor, which belongs to it from here on.
-func Inherit(fd int) (netpoll.Listener, error) {
+// InheritListener makes a listener of a descriptor, which belongs to it from here on.
+func InheritListener(fd int) (netpoll.Listener, error) {
 	name, err := unix.Getsockname(fd)
 	if err != nil {
 		return nil, err
@@ -150,8 +150,8 @@
 func (c *accepted) LocalAddr() net.Addr  { return c.local }
 func (c *accepted) RemoteAddr() net.Addr { return c.remote }
 
-// Gate is a listener that can stop accepting while its queue stays: another process accepts from it.
-type Gate struct {
+// GatedListener is a listener that can stop accepting while its queue stays: another process accepts from it.
+type GatedListener struct {
 	netpoll.Listener
 	shut atomic.Bool
 }
@@ -160,12 +160,12 @@
 var errShut = errors.New("listener closed: another process accepts")
 
 // Accept is netpoll's.
-func (g *Gate) Accept() (net.Conn, error) {
+func (g *GatedListener) Accept() (net.Conn, error) {
 	if g.shut.Load() {
 		return nil, errShut
 	}
 	return g.Listener.Accept()
 }
 
-// Shut ends accepting.
-func (g *Gate) Shut() { g.shut.Store(true) }
+// StopAccepting ends accepting.
+func (g *GatedListener) StopAccepting() { g.shut.Store(true) }
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -12,7 +12,7 @@
 
 // leased has the node send nothing by a list of unknown age.
 func leased(s *Settings) {
-	s.Module.PollDiscovery, s.Module.PollInterval, s.Module.ListLease = true, 10_000_000, balancer.NotificationDeadline
+	s.Balancer.PollDiscovery, s.Balancer.PollInterval, s.Balancer.ListLease = true, 10_000_000, balancer.NotificationDeadline
 	s.DrainGrace = 500_000
 }
 
@@ -21,7 +21,7 @@
 	app := newApp(t, serve)
 	for name, word := range map[string]func(*Node){
 		"an answer": func(n *Node) { n.UpdateEndpoints(protocol.List{Rev: 1}, false) },
-		"a refusal": func(n *Node) { n.MembersFailed(errors.New("refused"), balancer.ListFailed, n.epoch) },
+		"a refusal": func(n *Node) { n.DiscoveryCallFailed(errors.New("refused"), balancer.ListFailed, n.epoch) },
 		"no word": func(n *Node) {
 			on(n, func() { n.list.since -= readyWithin })
 		},
@@ -129,7 +129,7 @@
 		{"run out again", func() { on(n, func() { n.bal.ExpireListAt(n.now(), n.now()) }) }, false},
 		{"behind once more", func() { n.UpdateEndpoints(protocol.List{Rev: 8}, false) }, false},
 		{"the same", func() { n.UpdateEndpoints(protocol.List{Rev: 9}, false) }, true},
-		{"moved", func() { n.Moved(0) }, false},
+		{"moved", func() { n.DiscoveryAddressChanged(0) }, false},
 		{"lower versions there", func() { n.UpdateEndpoints(protocol.List{Rev: 1}, false) }, true},
 	} {
 		step.do()
@@ -145,7 +145,7 @@
 func TestNoProbeByAnOldList(t *testing.T) {
 	n, _ := start(t, newApp(t, serve).targets(), func(s *Settings) {
 		leased(s)
-		s.Module.AllowHealthChecks = true
+		s.Balancer.AllowHealthChecks = true
 	})
 	on(n, func() {
 		if n.CheckHealth(1); n.hosts[1].dials > 0 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,19 +21,19 @@
 // Settings is what a node is told at its start, and what Retune changes. All times are in microseconds. One that has been
 // taken up is not changed any more: an open request keeps the one that it came under.
 type Settings struct {
-	Module         balancer.Config
+	Balancer       balancer.Config
 	Seed           uint64
 	Classes        []string // by number, as in Module.Classes
 	Tenants        []string
 	Zones          []string
-	MaxOpen        int // open requests; 0: no limit but that of sockets
+	MaxInFlight    int // open requests; 0: no limit but that of sockets
 	ConnectTimeout int64
 	Keepalive      int64 // a backend closes a connection that stood idle so long
-	Reports        bool  // backends report their load
-	Grace          int64 // past its deadline, after which a request is overdue
+	LoadReports    bool  // backends report their load
+	OverdueGrace   int64 // past its deadline, after which a request is overdue
 	DrainGrace     int64 // after the word that a backend drains or is gone, for what still goes to it
-	Sockets        int   // descriptors of the whole process
-	Memory         int64 // bytes that the process may use; 0: no limit
+	MaxDescriptors int   // descriptors of the whole process
+	MemoryLimit    int64 // bytes that the process may use; 0: no limit
 }
 
 // Discovery is how a node asks for news about backends. Its methods must not block; what they lead to comes
@@ -127,7 +127,7 @@
 		zones: index(set.Zones), requests: map[balancer.RequestID]*request{}, byUID: map[string]*host{},
 		hosts: map[balancer.EndpointID]*host{}, warned: map[string]int{},
 		clients: map[*client]struct{}{}, ids: map[string]struct{}{}, violations: map[safety.Reason]int{}, tracing: traces(log)}
-	bal, err := balancer.New(set.Module, set.Seed, n)
+	bal, err := balancer.New(set.Balancer, set.Seed, n)
 	if err != nil {
 		return nil, err
 	}
@@ -337,7 +337,7 @@
 			n.log.Info("backends", "rev", l.Rev, "all", l.All, "cached", cached, "entries", len(hosts))
 		}
 		n.listed = n.listed || len(hosts) > 0
-		if len(hosts) == 0 && kind == balancer.ListDelta && !n.set.Module.PollDiscovery {
+		if len(hosts) == 0 && kind == balancer.ListDelta && !n.set.Balancer.PollDiscovery {
 			return // where nothing was asked, nothing is owed: the module hears of changes alone
 		}
 		n.bal.HandleEndpointsAsOf(n.now(), n.timeOf(asOf), kind, hosts)
@@ -345,8 +345,8 @@
 	})
 }
 
-// MembersFailed tells that a call to discovery has failed, and how: ListFailed, ListSilent or ListBusy. Nothing newer could be had as of a time.
-func (n *Node) MembersFailed(err error, how balancer.ListKind, asOf time.Time) {
+// DiscoveryCallFailed tells that a call to discovery has failed, and how: ListFailed, ListSilent or ListBusy. Nothing newer could be had as of a time.
+func (n *Node) DiscoveryCallFailed(err error, how balancer.ListKind, asOf time.Time) {
 	n.post(func() {
 		n.log.Warn("discovery failed", "err", err)
 		n.bal.HandleEndpointsAsOf(n.now(), n.timeOf(asOf), how, nil)
@@ -354,8 +354,8 @@
 	})
 }
 
-// Moved tells that discovery has another address from now on: what was heard at the one before counts for so long at most.
-func (n *Node) Moved(within time.Duration) {
+// DiscoveryAddressChanged tells that discovery has another address from now on: what was heard at the one before counts for so long at most.
+func (n *Node) DiscoveryAddressChanged(within time.Duration) {
 	n.post(func() {
 		n.list.moved = true
 		n.bal.ExpireListAt(n.now(), n.now()+within.Microseconds())
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	second := int64(time.Second / time.Microsecond)
 	set := Settings{Classes: []string{"read", "once", "keyed"}, Tenants: []string{"t"}, Zones: []string{"z"},
-		ConnectTimeout: second, Keepalive: 30 * second, Grace: 20_000, Module: balancer.Config{PeerCount: 1, MaxAttempts: 3,
+		ConnectTimeout: second, Keepalive: 30 * second, OverdueGrace: 20_000, Balancer: balancer.Config{PeerCount: 1, MaxAttempts: 3,
 			AllowCancel: true, TickInterval: 1000, Tenants: []balancer.Tenant{{QuotaFraction: 1}}, Classes: []balancer.Class{
 				{LatencyObjective: 10 * second, Deadline: 10 * second},
 				{LatencyObjective: 10 * second, Deadline: 10 * second, Idempotency: balancer.NonIdempotent},
@@ -462,7 +462,7 @@
 		defer close(checked)
 		r := n.requests[n.lastID]
 		n.SendAttempt(r.id, 1, 0)
-		n.set.Module.AllowHedging = true
+		n.set.Balancer.AllowHedging = true
 		n.SendAttempt(r.id, 1, -1)
 		n.SendAttempt(r.id, 1, 0) // the fourth of three
 		for _, a := range r.attempts[1:] {
@@ -714,7 +714,7 @@
 	c := target("cold", cold)
 	c.BootMs = time.Now().UnixMilli()
 	_, addr := start(t, []protocol.Target{target("warm", warm), c}, func(s *Settings) {
-		s.Module.SlowStartInitial, s.Module.SlowStartDuration, s.Module.OverloadFactor, s.Module.OverloadWindow = 0.1, 60_000_000, 3, 3_000_000
+		s.Balancer.SlowStartInitial, s.Balancer.SlowStartDuration, s.Balancer.OverloadFactor, s.Balancer.OverloadWindow = 0.1, 60_000_000, 3, 3_000_000
 	})
 	conn := dial(t, addr)
 	for range 100 {
@@ -1027,7 +1027,7 @@
 // clients need for their requests. Without that, hundreds of connections that nobody uses would take every
 // descriptor, and the node would close those to backends instead.
 func TestUnusedConnectionsAreClosed(t *testing.T) {
-	n, addr := start(t, []protocol.Target{target("a", newApp(t, serve))}, func(s *Settings) { s.Sockets = 1000 })
+	n, addr := start(t, []protocol.Target{target("a", newApp(t, serve))}, func(s *Settings) { s.MaxDescriptors = 1000 })
 	used, silent := dial(t, addr), dial(t, addr)
 	used.ask(text("once", 9000))
 	until(n, func() bool {
@@ -1051,7 +1051,7 @@
 		if n.idleClients.Len() != 1 {
 			return false
 		}
-		n.set.Sockets = 2
+		n.set.MaxDescriptors = 2
 		n.idleClients.Front().Value.(*client).idleSince -= idleLeast
 		n.sweepClients()
 		return true
@@ -1064,7 +1064,7 @@
 // Clients that ask once and keep their connection for good do not keep others out: of the connections between two
 // requests, those idle for longest close once they are many.
 func TestIdleConnectionsAreFew(t *testing.T) {
-	n, addr := start(t, []protocol.Target{target("a", newApp(t, serve))}, func(s *Settings) { s.Sockets = 10 * idleShare })
+	n, addr := start(t, []protocol.Target{target("a", newApp(t, serve))}, func(s *Settings) { s.MaxDescriptors = 10 * idleShare })
 	callers := make([]*caller, 15)
 	for i := range callers {
 		callers[i] = dial(t, addr)
@@ -1083,7 +1083,7 @@
 
 // For want of descriptors, what clients do not use closes before what backends' next requests will need.
 func TestUnusedConnectionsMakeRoom(t *testing.T) {
-	n, addr := start(t, []protocol.Target{target("a", newApp(t, serve))}, func(s *Settings) { s.Sockets = reserve + 3 })
+	n, addr := start(t, []protocol.Target{target("a", newApp(t, serve))}, func(s *Settings) { s.MaxDescriptors = reserve + 3 })
 	used, silent := dial(t, addr), dial(t, addr)
 	used.ask(text("once", 9000))
 	until(n, func() bool {
@@ -1170,7 +1170,7 @@
 
 func TestOpenRequestsAreBounded(t *testing.T) {
 	a, arrived, release := newHeldApp(t)
-	_, addr := start(t, []protocol.Target{target("a", a)}, func(s *Settings) { s.MaxOpen = 1 })
+	_, addr := start(t, []protocol.Target{target("a", a)}, func(s *Settings) { s.MaxInFlight = 1 })
 	first := dial(t, addr)
 	_, _ = io.WriteString(first, text("once", 9000))
 	<-arrived
@@ -1210,7 +1210,7 @@
 		"closes": {true, false}, "resets": {true, true}, "closes, nothing is cancelled": {false, false}, "resets, nothing is cancelled": {false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWaiting(t, func(s *Settings) { s.Module.AllowCancel = c.cancel })
+			w := newWaiting(t, func(s *Settings) { s.Balancer.AllowCancel = c.cancel })
 			if c.reset {
 				_ = w.second.Conn.(*net.TCPConn).SetLinger(0)
 			}
@@ -1323,7 +1323,7 @@
 // At the cap of descriptors the connection that stood idle longest goes, never one with a request on it.
 func TestDescriptorsAreCapped(t *testing.T) {
 	a, arrived, release := newHeldApp(t)
-	_, addr := start(t, []protocol.Target{target("a", a)}, func(s *Settings) { s.Sockets = reserve + 4 })
+	_, addr := start(t, []protocol.Target{target("a", a)}, func(s *Settings) { s.MaxDescriptors = reserve + 4 })
 	busy := dial(t, addr)
 	_, _ = io.WriteString(busy, text("once", 9000))
 	<-arrived
@@ -1396,7 +1396,7 @@
 		}
 		return l
 	}
-	n, addr := start(t, list("old", protocol.InService), func(s *Settings) { s.Sockets, s.Module.PeerCount, s.Module.PeerIndex = 512, many, many-1 })
+	n, addr := start(t, list("old", protocol.InService), func(s *Settings) { s.MaxDescriptors, s.Balancer.PeerCount, s.Balancer.PeerIndex = 512, many, many-1 })
 	conn := dial(t, addr)
 	ask := func() {
 		t.Helper()
@@ -1425,7 +1425,7 @@
 		}
 	})
 	again := *n.set
-	again.Module.MaxAttempts = 2
+	again.Balancer.MaxAttempts = 2
 	n.Reconfigure(again)
 	ask()
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -412,7 +412,7 @@
 	}
 	wait = max(wait-min(heldUpMost, wait/10), 1000)
 	first := firstByte{told: wait}
-	if _, until := n.bal.ListCurrent(n.now()); n.set.Module.ListLease > 0 {
+	if _, until := n.bal.ListCurrent(n.now()); n.set.Balancer.ListLease > 0 {
 		first.lease = until
 	}
 	n.traceRequest(r, "attempt", "attempt", a.number, "host", b.host.addr, "rev", n.rev, "left_us", wait, "idle_us", b.idleFor)
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -33,7 +33,7 @@
 	a := &attempt{probe: true, req: &request{set: n.set}, host: h, sent: now, till: now + n.set.ConnectTimeout}
 	h.probes++
 	switch {
-	case h.state != protocol.InService, !n.set.Module.AllowHealthChecks, !current:
+	case h.state != protocol.InService, !n.set.Balancer.AllowHealthChecks, !current:
 		n.settle(a, balancer.OutcomeNotSent, nil) // it wants nothing new
 	case h.probes > probesMost:
 		n.settle(a, balancer.OutcomeNotSent, nil)
@@ -48,7 +48,7 @@
 // appendProbe appends the request of a probe.
 func (n *Node) appendProbe(dst []byte, h *host) []byte {
 	path := probeHealth
-	if n.set.Reports {
+	if n.set.LoadReports {
 		path = probeLoad
 	}
 	return append(append(append(append(append(dst, "GET "...), path...), " HTTP/1.1\r\nHost: "...), h.addr...), "\r\n\r\n"...)
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -53,7 +53,7 @@
 
 // mayProbe are settings as of a deployment whose hosts may be probed, but no module that does so by itself.
 func mayProbe(s *Settings) {
-	s.Module.AllowHealthChecks, s.Reports, s.Module.HealthCheckCost = true, true, 1
+	s.Balancer.AllowHealthChecks, s.LoadReports, s.Balancer.HealthCheckCost = true, true, 1
 	s.ConnectTimeout = 200_000
 }
 
@@ -118,8 +118,8 @@
 	}{
 		{"draining", mayProbe, func(n *Node) { n.byUID["a"].state = protocol.Terminating }, "80"},
 		{"gone", mayProbe, func(n *Node) { n.byUID["a"].state = protocol.Terminated }, "80"},
-		{"forbidden", func(s *Settings) { mayProbe(s); s.Module.AllowHealthChecks = false }, func(*Node) {}, "80"},
-		{"no descriptor left", mayProbe, func(n *Node) { n.set.Sockets = reserve + leastRoom; n.descriptors = leastRoom }, "50"},
+		{"forbidden", func(s *Settings) { mayProbe(s); s.Balancer.AllowHealthChecks = false }, func(*Node) {}, "80"},
+		{"no descriptor left", mayProbe, func(n *Node) { n.set.MaxDescriptors = reserve + leastRoom; n.descriptors = leastRoom }, "50"},
 	} {
 		n, _ := start(t, []protocol.Target{target("a", a)}, c.change)
 		m := listen(n)
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -46,7 +46,7 @@
 	case "CONNECT", "TRACE", "OPTIONS":
 		return nil, 405, "method not allowed"
 	}
-	if f := msg.Twice("x-trace-id", "x-qos", "x-customer", "x-expires-in-ms", "idempotency-key"); f != "" {
+	if f := msg.HasDuplicate("x-trace-id", "x-qos", "x-customer", "x-expires-in-ms", "idempotency-key"); f != "" {
 		return nil, 400, f + " is there twice" // a backend may go by the other one
 	}
 	name, _, _ := bytes.Cut(msg.Target[1:], []byte("?")) // the first part of the path holds the class too
@@ -74,7 +74,7 @@
 	if _, held := n.ids[string(id)]; held { // to a backend, two requests with one id would be one that runs twice
 		return nil, 400, "X-Trace-Id is in use"
 	}
-	c := &n.set.Module.Classes[class]
+	c := &n.set.Balancer.Classes[class]
 	if c.Idempotency == balancer.IdempotentByKey && len(msg.Get("idempotency-key")) == 0 {
 		return nil, 400, "no Idempotency-Key"
 	}
@@ -86,7 +86,7 @@
 		}
 		wait = min(wait, int64(ms)*1000)
 	}
-	if n.set.MaxOpen > 0 && n.open >= n.set.MaxOpen || len(n.ids) >= maxIDs {
+	if n.set.MaxInFlight > 0 && n.open >= n.set.MaxInFlight || len(n.ids) >= maxIDs {
 		return nil, 503, "too many open requests"
 	}
 	n.lastID++
@@ -104,9 +104,9 @@
 	r.traceID = string(r.msg.Get("x-trace-id"))
 	id, trace := r.id, r.traceID
 	n.ids[trace] = struct{}{}
-	n.at(r.deadline+n.set.Grace, func() { n.overdue(id, trace) })
+	n.at(r.deadline+n.set.OverdueGrace, func() { n.overdue(id, trace) })
 	n.bal.HandleRequest(n.now(), balancer.Request{ID: r.id, Class: r.class, Tenant: r.tenant, Deadline: r.deadline,
-		AffinityKey: protocol.Subject(r.msg.Target), IsRetry: string(r.msg.Get("x-second-try")) == "1", CostHint: sizeHint(r.msg.Get("x-size-hint"))})
+		AffinityKey: protocol.AffinityKey(r.msg.Target), IsRetry: string(r.msg.Get("x-second-try")) == "1", CostHint: sizeHint(r.msg.Get("x-size-hint"))})
 }
 
 // sizeHint reads a client's guess at the work, in microseconds; 0 is none. It is no more than a guess: one that is no number
@@ -123,7 +123,7 @@
 func (n *Node) overdue(id balancer.RequestID, trace string) {
 	r := n.requests[id]
 	if r != nil && r.upload != nil && !r.done && n.now() < r.deadline { // its time begins, or began, with its last byte
-		n.at(min(r.deadline, n.now()+overdueEvery)+n.set.Grace, func() { n.overdue(id, trace) })
+		n.at(min(r.deadline, n.now()+overdueEvery)+n.set.OverdueGrace, func() { n.overdue(id, trace) })
 		return
 	}
 	delete(n.ids, trace)
@@ -256,10 +256,10 @@
 		a.till = min(a.till, now+timeout)
 	}
 	switch {
-	case r.done || n.left(r) || now >= r.deadline || len(r.attempts) > max(r.set.Module.MaxAttempts, 1):
+	case r.done || n.left(r) || now >= r.deadline || len(r.attempts) > max(r.set.Balancer.MaxAttempts, 1):
 		n.settle(a, balancer.OutcomeNotSent, nil)
 		return
-	case !r.set.Module.AllowHedging && r.out > 1:
+	case !r.set.Balancer.AllowHedging && r.out > 1:
 		n.settle(a, balancer.OutcomeNotSent, nil)
 		return
 	case a.till <= now:
--- a/internal/node/retune.go
+++ b/internal/node/retune.go
@@ -14,12 +14,12 @@
 func (n *Node) retune(set Settings) {
 	old := n.set
 	set.nameless()
-	set.Sockets, set.Memory, set.Seed = old.Sockets, old.Memory, old.Seed
+	set.MaxDescriptors, set.MemoryLimit, set.Seed = old.MaxDescriptors, old.MemoryLimit, old.Seed
 	usedClasses, usedTenants := make([]bool, len(old.Classes)), make([]bool, len(old.Tenants))
 	for _, r := range n.requests {
 		usedClasses[r.class], usedTenants[r.tenant] = true, true
 	}
-	names, rules := set.Classes, set.Module.Classes
+	names, rules := set.Classes, set.Balancer.Classes
 	was := func(name string) int {
 		if i, ok := n.classes[name]; ok {
 			return i
@@ -28,48 +28,48 @@
 	}
 	classes, from := numbers(usedClasses, names, func(k int) (stays, learned int) {
 		i := was(names[k])
-		if i >= 0 && old.Module.Classes[i] == rules[k] {
+		if i >= 0 && old.Balancer.Classes[i] == rules[k] {
 			return i, i
 		}
 		return -1, i
 	})
-	set.Classes, set.Module.Classes = nil, nil
+	set.Classes, set.Balancer.Classes = nil, nil
 	for i, k := range classes {
 		if k >= 0 {
-			set.Classes, set.Module.Classes = append(set.Classes, names[k]), append(set.Module.Classes, rules[k])
+			set.Classes, set.Balancer.Classes = append(set.Classes, names[k]), append(set.Balancer.Classes, rules[k])
 		} else { // of open requests only, or of nobody
-			set.Classes, set.Module.Classes = append(set.Classes, old.Classes[i]), append(set.Module.Classes, old.Module.Classes[i])
+			set.Classes, set.Balancer.Classes = append(set.Classes, old.Classes[i]), append(set.Balancer.Classes, old.Balancer.Classes[i])
 		}
 	}
-	tenantNames, shares := set.Tenants, set.Module.Tenants
+	tenantNames, shares := set.Tenants, set.Balancer.Tenants
 	tenants, tenantsFrom := numbers(usedTenants, tenantNames, func(k int) (stays, learned int) {
 		if i, ok := n.tenants[tenantNames[k]]; ok {
 			return i, i
 		}
 		return -1, -1
 	})
-	set.Tenants, set.Module.Tenants = nil, nil
+	set.Tenants, set.Balancer.Tenants = nil, nil
 	for i, k := range tenants {
 		if k >= 0 {
-			set.Tenants, set.Module.Tenants = append(set.Tenants, tenantNames[k]), append(set.Module.Tenants, shares[k])
+			set.Tenants, set.Balancer.Tenants = append(set.Tenants, tenantNames[k]), append(set.Balancer.Tenants, shares[k])
 		} else {
-			set.Tenants, set.Module.Tenants = append(set.Tenants, old.Tenants[i]), append(set.Module.Tenants, balancer.Tenant{})
+			set.Tenants, set.Balancer.Tenants = append(set.Tenants, old.Tenants[i]), append(set.Balancer.Tenants, balancer.Tenant{})
 		}
 	}
-	if err := n.bal.Reconfigure(n.now(), set.Module, from, tenantsFrom); err != nil {
+	if err := n.bal.Reconfigure(n.now(), set.Balancer, from, tenantsFrom); err != nil {
 		n.log.Error("settings not taken up", "err", err)
 		return
 	}
 	n.set = &set
 	n.classes, n.tenants = live(classes, names), live(tenants, tenantNames)
-	n.log.Info("settings taken up", "classes", names, "attempts", set.Module.MaxAttempts, "tenants", tenantNames)
+	n.log.Info("settings taken up", "classes", names, "attempts", set.Balancer.MaxAttempts, "tenants", tenantNames)
 }
 
 // nameless has all requests belong to a tenant without a name where the settings tell none apart. No tenant that has one goes on with what
 // that one has learned, nor the other way round.
 func (s *Settings) nameless() {
 	if len(s.Tenants) == 0 {
-		s.Tenants, s.Module.Tenants = []string{""}, []balancer.Tenant{{QuotaFraction: 1}}
+		s.Tenants, s.Balancer.Tenants = []string{""}, []balancer.Tenant{{QuotaFraction: 1}}
 	}
 }
 
