--- a/internal/node/retune_test.go
+++ b/internal/node/retune_test.go
@@ -18,16 +18,16 @@
 func retuned(n *Node, change func(*Settings)) {
 	done := make(chan struct{})
 	n.post(func() {
-		set := Settings{ConnectTimeout: n.set.ConnectTimeout, Keepalive: n.set.Keepalive, Grace: n.set.Grace, Zones: n.set.Zones,
-			Module: n.set.Module}
-		set.Module.Classes, set.Module.Tenants = nil, nil
+		set := Settings{ConnectTimeout: n.set.ConnectTimeout, Keepalive: n.set.Keepalive, OverdueGrace: n.set.OverdueGrace, Zones: n.set.Zones,
+			Balancer: n.set.Balancer}
+		set.Balancer.Classes, set.Balancer.Tenants = nil, nil
 		for _, name := range []string{"read", "once", "keyed"} {
 			if i, ok := n.classes[name]; ok {
 				set.Classes = append(set.Classes, name)
-				set.Module.Classes = append(set.Module.Classes, n.set.Module.Classes[i])
+				set.Balancer.Classes = append(set.Balancer.Classes, n.set.Balancer.Classes[i])
 			}
 		}
-		set.Tenants, set.Module.Tenants = []string{"t"}, []balancer.Tenant{{QuotaFraction: 1}}
+		set.Tenants, set.Balancer.Tenants = []string{"t"}, []balancer.Tenant{{QuotaFraction: 1}}
 		change(&set)
 		n.retune(set)
 		close(done)
@@ -62,7 +62,7 @@
 	<-arrived
 	drop := func(s *Settings) {
 		s.Classes = append(s.Classes[:1:1], s.Classes[2:]...)
-		s.Module.Classes = append(s.Module.Classes[:1:1], s.Module.Classes[2:]...)
+		s.Balancer.Classes = append(s.Balancer.Classes[:1:1], s.Balancer.Classes[2:]...)
 	}
 	retuned(n, drop)
 	if code, _, closing := dial(t, addr).ask(text("once", 9000)); code != 400 || !closing {
@@ -70,7 +70,7 @@
 	}
 	add := func(s *Settings) {
 		s.Classes = append(s.Classes, "once")
-		s.Module.Classes = append(s.Module.Classes, balancer.Class{LatencyObjective: 10_000_000, Deadline: 10_000_000})
+		s.Balancer.Classes = append(s.Balancer.Classes, balancer.Class{LatencyObjective: 10_000_000, Deadline: 10_000_000})
 	}
 	retuned(n, add)
 	until(n, func() bool {
@@ -125,7 +125,7 @@
 	old := dial(t, addr)
 	_, _ = io.WriteString(old, text("read", 9000))
 	<-arrived
-	retuned(n, func(s *Settings) { s.Module.MaxAttempts = 1 })
+	retuned(n, func(s *Settings) { s.Balancer.MaxAttempts = 1 })
 	close(release)
 	if code, _, _ := old.answer(); code != 200 || seen.Load() != 3 {
 		t.Errorf("by the old number: %d after %d attempts", code, seen.Load())
@@ -166,8 +166,8 @@
 	}
 	for turn := range 50 {
 		retuned(n, func(s *Settings) {
-			s.Module.Classes[0].LatencyObjective = int64(9_000_000 + turn)
-			s.Module.MaxAttempts = 1 + turn%3
+			s.Balancer.Classes[0].LatencyObjective = int64(9_000_000 + turn)
+			s.Balancer.MaxAttempts = 1 + turn%3
 		})
 		for before := served.Load(); served.Load() < before+4 && !t.Failed(); {
 			n.post(func() {})
@@ -187,7 +187,7 @@
 // what is in flight for them are their own.
 func TestTenantsAreToldApartUnderOpenRequests(t *testing.T) {
 	app, arrived, release := newHeldApp(t)
-	n, addr := start(t, []protocol.Target{target("a", app)}, func(s *Settings) { s.Tenants, s.Module.Tenants = nil, nil })
+	n, addr := start(t, []protocol.Target{target("a", app)}, func(s *Settings) { s.Tenants, s.Balancer.Tenants = nil, nil })
 	conns := []*caller{dial(t, addr), dial(t, addr), dial(t, addr)}
 	of := func(k int, change func(*Settings)) {
 		if k > 0 {
@@ -198,7 +198,7 @@
 	}
 	of(0, nil)
 	of(1, func(*Settings) {})
-	of(2, func(s *Settings) { s.Tenants, s.Module.Tenants = nil, nil })
+	of(2, func(s *Settings) { s.Tenants, s.Balancer.Tenants = nil, nil })
 	on(n, func() {
 		names := map[int]string{}
 		for _, r := range n.requests {
--- a/internal/node/shut_test.go
+++ b/internal/node/shut_test.go
@@ -78,7 +78,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			app := newApp(t, serve)
-			n, addr := start(t, app.targets(), func(s *Settings) { s.Sockets = reserve + leastRoom })
+			n, addr := start(t, app.targets(), func(s *Settings) { s.MaxDescriptors = reserve + leastRoom })
 			conn := dial(t, addr)
 			if code, _, _ := conn.ask(text("read", 9000)); code != 200 {
 				t.Fatal(code)
@@ -137,7 +137,7 @@
 
 // Connections that have been shut make room like any other, last of all.
 func TestShutConnectionsMakeRoom(t *testing.T) {
-	n, addr := start(t, newApp(t, serve).targets(), func(s *Settings) { s.Sockets = reserve + leastRoom })
+	n, addr := start(t, newApp(t, serve).targets(), func(s *Settings) { s.MaxDescriptors = reserve + leastRoom })
 	var all []*caller
 	for range leastRoom {
 		c := dial(t, addr)
@@ -243,8 +243,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			n, _ := start(t, nil, func(s *Settings) {
-				for i := range s.Module.Classes {
-					s.Module.Classes[i].Deadline, s.Module.Classes[i].LatencyObjective = test.deadline, test.deadline
+				for i := range s.Balancer.Classes {
+					s.Balancer.Classes[i].Deadline, s.Balancer.Classes[i].LatencyObjective = test.deadline, test.deadline
 				}
 			})
 			ended := make(chan struct{})
@@ -342,7 +342,7 @@
 	until(n, func() bool { return len(n.requests) == 1 })
 	ended := make(chan struct{})
 	n.Drain(0, func() { close(ended) })
-	retuned(n, func(s *Settings) { s.Classes, s.Module.Classes = s.Classes[:1], s.Module.Classes[:1] }) // its class is no more
+	retuned(n, func(s *Settings) { s.Classes, s.Balancer.Classes = s.Classes[:1], s.Balancer.Classes[:1] }) // its class is no more
 	n.UpdateEndpoints(protocol.List{Rev: 1, All: true, Targets: app.targets()}, false)
 	if code, body, closing := conn.answer(); code != 200 || body != "body of /once" || !closing {
 		t.Errorf("%d %q, closing %v", code, body, closing)
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -166,7 +166,7 @@
 		c.cameWhole(rest)
 	case errors.Is(err, errTooSlow), errors.Is(err, protocol.ErrMalformed), errors.Is(err, protocol.ErrBodyTooLarge),
 		errors.Is(err, protocol.ErrHeadTooLarge):
-		status := protocol.RefusalStatus(err)
+		status := protocol.RejectionStatus(err)
 		if errors.Is(err, errTooSlow) {
 			status = 408
 		}
@@ -225,10 +225,10 @@
 
 // flowsMost is how many large messages may pass through at once: a quarter of the memory is for them.
 func (n *Node) flowsMost() int {
-	if n.set.Memory <= 0 {
+	if n.set.MemoryLimit <= 0 {
 		return math.MaxInt
 	}
-	most := int(n.set.Memory / 4 / flowMemory)
+	most := int(n.set.MemoryLimit / 4 / flowMemory)
 	return max(most/max(n.shared, 1), 4)
 }
 
--- a/internal/processtest/director_test.go
+++ b/internal/processtest/director_test.go
@@ -48,7 +48,7 @@
 		every(func() {
 			seq++
 			x.mu.Lock()
-			raw, _ := json.Marshal(failover.Digest{Node: fmt.Sprint("n", i), Life: 1, Seq: seq, Zone: i % 3, Demand: []float64{10, 15}, Can: x.can})
+			raw, _ := json.Marshal(failover.Digest{Node: fmt.Sprint("n", i), Incarnation: 1, Sequence: seq, Zone: i % 3, Demand: []float64{10, 15}, Capacity: x.can})
 			x.mu.Unlock()
 			for try := range agents {
 				resp, err := client.Post("http://"+agents[(i+try)%len(agents)]+"/digest", "application/json", bytes.NewReader(raw))
@@ -117,8 +117,8 @@
 // goes on later: the next goes on where they were, under a later token, and nothing of the old is seen after it.
 func TestDirectorsChangeHands(t *testing.T) {
 	top := failover.Topology{Zones: []failover.Zone{{Name: "a", Region: "x"}, {Name: "b", Region: "x"}, {Name: "c", Region: "y"}},
-		Price: [][]float64{{0, 1, 5}, {1, 0, 5}, {5, 5, 0}}}
-	r := begin(t, Options{Agents: 3, Plans: &agent.Plans{Topology: top, Worth: []float64{3, 1}, Rules: failover.Usual}})
+		Cost: [][]float64{{0, 1, 5}, {1, 0, 5}, {5, 5, 0}}}
+	r := begin(t, Options{Agents: 3, Plans: &agent.FailoverOptions{Topology: top, PriorityWeights: []float64{3, 1}, Rules: failover.DefaultRules}})
 	var addrs []string
 	for _, p := range r.parts[:3] {
 		addrs = append(addrs, p.Listen)
--- a/internal/processtest/measure.go
+++ b/internal/processtest/measure.go
@@ -97,13 +97,13 @@
 			name := fmt.Sprint("grants", i)
 			for ask := uint64(1); ctx.Err() == nil; ask++ {
 				from := time.Now()
-				grant, err := c.Do(ctx, "acquire", lease.Command{Name: name, Who: name, Ask: ask, Ticks: 1000})
+				grant, err := c.Do(ctx, "acquire", lease.Command{Name: name, Holder: name, RequestID: ask, Ticks: 1000})
 				if err == nil {
 					took <- time.Since(from)
 					done.Add(1)
 					_, err = c.Do(ctx, "release", lease.Command{Name: name, Token: grant.Token})
 				}
-				if err != nil && !errors.Is(err, agent.ErrNobody) {
+				if err != nil && !errors.Is(err, agent.ErrNoMembers) {
 					return err
 				}
 			}
@@ -126,7 +126,7 @@
 	for i := range clients {
 		clients[i] = agent.NewClient(addrs, nil)
 		g.Go(func() (err error) {
-			held[i], err = agent.Hold(ctx, clients[i], agent.Wanted{Name: fmt.Sprint("node", i), For: 5 * time.Second})
+			held[i], err = agent.Acquire(ctx, clients[i], agent.LeaseOptions{Name: fmt.Sprint("node", i), Duration: 5 * time.Second})
 			return err
 		})
 	}
@@ -147,7 +147,7 @@
 			if err := l.Release(ctx); err != nil {
 				return err
 			}
-			one, err := agent.Hold(ctx, clients[i], agent.Wanted{Name: "rush", For: 5 * time.Second, Again: 100 * time.Millisecond})
+			one, err := agent.Acquire(ctx, clients[i], agent.LeaseOptions{Name: "rush", Duration: 5 * time.Second, RetryInterval: 100 * time.Millisecond})
 			if err != nil {
 				return err
 			}
--- a/internal/processtest/processtest.go
+++ b/internal/processtest/processtest.go
@@ -33,8 +33,8 @@
 	Terms           lease.Terms
 	For             time.Duration // of a lease
 	Without         Without
-	Plans           *agent.Plans // of agents
-	Acts            int          // that a holder makes before it lets the lease go; 0: some
+	Plans           *agent.FailoverOptions // of agents
+	Acts            int                    // that a holder makes before it lets the lease go; 0: some
 	Seed            uint64
 	Dir             string // set by Start
 }
@@ -91,16 +91,16 @@
 	for i := range o.Agents {
 		members[uint64(i+1)] = addrs[i]
 	}
-	kept, err := consensus.Founded(members, o.Terms)
+	kept, err := consensus.Bootstrap(members, o.Terms)
 	if err != nil {
 		return nil, err
 	}
 	for i := range o.Agents + o.Spares {
 		if i == o.Agents {
-			kept = consensus.Joining()
+			kept = consensus.EmptyState()
 		}
 		s := settings{Role: "agent", Name: fmt.Sprint("agent", i+1), Dir: filepath.Join(o.Dir, fmt.Sprint("agent", i+1)), Listen: addrs[i], Plans: o.Plans}
-		if err := agent.Make(s.Dir, agent.Identity{Group: "rig", ID: uint64(i + 1), Address: addrs[i]}, kept); err != nil {
+		if err := agent.Create(s.Dir, agent.Identity{Group: "rig", ID: uint64(i + 1), Address: addrs[i]}, kept); err != nil {
 			return nil, err
 		}
 		r.parts = append(r.parts, &part{settings: s})
--- a/internal/processtest/processtest_test.go
+++ b/internal/processtest/processtest_test.go
@@ -208,7 +208,7 @@
 	out := uint64((lead+1)%3 + 1) // not the one that leads
 	first := make(chan error, 1)
 	go func() {
-		first <- c.Change(ctx, agent.Change{Add: map[uint64]string{4: r.parts[3].Listen}, Remove: []uint64{out}})
+		first <- c.ChangeMembers(ctx, agent.MembershipChange{Add: map[uint64]string{4: r.parts[3].Listen}, Remove: []uint64{out}})
 	}()
 	r.await(t, 0, func(e Event) bool { return e.Who == "agent4" && e.What == "leader" }) // it has been heard of
 	r.kill(lead)
@@ -217,7 +217,7 @@
 	}
 	<-first // done, or not known
 	for {
-		v, err := c.Look(ctx)
+		v, err := c.ReadStatus(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/processtest/roles.go
+++ b/internal/processtest/roles.go
@@ -35,17 +35,17 @@
 
 // settings are what a process of the rig is started with.
 type settings struct {
-	Role    string            `json:"role"` // agent, holder or target
-	Name    string            `json:"name"`
-	Dir     string            `json:"dir,omitempty"`
-	Listen  string            `json:"listen,omitempty"`
-	Dial    map[string]string `json:"dial,omitempty"` // by true address: the relay to go by
-	Agents  []string          `json:"agents,omitempty"`
-	Target  string            `json:"target,omitempty"`
-	For     time.Duration     `json:"for,omitempty"`
-	Acts    int               `json:"acts,omitempty"`
-	Plans   *agent.Plans      `json:"plans,omitempty"`
-	Without Without           `json:"without"`
+	Role    string                 `json:"role"` // agent, holder or target
+	Name    string                 `json:"name"`
+	Dir     string                 `json:"dir,omitempty"`
+	Listen  string                 `json:"listen,omitempty"`
+	Dial    map[string]string      `json:"dial,omitempty"` // by true address: the relay to go by
+	Agents  []string               `json:"agents,omitempty"`
+	Target  string                 `json:"target,omitempty"`
+	For     time.Duration          `json:"for,omitempty"`
+	Acts    int                    `json:"acts,omitempty"`
+	Plans   *agent.FailoverOptions `json:"plans,omitempty"`
+	Without Without                `json:"without"`
 }
 
 // Without is a part that is left out, to show that the checks find it.
@@ -187,10 +187,10 @@
 // before lies before an agent's disk.
 type before struct {
 	p    *process
-	disk consensus.Disk
+	disk consensus.Storage
 }
 
-func (b before) Save(w consensus.Write) error {
+func (b before) Save(w consensus.StorageUpdate) error {
 	b.p.mu.Lock()
 	stall, full, sync := b.p.stall, b.p.full, b.p.sync
 	b.p.mu.Unlock()
@@ -212,8 +212,8 @@
 	if err != nil {
 		return err
 	}
-	return agent.Serve(ctx, p.Dir, agent.Options{Log: slog.New(&lines{p}), Clock: p.clock, Dial: p.dial, Listener: ln, Plans: p.Plans,
-		Disk: func(d consensus.Disk) consensus.Disk { return before{p, d} }})
+	return agent.Serve(ctx, p.Dir, agent.Options{Log: slog.New(&lines{p}), Clock: p.clock, Dial: p.dial, Listener: ln, Failover: p.Plans,
+		WrapStorage: func(d consensus.Storage) consensus.Storage { return before{p, d} }})
 }
 
 // ---- holder ----
@@ -231,7 +231,7 @@
 	for ctx.Err() == nil {
 		from := agent.Clock()
 		ask, stop := context.WithTimeout(ctx, 2*time.Second)
-		l, err := agent.Hold(ask, client, agent.Wanted{Name: leaseName, For: p.For, Who: p.Name + "/" + strconv.Itoa(os.Getpid()), Clock: p.clock,
+		l, err := agent.Acquire(ask, client, agent.LeaseOptions{Name: leaseName, Duration: p.For, Holder: p.Name + "/" + strconv.Itoa(os.Getpid()), Clock: p.clock,
 			Margin: 50 * time.Millisecond})
 		stop()
 		if err != nil {
@@ -239,14 +239,14 @@
 			continue
 		}
 		g, _ := l.Grant()
-		p.tell(Event{What: "holds", Seat: g.Seat, Token: g.Token, From: from})
+		p.tell(Event{What: "holds", Seat: g.Slot, Token: g.Token, From: from})
 		p.act(ctx, l, g, target)
 		if l.Reason() == nil {
 			release, stop := context.WithTimeout(ctx, 2*time.Second)
 			_ = l.Release(release) // it ends by itself
 			stop()
 		}
-		p.tell(Event{What: "done", Seat: g.Seat, Token: g.Token})
+		p.tell(Event{What: "done", Seat: g.Slot, Token: g.Token})
 		_ = sleep(ctx, 0, 200*time.Millisecond)
 	}
 	return nil
@@ -281,12 +281,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var a agent.Answer
+	var a agent.Response
 	if err := json.Unmarshal(raw, &a); err != nil {
 		return nil, err
 	}
 	if resp.StatusCode == 200 || a.Code == "taken" || a.Code == "not-held" {
-		e := Event{What: verb, Token: c.Token, From: from, Ask: c.Ask, Text: a.Code}
+		e := Event{What: verb, Token: c.Token, From: from, Ask: c.RequestID, Text: a.Code}
 		if verb == "acquire" && a.Grant != nil {
 			e.Token = a.Grant.Token
 		}
@@ -309,8 +309,8 @@
 // act acts until the lease is in doubt, or it is let go.
 func (p *process) act(ctx context.Context, l *agent.Lease, g lease.Grant, target *http.Client) {
 	for acts := cmp.Or(p.Acts, 1+rand.IntN(40)); acts > 0 && ctx.Err() == nil; acts-- {
-		if _, err := l.Begin(longest); err != nil && !p.Without.Guard {
-			p.tell(Event{What: "withheld", Seat: g.Seat, Token: g.Token, Text: err.Error()})
+		if _, err := l.BeginAction(longest); err != nil && !p.Without.Guard {
+			p.tell(Event{What: "withheld", Seat: g.Slot, Token: g.Token, Text: err.Error()})
 			return
 		}
 		p.mu.Lock()
@@ -318,20 +318,20 @@
 		p.halt = false
 		p.mu.Unlock()
 		if halt {
-			p.tell(Event{What: "halts", Seat: g.Seat, Token: g.Token})
+			p.tell(Event{What: "halts", Seat: g.Slot, Token: g.Token})
 			goes := make(chan os.Signal, 1)
 			signal.Notify(goes, syscall.SIGCONT)
 			_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
 			<-goes // the stop takes hold a little later: what follows must not have begun by then
 		}
-		resp, err := target.Post(fmt.Sprintf("http://%s/act?seat=%d&token=%d&who=%s", p.Target, g.Seat, g.Token, p.Name), "", nil)
+		resp, err := target.Post(fmt.Sprintf("http://%s/act?seat=%d&token=%d&who=%s", p.Target, g.Slot, g.Token, p.Name), "", nil)
 		if err == nil {
 			_ = resp.Body.Close()
 		}
 		_ = sleep(ctx, 0, 100*time.Millisecond)
 	}
 	for p.Without.Guard && ctx.Err() == nil { // it goes by nothing
-		resp, err := target.Post(fmt.Sprintf("http://%s/act?seat=%d&token=%d&who=%s", p.Target, g.Seat, g.Token, p.Name), "", nil)
+		resp, err := target.Post(fmt.Sprintf("http://%s/act?seat=%d&token=%d&who=%s", p.Target, g.Slot, g.Token, p.Name), "", nil)
 		if err == nil {
 			_ = resp.Body.Close()
 		}
@@ -355,7 +355,7 @@
 		q := r.URL.Query()
 		seat, _ := strconv.Atoi(q.Get("seat"))
 		token, _ := strconv.ParseUint(q.Get("token"), 10, 64)
-		g := lease.Grant{Name: leaseName, Seat: seat, Token: lease.Token(token)}
+		g := lease.Grant{Name: leaseName, Slot: seat, Token: lease.Token(token)}
 		e := Event{Seat: seat, Token: g.Token, Text: q.Get("who")}
 		mu.Lock()
 		err := doors.Begin(g)
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -67,8 +67,8 @@
 	return path
 }
 
-// Twice returns the first of the names, in lower case, that more than one field has, or nothing.
-func (h *Head) Twice(names ...string) string {
+// HasDuplicate returns the first of the names, in lower case, that more than one field has, or nothing.
+func (h *Head) HasDuplicate(names ...string) string {
 	for _, name := range names {
 		n := 0
 		for _, f := range h.Fields {
@@ -592,8 +592,8 @@
 	return "Answer"
 }
 
-// RefusalStatus is the status under which a request that could not be read is refused.
-func RefusalStatus(err error) int {
+// RejectionStatus is the status under which a request that could not be read is refused.
+func RejectionStatus(err error) int {
 	switch {
 	case errors.Is(err, ErrHeadTooLarge):
 		return 431
--- a/internal/protocol/subject.go
+++ b/internal/protocol/subject.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Subject is a hash of what a request is about, as its target's query names it in obj, taken as it stands; 0 where it
+// AffinityKey is a hash of what a request is about, as its target's query names it in obj, taken as it stands; 0 where it
 // does not.
-func Subject(target []byte) uint64 {
+func AffinityKey(target []byte) uint64 {
 	_, query, _ := bytes.Cut(target, []byte("?"))
 	for part := range bytes.SplitSeq(query, []byte("&")) {
 		if obj, ok := bytes.CutPrefix(part, []byte("obj=")); ok && len(obj) > 0 {
--- a/internal/protocol/subject_test.go
+++ b/internal/protocol/subject_test.go
@@ -24,7 +24,7 @@
 		if c.obj != "" {
 			want = xxhash.Sum64String(c.obj)
 		}
-		if got := Subject([]byte(c.target)); got != want {
+		if got := AffinityKey([]byte(c.target)); got != want {
 			t.Errorf("%s: %x, want %x", c.name, got, want)
 		}
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -39,7 +39,7 @@
 				open = append(open, r.Next()...)
 				note = r.Note()
 				if len(open) == 0 {
-					if !r.Over() {
+					if !r.Complete() {
 						t.Fatal("nothing to do, and not over")
 					}
 					break
@@ -55,9 +55,9 @@
 					if away[task.Name] && changed[task.Name] == 0 { // as the one who does it finds out
 						changed[task.Name]++
 					}
-					task.Step = Back
-					r.Reached(task.Name, Back)
-				case Back:
+					task.Step = Resume
+					r.Reached(task.Name, Resume)
+				case Resume:
 					delete(away, task.Name)
 					r.Done(task.Name)
 					open = append(open[:at], open[at+1:]...)
@@ -81,7 +81,7 @@
 					}
 				}
 			}
-			if r.Over() && len(open) == 0 {
+			if r.Complete() && len(open) == 0 {
 				break
 			}
 		}
@@ -98,11 +98,11 @@
 	if err != nil || len(r.Next()) != 1 {
 		t.Fatal(err)
 	}
-	if _, err := New(nodes, 1, "v2", r.Note()); !errors.Is(err, ErrOther) || !strings.Contains(err.Error(), "v1") {
+	if _, err := New(nodes, 1, "v2", r.Note()); !errors.Is(err, ErrInProgress) || !strings.Contains(err.Error(), "v1") {
 		t.Error(err)
 	}
 	r.Failed("a")
-	if tasks := r.Next(); len(tasks) != 0 || r.Over() {
+	if tasks := r.Next(); len(tasks) != 0 || r.Complete() {
 		t.Error("after a failure:", tasks)
 	}
 	if r, err = New(nodes, 1, "v1", r.Note()); err != nil {
@@ -110,15 +110,15 @@
 	}
 	for _, want := range []string{"a", "b"} {
 		tasks := r.Next()
-		if len(tasks) != 1 || tasks[0].Name != want || tasks[0].Again != (want == "a") {
+		if len(tasks) != 1 || tasks[0].Name != want || tasks[0].Retry != (want == "a") {
 			t.Fatal(tasks)
 		}
 		r.Done(want)
 	}
-	if r.Next(); !r.Over() {
+	if r.Next(); !r.Complete() {
 		t.Error("not over")
 	}
-	if again, err := New(nodes, 1, "v1", r.Note()); err != nil || len(again.Next()) > 0 || !again.Over() {
+	if again, err := New(nodes, 1, "v1", r.Note()); err != nil || len(again.Next()) > 0 || !again.Complete() {
 		t.Error("it begins again:", err)
 	}
 	if next, err := New(nodes, 1, "v2", r.Note()); err != nil || len(next.Next()) != 1 {
@@ -141,13 +141,13 @@
 		t.Fatal(err)
 	}
 	largest := 0
-	for !r.Over() {
+	for !r.Complete() {
 		for _, task := range r.Next() {
 			largest = max(largest, len(r.Note()))
 			r.Done(task.Name)
 		}
 	}
-	if len(r.Finished()) != len(nodes) || largest > lease.NoteMost {
-		t.Errorf("%d nodes done, notes of %d bytes where %d fit", len(r.Finished()), largest, lease.NoteMost)
+	if len(r.Finished()) != len(nodes) || largest > lease.MaxNoteBytes {
+		t.Errorf("%d nodes done, notes of %d bytes where %d fit", len(r.Finished()), largest, lease.MaxNoteBytes)
 	}
 }
--- a/internal/simulation/failoversim/failoversim.go
+++ b/internal/simulation/failoversim/failoversim.go
@@ -94,7 +94,7 @@
 	p      *play
 	zone   int
 	name   string
-	held   *failover.Held
+	held   *failover.CurrentPlan
 	seq    uint64
 	newest *failover.Plan
 	last   [2][]float64 // by class, of the plan in the step before
@@ -182,16 +182,16 @@
 func (n *node) tell(to []*director) {
 	p := n.p
 	n.seq++
-	d := failover.Digest{Node: n.name, Life: 1, Seq: n.seq, Zone: n.zone, Can: make([]float64, len(p.top.Zones))}
+	d := failover.Digest{Node: n.name, Incarnation: 1, Sequence: n.seq, Zone: n.zone, Capacity: make([]float64, len(p.top.Zones))}
 	for _, x := range p.demand()[n.zone] {
 		d.Demand = append(d.Demand, x/nodes*(1+0.03*(2*p.r.Float64()-1)))
 	}
-	for z := range d.Can {
-		d.Can[z] = p.can(z) * (1 + 0.03*(2*p.r.Float64()-1))
+	for z := range d.Capacity {
+		d.Capacity[z] = p.can(z) * (1 + 0.03*(2*p.r.Float64()-1))
 	}
 	for _, dir := range to {
 		if p.now >= dir.cut {
-			p.send(func() { dir.run(func() { dir.sums.Take(d, p.now) }) })
+			p.send(func() { dir.run(func() { dir.sums.Add(d, p.now) }) })
 		}
 	}
 	p.after(tells, func() { n.tell(to) })
@@ -200,9 +200,9 @@
 func (n *node) take(plan *failover.Plan) {
 	p := n.p
 	if p.without.Token { // whatever was held is forgotten
-		n.held = failover.NewHeld(p.rules, len(p.top.Zones), len(worth))
+		n.held = failover.NewCurrentPlan(p.rules, len(p.top.Zones), len(worth))
 	}
-	if n.held.Take(plan, p.now) != nil {
+	if n.held.Update(plan, p.now) != nil {
 		p.out.Refused++
 		return
 	}
@@ -217,8 +217,8 @@
 func (n *node) local(shares []float64) {
 	best, at := math.Inf(1), n.zone
 	for z, load := range n.seen {
-		if load < 0.95 && n.p.top.Price[n.zone][z] < best {
-			best, at = n.p.top.Price[n.zone][z], z
+		if load < 0.95 && n.p.top.Cost[n.zone][z] < best {
+			best, at = n.p.top.Cost[n.zone][z], z
 		}
 	}
 	clear(shares)
@@ -274,7 +274,7 @@
 	}
 	c := lease.Command{Kind: lease.Renew, Name: "director", Token: d.token, Ticks: 4}
 	if d.token == 0 {
-		c = lease.Command{Kind: lease.Acquire, Name: "director", Who: d.name, Ask: uint64(p.now), Ticks: 4}
+		c = lease.Command{Kind: lease.Acquire, Name: "director", Holder: d.name, RequestID: uint64(p.now), Ticks: 4}
 	}
 	g, err := p.seat.Apply(c)
 	if err != nil {
@@ -289,7 +289,7 @@
 			d.planner.Adopt(d.prev, d.since)
 		}
 	}
-	sums := d.sums.Sums(p.now)
+	sums := d.sums.Totals(p.now)
 	if p.now < 2*time.Second { // who has just begun knows too little
 		return
 	}
@@ -300,10 +300,10 @@
 	d.run(func() { d.publish(sums) })
 }
 
-func (d *director) publish(sums failover.Sums) {
+func (d *director) publish(sums failover.Totals) {
 	p := d.p
 	plan, err := d.planner.Step(p.now, d.token, sums)
-	if errors.Is(err, failover.ErrNobody) {
+	if errors.Is(err, failover.ErrNoCapacity) {
 		return
 	} else if err != nil {
 		panic(err)
@@ -322,7 +322,7 @@
 }
 
 // check finds plans by which a zone's work was to grow by more than the rate lets it in what lies between two plans.
-func (d *director) check(was, plan *failover.Plan, s failover.Sums, since time.Duration) {
+func (d *director) check(was, plan *failover.Plan, s failover.Totals, since time.Duration) {
 	for to := range plan.Rows {
 		grown, back := 0.0, 0.0
 		for z := range plan.Rows {
@@ -333,7 +333,7 @@
 				}
 			}
 		}
-		if grown-back > failover.Usual.Rate*since.Seconds()*s.Capacity[to]+1e-6 {
+		if grown-back > failover.DefaultRules.MaxGrowthRate*since.Seconds()*s.Capacity[to]+1e-6 {
 			d.p.out.Jumps++
 		}
 	}
@@ -361,7 +361,7 @@
 		}
 	}
 	var got, best, needed float64
-	sums := failover.Sums{Demand: demand, Capacity: make([]float64, len(load))}
+	sums := failover.Totals{Demand: demand, Capacity: make([]float64, len(load))}
 	for z := range load {
 		sums.Capacity[z] = p.can(z)
 		left := sums.Capacity[z]
@@ -392,7 +392,7 @@
 		return
 	}
 	if p.now > p.died {
-		if p.now > p.died+p.rules.Valid+p.rules.Fade && p.now-p.event > settled {
+		if p.now > p.died+p.rules.ValidFor+p.rules.FadeOver && p.now-p.event > settled {
 			p.alone[0], p.alone[1] = p.alone[0]+got, p.alone[1]+best
 		}
 		return
@@ -420,17 +420,17 @@
 
 // Play plays one schedule.
 func Play(seed uint64, without Without) Outcome {
-	p := &play{r: rand.New(rand.NewPCG(seed, 0xfa11)), events: rand.New(rand.NewPCG(seed, 0xe7e27)), src: eventqueue.NewSource(1), without: without, top: failover.Grid(regions, zones), rules: failover.Usual,
+	p := &play{r: rand.New(rand.NewPCG(seed, 0xfa11)), events: rand.New(rand.NewPCG(seed, 0xe7e27)), src: eventqueue.NewSource(1), without: without, top: failover.Grid(regions, zones), rules: failover.DefaultRules,
 		seat: lease.New(), from: make([]time.Duration, regions*zones)}
 	p.out.Schedules = 1
 	if without.Rate {
-		p.rules.Rate = 1e9
+		p.rules.MaxGrowthRate = 1e9
 	}
 	if without.Fade {
-		p.rules.Fade = time.Nanosecond
+		p.rules.FadeOver = time.Nanosecond
 	}
 	p.level = []float64{0.6, 0.75, 0.85, 0.95}[p.events.IntN(4)]
-	sight := failover.Usual
+	sight := failover.DefaultRules
 	sight.Headroom = 0
 	planner := func(rules failover.Rules) *failover.Planner {
 		pl, err := failover.NewPlanner(p.top, worth, rules)
@@ -447,7 +447,7 @@
 	for z := range p.top.Zones {
 		p.cap, p.from[z] = append(p.cap, full), -time.Hour
 		for i := range nodes {
-			n := &node{p: p, zone: z, name: fmt.Sprint("n", z, "-", i), held: failover.NewHeld(p.rules, len(p.top.Zones), len(worth)),
+			n := &node{p: p, zone: z, name: fmt.Sprint("n", z, "-", i), held: failover.NewCurrentPlan(p.rules, len(p.top.Zones), len(worth)),
 				seen: make([]float64, len(p.top.Zones))}
 			p.nodes = append(p.nodes, n)
 			p.after(eventqueue.Between(p.r, 0, tells), func() { n.tell(directors) })
--- a/internal/simulation/leasesim/group.go
+++ b/internal/simulation/leasesim/group.go
@@ -38,15 +38,15 @@
 	stop time.Duration
 	life int
 	m    *membership.Member // nil: it is down
-	disk membership.Kept
-	lazy []membership.Write // without Sync: what the disk has not got yet
-	gone bool               // it will not come back
+	disk membership.DurableState
+	lazy []membership.StorageUpdate // without Sync: what the disk has not got yet
+	gone bool                       // it will not come back
 }
 
 var errDown = errors.New("the process died")
 
 // Save is the disk. The process may die before it has anything, or when it has all.
-func (n *node) Save(w membership.Write) error {
+func (n *node) Save(w membership.StorageUpdate) error {
 	p := n.g.p
 	dies := p.faults.Down && p.wild() && p.chance(0.002)
 	if dies && p.chance(0.5) {
@@ -65,7 +65,7 @@
 // sync has the disk take all but the last few writes.
 func (n *node) sync(but int) {
 	for len(n.lazy) > but {
-		n.disk = n.disk.After(n.lazy[0])
+		n.disk = n.disk.EntriesAfter(n.lazy[0])
 		n.lazy = n.lazy[1:]
 	}
 }
@@ -78,7 +78,7 @@
 	for i := range members {
 		who[uint64(i+1)] = address(uint64(i + 1))
 	}
-	kept, err := membership.Founded(who, lease.Terms{Interval: interval, Drift: drift})
+	kept, err := membership.Bootstrap(who, lease.Terms{Interval: interval, Drift: drift})
 	if err != nil {
 		panic(err)
 	}
@@ -97,7 +97,7 @@
 	return g
 }
 
-func (g *group) add(kept membership.Kept) *node {
+func (g *group) add(kept membership.DurableState) *node {
 	n := &node{g: g, id: uint64(len(g.nodes) + 1), disk: kept, rate: 1 + drift*(2*g.p.r.Float64()-1)}
 	if g.p.faults.Clocks && g.p.chance(0.3) {
 		n.rate = 1.2 + g.p.r.Float64() // its ticks are short
@@ -115,8 +115,8 @@
 	}
 	p := n.g.p
 	n.life++
-	m, err := membership.New(membership.Options{ID: n.id, Clock: n.clock, Rand: rand.New(rand.NewPCG(p.r.Uint64(), p.r.Uint64())), Disk: n,
-		Send: n.send, Silence: 10, Compact: 40, Patience: 60}, n.disk)
+	m, err := membership.New(membership.Options{ID: n.id, Clock: n.clock, Rand: rand.New(rand.NewPCG(p.r.Uint64(), p.r.Uint64())), Storage: n,
+		Send: n.send, ElectionTicks: 10, SnapshotEntries: 40, RequestTimeoutTicks: 60}, n.disk)
 	if err != nil {
 		panic(err)
 	}
@@ -124,7 +124,7 @@
 	life := n.life
 	var next func()
 	next = func() {
-		n.run(life, (*membership.Member).Beat)
+		n.run(life, (*membership.Member).Tick)
 		if n.life == life {
 			p.after(time.Duration(float64(beat)/n.rate), next)
 		}
@@ -142,7 +142,7 @@
 		p.after(n.stop-p.now, func() { n.run(life, f) })
 		return
 	}
-	led := n.m.Leads()
+	led := n.m.IsLeader()
 	f(n.m)
 	if err := n.m.Flush(); err != nil {
 		if !errors.Is(err, errDown) {
@@ -151,14 +151,14 @@
 		n.down(p.between(100*time.Millisecond, 3*time.Second))
 		return
 	}
-	if !led && n.m.Leads() {
+	if !led && n.m.IsLeader() {
 		p.out.Leaders++
 		if n.g.led > 0 {
 			p.gaps.Lead = append(p.gaps.Lead, p.now-n.g.led)
 			n.g.led = 0
 		}
 	}
-	index, sum := n.m.Sum()
+	index, sum := n.m.Checksum()
 	if was, ok := n.g.sums[index]; ok && was != sum {
 		p.out.Split++
 	}
@@ -175,7 +175,7 @@
 	if n.m == nil {
 		return
 	}
-	if n.m.Leads() {
+	if n.m.IsLeader() {
 		n.g.led = n.g.p.now
 	}
 	n.m, n.stop = nil, 0
@@ -229,17 +229,17 @@
 	try = func(to *node, hops int) {
 		p.send(p.faults.Network, func() {
 			to.run(to.life, func(m *membership.Member) {
-				m.Ask(c, func(grant lease.Grant, err error) {
+				m.Propose(c, func(grant lease.Grant, err error) {
 					if c.Kind == lease.Acquire && err == nil {
-						g.count(grant, h.name, c.Ask)
+						g.count(grant, h.name, c.RequestID)
 					}
 					p.send(p.faults.Network, func() {
-						var other membership.NotLeader
+						var other membership.NotLeaderError
 						switch {
 						case errors.As(err, &other) && other.Address != "" && hops < 3:
 							at := slices.IndexFunc(g.nodes, func(o *node) bool { return address(o.id) == other.Address })
 							try(g.nodes[at], hops+1)
-						case errors.As(err, &other), errors.Is(err, membership.ErrUnsure), errors.Is(err, membership.ErrBusy):
+						case errors.As(err, &other), errors.Is(err, membership.ErrOutcomeUnknown), errors.Is(err, membership.ErrBusy):
 						default:
 							h.to = to
 							answer(grant, err)
@@ -279,7 +279,7 @@
 	p.after(p.between(300*time.Millisecond, 2500*time.Millisecond), g.fault)
 	there := slices.DeleteFunc(slices.Clone(g.nodes), func(n *node) bool { return n.gone })
 	n := there[p.r.IntN(len(there))]
-	if lead := slices.IndexFunc(there, func(n *node) bool { return n.m != nil && n.m.Leads() }); lead >= 0 && p.chance(0.5) {
+	if lead := slices.IndexFunc(there, func(n *node) bool { return n.m != nil && n.m.IsLeader() }); lead >= 0 && p.chance(0.5) {
 		n = there[lead]
 	}
 	till := p.now + p.between(300*time.Millisecond, 3*time.Second)
@@ -331,15 +331,15 @@
 
 // replace has a new member take one's place.
 func (g *group) replace(old *node) {
-	lead := slices.IndexFunc(g.nodes, func(n *node) bool { return n.m != nil && n.m.Leads() && g.p.now >= n.stop })
+	lead := slices.IndexFunc(g.nodes, func(n *node) bool { return n.m != nil && n.m.IsLeader() && g.p.now >= n.stop })
 	if g.busy || lead < 0 {
 		return
 	}
 	g.busy = true
-	fresh := g.add(membership.Joining())
+	fresh := g.add(membership.EmptyState())
 	l := g.nodes[lead]
 	l.run(l.life, func(m *membership.Member) {
-		m.Change(map[uint64]string{fresh.id: address(fresh.id)}, []uint64{old.id}, func(error) { g.busy = false })
+		m.ChangeMembers(map[uint64]string{fresh.id: address(fresh.id)}, []uint64{old.id}, func(error) { g.busy = false })
 	})
 }
 
@@ -347,7 +347,7 @@
 func (g *group) tally() {
 	for _, n := range g.nodes {
 		if n.m != nil {
-			if index, sum := n.m.Sum(); g.sums[index] != sum {
+			if index, sum := n.m.Checksum(); g.sums[index] != sum {
 				g.p.out.Split++
 			}
 		}
--- a/internal/simulation/leasesim/leasesim.go
+++ b/internal/simulation/leasesim/leasesim.go
@@ -223,7 +223,7 @@
 		}
 		before := p.state.Now()
 		g, err := p.state.Apply(c)
-		if c.Kind == lease.Acquire && err == nil && g.Till == before+c.Ticks {
+		if c.Kind == lease.Acquire && err == nil && g.ExpiresAt == before+c.Ticks {
 			p.out.Grants++
 		}
 		p.send(p.faults.Network, func() { answer(g, err) })
@@ -260,7 +260,7 @@
 	p := h.p
 	if grant, held := h.guard.Grant(); held {
 		p.out.Kills++
-		p.orphans[grant.Seat] = orphan{grant.Token, p.now}
+		p.orphans[grant.Slot] = orphan{grant.Token, p.now}
 	}
 	h.life++
 	h.stop = 0
@@ -294,10 +294,10 @@
 		p.ask(h, c, took(c))
 	} else {
 		h.asks++
-		c := lease.Command{Kind: lease.Acquire, Name: "task", Who: h.name, Ask: h.asks, Ticks: ticks}
+		c := lease.Command{Kind: lease.Acquire, Name: "task", Holder: h.name, RequestID: h.asks, Ticks: ticks}
 		p.ask(h, c, took(c))
 	}
-	if have && p.chance(0.1) && (h.guard.Free(h.clock()) || p.without.Free) { // it has done what it had to do
+	if have && p.chance(0.1) && (h.guard.Expired(h.clock()) || p.without.Free) { // it has done what it had to do
 		h.guard.Drop()
 		p.ask(h, lease.Command{Kind: lease.Release, Name: "task", Token: grant.Token}, func(lease.Grant, error) {})
 	}
@@ -312,7 +312,7 @@
 	if !have {
 		return
 	}
-	grant, may := h.guard.Begin(h.clock(), longest)
+	grant, may := h.guard.BeginAction(h.clock(), longest)
 	if p.without.Guard {
 		grant = held
 	} else if !may {
@@ -328,7 +328,7 @@
 // land is an act where it acts.
 func (p *play) land(g lease.Grant) {
 	if err := p.fence.Begin(g); err != nil && !p.without.Fence {
-		if err == fencing.ErrOld {
+		if err == fencing.ErrStaleToken {
 			p.out.Old++
 		} else {
 			p.out.Busy++
@@ -337,19 +337,19 @@
 	}
 	a := &act{g, p.now, true}
 	for _, o := range p.acts {
-		if o.open && o.grant.Seat == g.Seat && o.grant.Token != g.Token {
+		if o.open && o.grant.Slot == g.Slot && o.grant.Token != g.Token {
 			p.out.Overlaps++
 		}
 	}
-	if g.Token < p.newest[g.Seat] {
+	if g.Token < p.newest[g.Slot] {
 		p.out.Backwards++
 	}
-	p.newest[g.Seat] = max(p.newest[g.Seat], g.Token)
+	p.newest[g.Slot] = max(p.newest[g.Slot], g.Token)
 	p.out.Acts++
 	p.last = p.now
-	if o, ok := p.orphans[g.Seat]; ok && g.Token > o.token {
+	if o, ok := p.orphans[g.Slot]; ok && g.Token > o.token {
 		p.gaps.All = append(p.gaps.All, p.now-o.at)
-		delete(p.orphans, g.Seat)
+		delete(p.orphans, g.Slot)
 	}
 	p.acts = append(slices.DeleteFunc(p.acts, func(o *act) bool { return !o.open }), a)
 	p.after(p.between(longest/10, longest-wire), func() {
@@ -372,7 +372,7 @@
 	p.faults = Faults{Stops: p.chance(0.5), Clocks: p.chance(0.3), Network: p.chance(0.6), Late: p.chance(0.3), Leaders: p.chance(0.6),
 		Kills: p.chance(0.5)}
 	most := 1 + p.r.IntN(2)*p.r.IntN(3)
-	seats := lease.Command{Kind: lease.Most, Name: "task", Most: most}
+	seats := lease.Command{Kind: lease.SetMaxHolders, Name: "task", MaxHolders: most}
 	if members > 0 {
 		p.faults.Leaders = false
 		p.faults.Down, p.faults.Cuts, p.faults.Lossy = p.chance(0.6), p.chance(0.5), p.chance(0.4)
