--- a/cmd/tulipctl/lab.go
+++ b/cmd/tulipctl/lab.go
@@ -168,7 +168,7 @@
 	}
 	var results []*emulator.Result
 	broken := 0
-	logged := func(w *emulator.World) {
+	logged := func(w *emulator.Simulation) {
 		if cmd.Bool("log") {
 			w.Log = func(at int64, node int, text string) {
 				fmt.Fprintf(cmd.Root().ErrWriter, "%.6f node %d: %s\n", float64(at)/1e6, node, text)
@@ -222,8 +222,8 @@
 	for _, r := range results {
 		o := r.Outcomes
 		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t%v\n", r.Policy, r.Score,
-			r.Worth, r.WorstWindow, r.WorstClass, r.WorstTenant, r.ServiceAfterEnd, o["served"], o["late"], o["refused"], o["failed"],
-			o["timed-out"], o["left"], r.AttemptsPerTry, r.CrossSite, r.Waste, experiment.Metrics["p50_ms"](r),
+			r.ServedValue, r.WorstWindow, r.WorstClass, r.WorstTenant, r.ServiceAfterEnd, o["served"], o["late"], o["refused"], o["failed"],
+			o["timed-out"], o["left"], r.AttemptsPerRequest, r.CrossSite, r.Waste, experiment.Metrics["p50_ms"](r),
 			experiment.Metrics["p99_ms"](r), brokenText(r))
 	}
 	if err := t.Flush(); err != nil {
@@ -435,7 +435,7 @@
 		t := table(cmd)
 		fmt.Fprintf(t, "seed\tmodule\t%s\tfails by\tsettings that it takes\n", experiment.Plain)
 		for _, d := range failed {
-			fmt.Fprintf(t, "%d\t%.3f\t%.3f\t%s %v\t%s\n", d.Seed, d.Module, d.Plain, d.Fault, d.Broken, strings.Join(d.Turned, "; "))
+			fmt.Fprintf(t, "%d\t%.3f\t%.3f\t%s %v\t%s\n", d.Seed, d.Module, d.Plain, d.Fault, d.Broken, strings.Join(d.RaisedSettings, "; "))
 		}
 		if err := t.Flush(); err != nil {
 			return err
@@ -475,7 +475,7 @@
 			{"acts withheld by holders in doubt", o.Withheld},
 			{"acts refused by their token", o.Old}, {"acts refused while an earlier one went on", o.Busy}, {"OVERLAPS", o.Overlaps},
 			{"OLDER AFTER NEWER", o.Backwards}, {"REFUSED WHERE THE GUARD MUST DO", o.Unneeded},
-			{"faults among members", o.Faults}, {"changes of members", o.Changes}, {"TOKENS GIVEN TWICE", o.Twice}, {"MEMBERS THAT DISAGREE", o.Split},
+			{"faults among members", o.Faults}, {"changes of members", o.Changes}, {"TOKENS GIVEN TWICE", o.DuplicateGrants}, {"MEMBERS THAT DISAGREE", o.Split},
 			{"NOBODY ACTS AFTER THE FAULTS", o.Idle}} {
 			fmt.Fprintf(t, "%s\t%d\n", l.what, l.n)
 		}
--- a/cmd/tulipctl/load.go
+++ b/cmd/tulipctl/load.go
@@ -175,7 +175,7 @@
 		fmt.Fprintf(out, "INVALID: %s\n", strings.Join(r.Invalid, "; "))
 	}
 	fmt.Fprintf(out, "%s, seed %d: %d calls in %.1f s (%.0f/s), %d tries of which %d repeats, worth in time %.3f\n", r.Scenario, r.Seed,
-		r.Calls, r.Seconds, r.PerS, r.Sent, r.Repeats, r.Worth)
+		r.Calls, r.Seconds, r.PerS, r.Sent, r.Repeats, r.ServedValue)
 	fmt.Fprintf(out, "lag p50 %.3f ms, p99 %.3f ms, max %.3f ms; at most %d connections; %.1f µs of processor time a try\n\n", r.Lag.P50,
 		r.Lag.P99, r.Lag.Max, r.Conns, r.CPU)
 	t := table(cmd)
@@ -199,9 +199,9 @@
 	if err != nil {
 		return err
 	}
-	s := load.Search{Wanted: load.Wanted{P99: cmd.Duration("p99"), Refused: cmd.Float("refused")}, From: cmd.Float("from"), To: cmd.Float("to"),
-		Close: cmd.Float("close"), Sure: cmd.Int("sure")}
-	if s.From <= 0 || s.To < s.From || s.Close <= 0 || s.Sure < 1 {
+	s := load.Search{Objective: load.Objective{P99: cmd.Duration("p99"), MaxRejectedShare: cmd.Float("refused")}, From: cmd.Float("from"), To: cmd.Float("to"),
+		Close: cmd.Float("close"), Confirmations: cmd.Int("sure")}
+	if s.From <= 0 || s.To < s.From || s.Close <= 0 || s.Confirmations < 1 {
 		return fmt.Errorf("find: --from, --to, --close and --sure must be above 0, and --to not below --from")
 	}
 	found, err := load.Find(ctx, s, func(ctx context.Context, perS float64) (*load.Result, error) {
@@ -220,7 +220,7 @@
 	t := table(cmd)
 	fmt.Fprintln(t, "calls/s\tp99 ms\tnot served\tkept")
 	for _, st := range found.Steps {
-		fmt.Fprintf(t, "%.0f\t%.1f\t%.4f\t%v%s\n", st.PerS, st.P99, st.Refused, st.Kept, map[bool]string{true: " INVALID"}[st.Invalid != ""])
+		fmt.Fprintf(t, "%.0f\t%.1f\t%.4f\t%v%s\n", st.PerS, st.P99, st.RejectedShare, st.WithinBounds, map[bool]string{true: " INVALID"}[st.Invalid != ""])
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -231,11 +231,11 @@
 	}
 	switch {
 	case found.Low == 0:
-		return no("not even %.0f calls/s keeps p99 within %v and %.1f%% not served", s.From, s.P99, 100*s.Refused)
+		return no("not even %.0f calls/s keeps p99 within %v and %.1f%% not served", s.From, s.P99, 100*s.MaxRejectedShare)
 	case found.High == 0:
-		fmt.Fprintf(out, "at least %.0f calls/s (kept in %s)\n", found.Low, found.LowKept)
+		fmt.Fprintf(out, "at least %.0f calls/s (kept in %s)\n", found.Low, found.LowConfidence)
 	default:
-		fmt.Fprintf(out, "%.0f calls/s (kept in %s); not %.0f (not kept in %s)\n", found.Low, found.LowKept, found.High, found.HighOut)
+		fmt.Fprintf(out, "%.0f calls/s (kept in %s); not %.0f (not kept in %s)\n", found.Low, found.LowConfidence, found.High, found.HighOut)
 	}
 	return nil
 }
@@ -389,4 +389,4 @@
 // quiet hears nothing: it is for reading figures off a fleet that is not played.
 type quiet struct{ emulator.Effects }
 
-func (quiet) Listed(emulator.Line) {}
+func (quiet) Listed(emulator.EndpointEntry) {}
--- a/cmd/tulipctl/processes.go
+++ b/cmd/tulipctl/processes.go
@@ -18,7 +18,7 @@
 
 // played is what schedules between processes have shown, together.
 type played struct {
-	processtest.Found
+	processtest.Findings
 	Schedules int    `json:"schedules"`
 	Idle      int    `json:"idle"`
 	First     uint64 `json:"first,omitempty"` // that broke something
@@ -37,7 +37,7 @@
 	all := played{}
 	show, done := progress(cmd.Root().ErrWriter, "processes"), 0
 	var failed error
-	err = processtest.Schedules(ctx, cmd.Uint64("seed"), n, atOnce, without, func(seed uint64, f processtest.Found, err error) {
+	err = processtest.Schedules(ctx, cmd.Uint64("seed"), n, atOnce, without, func(seed uint64, f processtest.Findings, err error) {
 		all.Schedules++
 		for i := range f.Broken {
 			f.Broken[i] = fmt.Sprintf("schedule %d: %s", seed, f.Broken[i])
@@ -65,14 +65,14 @@
 	} else {
 		t := table(cmd)
 		fmt.Fprintf(t, "schedules\t%d\ngrants\t%d\nleaders\t%d\nacts let in\t%d\nacts refused by their token\t%d\nNOBODY ACTS AFTER THE FAULTS\t%d\n",
-			all.Schedules, all.Grants, all.Leaders, all.Acts, all.Refused, all.Idle)
+			all.Schedules, all.Grants, all.Leaders, all.Acts, all.Rejected, all.Idle)
 		for _, kind := range slices.Sorted(maps.Keys(all.Faults)) {
 			fmt.Fprintf(t, "%s\t%d\n", kind, all.Faults[kind])
 		}
 		for _, h := range []struct {
 			what string
 			of   []time.Duration
-		}{{"from a holder's kill, stop or cut to the next one's first act", all.Gaps}, {"from a leader's kill, stop or cut to another's lead", all.Led}} {
+		}{{"from a holder's kill, stop or cut to the next one's first act", all.Gaps}, {"from a leader's kill, stop or cut to another's lead", all.LeaderTimes}} {
 			took := hdrhistogram.New(1, most, 3)
 			for _, d := range h.of {
 				if err := took.RecordValue(d.Milliseconds()); err != nil {
--- a/cmd/tulipctl/survey_test.go
+++ b/cmd/tulipctl/survey_test.go
@@ -29,7 +29,7 @@
 		}
 		live := emulator.NewLive(sc, seed, quiet{})
 		sc.Seconds, sc.WarmUp, sc.Load.PerS = 2, 0, min(60, sc.Load.Level*live.Capacity()*1e6/workload.MeanWork(sc))
-		t.Run(strings.Join(d.Turned(), "; "), func(t *testing.T) {
+		t.Run(strings.Join(d.RaisedSettings(), "; "), func(t *testing.T) {
 			f, err := startWorld(t.Context(), sc, seed, nil, node, t.TempDir(), nil)
 			if err != nil {
 				t.Fatal(err)
@@ -44,20 +44,20 @@
 			}
 			var targets []string
 			for site := range min(len(sc.Fleet.Sites), sc.Nodes.Count) {
-				targets = append(targets, f.w.Front(site))
+				targets = append(targets, f.w.Frontend(site))
 			}
 			r, err := load.Run(t.Context(), load.Plan{Scenario: sc, Seed: seed, Targets: targets, Capacity: live.Capacity()})
 			if err != nil {
 				t.Fatal(err)
 			}
 			truth := f.w.Report()
-			if truth.Twice+truth.AfterDrain+truth.Unreadable > 0 {
-				t.Errorf("rules broken: %d twice, %d after a drain, %d unreadable", truth.Twice, truth.AfterDrain, truth.Unreadable)
+			if truth.DuplicateRuns+truth.AfterDrain+truth.Unreadable > 0 {
+				t.Errorf("rules broken: %d twice, %d after a drain, %d unreadable", truth.DuplicateRuns, truth.AfterDrain, truth.Unreadable)
 			}
 			if served := r.Outcomes["served"] + r.Outcomes["late"]; float64(served) < 0.7*float64(r.Calls) {
 				t.Errorf("%d of %d calls served: %v", served, r.Calls, r.Outcomes)
 			}
-			if probing := sc.Rules.MayProbe && sc.Rules.Probe < 0.003; !probing && truth.Probes > 0 {
+			if probing := sc.Rules.AllowHealthChecks && sc.Rules.HealthCheckCost < 0.003; !probing && truth.Probes > 0 {
 				t.Errorf("%d probes, though they are forbidden or dear", truth.Probes)
 			} else if probing && truth.Probes == 0 {
 				t.Error("no probes, though they are cheap")
--- a/cmd/tulipctl/world.go
+++ b/cmd/tulipctl/world.go
@@ -58,7 +58,7 @@
 
 // fleet is a world with its nodes.
 type fleet struct {
-	w     *fake.World
+	w     *fake.Cluster
 	procs *fake.Processes
 	ready chan int
 	done  func() error
@@ -88,7 +88,7 @@
 	}
 	f.done = f.w.Close
 	if own {
-		if f.procs, err = f.w.StartNodes(prog, dir, fake.UsualLimits); err != nil {
+		if f.procs, err = f.w.StartNodes(prog, dir, fake.DefaultLimits); err != nil {
 			return nil, errors.Join(err, f.w.Close())
 		}
 		f.done = func() error { return errors.Join(f.procs.Stop(), f.w.Close()) }
@@ -151,7 +151,7 @@
 	}
 	out := cmd.Root().Writer
 	for site, s := range sc.Fleet.Sites {
-		fmt.Fprintf(out, "front of %s at %s\n", s, f.w.Front(site))
+		fmt.Fprintf(out, "front of %s at %s\n", s, f.w.Frontend(site))
 	}
 	for n := range sc.Nodes.Count {
 		fmt.Fprintf(out, "discovery for node %d at %s\n", n, f.w.Discovery(n))
@@ -168,8 +168,8 @@
 	<-ctx.Done()
 	r := f.w.Report()
 	fmt.Fprintf(out, "%.1f s: %d requests came to boxes, %d ran, %d ran twice though they must not, %d came after a drain, %d unreadable\n",
-		r.Seconds, r.Arrived, r.Executions, r.Twice, r.AfterDrain, r.Unreadable)
-	if r.Twice+r.AfterDrain > 0 {
+		r.Seconds, r.Arrived, r.Executions, r.DuplicateRuns, r.AfterDrain, r.Unreadable)
+	if r.DuplicateRuns+r.AfterDrain > 0 {
 		return no("rules were broken; see the log")
 	}
 	return nil
@@ -230,10 +230,10 @@
 		return err
 	}
 	fmt.Fprintf(out, "a world of %d boxes at %d sites, %d node, and %.0f s of clients: a surge from 6 to 14 s, and a box that drains at 9 s\n\n",
-		sc.Fleet.Boxes, len(sc.Fleet.Sites), sc.Nodes.Count, sc.Seconds)
+		sc.Fleet.Backends, len(sc.Fleet.Sites), sc.Nodes.Count, sc.Seconds)
 	var targets []string
 	for site := range sc.Fleet.Sites {
-		targets = append(targets, f.w.Front(site))
+		targets = append(targets, f.w.Frontend(site))
 	}
 	faults := emulator.Faults(sc, 1)
 	live := emulator.NewLive(sc, 1, quiet{})
@@ -251,9 +251,9 @@
 	}
 	r := f.w.Report()
 	fmt.Fprintf(out, "\nat the boxes: %d requests came, %d ran, %d ran twice though they must not, %d came after the drain\n", r.Arrived, r.Executions,
-		r.Twice, r.AfterDrain)
+		r.DuplicateRuns, r.AfterDrain)
 	fmt.Fprintf(out, "the picture: %s; what truly happened: %s\n", picture, filepath.Join(dir, "world.jsonl"))
-	if r.Twice+r.AfterDrain > 0 {
+	if r.DuplicateRuns+r.AfterDrain > 0 {
 		return no("rules were broken")
 	}
 	return validity(res)
--- a/cmd/tulipglade/soak_test.go
+++ b/cmd/tulipglade/soak_test.go
@@ -30,7 +30,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("%d requests: %d served, %d refused, %d failed; faults %v", res.Total, res.Served, res.Refused, res.Failed, res.Faults)
+			t.Logf("%d requests: %d served, %d refused, %d failed; faults %v", res.Total, res.Served, res.Rejected, res.Failed, res.Faults)
 			for i, line := range res.Broken {
 				if i == 20 {
 					t.Errorf("and %d more", len(res.Broken)-i)
--- a/internal/fake/backend.go
+++ b/internal/fake/backend.go
@@ -23,7 +23,7 @@
 
 // boxServer is one box's address for one node.
 type boxServer struct {
-	w     *World
+	w     *Cluster
 	place int
 	node  int
 	addr  string
@@ -39,8 +39,8 @@
 	end   bool
 }
 
-func newBoxServer(w *World, place, node int, addr string) (*boxServer, error) {
-	b := &boxServer{w: w, place: place, node: node, addr: addr, conns: map[*boxConn]bool{}, life: w.live.Life(place)}
+func newBoxServer(w *Cluster, place, node int, addr string) (*boxServer, error) {
+	b := &boxServer{w: w, place: place, node: node, addr: addr, conns: map[*boxConn]bool{}, life: w.live.Incarnation(place)}
 	b.wake = sync.NewCond(&b.mu)
 	return b, b.open()
 }
@@ -179,7 +179,7 @@
 		b.mu.Unlock()
 		b.w.post(func() {
 			b.w.ledger.sums.Connections++
-			if b.w.live.Life(b.place) == c.life {
+			if b.w.live.Incarnation(b.place) == c.life {
 				b.w.live.Connected(b.place, 1)
 				c.counted = true
 			}
@@ -242,7 +242,7 @@
 		b.mu.Unlock()
 		c.conn.Close()
 		b.w.post(func() {
-			if c.counted && b.w.live.Life(b.place) == c.life {
+			if c.counted && b.w.live.Incarnation(b.place) == c.life {
 				b.w.live.Connected(b.place, -1)
 			}
 			if c.out != nil && !c.out.ended {
@@ -357,14 +357,14 @@
 // probe is the answer to a probe, beside the queue; nil: it is none. Where settings forbid them, paths of probes are not there.
 func (c *boxConn) probe(m *protocol.Message) []byte {
 	b, path := c.b, string(m.Target)
-	if path != "/health" && path != "/status/load" || !b.w.sc.Rules.MayProbe {
+	if path != "/health" && path != "/status/load" || !b.w.sc.Rules.AllowHealthChecks {
 		return nil
 	}
 	var answer []byte
 	b.w.ask(func() {
 		w, body := b.w, ""
 		w.ledger.sums.Probes++
-		if w.live.Life(b.place) != c.life {
+		if w.live.Incarnation(b.place) != c.life {
 			return
 		}
 		if path == "/status/load" {
@@ -415,7 +415,7 @@
 	ok := b.w.post(func() {
 		w := b.w
 		now := w.now()
-		if w.live.Life(b.place) != c.life {
+		if w.live.Incarnation(b.place) != c.life {
 			x.ended = true
 			x.answers <- nil
 			return
@@ -437,11 +437,11 @@
 }
 
 // boxOf is the number of the process that has the address now.
-func (w *World) boxOf(place int) int {
+func (w *Cluster) boxOf(place int) int {
 	box := 0
 	for _, l := range w.state {
 		if l.Place == place {
-			box = max(box, l.Box)
+			box = max(box, l.Backend)
 		}
 	}
 	return box
@@ -464,7 +464,7 @@
 	balancer.OutcomeReset: "reset"}
 
 // response words an answer as PROTOCOL says; nil is a reset.
-func (w *World) response(x *exchange, p emulator.Pending, out balancer.Outcome) []byte {
+func (w *Cluster) response(x *exchange, p emulator.Pending, out balancer.Outcome) []byte {
 	status, extra, body := 200, "", "ran "+x.id+"\n"
 	switch out {
 	case balancer.OutcomeReset:
@@ -488,10 +488,10 @@
 }
 
 // spoils is the fault that hits how this answer is worded, or nothing. Of one request all answers fare alike.
-func (w *World) spoils(x *exchange) faultinject.Kind {
+func (w *Cluster) spoils(x *exchange) faultinject.Kind {
 	draw := float64(xxhash.Sum64String(x.id)>>11) / (1 << 53)
 	for _, f := range w.spoilt {
-		if slices.Contains(f.Boxes, x.c.b.place) && draw < f.Size {
+		if slices.Contains(f.Backends, x.c.b.place) && draw < f.Size {
 			return f.Kind
 		}
 	}
--- a/internal/fake/control.go
+++ b/internal/fake/control.go
@@ -20,7 +20,7 @@
 //	DELETE /faults/{id}   ends it
 //	GET /report           what has been seen so far
 //	GET /runs/{id}        how often the request of that id has begun to run
-func (w *World) Control(addr string) (string, error) {
+func (w *Cluster) Control(addr string) (string, error) {
 	if err := loopback.Check(addr); err != nil {
 		return "", fmt.Errorf("control: %w", err)
 	}
@@ -57,7 +57,7 @@
 
 const maxOrder = 64 << 10 // bytes of a fault
 
-func (w *World) postFault(rw http.ResponseWriter, r *http.Request) {
+func (w *Cluster) postFault(rw http.ResponseWriter, r *http.Request) {
 	dec := json.NewDecoder(http.MaxBytesReader(rw, r.Body, maxOrder))
 	dec.DisallowUnknownFields()
 	var f faultinject.Fault
@@ -65,7 +65,7 @@
 		http.Error(rw, "fault: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	id, settled, err := w.Order(f)
+	id, settled, err := w.Inject(f)
 	if err != nil {
 		http.Error(rw, err.Error(), http.StatusBadRequest)
 		return
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -15,7 +15,7 @@
 
 // discovery is the list service as one node reaches it: all nodes share its capacity and its state.
 type discovery struct {
-	w    *World
+	w    *Cluster
 	node int
 	addr string
 	ln   net.Listener
@@ -47,7 +47,7 @@
 	return 0, false
 }
 
-func newDiscovery(w *World, node int) (*discovery, error) {
+func newDiscovery(w *Cluster, node int) (*discovery, error) {
 	ln, err := net.Listen("tcp4", fmt.Sprintf("127.%d.255.1:0", 64+node%128))
 	if err != nil {
 		return nil, fmt.Errorf("discovery for node %d: %w", node, err)
@@ -210,9 +210,9 @@
 	d.w.post(func() {
 		now := d.w.now()
 		for _, l := range lines {
-			d.w.ledger.tell(now, d.node, l.Box, l.Phase)
+			d.w.ledger.tell(now, d.node, l.Backend, l.Phase)
 			if l.Phase != balancer.PhaseReady {
-				d.w.log.write(event{At: now, What: "told", Node: d.node, Box: l.Box, Place: l.Place, Phase: phaseNames[l.Phase], Rev: a.Rev})
+				d.w.log.write(event{At: now, What: "told", Node: d.node, Box: l.Backend, Place: l.Place, Phase: phaseNames[l.Phase], Rev: a.Rev})
 			}
 		}
 	})
--- a/internal/fake/front.go
+++ b/internal/fake/front.go
@@ -14,7 +14,7 @@
 // nodeState is a node as the front sees it: taken in once its /ready has answered 200, and left out some time after
 // its death.
 type nodeState struct {
-	w     *World
+	w     *Cluster
 	index int
 	addr  string
 	ready atomic.Bool
@@ -70,7 +70,7 @@
 
 // front shares the connections of a site's clients out among its nodes, in turn.
 type front struct {
-	w    *World
+	w    *Cluster
 	site int
 	ln   net.Listener
 	turn int
@@ -80,7 +80,7 @@
 	end   bool
 }
 
-func newFront(w *World, site int) (*front, error) {
+func newFront(w *Cluster, site int) (*front, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("front of %s: %w", w.sc.Fleet.Sites[site], err)
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -122,7 +122,7 @@
 	}
 	l.runs[id] = n + 1
 	if n > 0 && l.classes[class].Idempotency == balancer.NonIdempotent {
-		l.sums.Twice++
+		l.sums.DuplicateRuns++
 		return true
 	}
 	return false
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -44,27 +44,27 @@
 }
 
 // NodeConfig is the configuration file of a node in this world, as the platform would write it.
-func (w *World) NodeConfig(node int, limits NodeLimits) ([]byte, error) {
+func (w *Cluster) NodeConfig(node int, limits NodeLimits) ([]byte, error) {
 	type obj = map[string]any
 	sc := w.sc
 	us := func(ms float64) int64 { return int64(ms * 1000) }
 	settings := obj{"discovery": "push", "me": node, "my_zone": sc.Site(node), "peers_total": sc.Nodes.Count, "zones": sc.Fleet.Sites,
 		"tick_us": us(sc.Nodes.Tick),
-		"limits": obj{"max_attempts": sc.Rules.MaxAttempts, "may_duplicate": sc.Rules.MayDuplicate, "cancelling": sc.Rules.MayCancel,
-			"probing": sc.Rules.MayProbe, "retry_after": sc.Clients.Heed > 0, "max_retry_after_us": us(sc.Clients.MaxRetryAfter), "max_open": limits.MaxOpen,
+		"limits": obj{"max_attempts": sc.Rules.MaxAttempts, "may_duplicate": sc.Rules.AllowHedging, "cancelling": sc.Rules.AllowCancel,
+			"probing": sc.Rules.AllowHealthChecks, "retry_after": sc.Clients.Heed > 0, "max_retry_after_us": us(sc.Clients.MaxRetryAfter), "max_open": limits.MaxInFlight,
 			"connect_timeout_us": us(sc.Fleet.Conns.Timeout), "keepalive_us": us(sc.Fleet.Conns.Idle)},
-		"prices":  obj{"cross_zone": sc.Rules.CrossSite, "probe": sc.Rules.Probe},
+		"prices":  obj{"cross_zone": sc.Rules.CrossSite, "probe": sc.Rules.HealthCheckCost},
 		"clients": obj{"marks_retry": sc.Clients.Marks}, "specifics": obj{"warm_keys": sc.Fleet.Affinity.Gain > 0},
-		"rules": obj{"ask_every_us": us(sc.Discovery.AskEvery), "cold_from": sc.Rules.ColdFrom, "ramp_time_us": us(sc.Rules.ColdRamp),
-			"overload_factor": sc.Rules.ColdMultiple, "fall_us": us(sc.Rules.ColdWindow), "drain_grace_us": us(sc.Rules.DrainGrace),
+		"rules": obj{"ask_every_us": us(sc.Discovery.PollInterval), "cold_from": sc.Rules.SlowStartInitial, "ramp_time_us": us(sc.Rules.SlowStartDuration),
+			"overload_factor": sc.Rules.OverloadFactor, "fall_us": us(sc.Rules.OverloadWindow), "drain_grace_us": us(sc.Rules.DrainGrace),
 			"grace_to_answer_us": us(sc.Rules.AnswerGrace)},
 	}
-	if sc.Discovery.Ask {
+	if sc.Discovery.Poll {
 		settings["discovery"] = "ask"
 	}
 	fields, how := []string{}, "silent"
 	for _, f := range reportFields {
-		if sc.Fleet.Report.Tells(f.scenario) {
+		if sc.Fleet.Report.Includes(f.scenario) {
 			fields, how = append(fields, f.setting), "piggyback"
 		}
 	}
@@ -75,8 +75,8 @@
 	var profiles, orgs []obj
 	scopes := map[string]string{"": "all", "all": "all", "site": "zone", "rack": "cell"}
 	for _, c := range sc.Classes {
-		profiles = append(profiles, obj{"name": c.Name, "aim_us": us(c.Aim), "deadline_us": us(c.Deadline), "effect": c.Effect,
-			"key_scope": scopes[c.Scope], "window_us": us(c.Window), "late_share": c.LateShare, "credit": c.Worth})
+		profiles = append(profiles, obj{"name": c.Name, "aim_us": us(c.LatencyObjective), "deadline_us": us(c.Deadline), "effect": c.Idempotency,
+			"key_scope": scopes[c.KeyScope], "window_us": us(c.IdempotencyWindow), "late_share": c.LateValue, "credit": c.PriorityWeight})
 	}
 	shares := 0.0
 	for _, t := range sc.Tenants {
@@ -96,19 +96,19 @@
 	})
 	return json.MarshalIndent(obj{"name": fmt.Sprintf("n%d", node), "listen": w.opts.Nodes[node], "discovery": w.Discovery(node),
 		"seed":   fmt.Sprintf("%016x", w.opts.Seed*31+uint64(node)+1),
-		"limits": obj{"cores": limits.Cores, "memory_mb": limits.MemoryMB, "sockets": limits.Sockets},
+		"limits": obj{"cores": limits.Cores, "memory_mb": limits.MemoryMB, "sockets": limits.Descriptors},
 		"known":  known, "settings": settings}, "", "  ")
 }
 
 // NodeLimits are what a node may use.
 type NodeLimits struct {
-	Cores             float64
-	MemoryMB, Sockets int
-	MaxOpen           int
+	Cores                 float64
+	MemoryMB, Descriptors int
+	MaxInFlight           int
 }
 
-// UsualLimits are those of the platform's scored days.
-var UsualLimits = NodeLimits{Cores: 1, MemoryMB: 192, Sockets: 1024, MaxOpen: 20000}
+// DefaultLimits are those of the platform's scored days.
+var DefaultLimits = NodeLimits{Cores: 1, MemoryMB: 192, Descriptors: 1024, MaxInFlight: 20000}
 
 // FreeAddrs finds loopback addresses that nothing listens on.
 func FreeAddrs(n int) ([]string, error) {
@@ -133,7 +133,7 @@
 type Processes struct {
 	program string
 	dir     string
-	world   *World
+	world   *Cluster
 	limits  NodeLimits
 
 	mu   sync.Mutex
@@ -145,7 +145,7 @@
 }
 
 // StartNodes starts a process of the program for each of the world's nodes. Configurations and logs are left in dir.
-func (w *World) StartNodes(program, dir string, limits NodeLimits) (*Processes, error) {
+func (w *Cluster) StartNodes(program, dir string, limits NodeLimits) (*Processes, error) {
 	p := &Processes{program: program, dir: dir, world: w, limits: limits, cmds: make([]*exec.Cmd, len(w.opts.Nodes)),
 		logs: make([]*os.File, len(w.opts.Nodes)), down: make([]int, len(w.opts.Nodes))}
 	for i := range w.opts.Nodes {
@@ -266,8 +266,8 @@
 	return errors.Join(errs...)
 }
 
-func (w *World) targetOf(node int, l line) target {
-	t := target{UID: fmt.Sprintf("box-%d", l.Box), Endpoint: w.boxes[l.Place][node].addr, Zone: w.sc.Fleet.Sites[l.Site],
+func (w *Cluster) targetOf(node int, l line) target {
+	t := target{UID: fmt.Sprintf("box-%d", l.Backend), Endpoint: w.boxes[l.Place][node].addr, Zone: w.sc.Fleet.Sites[l.Site],
 		Model: "box", Group: l.Rack, State: phaseNames[l.Phase], Capacity: l.Weight}
 	if l.Started >= 0 {
 		t.BootMs = w.began.UnixMilli() + l.Started/1000
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -33,8 +33,8 @@
 	Ready func(node int)
 }
 
-// World is a running set of stand-ins.
-type World struct {
+// Cluster is a running set of stand-ins.
+type Cluster struct {
 	sc      *scenario.Scenario
 	opts    Options
 	began   time.Time
@@ -44,7 +44,7 @@
 	ctx     context.Context
 	wg      sync.WaitGroup
 	log     *eventLog
-	live    *emulator.Live
+	live    *emulator.LiveBackends
 	boxes   [][]*boxServer // by place and node
 	disc    []*discovery   // by node
 	front   []*front       // by site
@@ -62,18 +62,18 @@
 
 // line is a line of discovery's list, with the version that brought it.
 type line struct {
-	emulator.Line
+	emulator.EndpointEntry
 	rev int
 }
 
 // Start serves the scenario until ctx ends or Close is called.
-func Start(ctx context.Context, sc *scenario.Scenario, opts Options) (*World, error) {
+func Start(ctx context.Context, sc *scenario.Scenario, opts Options) (*Cluster, error) {
 	for i, a := range opts.Nodes {
 		if err := loopback.Check(a); err != nil {
 			return nil, fmt.Errorf("node %d: %w", i, err)
 		}
 	}
-	w := &World{sc: sc, opts: opts, began: time.Now(), posts: make(chan func(), 1024), done: make(chan struct{}),
+	w := &Cluster{sc: sc, opts: opts, began: time.Now(), posts: make(chan func(), 1024), done: make(chan struct{}),
 		log: newEventLog(opts.Log), faults: map[int]faultinject.Fault{}, changed: make(chan struct{}), ledger: newLedger(sc)}
 	w.ctx, w.stop = context.WithCancel(ctx)
 	w.live = emulator.NewLive(sc, opts.Seed, effects{w})
@@ -105,9 +105,9 @@
 	return fmt.Sprintf("127.%d.%d.%d", 64+node%128, place/250, 1+place%250)
 }
 
-func (w *World) listen() error {
+func (w *Cluster) listen() error {
 	nodes := max(w.sc.Nodes.Count, len(w.opts.Nodes))
-	for place := range w.sc.Fleet.Boxes {
+	for place := range w.sc.Fleet.Backends {
 		var row []*boxServer
 		for node := range nodes {
 			b, err := newBoxServer(w, place, node, fmt.Sprintf("%s:%d", boxIP(node, place), w.opts.Port))
@@ -139,23 +139,23 @@
 }
 
 // Since is the time since the start.
-func (w *World) Since() time.Duration { return time.Since(w.began) }
+func (w *Cluster) Since() time.Duration { return time.Since(w.began) }
 
 // Discovery is the address of discovery for a node: each has one of its own, by which it is known.
-func (w *World) Discovery(node int) string { return w.disc[node].addr }
+func (w *Cluster) Discovery(node int) string { return w.disc[node].addr }
 
-// Front is the address at which clients of a site reach its nodes.
-func (w *World) Front(site int) string { return w.front[site].ln.Addr().String() }
+// Frontend is the address at which clients of a site reach its nodes.
+func (w *Cluster) Frontend(site int) string { return w.front[site].ln.Addr().String() }
 
 // Close ends all that was started.
-func (w *World) Close() error {
+func (w *Cluster) Close() error {
 	w.stop()
 	w.closeListeners()
 	w.wg.Wait()
 	return w.log.flush()
 }
 
-func (w *World) closeListeners() {
+func (w *Cluster) closeListeners() {
 	for _, row := range w.boxes {
 		for _, b := range row {
 			b.shut()
@@ -170,7 +170,7 @@
 }
 
 // post runs f on the world's goroutine, which owns all of its state. It reports false once the world has ended.
-func (w *World) post(f func()) bool {
+func (w *Cluster) post(f func()) bool {
 	select {
 	case w.posts <- f:
 		return true
@@ -180,7 +180,7 @@
 }
 
 // ask runs f on the world's goroutine and waits for it.
-func (w *World) ask(f func()) bool {
+func (w *Cluster) ask(f func()) bool {
 	ran := make(chan struct{})
 	if !w.post(func() { f(); close(ran) }) {
 		return false
@@ -193,10 +193,10 @@
 	}
 }
 
-func (w *World) now() int64 { return time.Since(w.began).Microseconds() }
+func (w *Cluster) now() int64 { return time.Since(w.began).Microseconds() }
 
 // loop plays the boxes as time passes and takes what the sockets bring.
-func (w *World) loop() {
+func (w *Cluster) loop() {
 	defer close(w.done)
 	const idle = time.Second
 	timer := time.NewTimer(idle)
@@ -214,7 +214,7 @@
 }
 
 // effects hears what the boxes do, on the world's goroutine.
-type effects struct{ w *World }
+type effects struct{ w *Cluster }
 
 func (e effects) Answered(p emulator.Pending, out balancer.Outcome) {
 	c := p.Any.(*exchange)
@@ -229,16 +229,16 @@
 	}
 }
 
-func (e effects) Listed(l emulator.Line) {
+func (e effects) Listed(l emulator.EndpointEntry) {
 	w := e.w
 	w.rev++
-	at := slices.IndexFunc(w.state, func(x line) bool { return x.Box == l.Box })
+	at := slices.IndexFunc(w.state, func(x line) bool { return x.Backend == l.Backend })
 	if at < 0 {
 		w.state = append(w.state, line{l, w.rev})
 	} else {
 		w.state[at] = line{l, w.rev}
 	}
-	w.log.write(event{At: w.now(), What: "listed", Box: l.Box, Place: l.Place, Phase: phaseNames[l.Phase], Rev: w.rev})
+	w.log.write(event{At: w.now(), What: "listed", Box: l.Backend, Place: l.Place, Phase: phaseNames[l.Phase], Rev: w.rev})
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
@@ -274,7 +274,7 @@
 		w.down--
 	}
 	if at := slices.IndexFunc(w.spoilt, func(o faultinject.Fault) bool {
-		return o.Kind == f.Kind && o.At == f.At && slices.Equal(o.Boxes, f.Boxes)
+		return o.Kind == f.Kind && o.Start == f.Start && slices.Equal(o.Backends, f.Backends)
 	}); at >= 0 {
 		w.spoilt = slices.Delete(w.spoilt, at, at+1)
 	}
@@ -282,17 +282,17 @@
 }
 
 // follow brings every box's sockets in line with what has become of its process and its links.
-func (w *World) follow() {
+func (w *Cluster) follow() {
 	for place, row := range w.boxes {
 		up, silent := w.live.Up(place)
 		for node, b := range row {
-			b.follow(up, silent || w.live.Parted(node, place), w.live.Life(place))
+			b.follow(up, silent || w.live.Partitioned(node, place), w.live.Incarnation(place))
 		}
 	}
 }
 
-// Order begins a fault now. It returns the number by which Lift ends it, and the fault with nothing left open.
-func (w *World) Order(f faultinject.Fault) (id int, settled faultinject.Fault, err error) {
+// Inject begins a fault now. It returns the number by which Lift ends it, and the fault with nothing left open.
+func (w *Cluster) Inject(f faultinject.Fault) (id int, settled faultinject.Fault, err error) {
 	if err := f.Check("fault", w.sc.Scope(nil, nil)); err != nil {
 		return 0, f, err
 	}
@@ -311,7 +311,7 @@
 }
 
 // Lift ends a fault that Order began, and tells whether there was one.
-func (w *World) Lift(id int) (was bool) {
+func (w *Cluster) Lift(id int) (was bool) {
 	w.ask(func() {
 		if _, was = w.faults[id]; was {
 			delete(w.faults, id)
@@ -324,48 +324,48 @@
 
 // Report is what a world has seen so far.
 type Report struct {
-	Seconds     float64     `json:"seconds"`
-	Arrived     int64       `json:"arrived"`     // requests whose last byte came to a box
-	Executions  int64       `json:"executions"`  // that began to run
-	Twice       int64       `json:"twice"`       // of a class that must run once: runs beyond the first of one id
-	AfterDrain  int64       `json:"after_drain"` // requests to a box later than the rule's grace and 50 ms after the node was told
-	Unreadable  int64       `json:"unreadable"`  // requests that were not what PROTOCOL says
-	Connections int64       `json:"connections"` // made to boxes
-	Boxes       []BoxReport `json:"boxes"`
-	Probes      int64       `json:"probes"`
+	Seconds       float64         `json:"seconds"`
+	Arrived       int64           `json:"arrived"`     // requests whose last byte came to a box
+	Executions    int64           `json:"executions"`  // that began to run
+	DuplicateRuns int64           `json:"twice"`       // of a class that must run once: runs beyond the first of one id
+	AfterDrain    int64           `json:"after_drain"` // requests to a box later than the rule's grace and 50 ms after the node was told
+	Unreadable    int64           `json:"unreadable"`  // requests that were not what PROTOCOL says
+	Connections   int64           `json:"connections"` // made to boxes
+	Backends      []BackendReport `json:"boxes"`
+	Probes        int64           `json:"probes"`
 }
 
-// BoxReport is one address's part of it.
-type BoxReport struct {
-	Place   int   `json:"place"`
+// BackendReport is one address's part of it.
+type BackendReport struct {
+	Number  int   `json:"place"`
 	Arrived int64 `json:"arrived"`
 	Ran     int64 `json:"ran"`
 	Up      bool  `json:"up"`
 }
 
 // Report asks for the figures so far.
-func (w *World) Report() Report {
+func (w *Cluster) Report() Report {
 	var r Report
 	w.ask(func() {
 		r = w.ledger.report()
 		r.Seconds, r.Executions = w.Since().Seconds(), w.live.Executions()
 		for place := range w.boxes {
-			b := BoxReport{Place: place, Arrived: w.ledger.arrivedAt[place], Ran: w.ledger.ranAt[place]}
+			b := BackendReport{Number: place, Arrived: w.ledger.arrivedAt[place], Ran: w.ledger.ranAt[place]}
 			b.Up, _ = w.live.Up(place)
-			r.Boxes = append(r.Boxes, b)
+			r.Backends = append(r.Backends, b)
 		}
 	})
 	return r
 }
 
 // Executions is how often the request of that id has begun to run, while it is remembered.
-func (w *World) Executions(id string) (n int) {
+func (w *Cluster) Executions(id string) (n int) {
 	w.ask(func() { n = w.ledger.runs[id] })
 	return n
 }
 
 // list is what discovery tells a node: what changed after a version, or all.
-func (w *World) list(node, since int) (lines []line, rev int) {
+func (w *Cluster) list(node, since int) (lines []line, rev int) {
 	for _, l := range w.state {
 		if l.rev > since && (since >= 0 || l.Phase != balancer.PhaseRemoved) {
 			lines = append(lines, l)
--- a/internal/fake/world_test.go
+++ b/internal/fake/world_test.go
@@ -75,7 +75,7 @@
 window_ms = 5000.0
 `
 
-func start(t *testing.T, opts Options) *World {
+func start(t *testing.T, opts Options) *Cluster {
 	t.Helper()
 	goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	sc, err := scenario.Parse("small", []byte(small))
@@ -96,7 +96,7 @@
 	return w
 }
 
-func (w *World) boxAddr(place, node int) string { return w.boxes[place][node].addr }
+func (w *Cluster) boxAddr(place, node int) string { return w.boxes[place][node].addr }
 
 // client is one connection to a box.
 type client struct {
@@ -143,9 +143,9 @@
 	return r
 }
 
-func order(t *testing.T, w *World, f faultinject.Fault) int {
+func order(t *testing.T, w *Cluster, f faultinject.Fault) int {
 	t.Helper()
-	id, _, err := w.Order(f)
+	id, _, err := w.Inject(f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 	c.send("/start", "s", "") // a node that repeats what must run once
 	c.want(200)
 	r := w.Report()
-	if n := w.Executions("s"); n != 2 || r.Twice != 1 || r.Executions != 5 || r.Arrived != 5 || r.Boxes[0].Ran != 5 || r.Connections != 1 {
+	if n := w.Executions("s"); n != 2 || r.DuplicateRuns != 1 || r.Executions != 5 || r.Arrived != 5 || r.Backends[0].Ran != 5 || r.Connections != 1 {
 		t.Errorf("ran %d times, %+v", n, r)
 	}
 	// A repeat by key within the rack is dropped: the second has its answer from the first run.
@@ -211,7 +211,7 @@
 		c := dial(t, w.boxAddr(1, 0))
 		c.send("/read", "a", "")
 		c.want(200)
-		id := order(t, w, faultinject.Fault{Kind: faultinject.Kill, Boxes: []int{1}})
+		id := order(t, w, faultinject.Fault{Kind: faultinject.Kill, Backends: []int{1}})
 		if _, err := c.answer(5 * time.Second); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("an open connection ends with %v, want a reset", err)
 		}
@@ -256,20 +256,20 @@
 	})
 	t.Run("full, errors, resets", func(t *testing.T) {
 		w := start(t, Options{})
-		id := order(t, w, faultinject.Fault{Kind: faultinject.FastErrors, Boxes: []int{0}, Size: 1})
+		id := order(t, w, faultinject.Fault{Kind: faultinject.FastErrors, Backends: []int{0}, Size: 1})
 		c := dial(t, w.boxAddr(0, 0))
 		c.send("/read", "a", "")
 		c.want(500)
 		w.Lift(id)
 		c.send("/read", "b", "")
 		c.want(200)
-		id = order(t, w, faultinject.Fault{Kind: faultinject.Interim, Boxes: []int{0}, Size: 1})
+		id = order(t, w, faultinject.Fault{Kind: faultinject.Interim, Backends: []int{0}, Size: 1})
 		c.send("/read", "i", "")
 		c.want(100)
 		c.want(103)
 		c.want(200)
 		w.Lift(id)
-		id = order(t, w, faultinject.Fault{Kind: faultinject.Garbage, Boxes: []int{0}, Size: 1})
+		id = order(t, w, faultinject.Fault{Kind: faultinject.Garbage, Backends: []int{0}, Size: 1})
 		c.send("/start", "g", "")
 		if r, err := c.answer(5 * time.Second); err == nil {
 			t.Errorf("noise is read as %d", r.StatusCode)
@@ -281,7 +281,7 @@
 		c = dial(t, w.boxAddr(0, 0))
 		c.send("/read", "h", "")
 		c.want(200)
-		order(t, w, faultinject.Fault{Kind: faultinject.Resets, Boxes: []int{0}, Size: 1})
+		order(t, w, faultinject.Fault{Kind: faultinject.Resets, Backends: []int{0}, Size: 1})
 		c.send("/start", "c", "")
 		if _, err := c.answer(5 * time.Second); err == nil {
 			t.Error("no reset")
@@ -289,7 +289,7 @@
 		if n := w.Executions("c"); n != 1 {
 			t.Errorf("a reset after the request: it ran %d times", n)
 		}
-		order(t, w, faultinject.Fault{Kind: faultinject.Freeze, Boxes: []int{2}})
+		order(t, w, faultinject.Fault{Kind: faultinject.Freeze, Backends: []int{2}})
 		// A node that gives up what has begun: it has run all the same, and a repeat is a second run.
 		for want := 1; want <= 2; want++ {
 			c := dial(t, w.boxAddr(2, 0))
@@ -299,7 +299,7 @@
 			}
 			c.c.Close()
 		}
-		if n := w.Report().Twice; n != 1 {
+		if n := w.Report().DuplicateRuns; n != 1 {
 			t.Errorf("%d second runs counted, want 1", n)
 		}
 		full, before := 0, w.Report().Arrived
@@ -322,7 +322,7 @@
 	t.Run("drained", func(t *testing.T) {
 		var log bytes.Buffer
 		w := start(t, Options{Log: &log})
-		order(t, w, faultinject.Fault{Kind: faultinject.Drain, Boxes: []int{3}})
+		order(t, w, faultinject.Fault{Kind: faultinject.Drain, Backends: []int{3}})
 		c := dial(t, w.boxAddr(3, 0))
 		c.send("/read", "a", "")
 		if r := c.want(503); r.Header.Get("X-Never-Ran") != "1" {
@@ -349,7 +349,7 @@
 	})
 }
 
-func list(t *testing.T, w *World, node int, query string) answer {
+func list(t *testing.T, w *Cluster, node int, query string) answer {
 	t.Helper()
 	r, err := http.Get("http://" + w.Discovery(node) + "/v1/endpoints" + query)
 	if err != nil {
@@ -381,7 +381,7 @@
 		got <- told{a, w.Since()}
 	}()
 	at := w.Since()
-	id := order(t, w, faultinject.Fault{Kind: faultinject.Kill, Boxes: []int{2}})
+	id := order(t, w, faultinject.Fault{Kind: faultinject.Kill, Backends: []int{2}})
 	x := <-got
 	if x.a.All || len(x.a.Targets) != 1 || x.a.Targets[0].UID != "box-3" || x.a.Targets[0].State != "terminated" || x.at-at > 5*time.Second {
 		t.Errorf("%+v after %v", x.a, x.at-at)
@@ -501,7 +501,7 @@
 	ready := make(chan int, 4)
 	w := start(t, Options{Nodes: addrs, Ready: func(n int) { ready <- n }})
 	ask := func(site int) string {
-		c, err := net.Dial("tcp4", w.Front(site))
+		c, err := net.Dial("tcp4", w.Frontend(site))
 		if err != nil {
 			return fmt.Sprint("nothing: ", err)
 		}
--- a/internal/faultinject/faultinject.go
+++ b/internal/faultinject/faultinject.go
@@ -38,21 +38,21 @@
 	HotNode       Kind = "hot-node"       // this share of all traffic comes in at the nodes chosen
 
 	// Of processes of our own that talk to each other: agents, and who asks them.
-	ProcessKill Kind = "process-kill" // SIGKILL; it starts again from its disk when the fault ends
-	ProcessStop Kind = "process-stop" // SIGSTOP, and SIGCONT when the fault ends
-	LinkCut     Kind = "link-cut"     // what it sends and what it is sent is reset
-	LinkMute    Kind = "link-mute"    // what it sends is reset
-	LinkDeaf    Kind = "link-deaf"    // what it is sent is reset
-	LinkBridge  Kind = "link-bridge"  // two halves of the others see each other only by way of it
-	LinkFlap    Kind = "link-flap"    // cut and not, by turns, for so many ms each
-	LinkSilent  Kind = "link-silent"  // its connections stay open, and nothing comes through
-	LinkDelay   Kind = "link-delay"   // what it sends and is sent is this many ms late
-	LinkReset   Kind = "link-reset"   // this share of pieces of what it sends ends in a reset
-	ClockRate   Kind = "clock-rate"   // its clock runs at this rate
-	ClockJump   Kind = "clock-jump"   // its clock jumps by this many ms; it stays there
-	DiskStall   Kind = "disk-stall"   // each write takes this many ms longer
-	DiskFull    Kind = "disk-full"    // nothing can be written
-	DiskSync    Kind = "disk-sync"    // what is written fails its sync
+	ProcessKill    Kind = "process-kill" // SIGKILL; it starts again from its disk when the fault ends
+	ProcessStop    Kind = "process-stop" // SIGSTOP, and SIGCONT when the fault ends
+	LinkCut        Kind = "link-cut"     // what it sends and what it is sent is reset
+	LinkSendCut    Kind = "link-mute"    // what it sends is reset
+	LinkReceiveCut Kind = "link-deaf"    // what it is sent is reset
+	LinkBridge     Kind = "link-bridge"  // two halves of the others see each other only by way of it
+	LinkFlap       Kind = "link-flap"    // cut and not, by turns, for so many ms each
+	LinkSilent     Kind = "link-silent"  // its connections stay open, and nothing comes through
+	LinkDelay      Kind = "link-delay"   // what it sends and is sent is this many ms late
+	LinkReset      Kind = "link-reset"   // this share of pieces of what it sends ends in a reset
+	ClockRate      Kind = "clock-rate"   // its clock runs at this rate
+	ClockJump      Kind = "clock-jump"   // its clock jumps by this many ms; it stays there
+	DiskStall      Kind = "disk-stall"   // each write takes this many ms longer
+	DiskFull       Kind = "disk-full"    // nothing can be written
+	DiskSync       Kind = "disk-sync"    // what is written fails its sync
 )
 
 type target uint8
@@ -75,7 +75,7 @@
 	FastErrors: {boxes, 0, 1, 1}, Slow: {boxes, 1, 1000, 3}, Freeze: {of: boxes}, Kill: {of: boxes}, Replace: {of: boxes},
 	Drain: {of: boxes}, Rolling: {of: boxes}, Resets: {boxes, 0, 1, 0.5}, Garbage: {boxes, 0, 1, 0.5}, Interim: {boxes, 0, 1, 1}, SiteLost: {of: sites}, SiteSilent: {of: sites},
 	SiteCut: {of: sites}, ListDown: {of: nobody}, NodeKill: {of: nodes}, ClockOff: {nodes, -60000, 60000, 300},
-	ProcessKill: {of: processes}, ProcessStop: {of: processes}, LinkCut: {of: processes}, LinkMute: {of: processes}, LinkDeaf: {of: processes},
+	ProcessKill: {of: processes}, ProcessStop: {of: processes}, LinkCut: {of: processes}, LinkSendCut: {of: processes}, LinkReceiveCut: {of: processes},
 	LinkBridge: {of: processes}, LinkFlap: {processes, 10, 10000, 150}, LinkSilent: {of: processes}, LinkDelay: {processes, 1, 10000, 200},
 	LinkReset: {processes, 0, 1, 0.1}, ClockRate: {processes, 0.1, 10, 1.2}, ClockJump: {processes, 1, 60000, 2000},
 	DiskStall: {processes, 1, 10000, 300}, DiskFull: {of: processes}, DiskSync: {of: processes},
@@ -95,12 +95,12 @@
 // Fault is one thing that goes wrong for a time. Whom it hits is said by numbers or by a share: Boxes and Nodes name
 // them, counted from 0; Share takes that part of them, drawn by the seed; Site takes those of one site.
 type Fault struct {
-	Kind  Kind    `toml:"kind" json:"kind"`
-	At    int64   `toml:"at_ms" json:"at_ms"`                     // since the start
-	For   int64   `toml:"for_ms" json:"for_ms"`                   // how long it lasts; 0: until the end
-	Size  float64 `toml:"size,omitempty" json:"size,omitempty"`   // see the kinds; 0: the kind's usual one
-	Boxes []int   `toml:"boxes,omitempty" json:"boxes,omitempty"` //
-	Nodes []int   `toml:"nodes,omitempty" json:"nodes,omitempty"`
+	Kind     Kind    `toml:"kind" json:"kind"`
+	Start    int64   `toml:"at_ms" json:"at_ms"`                     // since the start
+	Duration int64   `toml:"for_ms" json:"for_ms"`                   // how long it lasts; 0: until the end
+	Size     float64 `toml:"size,omitempty" json:"size,omitempty"`   // see the kinds; 0: the kind's usual one
+	Backends []int   `toml:"boxes,omitempty" json:"boxes,omitempty"` //
+	Nodes    []int   `toml:"nodes,omitempty" json:"nodes,omitempty"`
 	// Processes are counted by whoever has them. -1 is the one that leads when the fault begins.
 	Processes []int   `toml:"processes,omitempty" json:"processes,omitempty"`
 	Share     float64 `toml:"share,omitempty" json:"share,omitempty"`
@@ -112,16 +112,16 @@
 
 // End is when the fault ends, in ms; never for one that lasts.
 func (f Fault) End() int64 {
-	if f.For == 0 {
+	if f.Duration == 0 {
 		return math.MaxInt64 / 2000
 	}
-	return f.At + f.For
+	return f.Start + f.Duration
 }
 
 func (f Fault) String() string {
-	s := fmt.Sprintf("%s at %.1f s", f.Kind, float64(f.At)/1000)
-	if f.For > 0 {
-		s += fmt.Sprintf(" for %.1f s", float64(f.For)/1000)
+	s := fmt.Sprintf("%s at %.1f s", f.Kind, float64(f.Start)/1000)
+	if f.Duration > 0 {
+		s += fmt.Sprintf(" for %.1f s", float64(f.Duration)/1000)
 	}
 	if t := traits[f.Kind]; t.min != t.max {
 		s += fmt.Sprintf(", size %g", f.Size)
@@ -132,8 +132,8 @@
 	if f.Tenant != "" {
 		s += ", tenant " + f.Tenant
 	}
-	if len(f.Boxes) > 0 {
-		s += fmt.Sprintf(", boxes %v", f.Boxes)
+	if len(f.Backends) > 0 {
+		s += fmt.Sprintf(", boxes %v", f.Backends)
 	}
 	if len(f.Nodes) > 0 {
 		s += fmt.Sprintf(", nodes %v", f.Nodes)
@@ -146,26 +146,28 @@
 
 // Scope is what there is to be hit.
 type Scope struct {
-	Boxes, Nodes   int
-	Processes      int // of our own that talk to each other
-	Sites, Tenants []string
-	BoxSite        func(box int) string
-	NodeSite       func(node int) string
+	Backends, Nodes int
+	Processes       int // of our own that talk to each other
+	Sites, Tenants  []string
+	BackendSite     func(box int) string
+	NodeSite        func(node int) string
 }
 
 // Check tells what is impossible about the fault; path is where it stands in its file.
 func (f Fault) Check(path string, s Scope) error {
 	t, ok := traits[f.Kind]
 	if !ok {
-		return tomlfile.Bad(path+".kind", "%q is none of %v", f.Kind, Kinds())
+		return tomlfile.Invalidf(path+".kind", "%q is none of %v", f.Kind, Kinds())
+	}
+	bad := func(field, format string, args ...any) error {
+		return tomlfile.Invalidf(path+"."+field, format, args...)
 	}
-	bad := func(field, format string, args ...any) error { return tomlfile.Bad(path+"."+field, format, args...) }
 	switch {
-	case f.At < 0:
-		return bad("at_ms", "%d is before the start", f.At)
-	case f.For < 0:
-		return bad("for_ms", "%d is below 0", f.For)
-	case f.For == 0 && f.Kind == Rolling:
+	case f.Start < 0:
+		return bad("at_ms", "%d is before the start", f.Start)
+	case f.Duration < 0:
+		return bad("for_ms", "%d is below 0", f.Duration)
+	case f.Duration == 0 && f.Kind == Rolling:
 		return bad("for_ms", "a rolling change needs a length")
 	case t.min == t.max && f.Size != 0:
 		return bad("size", "%s has no size", f.Kind)
@@ -173,7 +175,7 @@
 		return bad("size", "%g is not within %g and %g, as %s needs", f.Size, t.min, t.max, f.Kind)
 	case f.Share < 0 || f.Share > 1:
 		return bad("share", "%g is not within 0 and 1", f.Share)
-	case len(f.Boxes) > 0 && t.of != boxes:
+	case len(f.Backends) > 0 && t.of != boxes:
 		return bad("boxes", "%s does not hit boxes", f.Kind)
 	case t.of == processes && s.Processes == 0:
 		return bad("kind", "%s: there are no processes to hit here", f.Kind)
@@ -191,14 +193,14 @@
 		return bad("with_nodes", "%s does not take nodes along", f.Kind)
 	case f.Tenant != "" && (f.Kind != Surge || !slices.Contains(s.Tenants, f.Tenant)):
 		return bad("tenant", "%q: only a surge has a tenant, one of %v", f.Tenant, s.Tenants)
-	case f.Share != 0 && (t.of == nobody || t.of == sites || len(f.Boxes)+len(f.Nodes) > 0):
+	case f.Share != 0 && (t.of == nobody || t.of == sites || len(f.Backends)+len(f.Nodes) > 0):
 		return bad("share", "%s takes no share here", f.Kind)
 	}
 	for _, list := range []struct {
 		name string
 		of   []int
 		n    int
-	}{{"boxes", f.Boxes, s.Boxes}, {"nodes", f.Nodes, s.Nodes}} {
+	}{{"boxes", f.Backends, s.Backends}, {"nodes", f.Nodes, s.Nodes}} {
 		for _, i := range list.of {
 			if i < 0 || i >= list.n {
 				return bad(list.name, "there is no number %d among %d", i, list.n)
@@ -215,9 +217,9 @@
 	Perm(int) []int
 }
 
-// Settle returns the fault with nothing left open: the usual size filled in, and a share or a site turned into the
+// ApplyDefaults returns the fault with nothing left open: the usual size filled in, and a share or a site turned into the
 // numbers of those hit. A fault that names nobody hits one box, or one node, drawn by r.
-func (f Fault) Settle(s Scope, r Rand) Fault {
+func (f Fault) ApplyDefaults(s Scope, r Rand) Fault {
 	t := traits[f.Kind]
 	if f.Size == 0 && t.min != t.max {
 		f.Size = t.usual
@@ -242,8 +244,8 @@
 		slices.Sort(from)
 		return from
 	}
-	if t.of == boxes && len(f.Boxes) == 0 {
-		f.Boxes, f.Share, f.Site = choose(s.Boxes, s.BoxSite), 0, ""
+	if t.of == boxes && len(f.Backends) == 0 {
+		f.Backends, f.Share, f.Site = choose(s.Backends, s.BackendSite), 0, ""
 	}
 	if t.of == nodes && len(f.Nodes) == 0 {
 		f.Nodes, f.Share, f.Site = choose(s.Nodes, s.NodeSite), 0, ""
@@ -257,15 +259,15 @@
 		return []Fault{f}
 	}
 	var all []Fault
-	step := f.For / int64(max(len(f.Boxes), 1))
-	for i, b := range f.Boxes {
-		all = append(all, Fault{Kind: Drain, At: f.At + int64(i)*step, For: max(step, 2000), Boxes: []int{b}})
+	step := f.Duration / int64(max(len(f.Backends), 1))
+	for i, b := range f.Backends {
+		all = append(all, Fault{Kind: Drain, Start: f.Start + int64(i)*step, Duration: max(step, 2000), Backends: []int{b}})
 	}
 	return all
 }
 
-// Drawn says how to draw faults at random.
-type Drawn struct {
+// RandomFaults says how to draw faults at random.
+type RandomFaults struct {
 	Count int    `toml:"count"`
 	Kinds []Kind `toml:"kinds"` // empty: all but rolling
 	MinMs int64  `toml:"min_ms"`
@@ -273,23 +275,23 @@
 }
 
 // Check tells what is impossible about it.
-func (d Drawn) Check(path string) error {
+func (d RandomFaults) Check(path string) error {
 	switch {
 	case d.Count < 0 || d.Count > 1000:
-		return tomlfile.Bad(path+".count", "%d is not within 0 and 1000", d.Count)
+		return tomlfile.Invalidf(path+".count", "%d is not within 0 and 1000", d.Count)
 	case d.Count > 0 && (d.MinMs <= 0 || d.MaxMs < d.MinMs):
-		return tomlfile.Bad(path+".max_ms", "min_ms %d and max_ms %d are no range above 0", d.MinMs, d.MaxMs)
+		return tomlfile.Invalidf(path+".max_ms", "min_ms %d and max_ms %d are no range above 0", d.MinMs, d.MaxMs)
 	}
 	for i, k := range d.Kinds {
 		if t, ok := traits[k]; !ok || t.of == processes {
-			return tomlfile.Bad(fmt.Sprintf("%s.kinds", path), "%q at place %d is none of %v", k, i, Kinds())
+			return tomlfile.Invalidf(fmt.Sprintf("%s.kinds", path), "%q at place %d is none of %v", k, i, Kinds())
 		}
 	}
 	return nil
 }
 
 // Draw draws them over a run of so many ms. They may overlap.
-func (d Drawn) Draw(s Scope, length int64, r Rand) []Fault {
+func (d RandomFaults) Draw(s Scope, length int64, r Rand) []Fault {
 	kinds := d.Kinds
 	if len(kinds) == 0 {
 		kinds = slices.DeleteFunc(Kinds(), func(k Kind) bool { return k == Rolling || (traits[k].of == processes) != (s.Processes > 0) })
@@ -299,7 +301,7 @@
 		k := kinds[r.IntN(len(kinds))]
 		t := traits[k]
 		last := min(d.MinMs+int64(r.Float64()*float64(d.MaxMs-d.MinMs)), length)
-		f := Fault{Kind: k, For: last, At: int64(r.Float64() * float64(length-last))}
+		f := Fault{Kind: k, Duration: last, Start: int64(r.Float64() * float64(length-last))}
 		switch t.of {
 		case sites:
 			f.Site = s.Sites[r.IntN(len(s.Sites))]
@@ -314,10 +316,10 @@
 			f.Size = t.usual * (0.5 + r.Float64())
 			f.Size = min(max(f.Size, t.min), t.max)
 		}
-		all = append(all, f.Settle(s, r))
+		all = append(all, f.ApplyDefaults(s, r))
 	}
 	slices.SortStableFunc(all, func(a, b Fault) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), strings.Compare(string(a.Kind), string(b.Kind)))
+		return cmp.Or(cmp.Compare(a.Start, b.Start), strings.Compare(string(a.Kind), string(b.Kind)))
 	})
 	return all
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -16,20 +16,20 @@
 
 // The rules.
 const (
-	OneAnswer Rule = "one-answer" // one final outcome for each request taken, in time, and none to others
-	NoSecond  Rule = "no-second"  // nothing that may have run goes out again outside its class; never two at once
-	NoDrained Rule = "no-drained" // nothing to a box later than the grace after the node was told that it goes
-	NoPush    Rule = "no-push"    // no cold box is sent more than a multiple of what it can do for a time
+	OneAnswer           Rule = "one-answer" // one final outcome for each request taken, in time, and none to others
+	NoDuplicateRun      Rule = "no-second"  // nothing that may have run goes out again outside its class; never two at once
+	NoSendToDrained     Rule = "no-drained" // nothing to a box later than the grace after the node was told that it goes
+	NoSlowStartOverload Rule = "no-push"    // no cold box is sent more than a multiple of what it can do for a time
 )
 
 // Config holds the figures of the rules. Times are in µs.
 type Config struct {
-	Classes      []balancer.Class
-	AnswerGrace  balancer.Span
-	DrainGrace   balancer.Span
-	ColdMultiple float64       // 0: cold boxes cannot be pushed over
-	ColdWindow   balancer.Span //
-	MayDuplicate bool
+	Classes        []balancer.Class
+	AnswerGrace    balancer.Span
+	DrainGrace     balancer.Span
+	OverloadFactor float64       // 0: cold boxes cannot be pushed over
+	OverloadWindow balancer.Span //
+	AllowHedging   bool
 }
 
 // Final is how a request ended for its client.
@@ -38,14 +38,14 @@
 // The three ends. A refusal promises that trying again does no harm.
 const (
 	Served Final = iota
-	Refused
+	Rejected
 	Failed
 )
 
 func (f Final) String() string { return [...]string{"served", "refused", "failed"}[f] }
 
-// Box is what the rules need to know of a box.
-type Box struct {
+// Backend is what the rules need to know of a box.
+type Backend struct {
 	ID         balancer.EndpointID
 	Site, Rack int // racks are numbered over all sites
 }
@@ -81,7 +81,7 @@
 }
 
 type try struct {
-	box   Box
+	box   Backend
 	at    balancer.Time
 	open  bool
 	maybe bool // may have run
@@ -112,8 +112,8 @@
 	started balancer.Time
 }
 
-// Judge is not safe for concurrent use.
-type Judge struct {
+// Checker is not safe for concurrent use.
+type Checker struct {
 	cfg    Config
 	origin balancer.Time
 	reqs   map[balancer.RequestID]*request
@@ -126,19 +126,19 @@
 }
 
 // New returns a judge; origin is the instant that its reports count from.
-func New(cfg Config, origin balancer.Time) *Judge {
-	return &Judge{cfg: cfg, origin: origin, reqs: map[balancer.RequestID]*request{}, told: map[pair]told{},
+func New(cfg Config, origin balancer.Time) *Checker {
+	return &Checker{cfg: cfg, origin: origin, reqs: map[balancer.RequestID]*request{}, told: map[pair]told{},
 		cold: map[balancer.EndpointID]*budget{}, counts: map[Rule]int{}}
 }
 
 // Broken counts the violations by rule.
-func (j *Judge) Broken() map[Rule]int { return j.counts }
+func (j *Checker) Broken() map[Rule]int { return j.counts }
 
 // Violations are the first of them, whole.
-func (j *Judge) Violations() []Violation { return j.list }
+func (j *Checker) Violations() []Violation { return j.list }
 
-// Open counts the requests that are not over.
-func (j *Judge) Open() int {
+// InFlight counts the requests that are not over.
+func (j *Checker) InFlight() int {
 	n := 0
 	for _, r := range j.reqs {
 		if !r.over {
@@ -148,7 +148,7 @@
 	return n
 }
 
-func (j *Judge) broken(rule Rule, at balancer.Time, node int, id balancer.RequestID, r *request, format string, args ...any) {
+func (j *Checker) broken(rule Rule, at balancer.Time, node int, id balancer.RequestID, r *request, format string, args ...any) {
 	j.counts[rule]++
 	if len(j.list) >= kept {
 		return
@@ -170,8 +170,8 @@
 	r.history = append(r.history, step{at, what, attempt, box})
 }
 
-// Taken is a request that a node has taken.
-func (j *Judge) Taken(now balancer.Time, node int, id balancer.RequestID, class int, deadline balancer.Time) {
+// RequestAccepted is a request that a node has taken.
+func (j *Checker) RequestAccepted(now balancer.Time, node int, id balancer.RequestID, class int, deadline balancer.Time) {
 	var r *request
 	if n := len(j.pool); n > 0 {
 		r, j.pool = j.pool[n-1], j.pool[:n-1]
@@ -183,11 +183,11 @@
 	j.reqs[id] = r
 }
 
-// Sent is an attempt that a node sends.
-func (j *Judge) Sent(now balancer.Time, node int, id balancer.RequestID, b Box) {
+// AttemptSent is an attempt that a node sends.
+func (j *Checker) AttemptSent(now balancer.Time, node int, id balancer.RequestID, b Backend) {
 	if t, ok := j.told[pair{node, b.ID}]; ok && t.goes && now > t.goesAt+j.cfg.DrainGrace {
 		defer func() {
-			j.broken(NoDrained, now, node, id, j.reqs[id], "box %d was sent to %d ms after the node was told that it goes",
+			j.broken(NoSendToDrained, now, node, id, j.reqs[id], "box %d was sent to %d ms after the node was told that it goes",
 				b.ID, (now-t.goesAt)/1000)
 		}()
 	}
@@ -205,11 +205,11 @@
 	c := &j.cfg.Classes[r.class]
 	for i := range r.tries {
 		t := &r.tries[i]
-		if t.open && !j.cfg.MayDuplicate {
-			j.broken(NoSecond, now, node, id, r, "sent while attempt %d was out", i)
+		if t.open && !j.cfg.AllowHedging {
+			j.broken(NoDuplicateRun, now, node, id, r, "sent while attempt %d was out", i)
 		} else if t.open || t.maybe {
 			if why := outside(c, t, b, now); why != "" {
-				j.broken(NoSecond, now, node, id, r, "sent again although attempt %d may have run: %s", i, why)
+				j.broken(NoDuplicateRun, now, node, id, r, "sent again although attempt %d may have run: %s", i, why)
 				break
 			}
 		}
@@ -219,7 +219,7 @@
 }
 
 // outside tells why a class does not allow a repeat of t at b, or nothing if it does.
-func outside(c *balancer.Class, t *try, b Box, now balancer.Time) string {
+func outside(c *balancer.Class, t *try, b Backend, now balancer.Time) string {
 	switch {
 	case c.Idempotency == balancer.Idempotent:
 	case c.Idempotency == balancer.NonIdempotent:
@@ -234,8 +234,8 @@
 	return ""
 }
 
-// Settled is the end of an attempt, as the node was told.
-func (j *Judge) Settled(now balancer.Time, id balancer.RequestID, attempt int, out balancer.Outcome) {
+// AttemptEnded is the end of an attempt, as the node was told.
+func (j *Checker) AttemptEnded(now balancer.Time, id balancer.RequestID, attempt int, out balancer.Outcome) {
 	r := j.reqs[id]
 	if r == nil || attempt >= len(r.tries) || !r.tries[attempt].open {
 		return
@@ -252,8 +252,8 @@
 	balancer.OutcomeConnectFailed: "outcome not connected", balancer.OutcomeReset: "outcome reset",
 	balancer.OutcomeCanceled: "outcome cancelled", balancer.OutcomeNotSent: "outcome moot"}
 
-// Answered is the final answer that a node gives.
-func (j *Judge) Answered(now balancer.Time, node int, id balancer.RequestID, how Final) {
+// RequestAnswered is the final answer that a node gives.
+func (j *Checker) RequestAnswered(now balancer.Time, node int, id balancer.RequestID, how Final) {
 	r := j.reqs[id]
 	if r == nil {
 		j.broken(OneAnswer, now, node, id, nil, "%s, though it ended long ago or was never taken", how)
@@ -266,17 +266,17 @@
 	case r.gone:
 	case now > r.deadline+j.cfg.AnswerGrace:
 		j.broken(OneAnswer, now, node, id, r, "answered %d ms after its deadline", (now-r.deadline)/1000)
-	case how == Refused && c.Idempotency != balancer.Idempotent && !(c.Idempotency == balancer.IdempotentByKey && c.KeyScope == balancer.ScopeAll):
+	case how == Rejected && c.Idempotency != balancer.Idempotent && !(c.Idempotency == balancer.IdempotentByKey && c.KeyScope == balancer.ScopeAll):
 		if i := slices.IndexFunc(r.tries, func(t try) bool { return t.open || t.maybe }); i >= 0 {
-			j.broken(NoSecond, now, node, id, r, "refused although attempt %d may have run", i)
+			j.broken(NoDuplicateRun, now, node, id, r, "refused although attempt %d may have run", i)
 		}
 	}
 	r.answered = true
 	j.forget(id, r)
 }
 
-// Gone is a client that left: nothing more is owed to it.
-func (j *Judge) Gone(now balancer.Time, id balancer.RequestID) {
+// ClientDisconnected is a client that left: nothing more is owed to it.
+func (j *Checker) ClientDisconnected(now balancer.Time, id balancer.RequestID) {
 	if r := j.reqs[id]; r != nil && !r.answered {
 		r.gone = true
 		r.note(now, "client gone", -1, 0)
@@ -284,8 +284,8 @@
 	}
 }
 
-// Died is a node that was killed: what it held and what it knew is void.
-func (j *Judge) Died(node int) {
+// NodeCrashed is a node that was killed: what it held and what it knew is void.
+func (j *Checker) NodeCrashed(node int) {
 	for id, r := range j.reqs {
 		if r.node == node {
 			delete(j.reqs, id)
@@ -298,7 +298,7 @@
 	}
 }
 
-func (j *Judge) forget(id balancer.RequestID, r *request) {
+func (j *Checker) forget(id balancer.RequestID, r *request) {
 	if !(r.answered || r.gone) || r.open > 0 || r.over {
 		return
 	}
@@ -312,8 +312,8 @@
 	}
 }
 
-// Told is what a node hears of a box, or is deemed to have heard.
-func (j *Judge) Told(now balancer.Time, node int, box balancer.EndpointID, phase balancer.Phase, started balancer.Time) {
+// NodeNotified is what a node hears of a box, or is deemed to have heard.
+func (j *Checker) NodeNotified(now balancer.Time, node int, box balancer.EndpointID, phase balancer.Phase, started balancer.Time) {
 	p := pair{node, box}
 	t := j.told[p]
 	t.started = max(started, 1)
@@ -326,7 +326,7 @@
 }
 
 // Close ends the run: whatever is still owed by then was never answered.
-func (j *Judge) Close(now balancer.Time) {
+func (j *Checker) Close(now balancer.Time) {
 	ids := make([]balancer.RequestID, 0, len(j.reqs))
 	for id := range j.reqs {
 		ids = append(ids, id)
@@ -358,10 +358,10 @@
 // slack is how much more than the budget is put down to chance: so many times the largest piece of work in it.
 const slack = 4
 
-// Reached is work (in µs of a core at speed 1) that came to a cold box, whether it took it or not. Capacity is what
+// AttemptReached is work (in µs of a core at speed 1) that came to a cold box, whether it took it or not. Capacity is what
 // the box can do at the moment, in such µs for each µs.
-func (j *Judge) Reached(now balancer.Time, node int, box balancer.EndpointID, started balancer.Time, work, capacity float64) {
-	if j.cfg.ColdMultiple <= 0 || j.cfg.ColdWindow <= 0 {
+func (j *Checker) AttemptReached(now balancer.Time, node int, box balancer.EndpointID, started balancer.Time, work, capacity float64) {
+	if j.cfg.OverloadFactor <= 0 || j.cfg.OverloadWindow <= 0 {
 		return
 	}
 	b := j.cold[box]
@@ -375,7 +375,7 @@
 	if knew {
 		b.knowing += work
 	}
-	for b.arrivals[0].at < now-j.cfg.ColdWindow {
+	for b.arrivals[0].at < now-j.cfg.OverloadWindow {
 		a := b.arrivals[0]
 		b.arrivals = b.arrivals[1:]
 		b.work -= a.work
@@ -391,13 +391,13 @@
 		mean += a.capacity / float64(len(b.arrivals))
 		most = max(most, a.work)
 	}
-	limit := j.cfg.ColdMultiple*mean*float64(j.cfg.ColdWindow) + slack*most
+	limit := j.cfg.OverloadFactor*mean*float64(j.cfg.OverloadWindow) + slack*most
 	if b.work > limit && b.knowing > b.work*2/3 {
 		b.broken = true
-		j.broken(NoPush, now, node, 0, nil, "box %d, started %.1f s ago, was sent %.1f s of work within %.1f s; it could do %.1f s",
-			box, float64(now-started)/1e6, b.work/1e6, float64(j.cfg.ColdWindow)/1e6, mean*float64(j.cfg.ColdWindow)/1e6)
+		j.broken(NoSlowStartOverload, now, node, 0, nil, "box %d, started %.1f s ago, was sent %.1f s of work within %.1f s; it could do %.1f s",
+			box, float64(now-started)/1e6, b.work/1e6, float64(j.cfg.OverloadWindow)/1e6, mean*float64(j.cfg.OverloadWindow)/1e6)
 	}
 }
 
 // Warm is a box that is cold no longer.
-func (j *Judge) Warm(box balancer.EndpointID) { delete(j.cold, box) }
+func (j *Checker) Warm(box balancer.EndpointID) { delete(j.cold, box) }
--- a/internal/load/book.go
+++ b/internal/load/book.go
@@ -20,9 +20,9 @@
 const (
 	Served Outcome = iota
 	Late
-	Refused
+	Rejected
 	Failed
-	TimedOut
+	Timeout
 	Unreachable
 	outcomes
 )
@@ -144,7 +144,7 @@
 	b.second(c.At).due++
 	if c.At >= b.warmUp {
 		b.counted++
-		b.asked += b.sc.Classes[c.Class].Worth
+		b.asked += b.sc.Classes[c.Class].PriorityWeight
 	}
 	return &entry{call: c}
 }
@@ -168,14 +168,14 @@
 	if e.done {
 		return 0, false
 	}
-	if wait, again = b.retry.Again(&e.call, how, e.tries, now-e.call.At, retryIn); again {
+	if wait, again = b.retry.Next(&e.call, how, e.tries, now-e.call.At, retryIn); again {
 		return wait, true
 	}
-	out := [...]Outcome{workload.Served: Served, workload.Refused: Refused, workload.Failed: Failed, workload.TimedOut: TimedOut,
+	out := [...]Outcome{workload.Served: Served, workload.Rejected: Rejected, workload.Failed: Failed, workload.Timeout: Timeout,
 		workload.Unreachable: Unreachable}[how]
 	took := max(now-e.call.At, 1)
 	class := &b.sc.Classes[e.call.Class]
-	if out == Served && took > int64(class.Aim*1000) {
+	if out == Served && took > int64(class.LatencyObjective*1000) {
 		out = Late
 	}
 	e.done = true
@@ -203,9 +203,9 @@
 	}
 	switch out {
 	case Served:
-		b.worth += class.Worth
+		b.worth += class.PriorityWeight
 	case Late:
-		b.worth += class.Worth * class.LateShare
+		b.worth += class.PriorityWeight * class.LateValue
 	}
 	return 0, false
 }
--- a/internal/load/book_test.go
+++ b/internal/load/book_test.go
@@ -47,7 +47,7 @@
 	b, _ := newTestBook(t, threeTries)
 	e := b.arrive(workload.Call{At: 1_000_000})
 	b.send(e, 1_000_000, 1_000_100)
-	wait, again := b.answer(e, workload.Refused, 1_050_000, 0)
+	wait, again := b.answer(e, workload.Rejected, 1_050_000, 0)
 	if !again || wait != 100_000 {
 		t.Fatalf("again %v after %d µs", again, wait)
 	}
@@ -72,7 +72,7 @@
 func TestLateIsNotServed(t *testing.T) {
 	b, _ := newTestBook(t, oneTry)
 	for i, took := range []int64{599_000, 601_000} { // the class's aim is 600 ms
-		e := b.arrive(workload.Call{N: uint64(i)})
+		e := b.arrive(workload.Call{Number: uint64(i)})
 		b.send(e, 0, 0)
 		b.answer(e, workload.Served, took, 0)
 	}
@@ -94,7 +94,7 @@
 		now := int64(0)
 		for i := range rapid.IntRange(1, 200).Draw(rt, "calls") {
 			now += rapid.Int64Range(0, 400_000).Draw(rt, "gap")
-			e := b.arrive(workload.Call{N: uint64(i), At: now, Class: i % 3, Tenant: i % 2})
+			e := b.arrive(workload.Call{Number: uint64(i), At: now, Class: i % 3, Tenant: i % 2})
 			b.send(e, now, now+rapid.Int64Range(0, 5000).Draw(rt, "lag"))
 			flying = append(flying, out{e, now})
 			for len(flying) > rapid.IntRange(0, 10).Draw(rt, "open") {
@@ -113,7 +113,7 @@
 		}
 		for _, o := range flying {
 			for again := true; again; {
-				if _, again = b.answer(o.e, workload.TimedOut, now+20_000_000, 0); again {
+				if _, again = b.answer(o.e, workload.Timeout, now+20_000_000, 0); again {
 					b.send(o.e, now, now)
 				}
 			}
@@ -152,7 +152,7 @@
 	b, _ := newTestBook(t, oneTry)
 	for n := range int64(20_000) {
 		at := n * 500
-		e := b.arrive(workload.Call{N: uint64(n), At: at})
+		e := b.arrive(workload.Call{Number: uint64(n), At: at})
 		lag := int64(10)
 		if at >= 3_000_000 && at < 3_010_000 { // 20 of the 2,000 in one second: 0.1% of all
 			lag = 50_000
@@ -199,7 +199,7 @@
 
 // Find against targets whose limit is known: steep, noisy, beyond the generator, and none.
 func TestFind(t *testing.T) {
-	s := Search{Wanted: Wanted{P99: 50 * time.Millisecond, Refused: 0.01}, From: 100, To: 100000, Close: 0.05, Sure: 3}
+	s := Search{Objective: Objective{P99: 50 * time.Millisecond, MaxRejectedShare: 0.01}, From: 100, To: 100000, Close: 0.05, Confirmations: 3}
 	calls := 0
 	target := func(limit, generator float64, noise int) func(context.Context, float64) (*Result, error) {
 		calls = 0
@@ -233,10 +233,10 @@
 				t.Fatal(err)
 			}
 			if f.Low < c.low || f.Low > max(c.high, c.low) || c.says != "" && !strings.Contains(f.Limit, c.says) || calls > 60 {
-				t.Errorf("low %.0f (%s), high %.0f (%s), %q after %d runs", f.Low, f.LowKept, f.High, f.HighOut, f.Limit, calls)
+				t.Errorf("low %.0f (%s), high %.0f (%s), %q after %d runs", f.Low, f.LowConfidence, f.High, f.HighOut, f.Limit, calls)
 			}
-			if c.noise == 0 && c.low > 0 && c.limit < 1e9 && (f.LowKept != "3 of 3 runs" || f.HighOut != "3 of 3 runs" || f.High/f.Low > 1.051) {
-				t.Errorf("low %s, high %s", f.LowKept, f.HighOut)
+			if c.noise == 0 && c.low > 0 && c.limit < 1e9 && (f.LowConfidence != "3 of 3 runs" || f.HighOut != "3 of 3 runs" || f.High/f.Low > 1.051) {
+				t.Errorf("low %s, high %s", f.LowConfidence, f.HighOut)
 			}
 		})
 	}
--- a/internal/load/find.go
+++ b/internal/load/find.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// Wanted is what a rate must keep to count as carried.
-type Wanted struct {
-	P99     time.Duration // of served calls
-	Refused float64       // share of calls that may be refused, fail or time out
+// Objective is what a rate must keep to count as carried.
+type Objective struct {
+	P99              time.Duration // of served calls
+	MaxRejectedShare float64       // share of calls that may be refused, fail or time out
 }
 
 // Step is one run of a search.
 type Step struct {
-	PerS    float64 `json:"per_s"`
-	P99     float64 `json:"p99_ms"`
-	Refused float64 `json:"not_served"`
-	Kept    bool    `json:"kept"`
-	Invalid string  `json:"invalid,omitempty"`
+	PerS          float64 `json:"per_s"`
+	P99           float64 `json:"p99_ms"`
+	RejectedShare float64 `json:"not_served"`
+	WithinBounds  bool    `json:"kept"`
+	Invalid       string  `json:"invalid,omitempty"`
 }
 
-// Found is the highest rate that was carried.
-type Found struct {
-	Low     float64 `json:"low"`  // the highest rate at which most runs kept the bounds
-	High    float64 `json:"high"` // the lowest at which most did not; 0: none was found
-	LowKept string  `json:"low_kept"`
-	HighOut string  `json:"high_out"`
-	Limit   string  `json:"limit,omitempty"` // why the search ended early
-	Steps   []Step  `json:"steps"`
+// SearchResult is the highest rate that was carried.
+type SearchResult struct {
+	Low           float64 `json:"low"`  // the highest rate at which most runs kept the bounds
+	High          float64 `json:"high"` // the lowest at which most did not; 0: none was found
+	LowConfidence string  `json:"low_kept"`
+	HighOut       string  `json:"high_out"`
+	Limit         string  `json:"limit,omitempty"` // why the search ended early
+	Steps         []Step  `json:"steps"`
 }
 
 // Search says where to look.
 type Search struct {
-	Wanted
-	From, To float64 // calls a second
-	Close    float64 // the search ends when High/Low is at most 1 and this
-	Sure     int     // runs at each end of the bracket, in the end
+	Objective
+	From, To      float64 // calls a second
+	Close         float64 // the search ends when High/Low is at most 1 and this
+	Confirmations int     // runs at each end of the bracket, in the end
 }
 
 // Find bisects for the highest rate that run carries, on a scale of ratios. Each rate is run once on the way; both ends of
 // the bracket are then run again, until each has been run Sure times, and the bracket widens where most runs of an end
 // speak against it. A run that does not count ends the search: the generator, not the target, is the limit there.
-func Find(ctx context.Context, s Search, run func(ctx context.Context, perS float64) (*Result, error)) (Found, error) {
-	var f Found
+func Find(ctx context.Context, s Search, run func(ctx context.Context, perS float64) (*Result, error)) (SearchResult, error) {
+	var f SearchResult
 	try := func(perS float64) (Step, error) {
 		r, err := run(ctx, perS)
 		if err != nil {
@@ -54,9 +54,9 @@
 			st.Invalid = r.Invalid[0]
 		}
 		if r.Calls > 0 {
-			st.Refused = 1 - float64(r.Outcomes["served"]+r.Outcomes["late"])/float64(r.Calls)
+			st.RejectedShare = 1 - float64(r.Outcomes["served"]+r.Outcomes["late"])/float64(r.Calls)
 		}
-		st.Kept = r.Valid && r.Calls > 0 && st.P99 <= ms(s.P99.Microseconds()) && st.Refused <= s.Refused
+		st.WithinBounds = r.Valid && r.Calls > 0 && st.P99 <= ms(s.P99.Microseconds()) && st.RejectedShare <= s.MaxRejectedShare
 		f.Steps = append(f.Steps, st)
 		return st, nil
 	}
@@ -70,7 +70,7 @@
 			f.Limit = fmt.Sprintf("at %.0f a second the generator did not keep its schedule: %s", perS, st.Invalid)
 			break
 		}
-		if !st.Kept {
+		if !st.WithinBounds {
 			high = perS
 			break
 		}
@@ -87,7 +87,7 @@
 			return f, err
 		case st.Invalid != "":
 			f.Limit = fmt.Sprintf("at %.0f a second the generator did not keep its schedule: %s", mid, st.Invalid)
-		case st.Kept:
+		case st.WithinBounds:
 			low = mid
 		default:
 			high = mid
@@ -98,7 +98,7 @@
 		for _, st := range f.Steps {
 			if st.PerS == perS && st.Invalid == "" {
 				all++
-				if st.Kept {
+				if st.WithinBounds {
 					kept++
 				}
 			}
@@ -108,7 +108,7 @@
 	for _, end := range []*float64{&low, &high} {
 		for *end > 0 {
 			kept, all := count(*end)
-			if all >= s.Sure {
+			if all >= s.Confirmations {
 				if end == &low && 2*kept < all {
 					*end /= 1 + s.Close
 					continue
@@ -132,7 +132,7 @@
 	f.Low, f.High = low, high
 	if low > 0 {
 		kept, all := count(low)
-		f.LowKept = fmt.Sprintf("%d of %d runs", kept, all)
+		f.LowConfidence = fmt.Sprintf("%d of %d runs", kept, all)
 	}
 	if high > 0 {
 		kept, all := count(high)
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -18,21 +18,21 @@
 	Seed     uint64   `json:"seed"`
 	Targets  []string `json:"targets"`
 
-	Seconds  float64            `json:"seconds"`
-	Calls    int64              `json:"calls"` // due after the warm-up
-	PerS     float64            `json:"calls_per_s"`
-	Sent     int64              `json:"sent"`    // tries, the warm-up's included
-	Repeats  int64              `json:"repeats"` // of them, by the client
-	Outcomes map[string]int64   `json:"outcomes"`
-	Worth    float64            `json:"worth"`      // served in time, of that asked for
-	Latency  Latency            `json:"latency_ms"` // of served and late calls
-	Until    map[string]Latency `json:"until_ms"`   // from when calls were due to their end, by outcome
-	Classes  []Part             `json:"classes"`
-	Tenants  []Part             `json:"tenants"`
-	Lag      LagReport          `json:"lag"`
-	Conns    int                `json:"peak_connections"`
-	CPU      float64            `json:"cpu_us_per_try"` // of the generator
-	Series   []Second           `json:"series"`
+	Seconds     float64            `json:"seconds"`
+	Calls       int64              `json:"calls"` // due after the warm-up
+	PerS        float64            `json:"calls_per_s"`
+	Sent        int64              `json:"sent"`    // tries, the warm-up's included
+	Repeats     int64              `json:"repeats"` // of them, by the client
+	Outcomes    map[string]int64   `json:"outcomes"`
+	ServedValue float64            `json:"worth"`      // served in time, of that asked for
+	Latency     Latency            `json:"latency_ms"` // of served and late calls
+	Until       map[string]Latency `json:"until_ms"`   // from when calls were due to their end, by outcome
+	Classes     []Part             `json:"classes"`
+	Tenants     []Part             `json:"tenants"`
+	Lag         LagReport          `json:"lag"`
+	Conns       int                `json:"peak_connections"`
+	CPU         float64            `json:"cpu_us_per_try"` // of the generator
+	Series      []Second           `json:"series"`
 
 	all *hdrhistogram.Histogram
 }
@@ -114,7 +114,7 @@
 		res.PerS = float64(res.Calls) / res.Seconds
 	}
 	if b.asked > 0 {
-		res.Worth = b.worth / b.asked
+		res.ServedValue = b.worth / b.asked
 	}
 	res.all, res.Until = b.all, map[string]Latency{}
 	for i, h := range b.byOutcome {
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -265,7 +265,7 @@
 				if a := heap.Pop(&r.alarms).(alarm); a.again != nil {
 					r.begin(a.again, a.at)
 				} else if t := a.end; !t.done {
-					r.end(t, workload.TimedOut, now, 0)
+					r.end(t, workload.Timeout, now, 0)
 					if t.conn != nil {
 						r.drop(t.conn)
 					}
@@ -314,10 +314,10 @@
 
 // begin makes a try of a call that is due.
 func (r *runner) begin(e *entry, due int64) {
-	t := &try{e: e, due: due, deadline: due + r.book.retry.Patience(&e.call, due-e.call.At)}
+	t := &try{e: e, due: due, deadline: due + r.book.retry.Timeout(&e.call, due-e.call.At)}
 	t.site = e.call.Site % len(r.plan.Targets)
 	var id [24]byte
-	h := xxhash.Sum64(strconv.AppendUint(strconv.AppendUint(append(id[:0], byte(e.tries)), e.call.N, 16), r.nonce, 16))
+	h := xxhash.Sum64(strconv.AppendUint(strconv.AppendUint(append(id[:0], byte(e.tries)), e.call.Number, 16), r.nonce, 16))
 	t.id = fmt.Sprintf("%016x", h)
 	heap.Push(&r.alarms, alarm{at: t.deadline, end: t})
 	r.assign(t)
@@ -419,7 +419,7 @@
 	}
 	if effect == balancer.IdempotentByKey {
 		dst = append(dst, "\r\nIdempotency-Key: "...)
-		dst = fmt.Appendf(dst, "%016x%016x", r.nonce, e.call.N)
+		dst = fmt.Appendf(dst, "%016x%016x", r.nonce, e.call.Number)
 	}
 	if effect != balancer.Idempotent {
 		dst = append(dst, "\r\nContent-Length: 0"...)
@@ -514,7 +514,7 @@
 		case 200:
 			h.how = workload.Served
 		case 429, 503:
-			h.how = workload.Refused
+			h.how = workload.Rejected
 			if s, err := strconv.ParseFloat(string(bytes.TrimSpace(m.Get("retry-after"))), 64); err == nil && s > 0 && s < 1e6 {
 				h.retryIn = int64(s * 1e6)
 			}
--- a/internal/load/verify.go
+++ b/internal/load/verify.go
@@ -56,9 +56,9 @@
 		sc := scenario.Default()
 		sc.Name, sc.Seconds, sc.WarmUp = d.name, seconds, 0
 		sc.Load.Shape, sc.Load.PerS, sc.Clients.Retries = "constant", perS, 0
-		sc.Clients.TryShare = 1
-		sc.Classes = []scenario.Class{{Name: "read", Share: 1, Work: 1, Dist: "constant", Aim: 5000, Deadline: 5000, Worth: 1,
-			Effect: "repeatable"}}
+		sc.Clients.TimeoutShare = 1
+		sc.Classes = []scenario.Class{{Name: "read", Share: 1, Work: 1, Dist: "constant", LatencyObjective: 5000, Deadline: 5000, PriorityWeight: 1,
+			Idempotency: "repeatable"}}
 		if err := sc.Check(); err != nil {
 			return nil, nil, err
 		}
--- a/internal/processtest/check.go
+++ b/internal/processtest/check.go
@@ -10,24 +10,24 @@
 	"tulipglade/internal/lease"
 )
 
-// Found is what a log shows.
-type Found struct {
-	Acts    int            `json:"acts"`    // that were let in
-	Refused int            `json:"refused"` // by their token, or while an earlier one went on
-	Grants  int            `json:"grants"`
-	Leaders int            `json:"leaders"`
-	Faults  map[string]int `json:"faults"` // by kind
-	Broken  []string       `json:"broken,omitempty"`
+// Findings is what a log shows.
+type Findings struct {
+	Acts     int            `json:"acts"`    // that were let in
+	Rejected int            `json:"refused"` // by their token, or while an earlier one went on
+	Grants   int            `json:"grants"`
+	Leaders  int            `json:"leaders"`
+	Faults   map[string]int `json:"faults"` // by kind
+	Broken   []string       `json:"broken,omitempty"`
 	// Gaps are times from when the holder was killed, stopped or cut off to the next one's first act.
 	Gaps []time.Duration `json:"-"`
-	// Led are times from when the leader was killed, stopped or cut off to when another led.
-	Led []time.Duration `json:"-"`
+	// LeaderTimes are times from when the leader was killed, stopped or cut off to when another led.
+	LeaderTimes []time.Duration `json:"-"`
 }
 
 // Add adds what another log shows.
-func (f *Found) Add(g Found) {
-	f.Acts, f.Refused, f.Grants, f.Leaders = f.Acts+g.Acts, f.Refused+g.Refused, f.Grants+g.Grants, f.Leaders+g.Leaders
-	f.Broken, f.Gaps, f.Led = append(f.Broken, g.Broken...), append(f.Gaps, g.Gaps...), append(f.Led, g.Led...)
+func (f *Findings) Add(g Findings) {
+	f.Acts, f.Rejected, f.Grants, f.Leaders = f.Acts+g.Acts, f.Rejected+g.Rejected, f.Grants+g.Grants, f.Leaders+g.Leaders
+	f.Broken, f.Gaps, f.LeaderTimes = append(f.Broken, g.Broken...), append(f.Gaps, g.Gaps...), append(f.LeaderTimes, g.LeaderTimes...)
 	if f.Faults == nil {
 		f.Faults = map[string]int{}
 	}
@@ -40,8 +40,8 @@
 var away = []string{"process-kill", "process-stop", "link-cut"}
 
 // Check reads a log, in order. It knows nothing of how leases work, only what must hold.
-func Check(log []Event) Found {
-	f := Found{Faults: map[string]int{}}
+func Check(log []Event) Findings {
+	f := Findings{Faults: map[string]int{}}
 	var (
 		open    = map[lease.Token]int{} // acts that go on
 		newest  lease.Token
@@ -57,7 +57,7 @@
 	}
 	for _, e := range log {
 		switch {
-		case e.What == "begins":
+		case e.Kind == "begins":
 			f.Acts++
 			for token, n := range open {
 				if n > 0 && token != e.Token {
@@ -74,34 +74,34 @@
 			newest = max(newest, e.Token)
 			holder, held = e.Text, e.Token
 			open[e.Token]++
-		case e.What == "ends":
+		case e.Kind == "ends":
 			open[e.Token]--
-		case e.What == "refused":
-			f.Refused++
-		case e.What == "acquire" && e.Text == "":
-			whom := fmt.Sprint(e.Who, " ", e.Ask)
+		case e.Kind == "refused":
+			f.Rejected++
+		case e.Kind == "acquire" && e.Text == "":
+			whom := fmt.Sprint(e.Process, " ", e.RequestID)
 			if was, ok := given[e.Token]; ok && was != whom {
 				broken(e, "token %d is given to %s, and was given to %s", e.Token, whom, was)
 			} else if !ok {
 				f.Grants++
 			}
 			given[e.Token] = whom
-		case e.What == "lead" && strings.Contains(e.Text, "leads=true"):
+		case e.Kind == "lead" && strings.Contains(e.Text, "leads=true"):
 			f.Leaders++
-			if missing > 0 && e.Who != leader {
-				f.Led = append(f.Led, e.At-missing)
+			if missing > 0 && e.Process != leader {
+				f.LeaderTimes = append(f.LeaderTimes, e.At-missing)
 			}
-			leader, missing = e.Who, 0
-		case e.What == "ended" && strings.Contains(e.Text, "snapshot"):
-			broken(e, "%s could not start: %s", e.Who, e.Text)
-		case e.What == "fault":
+			leader, missing = e.Process, 0
+		case e.Kind == "ended" && strings.Contains(e.Text, "snapshot"):
+			broken(e, "%s could not start: %s", e.Process, e.Text)
+		case e.Kind == "fault":
 			kind, _, _ := strings.Cut(e.Text, " ")
 			f.Faults[kind]++
 			for _, k := range away {
-				if kind == k && e.Who == holder && lost == 0 {
+				if kind == k && e.Process == holder && lost == 0 {
 					lost = e.At
 				}
-				if kind == k && e.Who == leader && missing == 0 {
+				if kind == k && e.Process == leader && missing == 0 {
 					missing = e.At
 				}
 			}
@@ -151,13 +151,13 @@
 	var ops []porcupine.Operation
 	clients := map[string]int{}
 	for _, e := range log {
-		if e.What != "acquire" && e.What != "renew" && e.What != "release" {
+		if e.Kind != "acquire" && e.Kind != "renew" && e.Kind != "release" {
 			continue
 		}
-		if _, ok := clients[e.Who]; !ok {
-			clients[e.Who] = len(clients)
+		if _, ok := clients[e.Process]; !ok {
+			clients[e.Process] = len(clients)
 		}
-		ops = append(ops, porcupine.Operation{ClientId: clients[e.Who], Input: asked{e.What, fmt.Sprint(e.Who, " ", e.Ask), e.Token, e.Text}, Call: int64(e.From),
+		ops = append(ops, porcupine.Operation{ClientId: clients[e.Process], Input: asked{e.Kind, fmt.Sprint(e.Process, " ", e.RequestID), e.Token, e.Text}, Call: int64(e.From),
 			Return: int64(e.At)})
 	}
 	return porcupine.CheckOperations(model, ops)
--- a/internal/processtest/director_test.go
+++ b/internal/processtest/director_test.go
@@ -132,8 +132,8 @@
 	x.set(0, 0)
 	x.await(t, "the loss of a zone", addrs, func(p *failover.Plan) bool { return home(p) < 0.02 && p.Rows[0][0].Shares[1] > 0.9 })
 	directs := func(at int) (int, int) {
-		e, next := r.await(t, at, func(e Event) bool { return e.What == "director" && e.Text == "directs=true" })
-		return r.Index(e.Who), next
+		e, next := r.await(t, at, func(e Event) bool { return e.Kind == "director" && e.Text == "directs=true" })
+		return r.Index(e.Process), next
 	}
 	first, at := directs(0)
 	token := func() (newest uint64) {
--- a/internal/processtest/measure.go
+++ b/internal/processtest/measure.go
@@ -40,12 +40,12 @@
 // Measure starts so many agents and measures them.
 func Measure(ctx context.Context, agents, elections, holders int, length time.Duration) (m Measured, err error) {
 	m = Measured{Agents: agents, Holders: holders, Elections: hdrhistogram.New(1, 60_000, 3), Latency: hdrhistogram.New(1, 60_000_000, 3)}
-	r, err := Start(Options{Agents: agents, Terms: lease.Terms{Interval: 200 * time.Millisecond, Drift: 0.01}, For: 5 * time.Second})
+	r, err := Start(Options{Agents: agents, Terms: lease.Terms{Interval: 200 * time.Millisecond, Drift: 0.01}, LeaseDuration: 5 * time.Second})
 	if err != nil {
 		return m, err
 	}
 	defer r.Stop()
-	leads := func(e Event) bool { return e.What == "lead" && strings.Contains(e.Text, "leads=true") }
+	leads := func(e Event) bool { return e.Kind == "lead" && strings.Contains(e.Text, "leads=true") }
 	_, at, err := r.Await(ctx, 0, leads)
 	if err != nil {
 		return m, err
@@ -76,7 +76,7 @@
 			return m, err
 		}
 		end()
-		if _, _, err := r.Await(ctx, at, func(e Event) bool { return e.Who == was && e.What == "leader" && e.Text != "" }); err != nil { // it is there again
+		if _, _, err := r.Await(ctx, at, func(e Event) bool { return e.Process == was && e.Kind == "leader" && e.Text != "" }); err != nil { // it is there again
 			return m, err
 		}
 	}
@@ -120,7 +120,7 @@
 }
 
 // hold has so many clients hold a lease each, and then all want the same one.
-func (m *Measured) hold(ctx context.Context, r *Rig, addrs []string, length time.Duration) error {
+func (m *Measured) hold(ctx context.Context, r *Harness, addrs []string, length time.Duration) error {
 	clients, held := make([]*agent.Client, m.Holders), make([]*agent.Lease, m.Holders)
 	var g errgroup.Group
 	for i := range clients {
@@ -160,7 +160,7 @@
 }
 
 // cost is what an agent costs over a time, the mean of all.
-func (r *Rig) cost(ctx context.Context, length time.Duration) (c Cost, err error) {
+func (r *Harness) cost(ctx context.Context, length time.Duration) (c Cost, err error) {
 	look := func() (ticks, kb, pieces float64, err error) {
 		for i := range r.o.Agents {
 			r.mu.Lock()
--- a/internal/processtest/processtest.go
+++ b/internal/processtest/processtest.go
@@ -31,7 +31,7 @@
 	Agents, Holders int
 	Spares          int // agents that are no members yet; they come after the others
 	Terms           lease.Terms
-	For             time.Duration // of a lease
+	LeaseDuration   time.Duration // of a lease
 	Without         Without
 	Plans           *agent.FailoverOptions // of agents
 	Acts            int                    // that a holder makes before it lets the lease go; 0: some
@@ -53,8 +53,8 @@
 	ended chan struct{}
 }
 
-// Rig is processes with relays between them, and their one log.
-type Rig struct {
+// Harness is processes with relays between them, and their one log.
+type Harness struct {
 	o      Options
 	parts  []*part // agents, then holders, then the target
 	relays map[[2]int]*relay
@@ -69,14 +69,14 @@
 }
 
 // Start starts the processes.
-func Start(o Options) (r *Rig, err error) {
+func Start(o Options) (r *Harness, err error) {
 	if o.Terms.Interval == 0 {
-		o.Terms, o.For = Terms, leaseFor
+		o.Terms, o.LeaseDuration = Terms, leaseFor
 	}
 	if o.Dir, err = os.MkdirTemp("", "rig"); err != nil {
 		return nil, err
 	}
-	r = &Rig{o: o, relays: map[[2]int]*relay{}, more: make(chan struct{}), on: map[int]func(int, int) (link, bool){}}
+	r = &Harness{o: o, relays: map[[2]int]*relay{}, more: make(chan struct{}), on: map[int]func(int, int) (link, bool){}}
 	defer func() {
 		if err != nil {
 			r.Stop()
@@ -107,7 +107,7 @@
 	}
 	for i := range o.Holders {
 		r.parts = append(r.parts, &part{settings: settings{Role: "holder", Name: fmt.Sprint("holder", i+1), Agents: addrs[:o.Agents], Target: target,
-			For: o.For, Acts: o.Acts}})
+			For: o.LeaseDuration, Acts: o.Acts}})
 	}
 	r.parts = append(r.parts, &part{settings: settings{Role: "target", Name: "target", Listen: target}})
 	for i, p := range r.parts[:len(r.parts)-1] {
@@ -133,7 +133,7 @@
 	return r, nil
 }
 
-func (r *Rig) start(i int) error {
+func (r *Harness) start(i int) error {
 	p := r.parts[i]
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func (r *Rig) add(e Event) {
+func (r *Harness) add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.log = append(r.log, e)
@@ -198,7 +198,7 @@
 }
 
 // Log is what all processes have said so far, by the one clock.
-func (r *Rig) Log() []Event {
+func (r *Harness) Log() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	log := slices.Clone(r.log)
@@ -207,7 +207,7 @@
 }
 
 // Await waits until the log from that place on has a line that is wanted, and returns it with the place after it.
-func (r *Rig) Await(ctx context.Context, from int, want func(Event) bool) (Event, int, error) {
+func (r *Harness) Await(ctx context.Context, from int, want func(Event) bool) (Event, int, error) {
 	for {
 		r.mu.Lock()
 		log, more := r.log[min(from, len(r.log)):], r.more
@@ -227,30 +227,30 @@
 }
 
 // Here is the place after the last line of the log.
-func (r *Rig) Here() int {
+func (r *Harness) Here() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.log)
 }
 
 // Index is a process's number, by its name.
-func (r *Rig) Index(name string) int {
+func (r *Harness) Index(name string) int {
 	return slices.IndexFunc(r.parts, func(p *part) bool { return p.Name == name })
 }
 
 // Leader is the agent that was the last to say that it leads; -1: none has.
-func (r *Rig) Leader() int {
+func (r *Harness) Leader() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range slices.Backward(r.log) {
-		if e.What == "lead" && strings.Contains(e.Text, "leads=true") {
-			return r.Index(e.Who)
+		if e.Kind == "lead" && strings.Contains(e.Text, "leads=true") {
+			return r.Index(e.Process)
 		}
 	}
 	return -1
 }
 
-func (r *Rig) signal(i int, s syscall.Signal) {
+func (r *Harness) signal(i int, s syscall.Signal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p := r.parts[i]; p.cmd != nil {
@@ -258,7 +258,7 @@
 	}
 }
 
-func (r *Rig) order(i int, line string) {
+func (r *Harness) order(i int, line string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p := r.parts[i]; p.cmd != nil {
@@ -267,7 +267,7 @@
 }
 
 // kill ends a process, and waits for that.
-func (r *Rig) kill(i int) {
+func (r *Harness) kill(i int) {
 	r.mu.Lock()
 	ended := r.parts[i].ended
 	r.mu.Unlock()
@@ -278,7 +278,7 @@
 }
 
 // relink has the relays do what the faults that are on ask for.
-func (r *Rig) relink() {
+func (r *Harness) relink() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for way, relay := range r.relays {
@@ -293,15 +293,15 @@
 }
 
 // hit is which links a fault changes, and how.
-func (r *Rig) hit(f faultinject.Fault, who int) func(from, to int) (link, bool) {
+func (r *Harness) hit(f faultinject.Fault, who int) func(from, to int) (link, bool) {
 	either := func(from, to int) bool { return from == who || to == who }
 	ms := time.Duration(f.Size) * time.Millisecond
 	switch f.Kind {
 	case faultinject.LinkCut, faultinject.LinkFlap:
 		return func(from, to int) (link, bool) { return link{cut: true}, either(from, to) }
-	case faultinject.LinkMute:
+	case faultinject.LinkSendCut:
 		return func(from, _ int) (link, bool) { return link{cut: true}, from == who }
-	case faultinject.LinkDeaf:
+	case faultinject.LinkReceiveCut:
 		return func(_, to int) (link, bool) { return link{cut: true}, to == who }
 	case faultinject.LinkBridge:
 		return func(from, to int) (link, bool) {
@@ -318,24 +318,24 @@
 }
 
 // Fault begins a fault; end ends it. Whom it hits is settled when it begins.
-func (r *Rig) Fault(f faultinject.Fault) (end func()) {
+func (r *Harness) Fault(f faultinject.Fault) (end func()) {
 	var ends []func()
 	for _, who := range f.Processes {
 		if who < 0 {
 			who = max(r.Leader(), 0)
 		}
-		r.add(Event{At: agent.Clock(), Who: r.parts[who].Name, What: "fault", Text: f.String()})
+		r.add(Event{At: agent.Clock(), Process: r.parts[who].Name, Kind: "fault", Text: f.String()})
 		ends = append(ends, r.fault(f, who))
 	}
 	return func() {
 		for _, f := range ends {
 			f()
 		}
-		r.add(Event{At: agent.Clock(), Who: "rig", What: "fault ends", Text: f.String()})
+		r.add(Event{At: agent.Clock(), Process: "rig", Kind: "fault ends", Text: f.String()})
 	}
 }
 
-func (r *Rig) fault(f faultinject.Fault, who int) (end func()) {
+func (r *Harness) fault(f faultinject.Fault, who int) (end func()) {
 	again := func() { _ = r.start(who) } // what does not come up shows in the log
 	switch f.Kind {
 	case faultinject.ProcessKill:
@@ -396,7 +396,7 @@
 }
 
 // Heal has everything run again that is stopped or down.
-func (r *Rig) Heal() error {
+func (r *Harness) Heal() error {
 	for i := range r.parts {
 		r.signal(i, syscall.SIGCONT)
 		if err := r.start(i); err != nil {
@@ -407,7 +407,7 @@
 }
 
 // Stop ends all processes and relays, and waits for that.
-func (r *Rig) Stop() {
+func (r *Harness) Stop() {
 	r.mu.Lock()
 	r.ended = true
 	r.mu.Unlock()
@@ -424,12 +424,12 @@
 // Plan draws what goes wrong, and when, from a seed.
 func Plan(o Options, length time.Duration, count int) []faultinject.Fault {
 	r := rand.New(rand.NewPCG(o.Seed, 0x419))
-	drawn := faultinject.Drawn{Count: count, MinMs: 300, MaxMs: 2500}
+	drawn := faultinject.RandomFaults{Count: count, MinMs: 300, MaxMs: 2500}
 	return drawn.Draw(faultinject.Scope{Processes: o.Agents + o.Holders}, length.Milliseconds(), r)
 }
 
 // Play begins and ends faults when they are due, heals all, and waits until somebody acts again.
-func (r *Rig) Play(ctx context.Context, plan []faultinject.Fault, bound time.Duration) error {
+func (r *Harness) Play(ctx context.Context, plan []faultinject.Fault, bound time.Duration) error {
 	type turn struct {
 		at time.Duration
 		do func()
@@ -437,7 +437,7 @@
 	var turns []turn
 	for _, f := range plan {
 		var end func()
-		turns = append(turns, turn{time.Duration(f.At) * time.Millisecond, func() { end = r.Fault(f) }},
+		turns = append(turns, turn{time.Duration(f.Start) * time.Millisecond, func() { end = r.Fault(f) }},
 			turn{time.Duration(f.End()) * time.Millisecond, func() { end() }})
 	}
 	slices.SortStableFunc(turns, func(a, b turn) int { return int(a.at - b.at) })
@@ -453,10 +453,10 @@
 	if err := r.Heal(); err != nil {
 		return err
 	}
-	r.add(Event{At: agent.Clock(), Who: "rig", What: "healed"})
+	r.add(Event{At: agent.Clock(), Process: "rig", Kind: "healed"})
 	ctx, stop := context.WithTimeout(ctx, bound)
 	defer stop()
-	if _, _, err := r.Await(ctx, r.Here(), func(e Event) bool { return e.What == "begins" }); err != nil {
+	if _, _, err := r.Await(ctx, r.Here(), func(e Event) bool { return e.Kind == "begins" }); err != nil {
 		return errors.Join(ErrIdle, err)
 	}
 	return nil
@@ -466,7 +466,7 @@
 var ErrIdle = errors.New("nobody acts after the faults")
 
 // Schedules plays so many schedules, of seeds from the first, a few at a time, and adds up what they show. Report is called after each.
-func Schedules(ctx context.Context, first uint64, n, parallel int, without Without, report func(seed uint64, f Found, err error)) error {
+func Schedules(ctx context.Context, first uint64, n, parallel int, without Without, report func(seed uint64, f Findings, err error)) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(parallel)
 	var mu sync.Mutex
@@ -495,7 +495,7 @@
 )
 
 // Schedule plays the schedule of a seed: 3 agents, or 5 for every third, and 3 holders.
-func Schedule(ctx context.Context, seed uint64, without Without) (Found, error) {
+func Schedule(ctx context.Context, seed uint64, without Without) (Findings, error) {
 	return play(ctx, seed, without, Faults(seed))
 }
 
@@ -525,11 +525,11 @@
 	return false, nil
 }
 
-func play(ctx context.Context, seed uint64, without Without, plan []faultinject.Fault) (Found, error) {
+func play(ctx context.Context, seed uint64, without Without, plan []faultinject.Fault) (Findings, error) {
 	o := options(seed, without)
 	r, err := Start(o)
 	if err != nil {
-		return Found{}, err
+		return Findings{}, err
 	}
 	defer r.Stop()
 	err = r.Play(ctx, plan, well)
--- a/internal/processtest/processtest_test.go
+++ b/internal/processtest/processtest_test.go
@@ -29,8 +29,8 @@
 
 // Schedules of faults between real processes: what must hold holds, and somebody acts again after each.
 func TestSchedules(t *testing.T) {
-	var sum Found
-	err := Schedules(t.Context(), 1, 12, 4, Without{}, func(seed uint64, f Found, err error) {
+	var sum Findings
+	err := Schedules(t.Context(), 1, 12, 4, Without{}, func(seed uint64, f Findings, err error) {
 		if err != nil || len(f.Broken) > 0 {
 			t.Errorf("schedule %d: %v %v", seed, err, f.Broken)
 		}
@@ -42,7 +42,7 @@
 	}
 }
 
-func begin(t *testing.T, o Options) *Rig {
+func begin(t *testing.T, o Options) *Harness {
 	t.Helper()
 	r, err := Start(o)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return r
 }
 
-func (r *Rig) await(t *testing.T, from int, want func(Event) bool) (Event, int) {
+func (r *Harness) await(t *testing.T, from int, want func(Event) bool) (Event, int) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), 40*time.Second)
 	defer stop()
@@ -67,11 +67,11 @@
 }
 
 func acts(after lease.Token) func(Event) bool {
-	return func(e Event) bool { return e.What == "begins" && e.Token > after }
+	return func(e Event) bool { return e.Kind == "begins" && e.Token > after }
 }
 
 // goOn has a process go on that stops itself, once it has.
-func (r *Rig) goOn(t *testing.T, i int) {
+func (r *Harness) goOn(t *testing.T, i int) {
 	t.Helper()
 	r.mu.Lock()
 	pid := r.parts[i].cmd.Process.Pid
@@ -90,24 +90,24 @@
 }
 
 // halted has a holder stop between its check and its act, for longer than its lease, and go on after the next holder has acted.
-func halted(t *testing.T, without Without) (old lease.Token, f Found) {
+func halted(t *testing.T, without Without) (old lease.Token, f Findings) {
 	r := begin(t, Options{Agents: 3, Holders: 2, Without: without})
 	for i := range 2 {
 		r.order(3+i, "halt")
 	}
-	stopped, at := r.await(t, 0, func(e Event) bool { return e.What == "halts" })
-	second, at := r.await(t, at, func(e Event) bool { return e.What == "halts" && e.Token > stopped.Token }) // the lease has ended: it is the other's
-	r.goOn(t, r.Index(second.Who))
+	stopped, at := r.await(t, 0, func(e Event) bool { return e.Kind == "halts" })
+	second, at := r.await(t, at, func(e Event) bool { return e.Kind == "halts" && e.Token > stopped.Token }) // the lease has ended: it is the other's
+	r.goOn(t, r.Index(second.Process))
 	_, at = r.await(t, at, acts(stopped.Token))
-	r.goOn(t, r.Index(stopped.Who))
-	r.await(t, at, func(e Event) bool { return (e.What == "refused" || e.What == "begins") && e.Token == stopped.Token })
+	r.goOn(t, r.Index(stopped.Process))
+	r.await(t, at, func(e Event) bool { return (e.Kind == "refused" || e.Kind == "begins") && e.Token == stopped.Token })
 	return stopped.Token, Check(r.Log())
 }
 
 // What a holder that was stopped sends is refused where it lands; without the fence it is let in, and that is found.
 func TestAHolderThatWasStopped(t *testing.T) {
-	if old, f := halted(t, Without{}); f.Refused == 0 || len(f.Broken) > 0 {
-		t.Errorf("token %d: %d refused, broken %v", old, f.Refused, f.Broken)
+	if old, f := halted(t, Without{}); f.Rejected == 0 || len(f.Broken) > 0 {
+		t.Errorf("token %d: %d refused, broken %v", old, f.Rejected, f.Broken)
 	}
 	if _, f := halted(t, Without{Fence: true}); len(f.Broken) == 0 {
 		t.Error("without the fence nothing is found")
@@ -115,7 +115,7 @@
 }
 
 // cutOff has a holder lose the group, but not what it acts upon, until the next holder has acted three times.
-func cutOff(t *testing.T, refused bool, without Without, more ...faultinject.Fault) Found {
+func cutOff(t *testing.T, refused bool, without Without, more ...faultinject.Fault) Findings {
 	r := begin(t, Options{Agents: 3, Holders: 2, Without: without, Acts: 1 << 20})
 	e, at := r.await(t, 0, acts(0))
 	who := r.Index(e.Text)
@@ -132,7 +132,7 @@
 		_, at = r.await(t, at, acts(next.Token-1))
 	}
 	if refused {
-		r.await(t, 0, func(e Event) bool { return e.What == "refused" })
+		r.await(t, 0, func(e Event) bool { return e.Kind == "refused" })
 	}
 	return Check(r.Log())
 }
@@ -140,14 +140,14 @@
 // A holder that has lost the group stops before the next one begins. Without the guard, or with a clock that is far too slow, it goes
 // on, and only its token stops it: nothing of it is let in.
 func TestAHolderThatLostTheGroup(t *testing.T) {
-	if f := cutOff(t, false, Without{}); f.Refused > 0 || len(f.Broken) > 0 {
-		t.Errorf("%d refused, broken %v", f.Refused, f.Broken)
+	if f := cutOff(t, false, Without{}); f.Rejected > 0 || len(f.Broken) > 0 {
+		t.Errorf("%d refused, broken %v", f.Rejected, f.Broken)
 	}
-	if f := cutOff(t, true, Without{Guard: true}); f.Refused == 0 || len(f.Broken) > 0 {
-		t.Errorf("without the guard: %d refused, broken %v", f.Refused, f.Broken)
+	if f := cutOff(t, true, Without{Guard: true}); f.Rejected == 0 || len(f.Broken) > 0 {
+		t.Errorf("without the guard: %d refused, broken %v", f.Rejected, f.Broken)
 	}
-	if f := cutOff(t, true, Without{}, faultinject.Fault{Kind: faultinject.ClockRate, Size: 0.1}); f.Refused == 0 || len(f.Broken) > 0 {
-		t.Errorf("with a slow clock: %d refused, broken %v", f.Refused, f.Broken)
+	if f := cutOff(t, true, Without{}, faultinject.Fault{Kind: faultinject.ClockRate, Size: 0.1}); f.Rejected == 0 || len(f.Broken) > 0 {
+		t.Errorf("with a slow clock: %d refused, broken %v", f.Rejected, f.Broken)
 	}
 }
 
@@ -165,8 +165,8 @@
 				t.Fatal(err)
 			}
 		}
-		_, at = r.await(t, at, func(e Event) bool { return e.What == "lead" && strings.Contains(e.Text, "true") })
-		r.await(t, at, func(e Event) bool { return e.What == "acquire" && e.Text == "" })
+		_, at = r.await(t, at, func(e Event) bool { return e.Kind == "lead" && strings.Contains(e.Text, "true") })
+		r.await(t, at, func(e Event) bool { return e.Kind == "acquire" && e.Text == "" })
 		if f := Check(r.Log()); lazy != (len(f.Broken) > 0) {
 			t.Errorf("disks that are lazy %v: broken %v", lazy, f.Broken)
 		}
@@ -179,14 +179,14 @@
 	_, at := r.await(t, 0, acts(0))
 	lead := r.Leader()
 	end := r.Fault(faultinject.Fault{Kind: faultinject.DiskSync, Processes: []int{lead}})
-	gone, at := r.await(t, at, func(e Event) bool { return e.What == "ended" && e.Who == r.parts[lead].Name })
+	gone, at := r.await(t, at, func(e Event) bool { return e.Kind == "ended" && e.Process == r.parts[lead].Name })
 	if !strings.Contains(gone.Text, errFault.Error()) {
 		t.Error(gone)
 	}
-	r.await(t, at, func(e Event) bool { return e.What == "lead" && strings.Contains(e.Text, "true") })
+	r.await(t, at, func(e Event) bool { return e.Kind == "lead" && strings.Contains(e.Text, "true") })
 	_, at = r.await(t, r.Here(), acts(0))
 	end()
-	r.await(t, at, func(e Event) bool { return e.What == "leader" && e.Who == r.parts[lead].Name })
+	r.await(t, at, func(e Event) bool { return e.Kind == "leader" && e.Process == r.parts[lead].Name })
 	if f := Check(r.Log()); len(f.Broken) > 0 {
 		t.Error(f.Broken)
 	}
@@ -210,7 +210,7 @@
 	go func() {
 		first <- c.ChangeMembers(ctx, agent.MembershipChange{Add: map[uint64]string{4: r.parts[3].Listen}, Remove: []uint64{out}})
 	}()
-	r.await(t, 0, func(e Event) bool { return e.Who == "agent4" && e.What == "leader" }) // it has been heard of
+	r.await(t, 0, func(e Event) bool { return e.Process == "agent4" && e.Kind == "leader" }) // it has been heard of
 	r.kill(lead)
 	if err := r.start(lead); err != nil {
 		t.Fatal(err)
@@ -237,11 +237,11 @@
 
 // A history that fits no order is found, and so is a schedule after which nobody acts.
 func TestTheChecksCanFail(t *testing.T) {
-	log := []Event{{At: 10, From: 1, Who: "a", What: "acquire", Token: 1, Ask: 1}, {At: 30, From: 20, Who: "b", What: "acquire", Token: 2, Ask: 1}}
+	log := []Event{{At: 10, From: 1, Process: "a", Kind: "acquire", Token: 1, RequestID: 1}, {At: 30, From: 20, Process: "b", Kind: "acquire", Token: 2, RequestID: 1}}
 	if f := Check(log); len(f.Broken) > 0 {
 		t.Error(f.Broken)
 	}
-	if f := Check(append(log, Event{At: 50, From: 40, Who: "a", What: "renew", Token: 1})); len(f.Broken) != 1 {
+	if f := Check(append(log, Event{At: 50, From: 40, Process: "a", Kind: "renew", Token: 1})); len(f.Broken) != 1 {
 		t.Error("a renewal after the next grant:", f.Broken)
 	}
 	r := begin(t, Options{Agents: 1, Holders: 1})
--- a/internal/processtest/roles.go
+++ b/internal/processtest/roles.go
@@ -57,14 +57,14 @@
 
 // Event is a line of the one log. All processes stamp theirs with the machine's one monotonic clock, which no fault bends.
 type Event struct {
-	At    time.Duration `json:"at"`
-	From  time.Duration `json:"from,omitempty"` // of what was asked: when it was
-	Who   string        `json:"who"`
-	What  string        `json:"what"`
-	Seat  int           `json:"seat,omitempty"`
-	Token lease.Token   `json:"token,omitempty"`
-	Ask   uint64        `json:"ask,omitempty"`
-	Text  string        `json:"text,omitempty"`
+	At        time.Duration `json:"at"`
+	From      time.Duration `json:"from,omitempty"` // of what was asked: when it was
+	Process   string        `json:"who"`
+	Kind      string        `json:"what"`
+	Slot      int           `json:"seat,omitempty"`
+	Token     lease.Token   `json:"token,omitempty"`
+	RequestID uint64        `json:"ask,omitempty"`
+	Text      string        `json:"text,omitempty"`
 }
 
 // Role is to be called first thing in main: where the process was started as part of a rig it plays its part, and does not return.
@@ -85,7 +85,7 @@
 	go p.orders(os.Stdin)
 	play := map[string]func(context.Context) error{"agent": p.agent, "holder": p.holder, "target": p.target}[s.Role]
 	if err := play(ctx); err != nil {
-		p.tell(Event{What: "ended", Text: err.Error()})
+		p.tell(Event{Kind: "ended", Text: err.Error()})
 		os.Exit(1)
 	}
 	os.Exit(0)
@@ -108,7 +108,7 @@
 func (p *process) tell(e Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e.At, e.Who = agent.Clock(), p.Name
+	e.At, e.Process = agent.Clock(), p.Name
 	_ = p.out.Encode(e) // the rig has gone
 }
 
@@ -180,7 +180,7 @@
 		text += " " + a.String()
 		return true
 	})
-	l.p.tell(Event{What: r.Message, Text: strings.TrimSpace(text)})
+	l.p.tell(Event{Kind: r.Message, Text: strings.TrimSpace(text)})
 	return nil
 }
 
@@ -227,7 +227,7 @@
 func (p *process) holder(ctx context.Context) error {
 	client := agent.NewClient(p.Agents, recorder{p, p.transport()})
 	target := &http.Client{Transport: p.transport(), Timeout: 10 * time.Second}
-	p.tell(Event{What: "up"})
+	p.tell(Event{Kind: "up"})
 	for ctx.Err() == nil {
 		from := agent.Clock()
 		ask, stop := context.WithTimeout(ctx, 2*time.Second)
@@ -239,14 +239,14 @@
 			continue
 		}
 		g, _ := l.Grant()
-		p.tell(Event{What: "holds", Seat: g.Slot, Token: g.Token, From: from})
+		p.tell(Event{Kind: "holds", Slot: g.Slot, Token: g.Token, From: from})
 		p.act(ctx, l, g, target)
 		if l.Reason() == nil {
 			release, stop := context.WithTimeout(ctx, 2*time.Second)
 			_ = l.Release(release) // it ends by itself
 			stop()
 		}
-		p.tell(Event{What: "done", Seat: g.Slot, Token: g.Token})
+		p.tell(Event{Kind: "done", Slot: g.Slot, Token: g.Token})
 		_ = sleep(ctx, 0, 200*time.Millisecond)
 	}
 	return nil
@@ -286,7 +286,7 @@
 		return nil, err
 	}
 	if resp.StatusCode == 200 || a.Code == "taken" || a.Code == "not-held" {
-		e := Event{What: verb, Token: c.Token, From: from, Ask: c.RequestID, Text: a.Code}
+		e := Event{Kind: verb, Token: c.Token, From: from, RequestID: c.RequestID, Text: a.Code}
 		if verb == "acquire" && a.Grant != nil {
 			e.Token = a.Grant.Token
 		}
@@ -310,7 +310,7 @@
 func (p *process) act(ctx context.Context, l *agent.Lease, g lease.Grant, target *http.Client) {
 	for acts := cmp.Or(p.Acts, 1+rand.IntN(40)); acts > 0 && ctx.Err() == nil; acts-- {
 		if _, err := l.BeginAction(longest); err != nil && !p.Without.Guard {
-			p.tell(Event{What: "withheld", Seat: g.Slot, Token: g.Token, Text: err.Error()})
+			p.tell(Event{Kind: "withheld", Slot: g.Slot, Token: g.Token, Text: err.Error()})
 			return
 		}
 		p.mu.Lock()
@@ -318,7 +318,7 @@
 		p.halt = false
 		p.mu.Unlock()
 		if halt {
-			p.tell(Event{What: "halts", Seat: g.Slot, Token: g.Token})
+			p.tell(Event{Kind: "halts", Slot: g.Slot, Token: g.Token})
 			goes := make(chan os.Signal, 1)
 			signal.Notify(goes, syscall.SIGCONT)
 			_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
@@ -356,22 +356,22 @@
 		seat, _ := strconv.Atoi(q.Get("seat"))
 		token, _ := strconv.ParseUint(q.Get("token"), 10, 64)
 		g := lease.Grant{Name: leaseName, Slot: seat, Token: lease.Token(token)}
-		e := Event{Seat: seat, Token: g.Token, Text: q.Get("who")}
+		e := Event{Slot: seat, Token: g.Token, Text: q.Get("who")}
 		mu.Lock()
 		err := doors.Begin(g)
 		if let := err == nil || p.Without.Fence; !let {
-			e.What = "refused"
+			e.Kind = "refused"
 			p.tell(e)
 			mu.Unlock()
 			w.WriteHeader(http.StatusConflict)
 			return
 		}
-		e.What = "begins"
+		e.Kind = "begins"
 		p.tell(e)
 		mu.Unlock()
 		time.Sleep(10*time.Millisecond + time.Duration(rand.Int64N(int64(longest/3)))) // it does not take longer for nobody listening
 		mu.Lock()
-		e.What = "ends"
+		e.Kind = "ends"
 		p.tell(e)
 		if err == nil {
 			doors.End(g)
@@ -382,7 +382,7 @@
 		<-ctx.Done()
 		_ = s.Close()
 	}()
-	p.tell(Event{What: "up"})
+	p.tell(Event{Kind: "up"})
 	if err := s.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
--- a/internal/processtest/rollout_test.go
+++ b/internal/processtest/rollout_test.go
@@ -105,7 +105,7 @@
 // rolled is a fleet of 9 nodes at 3 sites, 3 agents, and programs that were built for it.
 type rolled struct {
 	dir    string
-	w      *fake.World
+	w      *fake.Cluster
 	agents []*exec.Cmd
 	addrs  []string
 	names  []string
@@ -176,7 +176,7 @@
 	})
 	var list bytes.Buffer
 	for i := range listen {
-		raw, err := r.w.NodeConfig(i, fake.UsualLimits)
+		raw, err := r.w.NodeConfig(i, fake.DefaultLimits)
 		var config map[string]any
 		if err == nil {
 			err = json.Unmarshal(raw, &config)
@@ -294,7 +294,7 @@
 			defer one.CloseIdleConnections()
 			for ctx.Err() == nil {
 				n := c.sent.Add(1)
-				req, _ := http.NewRequest("GET", "http://"+r.w.Front(i%3)+"/"+sc.Classes[0].Name, http.NoBody)
+				req, _ := http.NewRequest("GET", "http://"+r.w.Frontend(i%3)+"/"+sc.Classes[0].Name, http.NoBody)
 				req.Header = http.Header{"X-Trace-Id": {fmt.Sprint("r", n)}, "X-Qos": {sc.Classes[0].Name}, "X-Customer": {sc.Tenants[0].Name},
 					"X-Expires-In-Ms": {"4000"}}
 				resp, err := one.RoundTrip(req)
--- a/internal/simulation/emulator/backend.go
+++ b/internal/simulation/emulator/backend.go
@@ -35,7 +35,7 @@
 type attempt struct {
 	req     *request
 	no      int
-	box     *Box
+	box     *Backend
 	life    *boxLife // of the box as the connection was made
 	sent    eventqueue.Time
 	work    float64 // µs on one core of speed 1
@@ -56,11 +56,11 @@
 	conns   int
 }
 
-// Box is an app box: cores that its running requests share, slots, and a bounded waiting room. Requests in work all
+// Backend is an app box: cores that its running requests share, slots, and a bounded waiting room. Requests in work all
 // get the same part of the cores, at most one core each, so one number (attained) tells how far each has come:
 // processor sharing, and with one slot a core the plain queue of so many servers.
-type Box struct {
-	w      *World
+type Backend struct {
+	w      *Simulation
 	src    eventqueue.Source
 	rand   eventqueue.Stream
 	id     balancer.EndpointID
@@ -126,16 +126,16 @@
 
 var unknown = balancer.LoadReport{Outstanding: -1, Backlog: -1, Utilization: -1}
 
-func (w *World) newBox(place int, id balancer.EndpointID, name string) *Box {
-	b := &Box{w: w, src: eventqueue.NewSource(sourceBox | uint32(id)), rand: eventqueue.NewStream(w.seed, name), id: id, place: place,
+func (w *Simulation) newBox(place int, id balancer.EndpointID, name string) *Backend {
+	b := &Backend{w: w, src: eventqueue.NewSource(sourceBox | uint32(id)), rand: eventqueue.NewStream(w.seed, name), id: id, place: place,
 		site: w.sc.Site(place), life: &boxLife{}, up: true, slow: 1, at: w.sim.Now(), visible: unknown}
 	sites := len(w.sc.Fleet.Sites)
 	b.rack = place/sites/w.sc.Fleet.Rack*sites + b.site // no two sites have a rack of the same number
 	b.ledger = w.ledgerOf(b.rack)
 	b.kind = w.kindOf(place)
 	b.speed = between(b.kind.Speed, b.rand.Float64())
-	b.coldFrom = between(b.kind.ColdFrom, b.rand.Float64())
-	b.coldFor = us(between(b.kind.Cold, b.rand.Float64()))
+	b.coldFrom = between(b.kind.SlowStartInitial, b.rand.Float64())
+	b.coldFor = us(between(b.kind.SlowStartDuration, b.rand.Float64()))
 	b.slots = max(1, int(math.Round(b.kind.Slots*float64(b.kind.Cores))))
 	b.room = int(math.Round(b.kind.Queue * float64(b.kind.Cores)))
 	return b
@@ -146,10 +146,10 @@
 func us(ms float64) eventqueue.Span { return eventqueue.Span(math.Round(ms * 1000)) }
 
 // full is what the box does when warm and well, in µs of work for each µs.
-func (b *Box) full() float64 { return b.speed * float64(b.kind.Cores) }
+func (b *Backend) full() float64 { return b.speed * float64(b.kind.Cores) }
 
 // warmth is the share of its capacity that the box has by now.
-func (b *Box) warmth(now eventqueue.Time) float64 {
+func (b *Backend) warmth(now eventqueue.Time) float64 {
 	if age := now - b.life.started; b.life.started > 0 && age < b.coldFor {
 		return b.coldFrom + (1-b.coldFrom)*float64(age)/float64(b.coldFor)
 	}
@@ -157,7 +157,7 @@
 }
 
 // capacity is what the box can do at the moment, in µs of work for each µs.
-func (b *Box) capacity(now eventqueue.Time) float64 {
+func (b *Backend) capacity(now eventqueue.Time) float64 {
 	c := b.full() * b.warmth(now) / b.slow
 	if held := float64(len(b.heap)+b.queued) / float64(b.kind.Cores); held > b.kind.CrowdFrom {
 		c /= 1 + b.kind.Crowd*(held-b.kind.CrowdFrom)
@@ -173,7 +173,7 @@
 
 // Wait is the time in µs that a request of ordinary work would take if it were sent now, by what the box holds and
 // what is on its way to it.
-func (b *Box) Wait() float64 {
+func (b *Backend) Wait() float64 {
 	now, work := b.w.sim.Now(), 0.0
 	b.advance(now)
 	for _, a := range b.heap {
@@ -184,11 +184,11 @@
 	return max((work+b.w.meanWork)/capacity, b.w.meanWork*float64(b.kind.Cores)/capacity)
 }
 
-// Held counts what is in work and waits.
-func (b *Box) Held() int { return len(b.heap) + b.queued }
+// InFlight counts what is in work and waits.
+func (b *Backend) InFlight() int { return len(b.heap) + b.queued }
 
 // advance brings attained up to now.
-func (b *Box) advance(now eventqueue.Time) {
+func (b *Backend) advance(now eventqueue.Time) {
 	if d := float64(now - b.at); d > 0 {
 		b.attained += b.rate * d
 		b.busy += d * float64(min(len(b.heap), b.kind.Cores))
@@ -197,7 +197,7 @@
 }
 
 // reset works out the rate anew and sets the next completion.
-func (b *Box) reset(now eventqueue.Time) {
+func (b *Backend) reset(now eventqueue.Time) {
 	n := len(b.heap)
 	if n == 0 {
 		b.rate = 0
@@ -214,7 +214,7 @@
 }
 
 // Handle takes the box's events.
-func (b *Box) Handle(now eventqueue.Time, e eventqueue.Event) {
+func (b *Backend) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
 	case boxArrive:
 		b.arrive(now, e.P.(*attempt))
@@ -257,7 +257,7 @@
 }
 
 // change follows whatever alters what the box holds or can do.
-func (b *Box) change(now eventqueue.Time) {
+func (b *Backend) change(now eventqueue.Time) {
 	b.reset(now)
 	o := &b.w.sc.Fleet.Overdrive
 	if o.PerCore <= 0 {
@@ -270,7 +270,7 @@
 		b.crowdedSince = now
 		b.w.sim.After(&b.src, us(o.Over), eventqueue.Event{To: b, Kind: boxCrowded, A: now})
 	}
-	if !b.overdriven || float64(b.Held()) > o.Below*cores {
+	if !b.overdriven || float64(b.InFlight()) > o.Below*cores {
 		b.restedSince = 0
 	} else if b.restedSince == 0 {
 		b.restedSince = now
@@ -279,7 +279,7 @@
 }
 
 // arrive is an attempt whose last byte has come.
-func (b *Box) arrive(now eventqueue.Time, a *attempt) {
+func (b *Backend) arrive(now eventqueue.Time, a *attempt) {
 	b.coming--
 	if b.silent {
 		a.lose(b.w)
@@ -294,7 +294,7 @@
 		a.work += c.Work
 	}
 	if b.warmth(now) < 1 {
-		b.w.judge.Reached(now, a.req.node.index, b.id, b.life.started, a.work, b.capacity(now))
+		b.w.judge.AttemptReached(now, a.req.node.index, b.id, b.life.started, a.work, b.capacity(now))
 	}
 	d := eventqueue.NewDraws(b.w.seed, uint64(a.req.id)<<8|uint64(a.no), drawOutcome)
 	switch {
@@ -312,7 +312,7 @@
 	b.accept(now, a)
 }
 
-func (b *Box) accept(now eventqueue.Time, a *attempt) {
+func (b *Backend) accept(now eventqueue.Time, a *attempt) {
 	b.advance(now)
 	if len(b.heap) < b.slots {
 		b.begin(now, a)
@@ -325,7 +325,7 @@
 }
 
 // begin is the moment from which a request has run.
-func (b *Box) begin(now eventqueue.Time, a *attempt) {
+func (b *Backend) begin(now eventqueue.Time, a *attempt) {
 	a.state, a.ran = running, true
 	a.req.call.runs++
 	if a.req.call.runs > 1 && a.req.call.effect == balancer.NonIdempotent {
@@ -343,7 +343,7 @@
 }
 
 // meet tells whether the box has lately met the key, and remembers it.
-func (b *Box) meet(now eventqueue.Time, key uint64) bool {
+func (b *Backend) meet(now eventqueue.Time, key uint64) bool {
 	if key == 0 {
 		return false
 	}
@@ -368,7 +368,7 @@
 	return false
 }
 
-func (b *Box) complete(now eventqueue.Time) {
+func (b *Backend) complete(now eventqueue.Time) {
 	b.advance(now)
 	const crumb = 1e-6 // of a µs of work: what rounding may leave
 	for len(b.heap) > 0 && b.heap[0].due <= b.attained+crumb {
@@ -393,7 +393,7 @@
 }
 
 // promote lets those who wait into free slots.
-func (b *Box) promote(now eventqueue.Time) {
+func (b *Backend) promote(now eventqueue.Time) {
 	b.advance(now)
 	for len(b.heap) < b.slots && len(b.queue) > 0 {
 		a := b.queue[0]
@@ -413,13 +413,13 @@
 }
 
 // drop takes an attempt that waits out of the queue, where its place stays until its turn.
-func (b *Box) drop(a *attempt) {
+func (b *Backend) drop(a *attempt) {
 	b.queued--
 	b.never(b.w.sim.Now(), a, 0)
 }
 
 // never is the end of an attempt that did not run and will not; repeats that waited for it take its place.
-func (b *Box) never(now eventqueue.Time, a *attempt, out balancer.Outcome) {
+func (b *Backend) never(now eventqueue.Time, a *attempt, out balancer.Outcome) {
 	a.state = over
 	if out != 0 {
 		a.reply(now, out)
@@ -430,7 +430,7 @@
 }
 
 // die ends the process: what it held is gone, and connections are reset unless the machine has vanished with it.
-func (b *Box) die(now eventqueue.Time, silent bool) {
+func (b *Backend) die(now eventqueue.Time, silent bool) {
 	if !b.up {
 		b.silent = b.silent || silent
 		return
@@ -463,7 +463,7 @@
 }
 
 // start begins a new process, cold.
-func (b *Box) start(now eventqueue.Time) {
+func (b *Backend) start(now eventqueue.Time) {
 	b.life = &boxLife{started: now}
 	b.up, b.silent, b.draining = true, false, false
 	b.at, b.busyAt, b.busy = now, now, 0
@@ -473,7 +473,7 @@
 }
 
 // refresh measures the load report, which becomes visible some time later.
-func (b *Box) refresh(now eventqueue.Time) {
+func (b *Backend) refresh(now eventqueue.Time) {
 	r := &b.w.sc.Fleet.Report
 	b.advance(now)
 	noise := func(x float64) float64 { return max(0, x*(1+r.Noise*b.rand.NormFloat64())) }
@@ -481,10 +481,10 @@
 	if d := float64(now - b.busyAt); d > 0 {
 		b.next.Utilization = min(noise(b.busy/d/float64(b.kind.Cores)), 1)
 		b.next.Backlog = math.Round(noise(float64(b.queued)))
-		if r.Tells("held") {
-			b.next.Outstanding = math.Round(noise(float64(b.Held())))
+		if r.Includes("held") {
+			b.next.Outstanding = math.Round(noise(float64(b.InFlight())))
 		}
-		b.next = r.Told(b.next)
+		b.next = r.LoadReport(b.next)
 	}
 	b.busy, b.busyAt = 0, now
 	b.w.sim.After(&b.src, us(r.Delay), eventqueue.Event{To: b, Kind: boxPublish})
@@ -506,7 +506,7 @@
 }
 
 // lose is a request or an answer that a cut has swallowed: nothing is heard until the link is back.
-func (a *attempt) lose(w *World) {
+func (a *attempt) lose(w *Simulation) {
 	a.lost = true
 	if a.open {
 		w.swallowed = append(w.swallowed, a)
@@ -515,7 +515,7 @@
 
 // ledger is the memory of keys that the boxes of a rack share: a repeat within the window does not run again.
 type ledger struct {
-	w       *World
+	w       *Simulation
 	runs    map[uint64]*keyedRun
 	inOrder []*keyedRun
 }
@@ -537,7 +537,7 @@
 		l.inOrder[0] = nil
 		l.inOrder = l.inOrder[1:]
 	}
-	key, window := a.req.call.N, l.w.classes[a.req.call.Class].IdempotencyWindow
+	key, window := a.req.call.Number, l.w.classes[a.req.call.Class].IdempotencyWindow
 	if r := l.runs[key]; r != nil && now-r.at <= window {
 		if r.first == nil {
 			a.reply(now, balancer.OutcomeOK)
@@ -554,7 +554,7 @@
 }
 
 func (l *ledger) finished(now eventqueue.Time, a *attempt) {
-	if r := l.runs[a.req.call.N]; r != nil && r.first == a {
+	if r := l.runs[a.req.call.Number]; r != nil && r.first == a {
 		r.first = nil
 		for _, x := range r.waiters {
 			if x.box.up && x.life == x.box.life {
@@ -569,7 +569,7 @@
 
 // died is a first run that was lost halfway: a later repeat runs anew, those that wait for it are reset.
 func (l *ledger) died(now eventqueue.Time, a *attempt) {
-	if r := l.runs[a.req.call.N]; r != nil && r.first == a {
+	if r := l.runs[a.req.call.Number]; r != nil && r.first == a {
 		delete(l.runs, r.key)
 		for _, x := range r.waiters {
 			x.reply(now, balancer.OutcomeReset)
@@ -579,7 +579,7 @@
 
 // dropped is a first that never ran: a repeat that waited for it runs in its place.
 func (l *ledger) dropped(now eventqueue.Time, a *attempt) {
-	r := l.runs[a.req.call.N]
+	r := l.runs[a.req.call.Number]
 	if r == nil || r.first != a {
 		return
 	}
--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -39,7 +39,7 @@
 
 // crowd is all clients. Calls arrive by a schedule that does not wait for answers.
 type crowd struct {
-	w      *World
+	w      *Simulation
 	src    eventqueue.Source
 	rand   eventqueue.Stream
 	calls  uint64
@@ -52,7 +52,7 @@
 	left   []float64 // of each tenant's quota in that second
 }
 
-func (w *World) newCrowd() (*crowd, error) {
+func (w *Simulation) newCrowd() (*crowd, error) {
 	c := &crowd{w: w, src: eventqueue.NewSource(sourceCrowd), rand: eventqueue.NewStream(w.seed, "clients"), second: -1,
 		retry: workload.NewRetry(w.sc, w.seed)}
 	if len(w.sc.OnlyCalls) > 0 {
@@ -106,7 +106,7 @@
 func (c *crowd) arrive(now eventqueue.Time, k *call) {
 	s := c.w.sc
 	c.calls++
-	if c.only != nil && !c.only[int(k.N)] {
+	if c.only != nil && !c.only[int(k.Number)] {
 		return
 	}
 	class := &s.Classes[k.Class]
@@ -129,8 +129,8 @@
 	r := &request{id: c.ids, call: k, try: k.tries}
 	k.tries++
 	k.current = r
-	d := eventqueue.NewDraws(c.w.seed, k.N<<8|uint64(r.try), drawTry)
-	r.deadline = now + c.retry.Patience(&k.Call, now-k.due)
+	d := eventqueue.NewDraws(c.w.seed, k.Number<<8|uint64(r.try), drawTry)
+	r.deadline = now + c.retry.Timeout(&k.Call, now-k.due)
 	r.node = c.w.front(k.Site, d.Float64(), d.Float64())
 	r.to = r.node
 	c.w.sim.After(&c.src, c.w.clientDelay(&c.rand, k.Site, r.node.site), eventqueue.Event{To: r.node, Kind: nodeRequest, P: r})
@@ -160,19 +160,19 @@
 	switch kind {
 	case clientAnswer + uint8(invariant.Served):
 		end = outcomeLate
-		if now-k.due <= us(s.Classes[k.Class].Aim) {
+		if now-k.due <= us(s.Classes[k.Class].LatencyObjective) {
 			end = outcomeServed
 		}
 		c.finish(now, k, end)
 		return
 	case clientRefused:
-		how, end = workload.Refused, outcomeRefused
+		how, end = workload.Rejected, outcomeRefused
 	case clientRefusedByNobody:
 		how, end = workload.Unreachable, outcomeRefused
 	case clientTimeout:
-		how, end = workload.TimedOut, outcomeTimedOut
+		how, end = workload.Timeout, outcomeTimedOut
 	}
-	wait, again := c.retry.Again(&k.Call, how, k.tries, now-k.due, retryIn)
+	wait, again := c.retry.Next(&k.Call, how, k.tries, now-k.due, retryIn)
 	if !again {
 		c.finish(now, k, end)
 		return
--- a/internal/simulation/emulator/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -37,7 +37,7 @@
 // discovery is the one service that knows the boxes: late, asked, with a queue of calls, and at times down. A version
 // is the number of changes so far.
 type discovery struct {
-	w       *World
+	w       *Simulation
 	src     eventqueue.Source
 	rand    eventqueue.Stream
 	log     []change
@@ -215,7 +215,7 @@
 		from = n.w.first // of those known from the start there is nothing to be told
 	}
 	for _, h := range n.w.disc.between(min(from, version), version) {
-		n.w.judge.Told(now, n.index, h.ID, h.Phase, h.StartedAt)
+		n.w.judge.NodeNotified(now, n.index, h.ID, h.Phase, h.StartedAt)
 	}
 	for _, h := range list {
 		n.told[h.ID] = true
@@ -228,7 +228,7 @@
 // catchUp tells the judge what the rules take as told: a node that neither watches nor asks for so long (four times
 // that after a failed call) is held to what was listed so long ago.
 func (n *Node) catchUp(now eventqueue.Time) {
-	every := us(n.w.sc.Discovery.AskEvery)
+	every := us(n.w.sc.Discovery.PollInterval)
 	if n.watching || every == 0 || n.deemed >= n.w.disc.version() {
 		return
 	}
@@ -240,6 +240,6 @@
 			return
 		}
 		n.deemed++
-		n.w.judge.Told(max(c.at, n.asked)+every, n.index, c.host.ID, c.host.Phase, c.host.StartedAt)
+		n.w.judge.NodeNotified(max(c.at, n.asked)+every, n.index, c.host.ID, c.host.Phase, c.host.StartedAt)
 	}
 }
--- a/internal/simulation/emulator/emulator.go
+++ b/internal/simulation/emulator/emulator.go
@@ -38,8 +38,8 @@
 	drawReset
 )
 
-// World is one run. It is not safe for concurrent use.
-type World struct {
+// Simulation is one run. It is not safe for concurrent use.
+type Simulation struct {
 	// Log, if set, takes the policies' lines: µs since the start, node, text.
 	Log func(at eventqueue.Time, node int, text string)
 
@@ -51,14 +51,14 @@
 	sim      eventqueue.Sim
 	end      eventqueue.Time // of arrivals
 	classes  []balancer.Class
-	boxes    []*Box // by place: the one that has the address now
-	byID     map[balancer.EndpointID]*Box
+	boxes    []*Backend // by place: the one that has the address now
+	byID     map[balancer.EndpointID]*Backend
 	lastID   balancer.EndpointID
 	nodes    []*Node
 	disc     *discovery
 	crowd    *crowd
 	ledgers  map[int]*ledger
-	judge    *invariant.Judge
+	judge    *invariant.Checker
 	rec      *recorder
 	first    int // version of the list at the start
 	capacity float64
@@ -74,18 +74,18 @@
 }
 
 // Option changes how a world is built.
-type Option func(*World)
+type Option func(*Simulation)
 
 // Shuffled creates the components in the order that perm gives. Nothing may depend on it.
-func Shuffled(perm func(n int) []int) Option { return func(w *World) { w.perm = perm } }
+func Shuffled(perm func(n int) []int) Option { return func(w *Simulation) { w.perm = perm } }
 
 // WithFaults plays these faults, settled before, in place of the scenario's own.
-func WithFaults(list []faultinject.Fault) Option { return func(w *World) { w.faults = list } }
+func WithFaults(list []faultinject.Fault) Option { return func(w *Simulation) { w.faults = list } }
 
 // New builds the world of a scenario, which has been checked. The error names what the scenario asks for and cannot be
 // had, such as a trace file or a policy's settings.
-func New(sc *scenario.Scenario, seed uint64, maker policy.Maker, opts ...Option) (*World, error) {
-	w := &World{sc: sc, seed: seed, make: maker, byID: map[balancer.EndpointID]*Box{}, ledgers: map[int]*ledger{},
+func New(sc *scenario.Scenario, seed uint64, maker policy.Maker, opts ...Option) (*Simulation, error) {
+	w := &Simulation{sc: sc, seed: seed, make: maker, byID: map[balancer.EndpointID]*Backend{}, ledgers: map[int]*ledger{},
 		cut: make([]int, len(sc.Fleet.Sites)), active: map[int]bool{}, faultSrc: eventqueue.NewSource(sourceFault),
 		classes: sc.Config(0, make([]float64, len(sc.Tenants))).Classes, faults: Faults(sc, seed),
 		perm: func(n int) []int {
@@ -101,11 +101,11 @@
 	w.sim.Run(origin)
 	w.end = origin + eventqueue.Span(sc.Seconds*1e6)
 	w.judge = invariant.New(invariant.Config{Classes: w.classes, AnswerGrace: us(sc.Rules.AnswerGrace),
-		DrainGrace: us(sc.Rules.DrainGrace), ColdMultiple: sc.Rules.ColdMultiple, ColdWindow: us(sc.Rules.ColdWindow),
-		MayDuplicate: sc.Rules.MayDuplicate}, origin)
+		DrainGrace: us(sc.Rules.DrainGrace), OverloadFactor: sc.Rules.OverloadFactor, OverloadWindow: us(sc.Rules.OverloadWindow),
+		AllowHedging: sc.Rules.AllowHedging}, origin)
 	w.meanWork = workload.MeanWork(sc)
 	w.rec = newRecorder(w)
-	w.boxes, w.nodes = make([]*Box, sc.Fleet.Boxes), make([]*Node, sc.Nodes.Count)
+	w.boxes, w.nodes = make([]*Backend, sc.Fleet.Backends), make([]*Node, sc.Nodes.Count)
 	for _, place := range w.perm(len(w.boxes)) {
 		w.boxes[place] = w.newBox(place, balancer.EndpointID(place+1), fmt.Sprint("box ", place))
 	}
@@ -150,13 +150,13 @@
 	return w, nil
 }
 
-func (w *World) line(b *Box, phase balancer.Phase) balancer.Endpoint {
+func (w *Simulation) line(b *Backend, phase balancer.Phase) balancer.Endpoint {
 	return balancer.Endpoint{ID: b.id, Phase: phase, Zone: b.site, Cell: b.rack, Weight: math.Round(b.full()*100) / 100,
 		StartedAt: b.life.started}
 }
 
 // kindOf spreads the kinds over the places in proportion to their shares, mixed, and alike for all seeds.
-func (w *World) kindOf(place int) *scenario.Kind {
+func (w *Simulation) kindOf(place int) *scenario.Kind {
 	kinds, sum := w.sc.Fleet.Kinds, 0.0
 	for i := range kinds {
 		sum += kinds[i].Share
@@ -170,7 +170,7 @@
 	return &kinds[len(kinds)-1]
 }
 
-func (w *World) ledgerOf(rack int) *ledger {
+func (w *Simulation) ledgerOf(rack int) *ledger {
 	if w.ledgers[rack] == nil {
 		w.ledgers[rack] = &ledger{w: w, runs: map[uint64]*keyedRun{}}
 	}
@@ -178,10 +178,10 @@
 }
 
 // parted tells whether the link between two sites is cut.
-func (w *World) parted(a, b int) bool { return a != b && (w.cut[a] > 0 || w.cut[b] > 0) }
+func (w *Simulation) parted(a, b int) bool { return a != b && (w.cut[a] > 0 || w.cut[b] > 0) }
 
 // delay is one way between two sites.
-func (w *World) delay(r *eventqueue.Stream, a, b int) eventqueue.Span {
+func (w *Simulation) delay(r *eventqueue.Stream, a, b int) eventqueue.Span {
 	ms := w.sc.Net.Same
 	if a != b {
 		ms = w.sc.Net.Cross
@@ -189,7 +189,7 @@
 	return w.jitter(r, ms)
 }
 
-func (w *World) clientDelay(r *eventqueue.Stream, a, b int) eventqueue.Span {
+func (w *Simulation) clientDelay(r *eventqueue.Stream, a, b int) eventqueue.Span {
 	ms := w.sc.Net.Client
 	if a != b {
 		ms += w.sc.Net.Cross
@@ -197,7 +197,7 @@
 	return w.jitter(r, ms)
 }
 
-func (w *World) jitter(r *eventqueue.Stream, ms float64) eventqueue.Span {
+func (w *Simulation) jitter(r *eventqueue.Stream, ms float64) eventqueue.Span {
 	if w.sc.Net.Jitter > 0 {
 		ms *= 1 + w.sc.Net.Jitter*(r.ExpFloat64()-1)
 	}
@@ -206,7 +206,7 @@
 
 // front chooses the node that a client's try comes in at: one of its site that the front believes alive, else one of
 // any site, else any.
-func (w *World) front(site int, x, y float64) *Node {
+func (w *Simulation) front(site int, x, y float64) *Node {
 	sites, hot := len(w.sc.Fleet.Sites), 0.0
 	for _, n := range w.nodes {
 		hot += n.hot
@@ -235,7 +235,7 @@
 }
 
 // Run plays to the end and past it until all calls have ended, and returns the figures.
-func (w *World) Run() (res *Result, err error) {
+func (w *Simulation) Run() (res *Result, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			res, err = nil, fmt.Errorf("at %.6f s: panic: %v\n%s", float64(w.sim.Now()-origin)/1e6, p, debug.Stack())
--- a/internal/simulation/emulator/emulator_test.go
+++ b/internal/simulation/emulator/emulator_test.go
@@ -71,15 +71,15 @@
 func small(t *rapid.T) *scenario.Scenario {
 	sc := scenario.Default()
 	sc.Seconds, sc.WarmUp = rapid.Float64Range(1, 6).Draw(t, "seconds"), 0
-	sc.Fleet.Boxes = rapid.IntRange(1, 9).Draw(t, "boxes")
+	sc.Fleet.Backends = rapid.IntRange(1, 9).Draw(t, "boxes")
 	sc.Nodes.Count = rapid.IntRange(1, 5).Draw(t, "nodes")
 	sc.Load.Level = rapid.Float64Range(0.1, 1.5).Draw(t, "level")
 	sc.Load.Shape = rapid.SampledFrom([]string{"steady", "constant", "wave", "ramp"}).Draw(t, "shape")
 	sc.Net.Jitter = rapid.Float64Range(0, 0.5).Draw(t, "jitter")
 	sc.Net.Stale = rapid.Float64Range(0, 0.1).Draw(t, "stale")
-	sc.Fleet.Report.Held = rapid.Bool().Draw(t, "held")
-	sc.Rules.MayProbe = rapid.Bool().Draw(t, "probe")
-	sc.Drawn = faultinject.Drawn{Count: rapid.IntRange(0, 6).Draw(t, "faults"), MinMs: 200, MaxMs: 3000}
+	sc.Fleet.Report.IncludesInFlight = rapid.Bool().Draw(t, "held")
+	sc.Rules.AllowHealthChecks = rapid.Bool().Draw(t, "probe")
+	sc.RandomFaults = faultinject.RandomFaults{Count: rapid.IntRange(0, 6).Draw(t, "faults"), MinMs: 200, MaxMs: 3000}
 	if err := sc.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -122,8 +122,8 @@
 		if ended != r.Calls {
 			rt.Errorf("%d calls, %d ended: %v", r.Calls, ended, r.Outcomes)
 		}
-		if w.judge.Open() > 0 && len(w.swallowed) == 0 {
-			rt.Errorf("the judge still remembers %d requests", w.judge.Open())
+		if w.judge.InFlight() > 0 && len(w.swallowed) == 0 {
+			rt.Errorf("the judge still remembers %d requests", w.judge.InFlight())
 		}
 		for _, b := range w.boxes {
 			held := 0
@@ -175,8 +175,8 @@
 		}
 		calm := *sc
 		calm.Faults = nil
-		if r := play(t, &calm, find(t, "random"), seed); r.Worth < 0.8 {
-			t.Errorf("seed %d: without the trigger random serves %.2f: the load alone is too much", seed, r.Worth)
+		if r := play(t, &calm, find(t, "random"), seed); r.ServedValue < 0.8 {
+			t.Errorf("seed %d: without the trigger random serves %.2f: the load alone is too much", seed, r.ServedValue)
 		}
 	}
 }
@@ -293,11 +293,11 @@
 		"":                           "",
 		"answers twice":              invariant.OneAnswer,
 		"forgets some":               invariant.OneAnswer,
-		"repeats what must run once": invariant.NoSecond,
-		"refuses what may have run":  invariant.NoSecond,
-		"sends two at once":          invariant.NoSecond,
-		"ignores drains":             invariant.NoDrained,
-		"floods a cold box":          invariant.NoPush,
+		"repeats what must run once": invariant.NoDuplicateRun,
+		"refuses what may have run":  invariant.NoDuplicateRun,
+		"sends two at once":          invariant.NoDuplicateRun,
+		"ignores drains":             invariant.NoSendToDrained,
+		"floods a cold box":          invariant.NoSlowStartOverload,
 	} {
 		t.Run(what, func(t *testing.T) {
 			r := play(t, world, breaker(what), 1)
@@ -314,7 +314,7 @@
 				t.Errorf("score %.3f with a broken rule", r.Score)
 			}
 			for _, v := range r.Violations {
-				if v.Rule == rule && rule != invariant.NoPush && (len(v.History) == 0 || !strings.Contains(v.History[0], "taken")) {
+				if v.Rule == rule && rule != invariant.NoSlowStartOverload && (len(v.History) == 0 || !strings.Contains(v.History[0], "taken")) {
 					t.Errorf("without its history: %v", v)
 				}
 			}
@@ -331,22 +331,22 @@
 		bites func(r *Result) bool
 	}{
 		"fast-errors": {"size = 1.0\nshare = 0.3", func(r *Result) bool { return r.Outcomes["failed"] > 20*(calm.Outcomes["failed"]+1)/10 }},
-		"slow":        {"size = 5.0\nshare = 0.5", func(r *Result) bool { return r.Worth < calm.Worth-0.05 }},
+		"slow":        {"size = 5.0\nshare = 0.5", func(r *Result) bool { return r.ServedValue < calm.ServedValue-0.05 }},
 		"freeze":      {"share = 0.3", func(r *Result) bool { return r.Outcomes["timed-out"] > 2*calm.Outcomes["timed-out"] }},
-		"kill":        {"share = 0.3", func(r *Result) bool { return r.AttemptsPerTry > calm.AttemptsPerTry+0.05 }},
-		"replace":     {"share = 0.3", func(r *Result) bool { return r.AttemptsPerTry > calm.AttemptsPerTry+0.05 }},
-		"drain":       {"share = 0.3", func(r *Result) bool { return r.AttemptsPerTry > calm.AttemptsPerTry }},
+		"kill":        {"share = 0.3", func(r *Result) bool { return r.AttemptsPerRequest > calm.AttemptsPerRequest+0.05 }},
+		"replace":     {"share = 0.3", func(r *Result) bool { return r.AttemptsPerRequest > calm.AttemptsPerRequest+0.05 }},
+		"drain":       {"share = 0.3", func(r *Result) bool { return r.AttemptsPerRequest > calm.AttemptsPerRequest }},
 		"rolling":     {"", func(r *Result) bool { return r.Dials > calm.Dials }},
 		"resets":      {"size = 0.5\nshare = 1.0", func(r *Result) bool { return r.Outcomes["failed"] > 20 && r.Waste > calm.Waste+0.1 }},
 		"garbage":     {"size = 0.5\nshare = 1.0", func(r *Result) bool { return r.Outcomes["failed"] > 20 && r.Waste > calm.Waste+0.1 }},
-		"interim":     {"size = 1.0\nshare = 1.0", func(r *Result) bool { return r.Worth == calm.Worth }}, // of no consequence to a sound node
+		"interim":     {"size = 1.0\nshare = 1.0", func(r *Result) bool { return r.ServedValue == calm.ServedValue }}, // of no consequence to a sound node
 		"site-lost": {"site = 'west'\nwith_nodes = true", func(r *Result) bool {
 			return r.Outcomes["failed"]+r.Outcomes["refused"] > calm.Outcomes["failed"]+calm.Outcomes["refused"]+10
 		}},
 		"site-silent":    {"site = 'west'", func(r *Result) bool { return r.Outcomes["timed-out"] > 2*calm.Outcomes["timed-out"] }},
-		"site-cut":       {"site = 'west'", func(r *Result) bool { return r.AttemptsPerTry > calm.AttemptsPerTry+0.05 }},
+		"site-cut":       {"site = 'west'", func(r *Result) bool { return r.AttemptsPerRequest > calm.AttemptsPerRequest+0.05 }},
 		"list-down":      {"", func(r *Result) bool { return r.DiscoveryCalls > calm.DiscoveryCalls }},
-		"node-kill":      {"nodes = [0]", func(r *Result) bool { return r.TriesPerCall > calm.TriesPerCall }},
+		"node-kill":      {"nodes = [0]", func(r *Result) bool { return r.RequestsPerCall > calm.RequestsPerCall }},
 		"surge":          {"size = 3.0", func(r *Result) bool { return r.Calls > calm.Calls*3/2 }},
 		"datagrams-lost": {"size = 1.0", func(r *Result) bool { return true }}, // below
 		"hot-node":       {"size = 0.9\nnodes = [1]", func(r *Result) bool { return true }},
@@ -356,7 +356,7 @@
 			r := play(t, scene(t, base+"[[fault]]\nkind = '"+name+"'\nat_ms = 3000\nfor_ms = 6000\n"+c.fault), find(t, "random"), 1)
 			if !c.bites(r) {
 				t.Errorf("not seen: outcomes %v (calm %v), attempts %.3f (%.3f), worth %.3f (%.3f)", r.Outcomes, calm.Outcomes,
-					r.AttemptsPerTry, calm.AttemptsPerTry, r.Worth, calm.Worth)
+					r.AttemptsPerRequest, calm.AttemptsPerRequest, r.ServedValue, calm.ServedValue)
 			}
 		})
 	}
@@ -450,10 +450,10 @@
 				t.Fatal(err)
 			}
 			r := play(t, sc, find(t, policy.Module), 1)
-			t.Logf("worth %.3f, %d calls to discovery, %d dials", r.Worth, r.DiscoveryCalls, r.Dials)
-			if len(r.Broken) > 0 || r.DiscoveryCalls > c.calls || r.Dials > c.dials || r.Worth < c.served {
+			t.Logf("worth %.3f, %d calls to discovery, %d dials", r.ServedValue, r.DiscoveryCalls, r.Dials)
+			if len(r.Broken) > 0 || r.DiscoveryCalls > c.calls || r.Dials > c.dials || r.ServedValue < c.served {
 				t.Errorf("broken %v; worth %.3f, %d calls to discovery, %d dials; want at least %.2f, at most %d and %d",
-					r.Broken, r.Worth, r.DiscoveryCalls, r.Dials, c.served, c.calls, c.dials)
+					r.Broken, r.ServedValue, r.DiscoveryCalls, r.Dials, c.served, c.calls, c.dials)
 			}
 		})
 	}
--- a/internal/simulation/emulator/faults.go
+++ b/internal/simulation/emulator/faults.go
@@ -22,24 +22,24 @@
 // Faults are the faults that the scenario plays with that seed, nothing left open.
 func Faults(sc *scenario.Scenario, seed uint64) []faultinject.Fault {
 	r := eventqueue.NewStream(seed, "faults")
-	return sc.Settled(r)
+	return sc.ApplyDefaults(r)
 }
 
-func (w *World) scheduleFaults() {
+func (w *Simulation) scheduleFaults() {
 	for i, f := range w.faults {
-		if f.At == 0 {
+		if f.Start == 0 {
 			w.begin(origin, i)
 		} else {
-			w.sim.At(&w.faultSrc, origin+f.At*eventqueue.Millisecond, eventqueue.Event{To: w, Kind: faultBegins, A: int64(i)})
+			w.sim.At(&w.faultSrc, origin+f.Start*eventqueue.Millisecond, eventqueue.Event{To: w, Kind: faultBegins, A: int64(i)})
 		}
-		if f.For > 0 {
+		if f.Duration > 0 {
 			w.sim.At(&w.faultSrc, origin+f.End()*eventqueue.Millisecond, eventqueue.Event{To: w, Kind: faultEnds, A: int64(i)})
 		}
 	}
 }
 
 // Handle takes the events of faults.
-func (w *World) Handle(now eventqueue.Time, e eventqueue.Event) {
+func (w *Simulation) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
 	case faultBegins:
 		w.begin(now, int(e.A))
@@ -70,7 +70,7 @@
 	}
 }
 
-func (w *World) notice(silent bool) eventqueue.Span {
+func (w *Simulation) notice(silent bool) eventqueue.Span {
 	r := w.sc.Discovery.Notice
 	if silent {
 		r = w.sc.Discovery.Silent
@@ -79,17 +79,17 @@
 }
 
 // hits tells whether the fault is on and hits the box.
-func (w *World) hits(i int, b *Box) bool {
+func (w *Simulation) hits(i int, b *Backend) bool {
 	f := &w.faults[i]
 	switch f.Kind {
 	case faultinject.SiteLost, faultinject.SiteSilent:
 		return w.active[i] && w.sc.Fleet.Sites[b.site] == f.Site
 	}
-	return w.active[i] && slices.Contains(f.Boxes, b.place)
+	return w.active[i] && slices.Contains(f.Backends, b.place)
 }
 
 // afflict works out anew what all faults that are on do to a box.
-func (w *World) afflict(now eventqueue.Time, b *Box) {
+func (w *Simulation) afflict(now eventqueue.Time, b *Backend) {
 	b.advance(now)
 	b.slow, b.errors, b.resets, b.garbage, b.frozen = 1, 0, 0, 0, false
 	for i := range w.faults {
@@ -113,7 +113,7 @@
 }
 
 // heldDown tells whether any fault that is on keeps the box from running.
-func (w *World) heldDown(b *Box) bool {
+func (w *Simulation) heldDown(b *Backend) bool {
 	for i := range w.faults {
 		switch w.faults[i].Kind {
 		case faultinject.Kill, faultinject.Drain, faultinject.Replace, faultinject.SiteLost, faultinject.SiteSilent:
@@ -128,27 +128,27 @@
 // drainTime is how long a box that drains has to finish what it holds.
 const drainTime = 5 * eventqueue.Second
 
-func (w *World) begin(now eventqueue.Time, i int) {
+func (w *Simulation) begin(now eventqueue.Time, i int) {
 	f := w.faults[i]
 	w.active[i] = true
 	site := slices.Index(w.sc.Fleet.Sites, f.Site)
 	switch f.Kind {
 	case faultinject.FastErrors, faultinject.Slow, faultinject.Resets, faultinject.Garbage, faultinject.Freeze:
-		for _, p := range f.Boxes {
+		for _, p := range f.Backends {
 			w.afflict(now, w.boxes[p])
 		}
 	case faultinject.Kill, faultinject.Replace:
-		for _, p := range f.Boxes {
+		for _, p := range f.Backends {
 			w.fell(now, w.boxes[p], false)
 		}
 	case faultinject.Drain:
-		for _, p := range f.Boxes {
+		for _, p := range f.Backends {
 			if b := w.boxes[p]; b.up && !b.draining {
 				b.draining = true
 				w.disc.noticed(0, w.line(b, balancer.PhaseDraining))
 				time := drainTime
-				if f.For > 0 {
-					time = min(time, f.For*eventqueue.Millisecond/2)
+				if f.Duration > 0 {
+					time = min(time, f.Duration*eventqueue.Millisecond/2)
 				}
 				w.sim.After(&w.faultSrc, time, eventqueue.Event{To: w, Kind: faultDrained, A: int64(b.id), P: b.life})
 			}
@@ -182,7 +182,7 @@
 }
 
 // fell kills a box, of which discovery learns late.
-func (w *World) fell(now eventqueue.Time, b *Box, silent bool) {
+func (w *Simulation) fell(now eventqueue.Time, b *Backend, silent bool) {
 	if !b.up {
 		b.silent = b.silent || silent
 		return
@@ -191,7 +191,7 @@
 	w.disc.noticed(w.notice(silent), w.line(b, balancer.PhaseRemoved))
 }
 
-func (w *World) downNodes(now eventqueue.Time, which func(*Node) bool) {
+func (w *Simulation) downNodes(now eventqueue.Time, which func(*Node) bool) {
 	for _, n := range w.nodes {
 		if which(n) {
 			if n.down++; n.life != nil {
@@ -202,7 +202,7 @@
 	}
 }
 
-func (w *World) upNodes(now eventqueue.Time, which func(*Node) bool) {
+func (w *Simulation) upNodes(now eventqueue.Time, which func(*Node) bool) {
 	for _, n := range w.nodes {
 		if !which(n) {
 			continue
@@ -216,7 +216,7 @@
 	}
 }
 
-func (w *World) finish(now eventqueue.Time, i int) {
+func (w *Simulation) finish(now eventqueue.Time, i int) {
 	f := w.faults[i]
 	if !w.active[i] {
 		return
@@ -225,15 +225,15 @@
 	site := slices.Index(w.sc.Fleet.Sites, f.Site)
 	switch f.Kind {
 	case faultinject.FastErrors, faultinject.Slow, faultinject.Resets, faultinject.Garbage, faultinject.Freeze:
-		for _, p := range f.Boxes {
+		for _, p := range f.Backends {
 			w.afflict(now, w.boxes[p])
 		}
 	case faultinject.Kill, faultinject.Drain:
-		for _, p := range f.Boxes {
+		for _, p := range f.Backends {
 			w.raise(now, w.boxes[p])
 		}
 	case faultinject.Replace:
-		for _, p := range f.Boxes {
+		for _, p := range f.Backends {
 			w.replace(now, p)
 		}
 	case faultinject.SiteLost, faultinject.SiteSilent:
@@ -275,7 +275,7 @@
 }
 
 // raise starts a box's process again, if nothing else keeps it down.
-func (w *World) raise(now eventqueue.Time, b *Box) {
+func (w *Simulation) raise(now eventqueue.Time, b *Backend) {
 	if w.heldDown(b) {
 		return
 	}
@@ -291,7 +291,7 @@
 }
 
 // replace puts a new box at the address of one that is gone for good.
-func (w *World) replace(now eventqueue.Time, place int) {
+func (w *Simulation) replace(now eventqueue.Time, place int) {
 	old := w.boxes[place]
 	if w.heldDown(old) {
 		return
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -45,14 +45,14 @@
 
 // pool is a node's idle connections to a box.
 type pool struct {
-	box   *Box
+	box   *Backend
 	life  *boxLife
 	used  []eventqueue.Time // when each was last used, the latest last
 	swept bool              // a sweep is on its way
 }
 
 type probe struct {
-	box  *Box
+	box  *Backend
 	life *nodeLife
 	sent eventqueue.Time
 	out  balancer.Outcome
@@ -66,7 +66,7 @@
 
 // Node is one instance: a policy, and what carries out its actions. Nodes share nothing but the network.
 type Node struct {
-	w      *World
+	w      *Simulation
 	src    eventqueue.Source
 	rand   eventqueue.Stream
 	index  int
@@ -75,7 +75,7 @@
 	life   *nodeLife // nil: dead
 	policy policy.Policy
 	reqs   map[balancer.RequestID]*request
-	pools  map[*Box]*pool
+	pools  map[*Backend]*pool
 	told   map[balancer.EndpointID]bool // ever named to this life: nothing else may be sent to
 
 	watching  bool
@@ -92,7 +92,7 @@
 	decisions uint64
 }
 
-func (w *World) newNode(i int, name string) *Node {
+func (w *Simulation) newNode(i int, name string) *Node {
 	return &Node{w: w, src: eventqueue.NewSource(sourceNode | uint32(i)), rand: eventqueue.NewStream(w.seed, name), index: i, site: w.sc.Site(i),
 		believed: true}
 }
@@ -103,7 +103,7 @@
 	for _, off := range n.offs {
 		n.life.clockOff += off
 	}
-	n.reqs, n.pools, n.told = map[balancer.RequestID]*request{}, map[*Box]*pool{}, map[balancer.EndpointID]bool{}
+	n.reqs, n.pools, n.told = map[balancer.RequestID]*request{}, map[*Backend]*pool{}, map[balancer.EndpointID]bool{}
 	n.watching, n.notifying, n.askFailed, n.asked = false, false, false, now
 	seed := eventqueue.NewStream(n.w.seed, "policy").Uint64() ^ uint64(n.index+1)<<32 ^ n.starts
 	cfg := n.w.sc.Config(n.site, n.w.quota)
@@ -146,7 +146,7 @@
 		n.version = n.w.disc.version()
 	}
 	n.cached = n.version
-	n.w.judge.Died(n.index)
+	n.w.judge.NodeCrashed(n.index)
 	for _, r := range n.open() {
 		if !r.final {
 			n.w.sim.After(&n.src, n.w.delay(&n.rand, n.site, n.site), eventqueue.Event{To: n.w.crowd, Kind: clientBroken, P: r})
@@ -196,7 +196,7 @@
 	case nodeLeft:
 		if r := e.P.(*request); n.life != nil && r.life == n.life && !r.final {
 			r.final = true
-			n.w.judge.Gone(now, r.id)
+			n.w.judge.ClientDisconnected(now, r.id)
 			n.policy.HandleCancellation(n.clock(now), r.id)
 			n.forget(r)
 		}
@@ -228,7 +228,7 @@
 	}
 	r.life = n.life
 	n.reqs[r.id] = r
-	n.w.judge.Taken(now, n.index, r.id, r.call.Class, r.deadline)
+	n.w.judge.RequestAccepted(now, n.index, r.id, r.call.Class, r.deadline)
 	n.decisions++
 	n.policy.HandleRequest(n.clock(now), balancer.Request{ID: r.id, AffinityKey: r.call.Key, Class: r.call.Class, Tenant: r.call.Tenant,
 		Deadline: r.deadline + n.life.clockOff, CostHint: workload.Hint(n.w.sc, n.w.seed, &r.call.Call), IsRetry: n.w.sc.Clients.Marks && r.try > 0})
@@ -243,7 +243,7 @@
 		panic("the policy sends to a box that its list never named")
 	}
 	n.catchUp(now)
-	n.w.judge.Sent(now, n.index, id, invariant.Box{ID: host, Site: b.site, Rack: b.rack})
+	n.w.judge.AttemptSent(now, n.index, id, invariant.Backend{ID: host, Site: b.site, Rack: b.rack})
 	if r == nil || r.final || len(r.attempts) >= n.w.sc.Rules.MaxAttempts {
 		if r != nil {
 			a := &attempt{req: r, no: len(r.attempts), box: b, sent: now, open: true}
@@ -315,10 +315,10 @@
 	}
 	a.open, r.out = false, r.out-1
 	n.release(now, a, out, answered)
-	n.w.judge.Settled(now, r.id, a.no, out)
+	n.w.judge.AttemptEnded(now, r.id, a.no, out)
 	if out == balancer.OutcomeOK && !r.final {
 		r.final = true
-		n.w.judge.Answered(now, n.index, r.id, invariant.Served)
+		n.w.judge.RequestAnswered(now, n.index, r.id, invariant.Served)
 		n.w.rec.useful(a)
 		n.answer(r, invariant.Served, 0)
 	}
@@ -389,7 +389,7 @@
 
 func (n *Node) final(id balancer.RequestID, how invariant.Final, retryIn balancer.Span) {
 	now := n.w.sim.Now()
-	n.w.judge.Answered(now, n.index, id, how)
+	n.w.judge.RequestAnswered(now, n.index, id, how)
 	r := n.reqs[id]
 	if r == nil || r.final {
 		return
@@ -406,7 +406,7 @@
 
 // Reject refuses a request.
 func (n *Node) Reject(id balancer.RequestID, retryIn balancer.Span) {
-	n.final(id, invariant.Refused, retryIn)
+	n.final(id, invariant.Rejected, retryIn)
 }
 
 // Fail ends a request as failed.
@@ -432,8 +432,8 @@
 }
 
 // probed is what a box tells when it is asked.
-func (w *World) probed(b *Box) balancer.LoadReport {
-	return w.sc.Fleet.Report.Told(balancer.LoadReport{Outstanding: float64(b.Held()), Backlog: float64(b.queued),
+func (w *Simulation) probed(b *Backend) balancer.LoadReport {
+	return w.sc.Fleet.Report.LoadReport(balancer.LoadReport{Outstanding: float64(b.InFlight()), Backlog: float64(b.queued),
 		Utilization: b.visible.Utilization})
 }
 
--- a/internal/simulation/emulator/result.go
+++ b/internal/simulation/emulator/result.go
@@ -17,36 +17,36 @@
 	Seed     uint64 `json:"seed"`
 
 	Score       float64 `json:"score"`        // the parts below as the goal weighs them; 0 if a rule was broken
-	Worth       float64 `json:"worth"`        // answered in time, of that asked for
+	ServedValue float64 `json:"worth"`        // answered in time, of that asked for
 	WorstWindow float64 `json:"worst_window"` // the same in the worst 10 s
 	WorstClass  float64 `json:"worst_class"`
 	WorstTenant float64 `json:"worst_tenant"` // within its share
 
-	Calls           int64                 `json:"calls"`
-	Outcomes        map[string]int64      `json:"outcomes"`
-	AttemptsPerTry  float64               `json:"attempts_per_try"`
-	TriesPerCall    float64               `json:"tries_per_call"`
-	CrossSite       float64               `json:"cross_site"` // attempts that crossed, for each call
-	Waste           float64               `json:"waste"`      // box work that served no answer, of the work asked for
-	SecondRuns      int64                 `json:"second_runs"`
-	Executions      int64                 `json:"executions"`
-	Overdriven      int64                 `json:"overdriven"` // times that a box turned slow from being crowded
-	Dials           int64                 `json:"dials"`
-	Probes          int64                 `json:"probes,omitempty"`
-	Datagrams       int64                 `json:"datagrams,omitempty"`
-	DiscoveryCalls  int64                 `json:"discovery_calls"`
-	Events          uint64                `json:"events"`
-	Decisions       uint64                `json:"decisions"`
-	Capacity        float64               `json:"capacity_per_s"` // calls a second that the fleet can do when warm and well
-	Broken          map[string]int        `json:"broken"`
-	Classes         []PerClass            `json:"classes"`
-	Tenants         []PerTenant           `json:"tenants"`
-	Violations      []invariant.Violation `json:"violations,omitempty"`
-	Series          Series                `json:"series"`
-	Arrivals        int64                 `json:"arrivals"` // calls, with those of the warm-up
-	Latency         []Quantile            `json:"latency"`  // of all calls that were served
-	Faults          []faultinject.Fault   `json:"faults"`   // as they were played
-	ServiceAfterEnd float64               `json:"last_10s"` // worth in the last 10 s of arrivals
+	Calls              int64                 `json:"calls"`
+	Outcomes           map[string]int64      `json:"outcomes"`
+	AttemptsPerRequest float64               `json:"attempts_per_try"`
+	RequestsPerCall    float64               `json:"tries_per_call"`
+	CrossSite          float64               `json:"cross_site"` // attempts that crossed, for each call
+	Waste              float64               `json:"waste"`      // box work that served no answer, of the work asked for
+	SecondRuns         int64                 `json:"second_runs"`
+	Executions         int64                 `json:"executions"`
+	Overdriven         int64                 `json:"overdriven"` // times that a box turned slow from being crowded
+	Dials              int64                 `json:"dials"`
+	Probes             int64                 `json:"probes,omitempty"`
+	Datagrams          int64                 `json:"datagrams,omitempty"`
+	DiscoveryCalls     int64                 `json:"discovery_calls"`
+	Events             uint64                `json:"events"`
+	Decisions          uint64                `json:"decisions"`
+	Capacity           float64               `json:"capacity_per_s"` // calls a second that the fleet can do when warm and well
+	Broken             map[string]int        `json:"broken"`
+	Classes            []PerClass            `json:"classes"`
+	Tenants            []PerTenant           `json:"tenants"`
+	Violations         []invariant.Violation `json:"violations,omitempty"`
+	Series             Series                `json:"series"`
+	Arrivals           int64                 `json:"arrivals"` // calls, with those of the warm-up
+	Latency            []Quantile            `json:"latency"`  // of all calls that were served
+	Faults             []faultinject.Fault   `json:"faults"`   // as they were played
+	ServiceAfterEnd    float64               `json:"last_10s"` // worth in the last 10 s of arrivals
 }
 
 // Quantile is the time within which this share of calls was served.
@@ -60,9 +60,9 @@
 
 // PerClass are the figures of one class of request.
 type PerClass struct {
-	Name     string           `json:"name"`
-	Worth    float64          `json:"worth"`
-	Outcomes map[string]int64 `json:"outcomes"`
+	Name        string           `json:"name"`
+	ServedValue float64          `json:"worth"`
+	Outcomes    map[string]int64 `json:"outcomes"`
 	// Milliseconds from when the first try was due to the last byte of the answer, of calls that were served.
 	Mean float64 `json:"mean_ms"`
 	P50  float64 `json:"p50_ms"`
@@ -74,19 +74,19 @@
 
 // PerTenant are the figures of one tenant.
 type PerTenant struct {
-	Name   string  `json:"name"`
-	Worth  float64 `json:"worth"`  // of all that it asked for
-	Within float64 `json:"within"` // of what was within its share
+	Name        string  `json:"name"`
+	ServedValue float64 `json:"worth"`  // of all that it asked for
+	WithinQuota float64 `json:"within"` // of what was within its share
 }
 
 // Series are figures for each second, by the second in which a call was due.
 type Series struct {
-	Asked   []float64 `json:"asked"`  // worth
-	Served  []float64 `json:"served"` // worth, in time
-	Calls   []int64   `json:"calls"`
-	Refused []int64   `json:"refused"`
-	Failed  []int64   `json:"failed"` // failed, timed out or left
-	Late    []int64   `json:"late"`
+	Offered  []float64 `json:"asked"`  // worth
+	Served   []float64 `json:"served"` // worth, in time
+	Calls    []int64   `json:"calls"`
+	Rejected []int64   `json:"refused"`
+	Failed   []int64   `json:"failed"` // failed, timed out or left
+	Late     []int64   `json:"late"`
 }
 
 type sums struct{ asked, got float64 }
@@ -100,7 +100,7 @@
 
 // recorder gathers the figures of a run.
 type recorder struct {
-	w          *World
+	w          *Simulation
 	series     Series
 	classes    []sums
 	tenants    []sums
@@ -124,7 +124,7 @@
 	callsMade  int64 // to discovery
 }
 
-func newRecorder(w *World) *recorder {
+func newRecorder(w *Simulation) *recorder {
 	r := &recorder{w: w, classes: make([]sums, len(w.classes)), tenants: make([]sums, len(w.sc.Tenants)),
 		within: make([]sums, len(w.sc.Tenants)), outcomes: make([][outcomes]int64, len(w.classes)),
 		total: make([]float64, len(w.classes))}
@@ -137,7 +137,7 @@
 }
 
 func (r *recorder) worth(k *call) float64 {
-	x := r.w.sc.Classes[k.Class].Worth
+	x := r.w.sc.Classes[k.Class].PriorityWeight
 	if k.overOwn {
 		x *= r.w.sc.Goal.OverShare
 	}
@@ -146,7 +146,7 @@
 
 func (r *recorder) asked(k *call) {
 	x, sec := r.worth(k), int((k.due-origin)/eventqueue.Second)
-	r.series.Asked[sec] += x
+	r.series.Offered[sec] += x
 	r.series.Calls[sec]++
 	if !k.counted {
 		return
@@ -166,10 +166,10 @@
 	case outcomeServed:
 		x = r.worth(k)
 	case outcomeLate:
-		x = r.worth(k) * r.w.sc.Classes[k.Class].LateShare
+		x = r.worth(k) * r.w.sc.Classes[k.Class].LateValue
 		r.series.Late[sec]++
 	case outcomeRefused:
-		r.series.Refused[sec]++
+		r.series.Rejected[sec]++
 	default:
 		r.series.Failed[sec]++
 	}
@@ -228,7 +228,7 @@
 	all, times := sums{}, hdrhistogram.New(1, 100*int64(eventqueue.Second), 3)
 	for i, c := range r.classes {
 		all.asked, all.got = all.asked+c.asked, all.got+c.got
-		p := PerClass{Name: w.sc.Classes[i].Name, Worth: c.share(), Outcomes: map[string]int64{}}
+		p := PerClass{Name: w.sc.Classes[i].Name, ServedValue: c.share(), Outcomes: map[string]int64{}}
 		for how, n := range r.outcomes[i] {
 			p.Outcomes[outcomeNames[how]] = n
 			res.Outcomes[outcomeNames[how]] += n
@@ -255,11 +255,11 @@
 			res.WorstTenant = min(res.WorstTenant, r.within[i].share())
 		}
 	}
-	res.Worth = all.share()
+	res.ServedValue = all.share()
 	res.WorstWindow, res.ServiceAfterEnd = r.windows()
 	if r.tries > 0 {
-		res.AttemptsPerTry = float64(r.attempts) / float64(r.tries)
-		res.TriesPerCall = float64(r.tries) / float64(r.calls)
+		res.AttemptsPerRequest = float64(r.attempts) / float64(r.tries)
+		res.RequestsPerCall = float64(r.tries) / float64(r.calls)
 		res.CrossSite = float64(r.crossed) / float64(r.calls)
 		res.Waste = max(0, r.done-r.used) / r.asks
 	}
@@ -267,8 +267,8 @@
 		res.Decisions += n.decisions
 	}
 	g := w.sc.Goal
-	if sum := g.Whole + g.WorstWindow + g.WorstClass + g.WorstTenant; sum > 0 {
-		res.Score = (g.Whole*res.Worth + g.WorstWindow*res.WorstWindow + g.WorstClass*res.WorstClass +
+	if sum := g.Overall + g.WorstWindow + g.WorstClass + g.WorstTenant; sum > 0 {
+		res.Score = (g.Overall*res.ServedValue + g.WorstWindow*res.WorstWindow + g.WorstClass*res.WorstClass +
 			g.WorstTenant*res.WorstTenant) / sum
 	}
 	for rule, n := range w.judge.Broken() {
@@ -283,10 +283,10 @@
 	from := int(math.Ceil(r.w.sc.WarmUp))
 	worst, last = 1, 1
 	const length = 10
-	for i := min(from, max(len(r.series.Asked)-length, 0)); i == from || i+length <= len(r.series.Asked); i++ {
+	for i := min(from, max(len(r.series.Offered)-length, 0)); i == from || i+length <= len(r.series.Offered); i++ {
 		var s sums
-		for j := i; j < min(i+length, len(r.series.Asked)); j++ {
-			s.asked, s.got = s.asked+r.series.Asked[j], s.got+r.series.Served[j]
+		for j := i; j < min(i+length, len(r.series.Offered)); j++ {
+			s.asked, s.got = s.asked+r.series.Offered[j], s.got+r.series.Served[j]
 		}
 		last = s.share()
 		worst = min(worst, last)
--- a/internal/simulation/emulator/station.go
+++ b/internal/simulation/emulator/station.go
@@ -13,17 +13,17 @@
 // Station is a row of boxes fed by Poisson arrivals, without clients, nodes or network: what queueing theory has exact
 // results for. The boxes are those of the world, so what is found out here holds for them.
 type Station struct {
-	Boxes   int
-	Cores   int
-	Slots   float64 // for each core; 1: first come, first served; many: processor sharing
-	Room    float64 // for each core, to wait in
-	Rho     float64 // arrivals times mean work, over what the cores can do
-	Dist    string  // exp, lognormal or constant
-	CV      float64
-	Choices int   // boxes drawn for a job, of which it goes to the one that holds least
-	Warm    int64 // jobs before counting begins
-	Jobs    int64 // jobs counted
-	Seed    uint64
+	Backends      int
+	Cores         int
+	Slots         float64 // for each core; 1: first come, first served; many: processor sharing
+	QueueCapacity float64 // for each core, to wait in
+	Rho           float64 // arrivals times mean work, over what the cores can do
+	Dist          string  // exp, lognormal or constant
+	CV            float64
+	Choices       int   // boxes drawn for a job, of which it goes to the one that holds least
+	Warm          int64 // jobs before counting begins
+	Jobs          int64 // jobs counted
+	Seed          uint64
 }
 
 // Stationary is what a Station shows. Times are in units of the mean work.
@@ -39,7 +39,7 @@
 
 type station struct {
 	Station
-	w       *World
+	w       *Simulation
 	src     eventqueue.Source
 	rand    eventqueue.Stream
 	node    *Node
@@ -59,21 +59,21 @@
 // Run plays the station.
 func (s Station) Run() Stationary {
 	sc := scenario.Default()
-	sc.Fleet.Boxes, sc.Fleet.Sites, sc.Fleet.Affinity.Gain, sc.Fleet.Overdrive.PerCore = s.Boxes, []string{"x"}, 0, 0
+	sc.Fleet.Backends, sc.Fleet.Sites, sc.Fleet.Affinity.Gain, sc.Fleet.Overdrive.PerCore = s.Backends, []string{"x"}, 0, 0
 	sc.Fleet.Conns, sc.Net = scenario.Connections{}, scenario.Net{}
-	sc.Fleet.Kinds = []scenario.Kind{{Share: 1, Cores: s.Cores, Speed: scenario.Range{1, 1}, Slots: s.Slots, Queue: s.Room,
-		ColdFrom: scenario.Range{1, 1}, Cold: scenario.Range{0, 0}}}
-	w := &World{sc: &sc, seed: s.Seed, cut: []int{0}, judge: invariant.New(invariant.Config{}, origin), ledgers: map[int]*ledger{}}
+	sc.Fleet.Kinds = []scenario.Kind{{Share: 1, Cores: s.Cores, Speed: scenario.Range{1, 1}, Slots: s.Slots, Queue: s.QueueCapacity,
+		SlowStartInitial: scenario.Range{1, 1}, SlowStartDuration: scenario.Range{0, 0}}}
+	w := &Simulation{sc: &sc, seed: s.Seed, cut: []int{0}, judge: invariant.New(invariant.Config{}, origin), ledgers: map[int]*ledger{}}
 	w.rec = newRecorder(w)
 	w.sim.Run(origin)
-	for i := range s.Boxes {
+	for i := range s.Backends {
 		w.boxes = append(w.boxes, w.newBox(i, balancer.EndpointID(i+1), "box"))
 	}
 	st := &station{Station: s, w: w, src: eventqueue.NewSource(sourceCrowd), rand: eventqueue.NewStream(s.Seed, "arrivals"),
 		node: w.newNode(0, "node"), holding: make([]int64, 1, 64), sum: make([]float64, 64),
 		sigma: math.Sqrt(math.Log1p(s.CV * s.CV))}
-	st.gap = float64(stationWork) / (s.Rho * float64(s.Cores*s.Boxes))
-	st.holding[0] = int64(s.Boxes)
+	st.gap = float64(stationWork) / (s.Rho * float64(s.Cores*s.Backends))
+	st.holding[0] = int64(s.Backends)
 	w.sim.After(&st.src, 0, eventqueue.Event{To: st, Kind: clientNext})
 	for st.seen < s.Warm+s.Jobs || st.done+st.lost < st.counted {
 		if !w.sim.Step(math.MaxInt64) {
@@ -84,7 +84,7 @@
 	out.Sojourn = st.sojourn / float64(st.done) / float64(stationWork)
 	out.Wait = out.Sojourn - st.work/float64(st.done)/float64(stationWork)
 	for k := range st.sum {
-		out.Tail = append(out.Tail, st.sum[k]/float64(st.counted)/float64(s.Boxes))
+		out.Tail = append(out.Tail, st.sum[k]/float64(st.counted)/float64(s.Backends))
 	}
 	return out
 }
@@ -107,7 +107,7 @@
 	counts := st.seen > st.Warm
 	if counts {
 		st.counted++
-		above := int64(st.Boxes)
+		above := int64(st.Backends)
 		for k := 0; k < len(st.holding) && k < len(st.sum) && above > 0; k++ {
 			st.sum[k] += float64(above)
 			above -= st.holding[k]
@@ -115,7 +115,7 @@
 	}
 	b := st.w.boxes[st.rand.IntN(len(st.w.boxes))]
 	for range st.Choices - 1 {
-		if o := st.w.boxes[st.rand.IntN(len(st.w.boxes))]; o.Held() < b.Held() {
+		if o := st.w.boxes[st.rand.IntN(len(st.w.boxes))]; o.InFlight() < b.InFlight() {
 			b = o
 		}
 	}
@@ -135,9 +135,9 @@
 		a.work *= workload.Lognormal(st.sigma, st.rand.NormFloat64())
 	}
 	b.coming++
-	before := b.Held()
+	before := b.InFlight()
 	b.arrive(now, a)
-	if b.Held() > before {
+	if b.InFlight() > before {
 		st.moved(before, before+1)
 	}
 }
@@ -154,7 +154,7 @@
 	counts := a.req.call.counted
 	switch {
 	case out == balancer.OutcomeOK:
-		held := a.box.Held()
+		held := a.box.InFlight()
 		st.moved(held+1, held)
 		if counts {
 			st.done++
--- a/internal/simulation/eventqueue/delay.go
+++ b/internal/simulation/eventqueue/delay.go
@@ -10,8 +10,8 @@
 	return least + time.Duration(r.Float64()*float64(most-least))
 }
 
-// Way draws when a message arrives over a bad way: of twenty one never, one twice, one as late as late, the rest as late as usual at most.
-func Way(r *rand.Rand, least, usual, late time.Duration) []time.Duration {
+// DelayPath draws when a message arrives over a bad way: of twenty one never, one twice, one as late as late, the rest as late as usual at most.
+func DelayPath(r *rand.Rand, least, usual, late time.Duration) []time.Duration {
 	copies, most := 1, usual
 	switch x := r.Float64(); {
 	case x < 0.05:
--- a/internal/simulation/experiment/cost.go
+++ b/internal/simulation/experiment/cost.go
@@ -11,13 +11,13 @@
 
 // Cost is what one node's decisions cost, with so many hosts and nodes in all.
 type Cost struct {
-	Policy  string  `json:"policy"`
-	Hosts   int     `json:"hosts"`
-	Nodes   int     `json:"nodes"`
-	PerS    float64 `json:"requests_per_s"` // that the one node takes
-	Micros  float64 `json:"us_per_request"` // of processor time, with its outcomes and timers
-	PerList float64 `json:"us_per_list"`    // for a whole list
-	Asked   int64   `json:"requests"`
+	Policy   string  `json:"policy"`
+	Hosts    int     `json:"hosts"`
+	Nodes    int     `json:"nodes"`
+	PerS     float64 `json:"requests_per_s"` // that the one node takes
+	Micros   float64 `json:"us_per_request"` // of processor time, with its outcomes and timers
+	PerList  float64 `json:"us_per_list"`    // for a whole list
+	Requests int64   `json:"requests"`
 }
 
 // What a decision is measured under.
@@ -52,7 +52,7 @@
 // its policy. It ends after so much time on the clock on the wall at the latest.
 func Measure(name string, hosts, nodes int, budget time.Duration) (Cost, error) {
 	sc := scenario.Default()
-	sc.Nodes.Count, sc.Fleet.Boxes = nodes, hosts
+	sc.Nodes.Count, sc.Fleet.Backends = nodes, hosts
 	if err := sc.Check(); err != nil {
 		return Cost{}, err
 	}
@@ -87,7 +87,7 @@
 	for began := time.Now(); n.asked < costMost && (n.asked < costLeast || time.Since(began) < budget); {
 		n.sim.Step(1 << 60)
 	}
-	c.Asked, c.Micros = n.asked, float64(n.spent.Nanoseconds())/1000/float64(n.asked)
+	c.Requests, c.Micros = n.asked, float64(n.spent.Nanoseconds())/1000/float64(n.asked)
 	return c, nil
 }
 
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a, b := rows[0].Result, rows[len(rows)-1].Result; rows[0].Set[1].To == rows[len(rows)-1].Set[1].To || a.Worth == b.Worth {
+	if a, b := rows[0].Result, rows[len(rows)-1].Result; rows[0].Set[1].To == rows[len(rows)-1].Set[1].To || a.ServedValue == b.ServedValue {
 		t.Errorf("the grid is not applied: %v %v", rows[0].Set, rows[len(rows)-1].Set)
 	}
 	whole := read(t, file)
@@ -170,7 +170,7 @@
 func rowsWith(policy string, worth ...float64) []Row {
 	var rows []Row
 	for i, w := range worth {
-		rows = append(rows, Row{Cell{Policy: policy, Seed: uint64(i)}, &emulator.Result{Scenario: "x", Worth: w}})
+		rows = append(rows, Row{Cell{Policy: policy, Seed: uint64(i)}, &emulator.Result{Scenario: "x", ServedValue: w}})
 	}
 	return rows
 }
@@ -282,7 +282,7 @@
 		t.Fatal(err)
 	}
 	// Random choice knows nothing of cold boxes: where most of the fleet is one, it pushes it over.
-	sc.Fleet.Boxes = 3
+	sc.Fleet.Backends = 3
 	var s *Shrunk
 	seed := uint64(1)
 	for ; seed < 30; seed++ {
@@ -345,7 +345,7 @@
 
 func TestCostCountsRequests(t *testing.T) {
 	c, err := Measure("two-choices", 10, 3, 0)
-	if err != nil || c.Asked < costLeast || c.Micros <= 0 || c.PerS < 40 || c.PerS > 50 {
+	if err != nil || c.Requests < costLeast || c.Micros <= 0 || c.PerS < 40 || c.PerS > 50 {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
--- a/internal/simulation/experiment/shrink.go
+++ b/internal/simulation/experiment/shrink.go
@@ -30,7 +30,7 @@
 // from a stream of its own.
 func Shrink(sc *scenario.Scenario, policy string, seed uint64, runs int) (*Shrunk, error) {
 	now := *sc
-	now.Faults, now.Drawn = emulator.Faults(sc, seed), faultinject.Drawn{}
+	now.Faults, now.RandomFaults = emulator.Faults(sc, seed), faultinject.RandomFaults{}
 	first, err := Run(&now, policy, seed)
 	if err != nil {
 		return nil, err
--- a/internal/simulation/experiment/survey.go
+++ b/internal/simulation/experiment/survey.go
@@ -22,12 +22,12 @@
 	Plain  float64                `json:"plain"`
 	Broken map[invariant.Rule]int `json:"broken,omitempty"`
 	// Fault is why it failed, empty where it did not; Turned are then the settings that it takes to fail.
-	Fault  string   `json:"fault,omitempty"`
-	Turned []string `json:"turned,omitempty"`
+	Fault          string   `json:"fault,omitempty"`
+	RaisedSettings []string `json:"turned,omitempty"`
 }
 
 // try plays a deployment under both policies.
-func try(d scenario.Drawn, seed uint64, margin float64) (Surveyed, error) {
+func try(d scenario.DrawnScenario, seed uint64, margin float64) (Surveyed, error) {
 	out := Surveyed{Seed: seed, Broken: map[invariant.Rule]int{}}
 	sc := d.Scenario()
 	if err := sc.Check(); err != nil {
@@ -41,7 +41,7 @@
 	if err != nil {
 		return out, err
 	}
-	out.Module, out.Plain = m.Worth, p.Worth
+	out.Module, out.Plain = m.ServedValue, p.ServedValue
 	for _, v := range m.Violations {
 		out.Broken[v.Rule]++
 	}
@@ -74,7 +74,7 @@
 				return err
 			}
 			if got.Fault != "" {
-				if got.Turned, err = blame(d, func(d scenario.Drawn) (bool, error) {
+				if got.RaisedSettings, err = blame(d, func(d scenario.DrawnScenario) (bool, error) {
 					again, err := try(d, seed, margin)
 					return again.Fault == got.Fault, err
 				}); err != nil {
@@ -95,15 +95,15 @@
 }
 
 // blame turns knobs back while the deployment still fails alike, and names those that are left.
-func blame(d scenario.Drawn, fails func(scenario.Drawn) (bool, error)) ([]string, error) {
+func blame(d scenario.DrawnScenario, fails func(scenario.DrawnScenario) (bool, error)) ([]string, error) {
 	var turned []int
 	for i, at := range d {
 		if at > 0 {
 			turned = append(turned, i)
 		}
 	}
-	with := func(keep []int) scenario.Drawn {
-		out := make(scenario.Drawn, len(d))
+	with := func(keep []int) scenario.DrawnScenario {
+		out := make(scenario.DrawnScenario, len(d))
 		for _, i := range keep {
 			out[i] = d[i]
 		}
@@ -118,5 +118,5 @@
 		yes, failed = fails(with(keep))
 		return yes && failed == nil
 	})
-	return with(keep).Turned(), failed
+	return with(keep).RaisedSettings(), failed
 }
--- a/internal/simulation/experiment/survey_test.go
+++ b/internal/simulation/experiment/survey_test.go
@@ -26,7 +26,7 @@
 	more := 0
 	for _, d := range all {
 		if d.Fault != "" {
-			t.Errorf("draw %d: %s, %.3f against %.3f, %v: it takes %v", d.Seed, d.Fault, d.Module, d.Plain, d.Broken, d.Turned)
+			t.Errorf("draw %d: %s, %.3f against %.3f, %v: it takes %v", d.Seed, d.Fault, d.Module, d.Plain, d.Broken, d.RaisedSettings)
 		}
 		if d.Module > d.Plain {
 			more++
@@ -47,11 +47,11 @@
 		return 0
 	}
 	report, probes := knob("report"), knob("probes")
-	d := make(scenario.Drawn, len(scenario.Knobs))
+	d := make(scenario.DrawnScenario, len(scenario.Knobs))
 	for i, k := range scenario.Knobs {
 		d[i] = len(k.Settings) - 1
 	}
-	got, err := blame(d, func(d scenario.Drawn) (bool, error) { return d[report] > 0 && d[probes] > 0, nil })
+	got, err := blame(d, func(d scenario.DrawnScenario) (bool, error) { return d[report] > 0 && d[probes] > 0, nil })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/experiment/sweep.go
+++ b/internal/simulation/experiment/sweep.go
@@ -38,22 +38,22 @@
 // Check tells what is impossible about it.
 func (s *Sweep) Check() error {
 	if s.Scenario == "" {
-		return tomlfile.Bad("scenario", "none is named")
+		return tomlfile.Invalidf("scenario", "none is named")
 	}
 	if s.Seeds < 1 || s.Seeds > 10000 {
-		return tomlfile.Bad("seeds", "%d is not within 1 and 10000", s.Seeds)
+		return tomlfile.Invalidf("seeds", "%d is not within 1 and 10000", s.Seeds)
 	}
 	if len(s.Policies) == 0 {
 		s.Policies = []string{policy.Module}
 	}
 	for _, p := range s.Policies {
 		if _, err := policy.Find(p); err != nil {
-			return tomlfile.Bad("policies", "%v", err)
+			return tomlfile.Invalidf("policies", "%v", err)
 		}
 	}
 	for _, path := range s.paths() {
 		if len(s.Grid[path]) == 0 {
-			return tomlfile.Bad("grid."+path, "no values")
+			return tomlfile.Invalidf("grid."+path, "no values")
 		}
 	}
 	return nil
@@ -121,7 +121,7 @@
 			}
 		}
 		if points = next; len(points)*s.Seeds*len(s.Policies) > 1e6 {
-			return nil, "", tomlfile.Bad("grid", "more than a million runs")
+			return nil, "", tomlfile.Invalidf("grid", "more than a million runs")
 		}
 	}
 	var cells []Cell
@@ -299,15 +299,15 @@
 // Metrics are the figures of a result that can be compared, tabled and plotted, by name.
 var Metrics = map[string]func(*emulator.Result) float64{
 	"score":        func(r *emulator.Result) float64 { return r.Score },
-	"worth":        func(r *emulator.Result) float64 { return r.Worth },
+	"worth":        func(r *emulator.Result) float64 { return r.ServedValue },
 	"worst_window": func(r *emulator.Result) float64 { return r.WorstWindow },
 	"worst_class":  func(r *emulator.Result) float64 { return r.WorstClass },
 	"worst_tenant": func(r *emulator.Result) float64 { return r.WorstTenant },
 	"last_10s":     func(r *emulator.Result) float64 { return r.ServiceAfterEnd },
 	"waste":        func(r *emulator.Result) float64 { return r.Waste },
 	"cross_site":   func(r *emulator.Result) float64 { return r.CrossSite },
-	"attempts":     func(r *emulator.Result) float64 { return r.AttemptsPerTry },
-	"tries":        func(r *emulator.Result) float64 { return r.TriesPerCall },
+	"attempts":     func(r *emulator.Result) float64 { return r.AttemptsPerRequest },
+	"tries":        func(r *emulator.Result) float64 { return r.RequestsPerCall },
 	"p50_ms":       func(r *emulator.Result) float64 { return latency(r, 50) },
 	"p99_ms":       func(r *emulator.Result) float64 { return latency(r, 99) },
 	"p999_ms":      func(r *emulator.Result) float64 { return latency(r, 99.9) },
--- a/internal/simulation/experiment/verify.go
+++ b/internal/simulation/experiment/verify.go
@@ -41,7 +41,7 @@
 	var all []known
 	for _, rho := range []float64{0.5, 0.8, 0.95} {
 		jobs := int64(effort * 8e4 / math.Pow(1-rho, 2)) // of each replication: the closer to 1, the slower means settle
-		base := emulator.Station{Boxes: 1, Cores: 1, Slots: 1, Room: 1e6, Rho: rho, Dist: "exp", Choices: 1, Jobs: jobs, Warm: jobs / 20}
+		base := emulator.Station{Backends: 1, Cores: 1, Slots: 1, QueueCapacity: 1e6, Rho: rho, Dist: "exp", Choices: 1, Jobs: jobs, Warm: jobs / 20}
 		at := fmt.Sprintf(" at %.2f", rho)
 		add := func(name string, change func(*emulator.Station), wants func(string, emulator.Stationary) []Check) {
 			st := base
@@ -54,18 +54,18 @@
 		add("M/M/8 wait, Erlang C", func(s *emulator.Station) { s.Cores = 8 }, func(n string, s emulator.Stationary) []Check {
 			return one(n, s.Wait, theory.WaitMMc(8, rho))
 		})
-		add("M/M/8/8 loss, Erlang B", func(s *emulator.Station) { s.Cores, s.Room, s.Jobs = 8, 0, max(jobs/4, int64(effort*2e6)) },
+		add("M/M/8/8 loss, Erlang B", func(s *emulator.Station) { s.Cores, s.QueueCapacity, s.Jobs = 8, 0, max(jobs/4, int64(effort*2e6)) },
 			func(n string, s emulator.Stationary) []Check { return one(n, s.Lost, theory.ErlangB(8, 8*rho)) })
-		add("M/M/4/8 loss", func(s *emulator.Station) { s.Cores, s.Room, s.Jobs = 4, 1, max(jobs/4, int64(effort*4e6)) },
+		add("M/M/4/8 loss", func(s *emulator.Station) { s.Cores, s.QueueCapacity, s.Jobs = 4, 1, max(jobs/4, int64(effort*4e6)) },
 			func(n string, s emulator.Stationary) []Check { return one(n, s.Lost, theory.LossMMcK(4, 8, rho)) })
 		add("M/D/1 wait, Pollaczek-Khinchine", func(s *emulator.Station) { s.Dist = "constant" },
 			func(n string, s emulator.Stationary) []Check { return one(n, s.Wait, theory.WaitMG1(rho, 0)) })
 		add("M/G/1 wait, lognormal of cv 1.5", func(s *emulator.Station) { s.Dist, s.CV, s.Jobs = "lognormal", 1.5, 2*jobs },
 			func(n string, s emulator.Stationary) []Check { return one(n, s.Wait, theory.WaitMG1(rho, 1.5)) })
-		add("M/G/1 processor sharing, lognormal", func(s *emulator.Station) { s.Dist, s.CV, s.Slots, s.Room = "lognormal", 1.5, 1e4, 0 },
+		add("M/G/1 processor sharing, lognormal", func(s *emulator.Station) { s.Dist, s.CV, s.Slots, s.QueueCapacity = "lognormal", 1.5, 1e4, 0 },
 			func(n string, s emulator.Stationary) []Check { return one(n, s.Sojourn, theory.SojournPS(rho)) })
 		add("two choices of 1,000", func(s *emulator.Station) {
-			s.Boxes, s.Choices, s.Jobs, s.Warm = 1000, 2, int64(effort*2e6), int64(4e4/(1-rho)*max(min(effort, 1), 0.25))
+			s.Backends, s.Choices, s.Jobs, s.Warm = 1000, 2, int64(effort*2e6), int64(4e4/(1-rho)*max(min(effort, 1), 0.25))
 		}, func(n string, s emulator.Stationary) (list []Check) {
 			for k := 1; k < len(s.Tail) && theory.TailChoices(rho, 2, k) >= 0.05; k++ {
 				list = append(list, Check{Name: fmt.Sprintf("%s, share with %d or more", n, k), Model: s.Tail[k],
--- a/internal/simulation/failoversim/failoversim.go
+++ b/internal/simulation/failoversim/failoversim.go
@@ -29,22 +29,22 @@
 
 // Outcome is what one schedule, or many together, have shown.
 type Outcome struct {
-	Schedules int     `json:"schedules"`
-	Events    int     `json:"events"` // zones that were lost, weak or came back
-	Plans     int     `json:"plans"`  // that directors made
-	Directors int     `json:"directors"`
-	Refused   int     `json:"refused"`   // plans that nodes did not take, as they had newer ones
-	Backwards int     `json:"backwards"` // plans taken after newer ones
-	Jumps     int     `json:"jumps"`     // plans by which a zone's work was to grow by more than the rate
-	Cliffs    int     `json:"cliffs"`    // a node's choice that changed by a tenth within a step without a new plan
-	Worth     float64 `json:"worth"`     // served, of the optimum's, from 10 s after an event to the next
-	Whole     float64 `json:"whole"`     // the same over all the time
-	Alone     float64 `json:"alone"`     // the same from when all directors have died and their last plan has no say
-	Died      int     `json:"died"`      // schedules in which they do
-	Crossing  float64 `json:"crossing"`  // of all work, sent over an edge, in those times
-	Needed    float64 `json:"needed"`    // what the optimum sends over an edge then
-	Turns     int     `json:"turns"`     // changes of direction of what crosses, by a twentieth of all work or more
-	First     int64   `json:"first,omitempty"`
+	Schedules   int     `json:"schedules"`
+	Events      int     `json:"events"` // zones that were lost, weak or came back
+	Plans       int     `json:"plans"`  // that directors made
+	Directors   int     `json:"directors"`
+	Rejected    int     `json:"refused"`   // plans that nodes did not take, as they had newer ones
+	Backwards   int     `json:"backwards"` // plans taken after newer ones
+	Jumps       int     `json:"jumps"`     // plans by which a zone's work was to grow by more than the rate
+	Cliffs      int     `json:"cliffs"`    // a node's choice that changed by a tenth within a step without a new plan
+	ServedValue float64 `json:"worth"`     // served, of the optimum's, from 10 s after an event to the next
+	Whole       float64 `json:"whole"`     // the same over all the time
+	Alone       float64 `json:"alone"`     // the same from when all directors have died and their last plan has no say
+	Died        int     `json:"died"`      // schedules in which they do
+	Crossing    float64 `json:"crossing"`  // of all work, sent over an edge, in those times
+	Needed      float64 `json:"needed"`    // what the optimum sends over an edge then
+	Turns       int     `json:"turns"`     // changes of direction of what crosses, by a twentieth of all work or more
+	First       int64   `json:"first,omitempty"`
 }
 
 // Broken is how often something that must hold did not.
@@ -127,7 +127,7 @@
 
 // send brings a message to its place: mostly soon, at times never, late or twice.
 func (p *play) send(f func()) {
-	for _, d := range eventqueue.Way(p.r, time.Millisecond, 50*time.Millisecond, 3*time.Second) {
+	for _, d := range eventqueue.DelayPath(p.r, time.Millisecond, 50*time.Millisecond, 3*time.Second) {
 		p.after(d, f)
 	}
 }
@@ -203,7 +203,7 @@
 		n.held = failover.NewCurrentPlan(p.rules, len(p.top.Zones), len(worth))
 	}
 	if n.held.Update(plan, p.now) != nil {
-		p.out.Refused++
+		p.out.Rejected++
 		return
 	}
 	if n.newest != nil && !plan.Newer(n.newest) {
@@ -483,7 +483,7 @@
 		}
 		return a / of
 	}
-	p.out.Worth, p.out.Whole = share(p.served[0], p.served[1]), share(p.always[0], p.always[1])
+	p.out.ServedValue, p.out.Whole = share(p.served[0], p.served[1]), share(p.always[0], p.always[1])
 	p.out.Alone = share(p.alone[0], p.alone[1])
 	p.out.Crossing, p.out.Needed = p.crossed[0]/max(p.crossed[2], 1), p.crossed[1]/max(p.crossed[2], 1)
 	return p.out
--- a/internal/simulation/failoversim/failoversim_test.go
+++ b/internal/simulation/failoversim/failoversim_test.go
@@ -20,13 +20,13 @@
 	if o.Broken() > 0 {
 		t.Errorf("broken %d times, first by schedule %d", o.Broken(), o.First)
 	}
-	if o.Worth < 0.97 || o.Crossing > 1.1*o.Needed || o.Turns > 2*o.Events {
+	if o.ServedValue < 0.97 || o.Crossing > 1.1*o.Needed || o.Turns > 2*o.Events {
 		t.Error("worse than the aims")
 	}
-	if local.Worth > o.Worth-0.02 || local.Crossing < 2*o.Crossing || o.Alone < local.Worth-0.05 {
+	if local.ServedValue > o.ServedValue-0.02 || local.Crossing < 2*o.Crossing || o.Alone < local.ServedValue-0.05 {
 		t.Error("no better than nodes by themselves, or worse without directors")
 	}
-	if o.Directors < o.Schedules || o.Refused < o.Schedules || o.Died < 5 {
+	if o.Directors < o.Schedules || o.Rejected < o.Schedules || o.Died < 5 {
 		t.Error("the schedules are too mild to show anything")
 	}
 }
--- a/internal/simulation/leasesim/group.go
+++ b/internal/simulation/leasesim/group.go
@@ -211,7 +211,7 @@
 		})
 	}
 	if p.faults.Lossy && p.wild() { // bad, but raft can still elect over it
-		for _, d := range eventqueue.Way(p.r, time.Millisecond, wire/2, 400*time.Millisecond) {
+		for _, d := range eventqueue.DelayPath(p.r, time.Millisecond, wire/2, 400*time.Millisecond) {
 			p.after(d, arrive)
 		}
 	} else {
@@ -266,7 +266,7 @@
 		g.p.given[grant.Token] = whom
 		g.p.out.Grants++
 	case was != whom:
-		g.p.out.Twice++
+		g.p.out.DuplicateGrants++
 	}
 }
 
--- a/internal/simulation/leasesim/group_test.go
+++ b/internal/simulation/leasesim/group_test.go
@@ -25,7 +25,7 @@
 		without Without
 		found   func(Outcome) int
 	}{
-		"sync":  {Without{Sync: true}, func(o Outcome) int { return o.Split + o.Twice }},
+		"sync":  {Without{Sync: true}, func(o Outcome) int { return o.Split + o.DuplicateGrants }},
 		"fence": {Without{Fence: true}, func(o Outcome) int { return o.Overlaps + o.Backwards }},
 	} {
 		if o, _, err := Many(t.Context(), 1, 30, c.without, 3); err != nil || c.found(o) == 0 {
--- a/internal/simulation/leasesim/leasesim.go
+++ b/internal/simulation/leasesim/leasesim.go
@@ -46,28 +46,28 @@
 
 // Outcome is what one schedule, or many together, have shown.
 type Outcome struct {
-	Schedules int   `json:"schedules"`
-	Acts      int   `json:"acts"`     // that were let in
-	Old       int   `json:"old"`      // refused by their token
-	Busy      int   `json:"busy"`     // refused as an earlier one was not over
-	Withheld  int   `json:"withheld"` // that holders did not begin, being in doubt
-	Grants    int   `json:"grants"`
-	Leaders   int   `json:"leaders"`
-	Kills     int   `json:"kills"`     // of holders that held
-	Overlaps  int   `json:"overlaps"`  // of two acts of one seat under different tokens
-	Backwards int   `json:"backwards"` // acts let in under an older token than one before
-	Idle      int   `json:"idle"`      // schedules after whose faults nobody acted any more
-	Unneeded  int   `json:"unneeded"`  // acts refused by their token in schedules where the guard alone must do
-	Twice     int   `json:"twice"`     // tokens that two requests were given
-	Split     int   `json:"split"`     // members that have agreed on different things, or could not go on
-	Faults    int   `json:"faults"`    // among members
-	Changes   int   `json:"changes"`   // of members that were carried out, and that who left has heard of
-	First     int64 `json:"first,omitempty"`
+	Schedules       int   `json:"schedules"`
+	Acts            int   `json:"acts"`     // that were let in
+	Old             int   `json:"old"`      // refused by their token
+	Busy            int   `json:"busy"`     // refused as an earlier one was not over
+	Withheld        int   `json:"withheld"` // that holders did not begin, being in doubt
+	Grants          int   `json:"grants"`
+	Leaders         int   `json:"leaders"`
+	Kills           int   `json:"kills"`     // of holders that held
+	Overlaps        int   `json:"overlaps"`  // of two acts of one seat under different tokens
+	Backwards       int   `json:"backwards"` // acts let in under an older token than one before
+	Idle            int   `json:"idle"`      // schedules after whose faults nobody acted any more
+	Unneeded        int   `json:"unneeded"`  // acts refused by their token in schedules where the guard alone must do
+	DuplicateGrants int   `json:"twice"`     // tokens that two requests were given
+	Split           int   `json:"split"`     // members that have agreed on different things, or could not go on
+	Faults          int   `json:"faults"`    // among members
+	Changes         int   `json:"changes"`   // of members that were carried out, and that who left has heard of
+	First           int64 `json:"first,omitempty"`
 }
 
 // Broken is how often something that must hold did not.
 func (o Outcome) Broken() int {
-	return o.Overlaps + o.Backwards + o.Idle + o.Unneeded + o.Twice + o.Split
+	return o.Overlaps + o.Backwards + o.Idle + o.Unneeded + o.DuplicateGrants + o.Split
 }
 
 // The terms of every schedule, and what the holders do.
@@ -395,7 +395,7 @@
 		if p.sim.Done() > eventsMost { // members that have lost what they had said to have talk without end
 			p.out.Split++
 		}
-		if p.out.Split+p.out.Twice > 0 { // nothing that follows means anything
+		if p.out.Split+p.out.DuplicateGrants > 0 { // nothing that follows means anything
 			return p.out, p.gaps
 		}
 	}
--- a/internal/simulation/plots/plots.go
+++ b/internal/simulation/plots/plots.go
@@ -73,14 +73,14 @@
 func Service(file string, results []*emulator.Result) error {
 	p := newPlot("Service over time: "+results[0].Scenario, "s", "worth served in time, of that asked for")
 	p.Y.Min, p.Y.Max = 0, 1.02
-	if err := shade(p, results[0].Faults, float64(len(results[0].Series.Asked)), 1.02); err != nil {
+	if err := shade(p, results[0].Faults, float64(len(results[0].Series.Offered)), 1.02); err != nil {
 		return err
 	}
 	for i, r := range results {
 		var pts plotter.XYs
-		for s := range r.Series.Asked {
-			if r.Series.Asked[s] > 0 {
-				pts = append(pts, plotter.XY{X: float64(s) + 0.5, Y: r.Series.Served[s] / r.Series.Asked[s]})
+		for s := range r.Series.Offered {
+			if r.Series.Offered[s] > 0 {
+				pts = append(pts, plotter.XY{X: float64(s) + 0.5, Y: r.Series.Served[s] / r.Series.Offered[s]})
 			}
 		}
 		if err := addLine(p, r.Policy, i, pts, false); err != nil {
@@ -224,7 +224,7 @@
 // shade marks the time of each fault.
 func shade(p *plot.Plot, list []faultinject.Fault, length, top float64) error {
 	for i, f := range list {
-		from, till := float64(f.At)/1000, min(float64(f.End())/1000, length)
+		from, till := float64(f.Start)/1000, min(float64(f.End())/1000, length)
 		area, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: till, Y: 0}, {X: till, Y: top}, {X: from, Y: top}})
 		if err != nil {
 			return err
--- a/internal/simulation/scenario/draw.go
+++ b/internal/simulation/scenario/draw.go
@@ -16,8 +16,8 @@
 	set  func(*Scenario)
 }
 
-// Drawn is a deployment: a position for each of the knobs, by their order.
-type Drawn []int
+// DrawnScenario is a deployment: a position for each of the knobs, by their order.
+type DrawnScenario []int
 
 // Knobs are what a survey turns. They are set in this order, so later ones may build on earlier ones.
 var Knobs = []Knob{
@@ -37,13 +37,13 @@
 	{"deadline", []Setting{{"2.5 times the aim", deadline(2.5)}, {"the aim", deadline(1)}, {"10 times", deadline(10)}}},
 	{"late", []Setting{{"worth nothing", func(*Scenario) {}}, {"worth 0.3", func(s *Scenario) {
 		for i := range s.Classes {
-			s.Classes[i].LateShare = 0.3
+			s.Classes[i].LateValue = 0.3
 		}
 	}}}},
 	{"keys", []Setting{{"all", scope("all")}, {"rack", scope("rack")}, {"site", scope("site")}}},
 	{"window", []Setting{{"5 deadlines", window(5)}, {"a deadline", window(1)}, {"a tenth", window(0.1)}}},
 	{"tenants", []Setting{{"1", tenants(1)}, {"3", tenants(0.5, 0.3, 0.2)}, {"9", tenants(0.28, 0.17, 0.16, 0.1, 0.1, 0.05, 0.05, 0.05, 0.04)}}},
-	{"list", []Setting{{"pushed", func(s *Scenario) { s.Discovery.Ask = false }}, {"asked", func(s *Scenario) { s.Discovery.Ask = true }}}},
+	{"list", []Setting{{"pushed", func(s *Scenario) { s.Discovery.Poll = false }}, {"asked", func(s *Scenario) { s.Discovery.Poll = true }}}},
 	{"report", []Setting{{"queue and util", fields("queue", "util")}, {"none", func(s *Scenario) { s.Fleet.Report.Every = 0 }},
 		{"all", fields("held", "queue", "util")}, {"held", fields("held")}, {"queue", fields("queue")}, {"util", fields("util")},
 		{"held and queue", fields("held", "queue")}, {"held and util", fields("held", "util")}}},
@@ -60,8 +60,8 @@
 	{"patience", []Setting{{"the deadline", patience(1)}, {"half", patience(0.5)}}},
 	{"back-off", []Setting{{"as long as the aim", backoff(1)}, {"none", backoff(0)}}},
 	{"advice", []Setting{{"none", func(s *Scenario) { s.Clients.Heed = 0 }}, {"heeded", func(s *Scenario) { s.Clients.Heed = 0.9 }}}},
-	{"second copies", []Setting{{"no", func(*Scenario) {}}, {"allowed", func(s *Scenario) { s.Rules.MayDuplicate = true }}}},
-	{"cancelling", []Setting{{"allowed", func(s *Scenario) { s.Rules.MayCancel = true }}, {"no", func(s *Scenario) { s.Rules.MayCancel = false }}}},
+	{"second copies", []Setting{{"no", func(*Scenario) {}}, {"allowed", func(s *Scenario) { s.Rules.AllowHedging = true }}}},
+	{"cancelling", []Setting{{"allowed", func(s *Scenario) { s.Rules.AllowCancel = true }}, {"no", func(s *Scenario) { s.Rules.AllowCancel = false }}}},
 	{"attempts", []Setting{{"4", attempts(4)}, {"1", attempts(1)}}},
 	{"warm keys", []Setting{{"no", func(s *Scenario) { s.Fleet.Affinity.Gain, s.Load.Keys = 0, 0 }}, {"yes", func(s *Scenario) {
 		s.Fleet.Affinity, s.Load.Keys, s.Load.Zipf = Affinity{Gain: 0.45, Millis: 6000, KeysPerCore: 6}, 300, 0.8
@@ -81,7 +81,7 @@
 	}
 }
 
-func boxes(n int) func(*Scenario) { return func(s *Scenario) { s.Fleet.Boxes = n } }
+func boxes(n int) func(*Scenario) { return func(s *Scenario) { s.Fleet.Backends = n } }
 func nodes(n int) func(*Scenario) { return func(s *Scenario) { s.Nodes.Count = n } }
 func sites(names ...string) func(*Scenario) {
 	return func(s *Scenario) { s.Fleet.Sites = names }
@@ -107,7 +107,7 @@
 func aim(by float64) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Classes {
-			s.Classes[i].Aim = by * s.Classes[i].Work
+			s.Classes[i].LatencyObjective = by * s.Classes[i].Work
 		}
 	}
 }
@@ -115,19 +115,19 @@
 func deadline(by float64) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Classes {
-			s.Classes[i].Deadline = max(by*s.Classes[i].Aim, 1)
+			s.Classes[i].Deadline = max(by*s.Classes[i].LatencyObjective, 1)
 		}
 	}
 }
 
 func scope(name string) func(*Scenario) {
-	return func(s *Scenario) { s.Classes[2].Scope = name }
+	return func(s *Scenario) { s.Classes[2].KeyScope = name }
 }
 
 func window(by float64) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Classes {
-			s.Classes[i].Window = by * s.Classes[i].Deadline
+			s.Classes[i].IdempotencyWindow = by * s.Classes[i].Deadline
 		}
 	}
 }
@@ -145,26 +145,26 @@
 }
 
 func probes(price float64) func(*Scenario) {
-	return func(s *Scenario) { s.Rules.MayProbe, s.Rules.Probe = true, price }
+	return func(s *Scenario) { s.Rules.AllowHealthChecks, s.Rules.HealthCheckCost = true, price }
 }
 
 func hints(how string) func(*Scenario) { return func(s *Scenario) { s.Clients.Hints = how } }
 func retries(n int) func(*Scenario)    { return func(s *Scenario) { s.Clients.Retries = n } }
 func patience(x float64) func(*Scenario) {
-	return func(s *Scenario) { s.Clients.TryShare = x }
+	return func(s *Scenario) { s.Clients.TimeoutShare = x }
 }
 
 func backoff(aims float64) func(*Scenario) {
-	return func(s *Scenario) { s.Clients.Backoff = aims * s.Classes[0].Aim }
+	return func(s *Scenario) { s.Clients.Backoff = aims * s.Classes[0].LatencyObjective }
 }
 
 func attempts(n int) func(*Scenario)     { return func(s *Scenario) { s.Rules.MaxAttempts = n } }
 func load(level float64) func(*Scenario) { return func(s *Scenario) { s.Load.Level = level } }
 
 // Draw picks a position for each knob, the plain one a third of the time.
-func Draw(seed uint64) Drawn {
+func Draw(seed uint64) DrawnScenario {
 	r := rand.New(rand.NewPCG(seed, 0x5eed))
-	d := make(Drawn, len(Knobs))
+	d := make(DrawnScenario, len(Knobs))
 	for i, k := range Knobs {
 		if r.IntN(3) > 0 {
 			d[i] = r.IntN(len(k.Settings))
@@ -180,22 +180,22 @@
 const leastSpell = 8
 
 // Scenario is a calm spell of the deployment.
-func (d Drawn) Scenario() *Scenario {
+func (d DrawnScenario) Scenario() *Scenario {
 	s := Default()
 	s.Name, s.WarmUp, s.Load.SiteSkew, s.Load.Swing, s.Clients.Impatient = "survey", 0, 0, 0, 0
 	s.Fleet.Kinds = []Kind{
-		{Name: "x", Share: 0.6, Speed: Range{1, 1}, Slots: 1, Queue: 12, ColdFrom: Range{0.2, 0.3}, Cold: Range{11000, 24000}, KeyedDrop: true},
-		{Name: "y", Share: 0.4, Speed: Range{0.9, 1}, Slots: 1, Queue: 8, ColdFrom: Range{0.2, 0.3}, Cold: Range{10000, 24000}, KeyedDrop: true}}
+		{Name: "x", Share: 0.6, Speed: Range{1, 1}, Slots: 1, Queue: 12, SlowStartInitial: Range{0.2, 0.3}, SlowStartDuration: Range{11000, 24000}, KeyedDrop: true},
+		{Name: "y", Share: 0.4, Speed: Range{0.9, 1}, Slots: 1, Queue: 8, SlowStartInitial: Range{0.2, 0.3}, SlowStartDuration: Range{10000, 24000}, KeyedDrop: true}}
 	s.Classes = []Class{
-		{Name: "read", Share: 0.6, Work: 40, Dist: "exp", Noise: 0.2, Worth: 1, Effect: "repeatable"},
-		{Name: "once", Share: 0.2, Work: 50, Dist: "exp", Noise: 0.2, Worth: 5, Effect: "once"},
-		{Name: "keyed", Share: 0.2, Work: 60, Dist: "exp", Noise: 0.2, Worth: 3, Effect: "by_key", Scope: "all"}}
+		{Name: "read", Share: 0.6, Work: 40, Dist: "exp", Noise: 0.2, PriorityWeight: 1, Idempotency: "repeatable"},
+		{Name: "once", Share: 0.2, Work: 50, Dist: "exp", Noise: 0.2, PriorityWeight: 5, Idempotency: "once"},
+		{Name: "keyed", Share: 0.2, Work: 60, Dist: "exp", Noise: 0.2, PriorityWeight: 3, Idempotency: "by_key", KeyScope: "all"}}
 	for i, k := range Knobs {
 		k.Settings[d[i]].set(&s)
 	}
 	cores, work, shares := 0.0, 0.0, 0.0
 	for _, k := range s.Fleet.Kinds {
-		cores += k.Share * float64(k.Cores) * float64(s.Fleet.Boxes)
+		cores += k.Share * float64(k.Cores) * float64(s.Fleet.Backends)
 	}
 	for _, c := range s.Classes {
 		work, shares = work+c.Share*c.Work, shares+c.Share
@@ -206,8 +206,8 @@
 	return &s
 }
 
-// Turned names the knobs that are not in their plain position, with where they are.
-func (d Drawn) Turned() []string {
+// RaisedSettings names the knobs that are not in their plain position, with where they are.
+func (d DrawnScenario) RaisedSettings() []string {
 	var out []string
 	for i, k := range Knobs {
 		if d[i] > 0 {
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -100,8 +100,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := sc.Settled(rand.New(rand.NewPCG(1, 1)))
-	if !slices.IsSortedFunc(all, func(a, b faultinject.Fault) int { return int(a.At - b.At) }) {
+	all := sc.ApplyDefaults(rand.New(rand.NewPCG(1, 1)))
+	if !slices.IsSortedFunc(all, func(a, b faultinject.Fault) int { return int(a.Start - b.Start) }) {
 		t.Error("not in the order of time")
 	}
 	count := map[faultinject.Kind][]faultinject.Fault{}
@@ -111,17 +111,17 @@
 		if err := f.Check("f", scope); err != nil {
 			t.Errorf("%v: %v", f, err)
 		}
-		if f.At+f.For > int64(sc.Seconds*1000) && f.Kind != faultinject.Drain {
+		if f.Start+f.Duration > int64(sc.Seconds*1000) && f.Kind != faultinject.Drain {
 			t.Errorf("%v ends after the run", f)
 		}
 	}
 	if len(all) != 5-1+12+40 {
 		t.Errorf("%d faults", len(all))
 	}
-	if n := len(count[faultinject.FastErrors][0].Boxes); n != 3 {
+	if n := len(count[faultinject.FastErrors][0].Backends); n != 3 {
 		t.Errorf("a quarter of 12 boxes are %d", n)
 	}
-	if b := count[faultinject.Slow][0].Boxes; !slices.Equal(b, []int{1, 4, 7, 10}) {
+	if b := count[faultinject.Slow][0].Backends; !slices.Equal(b, []int{1, 4, 7, 10}) {
 		t.Errorf("the boxes of west are %v", b)
 	}
 	if f := count[faultinject.NodeKill][0]; len(f.Nodes) != 1 {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -79,13 +79,13 @@
 
 // Result is what a play has shown.
 type Result struct {
-	Broken  []string // what broke the rules, one line each
-	Faults  map[Kind]int
-	Served  int
-	Refused int
-	Failed  int
-	Total   int
-	Plan    []Fault
+	Broken   []string // what broke the rules, one line each
+	Faults   map[Kind]int
+	Served   int
+	Rejected int
+	Failed   int
+	Total    int
+	Plan     []Fault
 }
 
 // check holds the records against the rules.
@@ -124,7 +124,7 @@
 	case served:
 		res.Served++
 	case refused:
-		res.Refused++
+		res.Rejected++
 	case failed:
 		res.Failed++
 	}
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -21,8 +21,8 @@
 
 func (e *Invalid) Error() string { return e.Path + ": " + e.Reason }
 
-// Bad returns an *Invalid.
-func Bad(path, format string, args ...any) error {
+// Invalidf returns an *Invalid.
+func Invalidf(path, format string, args ...any) error {
 	return &Invalid{Path: path, Reason: fmt.Sprintf(format, args...)}
 }
 
@@ -157,13 +157,13 @@
 		if open := strings.IndexByte(part, '['); open > 0 && strings.HasSuffix(part, "]") {
 			n, err := strconv.Atoi(part[open+1 : len(part)-1])
 			if err != nil || n < 0 {
-				return nil, Bad(path, "%q is no index", part[open:])
+				return nil, Invalidf(path, "%q is no index", part[open:])
 			}
 			name, pos, indexed = part[:open], n, true
 		}
 		table, ok := at.(map[string]any)
 		if !ok {
-			return nil, Bad(path, "%q is not a table", strings.Join(parts[:i], "."))
+			return nil, Invalidf(path, "%q is not a table", strings.Join(parts[:i], "."))
 		}
 		if !indexed {
 			if i == len(parts)-1 {
@@ -178,7 +178,7 @@
 		}
 		list, _ := table[name].([]any)
 		if pos >= len(list) {
-			return nil, Bad(path, "there are only %d of %q", len(list), name)
+			return nil, Invalidf(path, "there are only %d of %q", len(list), name)
 		}
 		if i == len(parts)-1 {
 			list[pos] = value
@@ -186,5 +186,5 @@
 		}
 		at = list[pos]
 	}
-	return nil, Bad(path, "names nothing")
+	return nil, Invalidf(path, "names nothing")
 }
