--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -17,11 +17,11 @@
 
 func (d *doc) Check() error {
 	if d.Load.Level < 0 {
-		return Bad("load.level", "%g is below 0", d.Load.Level)
+		return Invalidf("load.level", "%g is below 0", d.Load.Level)
 	}
 	for i, f := range d.Faults {
 		if f.At < 0 {
-			return Bad("fault["+string(rune('0'+i))+"].at_ms", "%d is below 0", f.At)
+			return Invalidf("fault["+string(rune('0'+i))+"].at_ms", "%d is below 0", f.At)
 		}
 	}
 	return nil
--- a/internal/workload/arrivals.go
+++ b/internal/workload/arrivals.go
@@ -20,7 +20,7 @@
 
 // Call is what a client wants: a first try, and the repeats that are folded into it.
 type Call struct {
-	N      uint64          // its number in the schedule, from 0
+	Number uint64          // its number in the schedule, from 0
 	At     eventqueue.Time // when it is due, µs since the start
 	Class  int
 	Tenant int
@@ -102,7 +102,7 @@
 	case "exact":
 		return int64(c.Work)
 	case "rough":
-		d := eventqueue.NewDraws(seed, c.N, drawHint)
+		d := eventqueue.NewDraws(seed, c.Number, drawHint)
 		return int64(c.Work * Lognormal(roughHint, d.Norm()))
 	}
 	return 0
@@ -143,7 +143,7 @@
 	case "steps":
 		return 1 + (l.Peak-1)*math.Floor(sec/l.Period)/math.Max(math.Floor(s.sc.Seconds/l.Period)-1, 1)
 	case "surge":
-		if sec >= l.From && sec < l.Till {
+		if sec >= l.From && sec < l.Until {
 			return l.Peak
 		}
 	}
@@ -154,7 +154,7 @@
 func (s *Schedule) factor(us float64) (float64, []float64) {
 	level, weights := s.level(us), []float64(nil)
 	for _, f := range s.surges {
-		if ms := int64(us / 1000); ms < f.At || ms >= f.End() {
+		if ms := int64(us / 1000); ms < f.Start || ms >= f.End() {
 			continue
 		}
 		if weights == nil {
@@ -198,9 +198,9 @@
 		if float64(c.At) >= s.sc.Seconds*1e6 {
 			return Call{}, errors.Join(io.EOF, s.trace.Close())
 		}
-		c.N = s.n
+		c.Number = s.n
 		s.n++
-		c.Work = DrawWork(s.sc, s.seed, c.N, c.Class)
+		c.Work = DrawWork(s.sc, s.seed, c.Number, c.Class)
 		return c, nil
 	}
 	// As much expected arrivals as one call stands for must pass: 1 for even gaps, exponential for Poisson's.
@@ -223,7 +223,7 @@
 			return Call{}, io.EOF
 		}
 	}
-	c := Call{N: s.n, At: eventqueue.Time(s.now)}
+	c := Call{Number: s.n, At: eventqueue.Time(s.now)}
 	s.n++
 	_, tenants := s.factor(s.now)
 	c.Class = pickOf(s.classes, s.rand.Float64())
@@ -232,7 +232,7 @@
 	if s.sc.Load.Keys > 0 {
 		c.Key = uint64(pickOf(s.keys, s.rand.Float64())) + 1
 	}
-	c.Work = DrawWork(s.sc, s.seed, c.N, c.Class)
+	c.Work = DrawWork(s.sc, s.seed, c.Number, c.Class)
 	return c, nil
 }
 
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(calls) > 0 && (c.At < calls[len(calls)-1].At || c.N != calls[len(calls)-1].N+1) {
+		if len(calls) > 0 && (c.At < calls[len(calls)-1].At || c.Number != calls[len(calls)-1].Number+1) {
 			t.Fatalf("%+v after %+v", c, calls[len(calls)-1])
 		}
 		calls = append(calls, c)
@@ -95,7 +95,7 @@
 }
 
 func TestSurgeOfOneTenant(t *testing.T) {
-	calls := all(t, scene(t, "seconds = 60.0\nload.per_s = 500.0"), faultinject.Fault{Kind: faultinject.Surge, At: 20000, For: 20000, Size: 5, Tenant: "small"})
+	calls := all(t, scene(t, "seconds = 60.0\nload.per_s = 500.0"), faultinject.Fault{Kind: faultinject.Surge, Start: 20000, Duration: 20000, Size: 5, Tenant: "small"})
 	var by [3][3]float64
 	for _, c := range calls {
 		by[c.At/20e6][c.Tenant]++
@@ -112,7 +112,7 @@
 			t.Errorf("tenant %d after the surge: %.0f calls, want about %.0f", i, got, 10000*share)
 		}
 	}
-	silent := all(t, scene(t, "seconds = 9.0\nload.per_s = 500.0"), faultinject.Fault{Kind: faultinject.Surge, At: 3000, For: 3000, Size: 0})
+	silent := all(t, scene(t, "seconds = 9.0\nload.per_s = 500.0"), faultinject.Fault{Kind: faultinject.Surge, Start: 3000, Duration: 3000, Size: 0})
 	if count(silent, 3.02, 6) != 0 || count(silent, 6.02, 9) < 1200 {
 		t.Errorf("%d calls while there are none, %d after", count(silent, 3.02, 6), count(silent, 6.02, 9))
 	}
@@ -211,22 +211,22 @@
 	}{
 		"served":                            {"", read, Served, 1, 10, 0, -1},
 		"a read that failed":                {"", read, Failed, 1, 10, 0, 100},
-		"a read that timed out, again":      {"", read, TimedOut, 2, 10, 0, 200},
+		"a read that timed out, again":      {"", read, Timeout, 2, 10, 0, 200},
 		"no try left":                       {"", read, Failed, 3, 10, 0, -1},
 		"no time left":                      {"", read, Failed, 1, 1400, 0, -1},
 		"just time left":                    {"", read, Failed, 1, 1399, 0, 100},
-		"once, refused":                     {"", once, Refused, 1, 10, 0, 100},
+		"once, refused":                     {"", once, Rejected, 1, 10, 0, 100},
 		"once, no node reached":             {"", once, Unreachable, 1, 10, 0, 100},
 		"once, failed":                      {"", once, Failed, 1, 10, 0, -1},
-		"once, timed out":                   {"", once, TimedOut, 1, 10, 0, -1},
+		"once, timed out":                   {"", once, Timeout, 1, 10, 0, -1},
 		"by key within a rack, failed":      {"", rack, Failed, 1, 10, 0, -1},
-		"by key within a rack, refused":     {"", rack, Refused, 1, 10, 0, 100},
-		"advice is heeded":                  {"", read, Refused, 1, 10, 700, 700},
-		"advice shorter than the back-off":  {"", read, Refused, 1, 10, 50, 100},
-		"advice up to the longest":          {"", once, Refused, 1, 10, 5000, 900},
-		"advice that leaves no time":        {"", read, Refused, 1, 700, 900, -1},
-		"advice is not heeded by all":       {"heed = 0.0", read, Refused, 1, 10, 700, 100},
-		"naive clients repeat what may run": {"retry_any = true", once, TimedOut, 1, 10, 0, 100},
+		"by key within a rack, refused":     {"", rack, Rejected, 1, 10, 0, 100},
+		"advice is heeded":                  {"", read, Rejected, 1, 10, 700, 700},
+		"advice shorter than the back-off":  {"", read, Rejected, 1, 10, 50, 100},
+		"advice up to the longest":          {"", once, Rejected, 1, 10, 5000, 900},
+		"advice that leaves no time":        {"", read, Rejected, 1, 700, 900, -1},
+		"advice is not heeded by all":       {"heed = 0.0", read, Rejected, 1, 10, 700, 100},
+		"naive clients repeat what may run": {"retry_any = true", once, Timeout, 1, 10, 0, 100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := base
@@ -235,17 +235,17 @@
 			} else {
 				text += c.more
 			}
-			wait, again := NewRetry(scene(t, text), 1).Again(&Call{Class: c.class}, c.how, c.tries, c.since*ms, c.advice*ms)
+			wait, again := NewRetry(scene(t, text), 1).Next(&Call{Class: c.class}, c.how, c.tries, c.since*ms, c.advice*ms)
 			if again != (c.wait >= 0) || again && wait != c.wait*ms {
 				t.Errorf("again %v after %d µs, want %d ms", again, wait, c.wait)
 			}
 		})
 	}
 	r := NewRetry(scene(t, base), 1)
-	if p := r.Patience(&Call{Class: read}, 0); p != 900*ms {
+	if p := r.Timeout(&Call{Class: read}, 0); p != 900*ms {
 		t.Errorf("a first try is given %d µs", p)
 	}
-	if p := r.Patience(&Call{Class: read}, 1000*ms); p != 500*ms {
+	if p := r.Timeout(&Call{Class: read}, 1000*ms); p != 500*ms {
 		t.Errorf("a late try is given %d µs", p)
 	}
 }
