--- /dev/null
+++ b/cmd/tulipglade/golden_test.go
@@ -0,0 +1,327 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// goldenWire is what a process of commit f2517d9 wrote to each of its neighbors; TULIPGLADE_WRITE_GOLDEN=1 writes it anew.
+const goldenWire = "testdata/wire.golden"
+
+// recordedPeer is a server on raw TCP that records each request as its bytes came and sends a fixed response.
+type recordedPeer struct {
+	listener net.Listener
+	respond  func(request string) string
+
+	mu       sync.Mutex
+	requests []string
+}
+
+func newRecordedPeer(t *testing.T, respond func(request string) string) *recordedPeer {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	p := &recordedPeer{listener: listener, respond: respond}
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go p.serve(conn)
+		}
+	}()
+	return p
+}
+
+func (p *recordedPeer) serve(conn net.Conn) {
+	defer conn.Close()
+	in := bufio.NewReader(conn)
+	for {
+		request, err := readMessage(in)
+		if err != nil {
+			return
+		}
+		p.mu.Lock()
+		p.requests = append(p.requests, request)
+		p.mu.Unlock()
+		response := p.respond(request)
+		if response == "" {
+			continue // a watch without a change
+		}
+		if _, err := io.WriteString(conn, response); err != nil {
+			return
+		}
+	}
+}
+
+// recorded returns the distinct requests so far, normalized, in the order in which they first came.
+func (p *recordedPeer) recorded(normalize func(string) string) []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var distinct []string
+	seen := map[string]bool{}
+	for _, r := range p.requests {
+		if r = normalize(r); !seen[r] {
+			seen[r] = true
+			distinct = append(distinct, r)
+		}
+	}
+	return distinct
+}
+
+// readMessage reads an HTTP/1.1 message with a Content-Length or without a body, byte for byte.
+func readMessage(in *bufio.Reader) (string, error) {
+	var text strings.Builder
+	length := 0
+	for {
+		line, err := in.ReadString('\n')
+		text.WriteString(line)
+		if err != nil {
+			return text.String(), err
+		}
+		if name, value, found := strings.Cut(line, ":"); found && strings.EqualFold(name, "Content-Length") {
+			if length, err = strconv.Atoi(strings.TrimSpace(value)); err != nil {
+				return text.String(), err
+			}
+		}
+		if line == "\r\n" {
+			break
+		}
+	}
+	body := make([]byte, length)
+	n, err := io.ReadFull(in, body)
+	text.Write(body[:n])
+	return text.String(), err
+}
+
+func withLength(body string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+}
+
+// goldenCalls are what clients send, each on a connection of its own.
+var goldenCalls = []struct{ name, request string }{
+	{"idempotent", "GET /read/a?b=c HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t1\r\nX-Customer: o\r\nX-Extra: kept\r\n\r\n"},
+	{"own deadline", "GET /read HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t2\r\nX-Customer: o\r\nX-Expires-In-Ms: 900\r\n\r\n"},
+	{"with a body", "POST /pay HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t3\r\nX-Customer: o\r\nContent-Length: 4\r\n\r\nbody"},
+	{"with a key", "POST /settle HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t4\r\nX-Customer: o\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n"},
+	{"old version", "GET /read HTTP/1.0\r\nX-Trace-Id: t5\r\nX-Customer: o\r\n\r\n"},
+	{"to be closed", "GET /read HTTP/1.1\r\nHost: h\r\nConnection: close\r\nX-Trace-Id: t6\r\nX-Customer: o\r\n\r\n"},
+	{"server error", "POST /pay/broken HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t7\r\nX-Customer: o\r\nContent-Length: 0\r\n\r\n"},
+	{"rejected by the backend", "POST /pay/full HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t8\r\nX-Customer: o\r\nContent-Length: 0\r\n\r\n"},
+	{"readiness", "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n"},
+	{"no id", "GET /read HTTP/1.1\r\nHost: h\r\nX-Customer: o\r\n\r\n"},
+	{"no such class", "GET /none HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t9\r\nX-Customer: o\r\n\r\n"},
+	{"no such tenant", "GET /read HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t10\r\nX-Customer: none\r\n\r\n"},
+	{"no key", "POST /settle HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t11\r\nX-Customer: o\r\nContent-Length: 0\r\n\r\n"},
+	{"malformed", "GET\r\n\r\n"},
+	{"head too large", "GET /read HTTP/1.1\r\nHost: h\r\nX-Filler: " + strings.Repeat("x", 9000) + "\r\n\r\n"},
+	{"body too large", "POST /pay HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t12\r\nX-Customer: o\r\nContent-Length: 99999999\r\n\r\n"},
+}
+
+func backendResponse(request string) string {
+	switch {
+	case strings.Contains(request, "/broken"):
+		return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+	case strings.Contains(request, "/full"):
+		return "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
+	}
+	return "HTTP/1.1 200 OK\r\nX-Backend: b\r\nendpoint-load-metrics: TEXT named_metrics.utilization=0.5, named_metrics.backlog=1\r\nContent-Length: 2\r\n\r\nok"
+}
+
+// wireRecord builds the text that is compared, with what differs between two runs replaced.
+type wireRecord struct {
+	text     strings.Builder
+	replaced *strings.Replacer
+}
+
+var variable = []struct {
+	pattern *regexp.Regexp
+	with    string
+}{
+	{regexp.MustCompile(`X-Expires-In-Ms: \d+`), "X-Expires-In-Ms: N"},
+	{regexp.MustCompile(`timeout_ms=[1-9]\d*`), "timeout_ms=N"},
+}
+
+func (w *wireRecord) normalize(text string) string {
+	text = w.replaced.Replace(text)
+	for _, v := range variable {
+		text = v.pattern.ReplaceAllString(text, v.with)
+	}
+	return text
+}
+
+func (w *wireRecord) add(title, text string) {
+	text = strings.ReplaceAll(w.normalize(text), "\r", `\r`)
+	fmt.Fprintf(&w.text, "== %s\n%s\n", title, text)
+}
+
+// exchange sends a request on a connection of its own and returns the response as it came.
+func exchange(t *testing.T, address, request string) string {
+	t.Helper()
+	conn, err := net.DialTimeout("tcp", address, 10*time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
+	if _, err := io.WriteString(conn, request); err != nil {
+		t.Fatal(err)
+	}
+	response, err := readMessage(bufio.NewReader(conn))
+	if err != nil {
+		t.Fatalf("%q: %q, %v", request, response, err)
+	}
+	return response
+}
+
+// numbers of a hot restart's state differ from run to run, its keys do not.
+var numbers = regexp.MustCompile(`-?\d+(\.\d+)?(e[-+]?\d+)?`)
+
+// hotRestartState connects as a successor would and returns the state that the process hands over.
+func hotRestartState(t *testing.T, dir string) string {
+	t.Helper()
+	paths, err := filepath.Glob(filepath.Join(dir, "*.sock"))
+	if err != nil || len(paths) != 1 {
+		t.Fatalf("sockets %v, %v", paths, err)
+	}
+	conn, err := net.DialTimeout("unix", paths[0], 10*time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
+	if _, err := io.WriteString(conn, "tulipglade hand-over 1\n"); err != nil {
+		t.Fatal(err)
+	}
+	head := make([]byte, 16)
+	if _, err := io.ReadFull(conn, head); err != nil {
+		t.Fatal(err)
+	}
+	body := make([]byte, binary.BigEndian.Uint32(head[4:]))
+	if _, err := io.ReadFull(conn, body); err != nil {
+		t.Fatal(err)
+	}
+	return string(head[:4]) + numbers.ReplaceAllString(string(body), "N")
+}
+
+var servingLine = regexp.MustCompile(`msg=serving.*`)
+
+// listenAddresses returns the addresses of clients and of administrators, by the line that a process logs as it serves.
+func listenAddresses(t *testing.T, out *said) (clients, admin string) {
+	t.Helper()
+	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		line := servingLine.FindString(out.all())
+		found := regexp.MustCompile(`127\.0\.0\.1:\d+`).FindAllString(line, -1)
+		if len(found) >= 2 {
+			return found[0], found[len(found)-1]
+		}
+	}
+	t.Fatalf("it does not serve: %s", out.all())
+	return "", ""
+}
+
+// TestWireFormsAreUnchanged compares every message that a process sends with what commit f2517d9 sent: polls and watches, requests to
+// backends, answers to clients and administrators, and the state that goes to a successor at a hot restart.
+func TestWireFormsAreUnchanged(t *testing.T) {
+	backend := newRecordedPeer(t, backendResponse)
+	list := fmt.Sprintf(`{"rev":4,"all":true,"targets":[{"uid":"a","endpoint":%q,"az":"z","pod_group":3,"state":"in_service","capacity_hint":2,"boot_ms":5}]}`,
+		backend.listener.Addr())
+	discovery := newRecordedPeer(t, func(request string) string {
+		if strings.Contains(request, "since=4") && !strings.Contains(request, "timeout_ms=0") {
+			return ""
+		}
+		return withLength(list)
+	})
+	dir := t.TempDir()
+	path := filepath.Join(dir, "config.json")
+	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","operator":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":96},
+		"known":{"rev":0,"all":true,"targets":[]},"settings":{"discovery":"ask","me":0,"peers_total":1,"zones":["z"],"orgs":[{"name":"o","share":1}],"tick_us":5000,
+		"profiles":[{"name":"read","aim_us":600000,"deadline_us":1500000,"effect":"repeatable"},{"name":"pay","aim_us":600000,"deadline_us":1500000,"effect":"once"},
+		{"name":"settle","aim_us":600000,"deadline_us":1500000,"effect":"by_key","key_scope":"cell","window_us":6000000}],
+		"limits":{"connect_timeout_us":250000,"keepalive_us":30000000,"max_attempts":1,"max_open":20000,"retry_after":true,"max_retry_after_us":2000000},
+		"report":{"fields":["utilization","backlog"],"how":"piggyback"},
+		"rules":{"ask_every_us":10000000,"grace_to_answer_us":20000,"drain_grace_us":500000}}}`, discovery.listener.Addr().String())
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	out := &said{}
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), "TULIPGLADE_TEST_RUN="+path, "TMPDIR="+dir)
+	cmd.Stderr = out
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		_ = cmd.Process.Kill()
+		_ = cmd.Wait()
+	}()
+	clients, admin := listenAddresses(t, out)
+	record := &wireRecord{replaced: strings.NewReplacer(discovery.listener.Addr().String(), "DISCOVERY", backend.listener.Addr().String(), "BACKEND",
+		clients, "CLIENTS", admin, "ADMIN")}
+	awaitReady(t, clients, out)
+	for _, call := range goldenCalls {
+		record.add("client: "+call.name, exchange(t, clients, call.request))
+	}
+	for i, request := range backend.recorded(record.normalize) {
+		record.add(fmt.Sprintf("backend: request %d", i), request)
+	}
+	for end := time.Now().Add(30 * time.Second); len(discovery.recorded(record.normalize)) < 2 && time.Now().Before(end); {
+		time.Sleep(10 * time.Millisecond) // the watch follows the first poll
+	}
+	for i, request := range discovery.recorded(record.normalize) {
+		record.add(fmt.Sprintf("discovery: call %d", i), request)
+	}
+	for _, call := range []string{"GET /status", "PUT /none", "GET /status?lease=x&token=1", "PUT /standby", "PUT /active"} {
+		record.add("admin: "+call, exchange(t, admin, call+" HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"))
+	}
+	record.add("hot restart", hotRestartState(t, dir))
+	got := record.text.String()
+	if os.Getenv("TULIPGLADE_WRITE_GOLDEN") != "" {
+		if err := os.WriteFile(goldenWire, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(goldenWire)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(string(bytes.TrimSpace(want)), strings.TrimSpace(got)); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// awaitReady waits until the process says that it is ready.
+func awaitReady(t *testing.T, address string, out *said) {
+	t.Helper()
+	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		resp, err := http.Get("http://" + address + "/ready")
+		if err != nil {
+			continue
+		}
+		_ = resp.Body.Close()
+		if resp.StatusCode == http.StatusOK {
+			return
+		}
+	}
+	t.Fatalf("not ready: %s", out.all())
+}
