--- a/internal/lease/guard.go
+++ b/internal/lease/guard.go
@@ -4,8 +4,8 @@
 
 // Terms are what a group and its holders agree on beforehand.
 type Terms struct {
-	Interval time.Duration // between two ticks, by the leader's clock
-	Drift    float64       // by which share a clock may be fast or slow; below 1
+	Interval time.Duration `json:"Interval"` // between two ticks, by the leader's clock
+	Drift    float64       `json:"Drift"`    // by which share a clock may be fast or slow; below 1
 }
 
 // GuaranteedDuration is how long, by the holder's own clock, a grant of so many ticks lasts at least. The first tick may follow the grant at
