--- a/cmd/tulipctl/world.go
+++ b/cmd/tulipctl/cluster.go
@@ -18,9 +18,9 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-func worldCommand() *cli.Command {
-	return &cli.Command{Name: "world", Usage: "stand-ins of all that is round a node, on loopback sockets", Commands: []*cli.Command{
-		{Name: "run", Usage: "serve a scenario's boxes, discovery and front until interrupted", ArgsUsage: "SCENARIO", Action: worldRun,
+func clusterCommand() *cli.Command {
+	return &cli.Command{Name: "cluster", Usage: "fake backends, discovery and frontend round real nodes, on loopback", Commands: []*cli.Command{
+		{Name: "run", Usage: "serve a scenario's boxes, discovery and front until interrupted", ArgsUsage: "SCENARIO", Action: runCluster,
 			Arguments: []cli.Argument{&cli.StringArg{Name: "file", UsageText: "SCENARIO"}},
 			Flags: []cli.Flag{&cli.Uint64Flag{Name: "seed", Value: 1},
 				&cli.StringSliceFlag{Name: "node", Usage: "`ADDRESS` of each node behind the front; none: the program starts them"},
@@ -33,7 +33,7 @@
 }
 
 func demoCommand() *cli.Command {
-	return &cli.Command{Name: "demo", Usage: "a world, a node and a 20 s surge with a drain in it; ends with a table and a picture", Action: demo,
+	return &cli.Command{Name: "demo", Usage: "a fake cluster, a node and a 20 s surge with a drain in it; ends with a table and a picture", Action: demo,
 		Flags: []cli.Flag{&cli.StringFlag{Name: "program", Usage: "the node's `PROGRAM`; default: tulipglade beside this one"},
 			&cli.StringFlag{Name: "out", Value: "demo", Usage: "`FOLDER` for logs, the table and the picture"},
 			&cli.FloatFlag{Name: "seconds", Value: 20},
@@ -56,16 +56,16 @@
 	return p, nil
 }
 
-// fleet is a world with its nodes.
-type fleet struct {
+// runningCluster is a world with its nodes.
+type runningCluster struct {
 	w     *fake.Cluster
 	procs *fake.Processes
 	ready chan int
 	done  func() error
 }
 
-// startWorld serves a scenario, and starts its nodes where none are named.
-func startWorld(ctx context.Context, sc *scenario.Scenario, seed uint64, nodes []string, prog, dir string, log io.Writer) (*fleet, error) {
+// startCluster serves a scenario, and starts its nodes where none are named.
+func startCluster(ctx context.Context, sc *scenario.Scenario, seed uint64, nodes []string, prog, dir string, log io.Writer) (*runningCluster, error) {
 	own := len(nodes) == 0
 	if own {
 		var err error
@@ -75,7 +75,7 @@
 	} else if len(nodes) != sc.Nodes.Count {
 		return nil, fmt.Errorf("--node: %d addresses, but nodes.count is %d", len(nodes), sc.Nodes.Count)
 	}
-	f := &fleet{ready: make(chan int, len(nodes))}
+	f := &runningCluster{ready: make(chan int, len(nodes))}
 	var err error
 	f.w, err = fake.Start(ctx, sc, fake.Options{Seed: seed, Log: log, Nodes: nodes, Ready: func(n int) {
 		select {
@@ -97,7 +97,7 @@
 }
 
 // await waits until the front has taken in all nodes.
-func (f *fleet) await(ctx context.Context, n int) error {
+func (f *runningCluster) await(ctx context.Context, n int) error {
 	late := time.After(30 * time.Second)
 	for range n {
 		select {
@@ -111,8 +111,8 @@
 	return nil
 }
 
-func worldRun(ctx context.Context, cmd *cli.Command) (err error) {
-	name, err := fileOf(cmd)
+func runCluster(ctx context.Context, cmd *cli.Command) (err error) {
+	name, err := fileArgument(cmd)
 	if err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 			}
 		}
 	}
-	f, err := startWorld(ctx, sc, cmd.Uint64("seed"), cmd.StringSlice("node"), prog, dir, log)
+	f, err := startCluster(ctx, sc, cmd.Uint64("seed"), cmd.StringSlice("node"), prog, dir, log)
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 	fmt.Fprintf(out, "%.1f s: %d requests came to boxes, %d ran, %d ran twice though they must not, %d came after a drain, %d unreadable\n",
 		r.Seconds, r.Arrived, r.Executions, r.DuplicateRuns, r.AfterDrain, r.Unreadable)
 	if r.DuplicateRuns+r.AfterDrain > 0 {
-		return no("rules were broken; see the log")
+		return negativeAnswer("rules were broken; see the log")
 	}
 	return nil
 }
@@ -221,7 +221,7 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, log.Close()) }()
-	f, err := startWorld(ctx, sc, 1, nil, prog, dir, log)
+	f, err := startCluster(ctx, sc, 1, nil, prog, dir, log)
 	if err != nil {
 		return err
 	}
@@ -236,13 +236,13 @@
 		targets = append(targets, f.w.Frontend(site))
 	}
 	faults := emulator.Faults(sc, 1)
-	live := emulator.NewLive(sc, 1, quiet{})
+	live := emulator.NewLive(sc, 1, discardEffects{})
 	res, err := load.Run(ctx, load.Plan{Scenario: sc, Seed: 1, Targets: targets, Capacity: live.Capacity(), Faults: faults,
 		Lag: cmd.Duration("lag")})
 	if err != nil {
 		return err
 	}
-	if err := printLoad(cmd, res); err != nil {
+	if err := printLoadResult(cmd, res); err != nil {
 		return err
 	}
 	picture := filepath.Join(dir, "latency.svg")
@@ -254,7 +254,7 @@
 		r.DuplicateRuns, r.AfterDrain)
 	fmt.Fprintf(out, "the picture: %s; what truly happened: %s\n", picture, filepath.Join(dir, "world.jsonl"))
 	if r.DuplicateRuns+r.AfterDrain > 0 {
-		return no("rules were broken")
+		return negativeAnswer("rules were broken")
 	}
-	return validity(res)
+	return validityError(res)
 }
--- a/cmd/tulipctl/failover.go
+++ b/cmd/tulipctl/failover.go
@@ -9,8 +9,8 @@
 	"tulipglade/internal/simulation/failoversim"
 )
 
-func labFailover(ctx context.Context, cmd *cli.Command) error {
-	n, without, err := part(cmd, map[string]failoversim.Without{"": {}, "token": {Token: true}, "rate": {Rate: true}, "fade": {Fade: true}, "plans": {Plans: true}})
+func simulateFailover(ctx context.Context, cmd *cli.Command) error {
+	n, without, err := scheduleFlags(cmd, map[string]failoversim.Without{"": {}, "token": {Token: true}, "rate": {Rate: true}, "fade": {Fade: true}, "plans": {Plans: true}})
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 		}
 	}
 	if o.Broken() > 0 {
-		return no("what must hold is broken %d times, first by schedule %d", o.Broken(), o.First)
+		return negativeAnswer("what must hold is broken %d times, first by schedule %d", o.Broken(), o.First)
 	}
 	return nil
 }
--- a/cmd/tulipctl/lease.go
+++ b/cmd/tulipctl/lease.go
@@ -31,44 +31,44 @@
 func leaseCommand() *cli.Command {
 	name := []cli.Argument{&cli.StringArg{Name: "name", UsageText: "NAME"}}
 	return &cli.Command{Name: "lease", Usage: "leases for tasks of which one, or some, may do one at a time", Commands: []*cli.Command{
-		{Name: "list", Usage: "who holds what", Action: leaseList, Flags: []cli.Flag{agentsFlag(), withinFlag(), jsonFlag}},
-		{Name: "show", Usage: "all that is known of one", ArgsUsage: "NAME", Arguments: name, Action: leaseList,
+		{Name: "list", Usage: "who holds what", Action: listLeases, Flags: []cli.Flag{agentsFlag(), withinFlag(), jsonFlag}},
+		{Name: "show", Usage: "all that is known of one", ArgsUsage: "NAME", Arguments: name, Action: listLeases,
 			Flags: []cli.Flag{agentsFlag(), withinFlag(), jsonFlag}},
-		{Name: "run", Usage: "hold a lease while a command runs; it is killed when the lease is in doubt", ArgsUsage: "NAME -- COMMAND…", Action: leaseRun,
+		{Name: "run", Usage: "hold a lease while a command runs; it is killed when the lease is in doubt", ArgsUsage: "NAME -- COMMAND…", Action: runUnderLease,
 			Flags: []cli.Flag{agentsFlag(), withinFlag(),
 				&cli.DurationFlag{Name: "for", Value: 5 * time.Second, Usage: "`TIME` that the lease lasts without being renewed"},
 				&cli.DurationFlag{Name: "wait", Usage: "`TIME` to wait for it while others hold it"}}},
-		{Name: "release", Usage: "end one by its token; its holder may still be acting", ArgsUsage: "NAME TOKEN", Action: leaseRelease,
+		{Name: "release", Usage: "end one by its token; its holder may still be acting", ArgsUsage: "NAME TOKEN", Action: releaseLease,
 			Flags: []cli.Flag{agentsFlag(), withinFlag()}},
-		{Name: "note", Usage: "put another note in the place of the last holder's; empty: none", ArgsUsage: "NAME TEXT", Action: leaseNote,
+		{Name: "note", Usage: "put another note in the place of the last holder's; empty: none", ArgsUsage: "NAME TEXT", Action: setLeaseNote,
 			Flags: []cli.Flag{agentsFlag(), withinFlag()}},
-		{Name: "seats", Usage: "say how many may hold it at a time", ArgsUsage: "NAME NUMBER", Action: leaseSeats,
+		{Name: "slots", Usage: "set how many may hold it at a time", ArgsUsage: "NAME NUMBER", Action: setLeaseSlots,
 			Flags: []cli.Flag{agentsFlag(), withinFlag()}},
 	}}
 }
 
 func agentsCommand() *cli.Command {
 	return &cli.Command{Name: "agents", Usage: "the group that decides on leases", Commands: []*cli.Command{
-		{Name: "status", Usage: "what each agent knows", Action: agentsStatus, Flags: []cli.Flag{agentsFlag(), withinFlag(), jsonFlag}},
-		{Name: "change", Usage: "add and remove members in one step", Action: agentsChange, Flags: []cli.Flag{agentsFlag(),
+		{Name: "status", Usage: "what each agent knows", Action: printAgentStatus, Flags: []cli.Flag{agentsFlag(), withinFlag(), jsonFlag}},
+		{Name: "change", Usage: "add and remove members in one step", Action: changeAgents, Flags: []cli.Flag{agentsFlag(),
 			&cli.DurationFlag{Name: "within", Value: time.Minute, Usage: "`TIME` for who is added to catch up"},
 			&cli.StringSliceFlag{Name: "add", Usage: "`ID=ADDRESS` of a member that joins"},
 			&cli.StringSliceFlag{Name: "remove", Usage: "`ID` of a member that leaves"}}},
 	}}
 }
 
-// asking returns a client, and a time for what is asked.
-func asking(ctx context.Context, cmd *cli.Command) (*agent.Client, context.Context, context.CancelFunc) {
+// agentClient returns a client, and a time for what is asked.
+func agentClient(ctx context.Context, cmd *cli.Command) (*agent.Client, context.Context, context.CancelFunc) {
 	ctx, stop := context.WithTimeout(ctx, cmd.Duration("within"))
 	return agent.NewClient(cmd.StringSlice("agents"), nil), ctx, stop
 }
 
-func leaseList(ctx context.Context, cmd *cli.Command) error {
-	c, ctx, stop := asking(ctx, cmd)
+func listLeases(ctx context.Context, cmd *cli.Command) error {
+	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
 	v, err := c.ReadStatus(ctx)
 	if err != nil {
-		return no("leases: %v", err)
+		return negativeAnswer("leases: %v", err)
 	}
 	name := cmd.StringArg("name")
 	if cmd.Name == "show" {
@@ -100,7 +100,7 @@
 		}
 	}
 	if cmd.Name == "show" && len(v.Leases) == 0 {
-		return no("nobody holds %q", name)
+		return negativeAnswer("nobody holds %q", name)
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 // margin is how long before a lease may end nothing is begun, and nothing of what was begun is left.
 const margin = 200 * time.Millisecond
 
-func leaseRun(ctx context.Context, cmd *cli.Command) error {
+func runUnderLease(ctx context.Context, cmd *cli.Command) error {
 	args := cmd.Args().Slice()
 	if len(args) > 1 && args[1] == "--" {
 		args = slices.Delete(args, 1, 2)
@@ -128,26 +128,26 @@
 	l, err := agent.Acquire(asked, c, agent.LeaseOptions{Name: args[0], Duration: cmd.Duration("for"), Margin: margin, RetryInterval: again})
 	stop()
 	if err != nil {
-		return no("lease %s: %v", args[0], err)
+		return negativeAnswer("lease %s: %v", args[0], err)
 	}
 	err = underLease(ctx, cmd, l, nil, args[1:])
-	let(ctx, cmd, l, within)
+	releaseWithin(ctx, cmd, l, within)
 	if errors.Is(err, deadlineexec.ErrKilled) {
 		why := l.Reason()
 		if ctx.Err() != nil {
 			why = errors.New("interrupted")
 		}
-		return no("lease %s: %v: the command was ended", args[0], why)
+		return negativeAnswer("lease %s: %v: the command was ended", args[0], why)
 	}
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
-		return no("lease %s: the command ended with %v", args[0], exit)
+		return negativeAnswer("lease %s: the command ended with %v", args[0], exit)
 	}
 	return err
 }
 
-// let lets a lease go, unless it ends by itself.
-func let(ctx context.Context, cmd *cli.Command, l *agent.Lease, within time.Duration) {
+// releaseWithin lets a lease go, unless it ends by itself.
+func releaseWithin(ctx context.Context, cmd *cli.Command, l *agent.Lease, within time.Duration) {
 	if l.Reason() != nil {
 		return
 	}
@@ -185,50 +185,50 @@
 	return p.Wait()
 }
 
-func leaseRelease(ctx context.Context, cmd *cli.Command) error {
+func releaseLease(ctx context.Context, cmd *cli.Command) error {
 	token, err := strconv.ParseUint(cmd.Args().Get(1), 10, 64)
 	if err != nil {
 		return errors.New("lease release: NAME TOKEN, please; lease list shows tokens")
 	}
-	c, ctx, stop := asking(ctx, cmd)
+	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
 	if _, err := c.Do(ctx, "release", lease.Command{Name: cmd.Args().Get(0), Token: lease.Token(token)}); err != nil {
-		return no("lease release: %v", err)
+		return negativeAnswer("lease release: %v", err)
 	}
 	return nil
 }
 
-func leaseNote(ctx context.Context, cmd *cli.Command) error {
+func setLeaseNote(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 2 {
 		return errors.New("lease note: NAME TEXT, please")
 	}
-	c, ctx, stop := asking(ctx, cmd)
+	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
 	l, err := agent.Acquire(ctx, c, agent.LeaseOptions{Name: cmd.Args().Get(0), Duration: 2 * time.Second})
 	if err != nil {
-		return no("lease note: %v", err)
+		return negativeAnswer("lease note: %v", err)
 	}
 	if err := errors.Join(l.Note(ctx, cmd.Args().Get(1)), l.Release(ctx)); err != nil {
-		return no("lease note: %v", err)
+		return negativeAnswer("lease note: %v", err)
 	}
 	return nil
 }
 
-func leaseSeats(ctx context.Context, cmd *cli.Command) error {
+func setLeaseSlots(ctx context.Context, cmd *cli.Command) error {
 	most, err := strconv.Atoi(cmd.Args().Get(1))
 	if err != nil {
 		return errors.New("lease seats: NAME NUMBER, please")
 	}
-	c, ctx, stop := asking(ctx, cmd)
+	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
 	if _, err := c.Do(ctx, "most", lease.Command{Name: cmd.Args().Get(0), MaxHolders: most}); err != nil {
-		return no("lease seats: %v", err)
+		return negativeAnswer("lease seats: %v", err)
 	}
 	return nil
 }
 
-func agentsStatus(ctx context.Context, cmd *cli.Command) error {
-	c, ctx, stop := asking(ctx, cmd)
+func printAgentStatus(ctx context.Context, cmd *cli.Command) error {
+	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
 	type line struct {
 		Address string `json:"address"`
@@ -266,12 +266,12 @@
 		}
 	}
 	if 2*led <= of || of == 0 {
-		return no("%d agents that answer know a leader, of %d members: no majority is seen from here", led, of)
+		return negativeAnswer("%d agents that answer know a leader, of %d members: no majority is seen from here", led, of)
 	}
 	return nil
 }
 
-func agentsChange(ctx context.Context, cmd *cli.Command) error {
+func changeAgents(ctx context.Context, cmd *cli.Command) error {
 	change := agent.MembershipChange{Add: map[uint64]string{}}
 	for _, m := range cmd.StringSlice("add") {
 		number, address, ok := strings.Cut(m, "=")
@@ -291,10 +291,10 @@
 		}
 		change.Remove = append(change.Remove, id)
 	}
-	c, ctx, stop := asking(ctx, cmd)
+	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
 	if err := c.ChangeMembers(ctx, change); err != nil {
-		return no("agents change: %v", err)
+		return negativeAnswer("agents change: %v", err)
 	}
 	return nil
 }
--- a/cmd/tulipctl/load.go
+++ b/cmd/tulipctl/load.go
@@ -35,35 +35,35 @@
 	file := []cli.Argument{&cli.StringArg{Name: "file", UsageText: "FILE"}}
 	return &cli.Command{Name: "load", Usage: "call a running target by a schedule that does not wait for answers", Commands: []*cli.Command{
 		{Name: "run", Usage: "run a scenario's clients; exit 3 if the schedule was not kept", Arguments: file, ArgsUsage: "SCENARIO",
-			Action: loadRun, Flags: []cli.Flag{target, seed, conns, lag, perS, seconds, jsonFlag,
+			Action: runLoad, Flags: []cli.Flag{target, seed, conns, lag, perS, seconds, jsonFlag,
 				&cli.StringFlag{Name: "hgrm", Usage: "percentiles in .hgrm form to `FILE`"},
 				&cli.StringFlag{Name: "hlog", Usage: "a histogram a second in HdrHistogram's log form to `FILE`"},
 				&cli.StringFlag{Name: "plot", Usage: "latency over time, drawn to `FILE`"},
 				&cli.StringFlag{Name: "record", Usage: "the calls as a trace to `FILE`, gzipped if it ends in .gz"}}},
 		{Name: "find", Usage: "find the highest rate at which p99 and the share not served stay within bounds", Arguments: file,
-			ArgsUsage: "SCENARIO", Action: loadFind, Flags: []cli.Flag{target, seed, conns, lag, seconds, jsonFlag,
+			ArgsUsage: "SCENARIO", Action: findRate, Flags: []cli.Flag{target, seed, conns, lag, seconds, jsonFlag,
 				&cli.FloatFlag{Name: "from", Value: 100, Usage: "first rate"}, &cli.FloatFlag{Name: "to", Value: 100000, Usage: "last rate"},
-				&cli.DurationFlag{Name: "p99", Value: 50 * time.Millisecond}, &cli.FloatFlag{Name: "refused", Value: 0.01},
+				&cli.DurationFlag{Name: "p99", Value: 50 * time.Millisecond}, &cli.FloatFlag{Name: "rejected", Value: 0.01},
 				&cli.FloatFlag{Name: "close", Value: 0.05, Usage: "how near the ends of the bracket must be, as a ratio"},
-				&cli.IntFlag{Name: "sure", Value: 3, Usage: "runs at each end"}}},
+				&cli.IntFlag{Name: "confirmations", Value: 3, Usage: "runs at each end"}}},
 		{Name: "compare", Usage: "the same schedule against several targets in turn, each NAME=ADDRESS or NAME=ADDRESS,PID", ArgsUsage: "SCENARIO",
-			Arguments: file, Action: loadCompare, Flags: []cli.Flag{target, seed, conns, lag, perS, seconds, jsonFlag,
+			Arguments: file, Action: compareTargets, Flags: []cli.Flag{target, seed, conns, lag, perS, seconds, jsonFlag,
 				&cli.IntFlag{Name: "rounds", Value: 5}}},
-		{Name: "verify", Usage: "hold the generator against stand-ins with known delays; exit 1 beyond the bound", Action: loadVerify,
+		{Name: "verify", Usage: "hold the generator against stand-ins with known delays; exit 1 beyond the bound", Action: verifyLoad,
 			Flags: []cli.Flag{&cli.FloatFlag{Name: "per-s", Value: 1000}, &cli.FloatFlag{Name: "seconds", Value: 10},
 				&cli.DurationFlag{Name: "bound", Value: time.Millisecond}, jsonFlag}},
-		{Name: "record", Usage: "make a trace of a world's event log", Arguments: file, ArgsUsage: "LOG", Action: loadRecord,
+		{Name: "record", Usage: "make a trace of a world's event log", Arguments: file, ArgsUsage: "LOG", Action: recordTrace,
 			Flags: []cli.Flag{&cli.StringFlag{Name: "scenario", Required: true}, &cli.StringFlag{Name: "out", Required: true}}},
-		{Name: "null", Usage: "a box that answers at once, until interrupted", Action: loadNull,
+		{Name: "null", Usage: "a box that answers at once, until interrupted", Action: serveNull,
 			Flags: []cli.Flag{&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0"}}},
-		{Name: "proxy", Usage: "the yardstick: Go's own reverse proxy over boxes chosen at random, until interrupted", Action: loadProxy,
-			Flags: []cli.Flag{&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0"}, &cli.StringSliceFlag{Name: "box", Required: true}}},
+		{Name: "proxy", Usage: "the yardstick: Go's own reverse proxy over boxes chosen at random, until interrupted", Action: serveProxy,
+			Flags: []cli.Flag{&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0"}, &cli.StringSliceFlag{Name: "backend", Required: true}}},
 	}}
 }
 
-// planOf reads the scenario named and what the flags change in it.
-func planOf(cmd *cli.Command) (load.Plan, error) {
-	name, err := fileOf(cmd)
+// loadPlan reads the scenario named and what the flags change in it.
+func loadPlan(cmd *cli.Command) (load.Plan, error) {
+	name, err := fileArgument(cmd)
 	if err != nil {
 		return load.Plan{}, err
 	}
@@ -81,7 +81,7 @@
 		return load.Plan{}, fmt.Errorf("%s: %w", name, err)
 	}
 	seed := cmd.Uint64("seed")
-	live := emulator.NewLive(sc, seed, quiet{})
+	live := emulator.NewLive(sc, seed, discardEffects{})
 	return load.Plan{Scenario: sc, Seed: seed, Targets: cmd.StringSlice("target"), Conns: cmd.Int("conns"), Lag: cmd.Duration("lag"),
 		Capacity: live.Capacity(), Faults: emulator.Faults(sc, seed)}, nil
 }
@@ -99,8 +99,8 @@
 	return f, f.Close, nil
 }
 
-func loadRun(ctx context.Context, cmd *cli.Command) error {
-	plan, err := planOf(cmd)
+func runLoad(ctx context.Context, cmd *cli.Command) error {
+	plan, err := loadPlan(cmd)
 	if err != nil {
 		return err
 	}
@@ -154,22 +154,22 @@
 	if cmd.Bool("json") {
 		err = printJSON(cmd.Root().Writer, res)
 	} else {
-		err = printLoad(cmd, res)
+		err = printLoadResult(cmd, res)
 	}
-	return errors.Join(err, validity(res))
+	return errors.Join(err, validityError(res))
 }
 
-// validity is the exit status of a run that does not count.
-func validity(results ...*load.Result) error {
+// validityError is the exit status of a run that does not count.
+func validityError(results ...*load.Result) error {
 	for _, r := range results {
 		if !r.Valid {
-			return &answer{exitInvalid, fmt.Errorf("INVALID: %s", strings.Join(r.Invalid, "; "))}
+			return &exitError{exitInvalid, fmt.Errorf("INVALID: %s", strings.Join(r.Invalid, "; "))}
 		}
 	}
 	return nil
 }
 
-func printLoad(cmd *cli.Command, r *load.Result) error {
+func printLoadResult(cmd *cli.Command, r *load.Result) error {
 	out := cmd.Root().Writer
 	if !r.Valid {
 		fmt.Fprintf(out, "INVALID: %s\n", strings.Join(r.Invalid, "; "))
@@ -194,13 +194,13 @@
 	return t.Flush()
 }
 
-func loadFind(ctx context.Context, cmd *cli.Command) error {
-	plan, err := planOf(cmd)
+func findRate(ctx context.Context, cmd *cli.Command) error {
+	plan, err := loadPlan(cmd)
 	if err != nil {
 		return err
 	}
-	s := load.Search{Objective: load.Objective{P99: cmd.Duration("p99"), MaxRejectedShare: cmd.Float("refused")}, From: cmd.Float("from"), To: cmd.Float("to"),
-		Close: cmd.Float("close"), Confirmations: cmd.Int("sure")}
+	s := load.Search{Objective: load.Objective{P99: cmd.Duration("p99"), MaxRejectedShare: cmd.Float("rejected")}, From: cmd.Float("from"), To: cmd.Float("to"),
+		Close: cmd.Float("close"), Confirmations: cmd.Int("confirmations")}
 	if s.From <= 0 || s.To < s.From || s.Close <= 0 || s.Confirmations < 1 {
 		return fmt.Errorf("find: --from, --to, --close and --sure must be above 0, and --to not below --from")
 	}
@@ -231,7 +231,7 @@
 	}
 	switch {
 	case found.Low == 0:
-		return no("not even %.0f calls/s keeps p99 within %v and %.1f%% not served", s.From, s.P99, 100*s.MaxRejectedShare)
+		return negativeAnswer("not even %.0f calls/s keeps p99 within %v and %.1f%% not served", s.From, s.P99, 100*s.MaxRejectedShare)
 	case found.High == 0:
 		fmt.Fprintf(out, "at least %.0f calls/s (kept in %s)\n", found.Low, found.LowConfidence)
 	default:
@@ -240,8 +240,8 @@
 	return nil
 }
 
-func loadCompare(ctx context.Context, cmd *cli.Command) error {
-	plan, err := planOf(cmd)
+func compareTargets(ctx context.Context, cmd *cli.Command) error {
+	plan, err := loadPlan(cmd)
 	if err != nil {
 		return err
 	}
@@ -283,12 +283,12 @@
 		return err
 	}
 	if invalid > 0 {
-		return &answer{exitInvalid, fmt.Errorf("%d rounds did not count: the generator did not keep its schedule", invalid)}
+		return &exitError{exitInvalid, fmt.Errorf("%d rounds did not count: the generator did not keep its schedule", invalid)}
 	}
 	return nil
 }
 
-func loadVerify(ctx context.Context, cmd *cli.Command) error {
+func verifyLoad(ctx context.Context, cmd *cli.Command) error {
 	checks, runs, err := load.Verify(ctx, cmd.Float("per-s"), cmd.Float("seconds"), cmd.Duration("bound"))
 	if err != nil {
 		return err
@@ -311,17 +311,17 @@
 	if err != nil {
 		return err
 	}
-	if err := validity(runs...); err != nil {
+	if err := validityError(runs...); err != nil {
 		return err
 	}
 	if beyond > 0 {
-		return no("%d of %d figures lie more than %v off", beyond, len(checks), cmd.Duration("bound"))
+		return negativeAnswer("%d of %d figures lie more than %v off", beyond, len(checks), cmd.Duration("bound"))
 	}
 	return nil
 }
 
-func loadRecord(_ context.Context, cmd *cli.Command) error {
-	name, err := fileOf(cmd)
+func recordTrace(_ context.Context, cmd *cli.Command) error {
+	name, err := fileArgument(cmd)
 	if err != nil {
 		return err
 	}
@@ -346,7 +346,7 @@
 	return nil
 }
 
-func loadNull(ctx context.Context, cmd *cli.Command) error {
+func serveNull(ctx context.Context, cmd *cli.Command) error {
 	n, err := fake.StartNull(cmd.String("listen"), nil, nil)
 	if err != nil {
 		return err
@@ -357,10 +357,10 @@
 	return nil
 }
 
-func loadProxy(ctx context.Context, cmd *cli.Command) error {
+func serveProxy(ctx context.Context, cmd *cli.Command) error {
 	listen := cmd.String("listen")
 	var boxes []*url.URL
-	for _, a := range append(cmd.StringSlice("box"), listen) {
+	for _, a := range append(cmd.StringSlice("backend"), listen) {
 		if err := loopback.Check(a); err != nil {
 			return err
 		}
@@ -386,7 +386,7 @@
 	return nil
 }
 
-// quiet hears nothing: it is for reading figures off a fleet that is not played.
-type quiet struct{ emulator.Effects }
+// discardEffects hears nothing: it is for reading figures off a fleet that is not played.
+type discardEffects struct{ emulator.Effects }
 
-func (quiet) Listed(emulator.EndpointEntry) {}
+func (discardEffects) Listed(emulator.EndpointEntry) {}
--- a/cmd/tulipctl/main.go
+++ b/cmd/tulipctl/main.go
@@ -31,16 +31,18 @@
 	exitInvalid  = 3 // it was measured, but the measurement does not count
 )
 
-// answer is an error that carries the exit status of what was found, not of what could not be started.
-type answer struct {
+// exitError is an error that carries the exit status of what was found, not of what could not be started.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (a *answer) Error() string { return a.err.Error() }
-func (a *answer) Unwrap() error { return a.err }
+func (a *exitError) Error() string { return a.err.Error() }
+func (a *exitError) Unwrap() error { return a.err }
 
-func no(format string, args ...any) error { return &answer{exitNo, fmt.Errorf(format, args...)} }
+func negativeAnswer(format string, args ...any) error {
+	return &exitError{exitNo, fmt.Errorf(format, args...)}
+}
 
 func main() {
 	deadlineexec.Role(agent.Clock)
@@ -57,7 +59,7 @@
 		Writer:         stdout,
 		ErrWriter:      stderr,
 		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // the exit status is chosen below
-		Commands:       []*cli.Command{agentsCommand(), demoCommand(), labCommand(), leaseCommand(), loadCommand(), rollCommand(), worldCommand()},
+		Commands:       []*cli.Command{agentsCommand(), demoCommand(), simulateCommand(), leaseCommand(), loadCommand(), rolloutCommand(), clusterCommand()},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if name := cmd.Args().First(); name != "" {
 				return fmt.Errorf("there is no command %q; see tulipctl --help", name)
@@ -65,12 +67,12 @@
 			return cli.ShowAppHelp(cmd)
 		},
 	}
-	err := root.Run(ctx, args)
+	err := root.Run(ctx, translateLegacyNames(args))
 	if err == nil {
 		return exitDone
 	}
 	fmt.Fprintln(stderr, "tulipctl:", strings.TrimSpace(err.Error()))
-	var a *answer
+	var a *exitError
 	if errors.As(err, &a) {
 		return a.code
 	}
@@ -101,8 +103,8 @@
 	}
 }
 
-// part reads --schedules and --without of a command that plays schedules; parts are by name, and "" is none left out.
-func part[T any](cmd *cli.Command, parts map[string]T) (schedules int, without T, err error) {
+// scheduleFlags reads --schedules and --without of a command that plays schedules; parts are by name, and "" is none left out.
+func scheduleFlags[T any](cmd *cli.Command, parts map[string]T) (schedules int, without T, err error) {
 	schedules = cmd.Int("schedules")
 	if schedules < 1 {
 		return 0, without, fmt.Errorf("%s: --schedules must be above 0", cmd.Name)
--- a/cmd/tulipctl/processes.go
+++ b/cmd/tulipctl/processes.go
@@ -16,16 +16,16 @@
 	"tulipglade/internal/simulation/experiment"
 )
 
-// played is what schedules between processes have shown, together.
-type played struct {
+// scheduleRun is what schedules between processes have shown, together.
+type scheduleRun struct {
 	processtest.Findings
 	Schedules int    `json:"schedules"`
 	Idle      int    `json:"idle"`
 	First     uint64 `json:"first,omitempty"` // that broke something
 }
 
-func labProcesses(ctx context.Context, cmd *cli.Command) error {
-	n, without, err := part(cmd, map[string]processtest.Without{"": {}, "guard": {Guard: true}, "fence": {Fence: true}, "sync": {Sync: true}})
+func testProcesses(ctx context.Context, cmd *cli.Command) error {
+	n, without, err := scheduleFlags(cmd, map[string]processtest.Without{"": {}, "guard": {Guard: true}, "fence": {Fence: true}, "sync": {Sync: true}})
 	if err != nil {
 		return err
 	}
@@ -34,7 +34,7 @@
 		return errors.New("processes: --at-once must be above 0")
 	}
 	const most = int64(time.Minute / time.Millisecond)
-	all := played{}
+	all := scheduleRun{}
 	show, done := progress(cmd.Root().ErrWriter, "processes"), 0
 	var failed error
 	err = processtest.Schedules(ctx, cmd.Uint64("seed"), n, atOnce, without, func(seed uint64, f processtest.Findings, err error) {
@@ -105,12 +105,12 @@
 		}
 	}
 	if len(all.Broken)+all.Idle > 0 {
-		return no("what must hold is broken %d times, first by schedule %d", len(all.Broken)+all.Idle, all.First)
+		return negativeAnswer("what must hold is broken %d times, first by schedule %d", len(all.Broken)+all.Idle, all.First)
 	}
 	return nil
 }
 
-func labAgents(ctx context.Context, cmd *cli.Command) error {
+func measureAgents(ctx context.Context, cmd *cli.Command) error {
 	elections, holders := cmd.Int("elections"), cmd.Int("holders")
 	if elections < 1 || holders < 1 || cmd.Duration("length") < time.Second {
 		return errors.New("agents: --elections and --holders must be above 0, --length 1s at least")
--- a/cmd/tulipctl/roll.go
+++ b/cmd/tulipctl/rollout.go
@@ -18,9 +18,9 @@
 	"tulipglade/internal/tomlfile"
 )
 
-func rollCommand() *cli.Command {
-	return &cli.Command{Name: "roll", Usage: "change nodes site by site, a few at a time; whoever holds the lease goes on where the one before died",
-		ArgsUsage: "-- COMMAND…", Action: rollRun, Flags: []cli.Flag{agentsFlag(),
+func rolloutCommand() *cli.Command {
+	return &cli.Command{Name: "rollout", Usage: "change nodes site by site, a few at a time; whoever holds the lease goes on where the one before died",
+		ArgsUsage: "-- COMMAND…", Action: runRollout, Flags: []cli.Flag{agentsFlag(),
 			&cli.StringFlag{Name: "nodes", Usage: "`FILE` of the fleet: [[node]] name, site, operator, listen", Required: true},
 			&cli.StringFlag{Name: "change", Usage: "`NAME` of this change: the same for whoever may take over", Required: true},
 			&cli.IntFlag{Name: "at-once", Value: 1, Usage: "`N` nodes of one site away at a time"},
@@ -45,7 +45,7 @@
 	roll *rollout.Rollout
 }
 
-func rollRun(ctx context.Context, cmd *cli.Command) error {
+func runRollout(ctx context.Context, cmd *cli.Command) error {
 	args := cmd.Args().Slice()
 	if len(args) == 0 {
 		return errors.New("roll: -- COMMAND, please")
@@ -74,32 +74,32 @@
 	l, err := agent.Acquire(asked, c, agent.LeaseOptions{Name: cmd.String("lease"), Duration: cmd.Duration("for"), Margin: margin, RetryInterval: again})
 	stop()
 	if err != nil {
-		return no("roll: lease %s: %v", cmd.String("lease"), err)
+		return negativeAnswer("roll: lease %s: %v", cmd.String("lease"), err)
 	}
-	defer let(ctx, cmd, l, cmd.Duration("within"))
-	note, err := noteOf(ctx, c, l, cmd.Duration("within"))
+	defer releaseWithin(ctx, cmd, l, cmd.Duration("within"))
+	note, err := readNote(ctx, c, l, cmd.Duration("within"))
 	if err != nil {
-		return no("roll: %v", err)
+		return negativeAnswer("roll: %v", err)
 	}
 	r := &roller{cmd: cmd, l: l, args: args, http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}}
 	if r.roll, err = rollout.New(fleet.Node, cmd.Int("at-once"), cmd.String("change"), note); err != nil {
-		return no("roll: %v; finish that first, or end it: tulipctl lease note %s \"\"", err, cmd.String("lease"))
+		return negativeAnswer("roll: %v; finish that first, or end it: tulipctl lease note %s \"\"", err, cmd.String("lease"))
 	}
 	// Nodes that are done learn of this holder, so that they refuse the one before, should it go on.
 	for _, n := range fleet.Node {
 		for _, name := range r.roll.Finished() {
 			if n.Name == name && note != "" {
 				if err := r.put(ctx, n, "active"); err != nil {
-					return no("roll: %v", err)
+					return negativeAnswer("roll: %v", err)
 				}
 			}
 		}
 	}
-	return r.all(ctx, len(fleet.Node))
+	return r.runAll(ctx, len(fleet.Node))
 }
 
-// noteOf is what the holder before has left.
-func noteOf(ctx context.Context, c *agent.Client, l *agent.Lease, within time.Duration) (string, error) {
+// readNote is what the holder before has left.
+func readNote(ctx context.Context, c *agent.Client, l *agent.Lease, within time.Duration) (string, error) {
 	ctx, stop := context.WithTimeout(ctx, within)
 	defer stop()
 	v, err := c.ReadStatus(ctx)
@@ -115,8 +115,8 @@
 	return "", agent.ErrUncertain
 }
 
-// all goes on until there is nothing left to do, or something has failed.
-func (r *roller) all(ctx context.Context, of int) error {
+// runAll goes on until there is nothing left to do, or something has failed.
+func (r *roller) runAll(ctx context.Context, of int) error {
 	type end struct {
 		rollout.Task
 		err error
@@ -137,7 +137,7 @@
 			tasks = nil
 		}
 		for _, t := range tasks {
-			go func() { ends <- end{t, r.one(ctx, t)} }()
+			go func() { ends <- end{t, r.runNode(ctx, t)} }()
 		}
 		if r.running() == 0 {
 			break
@@ -154,7 +154,7 @@
 		r.mu.Unlock()
 	}
 	if failed != nil {
-		return no("roll: %v; what was begun is written down: the same command goes on", failed)
+		return negativeAnswer("roll: %v; what was begun is written down: the same command goes on", failed)
 	}
 	fmt.Fprintf(r.cmd.Root().Writer, "%s: all %d nodes are done\n", r.cmd.String("change"), of)
 	return nil
@@ -179,12 +179,12 @@
 	return r.l.Note(ctx, r.roll.Note())
 }
 
-// one takes one node through what is left of its steps.
-func (r *roller) one(ctx context.Context, t rollout.Task) error {
+// runNode takes one node through what is left of its steps.
+func (r *roller) runNode(ctx context.Context, t rollout.Task) error {
 	fmt.Fprintf(r.cmd.Root().Writer, "%s: %s%s\n", t.Name, t.Step, map[bool]string{true: ", taken over"}[t.Retry])
 	step := t.Step
 	if t.Retry && step == rollout.Change {
-		if step = r.whereItStands(ctx, t.Node); step == rollout.Resume {
+		if step = r.currentStep(ctx, t.Node); step == rollout.Resume {
 			fmt.Fprintf(r.cmd.Root().Writer, "%s: it has had the command\n", t.Name)
 		}
 	}
@@ -212,7 +212,7 @@
 			return err
 		}
 	}
-	for till := time.Now().Add(r.cmd.Duration("up")); !r.yes(ctx, "GET", "http://"+t.Admin+"/status"); {
+	for till := time.Now().Add(r.cmd.Duration("up")); !r.succeeds(ctx, "GET", "http://"+t.Admin+"/status"); {
 		if time.Now().After(till) {
 			return fmt.Errorf("it does not serve within %v after the command", r.cmd.Duration("up"))
 		}
@@ -223,12 +223,12 @@
 	return r.put(ctx, t.Node, "active")
 }
 
-// whereItStands finds out whether a node has had the command whose caller died: a standby does not outlive the process.
-func (r *roller) whereItStands(ctx context.Context, n rollout.Node) rollout.Step {
+// currentStep finds out whether a node has had the command whose caller died: a standby does not outlive the process.
+func (r *roller) currentStep(ctx context.Context, n rollout.Node) rollout.Step {
 	for range 100 { // what has just been started needs its list of backends first
 		switch {
-		case !r.yes(ctx, "GET", "http://"+n.Admin+"/status"):
-		case r.yes(ctx, "GET", "http://"+n.Listen+"/ready"):
+		case !r.succeeds(ctx, "GET", "http://"+n.Admin+"/status"):
+		case r.succeeds(ctx, "GET", "http://"+n.Listen+"/ready"):
 			return rollout.Resume
 		default:
 			return rollout.Change
@@ -249,7 +249,7 @@
 	}
 }
 
-func (r *roller) yes(ctx context.Context, method, url string) bool {
+func (r *roller) succeeds(ctx context.Context, method, url string) bool {
 	status, _, err := r.call(ctx, method, url)
 	return err == nil && status == 200
 }
@@ -276,7 +276,7 @@
 		if err != nil {
 			return err
 		}
-		status, text, err := r.call(ctx, "PUT", under(g, "http://"+n.Admin+"/"+what))
+		status, text, err := r.call(ctx, "PUT", withLeaseToken(g, "http://"+n.Admin+"/"+what))
 		switch {
 		case err == nil && status == 200:
 			return nil
@@ -293,6 +293,6 @@
 	return last
 }
 
-func under(g lease.Grant, url string) string {
+func withLeaseToken(g lease.Grant, url string) string {
 	return fmt.Sprintf("%s?lease=%s&seat=%d&token=%d", url, g.Name, g.Slot, g.Token)
 }
--- a/cmd/tulipctl/lab.go
+++ b/cmd/tulipctl/simulate.go
@@ -22,70 +22,70 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-func labCommand() *cli.Command {
+func simulateCommand() *cli.Command {
 	seed := &cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed `N`: the same scenario, policy and seed give the same run"}
 	policies := &cli.StringSliceFlag{Name: "policy", Value: []string{policy.Module},
 		Usage: "`NAME`, repeated or with commas; all for every one of: " + strings.Join(policy.Names(), ", ")}
 	file := []cli.Argument{&cli.StringArg{Name: "file", UsageText: "FILE"}}
 	return &cli.Command{
-		Name:  "lab",
+		Name:  "simulate",
 		Usage: "try designs on an emulated fleet, in virtual time",
 		Commands: []*cli.Command{
-			{Name: "scenarios", Usage: "list the scenarios that come with the program", Action: labScenarios, Flags: []cli.Flag{jsonFlag}},
-			{Name: "show", Usage: "print a scenario whole, defaults included, as TOML", Arguments: file, ArgsUsage: "FILE", Action: labShow},
-			{Name: "run", Usage: "play a scenario; exit 1 if a rule is broken", Arguments: file, ArgsUsage: "FILE", Action: labRun,
+			{Name: "scenarios", Usage: "list the scenarios that come with the program", Action: listScenarios, Flags: []cli.Flag{jsonFlag}},
+			{Name: "show", Usage: "print a scenario whole, defaults included, as TOML", Arguments: file, ArgsUsage: "FILE", Action: showScenario},
+			{Name: "run", Usage: "play a scenario; exit 1 if a rule is broken", Arguments: file, ArgsUsage: "FILE", Action: runScenario,
 				Flags: []cli.Flag{seed, policies, jsonFlag, &cli.StringFlag{Name: "plots", Usage: "draw into `FOLDER`"},
 					&cli.StringFlag{Name: "format", Value: "svg", Usage: "of plots: svg or png"},
 					&cli.BoolFlag{Name: "log", Usage: "print what the policies log"}}},
 			{Name: "sweep", Usage: "play a grid of scenarios on all cores; goes on where it was cut short", Arguments: file,
-				ArgsUsage: "FILE", Action: labSweep, Flags: []cli.Flag{
+				ArgsUsage: "FILE", Action: runSweep, Flags: []cli.Flag{
 					&cli.StringFlag{Name: "out", Required: true, Usage: "results as JSON lines, in `FILE`"},
 					&cli.StringFlag{Name: "csv", Usage: "and as a table, in `FILE`"}, jsonFlag}},
-			{Name: "compare", Usage: "compare results paired by seed; each is FILE or FILE@POLICY", ArgsUsage: "A B", Action: labCompare,
+			{Name: "compare", Usage: "compare results paired by seed; each is FILE or FILE@POLICY", ArgsUsage: "A B", Action: compareResults,
 				Arguments: []cli.Argument{&cli.StringArg{Name: "a"}, &cli.StringArg{Name: "b"}},
 				Flags: []cli.Flag{jsonFlag, &cli.StringSliceFlag{Name: "metric", Value: []string{"score"},
 					Usage: "`NAME`, of: " + strings.Join(experiment.MetricNames(), ", ")}}},
 			{Name: "shrink", Usage: "reduce a case that breaks a rule to the fewest faults and calls", Arguments: file, ArgsUsage: "FILE",
-				Action: labShrink, Flags: []cli.Flag{seed, policies, &cli.IntFlag{Name: "runs", Value: 2000, Usage: "at most `N` runs"},
+				Action: shrinkScenario, Flags: []cli.Flag{seed, policies, &cli.IntFlag{Name: "runs", Value: 2000, Usage: "at most `N` runs"},
 					&cli.StringFlag{Name: "out", Usage: "write the reduced scenario to `FILE` instead of standard output"}}},
-			{Name: "survey", Usage: "play deployments drawn over all that the protocol allows; exit 1 if the module fails one", Action: labSurvey,
+			{Name: "survey", Usage: "play deployments drawn over all that the protocol allows; exit 1 if the module fails one", Action: surveyDeployments,
 				Flags: []cli.Flag{seed, &cli.IntFlag{Name: "draws", Value: 300, Usage: "`N` deployments, of seeds that count up from --seed"},
 					&cli.FloatFlag{Name: "margin", Value: 0.02, Usage: "of the worth by which the module may serve less than " + experiment.Plain},
 					jsonFlag}},
 			{Name: "leases", Usage: "play leases under faults between processes, in virtual time; exit 1 if what must hold does not",
-				Action: labLeases, Flags: []cli.Flag{seed, &cli.IntFlag{Name: "schedules", Value: 10000, Usage: "`N`, of seeds that count up from --seed"},
+				Action: simulateLeases, Flags: []cli.Flag{seed, &cli.IntFlag{Name: "schedules", Value: 10000, Usage: "`N`, of seeds that count up from --seed"},
 					&cli.StringFlag{Name: "without", Usage: "leave out `PART`, to see what it is there for: guard, fence, clock, free or sync"},
 					&cli.IntFlag{Name: "members", Usage: "with a group of `N` members, each with a disk and a network between; 0: leaders that share one state"},
 					jsonFlag}},
-			{Name: "failover", Usage: "play failover between zones, in virtual time; exit 1 if what must hold does not", Action: labFailover,
+			{Name: "failover", Usage: "play failover between zones, in virtual time; exit 1 if what must hold does not", Action: simulateFailover,
 				Flags: []cli.Flag{seed, &cli.IntFlag{Name: "schedules", Value: 5000, Usage: "`N`, of seeds that count up from --seed"},
 					&cli.StringFlag{Name: "without", Usage: "leave out `PART`, to see what it is there for: token, rate, fade or plans"}, jsonFlag}},
-			{Name: "processes", Usage: "play leases under faults between real processes; exit 1 if what must hold does not", Action: labProcesses,
+			{Name: "processes", Usage: "play leases under faults between real processes; exit 1 if what must hold does not", Action: testProcesses,
 				Flags: []cli.Flag{seed, &cli.IntFlag{Name: "schedules", Value: 200, Usage: "`N`, of seeds that count up from --seed"},
 					&cli.IntFlag{Name: "at-once", Value: 4, Usage: "`N` schedules, of 7 to 9 processes each"},
 					&cli.StringFlag{Name: "without", Usage: "leave out `PART`, to see what it is there for: guard, fence or sync"},
 					&cli.BoolFlag{Name: "shrink", Usage: "the first schedule that breaks something to the fewest faults, with three tries each"}, jsonFlag}},
-			{Name: "agents", Usage: "measure groups of agents: elections, grants, what they cost", Action: labAgents, Flags: []cli.Flag{
+			{Name: "agents", Usage: "measure groups of agents: elections, grants, what they cost", Action: measureAgents, Flags: []cli.Flag{
 				&cli.IntSliceFlag{Name: "members", Value: []int{3, 5, 7}, Usage: "`N` of each group"},
 				&cli.IntFlag{Name: "elections", Value: 200, Usage: "`N`: the leader is killed as often"},
 				&cli.IntFlag{Name: "holders", Value: 300, Usage: "`N` that hold a lease each, and then ask for one at once"},
 				&cli.DurationFlag{Name: "length", Value: 10 * time.Second, Usage: "`TIME` of each measurement"}, jsonFlag}},
-			{Name: "verify", Usage: "hold the lab against queueing theory; exit 1 beyond the bound", Action: labVerify, Flags: []cli.Flag{
+			{Name: "verify", Usage: "hold the lab against queueing theory; exit 1 beyond the bound", Action: verifySimulation, Flags: []cli.Flag{
 				&cli.FloatFlag{Name: "bound", Value: 0.02, Usage: "relative error `X`"},
 				&cli.FloatFlag{Name: "effort", Value: 1, Usage: "times as many jobs; 1 takes minutes"}, jsonFlag}},
-			{Name: "cost", Usage: "measure the processor time of a decision by hosts and nodes", Action: labCost, Flags: []cli.Flag{
-				policies, &cli.IntSliceFlag{Name: "hosts", Value: []int{10, 100, 1000, 10000}},
+			{Name: "cost", Usage: "measure the processor time of a decision by hosts and nodes", Action: measureDecisionCost, Flags: []cli.Flag{
+				policies, &cli.IntSliceFlag{Name: "endpoints", Value: []int{10, 100, 1000, 10000}},
 				&cli.IntSliceFlag{Name: "nodes", Value: []int{3, 30, 300}},
 				&cli.DurationFlag{Name: "each", Value: 3 * time.Second, Usage: "`TIME` for each"},
 				&cli.StringFlag{Name: "plot", Usage: "draw to `FILE`"}, jsonFlag}},
 			{Name: "plot", Usage: "draw a metric of a sweep against a field that it varies", Arguments: file, ArgsUsage: "RESULTS",
-				Action: labPlot, Flags: []cli.Flag{&cli.StringFlag{Name: "field", Required: true}, &cli.StringFlag{Name: "out", Required: true},
+				Action: plotSweep, Flags: []cli.Flag{&cli.StringFlag{Name: "field", Required: true}, &cli.StringFlag{Name: "out", Required: true},
 					&cli.StringFlag{Name: "metric", Value: "worth"}}},
 		},
 	}
 }
 
-func fileOf(cmd *cli.Command) (string, error) {
+func fileArgument(cmd *cli.Command) (string, error) {
 	name := cmd.StringArg("file")
 	if name == "" {
 		return "", fmt.Errorf("%s: no %s is named", cmd.Name, cmd.ArgsUsage)
@@ -96,7 +96,7 @@
 	return name, nil
 }
 
-func policiesOf(cmd *cli.Command) ([]string, error) {
+func selectedPolicies(cmd *cli.Command) ([]string, error) {
 	names := cmd.StringSlice("policy")
 	if slices.Equal(names, []string{"all"}) {
 		return policy.Names(), nil
@@ -113,7 +113,7 @@
 	return tabwriter.NewWriter(cmd.Root().Writer, 0, 0, 2, ' ', 0)
 }
 
-func labScenarios(_ context.Context, cmd *cli.Command) error {
+func listScenarios(_ context.Context, cmd *cli.Command) error {
 	type line struct {
 		Name  string `json:"name"`
 		About string `json:"about"`
@@ -136,8 +136,8 @@
 	return t.Flush()
 }
 
-func labShow(_ context.Context, cmd *cli.Command) error {
-	name, err := fileOf(cmd)
+func showScenario(_ context.Context, cmd *cli.Command) error {
+	name, err := fileArgument(cmd)
 	if err != nil {
 		return err
 	}
@@ -153,12 +153,12 @@
 	return err
 }
 
-func labRun(_ context.Context, cmd *cli.Command) error {
-	name, err := fileOf(cmd)
+func runScenario(_ context.Context, cmd *cli.Command) error {
+	name, err := fileArgument(cmd)
 	if err != nil {
 		return err
 	}
-	names, err := policiesOf(cmd)
+	names, err := selectedPolicies(cmd)
 	if err != nil {
 		return err
 	}
@@ -204,7 +204,7 @@
 		}
 	}
 	if broken > 0 {
-		return no("%s: rules were broken; see above", sc.Name)
+		return negativeAnswer("%s: rules were broken; see above", sc.Name)
 	}
 	return nil
 }
@@ -251,8 +251,8 @@
 	return strings.Join(parts, ", ")
 }
 
-func labSweep(ctx context.Context, cmd *cli.Command) error {
-	name, err := fileOf(cmd)
+func runSweep(ctx context.Context, cmd *cli.Command) error {
+	name, err := fileArgument(cmd)
 	if err != nil {
 		return err
 	}
@@ -313,7 +313,7 @@
 	return t.Flush()
 }
 
-func rowsOf(arg string) ([]experiment.Row, error) {
+func readRows(arg string) ([]experiment.Row, error) {
 	file, pol, one := strings.Cut(arg, "@")
 	rows, err := experiment.ReadRows(file)
 	if err != nil {
@@ -333,15 +333,15 @@
 	return rows, nil
 }
 
-func labCompare(_ context.Context, cmd *cli.Command) error {
+func compareResults(_ context.Context, cmd *cli.Command) error {
 	if cmd.StringArg("a") == "" || cmd.StringArg("b") == "" {
 		return fmt.Errorf("compare: two files of results are needed, A and B")
 	}
-	a, err := rowsOf(cmd.StringArg("a"))
+	a, err := readRows(cmd.StringArg("a"))
 	if err != nil {
 		return err
 	}
-	b, err := rowsOf(cmd.StringArg("b"))
+	b, err := readRows(cmd.StringArg("b"))
 	if err != nil {
 		return err
 	}
@@ -369,12 +369,12 @@
 	return t.Flush()
 }
 
-func labShrink(_ context.Context, cmd *cli.Command) error {
-	name, err := fileOf(cmd)
+func shrinkScenario(_ context.Context, cmd *cli.Command) error {
+	name, err := fileArgument(cmd)
 	if err != nil {
 		return err
 	}
-	names, err := policiesOf(cmd)
+	names, err := selectedPolicies(cmd)
 	if err != nil {
 		return err
 	}
@@ -387,7 +387,7 @@
 	}
 	s, err := experiment.Shrink(sc, names[0], cmd.Uint64("seed"), cmd.Int("runs"))
 	if err == experiment.ErrNothingBroken {
-		return no("%s, policy %s, seed %d: %w", sc.Name, names[0], cmd.Uint64("seed"), err)
+		return negativeAnswer("%s, policy %s, seed %d: %w", sc.Name, names[0], cmd.Uint64("seed"), err)
 	}
 	if err != nil {
 		return err
@@ -408,7 +408,7 @@
 	return nil
 }
 
-func labSurvey(ctx context.Context, cmd *cli.Command) error {
+func surveyDeployments(ctx context.Context, cmd *cli.Command) error {
 	draws, margin := cmd.Int("draws"), cmd.Float("margin")
 	if draws < 1 || margin < 0 {
 		return fmt.Errorf("survey: --draws must be above 0 and --margin not below")
@@ -443,13 +443,13 @@
 		fmt.Fprintf(cmd.Root().Writer, "%d draws, %d failed\n", draws, len(failed))
 	}
 	if len(failed) > 0 {
-		return no("%d of %d deployments fail", len(failed), draws)
+		return negativeAnswer("%d of %d deployments fail", len(failed), draws)
 	}
 	return nil
 }
 
-func labLeases(ctx context.Context, cmd *cli.Command) error {
-	n, without, err := part(cmd, map[string]leasesim.Without{"": {}, "guard": {Guard: true}, "fence": {Fence: true}, "clock": {Clock: true}, "free": {Free: true},
+func simulateLeases(ctx context.Context, cmd *cli.Command) error {
+	n, without, err := scheduleFlags(cmd, map[string]leasesim.Without{"": {}, "guard": {Guard: true}, "fence": {Fence: true}, "clock": {Clock: true}, "free": {Free: true},
 		"sync": {Sync: true}})
 	if err != nil {
 		return err
@@ -495,12 +495,12 @@
 		}
 	}
 	if o.Broken() > 0 {
-		return no("what must hold is broken %d times, first by schedule %d", o.Broken(), o.First)
+		return negativeAnswer("what must hold is broken %d times, first by schedule %d", o.Broken(), o.First)
 	}
 	return nil
 }
 
-func labVerify(ctx context.Context, cmd *cli.Command) error {
+func verifySimulation(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Float("bound") <= 0 || cmd.Float("effort") <= 0 {
 		return fmt.Errorf("verify: --bound and --effort must be above 0")
 	}
@@ -533,20 +533,20 @@
 		}
 	}
 	if beyond > 0 {
-		return no("%d of %d figures lie beyond %.1f%%", beyond, len(checks), 100*cmd.Float("bound"))
+		return negativeAnswer("%d of %d figures lie beyond %.1f%%", beyond, len(checks), 100*cmd.Float("bound"))
 	}
 	return nil
 }
 
-func labCost(ctx context.Context, cmd *cli.Command) error {
-	names, err := policiesOf(cmd)
+func measureDecisionCost(ctx context.Context, cmd *cli.Command) error {
+	names, err := selectedPolicies(cmd)
 	if err != nil {
 		return err
 	}
 	var all []experiment.Cost
 	for _, p := range names {
 		for _, nodes := range cmd.IntSlice("nodes") {
-			for _, hosts := range cmd.IntSlice("hosts") {
+			for _, hosts := range cmd.IntSlice("endpoints") {
 				if err := ctx.Err(); err != nil {
 					return err
 				}
@@ -574,8 +574,8 @@
 	return t.Flush()
 }
 
-func labPlot(_ context.Context, cmd *cli.Command) error {
-	name, err := fileOf(cmd)
+func plotSweep(_ context.Context, cmd *cli.Command) error {
+	name, err := fileArgument(cmd)
 	if err != nil {
 		return err
 	}
--- a/cmd/tulipctl/survey_test.go
+++ b/cmd/tulipctl/survey_test.go
@@ -27,10 +27,10 @@
 		if err := sc.Check(); err != nil {
 			t.Fatal(err)
 		}
-		live := emulator.NewLive(sc, seed, quiet{})
+		live := emulator.NewLive(sc, seed, discardEffects{})
 		sc.Seconds, sc.WarmUp, sc.Load.PerS = 2, 0, min(60, sc.Load.Level*live.Capacity()*1e6/workload.MeanWork(sc))
 		t.Run(strings.Join(d.RaisedSettings(), "; "), func(t *testing.T) {
-			f, err := startWorld(t.Context(), sc, seed, nil, node, t.TempDir(), nil)
+			f, err := startCluster(t.Context(), sc, seed, nil, node, t.TempDir(), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
