--- a/internal/safety/safety_test.go
+++ b/internal/safety/safety_test.go
@@ -4,12 +4,12 @@
 
 const second = 1_000_000
 
-// sound is an attempt that may be sent.
-func sound() Send {
+// validSend is an attempt that may be sent.
+func validSend() Send {
 	return Send{Now: 10 * second, Deadline: 11 * second, ListCurrent: true, Backend: Backend{InService: true, Zone: 1, Cell: 2}}
 }
 
-func TestSend(t *testing.T) {
+func TestSendCheck(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(*Send)
 		want   Reason
@@ -25,14 +25,14 @@
 			s.Rules.Idempotency, s.Prior = NonIdempotent, &PriorAttempt{SentAt: 9 * second}
 		}, MayHaveExecuted},
 	} {
-		s := sound()
+		s := validSend()
 		if test.change(&s); s.Check() != test.want {
 			t.Errorf("%s: %v, want %v", name, s.Check(), test.want)
 		}
 	}
 }
 
-func TestRepeat(t *testing.T) {
+func TestMayRetry(t *testing.T) {
 	earlier := &PriorAttempt{SentAt: 9 * second, Zone: 1, Cell: 2}
 	keyed := func(scope KeyScope) Rules {
 		return Rules{Idempotency: IdempotentByKey, KeyScope: scope, Window: 2 * second, Margin: second / 10}
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestRefuse(t *testing.T) {
+func TestMayReject(t *testing.T) {
 	ran := &PriorAttempt{}
 	for name, test := range map[string]struct {
 		rules   Rules
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestAttemptAndClose(t *testing.T) {
+func TestAttemptAndCloseChecks(t *testing.T) {
 	for _, test := range []struct {
 		got, want Reason
 	}{
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -22,32 +22,32 @@
 	NoAnswer                 // not answered at all: the news may have been lost on the way
 )
 
-// silentMost is how many calls in a row may go unanswered before discovery counts as unreachable. The first may be a watch whose connection was
+// maxUnanswered is how many calls in a row may go unanswered before discovery counts as unreachable. The first may be a watch whose connection was
 // lost; the second was made on a new connection.
-const silentMost = 2
+const maxUnanswered = 2
 
 // Lease allows requests to be sent by the list until it ends. The zero value never ends.
 type Lease struct {
-	length Span
-	until  Time
-	silent int
+	length     Span
+	until      Time
+	unanswered int
 }
 
 // New returns a lease that has ended: nothing is known of the list's age yet. A proof that the list was current at some time holds for length
 // after that. The first call is made on a new connection: no watch can have been lost before it.
 func New(now Time, length Span) Lease {
-	return Lease{length: length, until: now, silent: silentMost - 1}
+	return Lease{length: length, until: now, unanswered: maxUnanswered - 1}
 }
 
 // Record takes in what a call has shown: that the list was current, or that nothing newer could be had, as of a time. For an answer that is the time at
 // which it arrived, and no later than the call was to wait; for a refusal, that at which it came; where nothing came, that at which the call began.
 func (l *Lease) Record(evidence Evidence, asOf Time) {
 	if evidence == NoAnswer {
-		if l.silent++; l.silent < silentMost {
+		if l.unanswered++; l.unanswered < maxUnanswered {
 			return
 		}
 	} else {
-		l.silent = 0
+		l.unanswered = 0
 	}
 	l.until = max(l.until, asOf+l.length)
 }
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -5,7 +5,7 @@
 const length = 6_000_000
 
 // A lease of a list of unknown age has ended; each kind of evidence renews it as of its own time, or not at all.
-func TestLease(t *testing.T) {
+func TestRecordRenewsLease(t *testing.T) {
 	type note struct {
 		evidence Evidence
 		asOf     Time
@@ -34,7 +34,7 @@
 }
 
 // After a move of discovery, what was heard before counts for so long at most.
-func TestLeaseIsShortened(t *testing.T) {
+func TestShortenEndsLeaseEarlier(t *testing.T) {
 	l := New(100, length)
 	l.Record(Answered, 200)
 	l.Shorten(1000)
@@ -51,7 +51,7 @@
 }
 
 // Without a length the list is never too old.
-func TestLeaseWithoutLength(t *testing.T) {
+func TestLeaseWithoutLengthNeverEnds(t *testing.T) {
 	if l := New(100, 0); !l.Valid(1<<60) || l.Bounded() {
 		t.Error("ends")
 	}
