--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -657,38 +657,38 @@
 	b := g.balancer
 	b.capacity, b.overloadMode = 10, true
 	dt := float64(b.controlPeriod)
-	b.tenants[0].slotTime, b.tenants[1].slotTime = 4*dt, 1*dt // U = 0.4 and 0.1
+	b.tenants[0].quota.slotTime, b.tenants[1].quota.slotTime = 4*dt, 1*dt // U = 0.4 and 0.1
 	b.modeTime = [2]float64{}
-	b.predictQuotas(dt, 2)
+	b.endPeriod(dt, 2)
 	// Eq. 2 with nothing in flight: U_q = U/2. Eq. 1: 2P - 1.5U.
 	for i, want := range []float64{0.4, 0.85} {
-		if got := b.tenants[i].predicted; got < want-1e-9 || got > want+1e-9 {
+		if got := b.tenants[i].quota.predicted; got < want-1e-9 || got > want+1e-9 {
 			t.Errorf("tenant %d: U_PR %g, want %g", i, got, want)
 		}
 	}
 	// Eq. 3: a second period of equal length weighs one half.
 	b.overloadMode = true
-	b.predictQuotas(dt, 2)
-	if got := b.tenants[0].utilization[1]; got != 0.2 {
+	b.endPeriod(dt, 2)
+	if got := b.tenants[0].quota.utilization[1]; got != 0.2 {
 		t.Errorf("U after an idle period %g, want 0.2", got)
 	}
 	b.overloadMode = false
-	b.tenants[0].slotTime = 3 * dt
-	b.predictQuotas(dt, 2)
-	if b.tenants[0].utilization[0] != 0.3 || b.tenants[0].utilization[1] != 0.2 {
-		t.Errorf("U by mode %v, want 0.3 and 0.2", b.tenants[0].utilization)
+	b.tenants[0].quota.slotTime = 3 * dt
+	b.endPeriod(dt, 2)
+	if b.tenants[0].quota.utilization[0] != 0.3 || b.tenants[0].quota.utilization[1] != 0.2 {
+		t.Errorf("U by mode %v, want 0.3 and 0.2", b.tenants[0].quota.utilization)
 	}
 }
 
 func TestPredictedQuotaIsClamped(t *testing.T) {
 	g := startNode(t, configWithQuotas(0.9, 0.1), testEndpoints(2)...)
 	g.balancer.capacity = 10
-	g.balancer.tenants[1].slotTime = 10 * float64(g.balancer.controlPeriod)
-	g.balancer.predictQuotas(float64(g.balancer.controlPeriod), 2)
-	if w := g.balancer.tenants[1].predicted; w != 0 {
+	g.balancer.tenants[1].quota.slotTime = 10 * float64(g.balancer.controlPeriod)
+	g.balancer.endPeriod(float64(g.balancer.controlPeriod), 2)
+	if w := g.balancer.tenants[1].quota.predicted; w != 0 {
 		t.Errorf("a tenant far over its share is predicted %g", w)
 	}
-	if w := g.balancer.tenants[0].predicted; w < 0 || w > 1 {
+	if w := g.balancer.tenants[0].quota.predicted; w < 0 || w > 1 {
 		t.Errorf("prediction %g out of range", w)
 	}
 }
@@ -727,7 +727,7 @@
 func TestTenantOverQuotaWaitsFirst(t *testing.T) {
 	for seed := range 30 {
 		g := startNode(t, configWithQuotas(0.5, 0.5), testEndpoints(2)...)
-		g.balancer.randomState = uint64(seed)
+		g.balancer.random.state = uint64(seed)
 		for id := RequestID(1); id <= 40; id++ { // tenant 0 fills every slot and waits
 			g.request(id, 0, 0)
 		}
@@ -778,8 +778,8 @@
 	for id := RequestID(1); id <= 12; id++ {
 		g.request(id, 0, 0)
 	}
-	if float64(g.balancer.tenants[0].inFlight.count) <= g.balancer.tenants[0].slots {
-		t.Errorf("%d in flight over %g slots: nothing lent", g.balancer.tenants[0].inFlight.count, g.balancer.tenants[0].slots)
+	if float64(g.balancer.tenants[0].inFlight.count) <= g.balancer.tenants[0].quota.slots {
+		t.Errorf("%d in flight over %g slots: nothing lent", g.balancer.tenants[0].inFlight.count, g.balancer.tenants[0].quota.slots)
 	}
 }
 
@@ -835,14 +835,14 @@
 func TestUsualWaitIsTheMostFrequent(t *testing.T) {
 	// Guards: a client's last try waits longer than its first; taking the longest for usual made first tries
 	// look like repeats, and a median drifted with the repeats of a jam.
-	c := &classState{}
+	waits := &waitHistogram{}
 	for i := range 60 {
-		c.observeWait(318*ms, 450*ms)
-		if at, usual := c.observeWait(318*ms, 450*ms); at != usual {
+		waits.observe(318*ms, 450*ms)
+		if at, usual := waits.observe(318*ms, 450*ms); at != usual {
 			t.Fatal("a first try is unusual")
 		}
 		for _, wait := range []Span{385 + Span(i), 140 + Span(i)} {
-			if at, usual := c.observeWait(wait*ms, 450*ms); i > 10 && at >= usual-1 && at <= usual+1 {
+			if at, usual := waits.observe(wait*ms, 450*ms); i > 10 && at >= usual-1 && at <= usual+1 {
 				t.Fatalf("a repeat that waits %d ms is usual", wait)
 			}
 		}
@@ -1064,8 +1064,8 @@
 	for range 4 {
 		g.balancer.recordOutcome(h, 0, bad)
 		g.balancer.recordOutcome(h, 0, bad)
-		h.consecutiveFailures = 0 // as an answer in time would, which moves the limit besides
-		h.errorRate -= errorRateGain * h.errorRate
+		h.outlier.consecutiveFailures = 0 // as an answer in time would, which moves the limit besides
+		h.outlier.errorRate -= errorRateGain * h.outlier.errorRate
 	}
 	if g.balancer.available(h) {
 		t.Error("still used, with two of three answers errors")
@@ -1073,9 +1073,9 @@
 	if h.limit != limit || g.balancer.classes[0] != c {
 		t.Errorf("errors taught a limit (%g, was %g) or latencies", h.limit, limit)
 	}
-	first := h.ejectedUntil - g.now
+	first := h.outlier.ejectedUntil - g.now
 	g.advance(2 * first)
-	if g.balancer.recordOutcome(h, 0, AttemptResult{Outcome: OutcomeReset}); h.ejectedUntil-g.now < first {
+	if g.balancer.recordOutcome(h, 0, AttemptResult{Outcome: OutcomeReset}); h.outlier.ejectedUntil-g.now < first {
 		t.Error("back with an error, it is left alone no longer than the first time")
 	}
 	odd := g.balancer.endpoints[1]
@@ -1101,9 +1101,9 @@
 				out = OutcomeReset
 			}
 			if g.balancer.recordOutcome(h, 0, AttemptResult{Outcome: out, Latency: ms}); i > 10 && !g.balancer.available(h) {
-				t.Fatalf("host %d is out with an error share of %.2f, where %.2f is usual", h.ID, h.errorRate, g.balancer.medianErrorRate)
+				t.Fatalf("host %d is out with an error share of %.2f, where %.2f is usual", h.ID, h.outlier.errorRate, g.balancer.medianErrorRate)
 			}
-			h.ejectedUntil = min(h.ejectedUntil, g.now) // what happened before the first control does not count here
+			h.outlier.ejectedUntil = min(h.outlier.ejectedUntil, g.now) // what happened before the first control does not count here
 		}
 		g.balancer.updateSubset()
 	}
@@ -1119,10 +1119,10 @@
 		g.request(id+1, 0, 0)
 		g.complete(id, 0, OutcomeOK)
 		g.complete(id+1, 0, OutcomeOK)
-		if g.attempts[id][0] == suspect.ID && suspect.errorRate >= suspectErrorRate {
+		if g.attempts[id][0] == suspect.ID && suspect.outlier.errorRate >= suspectErrorRate {
 			t.Fatal("a request that must run once went to a host that had just failed")
 		}
-		suspect.errorRate = max(suspect.errorRate, 2*suspectErrorRate)
+		suspect.outlier.errorRate = max(suspect.outlier.errorRate, 2*suspectErrorRate)
 	}
 	sent := 0
 	for id, tries := range g.attempts {
@@ -1134,7 +1134,7 @@
 		t.Error("nothing finds out whether the host is well again")
 	}
 	for _, h := range g.balancer.endpoints {
-		h.errorRate = 2 * suspectErrorRate
+		h.outlier.errorRate = 2 * suspectErrorRate
 	}
 	if g.request(1000, 1, 0); len(g.attempts[1000]) != 1 {
 		t.Error("with every host suspect nothing is tried any more")
@@ -1189,7 +1189,7 @@
 	g := startNode(t, testConfig(), testEndpoints(1)...)
 	h := g.balancer.endpoints[0]
 	before := h.limit
-	g.balancer.classes[0].mean = 10 * ms
+	g.balancer.classes[0].latency.mean = 10 * ms
 	g.balancer.recordOutcome(h, 0, AttemptResult{Outcome: OutcomeCanceled, Latency: 30 * ms})
 	if h.limit != before {
 		t.Errorf("limit %g after an attempt cut early, was %g", h.limit, before)
@@ -1201,7 +1201,7 @@
 	g.balancer.endpoints[0].inFlight.count, g.balancer.endpoints[0].lastAnswerAt = 1, g.now
 	g.balancer.runControl()
 	for i := range g.balancer.classes {
-		g.balancer.classes[i].mean = 40 * ms
+		g.balancer.classes[i].latency.mean = 40 * ms
 	}
 	g.balancer.lastControlAt = g.now - g.balancer.controlPeriod
 	g.balancer.runControl()
@@ -1312,7 +1312,7 @@
 	next := testConfig()
 	next.MaxAttempts = 1
 	next.Classes = append(next.Classes, Class{LatencyObjective: 200 * ms, Deadline: 500 * ms, Idempotency: Idempotent})
-	learned := g.balancer.classes[0].mean
+	learned := g.balancer.classes[0].latency.mean
 	if err := g.balancer.Reconfigure(g.now, next, []int{0, 1, 2, 3, 4, 5, 1}, []int{0}); err != nil {
 		t.Fatal(err)
 	}
@@ -1326,8 +1326,8 @@
 	g.request(3, 6, 0) // what was once may be repeated now, but only 1 attempt is left
 	g.complete(3, 0, OutcomeReset)
 	wantFinal(t, g, 3, "decline")
-	if g.balancer.classes[0].mean != learned {
-		t.Errorf("the mean latency of a class that stayed went from %v to %v", learned, g.balancer.classes[0].mean)
+	if g.balancer.classes[0].latency.mean != learned {
+		t.Errorf("the mean latency of a class that stayed went from %v to %v", learned, g.balancer.classes[0].latency.mean)
 	}
 	next.Classes[0].Deadline = 0
 	if err := g.balancer.Reconfigure(g.now, next, []int{0, 1, 2, 3, 4, 5, 6}, []int{0}); err == nil || g.balancer.config.Classes[0].Deadline == 0 {
@@ -1375,16 +1375,16 @@
 		g.complete(id, 0, OutcomeOK)
 		g.advance(5 * ms)
 	}
-	g.balancer.endpointsByID[1].errorRate, g.balancer.endpointsByID[1].limit = 0.3, 17
-	before := g.balancer.endpointsByID[4].slowStartTokens
+	g.balancer.endpointsByID[1].outlier.errorRate, g.balancer.endpointsByID[1].limit = 0.3, 17
+	before := g.balancer.endpointsByID[4].slowStart.count
 	m := g.balancer.ExportState(g.now)
-	if now := g.balancer.endpointsByID[4].slowStartTokens; now != before/2 || m.Endpoints[4].Tokens != before/2 {
+	if now := g.balancer.endpointsByID[4].slowStart.count; now != before/2 || m.Endpoints[4].Tokens != before/2 {
 		t.Errorf("of %v tokens one has %v and the other %v", before, now, m.Endpoints[4].Tokens)
 	}
 	next := startNodeWithSeed(t, 8, cfg, list...)
 	next.balancer.ImportState(next.now, m)
-	if h := next.balancer.endpointsByID[1]; h.errorRate != 0.3 || h.limit != 17 || next.balancer.classes[0].mean != g.balancer.classes[0].mean || next.balancer.answerRate != g.balancer.answerRate {
-		t.Errorf("bad %v, limit %v, mean %v, rate %v", h.errorRate, h.limit, next.balancer.classes[0].mean, next.balancer.answerRate)
+	if h := next.balancer.endpointsByID[1]; h.outlier.errorRate != 0.3 || h.limit != 17 || next.balancer.classes[0].latency.mean != g.balancer.classes[0].latency.mean || next.balancer.answerRate != g.balancer.answerRate {
+		t.Errorf("bad %v, limit %v, mean %v, rate %v", h.outlier.errorRate, h.limit, next.balancer.classes[0].latency.mean, next.balancer.answerRate)
 	}
 	alone := startNodeWithSeed(t, 9, cfg, list...)
 	alone.balancer.ImportState(alone.now, m)
@@ -1395,7 +1395,7 @@
 		g.balancer.now = g.now
 		g.balancer.hasSlowStartToken(g.balancer.endpointsByID[4])
 	}
-	if a, b := alone.balancer.endpointsByID[4].slowStartTokens-before/2, next.balancer.endpointsByID[4].slowStartTokens-before/2; a <= 0 || math.Abs(b/a-0.5) > 0.01 {
+	if a, b := alone.balancer.endpointsByID[4].slowStart.count-before/2, next.balancer.endpointsByID[4].slowStart.count-before/2; a <= 0 || math.Abs(b/a-0.5) > 0.01 {
 		t.Errorf("one process has earned %v, one of two %v", a, b)
 	}
 	odd := m
@@ -1422,7 +1422,7 @@
 		g.advance(10 * ms)
 	}
 	g.advance(5000 * ms)
-	if g.balancer.endpoints[0].slots[0] == 0 || g.balancer.tenants[0].utilization[0] == 0 {
+	if g.balancer.endpoints[0].slots[0] == 0 || g.balancer.tenants[0].quota.utilization[0] == 0 {
 		t.Fatal("nothing was learned")
 	}
 	per := g.balancer.endpoints[0].inFlightByTenant[0]
@@ -1430,13 +1430,13 @@
 	if err := g.balancer.Reconfigure(g.now, next, []int{0, 1, 2, 3, 4, 5}, []int{-1, 0}); err != nil {
 		t.Fatal(err)
 	}
-	if u := g.balancer.tenants[0].utilization; u != [2]float64{} {
+	if u := g.balancer.tenants[0].quota.utilization; u != [2]float64{} {
 		t.Errorf("the new tenant has used %v", u)
 	}
 	for _, h := range g.balancer.endpoints {
 		want := 0.0 // as for one of whom nothing is known
 		if g.balancer.available(h) {
-			want = g.balancer.tenants[0].slots * g.balancer.effectiveLimit(h) / max(g.balancer.capacity, g.balancer.effectiveLimit(h))
+			want = g.balancer.tenants[0].quota.slots * g.balancer.effectiveLimit(h) / max(g.balancer.capacity, g.balancer.effectiveLimit(h))
 		}
 		if math.Abs(h.slots[0]-want) > 1e-9 || h.inFlightByTenant[0] != 0 || h.inFlightByTenant[1] != per {
 			t.Errorf("host %d: slots %v, want %v for the new tenant; in flight %v", h.ID, h.slots, want, h.inFlightByTenant)
@@ -1450,7 +1450,7 @@
 			t.Fatal(err)
 		}
 	}
-	if want := g.balancer.tenants[0].slots * g.balancer.effectiveLimit(h) / max(g.balancer.capacity, g.balancer.effectiveLimit(h)); math.Abs(h.slots[0]-want) > 1e-9 {
+	if want := g.balancer.tenants[0].quota.slots * g.balancer.effectiveLimit(h) / max(g.balancer.capacity, g.balancer.effectiveLimit(h)); math.Abs(h.slots[0]-want) > 1e-9 {
 		t.Errorf("slots %v, want %v for the new tenant", h.slots, want)
 	}
 }
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -142,7 +142,7 @@
 	for _, over := range []bool{false, true} {
 		b.overloadMode, b.lastControlAt = over, b.now
 		for i, demand := range []float64{0.9, 0.06, 0.04} {
-			b.tenants[i].demand, b.tenants[i].predicted = demand, 0 // Eq. 1 gives nothing more: each had its share
+			b.tenants[i].quota.demand, b.tenants[i].quota.predicted = demand, 0 // Eq. 1 gives nothing more: each had its share
 		}
 		b.runControl()
 		want := []float64{b.capacity * minQuotaFraction / 3, b.capacity * 0.6, b.capacity * 0.4}
@@ -150,7 +150,7 @@
 			if !over {
 				want[i] = want[0]
 			}
-			if got := b.tenants[i].slots; got < want[i]-1e-9 || got > want[i]+1e-9 {
+			if got := b.tenants[i].quota.slots; got < want[i]-1e-9 || got > want[i]+1e-9 {
 				t.Errorf("overload %v: tenant %d has %g of %g slots, want %g", over, i, got, b.capacity, want[i])
 			}
 		}
@@ -271,7 +271,7 @@
 				g.balancer.HandleEndpoints(g.now, ListDelta, []Endpoint{cold})
 				g.balancer.answerRate = capacity / g.balancer.nodesPerEndpoint
 				g.balancer.now += now
-				g.balancer.endpointsByID[99].tokensUpdatedAt = g.balancer.now
+				g.balancer.endpointsByID[99].slowStart.updatedAt = g.balancer.now
 				return g
 			}
 			all := make([]*fakeNode, n)
@@ -300,7 +300,7 @@
 						continue
 					}
 					for g.balancer.hasSlowStartToken(g.balancer.endpointsByID[99]) {
-						g.balancer.endpointsByID[99].slowStartTokens--
+						g.balancer.endpointsByID[99].slowStart.count--
 						sent = append(sent, now)
 					}
 				}
--- a/internal/balancer/foresee_test.go
+++ b/internal/balancer/foresee_test.go
@@ -147,7 +147,7 @@
 				b.step()
 			}
 			wantFinal(t, b.fakeNode, 1000, c.want)
-			if x := b.balancer.classes[0].hintSlope(); c.exact != (x > 0.7) || !c.exact != (x < 0.3) {
+			if x := b.balancer.classes[0].hints.slope(); c.exact != (x > 0.7) || !c.exact != (x < 0.3) {
 				t.Errorf("hints are believed by %.2f", x)
 			}
 		})
@@ -248,7 +248,7 @@
 // Once answers have been late in the mean, fresh requests still go out: only their answers bring the mean down.
 func TestLateMeanDoesNotRejectNewRequests(t *testing.T) {
 	g := startNode(t, singleClassConfig(), testEndpoints(4)...)
-	g.balancer.classes[0].mean = 190 * ms // of an aim of 200
+	g.balancer.classes[0].latency.mean = 190 * ms // of an aim of 200
 	g.request(1, 0, 0)
 	g.advance(50 * ms)
 	if len(g.attempts[1]) != 1 || g.finalAnswers[1] != "" {
@@ -301,9 +301,9 @@
 	}
 	b.request(1000, 0, 0)
 	b.step()
-	before := b.balancer.classes[0].work
+	before := b.balancer.classes[0].work.mean
 	b.balancer.HandleAttemptResult(b.now, AttemptResult{ID: 1000, Endpoint: b.attempts[1000][0], Outcome: OutcomeOK, RequestDone: true})
-	if got := b.balancer.classes[0].work; got != before || before < 30*ms || before > 50*ms {
+	if got := b.balancer.classes[0].work.mean; got != before || before < 30*ms || before > 50*ms {
 		t.Errorf("work %.0f, before %.0f, truly %d", got, before, 40*ms)
 	}
 }
--- /dev/null
+++ b/internal/balancer/inflight.go
@@ -0,0 +1,80 @@
+package balancer
+
+// Requests in flight: how many there are, and their mean over time.
+
+import "math"
+
+const (
+	averagingRequests = 12   // requests of the longest latency allowed over which a small limit is averaged
+	minAveragedSlots  = 1e-3 // keeps that time finite
+)
+
+// inFlightMeter counts requests in flight and keeps their mean over about one control period.
+type inFlightMeter struct {
+	count     int
+	mean      float64
+	updatedAt Time
+}
+
+// add changes the count and returns the mean up to now. At its first call the mean is set to the slots, as if
+// these had been used: no node starts with capacity that it has saved up.
+func (m *inFlightMeter) add(now Time, change int, slots float64, period Span) float64 {
+	if m.updatedAt == 0 {
+		m.mean, m.updatedAt = slots, now
+	}
+	m.mean += (float64(m.count) - m.mean) * -math.Expm1(float64(m.updatedAt-now)/float64(period))
+	m.count += change
+	m.updatedAt = now
+	return m.mean
+}
+
+// belowLimit tells whether one more request fits into so many slots. The fraction of a slot is used over
+// time: while the mean in flight is below the slots. Rounded up, the sum over all nodes would grow with their
+// number.
+func (b *Balancer) belowLimit(meter *inFlightMeter, slots float64) bool {
+	if float64(meter.count+1) <= slots {
+		return true
+	}
+	return float64(meter.count) < slots && meter.add(b.now, 0, slots, b.averagingTime(slots)) < slots
+}
+
+// averagingTime is long enough for a few requests, however few slots there are.
+func (b *Balancer) averagingTime(slots float64) Span {
+	few := averagingRequests * float64(b.maxSilence) / max(slots, minAveragedSlots)
+	return max(b.controlPeriod, Span(few))
+}
+
+// accountAttempt counts the start (1) or the end (-1) of an attempt, with what its end has shown.
+func (b *Balancer) accountAttempt(r *request, endpoint *endpointState, change int, result AttemptResult) {
+	b.tenants[r.tenant].quota.slotTime += float64(result.Latency)
+	b.recordReport(endpoint, result.Load)
+	r.attemptsInFlight += change
+	if r.uploading { // it is not counted while its endpoint has no work with it
+		r.uploading = false
+	} else {
+		b.countInFlight(r, endpoint, change)
+	}
+}
+
+// countInFlight changes the counts of the endpoint, the tenant and the node.
+func (b *Balancer) countInFlight(r *request, endpoint *endpointState, change int) {
+	limit := b.effectiveLimit(endpoint)
+	endpoint.inFlight.add(b.now, change, limit, b.averagingTime(limit))
+	endpoint.inFlightByTenant[r.tenant] += change
+	tenant := &b.tenants[r.tenant]
+	tenant.inFlight.add(b.now, change, tenant.quota.slots, b.averagingTime(tenant.quota.slots))
+	b.inFlight.add(b.now, change, b.capacity, b.averagingTime(b.capacity))
+}
+
+// inFlightShare is the node's part of what an endpoint holds, by a fresh report or else its own attempts.
+func (b *Balancer) inFlightShare(endpoint *endpointState) float64 {
+	if b.hasFreshReport(endpoint) {
+		return endpoint.reported.Outstanding / b.nodesPerEndpoint
+	}
+	return float64(endpoint.inFlight.count)
+}
+
+// totalInFlight is how many requests an endpoint holds of all nodes, as far as is known.
+func (b *Balancer) totalInFlight(endpoint *endpointState) float64 {
+	return b.inFlightShare(endpoint) * b.nodesPerEndpoint
+}
--- /dev/null
+++ b/internal/balancer/learned.go
@@ -0,0 +1,188 @@
+package balancer
+
+// The learned state, which a process passes on to the next one of its node in a hot restart.
+
+import (
+	"math"
+
+	"tulipglade/internal/staleness"
+)
+
+// maxHandoffDuration is how long the learned state may take from one process to the next. The lease on the
+// endpoint list is shortened by it.
+const maxHandoffDuration Span = 500_000
+
+// maxLearnedValue bounds what is taken for a sound number.
+const maxLearnedValue = 1e15
+
+// Learned is what a node has learned, for another process that takes its place. Endpoints are known by their
+// StableKey; classes and tenants are in the order of the configuration that both processes have.
+type Learned struct {
+	Endpoints    map[uint64]LearnedEndpoint `json:"Hosts"`
+	Classes      []LearnedClass             `json:"Classes"`
+	Tenants      []LearnedTenant            `json:"Tenants"`
+	MeanInFlight float64                    `json:"Busy"`
+	AnswerRate   float64                    `json:"Rate"`
+	ModeTime     [2]float64                 `json:"ModeTime"`
+	Overloaded   bool                       `json:"Over"`
+	// ListLeaseLeft is how long requests may still be sent by the endpoint list.
+	ListLeaseLeft Span `json:"ListLeft"`
+}
+
+// LearnedEndpoint is what was learned of the endpoint's process that was started at StartedAt.
+type LearnedEndpoint struct {
+	StartedAt           Time    `json:"Started"`
+	Limit               float64 `json:"Limit"`
+	ErrorShare          float64 `json:"Bad"`
+	Tokens              float64 `json:"Tokens"`
+	ConsecutiveFailures int     `json:"Fails"`
+	Ejections           int     `json:"Outs"`
+	EjectedUntil        Time    `json:"OutTill"`
+	TokensAt            Time    `json:"TokensAt"`
+	Backlog             float64 `json:"Queue"` // by its last report, as the next two
+	Utilization         float64 `json:"Util"`
+	Outstanding         float64 `json:"Holding"`
+}
+
+// LearnedClass is what was learned of a class.
+type LearnedClass struct {
+	BaseLatency float64 `json:"Base"`
+	MeanLatency float64 `json:"Mean"`
+}
+
+// LearnedTenant is what was learned of a tenant.
+type LearnedTenant struct {
+	Demand      float64    `json:"Demand"`
+	QuotaTarget float64    `json:"Want"`
+	Used        [2]float64 `json:"Used"`
+}
+
+// ExportState returns what was learned. Half of the slow-start tokens that are left go with it.
+func (b *Balancer) ExportState(now Time) Learned {
+	b.now = now
+	learned := Learned{
+		Endpoints:    map[uint64]LearnedEndpoint{},
+		MeanInFlight: b.meanInFlight,
+		AnswerRate:   b.answerRate,
+		ModeTime:     b.modeTime,
+		Overloaded:   b.overloadMode,
+	}
+	if b.listLease.Bounded() {
+		learned.ListLeaseLeft = max(b.listLease.Until()-b.now, 0)
+	}
+	for _, endpoint := range b.endpoints {
+		endpoint.slowStart.count /= 2
+		learned.Endpoints[endpoint.stableKey()] = endpoint.export()
+	}
+	for i := range b.classes {
+		latency := &b.classes[i].latency
+		learned.Classes = append(learned.Classes, LearnedClass{latency.baseline, latency.mean})
+	}
+	for i := range b.tenants {
+		quota := &b.tenants[i].quota
+		learned.Tenants = append(learned.Tenants, LearnedTenant{
+			Demand:      quota.demand,
+			QuotaTarget: quota.predicted,
+			Used:        quota.utilization,
+		})
+	}
+	return learned
+}
+
+func (e *endpointState) export() LearnedEndpoint {
+	return LearnedEndpoint{
+		StartedAt:           e.StartedAt,
+		Limit:               e.limit,
+		ErrorShare:          e.outlier.errorRate,
+		Tokens:              e.slowStart.count,
+		ConsecutiveFailures: e.outlier.consecutiveFailures,
+		Ejections:           e.outlier.ejections,
+		EjectedUntil:        e.outlier.ejectedUntil,
+		TokensAt:            e.slowStart.updatedAt,
+		Backlog:             e.reported.Backlog,
+		Utilization:         e.reported.Utilization,
+		Outstanding:         e.reported.Outstanding,
+	}
+}
+
+// ImportState takes up what another process has learned of the listed endpoints. Values that make no sense
+// are left out.
+func (b *Balancer) ImportState(now Time, learned Learned) {
+	b.now = now
+	for _, endpoint := range b.endpoints {
+		state, ok := learned.Endpoints[endpoint.stableKey()]
+		if ok && state.StartedAt == endpoint.StartedAt && state.sound() {
+			b.importEndpoint(endpoint, state)
+		}
+	}
+	b.importClasses(learned.Classes)
+	b.importTenants(learned.Tenants)
+	if sound(learned.MeanInFlight, learned.AnswerRate, learned.ModeTime[0], learned.ModeTime[1]) {
+		b.meanInFlight, b.answerRate = learned.MeanInFlight, learned.AnswerRate
+		b.modeTime, b.overloadMode = learned.ModeTime, learned.Overloaded
+	}
+	b.importListLease(learned.ListLeaseLeft)
+	b.runControl()
+	b.dispatch()
+}
+
+func (b *Balancer) importEndpoint(endpoint *endpointState, state LearnedEndpoint) {
+	endpoint.limit = state.Limit
+	endpoint.outlier = outlierState{
+		consecutiveFailures: min(max(state.ConsecutiveFailures, 0), ejectionFailures),
+		errorRate:           state.ErrorShare,
+		ejections:           min(max(state.Ejections, 0), 2*maxDoublings),
+		ejectedUntil:        min(state.EjectedUntil, b.now+b.controlPeriod<<maxDoublings),
+	}
+	endpoint.slowStart = slowStartTokens{count: state.Tokens, updatedAt: b.now}
+	endpoint.reported = reportedLoad{LoadReport: unknownLoad, changedAt: b.now}
+	if sound(state.Backlog, state.Utilization) {
+		endpoint.reported.LoadReport = LoadReport{state.Outstanding, state.Backlog, state.Utilization}
+	}
+}
+
+func (b *Balancer) importClasses(classes []LearnedClass) {
+	if len(classes) != len(b.classes) {
+		return
+	}
+	for i, class := range classes {
+		if sound(class.BaseLatency, class.MeanLatency) && class.BaseLatency > 0 && class.MeanLatency > 0 {
+			b.classes[i].latency.baseline, b.classes[i].latency.mean = class.BaseLatency, class.MeanLatency
+		}
+	}
+}
+
+func (b *Balancer) importTenants(tenants []LearnedTenant) {
+	if len(tenants) != len(b.tenants) {
+		return
+	}
+	for i, tenant := range tenants {
+		if sound(tenant.Demand, tenant.QuotaTarget, tenant.Used[0], tenant.Used[1]) {
+			quota := &b.tenants[i].quota
+			quota.demand, quota.predicted, quota.utilization = tenant.Demand, tenant.QuotaTarget, tenant.Used
+		}
+	}
+}
+
+// importListLease continues the lease on the endpoint list, less the time that the handoff may have taken.
+func (b *Balancer) importListLease(left Span) {
+	remaining := left - maxHandoffDuration
+	if remaining > 0 && left <= b.config.ListLease {
+		b.listLease.Record(staleness.Answered, b.now+remaining-b.config.ListLease)
+	}
+}
+
+// sound tells whether the state has values that an endpoint can have.
+func (e *LearnedEndpoint) sound() bool {
+	return sound(e.Limit, e.ErrorShare) && e.Limit != 0 && e.ErrorShare <= 1 && !math.IsNaN(e.Tokens)
+}
+
+// sound tells whether all values are finite and not negative.
+func sound(values ...float64) bool {
+	for _, value := range values {
+		if !(value >= 0 && value < maxLearnedValue) {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/balancer/request.go
@@ -0,0 +1,90 @@
+package balancer
+
+// The state of open requests and their attempts.
+
+import (
+	"math"
+
+	"tulipglade/internal/safety"
+)
+
+// attempt is one sending of a request to an endpoint.
+type attempt struct {
+	endpoint   *endpointState
+	zone, cell int // of the endpoint when the attempt was sent
+	sentAt     Time
+	inFlight   bool
+	mayHaveRun bool
+	predicted  latencyPrediction
+}
+
+// request is an open request: one without a final answer, or with attempts in flight.
+type request struct {
+	id               RequestID
+	class, tenant    int
+	affinityKey      uint64  // 0: endpoints do no less work for a known key
+	hintDistance     float64 // logarithm of the client's cost hint as a multiple of the usual one
+	relativeWork     float64 // expected work as a multiple of what is usual in its class
+	objectiveAt      Time    // an answer by then has its full value
+	halfTimeAt       Time    // half of its time has passed by then
+	deadline         Time
+	attempts         []attempt
+	attemptsInFlight int
+	maxAttempts      int // by the configuration under which it came
+	queued           bool
+	done             bool // it has a final answer, or needs none
+	responseStarted  bool
+	uploading        bool             // its attempt is in flight, but the endpoint does not work on it yet
+	candidates       []*endpointState // selected for it, and asked for their load
+	checkedAt        Time             // when these were sent health checks
+	waitUntil        Time             // it waits for their answers, or for the next selection
+}
+
+// newRequest sets up the state of a request that has just come.
+func (b *Balancer) newRequest(incoming Request) *request {
+	class := &b.classes[incoming.Class]
+	r := &request{
+		id:           incoming.ID,
+		class:        incoming.Class,
+		tenant:       incoming.Tenant % len(b.tenants),
+		deadline:     incoming.Deadline,
+		maxAttempts:  b.config.MaxAttempts,
+		hintDistance: class.hints.observe(incoming.CostHint),
+	}
+	r.relativeWork = math.Exp(r.hintDistance * class.hints.slope())
+	if b.config.KeyAffinity {
+		r.affinityKey = incoming.AffinityKey
+	}
+	objective := b.config.Classes[incoming.Class].LatencyObjective
+	r.objectiveAt = min(b.firstAttemptAt(incoming)+objective, r.deadline)
+	r.halfTimeAt = b.now + (incoming.Deadline-b.now)/2
+	return r
+}
+
+// closeRequest ends a request. Attempts in flight are of no more use, but end by themselves: a canceled one
+// would leave the counts while its endpoint still works on it, and the next would need a new connection.
+func (b *Balancer) closeRequest(r *request) {
+	r.done, r.queued = true, false
+	b.forgetIfComplete(r)
+}
+
+func (b *Balancer) forgetIfComplete(r *request) {
+	if r.done && r.attemptsInFlight == 0 {
+		delete(b.requests, r.id)
+	}
+}
+
+// provesNotRun tells whether an outcome proves that its attempt never ran.
+func provesNotRun(outcome Outcome) bool {
+	return outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent
+}
+
+// firstThatMayHaveRun returns the first of these attempts that may have run or is still in flight, or nil.
+func firstThatMayHaveRun(attempts []attempt) *safety.PriorAttempt {
+	for i := range attempts {
+		if a := &attempts[i]; a.inFlight || a.mayHaveRun {
+			return &safety.PriorAttempt{SentAt: a.sentAt, Zone: a.zone, Cell: a.cell}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/balancer/selection.go
@@ -0,0 +1,118 @@
+package balancer
+
+// Endpoint selection: candidates drawn in proportion to slots, and the least loaded of them.
+
+import (
+	"math"
+	"slices"
+)
+
+const (
+	latencyMargin         = 1.2 // times the predicted latency an answer may take, by which it must be in time
+	healthCheckCandidates = 3   // candidates for a request if health checks tell their load
+	drawnCandidates       = 2   // otherwise: the power of two choices
+)
+
+// selectCandidates draws endpoints in proportion to the tenant's slots on them, or to the capacity lent. If
+// none is available, it draws from all in use.
+func (b *Balancer) selectCandidates(r *request, lent bool) (candidates []*endpointState) {
+	idempotency := b.config.Classes[r.class].Idempotency
+	from := b.subset
+	if idempotency == IdempotentByKey && firstThatMayHaveRun(r.attempts) != nil {
+		from = b.endpoints // its key's scope may lie outside the subset
+	}
+	onlyAvailable := b.anyAvailable()
+	onlyTrusted := idempotency == NonIdempotent && slices.ContainsFunc(from, b.trusted)
+	weights := b.endpointWeights[:len(from)]
+	for i, endpoint := range from {
+		weights[i] = 0
+		if onlyAvailable && !b.available(endpoint) || onlyTrusted && !b.trusted(endpoint) {
+			continue
+		}
+		if b.mayAttempt(r, endpoint) {
+			weights[i] = b.selectionWeight(endpoint, r.tenant, lent)
+		}
+	}
+	draw := func() int { return b.drawEndpoint(r.affinityKey, from) }
+	for i := draw(); i >= 0 && len(candidates) < b.candidateCount(); i = draw() {
+		candidates = append(candidates, from[i])
+		weights[i] = 0
+	}
+	return candidates
+}
+
+// selectionWeight is the number of a tenant's slots on an endpoint, if one is free, or the capacity that can
+// be lent.
+func (b *Balancer) selectionWeight(endpoint *endpointState, tenant int, lent bool) float64 {
+	if lent {
+		return max(b.freeCapacity(endpoint), 0)
+	}
+	slotFree := float64(endpoint.inFlightByTenant[tenant]) < endpoint.slots[tenant]
+	// Capacity that was lent to others must not keep a tenant from its own slots: the limit counts attempts
+	// alone.
+	if slotFree && float64(endpoint.inFlight.count) < max(b.effectiveLimit(endpoint), 1) {
+		return endpoint.slots[tenant]
+	}
+	return 0
+}
+
+func (b *Balancer) candidateCount() int {
+	if b.checksHealth() {
+		return healthCheckCandidates
+	}
+	return drawnCandidates
+}
+
+// drawEndpoint draws an index by endpointWeights: at random, or by weighted rendezvous hashing of a key if
+// endpoints do less work for one that they have seen. Over all keys the endpoints are still met in proportion
+// to their weights, but one key meets the same endpoints, at whichever node it comes in.
+func (b *Balancer) drawEndpoint(key uint64, from []*endpointState) int {
+	if key == 0 {
+		return b.random.weightedIndex(b.endpointWeights[:len(from)])
+	}
+	first, least := -1, math.Inf(1)
+	for i, endpoint := range from {
+		u := float64(hash64(key^endpoint.rank)>>11+1) / (1 << 53) // in (0, 1], for the logarithm
+		weight := b.endpointWeights[i]
+		if weight > 0 && 1-u < least*weight { // -ln u is 1-u at least: that spares most logarithms
+			if x := -math.Log(u) / weight; x < least {
+				first, least = i, x
+			}
+		}
+	}
+	return first
+}
+
+// leastLoaded is the candidate that uses the least part of its limit, or nil if none has capacity.
+func (b *Balancer) leastLoaded(r *request, candidates []*endpointState) (best *endpointState) {
+	least := math.Inf(1)
+	for _, endpoint := range candidates {
+		load := b.inFlightShare(endpoint) / b.effectiveLimit(endpoint)
+		usable := !b.checksHealth() || b.hasFreshReport(endpoint) && b.freeCapacity(endpoint) > 0
+		if usable && load < least && b.mayAttempt(r, endpoint) && b.meetsDeadline(r, endpoint) {
+			best, least = endpoint, load
+		}
+	}
+	return best
+}
+
+// meetsDeadline tells whether an answer is predicted in time. An endpoint that holds nothing is tried now and
+// then even if its answer would be late: the prediction may be wrong, and only answers correct it.
+func (b *Balancer) meetsDeadline(r *request, endpoint *endpointState) bool {
+	class := &b.config.Classes[r.class]
+	until := r.objectiveAt
+	if class.LateValue > 0 {
+		until = r.deadline
+	}
+	prediction := b.predictLatency(r, endpoint)
+	latency := prediction.latency * b.slownessFactor(endpoint)
+	timeLeft := float64(until - b.now)
+	if latency == 0 || latency*latencyMargin <= timeLeft {
+		return true
+	}
+	if prediction.inFlight != 0 {
+		return false
+	}
+	mayExplore := class.Idempotency != NonIdempotent && b.now-b.lastLateAttemptAt > b.controlPeriod
+	return latency <= timeLeft || mayExplore
+}
--- /dev/null
+++ b/internal/balancer/slowstart.go
@@ -0,0 +1,70 @@
+package balancer
+
+// Slow start: an endpoint that was started a short time ago has part of its capacity, and becomes overloaded
+// if it is sent more than a multiple of that within a window. Tokens keep all nodes together below it.
+
+import "math"
+
+const (
+	slowStartBudgetFraction = 0.5  // of the budget is used; the rest is for chance and for uneven nodes
+	slowStartBurstFraction  = 0.25 // of the window: a token that is not used within this time is lost
+	unknownRateAnswers      = 2    // answers per control period, of all nodes, assumed before any has come
+)
+
+// slowStartTokens are the attempts that this node may send to a warming endpoint: the whole ones now, and the
+// fraction is how far the next one has come.
+type slowStartTokens struct {
+	count     float64
+	updatedAt Time
+}
+
+// refill adds the tokens of the time that has passed. One that was not used within maxAge is lost: hundreds
+// of nodes would save them up and spend them in one moment.
+func (t *slowStartTokens) refill(now Time, rate, maxAge float64) {
+	t.count, t.updatedAt = t.count+rate*float64(now-t.updatedAt), now
+	t.count -= max(math.Ceil(t.count-1-rate*maxAge), 0)
+}
+
+// warmUpFraction is the least part of its capacity that an endpoint has now.
+func (b *Balancer) warmUpFraction(endpoint *endpointState) float64 {
+	age, duration := b.now-endpoint.StartedAt, b.config.SlowStartDuration
+	if endpoint.StartedAt <= 0 || duration <= 0 || age >= duration {
+		return 1
+	}
+	initial := b.config.SlowStartInitial
+	return initial + (1-initial)*float64(max(age, 0))/float64(duration)
+}
+
+// hasSlowStartToken tells whether an attempt may be sent to an endpoint without overloading it as it warms
+// up.
+func (b *Balancer) hasSlowStartToken(endpoint *endpointState) bool {
+	warmUp := b.warmUpFraction(endpoint)
+	if warmUp == 1 || b.config.OverloadFactor <= 0 || b.config.OverloadWindow <= 0 {
+		return true
+	}
+	rate := b.slowStartRate(endpoint, warmUp)
+	maxAge := slowStartBurstFraction * float64(b.config.OverloadWindow)
+	endpoint.slowStart.refill(b.now, rate, maxAge)
+	return endpoint.slowStart.count >= 1
+}
+
+// slowStartRate is how many attempts per microsecond a warming endpoint may get of this process: a part of
+// the stated multiple of its capacity, measured by what a warm endpoint answers to this node.
+func (b *Balancer) slowStartRate(endpoint *endpointState, warmUp float64) float64 {
+	warmRate := max(b.answerRate, unknownRateAnswers/float64(b.controlPeriod)/b.nodesPerEndpoint)
+	weight := min(b.relativeWeight(endpoint), 1)
+	return warmRate * warmUp * b.config.OverloadFactor * slowStartBudgetFraction * weight / b.processCount
+}
+
+// firstSlowStartTokens is how far this node's next token has come when it first sees an endpoint. The tokens
+// of all nodes follow one schedule on the clock that all machines share: it begins with the start of the
+// endpoint, at a point that depends on the endpoint, and the nodes are spread evenly over it, by a step that
+// is independent of the one that chose their subsets. A node that restarts has no token more than it would
+// have had.
+func (b *Balancer) firstSlowStartTokens(endpoint *endpointState) float64 {
+	start := unitInterval(hash64(endpoint.rank ^ hash64(uint64(endpoint.StartedAt))))
+	own := float64(b.config.PeerIndex) * math.Sqrt2
+	age := float64(max(b.now-endpoint.StartedAt, 0))
+	earned := b.slowStartRate(endpoint, b.warmUpFraction(endpoint)) * age
+	return math.Mod(start+own+earned, 1)
+}
