--- a/internal/node/account_test.go
+++ b/internal/node/account_test.go
@@ -21,7 +21,7 @@
 
 // books stand between a node and its module, and count. They are called on Run's goroutine.
 type books struct {
-	module
+	decisionModule
 	fail     func(format string, args ...any)
 	of       *Node
 	taken    map[balancer.RequestID]bool
@@ -34,8 +34,8 @@
 		b.fail("request %d is taken twice", a.ID)
 	}
 	b.taken[a.ID] = true
-	b.ids[string(b.of.requests[a.ID].msg.Get("x-trace-id"))] = true
-	b.module.HandleRequest(now, a)
+	b.ids[string(b.of.requests[a.ID].message.Get("x-trace-id"))] = true
+	b.decisionModule.HandleRequest(now, a)
 }
 
 func (b *books) HandleAttemptResult(now balancer.Time, s balancer.AttemptResult) {
@@ -43,7 +43,7 @@
 	if b.outcomes[key]++; b.outcomes[key] > 1 {
 		b.fail("attempt %v has %d outcomes", key, b.outcomes[key])
 	}
-	b.module.HandleAttemptResult(now, s)
+	b.decisionModule.HandleAttemptResult(now, s)
 }
 
 // How a host of the account takes a request, each of which is on a line of docs/account.md.
@@ -256,10 +256,10 @@
 		b := &books{fail: fail, of: n, ids: map[string]bool{}, taken: map[balancer.RequestID]bool{}, outcomes: map[[2]uint64]int{}}
 		twice := rapid.Bool().Draw(rt, "known to answer twice")
 		on(n, func() {
-			b.module, n.bal = n.bal, b
-			for _, h := range n.hosts {
+			b.decisionModule, n.balancer = n.balancer, b
+			for _, h := range n.endpoints {
 				if twice {
-					h.twiceTill = never
+					h.duplicatesUntil = noDeadline
 				}
 			}
 		})
@@ -276,7 +276,7 @@
 		}()
 		for i, what := range rapid.SliceOfN(rapid.SampledFrom([]string{"drains", "goes", "comes back", "restarts", "moves away",
 			"idle clients are sent away", "settings"}), 0, 6).Draw(rt, "news") {
-			until(n, func() bool { return all.Load() || len(b.taken) > i && n.open > 0 }) // while hosts are at work
+			until(n, func() bool { return all.Load() || len(b.taken) > i && n.openRequests > 0 }) // while hosts are at work
 			switch what {
 			case "idle clients are sent away":
 				on(n, n.closeIdleClients)
@@ -303,13 +303,13 @@
 		kept, patience := "", time.Now().Add(5*time.Second) // far beyond any timer set
 		until(n, func() bool {
 			kept = ""
-			for _, h := range n.hosts {
-				if len(h.waiting) > 0 || h.state != protocol.InService && len(h.idle) > 0 {
-					kept = fmt.Sprintf("host %d, state %d: %d attempts wait, %d connections are idle", h.id, h.state, len(h.waiting), len(h.idle))
+			for _, h := range n.endpoints {
+				if len(h.waitingAttempts) > 0 || h.state != protocol.InService && len(h.idleConns) > 0 {
+					kept = fmt.Sprintf("host %d, state %d: %d attempts wait, %d connections are idle", h.id, h.state, len(h.waitingAttempts), len(h.idleConns))
 				}
 			}
-			if len(n.requests) > 0 || n.open > 0 || n.writing > 0 {
-				kept = fmt.Sprintf("%d requests, %d open, %d answers on their way", len(n.requests), n.open, n.writing)
+			if len(n.requests) > 0 || n.openRequests > 0 || n.answersInProgress > 0 {
+				kept = fmt.Sprintf("%d requests, %d open, %d answers on their way", len(n.requests), n.openRequests, n.answersInProgress)
 			}
 			return kept == "" || time.Now().After(patience)
 		})
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -9,85 +9,85 @@
 	"tulipglade/internal/safety"
 )
 
-// heldUpMost is how much time may pass from the check of an attempt to its first byte, in microseconds. An attempt whose goroutine, or whose
+// maxWriteDelay is how much time may pass from the check of an attempt to its first byte, in microseconds. An attempt whose goroutine, or whose
 // process, was held up for longer is checked again instead of being written.
-const heldUpMost = 10_000
+const maxWriteDelay = 10_000
 
-// errHeldUp is a write that was not begun, as too much time had passed since it was allowed.
-var errHeldUp = errors.New("held up before the first byte")
+// errWriteDelayed is a write that was not begun, as too much time had passed since it was allowed.
+var errWriteDelayed = errors.New("held up before the first byte")
 
 // Limits of what is audited, in microseconds.
 const (
-	auditSlack    = 50_000  // of every limit of the rules
-	goneMost      = 100_000 // after its client has gone an attempt may begin for so long
-	deadlineSlack = 150_000 // by which a deadline told to a backend may exceed what is left
+	auditSlack         = 50_000  // of every limit of the rules
+	maxDisconnectDelay = 100_000 // after its client has gone an attempt may begin for so long
+	deadlineSlack      = 150_000 // by which a deadline told to a backend may exceed what is left
 )
 
 // firstByte is what is known of an attempt as its first byte is written.
 type firstByte struct {
-	at    int64 // just before it was written
-	told  int64 // the time that the backend was told it has
-	lease int64 // until when the list was known to be current; 0: not bounded
+	writtenAt     int64 // just before it was written
+	statedTimeout int64 // the time that the backend was told it has
+	listExpiresAt int64 // until when the list was known to be current; 0: not bounded
 }
 
 // audit holds an attempt that has begun against the rules, whatever decided it. It changes nothing: it counts and logs what must not happen.
-func (n *Node) audit(a *attempt, first firstByte) {
-	h, r := a.host, a.req
-	if left := h.leftAt; left > 0 && first.at > left+n.set.DrainGrace+auditSlack {
-		n.violation(a, safety.BackendDraining, first.at-left)
+func (n *Node) audit(att *attempt, first firstByte) {
+	ep, req := att.endpoint, att.request
+	if since := ep.outOfServiceSince; since > 0 && first.writtenAt > since+n.settings.DrainGrace+auditSlack {
+		n.recordViolation(att, safety.BackendDraining, first.writtenAt-since)
 	}
-	if first.lease > 0 && first.at > first.lease+n.set.DrainGrace+auditSlack {
-		n.violation(a, safety.ListStale, first.at-first.lease)
+	if first.listExpiresAt > 0 && first.writtenAt > first.listExpiresAt+n.settings.DrainGrace+auditSlack {
+		n.recordViolation(att, safety.ListStale, first.writtenAt-first.listExpiresAt)
 	}
-	if r.client != nil {
-		if gone := r.client.endedAt.Load(); gone > 0 && first.at > gone+goneMost {
-			n.violation(a, safety.ClientDisconnected, first.at-gone)
+	if req.clientConn != nil {
+		if disconnectedAt := req.clientConn.disconnectedAt.Load(); disconnectedAt > 0 && first.writtenAt > disconnectedAt+maxDisconnectDelay {
+			n.recordViolation(att, safety.ClientDisconnected, first.writtenAt-disconnectedAt)
 		}
 	}
-	if over := first.told - (a.till - first.at); a.till != never && over > deadlineSlack {
-		n.violation(a, safety.DeadlinePassed, over)
+	if excess := first.statedTimeout - (att.deadline - first.writtenAt); att.deadline != noDeadline && excess > deadlineSlack {
+		n.recordViolation(att, safety.DeadlinePassed, excess)
 	}
 }
 
-// violation counts one attempt that should not have begun.
-func (n *Node) violation(a *attempt, why safety.Reason, by int64) {
-	n.violations[why]++
-	n.log.Error("invariant violated", "rule", why.String(), "by_us", by, "trace", a.req.trace(), "attempt", a.number,
-		"host", a.host.addr, "rev", n.rev, "count", n.violations[why])
+// recordViolation counts one attempt that should not have begun.
+func (n *Node) recordViolation(att *attempt, reason safety.Reason, excess int64) {
+	n.violations[reason]++
+	n.log.Error("invariant violated", "rule", reason.String(), "by_us", excess, "trace", att.request.loggedTraceID(), "attempt", att.number,
+		"host", att.endpoint.address, "rev", n.listRevision, "count", n.violations[reason])
 }
 
-// withheld notes an attempt that was decided on and may not begin any more.
-func (n *Node) withheld(a *attempt, why safety.Reason) {
-	n.traceRequest(a.req, "attempt withheld", "attempt", a.number, "host", a.host.addr, "reason", why.String())
+// logWithheld notes an attempt that was decided on and may not begin any more.
+func (n *Node) logWithheld(att *attempt, reason safety.Reason) {
+	n.traceRequest(att.request, "attempt withheld", "attempt", att.number, "host", att.endpoint.address, "reason", reason.String())
 }
 
 // traceRequest writes a line on one request where lines on each are wanted.
-func (n *Node) traceRequest(r *request, what string, args ...any) {
-	if !n.tracing || r == nil {
+func (n *Node) traceRequest(req *request, message string, args ...any) {
+	if !n.traceRequests || req == nil {
 		return
 	}
-	n.log.Debug(what, append([]any{"trace", r.trace()}, args...)...)
+	n.log.Debug(message, append([]any{"trace", req.loggedTraceID()}, args...)...)
 }
 
 // traceClient does so for a client's connection.
-func (n *Node) traceClient(c *client, what string, args ...any) {
-	if n.tracing && c.conn != nil {
-		n.log.Debug(what, append([]any{"client", c.conn.RemoteAddr().String()}, args...)...)
+func (n *Node) traceClient(client *clientConn, message string, args ...any) {
+	if n.traceRequests && client.conn != nil {
+		n.log.Debug(message, append([]any{"client", client.conn.RemoteAddr().String()}, args...)...)
 	}
 }
 
-// traces tells whether lines on each request are wanted.
-func traces(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
+// debugEnabled tells whether lines on each request are wanted.
+func debugEnabled(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
 
-// trace is the id that the request's client gave it.
-func (r *request) trace() string { return r.traceID }
+// loggedTraceID is the id that the request's client gave it.
+func (r *request) loggedTraceID() string { return r.traceID }
 
 // setState notes what discovery says of a host, and since when nothing new may go there.
-func (h *host) setState(state protocol.State, now int64) {
+func (e *endpoint) setState(state protocol.State, now int64) {
 	if state == protocol.InService {
-		h.leftAt = 0
-	} else if h.leftAt == 0 {
-		h.leftAt = now
+		e.outOfServiceSince = 0
+	} else if e.outOfServiceSince == 0 {
+		e.outOfServiceSince = now
 	}
-	h.state = state
+	e.state = state
 }
--- a/internal/node/buffer.go
+++ b/internal/node/buffer.go
@@ -16,25 +16,25 @@
 // buffer is a piece of memory of the one size that holds any message. Its users count: those that an answer
 // or an attempt still reads from must not be used again before that is written. Only Run's goroutine counts.
 type buffer struct {
-	data [protocol.BufferSize]byte
-	n    int
-	refs int
+	data   [protocol.BufferSize]byte
+	length int
+	refs   int
 }
 
 var buffers = sync.Pool{New: func() any { return new(buffer) }}
 
 func newBuffer() *buffer {
 	b := buffers.Get().(*buffer)
-	b.n, b.refs = 0, 1
+	b.length, b.refs = 0, 1
 	return b
 }
 
-func (b *buffer) bytes() []byte { return b.data[:b.n] }
+func (b *buffer) bytes() []byte { return b.data[:b.length] }
 
 // add appends as much of p as there is room for and returns the rest.
 func (b *buffer) add(p []byte) []byte {
-	k := copy(b.data[b.n:], p)
-	b.n += k
+	k := copy(b.data[b.length:], p)
+	b.length += k
 	return p[k:]
 }
 
@@ -54,26 +54,26 @@
 	}
 }
 
-// hand takes what the connection has received and has receive get it on Run's goroutine. Until then it counts as unread: whoever
+// deliver takes what the connection has received and has receive get it on Run's goroutine. Until then it counts as unread: whoever
 // looks in between must not find the connection empty, so it counts before the bytes leave the reader.
-func (s *socket) hand(conn netpoll.Connection, n *Node, receive func(*buffer)) error {
-	s.handed.Add(1)
-	b, err := take(conn)
+func (s *socket) deliver(conn netpoll.Connection, node *Node, receive func(*buffer)) error {
+	s.inputInTransit.Add(1)
+	b, err := readBuffer(conn)
 	if err != nil {
-		s.handed.Add(-1)
+		s.inputInTransit.Add(-1)
 		return err
 	}
-	behind.Add(1)
-	n.post(func() {
-		s.handed.Add(-1)
-		behind.Add(-1)
+	pollerBacklog.Add(1)
+	node.post(func() {
+		s.inputInTransit.Add(-1)
+		pollerBacklog.Add(-1)
 		receive(b)
 	})
 	return nil
 }
 
-// take moves what a connection has received, up to one buffer of it, into a buffer.
-func take(conn netpoll.Connection) (*buffer, error) {
+// readBuffer moves what a connection has received, up to one buffer of it, into a buffer.
+func readBuffer(conn netpoll.Connection) (*buffer, error) {
 	r := conn.Reader()
 	k := min(r.Len(), protocol.BufferSize)
 	p, err := r.Next(k)
@@ -88,38 +88,38 @@
 // socket is one connection of the poller's. Its lock keeps a write and the end of the connection apart: the
 // poller gives a connection's buffers to others once it has closed, also while somebody still fills them.
 type socket struct {
-	conn   netpoll.Connection
-	handed atomic.Int32 // pieces of input on their way to Run's goroutine
-	file   *os.File     // in its place while it has left the poller
-	mu     sync.Mutex
-	ended  bool
-	hup    atomic.Bool // the poller has ended it
-	// endedAt is when the poller met the end of a client's connection, on the node's clock; 0: it has not.
-	endedAt atomic.Int64
-	fin     bool // the other side has closed it in order
-	left    func(*os.File, []byte, error)
+	conn           netpoll.Connection
+	inputInTransit atomic.Int32 // pieces of input on their way to Run's goroutine
+	descriptor     *os.File     // in its place while it has left the poller
+	mu             sync.Mutex
+	closed         bool
+	closedByPoller atomic.Bool // the poller has ended it
+	// disconnectedAt is when the poller met the end of a client's connection, on the node's clock; 0: it has not.
+	disconnectedAt    atomic.Int64
+	peerClosedInOrder bool // the other side has closed it in order
+	onDetached        func(*os.File, []byte, error)
 }
 
 // onClose has f called when the connection has closed.
-func (s *socket) onClose(f func()) {
+func (s *socket) onClose(onClosed func()) {
 	if c, ok := s.conn.(interface {
 		SetOnDisconnect(netpoll.OnDisconnect) error
 	}); ok {
-		_ = c.SetOnDisconnect(func(context.Context, netpoll.Connection) { s.hup.Store(true) })
+		_ = c.SetOnDisconnect(func(context.Context, netpoll.Connection) { s.closedByPoller.Store(true) })
 	}
 	_ = s.conn.AddCloseCallback(func(conn netpoll.Connection) error {
 		s.mu.Lock()
-		s.ended = true
-		left := s.left
-		s.left = nil
+		s.closed = true
+		onDetached := s.onDetached
+		s.onDetached = nil
 		s.mu.Unlock()
-		if left != nil {
-			behind.Add(-1)
-			left(s.takeOver(conn))
+		if onDetached != nil {
+			pollerBacklog.Add(-1)
+			onDetached(s.takeDescriptor(conn))
 			return nil
 		}
-		s.fin = stands(conn) == peerFinished // only then is what goes on until the end of a connection whole
-		f()
+		s.peerClosedInOrder = queryPeerState(conn) == peerFinished // only then is what goes on until the end of a connection whole
+		onClosed()
 		return nil
 	})
 }
@@ -127,16 +127,16 @@
 func (s *socket) write(parts [][]byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.file != nil {
+	if s.descriptor != nil {
 		for _, p := range parts {
-			_ = s.file.SetWriteDeadline(time.Now().Add(writeTimeout))
-			if _, err := s.file.Write(p); err != nil {
+			_ = s.descriptor.SetWriteDeadline(time.Now().Add(writeTimeout))
+			if _, err := s.descriptor.Write(p); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	if s.ended {
+	if s.closed {
 		return netpoll.ErrConnClosed
 	}
 	w := s.conn.Writer()
@@ -148,56 +148,56 @@
 	return w.Flush()
 }
 
-// finish tells the other side that nothing more comes. What it sends is read on. It returns false where the connection has ended.
-func (s *socket) finish() bool {
+// closeWrite tells the other side that nothing more comes. What it sends is read on. It returns false where the connection has ended.
+func (s *socket) closeWrite() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.file != nil || s.ended || !s.conn.IsActive() {
+	if s.descriptor != nil || s.closed || !s.conn.IsActive() {
 		return false
 	}
 	c, ok := s.conn.(interface{ Fd() int })
 	return ok && syscall.Shutdown(c.Fd(), syscall.SHUT_WR) == nil
 }
 
-// end closes the connection, wherever it is.
-func (s *socket) end() {
-	if s.file != nil {
-		_ = s.file.Close()
+// closeTransport closes the connection, wherever it is.
+func (s *socket) closeTransport() {
+	if s.descriptor != nil {
+		_ = s.descriptor.Close()
 	} else {
 		_ = s.conn.Close()
 	}
 }
 
-// outside puts a descriptor in the place of the connection that has left the poller, and inside a new connection of the
+// useDescriptor puts a descriptor in the place of the connection that has left the poller, and inside a new connection of the
 // poller's in the place of that.
-func (s *socket) outside(file *os.File) {
+func (s *socket) useDescriptor(file *os.File) {
 	s.mu.Lock()
-	s.file = file
+	s.descriptor = file
 	s.mu.Unlock()
 }
 
-func (s *socket) inside(conn netpoll.Connection) {
+func (s *socket) usePollerConn(conn netpoll.Connection) {
 	s.mu.Lock()
-	s.conn, s.file, s.ended = conn, nil, false
+	s.conn, s.descriptor, s.closed = conn, nil, false
 	s.mu.Unlock()
-	s.hup.Store(false)
+	s.closedByPoller.Store(false)
 }
 
-// unread is how much has come in that Run's goroutine has not seen, in bytes or pieces. It looks in the order in which input moves on, so
+// unreadInput is how much has come in that Run's goroutine has not seen, in bytes or pieces. It looks in the order in which input moves on, so
 // that what is between the two is not missed.
-func (s *socket) unread() int {
-	if s.file != nil {
+func (s *socket) unreadInput() int {
+	if s.descriptor != nil {
 		return 0
 	}
-	return s.conn.Reader().Len() + int(s.handed.Load())
+	return s.conn.Reader().Len() + int(s.inputInTransit.Load())
 }
 
-// clean tells whether the connection is open and holds no input, also by what the poller has not seen yet. Like unread it looks in the
+// isOpenAndDrained tells whether the connection is open and holds no input, also by what the poller has not seen yet. Like unread it looks in the
 // order in which input moves on: the system first, then the poller, then what is on its way to Run's goroutine.
-func (s *socket) clean() bool {
+func (s *socket) isOpenAndDrained() bool {
 	s.mu.Lock() // its descriptor may be another connection's once it has ended
 	defer s.mu.Unlock()
-	if s.ended || !s.conn.IsActive() {
+	if s.closed || !s.conn.IsActive() {
 		return false
 	}
 	if c, ok := s.conn.(interface{ Fd() int }); ok {
@@ -207,39 +207,39 @@
 			return false
 		}
 	}
-	return s.conn.IsActive() && s.unread() == 0
+	return s.conn.IsActive() && s.unreadInput() == 0
 }
 
-// hasEnded tells whether the other side has closed the connection or reset it, also where the poller has not seen that yet. Where somebody is
+// peerHasEnded tells whether the other side has closed the connection or reset it, also where the poller has not seen that yet. Where somebody is
 // writing, or reads beside the poller, it is they who find out.
-func (s *socket) hasEnded() bool {
-	if s.file != nil || !s.mu.TryLock() {
+func (s *socket) peerHasEnded() bool {
+	if s.descriptor != nil || !s.mu.TryLock() {
 		return false
 	}
 	defer s.mu.Unlock()
-	return s.ended || !s.conn.IsActive() || stands(s.conn) != peerOpen
+	return s.closed || !s.conn.IsActive() || queryPeerState(s.conn) != peerOpen
 }
 
-// writeSoon is write where the first byte must follow soon: what is held up before that is not written at all. It tells when the first byte
+// writeWithoutDelay is write where the first byte must follow soon: what is held up before that is not written at all. It tells when the first byte
 // was about to be written.
-func (n *Node) writeSoon(s *socket, done func(began int64, err error), parts ...[]byte) {
-	allowed := n.now() - n.heldUp
+func (n *Node) writeWithoutDelay(target *socket, onWritten func(startedAt int64, err error), parts ...[]byte) {
+	allowedAt := n.now() - n.testWriteDelay
 	go func() {
-		began, err := n.now(), error(nil)
-		if began-allowed > heldUpMost {
-			err = errHeldUp
+		startedAt, err := n.now(), error(nil)
+		if startedAt-allowedAt > maxWriteDelay {
+			err = errWriteDelayed
 		} else {
-			err = s.write(parts)
+			err = target.write(parts)
 		}
-		n.post(func() { done(began, err) })
+		n.post(func() { onWritten(startedAt, err) })
 	}()
 }
 
 // write writes parts to a connection beside Run's goroutine, which then calls done. A connection has one write
 // at a time. Parts must stay as they are until then.
-func (n *Node) write(s *socket, done func(error), parts ...[]byte) {
+func (n *Node) write(target *socket, onWritten func(error), parts ...[]byte) {
 	go func() {
-		err := s.write(parts)
-		n.post(func() { done(err) })
+		err := target.write(parts)
+		n.post(func() { onWritten(err) })
 	}()
 }
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -231,7 +231,7 @@
 			if b, err := conn.r.ReadByte(); err == nil {
 				t.Errorf("behind the answer: %q", b)
 			}
-			until(n, func() bool { return len(n.requests) == 0 && n.flows == 0 && n.open == 0 })
+			until(n, func() bool { return len(n.requests) == 0 && n.activeForwarders == 0 && n.openRequests == 0 })
 		})
 	}
 }
@@ -260,7 +260,7 @@
 				part = fmt.Appendf(nil, "%x\r\n%s\r\n", len(part), part)
 			}
 			_, _ = conn.Write(part)
-			until(n, func() bool { return n.flows == 1 })
+			until(n, func() bool { return n.activeForwarders == 1 })
 			if c.code == 0 {
 				_ = conn.Close()
 			} else if code, _, closing := conn.ask(c.rest); code != c.code || !closing {
@@ -270,7 +270,7 @@
 				t.Error("the backend was given an end in order")
 			}
 			until(n, func() bool {
-				return len(n.requests) == 0 && n.flows == 0 && n.open == 0 && len(n.clients) == 0 && n.descriptors <= 1
+				return len(n.requests) == 0 && n.activeForwarders == 0 && n.openRequests == 0 && len(n.clients) == 0 && n.openDescriptors <= 1
 			})
 		})
 	}
@@ -291,8 +291,8 @@
 		{"at the rate", 64_000 * 60, time.Minute, false},
 		{"just under", 64_000 * 50, time.Minute, true},
 	} {
-		f := &flow{paced: true, given: c.given, began: now.Add(-c.after)}
-		if got := f.allowed(now) <= 0; got != c.slow {
+		f := &forwarder{enforceMinRate: true, receivedBytes: c.given, startedAt: now.Add(-c.after)}
+		if got := f.readTimeout(now) <= 0; got != c.slow {
 			t.Errorf("%s: cut off %v", c.name, got)
 		}
 	}
@@ -349,7 +349,7 @@
 			}()
 		}
 	}
-	until(n, func() bool { return n.flows >= count })
+	until(n, func() bool { return n.activeForwarders >= count })
 	time.Sleep(200 * time.Millisecond) // what would grow, grows
 	runtime.GC()
 	runtime.ReadMemStats(&peak)
@@ -377,8 +377,8 @@
 	go func() { _, _ = flood.Write(noiseOf(2, 8<<20)) }()
 	until(n, func() bool {
 		for c := range n.clients {
-			if c.cut {
-				return c.moreSize <= moreMost && n.kept <= 2*moreMost
+			if c.inputTruncated {
+				return c.overflowSize <= maxOverflowPerConn && n.overflowBytes <= 2*maxOverflowPerConn
 			}
 		}
 		return false
@@ -394,7 +394,7 @@
 		t.Errorf("the flood's own request: %d, closing %v", code, closing)
 	}
 	_ = flood.Close()
-	until(n, func() bool { return n.kept == 0 })
+	until(n, func() bool { return n.overflowBytes == 0 })
 }
 
 // A connection that leaves the poller is out of its set, also where netpoll has run the callbacks of its end without seeing to that: what comes then is
@@ -413,7 +413,7 @@
 			}
 			defer func() { _ = conn.Close() }()
 			if leaves {
-				if err := detach(conn); err != nil {
+				if err := removeFromPollSet(conn); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -421,7 +421,7 @@
 				t.Fatal(err)
 			}
 			for range 2 {
-				if err := thePoller.pass(); err != nil {
+				if err := sharedPollerBarrier.wait(); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -20,62 +20,62 @@
 // writeTimeout is how long a client may take to read an answer.
 const writeTimeout = 10 * time.Second
 
-// client is a connection that a client opened.
-type client struct {
+// clientConn is a connection that a client opened.
+type clientConn struct {
 	socket
-	n         *Node
-	in        *buffer
-	msg       protocol.Message
-	req       *request // taken from it and not answered
-	writing   bool     // an answer is on its way
-	last      bool     // the connection closes after this answer
-	continued bool
-	lingering bool // what still comes is dropped; it only waits for its last answer to be read
-	dropped   int  // bytes that came meanwhile
-	closed    bool
-	asked     bool // a whole request has come from it
-	idle      *list.Element
-	idleIn    *list.List // fresh, idleClients or lingering
-	more      [][]byte   // came behind what c.in has room for
-	moreSize  int
-	cut       bool // some of what came was dropped: nothing behind it can be read
-	came      int  // bytes that have come and were kept
-	arrivals  []arrival
-	upload    *upload  // the request that is coming in is too large to be held
-	down      *backend // it passes on an answer too large to be held
-	old       bool     // its request came as HTTP/1.0
-	headOnly  bool     // its request is a HEAD: no answer to it has a body
-	headSize  int      // of the body that a backend tells in answer to a HEAD
-	headAt    int64    // when the head of the request that is coming in was whole; 0: it is not
-	since     int64    // when the request that is coming in began, at first the connection
-	idleSince int64
+	node              *Node
+	input             *buffer
+	message           protocol.Message
+	request           *request // taken from it and not answered
+	writingAnswer     bool     // an answer is on its way
+	closeAfterAnswer  bool     // the connection closes after this answer
+	continueSent      bool
+	lingering         bool // what still comes is dropped; it only waits for its last answer to be read
+	discardedBytes    int  // bytes that came meanwhile
+	closed            bool
+	hasSentRequest    bool // a whole request has come from it
+	idleElement       *list.Element
+	idleList          *list.List // fresh, idleClients or lingering
+	overflow          [][]byte   // came behind what c.in has room for
+	overflowSize      int
+	inputTruncated    bool // some of what came was dropped: nothing behind it can be read
+	receivedBytes     int  // bytes that have come and were kept
+	arrivals          []arrival
+	upload            *upload      // the request that is coming in is too large to be held
+	downloadConn      *backendConn // it passes on an answer too large to be held
+	http10            bool         // its request came as HTTP/1.0
+	headRequest       bool         // its request is a HEAD: no answer to it has a body
+	headContentLength int          // of the body that a backend tells in answer to a HEAD
+	headCompleteAt    int64        // when the head of the request that is coming in was whole; 0: it is not
+	requestStartedAt  int64        // when the request that is coming in began, at first the connection
+	idleSince         int64
 }
 
 // arrival is when the bytes of a connection up to a place had come, for what still waits for the answer before it.
 type arrival struct {
-	upTo int
-	at   int64
+	upToByte   int
+	receivedAt int64
 }
 
-// arrivalsApart bounds how many of these there are, in microseconds: what comes sooner behind another counts as come with it.
-const arrivalsApart = 10_000
+// arrivalMergeInterval bounds how many of these there are, in microseconds: what comes sooner behind another counts as come with it.
+const arrivalMergeInterval = 10_000
 
 // How long clients may hold on to what they do not use, in microseconds. Whoever cannot or will not ask is due an
 // error or a close within 3 s of connecting; a sweep comes on top of these times.
 const (
-	askWithin  = 2_200_000  // from the connection to the end of its first head, or from the start of a later one
-	bodyWithin = 1_000_000  // from there to the end of the body, and what that takes at the least rate
-	freshFor   = 500_000    // a new connection is not closed to make room for others unless nothing else is idle
-	idleAtMost = 30_000_000 // between two requests
-	idleLeast  = 2_000_000  // sooner, only connections that are in the way are closed
+	headTimeout       = 2_200_000  // from the connection to the end of its first head, or from the start of a later one
+	bodyTimeout       = 1_000_000  // from there to the end of the body, and what that takes at the least rate
+	newConnGrace      = 500_000    // a new connection is not closed to make room for others unless nothing else is idle
+	maxClientIdleTime = 30_000_000 // between two requests
+	minClientIdleTime = 2_000_000  // sooner, only connections that are in the way are closed
 )
 
-// receiveBuffer is what the system may hold of a connection's input. The poller reads whatever is there at once, so
+// receiveBufferSize is what the system may hold of a connection's input. The poller reads whatever is there at once, so
 // this also bounds the memory that one connection can take: without it that grows to some MB.
-const receiveBuffer = 64 << 10
+const receiveBufferSize = 64 << 10
 
-func boundReceive(fd uintptr) error {
-	return syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
+func limitReceiveBuffer(fd uintptr) error {
+	return syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferSize)
 }
 
 // Listen opens the listener that Serve's event loop is for. Shared lets another process listen there too, as in an
@@ -84,7 +84,7 @@
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
 		if e := raw.Control(func(fd uintptr) {
-			if err = boundReceive(fd); err == nil && shared {
+			if err = limitReceiveBuffer(fd); err == nil && shared {
 				err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 			}
 		}); e != nil {
@@ -104,182 +104,182 @@
 	type key struct{}
 	return netpoll.NewEventLoop(
 		func(ctx context.Context, conn netpoll.Connection) error {
-			return ctx.Value(key{}).(*client).input(ctx, conn)
+			return ctx.Value(key{}).(*clientConn).onInput(ctx, conn)
 		},
 		netpoll.WithOnPrepare(func(conn netpoll.Connection) context.Context {
-			c := &client{n: n, socket: socket{conn: conn}, since: n.now()}
+			c := &clientConn{node: n, socket: socket{conn: conn}, requestStartedAt: n.now()}
 			_ = conn.SetWriteTimeout(writeTimeout)
-			c.onClose(c.ended(n))
-			n.unseen.Add(1)
-			n.post(c.opened)
-			n.catchUp()
+			c.onClose(c.onClosed(n))
+			n.pendingAccepts.Add(1)
+			n.post(c.register)
+			n.throttleAccepts()
 			return context.WithValue(context.Background(), key{}, c)
 		}))
 }
 
-// input hands on what the poller has read.
-func (c *client) input(_ context.Context, conn netpoll.Connection) error {
-	at := c.n.now()
-	return c.hand(conn, c.n, func(b *buffer) { c.receive(b, at) })
+// onInput hands on what the poller has read.
+func (c *clientConn) onInput(_ context.Context, conn netpoll.Connection) error {
+	receivedAt := c.node.now()
+	return c.deliver(conn, c.node, func(buf *buffer) { c.receive(buf, receivedAt) })
 }
 
-// unseenMost is how many connections may have been accepted that Run's goroutine has not seen. It is well within
+// maxPendingAccepts is how many connections may have been accepted that Run's goroutine has not seen. It is well within
 // reserve: at the system's limit of descriptors the poller would not hear of new connections for a while.
-const unseenMost = 8
+const maxPendingAccepts = 8
 
-// catchUp has the poller wait a little for Run's goroutine, which makes room for what has been accepted: left alone,
+// throttleAccepts has the poller wait a little for Run's goroutine, which makes room for what has been accepted: left alone,
 // the poller takes in a burst of hundreds at once.
-func (n *Node) catchUp() {
-	for tries := 0; tries < 1000 && n.unseen.Load() >= unseenMost; tries++ {
+func (n *Node) throttleAccepts() {
+	for yields := 0; yields < 1000 && n.pendingAccepts.Load() >= maxPendingAccepts; yields++ {
 		runtime.Gosched()
 	}
 }
 
-func (c *client) opened() {
-	c.n.unseen.Add(-1)
-	c.n.clients[c] = struct{}{}
-	c.n.descriptors++
-	if !c.n.makeRoom(0) { // beyond the cap, with nothing idle to close
-		c.n.warn("connection refused", "descriptors", c.n.descriptors)
-		c.close(endNoDescriptor)
+func (c *clientConn) register() {
+	c.node.pendingAccepts.Add(-1)
+	c.node.clients[c] = struct{}{}
+	c.node.openDescriptors++
+	if !c.node.reserveDescriptors(0) { // beyond the cap, with nothing idle to close
+		c.node.warnLimited("connection refused", "descriptors", c.node.openDescriptors)
+		c.close(closeNoDescriptor)
 		return
 	}
 	c.setIdle(true) // where the process is about to end, checkDrained shuts it unless it has asked already
 }
 
 // setIdle keeps the lists of connections that hold no request: those that have never asked, and the others.
-func (c *client) setIdle(on bool) {
-	if c.idle != nil {
-		c.idleIn.Remove(c.idle)
-		c.idle = nil
+func (c *clientConn) setIdle(idle bool) {
+	if c.idleElement != nil {
+		c.idleList.Remove(c.idleElement)
+		c.idleElement = nil
 	}
-	if on && !c.closed {
+	if idle && !c.closed {
 		switch {
 		case c.lingering:
-			c.idleIn = &c.n.lingering
-		case c.asked:
-			c.idleIn = &c.n.idleClients
+			c.idleList = &c.node.lingeringClients
+		case c.hasSentRequest:
+			c.idleList = &c.node.idleClients
 		default:
-			c.idleIn = &c.n.fresh
+			c.idleList = &c.node.newClients
 		}
-		c.idle, c.idleSince = c.idleIn.PushBack(c), c.n.now()
-		if most := c.n.sockets() / idleShare; c.asked && !c.lingering && most > 0 && c.idleIn.Len() > most {
-			if oldest := c.n.idleClient(c.idleIn, 0); oldest != nil && oldest != c {
-				oldest.shut(endTooManyIdle)
+		c.idleElement, c.idleSince = c.idleList.PushBack(c), c.node.now()
+		if limit := c.node.descriptorLimit() / idleClientFraction; c.hasSentRequest && !c.lingering && limit > 0 && c.idleList.Len() > limit {
+			if oldest := c.node.oldestIdleClient(c.idleList, 0); oldest != nil && oldest != c {
+				oldest.closeGracefully(closeTooManyIdle)
 			}
 		}
 	}
 }
 
-// idleShare is the part of all descriptors that connections between two requests may take. Clients hold a third of
+// idleClientFraction is the part of all descriptors that connections between two requests may take. Clients hold a third of
 // them at most: with that full of connections that nobody uses any more, new clients could not connect.
-const idleShare = 6
+const idleClientFraction = 6
 
 // close ends the connection. Unless the client went first, it holds no unanswered request.
-func (c *client) close(why endReason) {
+func (c *clientConn) close(reason closeReason) {
 	if c.closed {
 		return
 	}
-	c.noteEnd(why)
+	c.logClose(reason)
 	c.closed = true
 	c.setIdle(false)
-	delete(c.n.clients, c)
-	c.n.descriptors--
-	c.in.release()
-	c.in, c.more = nil, nil
-	c.keeps(0)
-	if c.down != nil {
-		c.n.closeBackend(c.down, endCutOff)
+	delete(c.node.clients, c)
+	c.node.openDescriptors--
+	c.input.release()
+	c.input, c.overflow = nil, nil
+	c.setOverflowSize(0)
+	if c.downloadConn != nil {
+		c.node.closeBackend(c.downloadConn, closeAnswerTruncated)
 	}
-	if c.upload == nil || c.file != nil { // else it is on its way out of the poller, and closes as it is there
-		c.end()
+	if c.upload == nil || c.descriptor != nil { // else it is on its way out of the poller, and closes as it is there
+		c.closeTransport()
 	}
 }
 
-// shut ends a connection behind its last answer, or between two requests. The other side is told first, and what it has sent meanwhile is
+// closeGracefully ends a connection behind its last answer, or between two requests. The other side is told first, and what it has sent meanwhile is
 // read and dropped: a close over unread bytes resets the connection, and with it goes what the client has not read of its answer. Whoever
 // sent a request that crosses the end sees that, with no answer to it; nothing of it is sent on.
-func (c *client) shut(why endReason) {
-	if c.closed || c.idle != nil && c.idleIn == &c.n.lingering {
+func (c *clientConn) closeGracefully(reason closeReason) {
+	if c.closed || c.idleElement != nil && c.idleList == &c.node.lingeringClients {
 		return
 	}
-	c.noteEnd(why)
+	c.logClose(reason)
 	c.lingering = true
-	c.in.release()
-	c.in, c.more = nil, nil
-	c.keeps(0)
-	if c.file != nil && !c.comeBack() {
+	c.input.release()
+	c.input, c.overflow = nil, nil
+	c.setOverflowSize(0)
+	if c.descriptor != nil && !c.rejoinPoller() {
 		return
 	}
-	if !c.finish() {
-		c.close(endPeerClosed)
+	if !c.closeWrite() {
+		c.close(closedByPeer)
 		return
 	}
 	c.setIdle(false)
 	c.setIdle(true)
-	c.n.at(c.n.now()+lingerFor, func() { c.close(endLingered) })
+	c.node.scheduleAt(c.node.now()+lingerDuration, func() { c.close(closeLingerTimeout) })
 }
 
-// ended is called as the connection has closed, beside Run's goroutine.
-func (c *client) ended(n *Node) func() {
+// onClosed is called as the connection has closed, beside Run's goroutine.
+func (c *clientConn) onClosed(n *Node) func() {
 	return func() {
-		c.endedAt.Store(n.now())
-		n.post(func() { c.gone(endPeerClosed) })
+		c.disconnectedAt.Store(n.now())
+		n.post(func() { c.disconnected(closedByPeer) })
 	}
 }
 
-// gone is a connection that has ended.
-func (c *client) gone(why endReason) {
-	req := c.req
-	c.close(why)
-	if c.req = nil; req != nil {
-		c.n.clientGone(req)
+// disconnected is a connection that has ended.
+func (c *clientConn) disconnected(reason closeReason) {
+	req := c.request
+	c.close(reason)
+	if c.request = nil; req != nil {
+		c.node.clientDisconnected(req)
 	}
 }
 
 // receive takes in what the client sent.
-func (c *client) receive(b *buffer, at int64) {
-	defer b.release()
+func (c *clientConn) receive(buf *buffer, receivedAt int64) {
+	defer buf.release()
 	if c.lingering && !c.closed {
-		if c.dropped += b.n; c.dropped > lingerBytes && !c.writing {
-			c.close(endTooMuchInput)
+		if c.discardedBytes += buf.length; c.discardedBytes > maxLingerBytes && !c.writingAnswer {
+			c.close(closeTooMuchInput)
 		}
 	}
 	if c.closed || c.lingering {
 		return
 	}
 	if c.upload != nil {
-		c.upload.early = earlyData(c.upload.early, b.bytes())
+		c.upload.earlyInput = appendCopy(c.upload.earlyInput, buf.bytes())
 		return
 	}
-	if c.cut {
+	if c.inputTruncated {
 		return
 	}
-	c.arrived(b.n, at)
-	if len(c.more) > 0 {
-		c.keep(b.bytes())
+	c.recordArrival(buf.length, receivedAt)
+	if len(c.overflow) > 0 {
+		c.keepOverflow(buf.bytes())
 		return
 	}
-	if c.in == nil {
-		c.in = b.retain()
-		c.begins(at)
-		c.advance(at)
+	if c.input == nil {
+		c.input = buf.retain()
+		c.requestStarted(receivedAt)
+		c.parseNextRequest(receivedAt)
 		return
 	}
-	rest := b.bytes()
+	rest := buf.bytes()
 	for len(rest) > 0 && !c.closed && !c.lingering {
-		if c.in == nil {
-			c.in = newBuffer()
-			c.begins(at)
+		if c.input == nil {
+			c.input = newBuffer()
+			c.requestStarted(receivedAt)
 		}
-		left := len(rest)
-		if rest = c.in.add(rest); len(rest) == left { // full, and the request before is not answered yet
-			c.keep(rest)
+		before := len(rest)
+		if rest = c.input.add(rest); len(rest) == before { // full, and the request before is not answered yet
+			c.keepOverflow(rest)
 			return
 		}
-		c.advance(at)
+		c.parseNextRequest(receivedAt)
 		if c.upload != nil {
-			c.upload.early = earlyData(c.upload.early, rest)
+			c.upload.earlyInput = appendCopy(c.upload.earlyInput, rest)
 			return
 		}
 	}
@@ -287,249 +287,249 @@
 
 // What is kept of requests while the answer to the one before is on its way: of one connection, and of all.
 const (
-	moreMost = lingerBytes
-	keptMost = 4 << 20
+	maxOverflowPerConn = maxLingerBytes
+	maxOverflowBytes   = 4 << 20
 )
 
-// keep keeps what c.in has no room for. What is too much is dropped, so nothing behind it can be read.
-func (c *client) keep(p []byte) {
-	if c.moreSize+len(p) > moreMost || c.n.kept+len(p) > keptMost {
-		c.last, c.cut = true, true
-		c.came -= len(p)
+// keepOverflow keeps what c.in has no room for. What is too much is dropped, so nothing behind it can be read.
+func (c *clientConn) keepOverflow(data []byte) {
+	if c.overflowSize+len(data) > maxOverflowPerConn || c.node.overflowBytes+len(data) > maxOverflowBytes {
+		c.closeAfterAnswer, c.inputTruncated = true, true
+		c.receivedBytes -= len(data)
 		return
 	}
-	c.more = earlyData(c.more, p)
-	c.keeps(c.moreSize + len(p))
+	c.overflow = appendCopy(c.overflow, data)
+	c.setOverflowSize(c.overflowSize + len(data))
 }
 
-// arrived notes when so many bytes have come.
-func (c *client) arrived(n int, at int64) {
-	c.came += n
-	if c.req == nil && !c.writing { // every whole request of before has been read
+// recordArrival notes when so many bytes have come.
+func (c *clientConn) recordArrival(length int, receivedAt int64) {
+	c.receivedBytes += length
+	if c.request == nil && !c.writingAnswer { // every whole request of before has been read
 		c.arrivals = c.arrivals[:0]
 	}
-	if k := len(c.arrivals) - 1; k >= 0 && at-c.arrivals[k].at < arrivalsApart {
-		c.arrivals[k].upTo = c.came
+	if last := len(c.arrivals) - 1; last >= 0 && receivedAt-c.arrivals[last].receivedAt < arrivalMergeInterval {
+		c.arrivals[last].upToByte = c.receivedBytes
 		return
 	}
-	c.arrivals = append(c.arrivals, arrival{c.came, at})
+	c.arrivals = append(c.arrivals, arrival{c.receivedBytes, receivedAt})
 }
 
-// cameAt is when the last byte before so many others had come: a request's time counts from its own last byte, also where it has stood behind
+// arrivalTime is when the last byte before so many others had come: a request's time counts from its own last byte, also where it has stood behind
 // another.
-func (c *client) cameAt(behind int) (at int64) {
-	k := slices.IndexFunc(c.arrivals, func(a arrival) bool { return a.upTo >= c.came-behind })
-	if k < 0 {
-		return c.n.now()
+func (c *clientConn) arrivalTime(behind int) (receivedAt int64) {
+	index := slices.IndexFunc(c.arrivals, func(arrived arrival) bool { return arrived.upToByte >= c.receivedBytes-behind })
+	if index < 0 {
+		return c.node.now()
 	}
-	c.arrivals = c.arrivals[k:]
-	return c.arrivals[0].at
+	c.arrivals = c.arrivals[index:]
+	return c.arrivals[0].receivedAt
 }
 
-// keeps notes how much that is.
-func (c *client) keeps(size int) {
-	c.n.kept += size - c.moreSize
-	c.moreSize = size
+// setOverflowSize notes how much that is.
+func (c *clientConn) setOverflowSize(size int) {
+	c.node.overflowBytes += size - c.overflowSize
+	c.overflowSize = size
 }
 
-// refill moves what was kept into c.in, as far as there is room.
-func (c *client) refill(at int64) {
-	if len(c.more) > 0 && c.in == nil {
-		c.in = newBuffer()
-		c.begins(at)
+// refillInput moves what was kept into c.in, as far as there is room.
+func (c *clientConn) refillInput(receivedAt int64) {
+	if len(c.overflow) > 0 && c.input == nil {
+		c.input = newBuffer()
+		c.requestStarted(receivedAt)
 	}
-	for len(c.more) > 0 {
-		rest := c.in.add(c.more[0])
-		if c.keeps(c.moreSize - (len(c.more[0]) - len(rest))); len(rest) > 0 {
-			c.more[0] = rest
+	for len(c.overflow) > 0 {
+		rest := c.input.add(c.overflow[0])
+		if c.setOverflowSize(c.overflowSize - (len(c.overflow[0]) - len(rest))); len(rest) > 0 {
+			c.overflow[0] = rest
 			return
 		}
-		c.more = c.more[1:]
+		c.overflow = c.overflow[1:]
 	}
 }
 
-// begins notes when a request begins to come in. The first has been due since the connection came.
-func (c *client) begins(at int64) {
-	c.headAt = 0
-	if c.asked {
-		c.since = at
+// requestStarted notes when a request begins to come in. The first has been due since the connection came.
+func (c *clientConn) requestStarted(receivedAt int64) {
+	c.headCompleteAt = 0
+	if c.hasSentRequest {
+		c.requestStartedAt = receivedAt
 	}
 }
 
-// advance reads the next request, if all before is answered.
-func (c *client) advance(at int64) {
-	if c.req != nil || c.writing || c.closed || c.upload != nil {
+// parseNextRequest reads the next request, if all before is answered.
+func (c *clientConn) parseNextRequest(receivedAt int64) {
+	if c.request != nil || c.writingAnswer || c.closed || c.upload != nil {
 		return
 	}
-	c.refill(at)
-	if c.in == nil || c.in.n == 0 {
+	c.refillInput(receivedAt)
+	if c.input == nil || c.input.length == 0 {
 		return
 	}
-	size, whole, err := c.msg.Request(c.in.bytes())
-	if c.headAt == 0 && c.msg.Started() {
-		c.headAt = at
+	size, complete, err := c.message.Request(c.input.bytes())
+	if c.headCompleteAt == 0 && c.message.Started() {
+		c.headCompleteAt = receivedAt
 	}
-	if c.in.n = size; size == 0 { // nothing but empty lines
-		c.in.release()
-		c.in = nil
+	if c.input.length = size; size == 0 { // nothing but empty lines
+		c.input.release()
+		c.input = nil
 		return
 	}
 	switch {
 	case err != nil:
-		c.refuse(protocol.RejectionStatus(err), err.Error())
-	case whole:
-		c.asked = true
+		c.rejectUnreadable(protocol.RejectionStatus(err), err.Error())
+	case complete:
+		c.hasSentRequest = true
 		c.setIdle(false)
-		c.last = c.last || !c.msg.KeepAlive
-		c.request(at)
-	case c.msg.Started() && (c.msg.Length() > protocol.MaxBody || size == protocol.BufferSize):
+		c.closeAfterAnswer = c.closeAfterAnswer || !c.message.KeepAlive
+		c.handleRequest(receivedAt)
+	case c.message.Started() && (c.message.Length() > protocol.MaxBody || size == protocol.BufferSize):
 		c.startUpload()
-	case len(c.more) > 0 && size < protocol.BufferSize: // framing was taken out: there is room again
-		c.advance(at)
-	case c.msg.Started() && c.msg.Expect && !c.continued:
-		c.continued, c.writing = true, true
-		c.n.write(&c.socket, func(err error) {
-			if c.writing = false; err != nil {
-				c.close(endWriteFailed)
+	case len(c.overflow) > 0 && size < protocol.BufferSize: // framing was taken out: there is room again
+		c.parseNextRequest(receivedAt)
+	case c.message.Started() && c.message.Expect && !c.continueSent:
+		c.continueSent, c.writingAnswer = true, true
+		c.node.write(&c.socket, func(err error) {
+			if c.writingAnswer = false; err != nil {
+				c.close(closeWriteFailed)
 			} else if !c.closed {
-				c.advance(at)
+				c.parseNextRequest(receivedAt)
 			}
 		}, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 }
 
-// request takes the request that has just been read, or refuses it.
-func (c *client) request(at int64) {
-	buf := c.in
-	c.in = nil
-	rest := c.msg.Rest(buf.bytes())
-	came := c.cameAt(len(rest) + c.moreSize)
+// handleRequest takes the request that has just been read, or refuses it.
+func (c *clientConn) handleRequest(receivedAt int64) {
+	buf := c.input
+	c.input = nil
+	rest := c.message.Rest(buf.bytes())
+	arrivedAt := c.arrivalTime(len(rest) + c.overflowSize)
 	if len(rest) > 0 {
-		c.in = newBuffer()
-		c.begins(at)
-		c.in.add(rest)
-		buf.n -= len(rest)
-	}
-	msg := c.msg
-	c.msg, c.continued = protocol.Message{}, false
-	c.old, c.headOnly = msg.OldVersion(), string(msg.Method) == "HEAD"
-	c.headSize = protocol.UntilClose
+		c.input = newBuffer()
+		c.requestStarted(receivedAt)
+		c.input.add(rest)
+		buf.length -= len(rest)
+	}
+	msg := c.message
+	c.message, c.continueSent = protocol.Message{}, false
+	c.http10, c.headRequest = msg.OldVersion(), string(msg.Method) == "HEAD"
+	c.headContentLength = protocol.UntilClose
 	if string(msg.Path()) == "/ready" {
 		buf.release()
-		if !c.n.ready() {
+		if !c.node.ready() {
 			c.reply(nil, 503, nil, []byte("not ready\n"), 0)
 		} else {
 			c.reply(nil, 200, nil, []byte("ready\n"), 0)
 		}
 		return
 	}
-	if c.n.drain.late || c.n.drain.ending { // long after the call to leave: nobody may be held
-		c.last = true
+	if c.node.drain.rejecting || c.node.drain.closingAll { // long after the call to leave: nobody may be held
+		c.closeAfterAnswer = true
 		c.reply(buf, 503, nil, []byte("not in service\n"), 0)
 		return
 	}
-	r, status, why := c.n.admit(&msg, buf, came)
-	if r == nil {
+	req, status, reason := c.node.admit(&msg, buf, arrivedAt)
+	if req == nil {
 		// A client that asks for what it must not have loses its connection. (And what answers a HEAD has no body:
 		// ours would be read as the next answer.)
-		c.last = c.last || status != 503
-		c.reply(buf, status, nil, []byte(why+"\n"), 0)
+		c.closeAfterAnswer = c.closeAfterAnswer || status != 503
+		c.reply(buf, status, nil, []byte(reason+"\n"), 0)
 		return
 	}
-	r.client, c.req = c, r
-	c.n.begin(r)
+	req.clientConn, c.request = c, req
+	c.node.submit(req)
 }
 
-// lingerFor is how long a connection stays after its last answer if the client does not close it, in microseconds.
-const lingerFor = 500_000
+// lingerDuration is how long a connection stays after its last answer if the client does not close it, in microseconds.
+const lingerDuration = 500_000
 
-// lingerBytes is how much of that is read: enough for what was on its way, but not all that a client may send.
-const lingerBytes = 4 * protocol.BufferSize
+// maxLingerBytes is how much of that is read: enough for what was on its way, but not all that a client may send.
+const maxLingerBytes = 4 * protocol.BufferSize
 
-// refuse answers what cannot be read, after which the connection closes.
-func (c *client) refuse(status int, why string) {
+// rejectUnreadable answers what cannot be read, after which the connection closes.
+func (c *clientConn) rejectUnreadable(status int, reason string) {
 	c.setIdle(false)
-	c.last, c.lingering = true, true
-	c.in.release()
-	c.in = nil
-	c.reply(nil, status, nil, []byte(why+"\n"), 0)
+	c.closeAfterAnswer, c.lingering = true, true
+	c.input.release()
+	c.input = nil
+	c.reply(nil, status, nil, []byte(reason+"\n"), 0)
 }
 
 // reply writes an answer. It holds held until that is done.
-func (c *client) reply(held *buffer, status int, fields []protocol.Field, body []byte, retryAfter int64) {
-	c.req = nil
+func (c *clientConn) reply(source *buffer, status int, fields []protocol.Field, body []byte, retryAfter int64) {
+	c.request = nil
 	if c.closed {
-		held.release()
+		source.release()
 		return
 	}
-	c.last = c.last || c.n.drain.on || c.upload != nil
-	c.writing = true
-	c.n.writing++
+	c.closeAfterAnswer = c.closeAfterAnswer || c.node.drain.active || c.upload != nil
+	c.writingAnswer = true
+	c.node.answersInProgress++
 	head := newBuffer()
 	size := len(body)
-	if c.headOnly {
+	if c.headRequest {
 		if body = nil; status == 200 {
-			size = c.headSize
+			size = c.headContentLength
 		}
 	}
-	out := protocol.AppendResponse(head.data[:0], status, fields, size, !c.last, retryAfter)
-	c.n.write(&c.socket, func(err error) {
-		c.n.writing--
-		c.writing = false
+	out := protocol.AppendResponse(head.data[:0], status, fields, size, !c.closeAfterAnswer, retryAfter)
+	c.node.write(&c.socket, func(err error) {
+		c.node.answersInProgress--
+		c.writingAnswer = false
 		head.release()
-		held.release()
+		source.release()
 		switch {
-		case err == nil && c.upload != nil && !c.upload.done:
-			c.afterEarly()
+		case err == nil && c.upload != nil && !c.upload.complete:
+			c.discardAfterEarlyAnswer()
 		case err != nil:
-			c.close(endWriteFailed)
-		case c.last:
-			c.shut(endLastAnswer)
+			c.close(closeWriteFailed)
+		case c.closeAfterAnswer:
+			c.closeGracefully(closeLastAnswer)
 		default:
 			c.setIdle(true)
-			c.advance(c.n.now())
+			c.parseNextRequest(c.node.now())
 		}
 	}, out, body)
 }
 
 // mayClose tells whether the connection may be ended between two requests, and if not, why: what has come, and waits to be read, asks for an answer.
-func (c *client) mayClose() safety.Reason {
-	return safety.Close{RequestInProgress: c.req != nil || c.writing || c.upload != nil, UnreadInput: c.unread() > 0 || !c.clean()}.Check()
+func (c *clientConn) mayClose() safety.Reason {
+	return safety.Close{RequestInProgress: c.request != nil || c.writingAnswer || c.upload != nil, UnreadInput: c.unreadInput() > 0 || !c.isOpenAndDrained()}.Check()
 }
 
-// sweepClients ends what clients hold on to and do not use: connections that never ask, requests that begin and do
+// closeStalledClients ends what clients hold on to and do not use: connections that never ask, requests that begin and do
 // not come in whole, each of which holds a buffer too, and connections that stay after their last answer.
-func (n *Node) sweepClients() {
+func (n *Node) closeStalledClients() {
 	now := n.now()
-	for _, l := range []*list.List{&n.fresh, &n.idleClients} {
-		for e := l.Front(); e != nil; {
-			c := e.Value.(*client)
-			e = e.Next()
-			idle := now - c.idleSince
+	for _, conns := range []*list.List{&n.newClients, &n.idleClients} {
+		for element := conns.Front(); element != nil; {
+			client := element.Value.(*clientConn)
+			element = element.Next()
+			idleTime := now - client.idleSince
 			switch {
-			case c.lingering:
-			case c.mayClose() != safety.Allowed: // it asks in this moment
-			case c.in != nil && c.headAt == 0 && now-c.since >= askWithin,
-				c.in != nil && c.headAt > 0 && now-c.headAt >= bodyWithin+int64(float64(c.in.n)*1e6/(bodyRate*bodyMargin)):
-				c.refuse(408, "request not complete in time")
-			case c.in != nil:
-			case !c.asked && now-c.since >= askWithin, idle >= idleAtMost:
-				c.shut(endNotAsked)
-			case c.asked && idle >= idleLeast && n.sockets() > 0 && len(n.clients) > n.sockets()/3:
-				c.shut(endTooManyIdle) // more than clients need for their requests, silent ones counted
+			case client.lingering:
+			case client.mayClose() != safety.Allowed: // it asks in this moment
+			case client.input != nil && client.headCompleteAt == 0 && now-client.requestStartedAt >= headTimeout,
+				client.input != nil && client.headCompleteAt > 0 && now-client.headCompleteAt >= bodyTimeout+int64(float64(client.input.length)*1e6/(minBodyRate*bodyRateTolerance)):
+				client.rejectUnreadable(408, "request not complete in time")
+			case client.input != nil:
+			case !client.hasSentRequest && now-client.requestStartedAt >= headTimeout, idleTime >= maxClientIdleTime:
+				client.closeGracefully(closeNoRequest)
+			case client.hasSentRequest && idleTime >= minClientIdleTime && n.descriptorLimit() > 0 && len(n.clients) > n.descriptorLimit()/3:
+				client.closeGracefully(closeTooManyIdle) // more than clients need for their requests, silent ones counted
 			}
 		}
 	}
 }
 
-// idleClient is the connection in a list that has held no request for the longest time, and at least for so long,
+// oldestIdleClient is the connection in a list that has held no request for the longest time, and at least for so long,
 // or nil.
-func (n *Node) idleClient(in *list.List, least int64) *client {
-	for e := in.Front(); e != nil; e = e.Next() {
-		if c := e.Value.(*client); n.now()-c.idleSince < least {
+func (n *Node) oldestIdleClient(conns *list.List, minIdle int64) *clientConn {
+	for element := conns.Front(); element != nil; element = element.Next() {
+		if client := element.Value.(*clientConn); n.now()-client.idleSince < minIdle {
 			return nil
-		} else if c.mayClose() == safety.Allowed {
-			return c
+		} else if client.mayClose() == safety.Allowed {
+			return client
 		}
 	}
 	return nil
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -13,168 +13,168 @@
 // download is an answer that is too large to be held: it is passed on while it comes in. The first bytes make it the
 // answer of its request, and the attempt has been settled then. Its backend's connection has left the poller.
 type download struct {
-	att   *attempt
-	held  bool     // its connection can't leave yet: the request is still being written
-	early [][]byte // what came while the connection left
-	size  int
+	attempt            *attempt
+	awaitingRequestEnd bool     // its connection can't leave yet: the request is still being written
+	earlyInput         [][]byte // what came while the connection left
+	earlyBytes         int
 }
 
 // startDownload has the connection leave the poller. What has come of the answer is in b.in.
-func (b *backend) startDownload() {
-	n, a := b.n, b.att
-	if out := outcome(&b.msg); out != balancer.OutcomeOK || a.req.done || a.probe { // nobody wants it
-		if a.probe {
-			out = balancer.OutcomeReset // what it says of its load could not be read
+func (b *backendConn) startDownload() {
+	n, att := b.node, b.attempt
+	if result := answerOutcome(&b.message); result != balancer.OutcomeOK || att.request.done || att.isHealthCheck { // nobody wants it
+		if att.isHealthCheck {
+			result = balancer.OutcomeReset // what it says of its load could not be read
 		}
-		report := loadReport(&b.msg)
-		n.closeBackend(b, endUnwantedBytes)
-		n.settle(a, out, report)
+		report := headerLoadReport(&b.message)
+		n.closeBackend(b, closeUnwantedDownload)
+		n.completeAttempt(att, result, report)
 		return
 	}
-	b.down = &download{att: a, held: !b.written}
-	if b.written {
-		b.passOn()
+	b.download = &download{attempt: att, awaitingRequestEnd: !b.requestWritten}
+	if b.requestWritten {
+		b.detachForDownload()
 	}
 }
 
-// passOn begins the way out of the poller.
-func (b *backend) passOn() {
-	n := b.n
-	b.down.held = false
-	b.leave(func(file *os.File, rest []byte, err error) {
-		n.post(func() { n.downloadBegins(b, file, rest, err) })
+// detachForDownload begins the way out of the poller.
+func (b *backendConn) detachForDownload() {
+	n := b.node
+	b.download.awaitingRequestEnd = false
+	b.detach(func(descriptor *os.File, rest []byte, err error) {
+		n.post(func() { n.startDownloadForwarding(b, descriptor, rest, err) })
 	}) // where it has ended, gone follows
 }
 
-// downloadBegins gives the client the beginning of its answer. Without a file the backend's connection has ended, and
+// startDownloadForwarding gives the client the beginning of its answer. Without a file the backend's connection has ended, and
 // what came of it is all there is.
-func (n *Node) downloadBegins(b *backend, file *os.File, rest []byte, err error) {
-	d := b.down
-	a := d.att
-	if b.closed || a.over || err != nil {
-		if file != nil {
-			_ = file.Close()
+func (n *Node) startDownloadForwarding(conn *backendConn, descriptor *os.File, rest []byte, err error) {
+	pending := conn.download
+	att := pending.attempt
+	if conn.closed || att.completed || err != nil {
+		if descriptor != nil {
+			_ = descriptor.Close()
 		}
-		n.closeBackend(b, endCutOff)
-		n.settle(a, balancer.OutcomeReset, nil)
+		n.closeBackend(conn, closeAnswerTruncated)
+		n.completeAttempt(att, balancer.OutcomeReset, nil)
 		return
 	}
-	if file != nil {
-		b.outside(file)
+	if descriptor != nil {
+		conn.useDescriptor(descriptor)
 	}
-	n.learnIdle(b.idleFor, false)
-	b.idleFor = 0
-	r, in, msg := a.req, b.in, b.msg
-	c := r.client
-	b.att, b.in = nil, nil
-	report := loadReport(&msg)
-	if !n.end(r) {
+	n.recordIdleOutcome(conn.idleBeforeAttempt, false)
+	conn.idleBeforeAttempt = 0
+	req, in, msg := att.request, conn.input, conn.message
+	client := req.clientConn
+	conn.attempt, conn.input = nil, nil
+	report := headerLoadReport(&msg)
+	if !n.finishRequest(req) {
 		in.release()
-		n.closeBackend(b, endGivenUp)
-		n.settle(a, balancer.OutcomeOK, report)
+		n.closeBackend(conn, closeAttemptAbandoned)
+		n.completeAttempt(att, balancer.OutcomeOK, report)
 		return
 	}
 	length := msg.Length()
 	switch {
-	case length < 0 && c.old:
+	case length < 0 && client.http10:
 		length = protocol.UntilClose
-		c.last = true
+		client.closeAfterAnswer = true
 	case length < 0:
 		length = protocol.Chunked
 	}
-	c.req = nil
-	c.last = c.last || n.drain.on || c.upload != nil
-	c.writing, c.down = true, b
-	n.writing++
-	f := &flow{from: source{early: append(d.early, rest), file: file, inEnd: file == nil && b.fin}, msg: msg, buf: in,
-		chunked: length == protocol.Chunked, to: func(parts ...[]byte) error { return c.socket.write(parts) }}
+	client.request = nil
+	client.closeAfterAnswer = client.closeAfterAnswer || n.drain.active || client.upload != nil
+	client.writingAnswer, client.downloadConn = true, conn
+	n.answersInProgress++
+	fwd := &forwarder{source: source{buffered: append(pending.earlyInput, rest), descriptor: descriptor, endedInOrder: descriptor == nil && conn.peerClosedInOrder}, message: msg, buffer: in,
+		chunked: length == protocol.Chunked, write: func(parts ...[]byte) error { return client.socket.write(parts) }}
 	head := newBuffer()
-	out := protocol.AppendResponse(head.data[:0], 200, msg.Fields, length, !c.last, 0)
+	headBytes := protocol.AppendResponse(head.data[:0], 200, msg.Fields, length, !client.closeAfterAnswer, 0)
 	start := func() {
-		n.flows++
+		n.activeForwarders++
 		go func() {
-			err := f.to(out)
+			err := fwd.write(headBytes)
 			if err == nil {
-				err = f.run()
+				err = fwd.run()
 			}
 			n.post(func() {
 				head.release()
-				n.downloaded(b, c, f, err, length == protocol.UntilClose)
+				n.downloadFinished(conn, client, fwd, err, length == protocol.UntilClose)
 			})
 		}()
 	}
-	if n.flows < n.flowsMost() {
+	if n.activeForwarders < n.maxForwarders() {
 		start()
 	} else {
-		n.flowQueue = append(n.flowQueue, start)
+		n.queuedForwarders = append(n.queuedForwarders, start)
 	}
-	n.settle(a, balancer.OutcomeOK, report)
+	n.completeAttempt(att, balancer.OutcomeOK, report)
 }
 
-// downloaded is the end of a flow from a backend.
-func (n *Node) downloaded(b *backend, c *client, f *flow, err error, untilClose bool) {
-	whole := err == nil && f.written == nil
-	clean := whole && len(f.msg.Rest(f.buf.bytes())) == 0 && len(f.from.early) == 0 && f.msg.KeepAlive && !f.msg.UntilEnd()
-	f.buf.release()
-	n.flowEnded()
-	n.writing--
-	c.writing, c.down = false, nil
-	if !whole {
-		n.warn("answer cut off", "host", b.host.addr, "err", err, "client", f.written)
+// downloadFinished is the end of a flow from a backend.
+func (n *Node) downloadFinished(conn *backendConn, client *clientConn, fwd *forwarder, err error, untilClose bool) {
+	complete := err == nil && fwd.writeErr == nil
+	reusable := complete && len(fwd.message.Rest(fwd.buffer.bytes())) == 0 && len(fwd.source.buffered) == 0 && fwd.message.KeepAlive && !fwd.message.UntilEnd()
+	fwd.buffer.release()
+	n.forwarderFinished()
+	n.answersInProgress--
+	client.writingAnswer, client.downloadConn = false, nil
+	if !complete {
+		n.warnLimited("answer cut off", "host", conn.endpoint.address, "err", err, "client", fwd.writeErr)
 	}
 	switch {
-	case c.closed:
-	case !whole:
-		c.breakOff(untilClose)
-	case c.last && c.upload != nil && !c.upload.done: // the request is still coming in
-		c.afterEarly()
-	case c.last:
-		c.shut(endLastAnswer)
+	case client.closed:
+	case !complete:
+		client.abortAnswer(untilClose)
+	case client.closeAfterAnswer && client.upload != nil && !client.upload.complete: // the request is still coming in
+		client.discardAfterEarlyAnswer()
+	case client.closeAfterAnswer:
+		client.closeGracefully(closeLastAnswer)
 	default:
-		c.setIdle(true)
-		c.advance(n.now())
+		client.setIdle(true)
+		client.parseNextRequest(n.now())
 	}
-	b.down = nil
-	if !clean || b.closed || b.file == nil {
-		n.closeBackend(b, endNotKept)
+	conn.download = nil
+	if !reusable || conn.closed || conn.descriptor == nil {
+		n.closeBackend(conn, closeNotReusable)
 		return
 	}
-	conn, err := back(b.file)
+	polled, err := attachToPoller(conn.descriptor)
 	if err != nil {
-		b.file = nil
-		n.closeBackend(b, endNoHandling)
+		conn.descriptor = nil
+		n.closeBackend(conn, closePollerFailed)
 		return
 	}
-	b.inside(conn)
-	b.msg = protocol.Message{}
-	b.onClose(func() { n.post(b.gone) })
-	if err := conn.SetOnRequest(b.input); err != nil || !conn.IsActive() {
-		n.closeBackend(b, endNoHandling)
+	conn.usePollerConn(polled)
+	conn.message = protocol.Message{}
+	conn.onClose(func() { n.post(conn.connectionEnded) })
+	if err := polled.SetOnRequest(conn.onInput); err != nil || !polled.IsActive() {
+		n.closeBackend(conn, closePollerFailed)
 		return
 	}
-	n.reuse(b)
+	n.releaseConn(conn)
 }
 
-// breakOff ends a connection within an answer, so that its client can tell.
-func (c *client) breakOff(untilClose bool) {
-	if f, ok := c.conn.(interface{ Fd() int }); ok && untilClose && c.file == nil { // an end in order would look like that of the answer
-		_ = unix.SetsockoptLinger(f.Fd(), unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
+// abortAnswer ends a connection within an answer, so that its client can tell.
+func (c *clientConn) abortAnswer(untilClose bool) {
+	if transport, ok := c.conn.(interface{ Fd() int }); ok && untilClose && c.descriptor == nil { // an end in order would look like that of the answer
+		_ = unix.SetsockoptLinger(transport.Fd(), unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
-	c.close(endCutOff)
+	c.close(closeAnswerTruncated)
 }
 
-// heldMost bounds what is kept of a large answer to a request that is still being written. All of it has been written when
+// maxEarlyDownloadBytes bounds what is kept of a large answer to a request that is still being written. All of it has been written when
 // a backend answers: only the word of that is on its way.
-const heldMost = 1 << 20
+const maxEarlyDownloadBytes = 1 << 20
 
-// hold keeps what comes while the connection cannot be read in pieces yet.
-func (d *download) hold(p []byte) error {
-	d.early = earlyData(d.early, p)
-	if d.size += len(p); d.held && d.size > heldMost {
-		return errEarly
+// keepInput keeps what comes while the connection cannot be read in pieces yet.
+func (d *download) keepInput(data []byte) error {
+	d.earlyInput = appendCopy(d.earlyInput, data)
+	if d.earlyBytes += len(data); d.awaitingRequestEnd && d.earlyBytes > maxEarlyDownloadBytes {
+		return errEarlyLargeAnswer
 	}
 	return nil
 }
 
-// earlyData keeps what comes while the connection leaves the poller.
-func earlyData(early [][]byte, p []byte) [][]byte { return append(early, bytes.Clone(p)) }
+// appendCopy keeps what comes while the connection leaves the poller.
+func appendCopy(pieces [][]byte, data []byte) [][]byte { return append(pieces, bytes.Clone(data)) }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -11,56 +11,56 @@
 // A node leaves in one way, whoever asks it to: an operator's standby, which /active takes back, or the end of the
 // process. Clients are sent away; what has been taken is answered.
 const (
-	// drainCloses is when idle connections close, in microseconds from the call. Until then each answer closes its own:
+	// idleCloseDelay is when idle connections close, in microseconds from the call. Until then each answer closes its own:
 	// a close that crosses a request turns that back, and the front sends new connections for 0.3 s.
-	drainCloses = 500_000
-	// drainRefuses is when requests that still come are refused: 4 s after the call no client may be held, nor one whose
+	idleCloseDelay = 500_000
+	// rejectDelay is when requests that still come are refused: 4 s after the call no client may be held, nor one whose
 	// request came in the last 2 s of these.
-	drainRefuses = 1_500_000
-	// drainEvery is how often connections are looked at from then on.
-	drainEvery = 100_000
-	// drainPartly bounds the wait, at a stop, for requests that are still coming in.
-	drainPartly = 2_000_000
+	rejectDelay = 1_500_000
+	// drainCheckInterval is how often connections are looked at from then on.
+	drainCheckInterval = 100_000
+	// partialRequestGrace bounds the wait, at a stop, for requests that are still coming in.
+	partialRequestGrace = 2_000_000
 )
 
 // A process that has been told to end is killed no sooner than the longest deadline, 3 s at most, and 0.7 s later (protocol, figures). What came
 // in those 0.7 s may be open then; what came later must have its answer.
 const (
-	killDeadline = 3_000_000
-	killGrace    = 700_000
-	killSpare    = 100_000 // for the last answers' way out
-	killShut     = 300_000 // so long before it, connections are shut that still hold a part of a request
+	killDeadline         = 3_000_000
+	killGrace            = 700_000
+	finalAnswerMargin    = 100_000 // for the last answers' way out
+	partialRequestMargin = 300_000 // so long before it, connections are shut that still hold a part of a request
 )
 
-// drain is where a node stands on its way out of service.
-type drain struct {
-	on       bool  // /ready says no, and each answer closes its connection
-	late     bool  // what still comes is refused
-	stopping bool  // the process ends; otherwise it is a standby
-	since    int64 // when it began
-	turn     int   // counts drains: the timers of an earlier one do nothing
-	told     int64 // when the process was told to end
-	partly   int64 // until when a stop waits for what is coming in
-	end      int64 // by when all must have been answered, and last answers been read
-	ending   bool  // all has been answered, and nobody is heard any more
-	drained  func()
+// drainState is where a node stands on its way out of service.
+type drainState struct {
+	active               bool  // /ready says no, and each answer closes its connection
+	rejecting            bool  // what still comes is refused
+	stopping             bool  // the process ends; otherwise it is a standby
+	startedAt            int64 // when it began
+	generation           int   // counts drains: the timers of an earlier one do nothing
+	stopRequestedAt      int64 // when the process was told to end
+	partialRequestsUntil int64 // until when a stop waits for what is coming in
+	answersDueBy         int64 // by when all must have been answered, and last answers been read
+	closingAll           bool  // all has been answered, and nobody is heard any more
+	onDrained            func()
 }
 
 // What an operator can be told.
 var (
-	errNoList   = errors.New("no backend has been named yet")
-	errStopping = errors.New("the process is stopping")
+	errNoEndpoints = errors.New("no backend has been named yet")
+	errStopping    = errors.New("the process is stopping")
 )
 
 // Status tells whether this process can serve: it has been told of a backend, and is not about to end. That it is in
 // standby does not count.
 func (n *Node) Status(reply func(error)) {
-	n.ask(func() {
+	n.postPriority(func() {
 		switch {
 		case n.drain.stopping:
 			reply(errStopping)
-		case !n.listed:
-			reply(errNoList)
+		case !n.endpointsKnown:
+			reply(errNoEndpoints)
 		default:
 			reply(nil)
 		}
@@ -69,22 +69,22 @@
 
 // Standby sends clients away until Active. Where the node is on its way out already, nothing changes.
 func (n *Node) Standby(reply func(error)) {
-	n.ask(func() {
-		n.leave("standby")
+	n.postPriority(func() {
+		n.startDraining("standby")
 		reply(nil)
 	})
 }
 
 // Active takes a standby back, at any point of it. A stop can't be taken back.
 func (n *Node) Active(reply func(error)) {
-	n.ask(func() {
+	n.postPriority(func() {
 		if n.drain.stopping {
 			reply(errStopping)
 			return
 		}
-		if n.drain.on {
-			n.drain = drain{turn: n.drain.turn}
-			n.log.Info("active", "open", n.open, "clients", len(n.clients))
+		if n.drain.active {
+			n.drain = drainState{generation: n.drain.generation}
+			n.log.Info("active", "open", n.openRequests, "clients", len(n.clients))
 		}
 		reply(nil)
 	})
@@ -93,51 +93,51 @@
 // Drain makes the node leave for good: as Standby does, and after grace done is called as soon as all that was taken
 // has been answered.
 func (n *Node) Drain(grace time.Duration, done func()) {
-	n.ask(func() {
+	n.postPriority(func() {
 		if n.drain.stopping {
 			return
 		}
-		n.leave("draining")
+		n.startDraining("draining")
 		n.drain.stopping = true
 		now := n.now()
-		killed := now + min(n.longest(), killDeadline) + killGrace
-		n.drain.told, n.drain.end = now, killed-killSpare
-		n.drain.partly = min(now+drainPartly, killed-killShut)
-		n.at(max(now+grace.Microseconds(), n.drain.since+drainCloses), func() { n.drain.drained = done })
+		killed := now + min(n.longestDeadline(), killDeadline) + killGrace
+		n.drain.stopRequestedAt, n.drain.answersDueBy = now, killed-finalAnswerMargin
+		n.drain.partialRequestsUntil = min(now+partialRequestGrace, killed-partialRequestMargin)
+		n.scheduleAt(max(now+grace.Microseconds(), n.drain.startedAt+idleCloseDelay), func() { n.drain.onDrained = done })
 	})
 }
 
-// leave begins a drain, if none is on.
-func (n *Node) leave(why string) {
-	if n.drain.on {
+// startDraining begins a drain, if none is on.
+func (n *Node) startDraining(message string) {
+	if n.drain.active {
 		return
 	}
-	n.log.Info(why, "open", n.open, "clients", len(n.clients))
-	turn := n.drain.turn + 1
-	n.drain = drain{on: true, since: n.now(), turn: turn}
-	n.at(n.drain.since+drainCloses, func() { n.sendAway(turn) })
+	n.log.Info(message, "open", n.openRequests, "clients", len(n.clients))
+	generation := n.drain.generation + 1
+	n.drain = drainState{active: true, startedAt: n.now(), generation: generation}
+	n.scheduleAt(n.drain.startedAt+idleCloseDelay, func() { n.drainTick(generation) })
 }
 
-// sendAway closes what is idle, again and again until the drain is over.
-func (n *Node) sendAway(turn int) {
-	if !n.drain.on || n.drain.turn != turn {
+// drainTick closes what is idle, again and again until the drain is over.
+func (n *Node) drainTick(generation int) {
+	if !n.drain.active || n.drain.generation != generation {
 		return
 	}
 	now := n.now()
-	n.drain.late = now-n.drain.since >= drainRefuses
+	n.drain.rejecting = now-n.drain.startedAt >= rejectDelay
 	n.closeIdleClients()
-	n.at(now+drainEvery, func() { n.sendAway(turn) })
+	n.scheduleAt(now+drainCheckInterval, func() { n.drainTick(generation) })
 }
 
 // closeIdleClients closes the connections that hold nothing, not even a part of a request, but for new ones that are
 // about to ask.
 func (n *Node) closeIdleClients() {
-	for _, l := range []*list.List{&n.fresh, &n.idleClients} {
-		for e := l.Front(); e != nil; {
-			c := e.Value.(*client)
-			e = e.Next()
-			if (!c.isFresh() || n.drain.late) && c.in == nil && c.mayClose() == safety.Allowed {
-				c.shut(endDrain)
+	for _, conns := range []*list.List{&n.newClients, &n.idleClients} {
+		for element := conns.Front(); element != nil; {
+			client := element.Value.(*clientConn)
+			element = element.Next()
+			if (!client.isNew() || n.drain.rejecting) && client.input == nil && client.mayClose() == safety.Allowed {
+				client.closeGracefully(closeDraining)
 			}
 		}
 	}
@@ -147,60 +147,62 @@
 // that, and closed. What crosses this is never read, and its client sees an end in order: a process that ends would reset it.
 func (n *Node) checkDrained() {
 	now := n.now()
-	if n.drain.drained == nil || n.open > 0 || n.writing > 0 || now < n.drain.partly && n.comingIn() {
+	if n.drain.onDrained == nil || n.openRequests > 0 || n.answersInProgress > 0 || now < n.drain.partialRequestsUntil && n.hasIncomingRequest() {
 		return
 	}
-	n.drain.ending = true
-	asking := n.shutClients()
-	if now < n.drain.end && asking+n.lingering.Len() > 0 {
+	n.drain.closingAll = true
+	busy := n.closeClientsGracefully()
+	if now < n.drain.answersDueBy && busy+n.lingeringClients.Len() > 0 {
 		return
 	}
-	done := n.drain.drained
-	n.drain.drained = nil
-	done()
+	onDrained := n.drain.onDrained
+	n.drain.onDrained = nil
+	onDrained()
 }
 
-// shutClients shuts all connections but those on which something is on its way still, and returns how many of these there are. What has come before
+// closeClientsGracefully shuts all connections but those on which something is on its way still, and returns how many of these there are. What has come before
 // its connection is shut is refused, not dropped.
-func (n *Node) shutClients() (asking int) {
-	for c := range n.clients {
+func (n *Node) closeClientsGracefully() (busy int) {
+	for client := range n.clients {
 		switch {
-		case c.lingering:
-		case c.mayClose() == safety.Allowed:
-			c.shut(endDrain)
+		case client.lingering:
+		case client.mayClose() == safety.Allowed:
+			client.closeGracefully(closeDraining)
 		default:
-			asking++
+			busy++
 		}
 	}
-	return asking
+	return busy
 }
 
-// answerBy is by when a request whose last byte came at a time must have its answer: by its deadline, and in a stop before the process is
+// answerDeadline is by when a request whose last byte came at a time must have its answer: by its deadline, and in a stop before the process is
 // killed.
-func (n *Node) answerBy(at, deadline int64) int64 {
-	if n.drain.stopping && at >= n.drain.told+killGrace {
-		return min(deadline, n.drain.end)
+func (n *Node) answerDeadline(receivedAt, deadline int64) int64 {
+	if n.drain.stopping && receivedAt >= n.drain.stopRequestedAt+killGrace {
+		return min(deadline, n.drain.answersDueBy)
 	}
 	return deadline
 }
 
-// longest is the longest deadline there is.
-func (n *Node) longest() (most int64) {
-	for i := range n.set.Balancer.Classes {
-		most = max(most, n.set.Balancer.Classes[i].Deadline)
+// longestDeadline is the longest deadline there is.
+func (n *Node) longestDeadline() (longest int64) {
+	for i := range n.settings.Balancer.Classes {
+		longest = max(longest, n.settings.Balancer.Classes[i].Deadline)
 	}
-	return most
+	return longest
 }
 
-// comingIn tells whether a part of a request has come from a client, or is about to.
-func (n *Node) comingIn() bool {
-	for c := range n.clients {
-		if !c.lingering && (c.in != nil || c.unread() > 0 || c.upload != nil || c.isFresh()) {
+// hasIncomingRequest tells whether a part of a request has come from a client, or is about to.
+func (n *Node) hasIncomingRequest() bool {
+	for client := range n.clients {
+		if !client.lingering && (client.input != nil || client.unreadInput() > 0 || client.upload != nil || client.isNew()) {
 			return true
 		}
 	}
 	return false
 }
 
-// isFresh tells that a connection has come just now and has not asked yet.
-func (c *client) isFresh() bool { return !c.asked && c.n.now()-c.since < drainCloses }
+// isNew tells that a connection has come just now and has not asked yet.
+func (c *clientConn) isNew() bool {
+	return !c.hasSentRequest && c.node.now()-c.requestStartedAt < idleCloseDelay
+}
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -24,8 +24,8 @@
 func age(n *Node, us int64) {
 	done := make(chan struct{})
 	n.post(func() {
-		n.drain.since -= us
-		n.sendAway(n.drain.turn)
+		n.drain.startedAt -= us
+		n.drainTick(n.drain.generation)
 		close(done)
 	})
 	<-done
@@ -100,10 +100,10 @@
 	conn := dial(t, addr)
 	request := text("once", 9000)
 	_, _ = io.WriteString(conn, request[:30])
-	until(n, func() bool { return n.comingIn() })
+	until(n, func() bool { return n.hasIncomingRequest() })
 	done := make(chan struct{})
 	n.Drain(0, func() { close(done) })
-	age(n, drainCloses)
+	age(n, idleCloseDelay)
 	if code, _, closing := conn.ask(request[30:]); code != 200 || !closing {
 		t.Errorf("%d, closing %v", code, closing)
 	}
@@ -137,7 +137,7 @@
 	if code, _, closing := busy.answer(); code != 200 || !closing {
 		t.Errorf("taken before: %d, closing %v", code, closing)
 	}
-	age(n, drainRefuses)
+	age(n, rejectDelay)
 	if code, _, closing := dial(t, addr).ask(text("read", 9000)); code != 503 || !closing {
 		t.Errorf("long after the call: %d, closing %v", code, closing)
 	}
@@ -162,14 +162,14 @@
 // A stop during a standby, calls during a stop, and calls before any backend is known have answers of their own.
 func TestCallsAtOtherTimes(t *testing.T) {
 	n, addr := start(t, nil, nil)
-	if err := call(n.Status); !errors.Is(err, errNoList) {
+	if err := call(n.Status); !errors.Is(err, errNoEndpoints) {
 		t.Errorf("status without a list: %v", err)
 	}
 	if err := call(n.Standby); err != nil {
 		t.Errorf("standby without a list: %v", err)
 	}
 	n.UpdateEndpoints(protocol.List{All: true, Targets: []protocol.Target{{UID: "a", Endpoint: "127.0.0.1:1"}}}, false)
-	until(n, func() bool { return n.listed })
+	until(n, func() bool { return n.endpointsKnown })
 	if err := call(n.Status); err != nil {
 		t.Errorf("status with a list: %v", err)
 	}
@@ -231,7 +231,7 @@
 			t.Fatal(err)
 		}
 		if turn%4 == 0 {
-			age(n, drainCloses) // idle connections close at once
+			age(n, idleCloseDelay) // idle connections close at once
 		}
 		for before := served.Load(); served.Load() < before+8; {
 			time.Sleep(time.Millisecond)
@@ -266,7 +266,7 @@
 		close(begun)
 		for asked := false; !asked; { // until the call is there
 			n.mu.Lock()
-			asked = len(n.asked) > 0
+			asked = len(n.priorityPosted) > 0
 			n.mu.Unlock()
 		}
 	})
@@ -280,15 +280,15 @@
 func TestAskedIsUrgentAtOnce(t *testing.T) {
 	n := &Node{wake: make(chan struct{}, 1)}
 	for range 5000 {
-		go n.ask(func() {})
+		go n.postPriority(func() {})
 		for seen := false; !seen; {
 			n.mu.Lock()
-			if seen = len(n.asked) > 0; seen && !n.urgent.Load() {
+			if seen = len(n.priorityPosted) > 0; seen && !n.priorityPending.Load() {
 				n.mu.Unlock()
 				t.Fatal("asked, and not urgent")
 			}
 			n.mu.Unlock()
 		}
-		n.answerAsked()
+		n.runPriority()
 	}
 }
--- a/internal/node/end.go
+++ b/internal/node/end.go
@@ -1,52 +1,52 @@
 package node
 
-// endReason says why this node ends a connection.
-type endReason string
+// closeReason says why this node ends a connection.
+type closeReason string
 
 // The reasons, of clients' connections and of backends'.
 const (
-	endPeerClosed    endReason = "closed by the other side"
-	endNoDescriptor  endReason = "no descriptor"
-	endMakeRoom      endReason = "room for others"
-	endIdle          endReason = "idle"
-	endNotAsked      endReason = "nothing asked in time"
-	endTooManyIdle   endReason = "too many idle"
-	endDrain         endReason = "draining"
-	endLastAnswer    endReason = "last answer"
-	endLingered      endReason = "not closed by the client after its last answer"
-	endTooMuchInput  endReason = "too much input after the last answer"
-	endWriteFailed   endReason = "write failed"
-	endCutOff        endReason = "answer cut off"
-	endNoHandling    endReason = "connection could not leave or rejoin the poller"
-	endNotWhole      endReason = "request not whole"
-	endUnasked       endReason = "input that nobody asked for"
-	endNotClean      endReason = "closed, used up or idle for too long"
-	endOutdated      endReason = "backend drains, is gone or has restarted"
-	endBadAnswer     endReason = "bad answer"
-	endNotKept       endReason = "not kept after the answer"
-	endGivenUp       endReason = "attempt given up"
-	endWithheld      endReason = "request answered before it was written"
-	endUnwantedBytes endReason = "large answer that nobody wants"
+	closedByPeer           closeReason = "closed by the other side"
+	closeNoDescriptor      closeReason = "no descriptor"
+	closeForDescriptors    closeReason = "room for others"
+	closeIdle              closeReason = "idle"
+	closeNoRequest         closeReason = "nothing asked in time"
+	closeTooManyIdle       closeReason = "too many idle"
+	closeDraining          closeReason = "draining"
+	closeLastAnswer        closeReason = "last answer"
+	closeLingerTimeout     closeReason = "not closed by the client after its last answer"
+	closeTooMuchInput      closeReason = "too much input after the last answer"
+	closeWriteFailed       closeReason = "write failed"
+	closeAnswerTruncated   closeReason = "answer cut off"
+	closePollerFailed      closeReason = "connection could not leave or rejoin the poller"
+	closeRequestIncomplete closeReason = "request not whole"
+	closeUnexpectedInput   closeReason = "input that nobody asked for"
+	closeUnusable          closeReason = "closed, used up or idle for too long"
+	closeEndpointChanged   closeReason = "backend drains, is gone or has restarted"
+	closeMalformedAnswer   closeReason = "bad answer"
+	closeNotReusable       closeReason = "not kept after the answer"
+	closeAttemptAbandoned  closeReason = "attempt given up"
+	closeRequestAnswered   closeReason = "request answered before it was written"
+	closeUnwantedDownload  closeReason = "large answer that nobody wants"
 )
 
-// noteEnd says that the node ends a client's connection. One on which a request, or a part of one, is still without an answer is worth a warning,
+// logClose says that the node ends a client's connection. One on which a request, or a part of one, is still without an answer is worth a warning,
 // whoever is at fault; all others are seen where each step is logged.
-func (c *client) noteEnd(why endReason) {
-	owed := c.req != nil || c.in != nil && c.in.n > 0 || c.upload != nil && !c.upload.done
-	if !owed || why == endPeerClosed || why == endLastAnswer { // what stands behind a last answer was never taken
-		c.n.traceClient(c, "client connection ends", "reason", string(why), "owed", owed)
+func (c *clientConn) logClose(reason closeReason) {
+	unanswered := c.request != nil || c.input != nil && c.input.length > 0 || c.upload != nil && !c.upload.complete
+	if !unanswered || reason == closedByPeer || reason == closeLastAnswer { // what stands behind a last answer was never taken
+		c.node.traceClient(c, "client connection ends", "reason", string(reason), "owed", unanswered)
 		return
 	}
 	trace := ""
-	if c.req != nil {
-		trace = c.req.trace()
+	if c.request != nil {
+		trace = c.request.loggedTraceID()
 	}
-	c.n.warn("client connection ends within a request", "reason", string(why), "trace", trace, "came", c.came, "asked", c.asked)
+	c.node.warnLimited("client connection ends within a request", "reason", string(reason), "trace", trace, "came", c.receivedBytes, "asked", c.hasSentRequest)
 }
 
-// noteEnd says that the node ends a connection to a backend.
-func (b *backend) noteEnd(why endReason) {
-	if b.n.tracing && b.host != nil {
-		b.n.log.Debug("backend connection ends", "host", b.host.addr, "reason", string(why), "carries", b.att != nil)
+// logClose says that the node ends a connection to a backend.
+func (b *backendConn) logClose(reason closeReason) {
+	if b.node.traceRequests && b.endpoint != nil {
+		b.node.log.Debug("backend connection ends", "host", b.endpoint.address, "reason", string(reason), "carries", b.attempt != nil)
 	}
 }
--- a/internal/node/flow.go
+++ b/internal/node/flow.go
@@ -14,114 +14,114 @@
 
 // Bounds of a message that passes through in pieces.
 const (
-	// flowIdle is how long either side may neither give nor take anything.
-	flowIdle = 10 * time.Second
-	// bodyRate is what a client must give, in bytes a second, once bodyGrace has passed. Time spent on passing it on does not
+	// forwardIdleTimeout is how long either side may neither give nor take anything.
+	forwardIdleTimeout = 10 * time.Second
+	// minBodyRate is what a client must give, in bytes a second, once bodyGrace has passed. Time spent on passing it on does not
 	// count.
-	bodyRate  = 64_000
-	bodyGrace = 3 * time.Second
-	// bodyMargin is the part of the rate that is asked for: who gives just as much as he must is never cut off.
-	bodyMargin = 0.9
-	// flowMemory is what one flow takes: its buffer, and the one that the request or the answer began in.
-	flowMemory = 2 * protocol.BufferSize
+	minBodyRate = 64_000
+	bodyGrace   = 3 * time.Second
+	// bodyRateTolerance is the part of the rate that is asked for: who gives just as much as he must is never cut off.
+	bodyRateTolerance = 0.9
+	// forwarderMemory is what one flow takes: its buffer, and the one that the request or the answer began in.
+	forwarderMemory = 2 * protocol.BufferSize
 )
 
 // Why a flow ended before its message did.
 var (
-	errTooSlow = errors.New("body too slow")
-	errCutOff  = errors.New("connection ended within a message")
+	errBodyTooSlow      = errors.New("body too slow")
+	errMessageTruncated = errors.New("connection ended within a message")
 )
 
 // source is where a flow reads from: what had come before its connection left the poller, and then the connection.
 type source struct {
-	early [][]byte
-	file  *os.File // nil: the connection has ended
-	inEnd bool     // … in order
+	buffered     [][]byte
+	descriptor   *os.File // nil: the connection has ended
+	endedInOrder bool     // … in order
 }
 
-func (s *source) Read(p []byte) (int, error) {
-	for len(s.early) > 0 {
-		if n := copy(p, s.early[0]); n > 0 {
-			s.early[0] = s.early[0][n:]
+func (s *source) Read(dst []byte) (int, error) {
+	for len(s.buffered) > 0 {
+		if n := copy(dst, s.buffered[0]); n > 0 {
+			s.buffered[0] = s.buffered[0][n:]
 			return n, nil
 		}
-		s.early = s.early[1:]
+		s.buffered = s.buffered[1:]
 	}
-	if s.file == nil {
-		if s.inEnd {
+	if s.descriptor == nil {
+		if s.endedInOrder {
 			return 0, io.EOF
 		}
-		return 0, errCutOff
+		return 0, errMessageTruncated
 	}
-	return s.file.Read(p)
+	return s.descriptor.Read(dst)
 }
 
-// flow passes the rest of a message on, piece by piece: the next is read when the last has been written. It runs on a
+// forwarder passes the rest of a message on, piece by piece: the next is read when the last has been written. It runs on a
 // goroutine of its own, and only posts to Run's.
-type flow struct {
-	from    source
-	msg     protocol.Message // as Tail has it
-	buf     *buffer          // n: what has been read and not passed on
-	to      func(parts ...[]byte) error
-	chunked bool // how it is written
-	paced   bool // the reader asks for bodyRate
-	given   int64
-	all     atomic.Bool // all of it has been read
-	most    int64       // 0: any; more is not read
-	began   time.Time
-	writing time.Duration
-	written error  // of the other side: what still comes is dropped
-	broken  func() // called as that happens
+type forwarder struct {
+	source         source
+	message        protocol.Message // as Tail has it
+	buffer         *buffer          // n: what has been read and not passed on
+	write          func(parts ...[]byte) error
+	chunked        bool // how it is written
+	enforceMinRate bool // the reader asks for bodyRate
+	receivedBytes  int64
+	fullyRead      atomic.Bool // all of it has been read
+	maxBytes       int64       // 0: any; more is not read
+	startedAt      time.Time
+	writeTime      time.Duration
+	writeErr       error  // of the other side: what still comes is dropped
+	onWriteError   func() // called as that happens
 }
 
 // run passes all of it on. It returns why it could not; written says so where that is for the side written to.
-func (f *flow) run() error {
-	if f.broken == nil {
-		f.broken = func() {}
+func (f *forwarder) run() error {
+	if f.onWriteError == nil {
+		f.onWriteError = func() {}
 	}
-	f.began = time.Now()
+	f.startedAt = time.Now()
 	for {
-		size, whole, err := f.msg.More(f.buf.bytes())
-		if f.buf.n = size; err != nil {
+		size, complete, err := f.message.More(f.buffer.bytes())
+		if f.buffer.length = size; err != nil {
 			return err
 		}
-		f.all.Store(whole)
-		if err := f.pass(f.msg.Body(f.buf.bytes()), whole); err != nil {
-			f.written = err
-			f.broken()
+		f.fullyRead.Store(complete)
+		if err := f.writePiece(f.message.Body(f.buffer.bytes()), complete); err != nil {
+			f.writeErr = err
+			f.onWriteError()
 		}
-		f.buf.n = f.msg.Shift(f.buf.bytes())
-		if whole {
+		f.buffer.length = f.message.Shift(f.buffer.bytes())
+		if complete {
 			return nil
 		}
-		if err := f.read(); err != nil {
+		if err := f.readPiece(); err != nil {
 			if !errors.Is(err, io.EOF) {
 				return err
 			}
-			if !f.msg.UntilEnd() {
-				return errCutOff
+			if !f.message.UntilEnd() {
+				return errMessageTruncated
 			}
-			f.msg.Finish()
+			f.message.Finish()
 		}
 	}
 }
 
-// pass writes a piece, and the end behind the last.
-func (f *flow) pass(p []byte, last bool) error {
-	if f.written != nil {
+// writePiece writes a piece, and the end behind the last.
+func (f *forwarder) writePiece(piece []byte, last bool) error {
+	if f.writeErr != nil {
 		return nil
 	}
-	at := time.Now()
-	defer func() { f.writing += time.Since(at) }()
+	startedAt := time.Now()
+	defer func() { f.writeTime += time.Since(startedAt) }()
 	if !f.chunked {
-		if len(p) == 0 {
+		if len(piece) == 0 {
 			return nil
 		}
-		return f.to(p)
+		return f.write(piece)
 	}
 	var parts [][]byte
-	if len(p) > 0 {
-		parts = append(parts, append(strconv.AppendInt(nil, int64(len(p)), 16), "\r\n"...), p, []byte("\r\n"))
+	if len(piece) > 0 {
+		parts = append(parts, append(strconv.AppendInt(nil, int64(len(piece)), 16), "\r\n"...), piece, []byte("\r\n"))
 	}
 	if last {
 		parts = append(parts, []byte("0\r\n\r\n"))
@@ -129,35 +129,35 @@
 	if parts == nil {
 		return nil
 	}
-	return f.to(parts...)
+	return f.write(parts...)
 }
 
-// allowed is how long the next piece may take: what has been given allows for so much time since the beginning.
-func (f *flow) allowed(now time.Time) time.Duration {
-	if !f.paced {
-		return flowIdle
+// readTimeout is how long the next piece may take: what has been given allows for so much time since the beginning.
+func (f *forwarder) readTimeout(now time.Time) time.Duration {
+	if !f.enforceMinRate {
+		return forwardIdleTimeout
 	}
-	earned := time.Duration(float64(f.given) / (bodyRate * bodyMargin) * float64(time.Second))
-	return min(bodyGrace+earned-(now.Sub(f.began)-f.writing), flowIdle)
+	earned := time.Duration(float64(f.receivedBytes) / (minBodyRate * bodyRateTolerance) * float64(time.Second))
+	return min(bodyGrace+earned-(now.Sub(f.startedAt)-f.writeTime), forwardIdleTimeout)
 }
 
-// read takes the next piece in.
-func (f *flow) read() error {
-	if f.most > 0 && f.given > f.most {
-		return errCutOff
+// readPiece takes the next piece in.
+func (f *forwarder) readPiece() error {
+	if f.maxBytes > 0 && f.receivedBytes > f.maxBytes {
+		return errMessageTruncated
 	}
-	if f.from.file != nil {
+	if f.source.descriptor != nil {
 		now := time.Now()
-		_ = f.from.file.SetReadDeadline(now.Add(f.allowed(now)))
+		_ = f.source.descriptor.SetReadDeadline(now.Add(f.readTimeout(now)))
 	}
-	n, err := f.from.Read(f.buf.data[f.buf.n:])
-	f.buf.n += n
-	f.given += int64(n)
+	n, err := f.source.Read(f.buffer.data[f.buffer.length:])
+	f.buffer.length += n
+	f.receivedBytes += int64(n)
 	switch {
 	case n > 0:
 		return nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return errTooSlow
+		return errBodyTooSlow
 	case err == nil:
 		return io.ErrNoProgress
 	case errors.Is(err, io.EOF):
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -22,76 +22,76 @@
 	RequestIDs   map[string]int64 `json:"IDs"` // of requests that may be running, and until when, on the clock that both have
 }
 
-// idsHanded bounds the ids that are handed over.
-const idsHanded = 1 << 12
+// maxHandedOverIDs bounds the ids that are handed over.
+const maxHandedOverIDs = 1 << 12
 
 // ExportState hands on what this node has, and with it half of what is left of cold hosts' budgets.
-func (n *Node) ExportState(to func(HotRestartState)) {
+func (n *Node) ExportState(deliver func(HotRestartState)) {
 	n.post(func() { // behind the list that a process starts with
-		h := HotRestartState{EndpointList: protocol.List{Rev: n.rev, All: true}, Classes: n.set.Classes, Tenants: n.set.Tenants, RequestIDs: map[string]int64{}}
-		for uid, host := range n.byUID {
-			if host.goneAt == 0 {
-				h.EndpointList.Targets = append(h.EndpointList.Targets, host.target(uid))
+		state := HotRestartState{EndpointList: protocol.List{Rev: n.listRevision, All: true}, Classes: n.settings.Classes, Tenants: n.settings.Tenants, RequestIDs: map[string]int64{}}
+		for uid, ep := range n.endpointsByUID {
+			if ep.removedAt == 0 {
+				state.EndpointList.Targets = append(state.EndpointList.Targets, ep.target(uid))
 			}
 		}
-		for _, r := range n.requests {
-			if till := min(r.deadline, n.now()+r.set.Balancer.Classes[r.class].Deadline); len(h.RequestIDs) < idsHanded && r.msg != nil {
-				h.RequestIDs[string(r.msg.Get("x-trace-id"))] = till
+		for _, req := range n.requests {
+			if expiresAt := min(req.deadline, n.now()+req.settings.Balancer.Classes[req.class].Deadline); len(state.RequestIDs) < maxHandedOverIDs && req.message != nil {
+				state.RequestIDs[string(req.message.Get("x-trace-id"))] = expiresAt
 			}
 		}
-		h.Learned = n.bal.ExportState(n.now())
-		to(h)
+		state.Learned = n.balancer.ExportState(n.now())
+		deliver(state)
 	})
 }
 
 // target is a host as discovery has told of it.
-func (h *host) target(uid string) protocol.Target {
-	return protocol.Target{UID: uid, Endpoint: h.addr, Zone: h.zone, Cell: h.cell, State: h.state, Weight: h.weight, BootMs: h.boot}
+func (e *endpoint) target(uid string) protocol.Target {
+	return protocol.Target{UID: uid, Endpoint: e.address, Zone: e.zone, Cell: e.cell, State: e.state, Weight: e.weight, BootMs: e.bootMillis}
 }
 
 // ImportState takes up what an older process of this node has learned, of the hosts that it has been told of.
-func (n *Node) ImportState(h HotRestartState) {
+func (n *Node) ImportState(state HotRestartState) {
 	n.post(func() {
-		if !slices.Equal(h.Classes, n.set.Classes) || !slices.Equal(h.Tenants, n.set.Tenants) { // the settings are others by now
-			h.Learned.Classes, h.Learned.Tenants = nil, nil
+		if !slices.Equal(state.Classes, n.settings.Classes) || !slices.Equal(state.Tenants, n.settings.Tenants) { // the settings are others by now
+			state.Learned.Classes, state.Learned.Tenants = nil, nil
 		}
-		n.bal.ImportState(n.now(), h.Learned)
-		for id, till := range h.RequestIDs {
-			if _, held := n.ids[id]; held || till < n.now() || len(n.ids) >= maxIDs {
+		n.balancer.ImportState(n.now(), state.Learned)
+		for id, expiresAt := range state.RequestIDs {
+			if _, inUse := n.requestIDsInUse[id]; inUse || expiresAt < n.now() || len(n.requestIDsInUse) >= maxRequestIDsInUse {
 				continue
 			}
-			n.ids[id] = struct{}{}
-			n.at(min(till, n.now()+idsMost), func() { delete(n.ids, id) })
+			n.requestIDsInUse[id] = struct{}{}
+			n.scheduleAt(min(expiresAt, n.now()+maxHandedOverIDAge), func() { delete(n.requestIDsInUse, id) })
 		}
 	})
 }
 
-// idsMost is for how long an id that was handed over is kept at most, in microseconds.
-const idsMost = 60_000_000
+// maxHandedOverIDAge is for how long an id that was handed over is kept at most, in microseconds.
+const maxHandedOverIDAge = 60_000_000
 
 // SetProcessCount tells how many processes are this node: each has its part of the descriptors, of the memory for large messages,
 // and of the cold hosts' budgets.
 func (n *Node) SetProcessCount(processes int) {
-	n.ask(func() {
-		n.shared = processes
-		n.bal.SetProcessCount(processes)
-		n.makeRoom(0)
+	n.postPriority(func() {
+		n.processCount = processes
+		n.balancer.SetProcessCount(processes)
+		n.reserveDescriptors(0)
 	})
 }
 
-// sockets is how many descriptors this process may hold; 0: any.
-func (n *Node) sockets() int {
-	return max(n.set.MaxDescriptors/max(n.shared, 1), min(n.set.MaxDescriptors, reserve+leastRoom))
+// descriptorLimit is how many descriptors this process may hold; 0: any.
+func (n *Node) descriptorLimit() int {
+	return max(n.settings.MaxDescriptors/max(n.processCount, 1), min(n.settings.MaxDescriptors, reservedDescriptors+minServingDescriptors))
 }
 
-// leastRoom is what is left to serve with, however few descriptors processes share.
-const leastRoom = 16
+// minServingDescriptors is what is left to serve with, however few descriptors processes share.
+const minServingDescriptors = 16
 
-// inherited is a listening socket of another process. netpoll's own listener would set it to blocking for a moment, for
+// inheritedListener is a listening socket of another process. netpoll's own listener would set it to blocking for a moment, for
 // both: an accept that then finds the queue empty stops the poller, and with it all connections.
-type inherited struct {
-	fd   int
-	addr net.Addr
+type inheritedListener struct {
+	descriptor int
+	address    net.Addr
 }
 
 // InheritListener makes a listener of a descriptor, which belongs to it from here on.
@@ -104,22 +104,22 @@
 	if !ok {
 		return nil, errors.New("not a TCP socket")
 	}
-	return &inherited{fd, addr}, unix.SetNonblock(fd, true)
+	return &inheritedListener{fd, addr}, unix.SetNonblock(fd, true)
 }
 
-func tcpAddr(name unix.Sockaddr) (*net.TCPAddr, bool) {
-	switch a := name.(type) {
+func tcpAddr(address unix.Sockaddr) (*net.TCPAddr, bool) {
+	switch socketAddress := address.(type) {
 	case *unix.SockaddrInet4:
-		return &net.TCPAddr{IP: a.Addr[:], Port: a.Port}, true
+		return &net.TCPAddr{IP: socketAddress.Addr[:], Port: socketAddress.Port}, true
 	case *unix.SockaddrInet6:
-		return &net.TCPAddr{IP: a.Addr[:], Port: a.Port}, true
+		return &net.TCPAddr{IP: socketAddress.Addr[:], Port: socketAddress.Port}, true
 	}
 	return nil, false
 }
 
 // Accept is netpoll's: nothing and no error where the queue is empty.
-func (l *inherited) Accept() (net.Conn, error) {
-	fd, from, err := unix.Accept(l.fd)
+func (l *inheritedListener) Accept() (net.Conn, error) {
+	fd, from, err := unix.Accept(l.descriptor)
 	switch err {
 	case nil:
 	case unix.EAGAIN, unix.EINTR, unix.ECONNABORTED:
@@ -128,44 +128,44 @@
 		return nil, err
 	}
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c := &accepted{fd: fd, local: l.addr, remote: &net.TCPAddr{}}
+	c := &acceptedConn{descriptor: fd, local: l.address, remote: &net.TCPAddr{}}
 	if remote, ok := tcpAddr(from); ok {
 		c.remote = remote
 	}
 	return c, nil
 }
 
-func (l *inherited) Close() error   { return unix.Close(l.fd) }
-func (l *inherited) Addr() net.Addr { return l.addr }
-func (l *inherited) Fd() int        { return l.fd }
+func (l *inheritedListener) Close() error   { return unix.Close(l.descriptor) }
+func (l *inheritedListener) Addr() net.Addr { return l.address }
+func (l *inheritedListener) Fd() int        { return l.descriptor }
 
-// accepted is what netpoll wants to know of a connection: it makes its own of it.
-type accepted struct {
+// acceptedConn is what netpoll wants to know of a connection: it makes its own of it.
+type acceptedConn struct {
 	net.Conn
-	fd            int
+	descriptor    int
 	local, remote net.Addr
 }
 
-func (c *accepted) Fd() int              { return c.fd }
-func (c *accepted) LocalAddr() net.Addr  { return c.local }
-func (c *accepted) RemoteAddr() net.Addr { return c.remote }
+func (c *acceptedConn) Fd() int              { return c.descriptor }
+func (c *acceptedConn) LocalAddr() net.Addr  { return c.local }
+func (c *acceptedConn) RemoteAddr() net.Addr { return c.remote }
 
 // GatedListener is a listener that can stop accepting while its queue stays: another process accepts from it.
 type GatedListener struct {
 	netpoll.Listener
-	shut atomic.Bool
+	stopped atomic.Bool
 }
 
-// errShut has netpoll take the listener out of its poller: it goes by that word.
-var errShut = errors.New("listener closed: another process accepts")
+// errAcceptingStopped has netpoll take the listener out of its poller: it goes by that word.
+var errAcceptingStopped = errors.New("listener closed: another process accepts")
 
 // Accept is netpoll's.
 func (g *GatedListener) Accept() (net.Conn, error) {
-	if g.shut.Load() {
-		return nil, errShut
+	if g.stopped.Load() {
+		return nil, errAcceptingStopped
 	}
 	return g.Listener.Accept()
 }
 
 // StopAccepting ends accepting.
-func (g *GatedListener) StopAccepting() { g.shut.Store(true) }
+func (g *GatedListener) StopAccepting() { g.stopped.Store(true) }
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -17,7 +17,7 @@
 	for _, c := range []struct {
 		name    string
 		revents int16
-		want    standing
+		want    peerState
 	}{
 		{"open", unix.POLLOUT, peerOpen},
 		{"reset", unix.POLLIN | unix.POLLOUT | unix.POLLERR | unix.POLLHUP | unix.POLLRDHUP, peerBroken},
@@ -26,7 +26,7 @@
 		{"finished", unix.POLLIN | unix.POLLOUT | unix.POLLRDHUP, peerFinished},
 		{"no descriptor", unix.POLLNVAL, peerBroken},
 	} {
-		if got := standingBy(c.revents); got != c.want {
+		if got := peerStateOf(c.revents); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -36,7 +36,7 @@
 func TestStands(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(*net.TCPConn)
-		want standing
+		want peerState
 	}{
 		"finished": {func(c *net.TCPConn) { _ = c.CloseWrite() }, peerFinished},
 		"closed":   {func(c *net.TCPConn) { _ = c.Close() }, peerFinished},
@@ -52,14 +52,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			found := make(chan standing, 1)
-			_ = conn.AddCloseCallback(func(conn netpoll.Connection) error { found <- stands(conn); return nil })
+			found := make(chan peerState, 1)
+			_ = conn.AddCloseCallback(func(conn netpoll.Connection) error { found <- queryPeerState(conn); return nil })
 			_ = conn.SetOnRequest(nil)
 			other, err := ln.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := stands(conn); got != peerOpen {
+			if got := queryPeerState(conn); got != peerOpen {
 				t.Errorf("before the end: %v", got)
 			}
 			c.end(other.(*net.TCPConn))
@@ -102,7 +102,7 @@
 func heardOf(n *Node, part string) bool {
 	for _, r := range n.requests {
 		for _, a := range r.attempts {
-			if a.backend != nil && a.backend.in != nil && bytes.Contains(a.backend.in.bytes(), []byte(part)) {
+			if a.conn != nil && a.conn.input != nil && bytes.Contains(a.conn.input.bytes(), []byte(part)) {
 				return true
 			}
 		}
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -21,9 +21,9 @@
 	app := newApp(t, serve)
 	for name, word := range map[string]func(*Node){
 		"an answer": func(n *Node) { n.UpdateEndpoints(protocol.List{Rev: 1}, false) },
-		"a refusal": func(n *Node) { n.DiscoveryCallFailed(errors.New("refused"), balancer.ListFailed, n.epoch) },
+		"a refusal": func(n *Node) { n.DiscoveryCallFailed(errors.New("refused"), balancer.ListFailed, n.startedAt) },
 		"no word": func(n *Node) {
-			on(n, func() { n.list.since -= readyWithin })
+			on(n, func() { n.listFreshness.processStartedAt -= readyTimeout })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 			if code, _, _ := conn.ask(ready); code != 200 {
 				t.Errorf("after: %d", code)
 			}
-			on(n, func() { n.bal.ExpireListAt(n.now(), n.now()) })
+			on(n, func() { n.balancer.ExpireListAt(n.now(), n.now()) })
 			if code, _, _ := conn.ask(ready); code != 200 {
 				t.Errorf("with a list that has become too old: %d", code)
 			}
@@ -55,12 +55,12 @@
 			conn := dial(t, addr)
 			conn.ask(text("read", 9000))
 			until(n, func() bool { return n.idleBackends.Len() == 1 && len(n.requests) == 0 }) // so that no connection is waited for
-			ends := &endings{module: n.bal}
-			on(n, func() { n.bal, n.heldUp = ends, 2*heldUpMost })
+			ends := &endings{decisionModule: n.balancer}
+			on(n, func() { n.balancer, n.testWriteDelay = ends, 2*maxWriteDelay })
 			_, _ = io.WriteString(conn, text("once", 9000))
-			until(n, func() bool { return len(n.requests) == 1 && n.requests[2].out == 1 })
+			until(n, func() bool { return len(n.requests) == 1 && n.requests[2].pendingAttempts == 1 })
 			if !drains {
-				on(n, func() { n.heldUp = 0 })
+				on(n, func() { n.testWriteDelay = 0 })
 				if code, body, _ := conn.answer(); code != 200 || body != "body of /once" {
 					t.Errorf("%d %q", code, body)
 				}
@@ -82,24 +82,24 @@
 	n, _ := start(t, newApp(t, serve).targets(), leased)
 	on(n, func() {
 		now := n.now()
-		h := &host{addr: "h"}
-		r := &request{set: n.set, client: &client{n: n}, deadline: now + 1_000_000}
-		a := &attempt{req: r, host: h, till: r.deadline}
-		fine := firstByte{at: now, told: 1_000_000, lease: now}
+		h := &endpoint{address: "h"}
+		r := &request{settings: n.settings, clientConn: &clientConn{node: n}, deadline: now + 1_000_000}
+		a := &attempt{request: r, endpoint: h, deadline: r.deadline}
+		fine := firstByte{writtenAt: now, statedTimeout: 1_000_000, listExpiresAt: now}
 		for _, c := range []struct {
 			name   string
 			change func(*firstByte)
 			want   safety.Reason
 		}{
 			{"as it should be", func(*firstByte) {}, safety.Allowed},
-			{"backend left", func(*firstByte) { h.leftAt = now - n.set.DrainGrace - auditSlack - 1 }, safety.BackendDraining},
-			{"list too old", func(f *firstByte) { f.lease = now - n.set.DrainGrace - auditSlack - 1 }, safety.ListStale},
-			{"client gone", func(*firstByte) { r.client.endedAt.Store(now - goneMost - 1) }, safety.ClientDisconnected},
-			{"more time than is left", func(f *firstByte) { f.told += deadlineSlack + 1 }, safety.DeadlinePassed},
+			{"backend left", func(*firstByte) { h.outOfServiceSince = now - n.settings.DrainGrace - auditSlack - 1 }, safety.BackendDraining},
+			{"list too old", func(f *firstByte) { f.listExpiresAt = now - n.settings.DrainGrace - auditSlack - 1 }, safety.ListStale},
+			{"client gone", func(*firstByte) { r.clientConn.disconnectedAt.Store(now - maxDisconnectDelay - 1) }, safety.ClientDisconnected},
+			{"more time than is left", func(f *firstByte) { f.statedTimeout += deadlineSlack + 1 }, safety.DeadlinePassed},
 		} {
 			clear(n.violations)
-			h.leftAt = 0
-			r.client.endedAt.Store(0)
+			h.outOfServiceSince = 0
+			r.clientConn.disconnectedAt.Store(0)
 			f := fine
 			c.change(&f)
 			n.audit(a, f)
@@ -116,7 +116,7 @@
 func TestOldAnswerRenewsNoLease(t *testing.T) {
 	n, _ := start(t, newApp(t, serve).targets(), leased)
 	n.UpdateEndpoints(protocol.List{Rev: 9}, false)
-	on(n, func() { n.bal.ExpireListAt(n.now(), n.now()) })
+	on(n, func() { n.balancer.ExpireListAt(n.now(), n.now()) })
 	for _, step := range []struct {
 		name string
 		do   func()
@@ -124,9 +124,9 @@
 	}{
 		{"behind", func() { n.UpdateEndpoints(protocol.List{Rev: 8}, false) }, false},
 		{"behind again", func() { n.UpdateEndpoints(protocol.List{Rev: 8}, false) }, true},
-		{"run out", func() { on(n, func() { n.bal.ExpireListAt(n.now(), n.now()) }) }, false},
+		{"run out", func() { on(n, func() { n.balancer.ExpireListAt(n.now(), n.now()) }) }, false},
 		{"up to date in between", func() { n.UpdateEndpoints(protocol.List{Rev: 9}, false) }, true},
-		{"run out again", func() { on(n, func() { n.bal.ExpireListAt(n.now(), n.now()) }) }, false},
+		{"run out again", func() { on(n, func() { n.balancer.ExpireListAt(n.now(), n.now()) }) }, false},
 		{"behind once more", func() { n.UpdateEndpoints(protocol.List{Rev: 8}, false) }, false},
 		{"the same", func() { n.UpdateEndpoints(protocol.List{Rev: 9}, false) }, true},
 		{"moved", func() { n.DiscoveryAddressChanged(0) }, false},
@@ -134,7 +134,7 @@
 	} {
 		step.do()
 		on(n, func() {
-			if current, _ := n.bal.ListCurrent(n.now()); current != step.want {
+			if current, _ := n.balancer.ListCurrent(n.now()); current != step.want {
 				t.Errorf("%s: current %v", step.name, current)
 			}
 		})
@@ -148,13 +148,13 @@
 		s.Balancer.AllowHealthChecks = true
 	})
 	on(n, func() {
-		if n.CheckHealth(1); n.hosts[1].dials > 0 {
+		if n.CheckHealth(1); n.endpoints[1].pendingDials > 0 {
 			t.Error("probed")
 		}
 	})
 	n.UpdateEndpoints(protocol.List{Rev: 1}, false)
 	on(n, func() {
-		if n.CheckHealth(1); n.hosts[1].dials != 1 {
+		if n.CheckHealth(1); n.endpoints[1].pendingDials != 1 {
 			t.Error("not probed by a list that is current")
 		}
 	})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,8 +43,8 @@
 	Poll()
 }
 
-// module is what the node asks of the decision module: a tulipglade.Balancer.
-type module interface {
+// decisionModule is what the node asks of the decision module: a tulipglade.Balancer.
+type decisionModule interface {
 	HandleEndpointsAsOf(now, asOf balancer.Time, kind balancer.ListKind, list []balancer.Endpoint)
 	HandleRequest(now balancer.Time, a balancer.Request)
 	HandleUpload(now balancer.Time, id balancer.RequestID, on bool)
@@ -61,81 +61,81 @@
 	SetProcessCount(processes int)
 }
 
-// reserve is the part of the descriptors that are neither clients' nor backends': standard streams, poller,
+// reservedDescriptors is the part of the descriptors that are neither clients' nor backends': standard streams, poller,
 // listener, discovery, and the few that the runtime opens.
-const reserve = 32
+const reservedDescriptors = 32
 
 // Node serves requests by the module's decisions.
 type Node struct {
-	set       *Settings // in force; classes and tenants in the order of the module's numbers
-	log       *slog.Logger
-	discovery Discovery
-	bal       module
-	epoch     time.Time
-	epochUs   int64
-
-	mu     sync.Mutex
-	posted []func()
-	asked  []func() // by operators: these come before what is posted
-	urgent atomic.Bool
-	wake   chan struct{}
-
-	unseen atomic.Int32 // connections accepted of which Run's goroutine has not heard
+	settings        *Settings // in force; classes and tenants in the order of the module's numbers
+	log             *slog.Logger
+	discovery       Discovery
+	balancer        decisionModule
+	startedAt       time.Time
+	startedAtMicros int64
+
+	mu              sync.Mutex
+	posted          []func()
+	priorityPosted  []func() // by operators: these come before what is posted
+	priorityPending atomic.Bool
+	wake            chan struct{}
+
+	pendingAccepts atomic.Int32 // connections accepted of which Run's goroutine has not heard
 	// What follows belongs to Run's goroutine.
-	later    []func() // results for the module, which must not be called from within its Actions
-	timers   timerHeap
-	timerSeq uint64
-
-	classes, tenants, zones map[string]int
-	requests                map[balancer.RequestID]*request
-	ids                     map[string]struct{} // the clients' own, each until its request's time is over
-	lastID                  balancer.RequestID
-	open                    int // requests taken and not answered
-	writing                 int // answers on their way out
-	flows                   int // large messages on their way through
-	flowQueue               []func()
-	kept                    int // bytes that clients have sent behind a request that is not answered
-	hosts                   map[balancer.EndpointID]*host
-	forgotten               tombstones
-	byUID                   map[string]*host
-	lastHost                balancer.EndpointID
-	rev                     int64          // the latest version of the list of backends
-	warned                  map[string]int // lines by text since the last sweep
-	clients                 map[*client]struct{}
-	fresh                   list.List // of *client: connections that have never asked, oldest first
-	idleClients             list.List // of *client: the others that hold no request, oldest first
-	lingering               list.List // of *client: those that have been shut, oldest first
-	idleBackends            list.List // of *backend, oldest first
-	idleRecords             [64]idleRecord
-	idleMost, idleMostTill  int64 // what learnIdle found, and for how long it holds
-	descriptors             int
-	listed                  bool // at least one backend has been named
-	list                    listState
-	drain                   drain
-	shared                  int // processes that are this node; 0: one
-	violations              map[safety.Reason]int
-	tracing                 bool  // a line for each step of each request
-	heldUp                  int64 // by so much every first byte is late, in tests
+	deferred          []func() // results for the module, which must not be called from within its Actions
+	timers            timerHeap
+	lastTimerSequence uint64
+
+	classIndex, tenantIndex, zoneIndex      map[string]int
+	requests                                map[balancer.RequestID]*request
+	requestIDsInUse                         map[string]struct{} // the clients' own, each until its request's time is over
+	lastRequestID                           balancer.RequestID
+	openRequests                            int // requests taken and not answered
+	answersInProgress                       int // answers on their way out
+	activeForwarders                        int // large messages on their way through
+	queuedForwarders                        []func()
+	overflowBytes                           int // bytes that clients have sent behind a request that is not answered
+	endpoints                               map[balancer.EndpointID]*endpoint
+	tombstones                              tombstones
+	endpointsByUID                          map[string]*endpoint
+	lastEndpointID                          balancer.EndpointID
+	listRevision                            int64          // the latest version of the list of backends
+	warningCounts                           map[string]int // lines by text since the last sweep
+	clients                                 map[*clientConn]struct{}
+	newClients                              list.List // of *client: connections that have never asked, oldest first
+	idleClients                             list.List // of *client: the others that hold no request, oldest first
+	lingeringClients                        list.List // of *client: those that have been shut, oldest first
+	idleBackends                            list.List // of *backend, oldest first
+	idleOutcomes                            [64]idleOutcome
+	learnedIdleLimit, learnedIdleLimitUntil int64 // what learnIdle found, and for how long it holds
+	openDescriptors                         int
+	endpointsKnown                          bool // at least one backend has been named
+	listFreshness                           listFreshness
+	drain                                   drainState
+	processCount                            int // processes that are this node; 0: one
+	violations                              map[safety.Reason]int
+	traceRequests                           bool  // a line for each step of each request
+	testWriteDelay                          int64 // by so much every first byte is late, in tests
 }
 
 // New returns a Node that has not started. Run must be called before anything else has an effect.
-func New(set Settings, discovery Discovery, log *slog.Logger) (*Node, error) {
+func New(settings Settings, discovery Discovery, log *slog.Logger) (*Node, error) {
 	start := time.Now()
-	set.nameless()
-	n := &Node{set: &set, log: log, discovery: discovery, list: listState{since: start.UnixMicro()}, epoch: start, epochUs: start.UnixMicro(),
-		wake: make(chan struct{}, 1), classes: index(set.Classes), tenants: index(set.Tenants),
-		zones: index(set.Zones), requests: map[balancer.RequestID]*request{}, byUID: map[string]*host{},
-		hosts: map[balancer.EndpointID]*host{}, warned: map[string]int{},
-		clients: map[*client]struct{}{}, ids: map[string]struct{}{}, violations: map[safety.Reason]int{}, tracing: traces(log)}
-	bal, err := balancer.New(set.Balancer, set.Seed, n)
+	settings.addDefaultTenant()
+	n := &Node{settings: &settings, log: log, discovery: discovery, listFreshness: listFreshness{processStartedAt: start.UnixMicro()}, startedAt: start, startedAtMicros: start.UnixMicro(),
+		wake: make(chan struct{}, 1), classIndex: indexByName(settings.Classes), tenantIndex: indexByName(settings.Tenants),
+		zoneIndex: indexByName(settings.Zones), requests: map[balancer.RequestID]*request{}, endpointsByUID: map[string]*endpoint{},
+		endpoints: map[balancer.EndpointID]*endpoint{}, warningCounts: map[string]int{},
+		clients: map[*clientConn]struct{}{}, requestIDsInUse: map[string]struct{}{}, violations: map[safety.Reason]int{}, traceRequests: debugEnabled(log)}
+	decisions, err := balancer.New(settings.Balancer, settings.Seed, n)
 	if err != nil {
 		return nil, err
 	}
-	n.bal = bal
+	n.balancer = decisions
 	return n, nil
 }
 
-func index(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, name := range names {
 		m[name] = i
@@ -145,15 +145,17 @@
 
 // now is the node's clock: microseconds that run monotonically from the Unix time of the start. Unix times
 // from elsewhere, such as a backend's start, so need no further conversion.
-func (n *Node) now() int64 { return n.epochUs + time.Since(n.epoch).Microseconds() }
+func (n *Node) now() int64 { return n.startedAtMicros + time.Since(n.startedAt).Microseconds() }
 
-// timeOf is a moment of this process on the node's clock.
-func (n *Node) timeOf(t time.Time) int64 { return n.epochUs + t.Sub(n.epoch).Microseconds() }
+// nodeTime is a moment of this process on the node's clock.
+func (n *Node) nodeTime(t time.Time) int64 {
+	return n.startedAtMicros + t.Sub(n.startedAt).Microseconds()
+}
 
 // post hands f to Run's goroutine. It never blocks.
-func (n *Node) post(f func()) {
+func (n *Node) post(callback func()) {
 	n.mu.Lock()
-	n.posted = append(n.posted, f)
+	n.posted = append(n.posted, callback)
 	n.mu.Unlock()
 	select {
 	case n.wake <- struct{}{}:
@@ -161,11 +163,11 @@
 	}
 }
 
-// ask hands f to Run's goroutine ahead of all that is posted: what clients cause must not hold up an operator.
-func (n *Node) ask(f func()) {
+// postPriority hands f to Run's goroutine ahead of all that is posted: what clients cause must not hold up an operator.
+func (n *Node) postPriority(callback func()) {
 	n.mu.Lock()
-	n.asked = append(n.asked, f)
-	n.urgent.Store(true) // before anybody can see that it was asked: what Run's goroutine does next is to look
+	n.priorityPosted = append(n.priorityPosted, callback)
+	n.priorityPending.Store(true) // before anybody can see that it was asked: what Run's goroutine does next is to look
 	n.mu.Unlock()
 	select {
 	case n.wake <- struct{}{}:
@@ -173,18 +175,18 @@
 	}
 }
 
-// answerAsked runs what operators have asked for.
-func (n *Node) answerAsked() {
-	if !n.urgent.Swap(false) {
+// runPriority runs what operators have asked for.
+func (n *Node) runPriority() {
+	if !n.priorityPending.Swap(false) {
 		return
 	}
 	n.mu.Lock()
-	asked := n.asked
-	n.asked = nil
+	callbacks := n.priorityPosted
+	n.priorityPosted = nil
 	n.mu.Unlock()
-	for _, f := range asked {
-		f()
-		n.settleLater()
+	for _, callback := range callbacks {
+		callback()
+		n.runDeferred()
 	}
 }
 
@@ -193,27 +195,27 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var batch []func()
-	n.at(n.now()+sweepEvery, n.sweep)
+	n.scheduleAt(n.now()+maintenanceInterval, n.runMaintenance)
 	for {
 		n.mu.Lock()
 		batch, n.posted = n.posted, batch[:0]
 		n.mu.Unlock()
-		n.answerAsked()
-		for i, f := range batch {
-			n.answerAsked()
-			f()
-			n.settleLater()
+		n.runPriority()
+		for i, callback := range batch {
+			n.runPriority()
+			callback()
+			n.runDeferred()
 			batch[i] = nil
 		}
-		next := n.fire()
+		delay := n.runDueTimers()
 		n.checkDrained()
 		n.mu.Lock()
-		more := len(n.posted)+len(n.asked) > 0
+		pending := len(n.posted)+len(n.priorityPosted) > 0
 		n.mu.Unlock()
-		if more {
+		if pending {
 			continue
 		}
-		timer.Reset(next)
+		timer.Reset(delay)
 		select {
 		case <-stop:
 			return
@@ -223,29 +225,29 @@
 	}
 }
 
-// settleLater delivers the results that Actions have queued, and those that these lead to.
-func (n *Node) settleLater() {
-	for i := 0; i < len(n.later); i++ {
-		f := n.later[i]
-		n.later[i] = nil
-		f()
+// runDeferred delivers the results that Actions have queued, and those that these lead to.
+func (n *Node) runDeferred() {
+	for i := 0; i < len(n.deferred); i++ {
+		callback := n.deferred[i]
+		n.deferred[i] = nil
+		callback()
 	}
-	n.later = n.later[:0]
+	n.deferred = n.deferred[:0]
 }
 
 // ---- timers ----
 
 type timer struct {
-	at  int64
-	seq uint64 // those due at the same time fire in the order they were set
-	f   func()
+	dueAt    int64
+	sequence uint64 // those due at the same time fire in the order they were set
+	callback func()
 }
 
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
 func (h timerHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+	return h[i].dueAt < h[j].dueAt || h[i].dueAt == h[j].dueAt && h[i].sequence < h[j].sequence
 }
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *timerHeap) Push(x any)   { *h = append(*h, x.(timer)) }
@@ -257,91 +259,95 @@
 	return t
 }
 
-func (n *Node) at(when int64, f func()) {
-	n.timerSeq++
-	heap.Push(&n.timers, timer{when, n.timerSeq, f})
+func (n *Node) scheduleAt(dueAt int64, callback func()) {
+	n.lastTimerSequence++
+	heap.Push(&n.timers, timer{dueAt, n.lastTimerSequence, callback})
 }
 
-// fire runs what is due by now and returns how long until the next timer. What these set for a moment later
+// runDueTimers runs what is due by now and returns how long until the next timer. What these set for a moment later
 // waits for the next round, after all that has been posted meanwhile: a timer that sets itself anew with next
 // to no delay would otherwise keep every request and answer out.
-func (n *Node) fire() time.Duration {
-	for now := n.now(); len(n.timers) > 0 && n.timers[0].at <= now; {
-		n.answerAsked()
-		heap.Pop(&n.timers).(timer).f()
-		n.settleLater()
+func (n *Node) runDueTimers() time.Duration {
+	for now := n.now(); len(n.timers) > 0 && n.timers[0].dueAt <= now; {
+		n.runPriority()
+		heap.Pop(&n.timers).(timer).callback()
+		n.runDeferred()
 	}
 	if len(n.timers) == 0 {
 		return time.Hour
 	}
-	return time.Duration(max(n.timers[0].at-n.now(), 0)) * time.Microsecond
+	return time.Duration(max(n.timers[0].dueAt-n.now(), 0)) * time.Microsecond
 }
 
-// sweepEvery is how often idle connections are looked at, in microseconds.
-const sweepEvery = 250_000
+// maintenanceInterval is how often idle connections are looked at, in microseconds.
+const maintenanceInterval = 250_000
 
-// sweep looks after the connections that carry nothing. It closes backend connections that stood idle for half the time after which the backend would: a
+// runMaintenance looks after the connections that carry nothing. It closes backend connections that stood idle for half the time after which the backend would: a
 // request written to one that is just being closed would end as a reset. Where they break sooner, they close sooner.
-func (n *Node) sweep() {
-	n.at(n.now()+sweepEvery, n.sweep)
-	for e := n.idleBackends.Front(); e != nil; e = n.idleBackends.Front() {
-		b := e.Value.(*backend)
-		if n.now()-b.idleSince < n.idleLimit() {
+func (n *Node) runMaintenance() {
+	n.scheduleAt(n.now()+maintenanceInterval, n.runMaintenance)
+	for element := n.idleBackends.Front(); element != nil; element = n.idleBackends.Front() {
+		conn := element.Value.(*backendConn)
+		if n.now()-conn.idleSince < n.idleLimit() {
 			break
 		}
-		n.closeBackend(b, endIdle)
+		n.closeBackend(conn, closeIdle)
 	}
-	n.sweepClients()
-	n.noteList()
-	n.forgetHosts()
-	for msg, k := range n.warned {
-		if k > warnMost {
-			n.log.Warn("lines left out", "of", msg, "lines", k-warnMost)
+	n.closeStalledClients()
+	n.updateListFreshness()
+	n.deleteExpiredEndpoints()
+	for message, count := range n.warningCounts {
+		if count > maxWarningsPerInterval {
+			n.log.Warn("lines left out", "of", message, "lines", count-maxWarningsPerInterval)
 		}
 	}
-	clear(n.warned)
+	clear(n.warningCounts)
 }
 
-// warnMost is how many lines of one text are logged between two sweeps.
-const warnMost = 5
+// maxWarningsPerInterval is how many lines of one text are logged between two sweeps.
+const maxWarningsPerInterval = 5
 
-// warn logs what a peer can cause as often as it likes.
-func (n *Node) warn(msg string, args ...any) {
-	if n.warned[msg]++; n.warned[msg] <= warnMost {
-		n.log.Warn(msg, args...)
+// warnLimited logs what a peer can cause as often as it likes.
+func (n *Node) warnLimited(message string, args ...any) {
+	if n.warningCounts[message]++; n.warningCounts[message] <= maxWarningsPerInterval {
+		n.log.Warn(message, args...)
 	}
 }
 
 // ---- discovery ----
 
 // UpdateEndpoints is news about the backends. Cached tells that the list may be out of date.
-func (n *Node) UpdateEndpoints(l protocol.List, cached bool) { n.members(l, cached, time.Now()) }
+func (n *Node) UpdateEndpoints(update protocol.List, cached bool) {
+	n.handleEndpointList(update, cached, time.Now())
+}
 
 // UpdateEndpointsAsOf is an answer of discovery's that held at a time.
-func (n *Node) UpdateEndpointsAsOf(l protocol.List, asOf time.Time) { n.members(l, false, asOf) }
+func (n *Node) UpdateEndpointsAsOf(update protocol.List, asOf time.Time) {
+	n.handleEndpointList(update, false, asOf)
+}
 
-func (n *Node) members(l protocol.List, cached bool, asOf time.Time) {
+func (n *Node) handleEndpointList(update protocol.List, cached bool, asOf time.Time) {
 	n.post(func() {
 		kind := balancer.ListDelta
-		if l.All {
+		if update.All {
 			kind = balancer.ListFull
 		}
 		if cached {
 			kind = balancer.ListCached
 		}
-		if n.list.noteVersion(l.Rev, n.rev) {
+		if n.listFreshness.observeRevision(update.Rev, n.listRevision) {
 			asOf = time.Time{} // a list that is older than the last says nothing of what is current
 		}
-		hosts, kind := n.merge(l, kind)
-		if cached || len(hosts) > 0 {
-			n.log.Info("backends", "rev", l.Rev, "all", l.All, "cached", cached, "entries", len(hosts))
+		endpoints, kind := n.applyEndpointList(update, kind)
+		if cached || len(endpoints) > 0 {
+			n.log.Info("backends", "rev", update.Rev, "all", update.All, "cached", cached, "entries", len(endpoints))
 		}
-		n.listed = n.listed || len(hosts) > 0
-		if len(hosts) == 0 && kind == balancer.ListDelta && !n.set.Balancer.PollDiscovery {
+		n.endpointsKnown = n.endpointsKnown || len(endpoints) > 0
+		if len(endpoints) == 0 && kind == balancer.ListDelta && !n.settings.Balancer.PollDiscovery {
 			return // where nothing was asked, nothing is owed: the module hears of changes alone
 		}
-		n.bal.HandleEndpointsAsOf(n.now(), n.timeOf(asOf), kind, hosts)
-		n.noteList()
+		n.balancer.HandleEndpointsAsOf(n.now(), n.nodeTime(asOf), kind, endpoints)
+		n.updateListFreshness()
 	})
 }
 
@@ -349,15 +355,15 @@
 func (n *Node) DiscoveryCallFailed(err error, how balancer.ListKind, asOf time.Time) {
 	n.post(func() {
 		n.log.Warn("discovery failed", "err", err)
-		n.bal.HandleEndpointsAsOf(n.now(), n.timeOf(asOf), how, nil)
-		n.noteList()
+		n.balancer.HandleEndpointsAsOf(n.now(), n.nodeTime(asOf), how, nil)
+		n.updateListFreshness()
 	})
 }
 
 // DiscoveryAddressChanged tells that discovery has another address from now on: what was heard at the one before counts for so long at most.
 func (n *Node) DiscoveryAddressChanged(within time.Duration) {
 	n.post(func() {
-		n.list.moved = true
-		n.bal.ExpireListAt(n.now(), n.now()+within.Microseconds())
+		n.listFreshness.addressChanged = true
+		n.balancer.ExpireListAt(n.now(), n.now()+within.Microseconds())
 	})
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -259,9 +259,9 @@
 	w := &waiting{n, a, dial(t, addr), dial(t, addr), arrived, release}
 	_, _ = io.WriteString(w.first, text("once", 9000))
 	<-arrived
-	n.post(func() { n.hosts[1].addr, n.hosts[1].dials = "127.0.0.1:1", 1 }) // a dial on its way that never ends
+	n.post(func() { n.endpoints[1].address, n.endpoints[1].pendingDials = "127.0.0.1:1", 1 }) // a dial on its way that never ends
 	_, _ = io.WriteString(w.second, text("once", 9000))
-	until(n, func() bool { return len(n.hosts[1].waiting) == 1 })
+	until(n, func() bool { return len(n.endpoints[1].waitingAttempts) == 1 })
 	return w
 }
 
@@ -279,7 +279,7 @@
 	if code, _, _ := w.first.answer(); code != 200 {
 		t.Error(code)
 	}
-	until(w.n, func() bool { return len(w.n.hosts[1].waiting) == 0 && len(w.n.hosts[1].idle) == 1 })
+	until(w.n, func() bool { return len(w.n.endpoints[1].waitingAttempts) == 0 && len(w.n.endpoints[1].idleConns) == 1 })
 }
 
 // caller is a client's connection.
@@ -421,7 +421,7 @@
 		if code, _, _ := conn.ask(text("once", 9000)); code != 200 {
 			t.Fatalf("status %d", code)
 		}
-		until(n, func() bool { return len(n.hosts[2].idle) == 1 }) // the answer may overtake the writer's word
+		until(n, func() bool { return len(n.endpoints[2].idleConns) == 1 }) // the answer may overtake the writer's word
 	}
 	if live.seen.Load() != 20 || live.connections() != 1 {
 		t.Errorf("%d requests on %d connections, want 20 on one that is kept", live.seen.Load(), live.connections())
@@ -460,13 +460,13 @@
 	checked := make(chan struct{})
 	n.post(func() {
 		defer close(checked)
-		r := n.requests[n.lastID]
+		r := n.requests[n.lastRequestID]
 		n.SendAttempt(r.id, 1, 0)
-		n.set.Balancer.AllowHedging = true
+		n.settings.Balancer.AllowHedging = true
 		n.SendAttempt(r.id, 1, -1)
 		n.SendAttempt(r.id, 1, 0) // the fourth of three
 		for _, a := range r.attempts[1:] {
-			if !a.over || a.backend != nil {
+			if !a.completed || a.conn != nil {
 				t.Errorf("attempt %d went out", a.number)
 			}
 		}
@@ -492,9 +492,9 @@
 	<-arrived
 	// A dial to nowhere, whose failure is put down to another that is still on its way: only the freed
 	// connection can serve.
-	n.post(func() { n.hosts[1].addr, n.hosts[1].dials = "127.0.0.1:1", 1 })
+	n.post(func() { n.endpoints[1].address, n.endpoints[1].pendingDials = "127.0.0.1:1", 1 })
 	_, _ = io.WriteString(second, text("once", 9000))
-	until(n, func() bool { return len(n.hosts[1].waiting) == 1 })
+	until(n, func() bool { return len(n.endpoints[1].waitingAttempts) == 1 })
 	close(release)
 	<-arrived
 	for _, c := range []*caller{first, second} {
@@ -512,7 +512,7 @@
 func TestAnsweredRequestIsNotSentOn(t *testing.T) {
 	w := newWaiting(t, nil)
 	n, a := w.n, w.app
-	on(n, func() { n.Fail(n.hosts[1].waiting[0].req.id) })
+	on(n, func() { n.Fail(n.endpoints[1].waitingAttempts[0].request.id) })
 	if code, _, _ := w.second.answer(); code != 504 {
 		t.Error(code)
 	}
@@ -538,9 +538,9 @@
 	if code, _, _ := caller.answer(); code != 200 {
 		t.Fatal(code)
 	}
-	until(n, func() bool { return len(n.hosts[1].idle) == 1 })
+	until(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
 	on(n, func() {
-		fd := n.hosts[1].idle[0].conn.(interface{ Fd() int }).Fd()
+		fd := n.endpoints[1].idleConns[0].conn.(interface{ Fd() int }).Fd()
 		_ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, 2048)
 	})
 	const size = 60_000
@@ -562,7 +562,7 @@
 	if got, _ := io.Copy(io.Discard, in); got >= size {
 		t.Errorf("%d bytes came, all of the request", got)
 	}
-	until(n, func() bool { return len(n.requests) == 0 && n.descriptors == 1 })
+	until(n, func() bool { return len(n.requests) == 0 && n.openDescriptors == 1 })
 }
 
 // Guards: a request that followed within milliseconds was given the second answer of a host that answers twice: a connection
@@ -579,10 +579,10 @@
 	if code, body, _ := conn.answer(); code != 200 || body != "one" {
 		t.Fatal(code, body)
 	}
-	until(n, func() bool { return len(n.hosts[1].idle) == 1 })
+	until(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
 	on(n, func() {
-		n.hosts[1].twiceTill = never                 // it has done so before
-		n.hosts[1].idle[0].servedAt += 3_600_000_000 // it rests for as long as this test takes
+		n.endpoints[1].duplicatesUntil = noDeadline               // it has done so before
+		n.endpoints[1].idleConns[0].lastAnswerAt += 3_600_000_000 // it rests for as long as this test takes
 	})
 	_, _ = io.WriteString(conn, text("once", 9000))
 	until(n, func() bool { return len(n.requests) == 1 })
@@ -592,17 +592,17 @@
 	if code, body, _ := conn.answer(); code != 200 || body != "two" {
 		t.Error(code, body)
 	}
-	on(n, func() { n.hosts[1].twiceTill = 0 })
+	on(n, func() { n.endpoints[1].duplicatesUntil = 0 })
 	ok(second, "two again")
-	until(n, func() bool { return n.hosts[1].twiceTill > n.now() }) // it is known from now on
-	on(n, func() { n.hosts[1].twiceTill = 0 })
+	until(n, func() bool { return n.endpoints[1].duplicatesUntil > n.now() }) // it is known from now on
+	on(n, func() { n.endpoints[1].duplicatesUntil = 0 })
 	_, _ = io.WriteString(conn, text("read", 9000))
 	third, _ := app.take()
 	_, _ = io.WriteString(third, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nthreeHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	if code, body, _ := conn.answer(); code != 200 || body != "three" {
 		t.Error(code, body)
 	}
-	until(n, func() bool { return n.hosts[1].twiceTill > n.now() }) // both at once tell the same
+	until(n, func() bool { return n.endpoints[1].duplicatesUntil > n.now() }) // both at once tell the same
 }
 
 // What a host has sent unasked is not taken for the answer to the next request, also while it is on its way from the poller: the request
@@ -615,7 +615,7 @@
 	first, _ := app.take()
 	ok(first, "one")
 	conn.answer()
-	until(n, func() bool { return len(n.hosts[1].idle) == 1 })
+	until(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
 	busy, free := make(chan struct{}), make(chan struct{})
 	n.post(func() { close(busy); <-free })
 	<-busy
@@ -643,23 +643,23 @@
 			first, in := app.take()
 			ok(first, "one")
 			conn.answer()
-			until(n, func() bool { return len(n.hosts[1].idle) == 1 })
+			until(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
 			on(n, func() { // the next attempt waits for this connection
-				n.hosts[1].twiceTill = never
-				n.hosts[1].idle[0].servedAt = n.now() + 3_600_000_000
+				n.endpoints[1].duplicatesUntil = noDeadline
+				n.endpoints[1].idleConns[0].lastAnswerAt = n.now() + 3_600_000_000
 			})
 			_, _ = io.WriteString(conn, text("once", 9000))
-			until(n, func() bool { return len(n.hosts[1].waiting) == 1 })
+			until(n, func() bool { return len(n.endpoints[1].waitingAttempts) == 1 })
 			told := app.targets()[0]
 			told.State = state
 			n.UpdateEndpoints(protocol.List{Rev: 1, Targets: []protocol.Target{told, target("b", other)}}, false)
-			until(n, func() bool { return len(n.hosts) == 2 })
+			until(n, func() bool { return len(n.endpoints) == 2 })
 			on(n, func() {
-				for _, b := range n.hosts[1].idle { // it has rested
-					b.servedAt = 0
+				for _, b := range n.endpoints[1].idleConns { // it has rested
+					b.lastAnswerAt = 0
 				}
-				n.hosts[1].twiceTill = 0
-				n.handOver(n.hosts[1])
+				n.endpoints[1].duplicatesUntil = 0
+				n.serveWaiting(n.endpoints[1])
 			})
 			if code, body, _ := conn.answer(); code != 200 || body != "body of /once" {
 				t.Error(code, body)
@@ -751,16 +751,16 @@
 		t.Errorf("%d connections for 200 hosts at one address", got)
 	}
 	on(n, func() {
-		n.forgetHosts()
-		if len(n.hosts) != 200 {
-			t.Errorf("%d hosts: an old list may still name those gone", len(n.hosts))
+		n.deleteExpiredEndpoints()
+		if len(n.endpoints) != 200 {
+			t.Errorf("%d hosts: an old list may still name those gone", len(n.endpoints))
 		}
-		for _, h := range n.hosts {
-			h.goneAt -= min(h.goneAt, hostKept)
+		for _, h := range n.endpoints {
+			h.removedAt -= min(h.removedAt, endpointRetention)
 		}
-		n.forgetHosts()
-		if len(n.hosts) != 1 || len(n.byUID) != 1 || n.idleBackends.Len() > 1 {
-			t.Errorf("%d hosts, %d by name, %d connections", len(n.hosts), len(n.byUID), n.idleBackends.Len())
+		n.deleteExpiredEndpoints()
+		if len(n.endpoints) != 1 || len(n.endpointsByUID) != 1 || n.idleBackends.Len() > 1 {
+			t.Errorf("%d hosts, %d by name, %d connections", len(n.endpoints), len(n.endpointsByUID), n.idleBackends.Len())
 		}
 	})
 }
@@ -776,24 +776,24 @@
 	}
 	n, _ := start(t, nil, nil)
 	on(n, func() {
-		n.merge(protocol.List{Rev: 10, All: true, Targets: []protocol.Target{entry("kept", 0, 5), entry("gone", 0, 5),
+		n.applyEndpointList(protocol.List{Rev: 10, All: true, Targets: []protocol.Target{entry("kept", 0, 5), entry("gone", 0, 5),
 			entry("drains", protocol.Terminating, 5), entry("leaves", 0, 5), entry("unknown", 0, 5)}}, balancer.ListFull)
-		n.merge(protocol.List{Rev: 11, Targets: []protocol.Target{entry("gone", protocol.Terminated, 5)}}, balancer.ListDelta)
-		got, kind := n.merge(protocol.List{Rev: 9, All: true, Targets: []protocol.Target{entry("kept", protocol.Terminated, 4),
+		n.applyEndpointList(protocol.List{Rev: 11, Targets: []protocol.Target{entry("gone", protocol.Terminated, 5)}}, balancer.ListDelta)
+		got, kind := n.applyEndpointList(protocol.List{Rev: 9, All: true, Targets: []protocol.Target{entry("kept", protocol.Terminated, 4),
 			entry("gone", 0, 5), entry("drains", 0, 5), entry("leaves", protocol.Terminating, 5), entry("new", 0, 6)}}, balancer.ListFull)
 		want := []balancer.Endpoint{{ID: 4, StableKey: xxhash.Sum64String("leaves"), Phase: balancer.PhaseDraining, Weight: 1, StartedAt: 5000},
 			{ID: 6, StableKey: xxhash.Sum64String("new"), Phase: balancer.PhaseReady, Weight: 1, StartedAt: 6000}}
 		if diff := cmp.Diff(want, got); diff != "" || kind != balancer.ListDelta {
 			t.Errorf("kind %d\n%s", kind, diff)
 		}
-		n.byUID["gone"].goneAt = n.now() - hostKept // long ago
-		if n.forgetHosts(); n.byUID["gone"] != nil {
+		n.endpointsByUID["gone"].removedAt = n.now() - endpointRetention // long ago
+		if n.deleteExpiredEndpoints(); n.endpointsByUID["gone"] != nil {
 			t.Error("not forgotten")
 		}
-		if got, _ = n.merge(protocol.List{Rev: 9, Targets: []protocol.Target{entry("gone", 0, 5)}}, balancer.ListDelta); len(got) != 0 {
+		if got, _ = n.applyEndpointList(protocol.List{Rev: 9, Targets: []protocol.Target{entry("gone", 0, 5)}}, balancer.ListDelta); len(got) != 0 {
 			t.Errorf("brought back after it had been forgotten: %v", got)
 		}
-		if got, kind = n.merge(protocol.List{Rev: 12, All: true, Targets: []protocol.Target{entry("gone", 0, 5)}}, balancer.ListFull); len(got) != 1 ||
+		if got, kind = n.applyEndpointList(protocol.List{Rev: 12, All: true, Targets: []protocol.Target{entry("gone", 0, 5)}}, balancer.ListFull); len(got) != 1 ||
 			got[0].Phase != balancer.PhaseReady || kind != balancer.ListFull {
 			t.Errorf("a new list: %v, kind %d", got, kind)
 		}
@@ -815,7 +815,7 @@
 	if code, _, _ := conn.answer(); code != 200 {
 		t.Error(code)
 	}
-	until(n, func() bool { return n.descriptors == 1 || n.idleBackends.Len() > 0 })
+	until(n, func() bool { return n.openDescriptors == 1 || n.idleBackends.Len() > 0 })
 	on(n, func() {
 		if n.idleBackends.Len() > 0 {
 			t.Error("the connection is kept")
@@ -830,13 +830,13 @@
 	on(n, func() {
 		n.log = slog.New(slog.NewTextHandler(&out, nil))
 		for range 1000 {
-			n.warn("bad answer", "host", "h")
+			n.warnLimited("bad answer", "host", "h")
 		}
-		n.sweep()
-		n.warn("bad answer", "host", "h")
+		n.runMaintenance()
+		n.warnLimited("bad answer", "host", "h")
 		n.log = slog.New(slog.DiscardHandler)
 	})
-	if got := strings.Count(out.String(), "msg=\"bad answer\""); got != warnMost+1 || !strings.Contains(out.String(), "lines=995") {
+	if got := strings.Count(out.String(), "msg=\"bad answer\""); got != maxWarningsPerInterval+1 || !strings.Contains(out.String(), "lines=995") {
 		t.Errorf("%d lines, and %.300s", got, out.String())
 	}
 }
@@ -852,37 +852,37 @@
 	peer, _ := app.take()
 	ok(peer, "")
 	conn.answer()
-	until(n, func() bool { return len(n.hosts[1].idle) == 1 })
+	until(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // so the poller does not run beside this
 	on(n, func() {
-		b := n.hosts[1].idle[0]
-		if !b.clean() {
+		b := n.endpoints[1].idleConns[0]
+		if !b.isOpenAndDrained() {
 			t.Error("an open connection is not clean")
 		}
 		now := n.now()
-		long, short, fresh := &backend{idleSince: now - 3*restFor}, &backend{idleSince: now - 2*restFor}, &backend{idleSince: now + restFor}
-		h := &host{}
-		for _, one := range []*backend{long, short, fresh} {
+		long, short, fresh := &backendConn{idleSince: now - 3*reuseDelay}, &backendConn{idleSince: now - 2*reuseDelay}, &backendConn{idleSince: now + reuseDelay}
+		h := &endpoint{}
+		for _, one := range []*backendConn{long, short, fresh} {
 			since := one.idleSince
-			one.conn, one.n, one.host, one.servedAt = b.conn, n, h, one.idleSince
-			h.twiceTill = never
+			one.conn, one.node, one.endpoint, one.lastAnswerAt = b.conn, n, h, one.idleSince
+			h.duplicatesUntil = noDeadline
 			n.setIdle(one, true)
 			one.idleSince = since
 		}
-		if n.rested(h) != short || n.rested(h) != long || n.rested(h) != nil {
+		if n.takeIdleConn(h) != short || n.takeIdleConn(h) != long || n.takeIdleConn(h) != nil {
 			t.Error("the wrong connection is used")
 		}
-		h.waiting = []*attempt{{probe: true, host: h, req: &request{}}}
+		h.waitingAttempts = []*attempt{{isHealthCheck: true, endpoint: h, request: &request{}}}
 		timers := len(n.timers)
-		if n.handOver(h); len(n.timers) != timers+1 || len(h.waiting) != 1 {
+		if n.serveWaiting(h); len(n.timers) != timers+1 || len(h.waitingAttempts) != 1 {
 			t.Error("nobody looks again once the connection that one waits for has rested")
 		}
-		h.waiting = nil
-		if fresh.servedAt, fresh.idleSince = 0, now; n.rested(h) != fresh {
+		h.waitingAttempts = nil
+		if fresh.lastAnswerAt, fresh.idleSince = 0, now; n.takeIdleConn(h) != fresh {
 			t.Error("a new connection rests")
 		}
 		_ = peer.Close()
-		if b.clean() {
+		if b.isOpenAndDrained() {
 			t.Error("a closed connection is clean")
 		}
 	})
@@ -895,28 +895,28 @@
 	n, addr := start(t, []protocol.Target{target("a", a)}, nil)
 	conn := dial(t, addr)
 	conn.ask(text("once", 9000))
-	until(n, func() bool { return len(n.hosts[1].idle) == 1 })
+	until(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
 	on(n, func() {
 		for i := range 200 {
-			n.learnIdle(50_000, i%10 == 9)
-			n.learnIdle(2*restFor, i%10 == 9)
+			n.recordIdleOutcome(50_000, i%10 == 9)
+			n.recordIdleOutcome(2*reuseDelay, i%10 == 9)
 		}
-		if n.idleLimit() != n.set.Keepalive/2 {
+		if n.idleLimit() != n.settings.Keepalive/2 {
 			t.Errorf("limit %d after an odd break", n.idleLimit())
 		}
-		for range idleSeen {
-			n.learnIdle(150_000, true)
+		for range minIdleSamples {
+			n.recordIdleOutcome(150_000, true)
 		}
 		if got := n.idleLimit(); got > 150_000 || got < 100_000 {
 			t.Errorf("limit %d, after breaks at 150000", got)
 		}
-		n.hosts[1].idle[0].idleSince -= 200_000
+		n.endpoints[1].idleConns[0].idleSince -= 200_000
 	})
 	if code, _, _ := conn.ask(text("once", 9000)); code != 200 || a.connections() != 2 {
 		t.Errorf("%d on %d connections, want a new one", code, a.connections())
 	}
 	on(n, func() {
-		if n.idleMostTill -= idleTrust; n.idleLimit() != n.set.Keepalive/2 {
+		if n.learnedIdleLimitUntil -= observationLifetime; n.idleLimit() != n.settings.Keepalive/2 {
 			t.Error("never tried again")
 		}
 	})
@@ -1001,14 +1001,14 @@
 			t.Fatal(err)
 		}
 		until(n, func() bool {
-			n.sweepClients() // its time is not over
+			n.closeStalledClients() // its time is not over
 			for c := range n.clients {
-				if c.in != nil && c.in.n == len(half) && !c.writing {
-					c.since -= askWithin
-					if c.headAt > 0 {
-						c.headAt -= bodyWithin + askWithin
+				if c.input != nil && c.input.length == len(half) && !c.writingAnswer {
+					c.requestStartedAt -= headTimeout
+					if c.headCompleteAt > 0 {
+						c.headCompleteAt -= bodyTimeout + headTimeout
 					}
-					n.sweepClients()
+					n.closeStalledClients()
 					return true
 				}
 			}
@@ -1031,14 +1031,14 @@
 	used, silent := dial(t, addr), dial(t, addr)
 	used.ask(text("once", 9000))
 	until(n, func() bool {
-		if n.fresh.Len() != 1 || n.idleClients.Len() != 1 {
+		if n.newClients.Len() != 1 || n.idleClients.Len() != 1 {
 			return false
 		}
-		n.sweepClients() // nobody's time is over
+		n.closeStalledClients() // nobody's time is over
 		for c := range n.clients {
-			c.since, c.idleSince = c.since-askWithin, c.idleSince-askWithin
+			c.requestStartedAt, c.idleSince = c.requestStartedAt-headTimeout, c.idleSince-headTimeout
 		}
-		n.sweepClients()
+		n.closeStalledClients()
 		return true
 	})
 	if _, err := silent.r.ReadByte(); !errors.Is(err, io.EOF) {
@@ -1051,9 +1051,9 @@
 		if n.idleClients.Len() != 1 {
 			return false
 		}
-		n.set.MaxDescriptors = 2
-		n.idleClients.Front().Value.(*client).idleSince -= idleLeast
-		n.sweepClients()
+		n.settings.MaxDescriptors = 2
+		n.idleClients.Front().Value.(*clientConn).idleSince -= minClientIdleTime
+		n.closeStalledClients()
 		return true
 	})
 	if _, err := used.r.ReadByte(); !errors.Is(err, io.EOF) {
@@ -1064,7 +1064,7 @@
 // Clients that ask once and keep their connection for good do not keep others out: of the connections between two
 // requests, those idle for longest close once they are many.
 func TestIdleConnectionsAreFew(t *testing.T) {
-	n, addr := start(t, []protocol.Target{target("a", newApp(t, serve))}, func(s *Settings) { s.MaxDescriptors = 10 * idleShare })
+	n, addr := start(t, []protocol.Target{target("a", newApp(t, serve))}, func(s *Settings) { s.MaxDescriptors = 10 * idleClientFraction })
 	callers := make([]*caller, 15)
 	for i := range callers {
 		callers[i] = dial(t, addr)
@@ -1083,15 +1083,15 @@
 
 // For want of descriptors, what clients do not use closes before what backends' next requests will need.
 func TestUnusedConnectionsMakeRoom(t *testing.T) {
-	n, addr := start(t, []protocol.Target{target("a", newApp(t, serve))}, func(s *Settings) { s.MaxDescriptors = reserve + 3 })
+	n, addr := start(t, []protocol.Target{target("a", newApp(t, serve))}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 3 })
 	used, silent := dial(t, addr), dial(t, addr)
 	used.ask(text("once", 9000))
 	until(n, func() bool {
-		if n.fresh.Len() != 1 || n.idleClients.Len() != 1 || n.idleBackends.Len() != 1 {
+		if n.newClients.Len() != 1 || n.idleClients.Len() != 1 || n.idleBackends.Len() != 1 {
 			return false
 		}
-		n.fresh.Front().Value.(*client).idleSince -= freshFor
-		if !n.makeRoom(1) || n.idleBackends.Len() != 1 || n.idleClients.Len() != 1 {
+		n.newClients.Front().Value.(*clientConn).idleSince -= newConnGrace
+		if !n.reserveDescriptors(1) || n.idleBackends.Len() != 1 || n.idleClients.Len() != 1 {
 			t.Error("room was made at the wrong place")
 		}
 		return true
@@ -1107,10 +1107,10 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	n, _ := start(t, nil, nil)
 	for range 200 {
-		n.unseen.Add(1)
-		n.post(func() { n.unseen.Add(-1) })
-		if n.catchUp(); n.unseen.Load() >= unseenMost {
-			t.Fatalf("%d connections ahead", n.unseen.Load())
+		n.pendingAccepts.Add(1)
+		n.post(func() { n.pendingAccepts.Add(-1) })
+		if n.throttleAccepts(); n.pendingAccepts.Load() >= maxPendingAccepts {
+			t.Fatalf("%d connections ahead", n.pendingAccepts.Load())
 		}
 	}
 }
@@ -1137,9 +1137,9 @@
 		due := n.timers
 		n.timers = nil
 		for _, t := range due {
-			t.f()
+			t.callback()
 		}
-		return len(n.ids) == 0 && len(n.requests) == 0
+		return len(n.requestIDsInUse) == 0 && len(n.requests) == 0
 	})
 }
 
@@ -1151,7 +1151,7 @@
 	until(n, func() bool {
 		for c := range n.clients {
 			size, err := syscall.GetsockoptInt(c.conn.(interface{ Fd() int }).Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF)
-			if err != nil || size > 2*receiveBuffer { // the system doubles it for its own needs
+			if err != nil || size > 2*receiveBufferSize { // the system doubles it for its own needs
 				t.Errorf("a buffer of %d bytes, %v", size, err)
 			}
 			return true
@@ -1215,7 +1215,7 @@
 				_ = w.second.Conn.(*net.TCPConn).SetLinger(0)
 			}
 			_ = w.second.Close()
-			until(w.n, func() bool { return w.n.open == 1 })
+			until(w.n, func() bool { return w.n.openRequests == 1 })
 			w.free()
 			if k := w.app.seen.Load(); k != 1 {
 				t.Errorf("%d requests sent on", k)
@@ -1226,13 +1226,13 @@
 
 // endings stand between a node and its module, and note how attempts end.
 type endings struct {
-	module
+	decisionModule
 	outcomes []balancer.Outcome
 }
 
 func (e *endings) HandleAttemptResult(now balancer.Time, s balancer.AttemptResult) {
 	e.outcomes = append(e.outcomes, s.Outcome)
-	e.module.HandleAttemptResult(now, s)
+	e.decisionModule.HandleAttemptResult(now, s)
 }
 
 // A client may be gone before Run's goroutine hears of its request, or of the connection that its request waits for, and word of that stands
@@ -1245,7 +1245,7 @@
 		conn.ask(text("read", 9000))
 		until(n, func() bool { return n.idleBackends.Len() == 1 }) // so that nothing is waited for
 		ends := &endings{}
-		on(n, func() { ends.module, n.bal = n.bal, ends })
+		on(n, func() { ends.decisionModule, n.balancer = n.balancer, ends })
 		busy, free := make(chan struct{}), make(chan struct{})
 		n.post(func() { close(busy); <-free })
 		<-busy
@@ -1254,7 +1254,7 @@
 		_ = conn.Close()
 		behindOf(n, 2)
 		close(free)
-		until(n, func() bool { return n.lastID == 2 && len(n.clients) == 0 && len(n.requests) == 0 })
+		until(n, func() bool { return n.lastRequestID == 2 && len(n.clients) == 0 && len(n.requests) == 0 })
 		if !slices.Equal(ends.outcomes, []balancer.Outcome{balancer.OutcomeNotSent}) {
 			t.Errorf("attempts that ended as %v, want one that never began", ends.outcomes)
 		}
@@ -1263,11 +1263,11 @@
 		w := newWaiting(t, nil)
 		on(w.n, func() { // the loop is at work as the client leaves, and a connection is free behind that
 			_ = w.second.Close()
-			for _, a := range w.n.hosts[1].waiting {
-				for !a.req.client.hasEnded() {
+			for _, a := range w.n.endpoints[1].waitingAttempts {
+				for !a.request.clientConn.peerHasEnded() {
 					runtime.Gosched()
 				}
-				if why := w.n.mayBegin(a); why != safety.ClientDisconnected {
+				if why := w.n.mayStart(a); why != safety.ClientDisconnected {
 					t.Errorf("may begin: %v", why)
 				}
 			}
@@ -1292,10 +1292,10 @@
 	_ = conn.Close()
 	behindOf(n, 2)
 	close(free)
-	until(n, func() bool { return len(n.clients) == 0 && n.open == 0 })
+	until(n, func() bool { return len(n.clients) == 0 && n.openRequests == 0 })
 	on(n, func() {
-		if n.lastID > 1 {
-			t.Errorf("%d requests begun", n.lastID)
+		if n.lastRequestID > 1 {
+			t.Errorf("%d requests begun", n.lastRequestID)
 		}
 	})
 }
@@ -1323,7 +1323,7 @@
 // At the cap of descriptors the connection that stood idle longest goes, never one with a request on it.
 func TestDescriptorsAreCapped(t *testing.T) {
 	a, arrived, release := newHeldApp(t)
-	_, addr := start(t, []protocol.Target{target("a", a)}, func(s *Settings) { s.MaxDescriptors = reserve + 4 })
+	_, addr := start(t, []protocol.Target{target("a", a)}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 4 })
 	busy := dial(t, addr)
 	_, _ = io.WriteString(busy, text("once", 9000))
 	<-arrived
@@ -1353,12 +1353,12 @@
 	n.post(func() {
 		close(busy)
 		for c := range n.clients {
-			for c.unread() == 0 {
+			for c.unreadInput() == 0 {
 				runtime.Gosched()
 			}
 		}
 		n.closeIdleClients()
-		if n.idleClient(&n.idleClients, 0) != nil {
+		if n.oldestIdleClient(&n.idleClients, 0) != nil {
 			t.Error("a connection with a request on it counts as idle")
 		}
 	})
@@ -1373,7 +1373,7 @@
 func TestTimersDoNotStarveTheRest(t *testing.T) {
 	n, _ := start(t, nil, nil)
 	var again func()
-	again = func() { n.at(n.now(), again) }
+	again = func() { n.scheduleAt(n.now(), again) }
 	n.post(again)
 	seen := make(chan struct{})
 	n.post(func() { n.post(func() { close(seen) }) })
@@ -1412,11 +1412,11 @@
 	ask()
 	on(n, func() {
 		left := 0
-		for _, h := range n.hosts {
-			if h.goneAt == 0 {
+		for _, h := range n.endpoints {
+			if h.removedAt == 0 {
 				left++
 			}
-			if h.goneAt > 0 && len(h.idle)+len(h.waiting)+h.dials > 0 {
+			if h.removedAt > 0 && len(h.idleConns)+len(h.waitingAttempts)+h.pendingDials > 0 {
 				t.Errorf("host %d is gone and has connections", h.id)
 			}
 		}
@@ -1424,7 +1424,7 @@
 			t.Errorf("%d hosts listed", left)
 		}
 	})
-	again := *n.set
+	again := *n.settings
 	again.Balancer.MaxAttempts = 2
 	n.Reconfigure(again)
 	ask()
@@ -1442,7 +1442,7 @@
 	n, addr := start(t, app.targets(), nil)
 	client := dial(t, addr)
 	var began, deadlines [4]int64
-	later := func(since int64) { until(n, func() bool { return n.now() > since+2*arrivalsApart }) }
+	later := func(since int64) { until(n, func() bool { return n.now() > since+2*arrivalMergeInterval }) }
 	took := func(k int) {
 		for _, r := range n.requests {
 			if !r.done {
@@ -1474,7 +1474,7 @@
 			t.Fatalf("request %d: %d", k, code)
 		}
 	}
-	if deadlines[1] != deadlines[0] || deadlines[2] != deadlines[3] || deadlines[2] < deadlines[1]+arrivalsApart || deadlines[3] > began[2]+9_000_000 {
+	if deadlines[1] != deadlines[0] || deadlines[2] != deadlines[3] || deadlines[2] < deadlines[1]+arrivalMergeInterval || deadlines[3] > began[2]+9_000_000 {
 		t.Errorf("deadlines %v, two pieces came by %d and %d", deadlines, began[0], began[2])
 	}
 }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -11,66 +11,66 @@
 // same ways to fail, and one outcome. It never stands before an attempt: those that wait for a connection are served first, and no
 // connection is closed to make room for it.
 
-// probesMost is how many probes may be out at one host. A host that accepts and never answers holds so many connections
+// maxHealthChecksPerEndpoint is how many probes may be out at one host. A host that accepts and never answers holds so many connections
 // at most, each for the time limit of a connection; what the module asks for beyond that has not been asked.
-const probesMost = 8
+const maxHealthChecksPerEndpoint = 8
 
 // What a probe asks for: with a report where the deployment has reports, else only whether the process runs.
 const (
-	probeLoad   = "/status/load"
-	probeHealth = "/health"
+	loadCheckPath     = "/status/load"
+	livenessCheckPath = "/health"
 )
 
 // CheckHealth asks a host for its load. The module hears of exactly one outcome through Checked.
-func (n *Node) CheckHealth(hostID balancer.EndpointID) {
-	h := n.hosts[hostID]
-	if h == nil {
-		n.log.Error("probe without a host", "host", hostID)
+func (n *Node) CheckHealth(endpointID balancer.EndpointID) {
+	ep := n.endpoints[endpointID]
+	if ep == nil {
+		n.log.Error("probe without a host", "host", endpointID)
 		return
 	}
 	now := n.now()
-	current, _ := n.bal.ListCurrent(now)
-	a := &attempt{probe: true, req: &request{set: n.set}, host: h, sent: now, till: now + n.set.ConnectTimeout}
-	h.probes++
+	current, _ := n.balancer.ListCurrent(now)
+	att := &attempt{isHealthCheck: true, request: &request{settings: n.settings}, endpoint: ep, startedAt: now, deadline: now + n.settings.ConnectTimeout}
+	ep.pendingHealthChecks++
 	switch {
-	case h.state != protocol.InService, !n.set.Balancer.AllowHealthChecks, !current:
-		n.settle(a, balancer.OutcomeNotSent, nil) // it wants nothing new
-	case h.probes > probesMost:
-		n.settle(a, balancer.OutcomeNotSent, nil)
-	case len(h.idle) == 0 && n.sockets() > 0 && n.descriptors+1 > n.sockets()-reserve:
-		n.settle(a, balancer.OutcomeConnectFailed, nil)
+	case ep.state != protocol.InService, !n.settings.Balancer.AllowHealthChecks, !current:
+		n.completeAttempt(att, balancer.OutcomeNotSent, nil) // it wants nothing new
+	case ep.pendingHealthChecks > maxHealthChecksPerEndpoint:
+		n.completeAttempt(att, balancer.OutcomeNotSent, nil)
+	case len(ep.idleConns) == 0 && n.descriptorLimit() > 0 && n.openDescriptors+1 > n.descriptorLimit()-reservedDescriptors:
+		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	default:
-		n.at(a.till, func() { n.late(a) })
-		n.connect(a)
+		n.scheduleAt(att.deadline, func() { n.checkAttemptDeadline(att) })
+		n.assignConn(att)
 	}
 }
 
-// appendProbe appends the request of a probe.
-func (n *Node) appendProbe(dst []byte, h *host) []byte {
-	path := probeHealth
-	if n.set.LoadReports {
-		path = probeLoad
+// appendHealthCheck appends the request of a probe.
+func (n *Node) appendHealthCheck(dst []byte, ep *endpoint) []byte {
+	path := livenessCheckPath
+	if n.settings.LoadReports {
+		path = loadCheckPath
 	}
-	return append(append(append(append(append(dst, "GET "...), path...), " HTTP/1.1\r\nHost: "...), h.addr...), "\r\n\r\n"...)
+	return append(append(append(append(append(dst, "GET "...), path...), " HTTP/1.1\r\nHost: "...), ep.address...), "\r\n\r\n"...)
 }
 
-// checked tells the module how a probe has ended.
-func (n *Node) checked(a *attempt, outcome balancer.Outcome, report *balancer.LoadReport) {
-	took := n.now() - a.sent
-	n.later = append(n.later, func() {
-		a.host.probes--
-		n.bal.HandleHealthCheck(n.now(), a.host.id, outcome, took, report)
+// healthCheckDone tells the module how a probe has ended.
+func (n *Node) healthCheckDone(att *attempt, outcome balancer.Outcome, report *balancer.LoadReport) {
+	took := n.now() - att.startedAt
+	n.deferred = append(n.deferred, func() {
+		att.endpoint.pendingHealthChecks--
+		n.balancer.HandleHealthCheck(n.now(), att.endpoint.id, outcome, took, report)
 	})
 }
 
-// probeReport is what the answer to a probe says of its host's load: in its body, or as any answer may.
-func probeReport(msg *protocol.Message, body []byte) *balancer.LoadReport {
-	if report := loadReport(msg); report != nil {
+// healthCheckReport is what the answer to a probe says of its host's load: in its body, or as any answer may.
+func healthCheckReport(msg *protocol.Message, body []byte) *balancer.LoadReport {
+	if report := headerLoadReport(msg); report != nil {
 		return report
 	}
 	body = bytes.TrimSpace(body)
 	if !bytes.HasPrefix(body, []byte("TEXT ")) {
 		body = append([]byte("TEXT "), body...)
 	}
-	return toReport(body)
+	return parseLoadReport(body)
 }
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -14,13 +14,13 @@
 
 // told is the module, and what it hears of probes and requests.
 type told struct {
-	module
+	decisionModule
 	probes   chan string
 	arrivals chan balancer.Request
 }
 
 func (m *told) HandleHealthCheck(now balancer.Time, id balancer.EndpointID, out balancer.Outcome, took balancer.Span, rep *balancer.LoadReport) {
-	m.module.HandleHealthCheck(now, id, out, took, rep)
+	m.decisionModule.HandleHealthCheck(now, id, out, took, rep)
 	text := fmt.Sprint(out)
 	if rep != nil {
 		text += fmt.Sprint(" ", *rep)
@@ -30,13 +30,13 @@
 
 func (m *told) HandleRequest(now balancer.Time, a balancer.Request) {
 	m.arrivals <- a
-	m.module.HandleRequest(now, a)
+	m.decisionModule.HandleRequest(now, a)
 }
 
 // listen has the module's ears: it must be called before anything is asked of the node.
 func listen(n *Node) *told {
 	m := &told{probes: make(chan string, 100), arrivals: make(chan balancer.Request, 100)}
-	on(n, func() { m.module, n.bal = n.bal, m })
+	on(n, func() { m.decisionModule, n.balancer = n.balancer, m })
 	return m
 }
 
@@ -90,13 +90,13 @@
 			a := newApp(t, c.host)
 			n, _ := start(t, []protocol.Target{target("a", a)}, mayProbe)
 			m := listen(n)
-			on(n, func() { n.CheckHealth(n.byUID["a"].id) })
+			on(n, func() { n.CheckHealth(n.endpointsByUID["a"].id) })
 			if got := next(t, m.probes); got != c.want {
 				t.Errorf("%q, want %q", got, c.want)
 			}
 			on(n, func() {
-				if h := n.byUID["a"]; h.probes != 0 || len(h.waiting) != 0 || len(m.probes) != 0 {
-					t.Errorf("left: %d probes, %d waiting, %d outcomes", h.probes, len(h.waiting), len(m.probes))
+				if h := n.endpointsByUID["a"]; h.pendingHealthChecks != 0 || len(h.waitingAttempts) != 0 || len(m.probes) != 0 {
+					t.Errorf("left: %d probes, %d waiting, %d outcomes", h.pendingHealthChecks, len(h.waitingAttempts), len(m.probes))
 				}
 			})
 		})
@@ -116,16 +116,19 @@
 		leave  func(n *Node)
 		want   string
 	}{
-		{"draining", mayProbe, func(n *Node) { n.byUID["a"].state = protocol.Terminating }, "80"},
-		{"gone", mayProbe, func(n *Node) { n.byUID["a"].state = protocol.Terminated }, "80"},
+		{"draining", mayProbe, func(n *Node) { n.endpointsByUID["a"].state = protocol.Terminating }, "80"},
+		{"gone", mayProbe, func(n *Node) { n.endpointsByUID["a"].state = protocol.Terminated }, "80"},
 		{"forbidden", func(s *Settings) { mayProbe(s); s.Balancer.AllowHealthChecks = false }, func(*Node) {}, "80"},
-		{"no descriptor left", mayProbe, func(n *Node) { n.set.MaxDescriptors = reserve + leastRoom; n.descriptors = leastRoom }, "50"},
+		{"no descriptor left", mayProbe, func(n *Node) {
+			n.settings.MaxDescriptors = reservedDescriptors + minServingDescriptors
+			n.openDescriptors = minServingDescriptors
+		}, "50"},
 	} {
 		n, _ := start(t, []protocol.Target{target("a", a)}, c.change)
 		m := listen(n)
 		on(n, func() {
 			c.leave(n)
-			n.CheckHealth(n.byUID["a"].id)
+			n.CheckHealth(n.endpointsByUID["a"].id)
 		})
 		if got := next(t, m.probes); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
@@ -134,8 +137,8 @@
 	n, _ := start(t, []protocol.Target{target("a", a)}, mayProbe)
 	m := listen(n)
 	on(n, func() { // the connection comes up after that
-		n.CheckHealth(n.byUID["a"].id)
-		n.byUID["a"].state = protocol.Terminating
+		n.CheckHealth(n.endpointsByUID["a"].id)
+		n.endpointsByUID["a"].state = protocol.Terminating
 	})
 	if got := next(t, m.probes); got != "80" {
 		t.Errorf("drains before it is asked: %q", got)
@@ -152,20 +155,20 @@
 	m := listen(n)
 	on(n, func() {
 		for range 100 {
-			n.CheckHealth(n.byUID["a"].id)
+			n.CheckHealth(n.endpointsByUID["a"].id)
 		}
-		if n.descriptors > probesMost {
-			t.Errorf("%d connections", n.descriptors)
+		if n.openDescriptors > maxHealthChecksPerEndpoint {
+			t.Errorf("%d connections", n.openDescriptors)
 		}
 	})
 	got := map[string]int{}
 	for range 100 {
 		got[next(t, m.probes)]++
 	}
-	if diff := cmp.Diff(map[string]int{"80": 100 - probesMost, "40": probesMost}, got); diff != "" {
+	if diff := cmp.Diff(map[string]int{"80": 100 - maxHealthChecksPerEndpoint, "40": maxHealthChecksPerEndpoint}, got); diff != "" {
 		t.Error(diff)
 	}
-	until(n, func() bool { return n.descriptors == 0 && n.byUID["a"].probes == 0 })
+	until(n, func() bool { return n.openDescriptors == 0 && n.endpointsByUID["a"].pendingHealthChecks == 0 })
 }
 
 // A request does not wait behind probes: the first connection that comes up is its own.
@@ -179,15 +182,15 @@
 	n, _ := start(t, []protocol.Target{target("a", a)}, mayProbe)
 	m := listen(n)
 	on(n, func() {
-		h := n.byUID["a"]
+		h := n.endpointsByUID["a"]
 		n.CheckHealth(h.id)
 		n.CheckHealth(h.id)
-		r := &attempt{req: &request{set: n.set}, host: h, till: never}
-		n.connect(r)
-		for _, w := range h.waiting {
-			order = append(order, fmt.Sprint(w.probe))
+		r := &attempt{request: &request{settings: n.settings}, endpoint: h, deadline: noDeadline}
+		n.assignConn(r)
+		for _, w := range h.waitingAttempts {
+			order = append(order, fmt.Sprint(w.isHealthCheck))
 		}
-		h.waiting = h.waiting[1:]
+		h.waitingAttempts = h.waitingAttempts[1:]
 	})
 	if diff := cmp.Diff([]string{"false", "true", "true"}, order); diff != "" {
 		t.Error(diff)
@@ -229,14 +232,14 @@
 		a, arrived, release := waits(t)
 		n, _ := start(t, []protocol.Target{target("a", a)}, func(s *Settings) { mayProbe(s); s.ConnectTimeout = 10_000_000 })
 		m := listen(n)
-		on(n, func() { n.CheckHealth(n.byUID["a"].id) })
+		on(n, func() { n.CheckHealth(n.endpointsByUID["a"].id) })
 		<-arrived
 		next := target("a", a)
 		next.State, next.BootMs = c.state, c.boot
 		n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{next}}, false)
 		on(n, func() {
-			n.CheckHealth(n.byUID["a"].id)
-			if h := n.byUID["a"]; c.state != protocol.InService && h.dials+len(h.waiting) > 0 {
+			n.CheckHealth(n.endpointsByUID["a"].id)
+			if h := n.endpointsByUID["a"]; c.state != protocol.InService && h.pendingDials+len(h.waitingAttempts) > 0 {
 				t.Errorf("%s: asked again", c.name)
 			}
 		})
@@ -245,7 +248,7 @@
 		if c.state != protocol.InService && first != "80" && second != "80" {
 			t.Errorf("%s: outcomes %q and %q", c.name, first, second)
 		}
-		until(n, func() bool { return n.byUID["a"].probes == 0 })
+		until(n, func() bool { return n.endpointsByUID["a"].pendingHealthChecks == 0 })
 		if len(m.probes) > 0 {
 			t.Errorf("%s: a third outcome", c.name)
 		}
@@ -269,7 +272,7 @@
 	a, arrived, release := waits(t)
 	defer close(release)
 	n, _ := start(t, []protocol.Target{target("a", a)}, func(s *Settings) { mayProbe(s); s.ConnectTimeout = 60_000_000 })
-	on(n, func() { n.CheckHealth(n.byUID["a"].id) })
+	on(n, func() { n.CheckHealth(n.endpointsByUID["a"].id) })
 	<-arrived
 	drained := make(chan struct{})
 	n.Drain(0, func() { close(drained) })
--- a/internal/node/retune_test.go
+++ b/internal/node/retune_test.go
@@ -18,18 +18,18 @@
 func retuned(n *Node, change func(*Settings)) {
 	done := make(chan struct{})
 	n.post(func() {
-		set := Settings{ConnectTimeout: n.set.ConnectTimeout, Keepalive: n.set.Keepalive, OverdueGrace: n.set.OverdueGrace, Zones: n.set.Zones,
-			Balancer: n.set.Balancer}
+		set := Settings{ConnectTimeout: n.settings.ConnectTimeout, Keepalive: n.settings.Keepalive, OverdueGrace: n.settings.OverdueGrace, Zones: n.settings.Zones,
+			Balancer: n.settings.Balancer}
 		set.Balancer.Classes, set.Balancer.Tenants = nil, nil
 		for _, name := range []string{"read", "once", "keyed"} {
-			if i, ok := n.classes[name]; ok {
+			if i, ok := n.classIndex[name]; ok {
 				set.Classes = append(set.Classes, name)
-				set.Balancer.Classes = append(set.Balancer.Classes, n.set.Balancer.Classes[i])
+				set.Balancer.Classes = append(set.Balancer.Classes, n.settings.Balancer.Classes[i])
 			}
 		}
 		set.Tenants, set.Balancer.Tenants = []string{"t"}, []balancer.Tenant{{QuotaFraction: 1}}
 		change(&set)
-		n.retune(set)
+		n.applySettings(set)
 		close(done)
 	})
 	<-done
@@ -74,8 +74,8 @@
 	}
 	retuned(n, add)
 	until(n, func() bool {
-		if diff := cmp.Diff([]string{"read", "once", "keyed", "once"}, n.set.Classes); diff != "" || n.classes["once"] != 3 {
-			t.Error(diff, n.classes)
+		if diff := cmp.Diff([]string{"read", "once", "keyed", "once"}, n.settings.Classes); diff != "" || n.classIndex["once"] != 3 {
+			t.Error(diff, n.classIndex)
 		}
 		return true
 	})
@@ -91,15 +91,15 @@
 	until(n, func() bool { return len(n.requests) == 0 })
 	retuned(n, func(s *Settings) {})
 	until(n, func() bool {
-		if diff := cmp.Diff([]string{"read", "once", "keyed", "once"}, n.set.Classes); diff != "" {
+		if diff := cmp.Diff([]string{"read", "once", "keyed", "once"}, n.settings.Classes); diff != "" {
 			t.Error(diff)
 		}
 		return true
 	})
 	retuned(n, drop)
 	until(n, func() bool {
-		if len(n.set.Classes) != 3 {
-			t.Errorf("numbers are kept for nobody: %v", n.set.Classes)
+		if len(n.settings.Classes) != 3 {
+			t.Errorf("numbers are kept for nobody: %v", n.settings.Classes)
 		}
 		return true
 	})
@@ -176,8 +176,8 @@
 	close(stop)
 	wait.Wait()
 	until(n, func() bool {
-		if len(n.set.Classes) > 6 {
-			t.Errorf("%d classes: %s", len(n.set.Classes), strings.Join(n.set.Classes, " "))
+		if len(n.settings.Classes) > 6 {
+			t.Errorf("%d classes: %s", len(n.settings.Classes), strings.Join(n.settings.Classes, " "))
 		}
 		return true
 	})
@@ -202,7 +202,7 @@
 	on(n, func() {
 		names := map[int]string{}
 		for _, r := range n.requests {
-			names[r.tenant] += r.set.Tenants[r.tenant] + ","
+			names[r.tenant] += r.settings.Tenants[r.tenant] + ","
 		}
 		if diff := cmp.Diff(map[int]string{0: ",", 1: "t,", 2: ","}, names); diff != "" {
 			t.Error("tenants by number\n", diff)
--- a/internal/node/shut_test.go
+++ b/internal/node/shut_test.go
@@ -45,11 +45,11 @@
 	_, _ = io.WriteString(conn, strings.Replace(text("read", 9000), "\r\n", "\r\nConnection: close\r\n", 1))
 	host, _ := app.take()
 	ok(host, body)
-	until(n, func() bool { return n.lingering.Len() == 1 || len(n.clients) == 0 }) // its last byte is with the system
+	until(n, func() bool { return n.lingeringClients.Len() == 1 || len(n.clients) == 0 }) // its last byte is with the system
 	_, _ = io.WriteString(conn, text("read", 9000))
 	until(n, func() bool {
 		for c := range n.clients {
-			return c.dropped > 0
+			return c.discardedBytes > 0
 		}
 		return true
 	})
@@ -62,40 +62,40 @@
 // A request that crosses the end of its connection is not sent on, whatever ended that, and its client sees the end without an answer:
 // it asks once more elsewhere.
 func TestRequestAcrossTheEndIsNotSentOn(t *testing.T) {
-	for name, end := range map[string]func(*Node, *client){
-		"a stop":    func(n *Node, _ *client) { n.closeIdleClients() },
-		"long idle": func(n *Node, c *client) { c.idleSince = n.now() - idleAtMost; n.sweepClients() },
-		"too many": func(n *Node, c *client) {
-			for k := range (reserve + leastRoom) / idleShare { // one more than may be idle, each used later
-				other := &client{n: n, asked: true}
+	for name, end := range map[string]func(*Node, *clientConn){
+		"a stop":    func(n *Node, _ *clientConn) { n.closeIdleClients() },
+		"long idle": func(n *Node, c *clientConn) { c.idleSince = n.now() - maxClientIdleTime; n.closeStalledClients() },
+		"too many": func(n *Node, c *clientConn) {
+			for k := range (reservedDescriptors + minServingDescriptors) / idleClientFraction { // one more than may be idle, each used later
+				other := &clientConn{node: n, hasSentRequest: true}
 				other.conn, other.idleSince = c.conn, n.now()+int64(k)
 				n.clients[other] = struct{}{}
-				n.descriptors++
+				n.openDescriptors++
 				other.setIdle(true)
-				defer func() { other.setIdle(false); delete(n.clients, other); n.descriptors-- }()
+				defer func() { other.setIdle(false); delete(n.clients, other); n.openDescriptors-- }()
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			app := newApp(t, serve)
-			n, addr := start(t, app.targets(), func(s *Settings) { s.MaxDescriptors = reserve + leastRoom })
+			n, addr := start(t, app.targets(), func(s *Settings) { s.MaxDescriptors = reservedDescriptors + minServingDescriptors })
 			conn := dial(t, addr)
 			if code, _, _ := conn.ask(text("read", 9000)); code != 200 {
 				t.Fatal(code)
 			}
 			until(n, func() bool { return n.idleClients.Len() == 1 })
-			var shut *client
+			var shut *clientConn
 			on(n, func() {
-				shut = n.idleClients.Front().Value.(*client)
+				shut = n.idleClients.Front().Value.(*clientConn)
 				end(n, shut)
 				if !shut.lingering {
 					t.Error("not shut")
 				}
 			})
 			_, _ = io.WriteString(conn, text("once", 9000))
-			until(n, func() bool { return shut.dropped > 0 || shut.closed || n.open > 0 })
+			until(n, func() bool { return shut.discardedBytes > 0 || shut.closed || n.openRequests > 0 })
 			on(n, func() {
-				if n.open > 0 || len(n.requests) > 0 {
+				if n.openRequests > 0 || len(n.requests) > 0 {
 					t.Error("taken")
 				}
 			})
@@ -117,19 +117,19 @@
 	until(n, func() bool { return n.idleClients.Len() == 1 }) // the answer may overtake the writer's word
 	ended := make(chan struct{})
 	on(n, func() {
-		n.leave("draining")
-		n.idleClients.Front().Value.(*client).shut(endDrain)
-		n.drain.end = n.now() + 3_600_000_000
-		n.drain.drained = func() { close(ended) }
+		n.startDraining("draining")
+		n.idleClients.Front().Value.(*clientConn).closeGracefully(closeDraining)
+		n.drain.answersDueBy = n.now() + 3_600_000_000
+		n.drain.onDrained = func() { close(ended) }
 		n.checkDrained()
-		if n.drain.drained == nil {
+		if n.drain.onDrained == nil {
 			t.Error("a connection that was shut is not waited for")
 		}
 	})
 	_ = conn.Close()
 	<-ended // once it is gone
 	on(n, func() {
-		if n.lingering.Len() > 0 {
+		if n.lingeringClients.Len() > 0 {
 			t.Error("ended before")
 		}
 	})
@@ -137,9 +137,9 @@
 
 // Connections that have been shut make room like any other, last of all.
 func TestShutConnectionsMakeRoom(t *testing.T) {
-	n, addr := start(t, newApp(t, serve).targets(), func(s *Settings) { s.MaxDescriptors = reserve + leastRoom })
+	n, addr := start(t, newApp(t, serve).targets(), func(s *Settings) { s.MaxDescriptors = reservedDescriptors + minServingDescriptors })
 	var all []*caller
-	for range leastRoom {
+	for range minServingDescriptors {
 		c := dial(t, addr)
 		c.ask(ready)
 		all = append(all, c)
@@ -149,7 +149,7 @@
 	for k, c := range all { // rubbish on each, so that none is clean
 		_, _ = fmt.Fprint(c, "rubbish ", k)
 	}
-	for range leastRoom {
+	for range minServingDescriptors {
 		c := dial(t, addr)
 		if code, _, _ := c.ask(text("read", 9000)); code != 200 {
 			t.Fatal(code)
@@ -173,12 +173,12 @@
 		t.Fatal(code)
 	}
 	_, _ = conn.Write(body[3<<20:])
-	until(n, func() bool { return n.lingering.Len() == 1 || len(n.clients) == 0 })
+	until(n, func() bool { return n.lingeringClients.Len() == 1 || len(n.clients) == 0 })
 	_, _ = io.WriteString(conn, text("once", 9000))
 	dropped := 0
 	until(n, func() bool {
 		for c := range n.clients {
-			dropped = c.dropped
+			dropped = c.discardedBytes
 		}
 		return dropped > 0 || len(n.clients) == 0
 	})
@@ -197,18 +197,18 @@
 	n, addr := start(t, app.targets(), nil)
 	silent, part := dial(t, addr), dial(t, addr)
 	_, _ = io.WriteString(part, text("once", 9000)[:30])
-	until(n, func() bool { return len(n.clients) == 2 && n.comingIn() })
+	until(n, func() bool { return len(n.clients) == 2 && n.hasIncomingRequest() })
 	ended := make(chan struct{})
 	n.Drain(0, func() { close(ended) })
-	age(n, drainCloses)
+	age(n, idleCloseDelay)
 	on(n, func() {
 		for c := range n.clients { // they have come long ago
-			c.since -= drainCloses
+			c.requestStartedAt -= idleCloseDelay
 		}
-		n.drain.partly, n.drain.end = 0, n.now()+3_600_000_000
+		n.drain.partialRequestsUntil, n.drain.answersDueBy = 0, n.now()+3_600_000_000
 	})
-	until(n, func() bool { return n.drain.ending })
-	on(n, func() { n.drain.turn++ }) // nothing that is looked at now and then comes to the help
+	until(n, func() bool { return n.drain.closingAll })
+	on(n, func() { n.drain.generation++ }) // nothing that is looked at now and then comes to the help
 	late := dial(t, addr)
 	for name, conn := range map[string]*caller{"silent": silent, "part of a request": part, "late": late} {
 		if b, err := conn.r.ReadByte(); !errors.Is(err, io.EOF) {
@@ -218,15 +218,15 @@
 	}
 	until(n, func() bool {
 		for c := range n.clients {
-			if c.dropped == 0 && n.drain.drained != nil {
+			if c.discardedBytes == 0 && n.drain.onDrained != nil {
 				return false
 			}
 		}
-		return len(n.clients) == 3 || n.drain.drained == nil
+		return len(n.clients) == 3 || n.drain.onDrained == nil
 	})
 	on(n, func() {
-		if n.open > 0 || app.seen.Load() > 0 || n.drain.drained == nil {
-			t.Errorf("%d requests taken, ended %v, with %d connections", n.open, n.drain.drained == nil, len(n.clients))
+		if n.openRequests > 0 || app.seen.Load() > 0 || n.drain.onDrained == nil {
+			t.Errorf("%d requests taken, ended %v, with %d connections", n.openRequests, n.drain.onDrained == nil, len(n.clients))
 		}
 	})
 	for _, conn := range []*caller{silent, part, late} {
@@ -250,7 +250,7 @@
 			ended := make(chan struct{})
 			n.Drain(0, func() { close(ended) })
 			on(n, func() {
-				if end, partly := n.drain.end-n.drain.told, n.drain.partly-n.drain.told; end != test.killed-killSpare || partly > test.killed-killShut {
+				if end, partly := n.drain.answersDueBy-n.drain.stopRequestedAt, n.drain.partialRequestsUntil-n.drain.stopRequestedAt; end != test.killed-finalAnswerMargin || partly > test.killed-partialRequestMargin {
 					t.Errorf("ends %d us after the word, waits %d us for what comes in", end, partly)
 				}
 			})
@@ -269,16 +269,16 @@
 			conn := dial(t, addr)
 			request := text("read", 9000)
 			_, _ = io.WriteString(conn, request[:30])
-			until(n, func() bool { return n.comingIn() })
+			until(n, func() bool { return n.hasIncomingRequest() })
 			ended := make(chan struct{})
 			n.Drain(0, func() { close(ended) })
-			on(n, func() { n.drain.told, n.drain.end = n.now()-after, n.now()+2_000_000 })
+			on(n, func() { n.drain.stopRequestedAt, n.drain.answersDueBy = n.now()-after, n.now()+2_000_000 })
 			_, _ = io.WriteString(conn, request[30:])
 			host, _ := app.take()
 			on(n, func() {
 				for _, r := range n.requests {
-					if capped := r.deadline == n.drain.end; capped != (after > 0) {
-						t.Errorf("has until %d us from the end", r.deadline-n.drain.end)
+					if capped := r.deadline == n.drain.answersDueBy; capped != (after > 0) {
+						t.Errorf("has until %d us from the end", r.deadline-n.drain.answersDueBy)
 					}
 				}
 			})
@@ -298,17 +298,17 @@
 func TestHostThatSpeaksFirst(t *testing.T) {
 	app := newByHand(t, 0)
 	n, addr := start(t, app.targets(), nil)
-	b := &backend{n: n}
+	b := &backendConn{node: n}
 	on(n, func() { // as dial does
-		b.host, b.life = n.hosts[1], n.hosts[1].life
-		b.host.dials++
-		n.descriptors++
+		b.endpoint, b.incarnation = n.endpoints[1], n.endpoints[1].incarnation
+		b.endpoint.pendingDials++
+		n.openDescriptors++
 	})
 	conn, err := netpoll.DialConnection("tcp", app.Addr().String(), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := b.take(conn); err != nil {
+	if err := b.attach(conn); err != nil {
 		t.Fatal(err)
 	}
 	host, err := app.Accept()
@@ -319,8 +319,8 @@
 	_, _ = io.WriteString(host, "HTTP/1.1 2")
 	until(n, func() bool { return b.closed })
 	on(n, func() {
-		if n.dialled(b, nil); n.descriptors != 0 || b.host.dials != 0 {
-			t.Errorf("%d descriptors, %d connections on their way", n.descriptors, b.host.dials)
+		if n.dialFinished(b, nil); n.openDescriptors != 0 || b.endpoint.pendingDials != 0 {
+			t.Errorf("%d descriptors, %d connections on their way", n.openDescriptors, b.endpoint.pendingDials)
 		}
 	})
 	client := dial(t, addr)
@@ -357,16 +357,16 @@
 	conn := dial(t, addr)
 	until(n, func() bool {
 		for c := range n.clients {
-			c.since = n.now() + 3_600_000_000 // it stays one that has just come
+			c.requestStartedAt = n.now() + 3_600_000_000 // it stays one that has just come
 		}
 		return len(n.clients) == 1
 	})
 	ended := make(chan struct{})
 	n.Drain(0, func() { close(ended) })
-	age(n, drainCloses)
-	until(n, func() bool { return n.drain.drained != nil })
+	age(n, idleCloseDelay)
+	until(n, func() bool { return n.drain.onDrained != nil })
 	on(n, func() {
-		if n.checkDrained(); n.drain.ending {
+		if n.checkDrained(); n.drain.closingAll {
 			t.Error("does not wait")
 		}
 	})
@@ -383,9 +383,9 @@
 	var conn *caller
 	ending := false
 	on(n, func() { // the loop is at work as the client comes and asks
-		n.leave("draining")
-		n.drain.stopping, n.drain.ending = true, true
-		n.drain.drained, n.drain.end = func() { close(ended) }, n.now()+3_600_000_000
+		n.startDraining("draining")
+		n.drain.stopping, n.drain.closingAll = true, true
+		n.drain.onDrained, n.drain.answersDueBy = func() { close(ended) }, n.now()+3_600_000_000
 		conn = dial(t, addr)
 		_, _ = io.WriteString(conn, text("once", 9000))
 		raw, err := conn.Conn.(*net.TCPConn).SyscallConn()
@@ -418,16 +418,16 @@
 	if code, _, _ := conn.answer(); code != 503 {
 		t.Fatal(code)
 	}
-	until(n, func() bool { return n.open == 0 && n.writing == 0 })
+	until(n, func() bool { return n.openRequests == 0 && n.answersInProgress == 0 })
 	ended := make(chan struct{})
 	n.Drain(0, func() { close(ended) })
-	age(n, drainCloses)
-	until(n, func() bool { return n.drain.drained != nil })
+	age(n, idleCloseDelay)
+	until(n, func() bool { return n.drain.onDrained != nil })
 	on(n, func() {
-		if n.checkDrained(); n.drain.ending {
+		if n.checkDrained(); n.drain.closingAll {
 			t.Error("does not wait")
 		}
-		n.drain.partly = 0 // not for ever; and what is on its way through a descriptor of its own is not shut under it
+		n.drain.partialRequestsUntil = 0 // not for ever; and what is on its way through a descriptor of its own is not shut under it
 		n.checkDrained()
 		for c := range n.clients {
 			if c.lingering {
