--- a/internal/node/account_test.go
+++ b/internal/node/accounting_test.go
@@ -19,26 +19,26 @@
 	"tulipglade/internal/protocol"
 )
 
-// books stand between a node and its module, and count. They are called on Run's goroutine.
-type books struct {
+// accountingModule stand between a node and its module, and count. They are called on Run's goroutine.
+type accountingModule struct {
 	decisionModule
-	fail     func(format string, args ...any)
-	of       *Node
-	taken    map[balancer.RequestID]bool
-	ids      map[string]bool // the clients' own, of those
-	outcomes map[[2]uint64]int
+	fail             func(format string, args ...any)
+	node             *Node
+	accepted         map[balancer.RequestID]bool
+	acceptedTraceIDs map[string]bool // the clients' own, of those
+	outcomes         map[[2]uint64]int
 }
 
-func (b *books) HandleRequest(now balancer.Time, a balancer.Request) {
-	if b.taken[a.ID] {
+func (b *accountingModule) HandleRequest(now balancer.Time, a balancer.Request) {
+	if b.accepted[a.ID] {
 		b.fail("request %d is taken twice", a.ID)
 	}
-	b.taken[a.ID] = true
-	b.ids[string(b.of.requests[a.ID].message.Get("x-trace-id"))] = true
+	b.accepted[a.ID] = true
+	b.acceptedTraceIDs[string(b.node.requests[a.ID].message.Get("x-trace-id"))] = true
 	b.decisionModule.HandleRequest(now, a)
 }
 
-func (b *books) HandleAttemptResult(now balancer.Time, s balancer.AttemptResult) {
+func (b *accountingModule) HandleAttemptResult(now balancer.Time, s balancer.AttemptResult) {
 	key := [2]uint64{uint64(s.ID), uint64(s.Attempt)}
 	if b.outcomes[key]++; b.outcomes[key] > 1 {
 		b.fail("attempt %v has %d outcomes", key, b.outcomes[key])
@@ -47,29 +47,29 @@
 }
 
 // How a host of the account takes a request, each of which is on a line of docs/account.md.
-var manners = []string{"serves", "serves", "serves slowly", "turns away", "fails as 503", "errs", "resets", "cuts", "spoils", "answers twice", "closes after", "says nothing",
+var backendBehaviors = []string{"serves", "serves", "serves slowly", "turns away", "fails as 503", "errs", "resets", "cuts", "spoils", "answers twice", "closes after", "says nothing",
 	"says 100 first", "until the end"}
 
-// script is a host that takes its requests by a drawn list of manners, again and again, and notes what it began.
-type script struct {
+// scriptedBackend is a host that takes its requests by a drawn list of manners, again and again, and notes what it began.
+type scriptedBackend struct {
 	net.Listener
-	mu      sync.Mutex
-	manners []string
-	at      int
-	ran     map[string]int // by id: it began, and may have had an effect
+	mu         sync.Mutex
+	behaviors  []string
+	next       int
+	executions map[string]int // by id: it began, and may have had an effect
 }
 
-func (s *script) serve() {
+func (s *scriptedBackend) serve() {
 	for {
 		conn, err := s.Accept()
 		if err != nil {
 			return
 		}
-		go s.connection(conn)
+		go s.serveConn(conn)
 	}
 }
 
-func (s *script) connection(conn net.Conn) {
+func (s *scriptedBackend) serveConn(conn net.Conn) {
 	defer conn.Close()
 	for in := bufio.NewReader(conn); ; {
 		r, err := http.ReadRequest(in)
@@ -81,10 +81,10 @@
 		}
 		id := r.Header.Get("X-Trace-Id")
 		s.mu.Lock()
-		manner := s.manners[s.at%len(s.manners)]
-		s.at++
+		manner := s.behaviors[s.next%len(s.behaviors)]
+		s.next++
 		if manner != "turns away" {
-			s.ran[id]++
+			s.executions[id]++
 		}
 		s.mu.Unlock()
 		whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
@@ -126,8 +126,8 @@
 	}
 }
 
-// calls is one client: it sends a drawn list of requests, each in a drawn way, and holds each answer against what it asked.
-func calls(addr string, client int, ways []string, fail func(string, ...any)) (asked map[string]string) {
+// runClient is one client: it sends a drawn list of requests, each in a drawn way, and holds each answer against what it asked.
+func runClient(addr string, client int, ways []string, fail func(string, ...any)) (asked map[string]string) {
 	asked = map[string]string{} // class by id
 	var conn net.Conn
 	var in *bufio.Reader
@@ -153,7 +153,7 @@
 		class := []string{"read", "once", "keyed"}[(i+client)%3]
 		var answers []string // ids of which one is due, in this order
 		ask := func() string {
-			request := text(class, 300)
+			request := requestText(class, 300)
 			_, id, _ := strings.Cut(request, "X-Trace-Id: ")
 			id, _, _ = strings.Cut(id, "\r\n")
 			answers, asked[id] = append(answers, id), class
@@ -186,7 +186,7 @@
 			resp, err := http.ReadResponse(in, nil)
 			if crosses(err) {
 				for _, id := range answers[k:] {
-					asked[id] = crossed
+					asked[id] = unanswered
 				}
 				_ = conn.Close()
 				conn = nil
@@ -215,12 +215,12 @@
 	return asked
 }
 
-// crossed is the class of a request that met the end of its connection: it was never taken, and nothing of it may run.
-const crossed = "crossed"
+// unanswered is the class of a request that met the end of its connection: it was never taken, and nothing of it may run.
+const unanswered = "crossed"
 
 // Whatever hosts and clients do, and lists say meanwhile: each request taken gets one whole answer, a host's own or a refusal
 // or failure; each attempt one outcome; what must run once does so once at most; and in the end nothing is kept.
-func TestAccount(t *testing.T) {
+func TestRequestAccounting(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var mu sync.Mutex
 		var faults []string
@@ -229,15 +229,15 @@
 			defer mu.Unlock()
 			faults = append(faults, fmt.Sprintf(format, args...))
 		}
-		var hosts []*script
+		var hosts []*scriptedBackend
 		var list []protocol.Target
 		for i := range rapid.IntRange(1, 3).Draw(rt, "hosts") {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				rt.Fatal(err)
 			}
-			s := &script{Listener: ln, ran: map[string]int{},
-				manners: rapid.SliceOfN(rapid.SampledFrom(manners), 1, 8).Draw(rt, "manners")}
+			s := &scriptedBackend{Listener: ln, executions: map[string]int{},
+				behaviors: rapid.SliceOfN(rapid.SampledFrom(backendBehaviors), 1, 8).Draw(rt, "manners")}
 			hosts = append(hosts, s)
 			list = append(list, protocol.Target{UID: fmt.Sprint("h", i), Endpoint: ln.Addr().String(), Zone: "z", Weight: 1})
 			go s.serve()
@@ -245,7 +245,7 @@
 		if rapid.Bool().Draw(rt, "one refuses") {
 			list = append(list, protocol.Target{UID: "nobody", Endpoint: "127.0.0.1:1", Zone: "z", Weight: 1})
 		}
-		n, addr, stop := begin(t, list, func(s *Settings) {
+		n, addr, stop := startStoppableNode(t, list, func(s *Settings) {
 			s.ConnectTimeout, s.MaxDescriptors = 100_000, rapid.SampledFrom([]int{0, 64}).Draw(rt, "descriptors")
 			s.OverdueGrace = 5_000_000 // what is overdue is the module's fault, or this machine's
 			for i := range s.Balancer.Classes {
@@ -253,9 +253,9 @@
 			}
 		})
 		defer stop()
-		b := &books{fail: fail, of: n, ids: map[string]bool{}, taken: map[balancer.RequestID]bool{}, outcomes: map[[2]uint64]int{}}
+		b := &accountingModule{fail: fail, node: n, acceptedTraceIDs: map[string]bool{}, accepted: map[balancer.RequestID]bool{}, outcomes: map[[2]uint64]int{}}
 		twice := rapid.Bool().Draw(rt, "known to answer twice")
-		on(n, func() {
+		runOnLoop(n, func() {
 			b.decisionModule, n.balancer = n.balancer, b
 			for _, h := range n.endpoints {
 				if twice {
@@ -267,7 +267,7 @@
 		classes := make([]map[string]string, rapid.IntRange(1, 6).Draw(rt, "clients"))
 		for i := range classes {
 			ways := rapid.SliceOfN(rapid.SampledFrom([]string{"plain", "plain", "pieces", "two at once", "leaves", "rubbish"}), 1, 6).Draw(rt, "ways")
-			g.Go(func() { classes[i] = calls(addr, i, ways, fail) })
+			g.Go(func() { classes[i] = runClient(addr, i, ways, fail) })
 		}
 		var all atomic.Bool
 		go func() {
@@ -276,13 +276,13 @@
 		}()
 		for i, what := range rapid.SliceOfN(rapid.SampledFrom([]string{"drains", "goes", "comes back", "restarts", "moves away",
 			"idle clients are sent away", "settings"}), 0, 6).Draw(rt, "news") {
-			until(n, func() bool { return all.Load() || len(b.taken) > i && n.openRequests > 0 }) // while hosts are at work
+			waitUntil(n, func() bool { return all.Load() || len(b.accepted) > i && n.openRequests > 0 }) // while hosts are at work
 			switch what {
 			case "idle clients are sent away":
-				on(n, n.closeIdleClients)
+				runOnLoop(n, n.closeIdleClients)
 				continue
 			case "settings":
-				retuned(n, func(s *Settings) { s.Balancer.MaxAttempts, s.Balancer.AllowCancel = 1+i%3, i%2 == 0 })
+				reconfigureNode(n, func(s *Settings) { s.Balancer.MaxAttempts, s.Balancer.AllowCancel = 1+i%3, i%2 == 0 })
 				continue
 			}
 			one := list[i%len(list)]
@@ -301,7 +301,7 @@
 		}
 		g.Wait()
 		kept, patience := "", time.Now().Add(5*time.Second) // far beyond any timer set
-		until(n, func() bool {
+		waitUntil(n, func() bool {
 			kept = ""
 			for _, h := range n.endpoints {
 				if len(h.waitingAttempts) > 0 || h.state != protocol.InService && len(h.idleConns) > 0 {
@@ -320,16 +320,16 @@
 			_ = s.Close()
 		}
 		var taken map[string]bool
-		on(n, func() { taken = b.ids })
+		runOnLoop(n, func() { taken = b.acceptedTraceIDs })
 		for _, asked := range classes {
 			for id, class := range asked {
 				ran := 0
 				for _, s := range hosts {
 					s.mu.Lock()
-					ran += s.ran[id]
+					ran += s.executions[id]
 					s.mu.Unlock()
 				}
-				if class == "once" && ran > 1 || class == crossed && (ran > 0 || taken[id]) {
+				if class == "once" && ran > 1 || class == unanswered && (ran > 0 || taken[id]) {
 					fail("%s (%s) ran %d times, taken %v", id, class, ran, taken[id])
 				}
 			}
--- /dev/null
+++ b/internal/node/attempt_test.go
@@ -0,0 +1,382 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/protocol"
+	"tulipglade/internal/safety"
+)
+
+// Rules 1 and 2: exactly one answer whatever a backend does, and nothing that may have run goes out again
+// unless its class allows it. Only a 503 or 504 marked as never run, or a failed connect, proves that.
+func TestExactlyOneAnswerAndNoUnsafeRetry(t *testing.T) {
+	never := []string{"X-Never-Ran", "1"}
+	for _, c := range []struct {
+		name, class string
+		ms          int
+		first       http.HandlerFunc // what the first request meets; later ones are served
+		code, sends int
+	}{
+		{"served", "once", 9000, serve, 200, 1},
+		{"error, may run again", "read", 9000, respondWith(500), 200, 2},
+		{"error, must not run again", "once", 9000, respondWith(500), 502, 1},
+		{"error, other cell", "keyed", 400, respondWith(500), 502, 1},
+		{"turned away", "once", 9000, respondWith(503, never...), 200, 2},
+		{"turned away late", "keyed", 9000, respondWith(504, never...), 200, 2},
+		{"503 without the mark", "once", 9000, respondWith(503), 502, 1},
+		{"503 with another mark", "once", 9000, respondWith(503, "X-Never-Ran", "0"), 502, 1},
+		{"500 with the mark", "once", 9000, respondWith(500, never...), 502, 1},
+		{"reset", "once", 9000, resetAfter(""), 502, 1},
+		{"reset, may run again", "read", 9000, resetAfter(""), 200, 2},
+		{"ends within the body", "once", 9000, resetAfter("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), 502, 1},
+		{"ends within a chunk", "once", 9000, resetAfter("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody"), 502, 1},
+		{"not HTTP", "once", 9000, resetAfter("what?\r\n\r\n"), 502, 1},
+		{"body until the end", "once", 9000, resetAfter("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody of /once"), 200, 1},
+		{"body until a break", "once", 9000, resetOnceRead("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody of /once"), 502, 1},
+		{"noise, and open", "once", 9000, sendGarbage("\x01\x02\x03"), 502, 1},
+		{"noise, may run again", "read", 9000, sendGarbage("HTTP/1.1 200 OK\r\nwhat?\r\n"), 200, 2},
+		{"silent", "once", 150, neverAnswer(nil), 504, 1},
+		{"silent, refused", "read", 150, neverAnswer(nil), 503, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var sends atomic.Int32
+			h := func(w http.ResponseWriter, r *http.Request) {
+				if sends.Add(1) == 1 {
+					_, _ = io.ReadAll(r.Body)
+					c.first(w, r)
+					return
+				}
+				serve(w, r)
+			}
+			a, b := targetOf("a", newTestBackend(t, h)), targetOf("b", newTestBackend(t, h))
+			b.Cell = 1
+			_, addr := startNode(t, []protocol.Target{a, b}, nil)
+			conn := dialNode(t, addr)
+			code, body, _ := conn.exchange(requestText(c.class, c.ms))
+			if code != c.code || int(sends.Load()) != c.sends {
+				t.Errorf("status %d after %d sends, want %d after %d", code, sends.Load(), c.code, c.sends)
+			}
+			if code == 200 && body != "body of /"+c.class {
+				t.Errorf("body %q", body)
+			}
+			if code, _, _ := conn.exchange(readyRequest); code != 200 { // a second answer would stand here instead
+				t.Errorf("next on the connection: %d", code)
+			}
+		})
+	}
+}
+
+// A host that refuses connections has never run anything: even what must not run twice goes elsewhere.
+func TestRefusedConnectIsRetriedElsewhere(t *testing.T) {
+	dead := newTestBackend(t, serve)
+	live := newTestBackend(t, serve)
+	targets := []protocol.Target{targetOf("dead", dead), targetOf("live", live)}
+	dead.Close()
+	n, addr := startNode(t, targets, nil)
+	conn := dialNode(t, addr)
+	for range 20 {
+		if code, _, _ := conn.exchange(requestText("once", 9000)); code != 200 {
+			t.Fatalf("status %d", code)
+		}
+		waitUntil(n, func() bool { return len(n.endpoints[2].idleConns) == 1 }) // the answer may overtake the writer's word
+	}
+	if live.requestCount.Load() != 20 || live.connectionCount() != 1 {
+		t.Errorf("%d requests on %d connections, want 20 on one that is kept", live.requestCount.Load(), live.connectionCount())
+	}
+}
+
+// What passes on unchanged, and what does not pass at all.
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	got := make(chan string, 1)
+	a := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		b, _ := io.ReadAll(r.Body)
+		got <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Header.Get("X-Trace-Id"), " ", r.Header.Get("Idempotency-Key"), " ", string(b))
+		w.Header().Set(protocol.LoadHeader, "TEXT util=0.5")
+		serve(w, r)
+	})
+	_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	req := requestText("keyed", 9000)
+	if code, _, _ := dialNode(t, addr).exchange(req); code != 200 {
+		t.Fatal(code)
+	}
+	_, id, _ := strings.Cut(req, "X-Trace-Id: ")
+	id, _, _ = strings.Cut(id, "\r")
+	if diff := cmp.Diff("POST /keyed?obj=1 "+id+" k1 hi", <-got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// No second copy, nothing beyond the number of attempts and nothing without time goes out, whoever asks for it:
+// such a Try has its outcome at once and reaches no host.
+func TestAttemptBeyondLimitsIsNotSent(t *testing.T) {
+	a, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	conn := dialNode(t, addr)
+	_, _ = io.WriteString(conn, requestText("once", 9000))
+	<-arrived
+	checked := make(chan struct{})
+	n.post(func() {
+		defer close(checked)
+		r := n.requests[n.lastRequestID]
+		n.SendAttempt(r.id, 1, 0)
+		n.settings.Balancer.AllowHedging = true
+		n.SendAttempt(r.id, 1, -1)
+		n.SendAttempt(r.id, 1, 0) // the fourth of three
+		for _, a := range r.attempts[1:] {
+			if !a.completed || a.conn != nil {
+				t.Errorf("attempt %d went out", a.number)
+			}
+		}
+		n.SendAttempt(r.id+1, 1, 0)
+		n.SendAttempt(r.id, 99, 0)
+		if len(r.attempts) != 4 || len(n.requests) != 1 {
+			t.Errorf("%d attempts of %d requests", len(r.attempts), len(n.requests))
+		}
+	})
+	<-checked
+	close(release)
+	if code, _, _ := conn.readAnswer(); code != 200 || a.requestCount.Load() != 1 {
+		t.Errorf("status %d after %d sends", code, a.requestCount.Load())
+	}
+}
+
+// queuedRequest is a request that waits for the one connection to its host, on which another is out.
+type queuedRequest struct {
+	node          *Node
+	backend       *testBackend
+	first, second *testClient
+	arrived       <-chan struct{}
+	release       chan struct{}
+}
+
+func newQueuedRequest(t *testing.T, change func(*Settings)) *queuedRequest {
+	t.Helper()
+	a, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, a.targets(), change)
+	w := &queuedRequest{n, a, dialNode(t, addr), dialNode(t, addr), arrived, release}
+	_, _ = io.WriteString(w.first, requestText("once", 9000))
+	<-arrived
+	n.post(func() { n.endpoints[1].address, n.endpoints[1].pendingDials = "127.0.0.1:1", 1 }) // a dial on its way that never ends
+	_, _ = io.WriteString(w.second, requestText("once", 9000))
+	waitUntil(n, func() bool { return len(n.endpoints[1].waitingAttempts) == 1 })
+	return w
+}
+
+// releaseFirst has the first request answered, and returns once the node has done with the connection that this frees.
+func (w *queuedRequest) releaseFirst() {
+	t := w.first.t
+	t.Helper()
+	go func() { // should the second come all the same
+		select {
+		case <-w.arrived:
+		case <-t.Context().Done():
+		}
+	}()
+	close(w.release)
+	if code, _, _ := w.first.readAnswer(); code != 200 {
+		t.Error(code)
+	}
+	waitUntil(w.node, func() bool {
+		return len(w.node.endpoints[1].waitingAttempts) == 0 && len(w.node.endpoints[1].idleConns) == 1
+	})
+}
+
+// An attempt that waits for a new connection takes one that comes free before, and the new one is kept.
+func TestReleasedConnectionServesWaitingAttempt(t *testing.T) {
+	a, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	first, second := dialNode(t, addr), dialNode(t, addr)
+	_, _ = io.WriteString(first, requestText("once", 9000))
+	<-arrived
+	// A dial to nowhere, whose failure is put down to another that is still on its way: only the freed
+	// connection can serve.
+	n.post(func() { n.endpoints[1].address, n.endpoints[1].pendingDials = "127.0.0.1:1", 1 })
+	_, _ = io.WriteString(second, requestText("once", 9000))
+	waitUntil(n, func() bool { return len(n.endpoints[1].waitingAttempts) == 1 })
+	close(release)
+	<-arrived
+	for _, c := range []*testClient{first, second} {
+		if code, _, _ := c.readAnswer(); code != 200 {
+			t.Error(code)
+		}
+	}
+	if a.connectionCount() != 1 {
+		t.Errorf("%d connections", a.connectionCount())
+	}
+}
+
+// Nothing of a request goes out behind its answer. Guards: the module gave up on a request whose attempt waited for a
+// connection that came up late; the answer went out, and 60 ms later the request did (join+mass).
+func TestAnsweredRequestIsNotForwarded(t *testing.T) {
+	w := newQueuedRequest(t, nil)
+	n, a := w.node, w.backend
+	runOnLoop(n, func() { n.Fail(n.endpoints[1].waitingAttempts[0].request.id) })
+	if code, _, _ := w.second.readAnswer(); code != 504 {
+		t.Error(code)
+	}
+	w.releaseFirst()
+	runOnLoop(n, func() {
+		if len(n.requests) > 0 {
+			t.Errorf("%d requests kept", len(n.requests))
+		}
+	})
+	if a.requestCount.Load() != 1 {
+		t.Errorf("%d requests sent on", a.requestCount.Load())
+	}
+}
+
+// The same where a part of it has gone: the rest stays here, so that its host never begins it.
+func TestRestOfAnsweredRequestIsNotForwarded(t *testing.T) {
+	app := newManualBackend(t, 2048)
+	n, addr := startNode(t, app.targets(), nil)
+	caller := dialNode(t, addr)
+	_, _ = io.WriteString(caller, requestText("once", 9000))
+	host, in := app.acceptRequest()
+	writeOK(host, "ok")
+	if code, _, _ := caller.readAnswer(); code != 200 {
+		t.Fatal(code)
+	}
+	waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
+	runOnLoop(n, func() {
+		fd := n.endpoints[1].idleConns[0].conn.(interface{ Fd() int }).Fd()
+		_ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, 2048)
+	})
+	const size = 60_000
+	go func() {
+		_, _ = io.WriteString(caller, strings.Replace(requestText("once", 9000), "Content-Length: 2\r\n\r\nhi",
+			fmt.Sprintf("Content-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size)), 1))
+	}()
+	if _, err := in.Peek(1); err != nil { // it is on its way
+		t.Fatal(err)
+	}
+	runOnLoop(n, func() {
+		for id := range n.requests {
+			n.Fail(id)
+		}
+	})
+	if code, _, _ := caller.readAnswer(); code != 504 {
+		t.Error(code)
+	}
+	if got, _ := io.Copy(io.Discard, in); got >= size {
+		t.Errorf("%d bytes came, all of the request", got)
+	}
+	waitUntil(n, func() bool { return len(n.requests) == 0 && n.openDescriptors == 1 })
+}
+
+// An attempt that waits for its connection is looked at once more when that has come: nothing is sent to a host that the node has been told of
+// meanwhile, and the request goes elsewhere.
+func TestEndpointDrainingBeforeFirstByteGetsNothing(t *testing.T) {
+	for name, state := range map[string]protocol.State{"drains": protocol.Terminating, "is gone": protocol.Terminated} {
+		t.Run(name, func(t *testing.T) {
+			app, other := newManualBackend(t, 0), newTestBackend(t, serve)
+			n, addr := startNode(t, app.targets(), func(s *Settings) { s.ConnectTimeout *= 60 })
+			conn := dialNode(t, addr)
+			_, _ = io.WriteString(conn, requestText("read", 9000))
+			first, in := app.acceptRequest()
+			writeOK(first, "one")
+			conn.readAnswer()
+			waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
+			runOnLoop(n, func() { // the next attempt waits for this connection
+				n.endpoints[1].duplicatesUntil = noDeadline
+				n.endpoints[1].idleConns[0].lastAnswerAt = n.now() + 3_600_000_000
+			})
+			_, _ = io.WriteString(conn, requestText("once", 9000))
+			waitUntil(n, func() bool { return len(n.endpoints[1].waitingAttempts) == 1 })
+			told := app.targets()[0]
+			told.State = state
+			n.UpdateEndpoints(protocol.List{Rev: 1, Targets: []protocol.Target{told, targetOf("b", other)}}, false)
+			waitUntil(n, func() bool { return len(n.endpoints) == 2 })
+			runOnLoop(n, func() {
+				for _, b := range n.endpoints[1].idleConns { // it has rested
+					b.lastAnswerAt = 0
+				}
+				n.endpoints[1].duplicatesUntil = 0
+				n.serveWaiting(n.endpoints[1])
+			})
+			if code, body, _ := conn.readAnswer(); code != 200 || body != "body of /once" {
+				t.Error(code, body)
+			}
+			_ = first.SetReadDeadline(time.Now().Add(5 * time.Second))
+			if b, err := in.ReadByte(); !errors.Is(err, io.EOF) {
+				t.Errorf("the host read %q, %v, want the end", b, err)
+			}
+		})
+	}
+}
+
+// An attempt that was held up between its check and its first byte is checked again: it goes out once it is not held up any more, and not at all if
+// its backend drains by then.
+func TestDelayedAttemptIsCheckedAgain(t *testing.T) {
+	for name, drains := range map[string]bool{"still allowed": false, "its backend drains": true} {
+		t.Run(name, func(t *testing.T) {
+			app := newTestBackend(t, serve)
+			n, addr := startNode(t, app.targets(), nil)
+			conn := dialNode(t, addr)
+			conn.exchange(requestText("read", 9000))
+			waitUntil(n, func() bool { return n.idleBackends.Len() == 1 && len(n.requests) == 0 }) // so that no connection is waited for
+			ends := &outcomeRecorder{decisionModule: n.balancer}
+			runOnLoop(n, func() { n.balancer, n.testWriteDelay = ends, 2*maxWriteDelay })
+			_, _ = io.WriteString(conn, requestText("once", 9000))
+			waitUntil(n, func() bool { return len(n.requests) == 1 && n.requests[2].pendingAttempts == 1 })
+			if !drains {
+				runOnLoop(n, func() { n.testWriteDelay = 0 })
+				if code, body, _ := conn.readAnswer(); code != 200 || body != "body of /once" {
+					t.Errorf("%d %q", code, body)
+				}
+				return
+			}
+			targets := app.targets()
+			targets[0].State = protocol.Terminating
+			n.UpdateEndpoints(protocol.List{Rev: 1, Targets: targets}, false)
+			waitUntil(n, func() bool { return len(ends.outcomes) > 0 })
+			if ends.outcomes[0] != balancer.OutcomeNotSent || app.requestCount.Load() > 1 {
+				t.Errorf("ended as %v, %d requests at the backend", ends.outcomes, app.requestCount.Load())
+			}
+		})
+	}
+}
+
+// What must not happen is counted at the moment of the first byte, whatever decided it.
+func TestAuditAtFirstByte(t *testing.T) {
+	n, _ := startNode(t, newTestBackend(t, serve).targets(), requireListLease)
+	runOnLoop(n, func() {
+		now := n.now()
+		h := &endpoint{address: "h"}
+		r := &request{settings: n.settings, clientConn: &clientConn{node: n}, deadline: now + 1_000_000}
+		a := &attempt{request: r, endpoint: h, deadline: r.deadline}
+		fine := firstByte{writtenAt: now, statedTimeout: 1_000_000, listExpiresAt: now}
+		for _, c := range []struct {
+			name   string
+			change func(*firstByte)
+			want   safety.Reason
+		}{
+			{"as it should be", func(*firstByte) {}, safety.Allowed},
+			{"backend left", func(*firstByte) { h.outOfServiceSince = now - n.settings.DrainGrace - auditSlack - 1 }, safety.BackendDraining},
+			{"list too old", func(f *firstByte) { f.listExpiresAt = now - n.settings.DrainGrace - auditSlack - 1 }, safety.ListStale},
+			{"client gone", func(*firstByte) { r.clientConn.disconnectedAt.Store(now - maxDisconnectDelay - 1) }, safety.ClientDisconnected},
+			{"more time than is left", func(f *firstByte) { f.statedTimeout += deadlineSlack + 1 }, safety.DeadlinePassed},
+		} {
+			clear(n.violations)
+			h.outOfServiceSince = 0
+			r.clientConn.disconnectedAt.Store(0)
+			f := fine
+			c.change(&f)
+			n.audit(a, f)
+			if want := map[safety.Reason]int{c.want: 1}; c.want == safety.Allowed && len(n.violations) > 0 || c.want != safety.Allowed && n.violations[c.want] != want[c.want] {
+				t.Errorf("%s: counted %v", c.name, n.violations)
+			}
+		}
+		clear(n.violations)
+	})
+}
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -1,11 +1,8 @@
 package node
 
 import (
-	"context"
 	"errors"
-	"log/slog"
 
-	"tulipglade/internal/protocol"
 	"tulipglade/internal/safety"
 )
 
@@ -55,39 +52,3 @@
 	n.log.Error("invariant violated", "rule", reason.String(), "by_us", excess, "trace", att.request.loggedTraceID(), "attempt", att.number,
 		"host", att.endpoint.address, "rev", n.listRevision, "count", n.violations[reason])
 }
-
-// logWithheld notes an attempt that was decided on and may not begin any more.
-func (n *Node) logWithheld(att *attempt, reason safety.Reason) {
-	n.traceRequest(att.request, "attempt withheld", "attempt", att.number, "host", att.endpoint.address, "reason", reason.String())
-}
-
-// traceRequest writes a line on one request where lines on each are wanted.
-func (n *Node) traceRequest(req *request, message string, args ...any) {
-	if !n.traceRequests || req == nil {
-		return
-	}
-	n.log.Debug(message, append([]any{"trace", req.loggedTraceID()}, args...)...)
-}
-
-// traceClient does so for a client's connection.
-func (n *Node) traceClient(client *clientConn, message string, args ...any) {
-	if n.traceRequests && client.conn != nil {
-		n.log.Debug(message, append([]any{"client", client.conn.RemoteAddr().String()}, args...)...)
-	}
-}
-
-// debugEnabled tells whether lines on each request are wanted.
-func debugEnabled(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
-
-// loggedTraceID is the id that the request's client gave it.
-func (r *request) loggedTraceID() string { return r.traceID }
-
-// setState notes what discovery says of a host, and since when nothing new may go there.
-func (e *endpoint) setState(state protocol.State, now int64) {
-	if state == protocol.InService {
-		e.outOfServiceSince = 0
-	} else if e.outOfServiceSince == 0 {
-		e.outOfServiceSince = now
-	}
-	e.state = state
-}
--- /dev/null
+++ b/internal/node/clientanswer.go
@@ -0,0 +1,51 @@
+package node
+
+import (
+	"tulipglade/internal/protocol"
+)
+
+// reply writes an answer. It holds held until that is done.
+func (c *clientConn) reply(source *buffer, status int, fields []protocol.Field, body []byte, retryAfter int64) {
+	c.request = nil
+	if c.closed {
+		source.release()
+		return
+	}
+	c.closeAfterAnswer = c.closeAfterAnswer || c.node.drain.active || c.upload != nil
+	c.writingAnswer = true
+	c.node.answersInProgress++
+	head := newBuffer()
+	size := len(body)
+	if c.headRequest {
+		if body = nil; status == 200 {
+			size = c.headContentLength
+		}
+	}
+	out := protocol.AppendResponse(head.data[:0], status, fields, size, !c.closeAfterAnswer, retryAfter)
+	c.node.write(&c.socket, func(err error) {
+		c.node.answersInProgress--
+		c.writingAnswer = false
+		head.release()
+		source.release()
+		switch {
+		case err == nil && c.upload != nil && !c.upload.complete:
+			c.discardAfterEarlyAnswer()
+		case err != nil:
+			c.close(closeWriteFailed)
+		case c.closeAfterAnswer:
+			c.closeGracefully(closeLastAnswer)
+		default:
+			c.setIdle(true)
+			c.parseNextRequest(c.node.now())
+		}
+	}, out, body)
+}
+
+// rejectUnreadable answers what cannot be read, after which the connection closes.
+func (c *clientConn) rejectUnreadable(status int, reason string) {
+	c.setIdle(false)
+	c.closeAfterAnswer, c.lingering = true, true
+	c.input.release()
+	c.input = nil
+	c.reply(nil, status, nil, []byte(reason+"\n"), 0)
+}
--- /dev/null
+++ b/internal/node/clientconn_test.go
@@ -0,0 +1,180 @@
+package node
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"runtime"
+	"strings"
+	"testing"
+
+	"tulipglade/internal/protocol"
+)
+
+// Requests written together are answered one by one and in order; so is one whose body waits for a word.
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
+	a := newTestBackend(t, serve)
+	_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	conn := dialNode(t, addr)
+	_, _ = io.WriteString(conn, requestText("once", 9000)+requestText("read", 9000)+readyRequest)
+	for _, want := range []string{"body of /once", "body of /read", "ready\n"} {
+		if _, body, _ := conn.readAnswer(); body != want {
+			t.Errorf("%q, want %q", body, want)
+		}
+	}
+	head, body, _ := strings.Cut(strings.Replace(requestText("once", 9000), "\r\n", "\r\nExpect: 100-continue\r\n", 1), "\r\n\r\n")
+	if code, _, _ := conn.exchange(head + "\r\n\r\n"); code != 100 {
+		t.Errorf("before the body: %d", code)
+	}
+	if code, _, _ := conn.exchange(body); code != 200 {
+		t.Errorf("after the body: %d", code)
+	}
+}
+
+// A request that has been read but not yet seen by the node's goroutine is not lost when idle connections close:
+// whoever sent it would wait for an answer on a connection that the node ended.
+func TestConnectionWithUnprocessedRequestIsNotIdle(t *testing.T) {
+	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve))}, nil)
+	conn := dialNode(t, addr)
+	conn.exchange(readyRequest)
+	busy := make(chan struct{})
+	n.post(func() {
+		close(busy)
+		for c := range n.clients {
+			for c.unreadInput() == 0 {
+				runtime.Gosched()
+			}
+		}
+		n.closeIdleClients()
+		if n.oldestIdleClient(&n.idleClients, 0) != nil {
+			t.Error("a connection with a request on it counts as idle")
+		}
+	})
+	<-busy
+	if code, _, _ := conn.exchange(requestText("once", 9000)); code != 200 {
+		t.Error(code)
+	}
+}
+
+// A request that has stood behind another has waited since its own last byte came, not since the answer to the one before: what its host is told,
+// and when it is given up, count from there. One that came later has longer.
+func TestDeadlineCountsFromLastByte(t *testing.T) {
+	arrived, next := make(chan struct{}), make(chan struct{})
+	app := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		arrived <- struct{}{}
+		<-next
+		serve(w, r)
+	})
+	n, addr := startNode(t, app.targets(), nil)
+	client := dialNode(t, addr)
+	var began, deadlines [4]int64
+	later := func(since int64) { waitUntil(n, func() bool { return n.now() > since+2*arrivalMergeInterval }) }
+	took := func(k int) {
+		for _, r := range n.requests {
+			if !r.done {
+				deadlines[k] = r.deadline
+			}
+		}
+	}
+	_, _ = io.WriteString(client, requestText("once", 9000)+requestText("read", 9000)+requestText("once", 9000)[:40]) // the third is not whole yet
+	<-arrived
+	runOnLoop(n, func() { began[0] = n.now(); took(0) })
+	later(began[0])
+	rest := requestText("once", 9000)
+	_, _ = io.WriteString(client, rest[40:]+requestText("read", 9000))
+	waitUntil(n, func() bool {
+		for c := range n.clients {
+			return len(c.arrivals) == 2
+		}
+		return false
+	})
+	runOnLoop(n, func() { began[2] = n.now() })
+	later(began[2])
+	for k := range deadlines {
+		if k > 0 {
+			<-arrived
+			runOnLoop(n, func() { took(k) })
+		}
+		next <- struct{}{}
+		if code, _, _ := client.readAnswer(); code != 200 {
+			t.Fatalf("request %d: %d", k, code)
+		}
+	}
+	if deadlines[1] != deadlines[0] || deadlines[2] != deadlines[3] || deadlines[2] < deadlines[1]+arrivalMergeInterval || deadlines[3] > began[2]+9_000_000 {
+		t.Errorf("deadlines %v, two pieces came by %d and %d", deadlines, began[0], began[2])
+	}
+}
+
+// A connection that closes behind its answer is shut first: what its client sends meanwhile must not reset it, as the rest of the answer
+// would go with it.
+func TestLastAnswerSurvivesLaterInput(t *testing.T) {
+	body := strings.Repeat("x", 60<<10)
+	app := newManualBackend(t, 0)
+	n, addr := startNode(t, app.targets(), nil)
+	conn := dialWithSmallBuffer(t, addr)
+	_, _ = io.WriteString(conn, strings.Replace(requestText("read", 9000), "\r\n", "\r\nConnection: close\r\n", 1))
+	host, _ := app.acceptRequest()
+	writeOK(host, body)
+	waitUntil(n, func() bool { return n.lingeringClients.Len() == 1 || len(n.clients) == 0 }) // its last byte is with the system
+	_, _ = io.WriteString(conn, requestText("read", 9000))
+	waitUntil(n, func() bool {
+		for c := range n.clients {
+			return c.discardedBytes > 0
+		}
+		return true
+	})
+	got, err := io.ReadAll(conn)
+	if err != nil || !strings.HasSuffix(string(got), body) {
+		t.Errorf("%d bytes, %v", len(got), err)
+	}
+}
+
+// A request that crosses the end of its connection is not sent on, whatever ended that, and its client sees the end without an answer:
+// it asks once more elsewhere.
+func TestRequestCrossingCloseIsNotForwarded(t *testing.T) {
+	for name, end := range map[string]func(*Node, *clientConn){
+		"a stop":    func(n *Node, _ *clientConn) { n.closeIdleClients() },
+		"long idle": func(n *Node, c *clientConn) { c.idleSince = n.now() - maxClientIdleTime; n.closeStalledClients() },
+		"too many": func(n *Node, c *clientConn) {
+			for k := range (reservedDescriptors + minServingDescriptors) / idleClientFraction { // one more than may be idle, each used later
+				other := &clientConn{node: n, hasSentRequest: true}
+				other.conn, other.idleSince = c.conn, n.now()+int64(k)
+				n.clients[other] = struct{}{}
+				n.openDescriptors++
+				other.setIdle(true)
+				defer func() { other.setIdle(false); delete(n.clients, other); n.openDescriptors-- }()
+			}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			app := newTestBackend(t, serve)
+			n, addr := startNode(t, app.targets(), func(s *Settings) { s.MaxDescriptors = reservedDescriptors + minServingDescriptors })
+			conn := dialNode(t, addr)
+			if code, _, _ := conn.exchange(requestText("read", 9000)); code != 200 {
+				t.Fatal(code)
+			}
+			waitUntil(n, func() bool { return n.idleClients.Len() == 1 })
+			var shut *clientConn
+			runOnLoop(n, func() {
+				shut = n.idleClients.Front().Value.(*clientConn)
+				end(n, shut)
+				if !shut.lingering {
+					t.Error("not shut")
+				}
+			})
+			_, _ = io.WriteString(conn, requestText("once", 9000))
+			waitUntil(n, func() bool { return shut.discardedBytes > 0 || shut.closed || n.openRequests > 0 })
+			runOnLoop(n, func() {
+				if n.openRequests > 0 || len(n.requests) > 0 {
+					t.Error("taken")
+				}
+			})
+			if b, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
+				t.Errorf("read %q, %v, want the end", b, err)
+			}
+			if k := app.requestCount.Load(); k != 1 {
+				t.Errorf("%d requests at the host, want the first alone", k)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/node/commands.go
@@ -0,0 +1,78 @@
+package node
+
+import (
+	"tulipglade/internal/balancer"
+)
+
+var _ balancer.Commands = (*Node)(nil)
+
+// SendAttempt sends a request to a host.
+func (n *Node) SendAttempt(id balancer.RequestID, endpointID balancer.EndpointID, timeout balancer.Span) {
+	req := n.requests[id]
+	ep := n.endpoints[endpointID]
+	if req == nil || ep == nil {
+		n.log.Error("attempt without a request or host", "id", id, "host", endpointID)
+		return
+	}
+	now := n.now()
+	att := &attempt{request: req, number: len(req.attempts), endpoint: ep, startedAt: now}
+	req.attempts = append(req.attempts, att)
+	req.pendingAttempts++
+	if att.deadline = req.deadline; timeout != 0 {
+		att.deadline = min(att.deadline, now+timeout)
+	}
+	switch {
+	case req.done || n.clientHasDisconnected(req) || now >= req.deadline || len(req.attempts) > max(req.settings.Balancer.MaxAttempts, 1):
+		n.completeAttempt(att, balancer.OutcomeNotSent, nil)
+		return
+	case !req.settings.Balancer.AllowHedging && req.pendingAttempts > 1:
+		n.completeAttempt(att, balancer.OutcomeNotSent, nil)
+		return
+	case att.deadline <= now:
+		n.completeAttempt(att, balancer.OutcomeTimeout, nil)
+		return
+	}
+	n.scheduleAt(att.deadline, func() { n.checkAttemptDeadline(att) })
+	n.assignConn(att)
+}
+
+// CancelAttempt stops waiting for an attempt.
+func (n *Node) CancelAttempt(id balancer.RequestID, number int) {
+	if req := n.requests[id]; req != nil && number < len(req.attempts) && !req.attempts[number].completed {
+		n.abandonAttempt(req.attempts[number], balancer.OutcomeCanceled)
+	}
+}
+
+// Reject refuses a request: trying again does no harm.
+func (n *Node) Reject(id balancer.RequestID, retryAfter balancer.Span) {
+	if req := n.requests[id]; req != nil {
+		n.answer(req, nil, 503, nil, []byte("refused\n"), retryAfter)
+	}
+}
+
+// Fail ends a request without a promise about its effect.
+func (n *Node) Fail(id balancer.RequestID) {
+	req := n.requests[id]
+	if req == nil {
+		return
+	}
+	status := 502
+	if req.pendingAttempts > 0 { // nothing came in time
+		status = 504
+	}
+	n.answer(req, nil, status, nil, []byte("failed\n"), 0)
+}
+
+// SetTimer sets one of the module's timers.
+func (n *Node) SetTimer(id balancer.TimerID, delay balancer.Span) {
+	n.scheduleAt(n.now()+max(delay, 1), func() { n.balancer.HandleTimer(n.now(), id) })
+}
+
+// WatchEndpoints asks discovery for changes from here on.
+func (n *Node) WatchEndpoints(on bool) { n.discovery.Watch(on) }
+
+// PollEndpoints asks discovery for the whole list, once.
+func (n *Node) PollEndpoints() { n.discovery.Poll() }
+
+// Log writes a line of the module's.
+func (n *Node) Log(text string) { n.log.Info("decision", "text", text) }
--- /dev/null
+++ b/internal/node/descriptors_test.go
@@ -0,0 +1,148 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"runtime"
+	"testing"
+
+	"tulipglade/internal/protocol"
+)
+
+// Who connects and never asks is closed in time; a connection between two requests stays, until there are more than
+// clients need for their requests. Without that, hundreds of connections that nobody uses would take every
+// descriptor, and the node would close those to backends instead.
+func TestUnusedConnectionsAreClosed(t *testing.T) {
+	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve))}, func(s *Settings) { s.MaxDescriptors = 1000 })
+	used, silent := dialNode(t, addr), dialNode(t, addr)
+	used.exchange(requestText("once", 9000))
+	waitUntil(n, func() bool {
+		if n.newClients.Len() != 1 || n.idleClients.Len() != 1 {
+			return false
+		}
+		n.closeStalledClients() // nobody's time is over
+		for c := range n.clients {
+			c.requestStartedAt, c.idleSince = c.requestStartedAt-headTimeout, c.idleSince-headTimeout
+		}
+		n.closeStalledClients()
+		return true
+	})
+	if _, err := silent.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("the silent connection: %v", err)
+	}
+	if code, _, _ := used.exchange(requestText("once", 9000)); code != 200 {
+		t.Errorf("the used one: %d", code)
+	}
+	waitUntil(n, func() bool {
+		if n.idleClients.Len() != 1 {
+			return false
+		}
+		n.settings.MaxDescriptors = 2
+		n.idleClients.Front().Value.(*clientConn).idleSince -= minClientIdleTime
+		n.closeStalledClients()
+		return true
+	})
+	if _, err := used.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("the used one, now in the way: %v", err)
+	}
+}
+
+// Clients that ask once and keep their connection for good do not keep others out: of the connections between two
+// requests, those idle for longest close once they are many.
+func TestIdleConnectionsAreLimited(t *testing.T) {
+	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve))}, func(s *Settings) { s.MaxDescriptors = 10 * idleClientFraction })
+	callers := make([]*testClient, 15)
+	for i := range callers {
+		callers[i] = dialNode(t, addr)
+		if code, _, _ := callers[i].exchange(requestText("once", 9000)); code != 200 {
+			t.Fatal(code)
+		}
+		waitUntil(n, func() bool { return n.idleClients.Len() == min(i+1, 10) })
+	}
+	if _, err := callers[4].reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("the fifth: %v", err)
+	}
+	if code, _, _ := callers[5].exchange(requestText("once", 9000)); code != 200 {
+		t.Errorf("the sixth: %d", code)
+	}
+}
+
+// For want of descriptors, what clients do not use closes before what backends' next requests will need.
+func TestUnusedConnectionsReleaseDescriptors(t *testing.T) {
+	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve))}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 3 })
+	used, silent := dialNode(t, addr), dialNode(t, addr)
+	used.exchange(requestText("once", 9000))
+	waitUntil(n, func() bool {
+		if n.newClients.Len() != 1 || n.idleClients.Len() != 1 || n.idleBackends.Len() != 1 {
+			return false
+		}
+		n.newClients.Front().Value.(*clientConn).idleSince -= newConnGrace
+		if !n.reserveDescriptors(1) || n.idleBackends.Len() != 1 || n.idleClients.Len() != 1 {
+			t.Error("room was made at the wrong place")
+		}
+		return true
+	})
+	if _, err := silent.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("the silent connection: %v", err)
+	}
+}
+
+// The poller does not run ahead of the goroutine that makes room for new connections, or a burst of them would use
+// up the descriptors before the first is seen.
+func TestAcceptBurstIsThrottled(t *testing.T) {
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
+	n, _ := startNode(t, nil, nil)
+	for range 200 {
+		n.pendingAccepts.Add(1)
+		n.post(func() { n.pendingAccepts.Add(-1) })
+		if n.throttleAccepts(); n.pendingAccepts.Load() >= maxPendingAccepts {
+			t.Fatalf("%d connections ahead", n.pendingAccepts.Load())
+		}
+	}
+}
+
+// At the cap of descriptors the connection that stood idle longest goes, never one with a request on it.
+func TestDescriptorsAreCapped(t *testing.T) {
+	a, arrived, release := newBlockedBackend(t)
+	_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 4 })
+	busy := dialNode(t, addr)
+	_, _ = io.WriteString(busy, requestText("once", 9000))
+	<-arrived
+	oldest := dialNode(t, addr)
+	oldest.exchange(readyRequest)
+	for range 6 {
+		if code, _, _ := dialNode(t, addr).exchange(readyRequest); code != 200 {
+			t.Error(code)
+		}
+	}
+	if _, err := oldest.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("the oldest idle connection: %v", err)
+	}
+	close(release)
+	if code, _, _ := busy.readAnswer(); code != 200 {
+		t.Errorf("the busy one: %d", code)
+	}
+}
+
+// Connections that have been shut make room like any other, last of all.
+func TestLingeringConnectionsReleaseDescriptors(t *testing.T) {
+	n, addr := startNode(t, newTestBackend(t, serve).targets(), func(s *Settings) { s.MaxDescriptors = reservedDescriptors + minServingDescriptors })
+	var all []*testClient
+	for range minServingDescriptors {
+		c := dialNode(t, addr)
+		c.exchange(readyRequest)
+		all = append(all, c)
+	}
+	waitUntil(n, func() bool { return len(n.clients) > 0 })
+	runOnLoop(n, func() { n.closeIdleClients() })
+	for k, c := range all { // rubbish on each, so that none is clean
+		_, _ = fmt.Fprint(c, "rubbish ", k)
+	}
+	for range minServingDescriptors {
+		c := dialNode(t, addr)
+		if code, _, _ := c.exchange(requestText("read", 9000)); code != 200 {
+			t.Fatal(code)
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/disconnect_test.go
@@ -0,0 +1,121 @@
+package node
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"runtime"
+	"slices"
+	"testing"
+	"time"
+
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/protocol"
+	"tulipglade/internal/safety"
+)
+
+// A client that leaves takes its attempt with it: the host is told at once, by the end of its connection.
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
+	gone := make(chan struct{}, 1)
+	arrived := make(chan struct{}, 1)
+	a := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		arrived <- struct{}{}
+		neverAnswer(gone)(w, r)
+	})
+	_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	conn := dialNode(t, addr)
+	_, _ = io.WriteString(conn, requestText("read", 9000))
+	<-arrived
+	_ = conn.Close()
+	select {
+	case <-gone:
+	case <-time.After(5 * time.Second):
+		t.Error("the attempt went on")
+	}
+}
+
+// A client that leaves while its attempt waits for a connection has no attempt begun, whether the settings allow to cancel or not, and
+// however it leaves.
+func TestClientDisconnectBeforeFirstByte(t *testing.T) {
+	for name, c := range map[string]struct{ cancel, reset bool }{
+		"closes": {true, false}, "resets": {true, true}, "closes, nothing is cancelled": {false, false}, "resets, nothing is cancelled": {false, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			w := newQueuedRequest(t, func(s *Settings) { s.Balancer.AllowCancel = c.cancel })
+			if c.reset {
+				_ = w.second.Conn.(*net.TCPConn).SetLinger(0)
+			}
+			_ = w.second.Close()
+			waitUntil(w.node, func() bool { return w.node.openRequests == 1 })
+			w.releaseFirst()
+			if k := w.backend.requestCount.Load(); k != 1 {
+				t.Errorf("%d requests sent on", k)
+			}
+		})
+	}
+}
+
+// A client may be gone before Run's goroutine hears of its request, or of the connection that its request waits for, and word of that stands
+// behind these: nothing of it begins.
+func TestClientDisconnectBeforeRequestIsProcessed(t *testing.T) {
+	t.Run("no attempt yet", func(t *testing.T) {
+		app := newTestBackend(t, serve)
+		n, addr := startNode(t, app.targets(), nil)
+		conn := dialNode(t, addr)
+		conn.exchange(requestText("read", 9000))
+		waitUntil(n, func() bool { return n.idleBackends.Len() == 1 }) // so that nothing is waited for
+		ends := &outcomeRecorder{}
+		runOnLoop(n, func() { ends.decisionModule, n.balancer = n.balancer, ends })
+		busy, free := make(chan struct{}), make(chan struct{})
+		n.post(func() { close(busy); <-free })
+		<-busy
+		_, _ = io.WriteString(conn, requestText("once", 9000))
+		waitForPosted(n, 1)
+		_ = conn.Close()
+		waitForPosted(n, 2)
+		close(free)
+		waitUntil(n, func() bool { return n.lastRequestID == 2 && len(n.clients) == 0 && len(n.requests) == 0 })
+		if !slices.Equal(ends.outcomes, []balancer.Outcome{balancer.OutcomeNotSent}) {
+			t.Errorf("attempts that ended as %v, want one that never began", ends.outcomes)
+		}
+	})
+	t.Run("an attempt waits", func(t *testing.T) {
+		w := newQueuedRequest(t, nil)
+		runOnLoop(w.node, func() { // the loop is at work as the client leaves, and a connection is free behind that
+			_ = w.second.Close()
+			for _, a := range w.node.endpoints[1].waitingAttempts {
+				for !a.request.clientConn.peerHasEnded() {
+					runtime.Gosched()
+				}
+				if why := w.node.mayStart(a); why != safety.ClientDisconnected {
+					t.Errorf("may begin: %v", why)
+				}
+			}
+		})
+		w.releaseFirst()
+		if k := w.backend.requestCount.Load(); k != 1 {
+			t.Errorf("%d requests sent on", k)
+		}
+	})
+}
+
+// Of what a client has sent at once before it left, at most the first request is begun.
+func TestClientDisconnectAfterPipelinedRequests(t *testing.T) {
+	n, addr := startNode(t, newTestBackend(t, serve).targets(), nil)
+	conn := dialNode(t, addr)
+	conn.exchange(readyRequest)
+	busy, free := make(chan struct{}), make(chan struct{})
+	n.post(func() { close(busy); <-free })
+	<-busy
+	_, _ = io.WriteString(conn, requestText("once", 9000)+requestText("once", 9000)+requestText("read", 9000)+requestText("once", 9000))
+	waitForPosted(n, 1)
+	_ = conn.Close()
+	waitForPosted(n, 2)
+	close(free)
+	waitUntil(n, func() bool { return len(n.clients) == 0 && n.openRequests == 0 })
+	runOnLoop(n, func() {
+		if n.lastRequestID > 1 {
+			t.Errorf("%d requests begun", n.lastRequestID)
+		}
+	})
+}
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"bytes"
 	"os"
 
 	"golang.org/x/sys/unix"
@@ -175,6 +174,3 @@
 	}
 	return nil
 }
-
-// appendCopy keeps what comes while the connection leaves the poller.
-func appendCopy(pieces [][]byte, data []byte) [][]byte { return append(pieces, bytes.Clone(data)) }
--- a/internal/node/bulk_test.go
+++ b/internal/node/forwarding_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"runtime"
@@ -20,102 +19,63 @@
 	"tulipglade/internal/protocol"
 )
 
-// noise is what bodies are made of: of a length, and the same for the same seed.
-func noiseOf(seed uint64, length int) []byte {
-	p := make([]byte, length)
-	r := rand.New(rand.NewPCG(seed, 1))
-	for i := 0; i+8 <= length; i += 8 {
-		v := r.Uint64()
-		for k := range 8 {
-			p[i+k] = byte(v >> (8 * k))
-		}
-	}
-	return p
-}
-
-// post is the head of a request with a body in it.
-func post(class string, framing string, more ...string) string {
-	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Trace-Id: id%d\r\nX-Customer: t\r\nX-Expires-In-Ms: 9000\r\n%s\r\n%s\r\n",
-		class, lastTrace.Add(1), framing, strings.Join(more, ""))
-}
-
-// chunks puts a body into chunks of some size, with an extension and a trailer.
-func chunks(body []byte, size int) []byte {
-	var out []byte
-	for len(body) > 0 {
-		k := min(size, len(body))
-		out = append(append(fmt.Appendf(out, "%x;n=1\r\n", k), body[:k]...), "\r\n"...)
-		body = body[k:]
-	}
-	return append(out, "0\r\nT: 1\r\n\r\n"...)
-}
-
-// echo answers with the body that came.
-func echo(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(r.Body)
-	if err != nil {
-		return
-	}
-	_, _ = w.Write(body)
-}
-
 // Large bodies and answers pass whole, in any framing, both ways at once, and the connection serves on after that.
 func TestLargeMessages(t *testing.T) {
-	a := newApp(t, func(w http.ResponseWriter, r *http.Request) {
+	a := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if n, _ := strconv.Atoi(r.URL.Query().Get("size")); n > 0 {
 			w.Header().Set("Content-Length", strconv.Itoa(n))
-			_, _ = w.Write(noiseOf(9, n))
+			_, _ = w.Write(randomBody(9, n))
 			return
 		}
 		echo(w, r)
 	})
-	_, addr := start(t, []protocol.Target{target("a", a)}, nil)
+	_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
 	for _, c := range []struct {
 		name string
 		size int
 	}{{"just over", protocol.MaxBody + 1}, {"a buffer", protocol.BufferSize}, {"some", 3 << 20}, {"the most", 32 << 20}} {
-		body := noiseOf(uint64(c.size), c.size)
-		conn := dial(t, addr)
+		body := randomBody(uint64(c.size), c.size)
+		conn := dialNode(t, addr)
 		for _, framing := range []string{"length", "chunks"} {
 			head, wire := "Content-Length: "+strconv.Itoa(c.size), body
 			if framing == "chunks" {
-				head, wire = "Transfer-Encoding: chunked", chunks(body, 50_000)
+				head, wire = "Transfer-Encoding: chunked", chunkedBody(body, 50_000)
 			}
 			go func() {
-				_, _ = io.WriteString(conn, post("once", head))
+				_, _ = io.WriteString(conn, postRequest("once", head))
 				_, _ = conn.Write(wire)
 			}()
-			if code, got, closing := conn.answer(); code != 200 || closing || got != string(body) {
+			if code, got, closing := conn.readAnswer(); code != 200 || closing || got != string(body) {
 				t.Fatalf("%s, %s: %d, closing %v, %d bytes of %d", c.name, framing, code, closing, len(got), c.size)
 			}
 		}
-		_, _ = io.WriteString(conn, strings.Replace(text("read", 9000), "?obj=1", "?size="+strconv.Itoa(c.size), 1))
-		if code, got, closing := conn.answer(); code != 200 || closing || got != string(noiseOf(9, c.size)) {
+		_, _ = io.WriteString(conn, strings.Replace(requestText("read", 9000), "?obj=1", "?size="+strconv.Itoa(c.size), 1))
+		if code, got, closing := conn.readAnswer(); code != 200 || closing || got != string(randomBody(9, c.size)) {
 			t.Errorf("%s, an answer: %d, closing %v, %d bytes", c.name, code, closing, len(got))
 		}
-		if code, _, _ := conn.ask(text("once", 9000)); code != 200 {
+		if code, _, _ := conn.exchange(requestText("once", 9000)); code != 200 {
 			t.Errorf("%s: the request after: %d", c.name, code)
 		}
 	}
-	if k := a.connections(); k > 8 { // of 16 requests: one that comes before its connection is back takes another
+	if k := a.connectionCount(); k > 8 { // of 16 requests: one that comes before its connection is back takes another
 		t.Errorf("%d connections to the backend: they did not come back", k)
 	}
 }
 
 // 100 Continue is sent before a large body is read; a small request behind a large one is served after it.
 func TestExpectAndPipeline(t *testing.T) {
-	_, addr := start(t, []protocol.Target{target("a", newApp(t, echo))}, nil)
-	conn := dial(t, addr)
-	body := noiseOf(1, 1<<20)
-	_, _ = io.WriteString(conn, post("once", "Content-Length: "+strconv.Itoa(len(body)), "Expect: 100-continue\r\n"))
-	line, err := conn.r.ReadString('\n')
+	_, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, echo))}, nil)
+	conn := dialNode(t, addr)
+	body := randomBody(1, 1<<20)
+	_, _ = io.WriteString(conn, postRequest("once", "Content-Length: "+strconv.Itoa(len(body)), "Expect: 100-continue\r\n"))
+	line, err := conn.reader.ReadString('\n')
 	if err != nil || line != "HTTP/1.1 100 Continue\r\n" {
 		t.Fatalf("%q, %v", line, err)
 	}
-	_, _ = conn.r.ReadString('\n')
-	go func() { _, _ = conn.Write(append(bytes.Clone(body), text("read", 9000)+ready...)) }()
+	_, _ = conn.reader.ReadString('\n')
+	go func() { _, _ = conn.Write(append(bytes.Clone(body), requestText("read", 9000)+readyRequest...)) }()
 	for i, want := range []string{string(body), "", "ready\n"} {
-		if code, got, closing := conn.answer(); code != 200 || closing || got != want {
+		if code, got, closing := conn.readAnswer(); code != 200 || closing || got != want {
 			t.Errorf("answer %d: %d, closing %v, %d bytes, want %d", i, code, closing, len(got), len(want))
 		}
 	}
@@ -123,19 +83,19 @@
 
 // A byte at a time, at every position of the framing, and slowly: the same body.
 func TestSmallPieces(t *testing.T) {
-	_, addr := start(t, []protocol.Target{target("a", newApp(t, echo))}, nil)
-	conn := dial(t, addr)
+	_, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, echo))}, nil)
+	conn := dialNode(t, addr)
 	_ = conn.Conn.(*net.TCPConn).SetNoDelay(true)
-	body := noiseOf(1, protocol.BufferSize+300)
-	wire := chunks(body, 7)
-	_, _ = io.WriteString(conn, post("once", "Transfer-Encoding: chunked"))
+	body := randomBody(1, protocol.BufferSize+300)
+	wire := chunkedBody(body, 7)
+	_, _ = io.WriteString(conn, postRequest("once", "Transfer-Encoding: chunked"))
 	go func() {
 		_, _ = conn.Write(wire[:len(wire)-2000])
 		for _, b := range wire[len(wire)-2000:] {
 			_, _ = conn.Write([]byte{b})
 		}
 	}()
-	if code, got, _ := conn.answer(); code != 200 || got != string(body) {
+	if code, got, _ := conn.readAnswer(); code != 200 || got != string(body) {
 		t.Errorf("%d, %d bytes of %d", code, len(got), len(body))
 	}
 }
@@ -150,11 +110,11 @@
 		{"until the end, old client", "Connection: close\r\n", "1.0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := newApp(t, func(w http.ResponseWriter, _ *http.Request) {
+			a := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 				conn, _, _ := w.(http.Hijacker).Hijack()
-				part := noiseOf(1, 500_000)
+				part := randomBody(1, 500_000)
 				if strings.HasPrefix(c.head, "Transfer") {
-					part = chunks(part, 1000)
+					part = chunkedBody(part, 1000)
 					part = part[:len(part)-20]
 				}
 				_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s\r\n%s", c.head, part)
@@ -162,36 +122,36 @@
 				_ = conn.(*net.TCPConn).SetLinger(0)
 				_ = conn.Close()
 			})
-			_, addr := start(t, []protocol.Target{target("a", a)}, nil)
-			conn := dial(t, addr)
-			_, _ = io.WriteString(conn, strings.Replace(text("read", 9000), "HTTP/1.1", "HTTP/"+c.version, 1))
-			resp, err := http.ReadResponse(conn.r, nil)
+			_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+			conn := dialNode(t, addr)
+			_, _ = io.WriteString(conn, strings.Replace(requestText("read", 9000), "HTTP/1.1", "HTTP/"+c.version, 1))
+			resp, err := http.ReadResponse(conn.reader, nil)
 			if err != nil || resp.StatusCode != 200 {
 				t.Fatal(resp, err)
 			}
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil {
 				t.Errorf("%d bytes, and an end in order", n)
 			}
-			if a.seen.Load() != 1 {
-				t.Errorf("%d attempts", a.seen.Load())
+			if a.requestCount.Load() != 1 {
+				t.Errorf("%d attempts", a.requestCount.Load())
 			}
 		})
 	}
 }
 
 // An answer that ends with its connection is whole if that ends in order; a client that knows no chunks gets it so too.
-func TestAnswerUntilTheEnd(t *testing.T) {
+func TestAnswerDelimitedByConnectionClose(t *testing.T) {
 	for _, size := range []int{100, 1 << 20} {
 		for _, version := range []string{"1.1", "1.0"} {
-			a := newApp(t, func(w http.ResponseWriter, _ *http.Request) {
+			a := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 				conn, _, _ := w.(http.Hijacker).Hijack()
-				_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n\r\n%s", noiseOf(1, size))
+				_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n\r\n%s", randomBody(1, size))
 				_ = conn.Close()
 			})
-			_, addr := start(t, []protocol.Target{target("a", a)}, nil)
-			conn := dial(t, addr)
-			_, _ = io.WriteString(conn, strings.Replace(text("once", 9000), "HTTP/1.1", "HTTP/"+version, 1))
-			if code, got, _ := conn.answer(); code != 200 || got != string(noiseOf(1, size)) {
+			_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+			conn := dialNode(t, addr)
+			_, _ = io.WriteString(conn, strings.Replace(requestText("once", 9000), "HTTP/1.1", "HTTP/"+version, 1))
+			if code, got, _ := conn.readAnswer(); code != 200 || got != string(randomBody(1, size)) {
 				t.Errorf("%d bytes to HTTP/%s: %d, %d bytes", size, version, code, len(got))
 			}
 		}
@@ -201,8 +161,8 @@
 // Whoever answers before the body is in is heard at once, and the client gets that answer though it still sends. A
 // backend that breaks off before the last byte has never run the request, and one that breaks before the first is
 // replaced.
-func TestEarlyEnds(t *testing.T) {
-	body := noiseOf(1, 4<<20)
+func TestAnswerBeforeEndOfUpload(t *testing.T) {
+	body := randomBody(1, 4<<20)
 	for _, c := range []struct {
 		name string
 		h    http.HandlerFunc
@@ -212,32 +172,32 @@
 			w.Header().Set("X-Never-Ran", "1")
 			w.WriteHeader(503)
 		}, 503},
-		{"breaks early", reset(""), 503},
+		{"breaks early", resetAfter(""), 503},
 		{"goes on unheard", func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.CopyN(io.Discard, r.Body, 3<<20)
-			reset("")(w, r)
+			resetAfter("")(w, r)
 		}, 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := newApp(t, c.h)
-			n, addr := start(t, []protocol.Target{target("a", a)}, nil)
-			conn := dial(t, addr)
-			_, _ = io.WriteString(conn, post("once", "Content-Length: "+strconv.Itoa(len(body))))
+			a := newTestBackend(t, c.h)
+			n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+			conn := dialNode(t, addr)
+			_, _ = io.WriteString(conn, postRequest("once", "Content-Length: "+strconv.Itoa(len(body))))
 			_, _ = conn.Write(body[:3<<20+100_000])
-			if code, _, _ := conn.answer(); code != c.code {
+			if code, _, _ := conn.readAnswer(); code != c.code {
 				t.Errorf("%d, want %d", code, c.code)
 			}
 			_, _ = conn.Write(body[3<<20+100_000:])
-			if b, err := conn.r.ReadByte(); err == nil {
+			if b, err := conn.reader.ReadByte(); err == nil {
 				t.Errorf("behind the answer: %q", b)
 			}
-			until(n, func() bool { return len(n.requests) == 0 && n.activeForwarders == 0 && n.openRequests == 0 })
+			waitUntil(n, func() bool { return len(n.requests) == 0 && n.activeForwarders == 0 && n.openRequests == 0 })
 		})
 	}
 }
 
 // A client that leaves, sends what is no body, or goes silent in the middle frees all that its request held.
-func TestUploadThatEndsBadly(t *testing.T) {
+func TestAbortedUploadReleasesResources(t *testing.T) {
 	for _, c := range []struct {
 		name, framing, rest string
 		code                int // 0: none
@@ -248,28 +208,28 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ended := make(chan error, 1)
-			a := newApp(t, func(_ http.ResponseWriter, r *http.Request) {
+			a := newTestBackend(t, func(_ http.ResponseWriter, r *http.Request) {
 				_, err := io.Copy(io.Discard, r.Body)
 				ended <- err
 			})
-			n, addr := start(t, []protocol.Target{target("a", a)}, nil)
-			conn := dial(t, addr)
-			_, _ = io.WriteString(conn, post("once", c.framing))
-			part := noiseOf(1, 200_000)
+			n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+			conn := dialNode(t, addr)
+			_, _ = io.WriteString(conn, postRequest("once", c.framing))
+			part := randomBody(1, 200_000)
 			if c.framing == "Transfer-Encoding: chunked" {
 				part = fmt.Appendf(nil, "%x\r\n%s\r\n", len(part), part)
 			}
 			_, _ = conn.Write(part)
-			until(n, func() bool { return n.activeForwarders == 1 })
+			waitUntil(n, func() bool { return n.activeForwarders == 1 })
 			if c.code == 0 {
 				_ = conn.Close()
-			} else if code, _, closing := conn.ask(c.rest); code != c.code || !closing {
+			} else if code, _, closing := conn.exchange(c.rest); code != c.code || !closing {
 				t.Errorf("%d, closing %v, want %d", code, closing, c.code)
 			}
 			if err := <-ended; err == nil {
 				t.Error("the backend was given an end in order")
 			}
-			until(n, func() bool {
+			waitUntil(n, func() bool {
 				return len(n.requests) == 0 && n.activeForwarders == 0 && n.openRequests == 0 && len(n.clients) == 0 && n.openDescriptors <= 1
 			})
 		})
@@ -277,7 +237,7 @@
 }
 
 // A body that comes too slowly is cut off with 408; one that keeps the rate is not, however it is cut into pieces.
-func TestSlowBodies(t *testing.T) {
+func TestSlowBodyIsRejected(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name  string
@@ -300,11 +260,11 @@
 
 // Memory follows buffers, not bodies: dozens of large answers whose clients read slowly, and as many bodies that a backend
 // takes slowly.
-func TestMemoryFollowsBuffers(t *testing.T) {
+func TestMemoryIsBoundedByBuffers(t *testing.T) {
 	const size, count = 8 << 20, 24
 	slow := make(chan struct{})
-	piece := noiseOf(3, 64<<10)
-	a := newApp(t, func(w http.ResponseWriter, r *http.Request) {
+	piece := randomBody(3, 64<<10)
+	a := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == "GET" {
 			for range size / len(piece) {
 				if _, err := w.Write(piece); err != nil {
@@ -316,29 +276,29 @@
 		<-slow
 		_, _ = io.Copy(io.Discard, r.Body)
 	})
-	n, addr := start(t, []protocol.Target{target("a", a)}, nil)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
 	var before, peak runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	var wait sync.WaitGroup
 	for range count {
 		for _, up := range []bool{false, true} {
-			conn := dial(t, addr)
+			conn := dialNode(t, addr)
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
 				if up {
-					_, _ = io.WriteString(conn, post("once", "Content-Length: "+strconv.Itoa(size)))
+					_, _ = io.WriteString(conn, postRequest("once", "Content-Length: "+strconv.Itoa(size)))
 					for range size / len(piece) {
 						if _, err := conn.Write(piece); err != nil {
 							return
 						}
 					}
 				} else {
-					_, _ = io.WriteString(conn, text("read", 9000))
+					_, _ = io.WriteString(conn, requestText("read", 9000))
 				}
 				<-slow
-				resp, err := http.ReadResponse(conn.r, nil)
+				resp, err := http.ReadResponse(conn.reader, nil)
 				if err != nil || resp.StatusCode != 200 {
 					t.Error(resp, err)
 					return
@@ -349,7 +309,7 @@
 			}()
 		}
 	}
-	until(n, func() bool { return n.activeForwarders >= count })
+	waitUntil(n, func() bool { return n.activeForwarders >= count })
 	time.Sleep(200 * time.Millisecond) // what would grow, grows
 	runtime.GC()
 	runtime.ReadMemStats(&peak)
@@ -364,18 +324,18 @@
 
 // What clients send ahead is kept within bounds, for each and for all; a large request behind one that is not answered is
 // not lost.
-func TestSentAhead(t *testing.T) {
-	a, arrived, release := newHeldApp(t)
-	n, addr := start(t, []protocol.Target{target("a", a)}, nil)
-	body := noiseOf(1, 100_000)
-	fine := dial(t, addr)
-	_, _ = io.WriteString(fine, text("once", 9000)+post("once", "Content-Length: 100000")+string(body))
+func TestPipelinedInputIsBounded(t *testing.T) {
+	a, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	body := randomBody(1, 100_000)
+	fine := dialNode(t, addr)
+	_, _ = io.WriteString(fine, requestText("once", 9000)+postRequest("once", "Content-Length: 100000")+string(body))
 	<-arrived
-	flood := dial(t, addr)
-	_, _ = io.WriteString(flood, text("once", 9000))
+	flood := dialNode(t, addr)
+	_, _ = io.WriteString(flood, requestText("once", 9000))
 	<-arrived
-	go func() { _, _ = flood.Write(noiseOf(2, 8<<20)) }()
-	until(n, func() bool {
+	go func() { _, _ = flood.Write(randomBody(2, 8<<20)) }()
+	waitUntil(n, func() bool {
 		for c := range n.clients {
 			if c.inputTruncated {
 				return c.overflowSize <= maxOverflowPerConn && n.overflowBytes <= 2*maxOverflowPerConn
@@ -386,15 +346,15 @@
 	go func() { <-arrived }()
 	close(release)
 	for i := range 2 {
-		if code, _, _ := fine.answer(); code != 200 {
+		if code, _, _ := fine.readAnswer(); code != 200 {
 			t.Errorf("answer %d: %d", i, code)
 		}
 	}
-	if code, _, closing := flood.answer(); code != 200 || !closing {
+	if code, _, closing := flood.readAnswer(); code != 200 || !closing {
 		t.Errorf("the flood's own request: %d, closing %v", code, closing)
 	}
 	_ = flood.Close()
-	until(n, func() bool { return n.overflowBytes == 0 })
+	waitUntil(n, func() bool { return n.overflowBytes == 0 })
 }
 
 // A connection that leaves the poller is out of its set, also where netpoll has run the callbacks of its end without seeing to that: what comes then is
--- /dev/null
+++ b/internal/node/harness_test.go
@@ -0,0 +1,145 @@
+package node
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"os"
+	"runtime"
+	"testing"
+	"time"
+
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/protocol"
+)
+
+func TestMain(m *testing.M) {
+	if err := ConfigurePoller(io.Discard); err != nil {
+		panic(err)
+	}
+	os.Exit(m.Run())
+}
+
+// noDiscovery is a discovery that nobody asks.
+type noDiscovery struct{}
+
+func (noDiscovery) Watch(bool) {}
+
+func (noDiscovery) Poll() {}
+
+// startNode runs a node on a port of its own that knows these backends.
+func startNode(t *testing.T, targets []protocol.Target, change func(*Settings)) (*Node, string) {
+	t.Helper()
+	n, addr, stop := startStoppableNode(t, targets, change)
+	t.Cleanup(stop)
+	return n, addr
+}
+
+// startStoppableNode is start, to be stopped by the test.
+func startStoppableNode(t *testing.T, targets []protocol.Target, change func(*Settings)) (n *Node, addr string, end func()) {
+	t.Helper()
+	second := int64(time.Second / time.Microsecond)
+	set := Settings{Classes: []string{"read", "once", "keyed"}, Tenants: []string{"t"}, Zones: []string{"z"},
+		ConnectTimeout: second, Keepalive: 30 * second, OverdueGrace: 20_000, Balancer: balancer.Config{PeerCount: 1, MaxAttempts: 3,
+			AllowCancel: true, TickInterval: 1000, Tenants: []balancer.Tenant{{QuotaFraction: 1}}, Classes: []balancer.Class{
+				{LatencyObjective: 10 * second, Deadline: 10 * second},
+				{LatencyObjective: 10 * second, Deadline: 10 * second, Idempotency: balancer.NonIdempotent},
+				{LatencyObjective: 10 * second, Deadline: 10 * second, Idempotency: balancer.IdempotentByKey, KeyScope: balancer.ScopeCell, IdempotencyWindow: 5 * second},
+			}}}
+	if change != nil {
+		change(&set)
+	}
+	level := &slog.HandlerOptions{Level: slog.LevelInfo}
+	if os.Getenv("TULIPGLADE_LOG") == "debug" { // a line for each step, where a failure is being traced
+		level.Level = slog.LevelDebug
+	}
+	n, err := New(set, noDiscovery{}, slog.New(slog.NewTextHandler(t.Output(), level)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln, err := Listen("127.0.0.1:0", false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	loop, err := n.Serve()
+	if err != nil {
+		t.Fatal(err)
+	}
+	n.UpdateEndpoints(protocol.List{All: true, Targets: targets}, true)
+	stop := make(chan struct{})
+	go n.Run(stop)
+	go func() { _ = loop.Serve(ln) }()
+	return n, ln.Addr().String(), func() {
+		_ = loop.Shutdown(context.Background())
+		close(stop)
+	}
+}
+
+// waitUntil waits for a state that the node is on its way to.
+func waitUntil(n *Node, reached func() bool) {
+	for there := make(chan bool, 1); ; {
+		n.post(func() { there <- reached() })
+		if <-there {
+			return
+		}
+	}
+}
+
+// runOnLoop runs f on the node's goroutine.
+func runOnLoop(n *Node, f func()) {
+	waitUntil(n, func() bool { f(); return true })
+}
+
+// waitForPosted waits until so many things are posted that Run's goroutine has not begun with.
+func waitForPosted(n *Node, posted int) {
+	for there := 0; there < posted; runtime.Gosched() {
+		n.mu.Lock()
+		there = len(n.posted)
+		n.mu.Unlock()
+	}
+}
+
+// operatorCall makes an operator's call and waits for its answer.
+func operatorCall(f func(func(error))) error {
+	answer := make(chan error, 1)
+	f(func(err error) { answer <- err })
+	return <-answer
+}
+
+// advanceDrain moves the beginning of the drain that is on back in time, so that no test waits for it.
+func advanceDrain(n *Node, us int64) {
+	done := make(chan struct{})
+	n.post(func() {
+		n.drain.startedAt -= us
+		n.drainTick(n.drain.generation)
+		close(done)
+	})
+	<-done
+}
+
+// requireListLease has the node send nothing by a list of unknown age.
+func requireListLease(s *Settings) {
+	s.Balancer.PollDiscovery, s.Balancer.PollInterval, s.Balancer.ListLease = true, 10_000_000, balancer.NotificationDeadline
+	s.DrainGrace = 500_000
+}
+
+// reconfigureNode has a node take up its own settings, changed.
+func reconfigureNode(n *Node, change func(*Settings)) {
+	done := make(chan struct{})
+	n.post(func() {
+		set := Settings{ConnectTimeout: n.settings.ConnectTimeout, Keepalive: n.settings.Keepalive, OverdueGrace: n.settings.OverdueGrace, Zones: n.settings.Zones,
+			Balancer: n.settings.Balancer}
+		set.Balancer.Classes, set.Balancer.Tenants = nil, nil
+		for _, name := range []string{"read", "once", "keyed"} {
+			if i, ok := n.classIndex[name]; ok {
+				set.Classes = append(set.Classes, name)
+				set.Balancer.Classes = append(set.Balancer.Classes, n.settings.Balancer.Classes[i])
+			}
+		}
+		set.Tenants, set.Balancer.Tenants = []string{"t"}, []balancer.Tenant{{QuotaFraction: 1}}
+		change(&set)
+		n.applySettings(set)
+		close(done)
+	})
+	<-done
+}
--- a/internal/node/probe.go
+++ b/internal/node/healthcheck.go
@@ -1,16 +1,10 @@
 package node
 
 import (
-	"bytes"
-
 	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
 )
 
-// A probe asks a host how it is, beside its queue. It travels as an attempt of no request: on the same connections, with the
-// same ways to fail, and one outcome. It never stands before an attempt: those that wait for a connection are served first, and no
-// connection is closed to make room for it.
-
 // maxHealthChecksPerEndpoint is how many probes may be out at one host. A host that accepts and never answers holds so many connections
 // at most, each for the time limit of a connection; what the module asks for beyond that has not been asked.
 const maxHealthChecksPerEndpoint = 8
@@ -62,15 +56,3 @@
 		n.balancer.HandleHealthCheck(n.now(), att.endpoint.id, outcome, took, report)
 	})
 }
-
-// healthCheckReport is what the answer to a probe says of its host's load: in its body, or as any answer may.
-func healthCheckReport(msg *protocol.Message, body []byte) *balancer.LoadReport {
-	if report := headerLoadReport(msg); report != nil {
-		return report
-	}
-	body = bytes.TrimSpace(body)
-	if !bytes.HasPrefix(body, []byte("TEXT ")) {
-		body = append([]byte("TEXT "), body...)
-	}
-	return parseLoadReport(body)
-}
--- /dev/null
+++ b/internal/node/inheritedlistener.go
@@ -0,0 +1,76 @@
+package node
+
+import (
+	"errors"
+	"net"
+
+	"github.com/cloudwego/netpoll"
+	"golang.org/x/sys/unix"
+)
+
+// inheritedListener is a listening socket of another process. netpoll's own listener would set it to blocking for a moment, for
+// both: an accept that then finds the queue empty stops the poller, and with it all connections.
+type inheritedListener struct {
+	descriptor int
+	address    net.Addr
+}
+
+// InheritListener makes a listener of a descriptor, which belongs to it from here on.
+func InheritListener(fd int) (netpoll.Listener, error) {
+	name, err := unix.Getsockname(fd)
+	if err != nil {
+		return nil, err
+	}
+	addr, ok := tcpAddr(name)
+	if !ok {
+		return nil, errors.New("not a TCP socket")
+	}
+	return &inheritedListener{fd, addr}, unix.SetNonblock(fd, true)
+}
+
+func tcpAddr(address unix.Sockaddr) (*net.TCPAddr, bool) {
+	switch socketAddress := address.(type) {
+	case *unix.SockaddrInet4:
+		return &net.TCPAddr{IP: socketAddress.Addr[:], Port: socketAddress.Port}, true
+	case *unix.SockaddrInet6:
+		return &net.TCPAddr{IP: socketAddress.Addr[:], Port: socketAddress.Port}, true
+	}
+	return nil, false
+}
+
+// Accept is netpoll's: nothing and no error where the queue is empty.
+func (l *inheritedListener) Accept() (net.Conn, error) {
+	fd, from, err := unix.Accept(l.descriptor)
+	switch err {
+	case nil:
+	case unix.EAGAIN, unix.EINTR, unix.ECONNABORTED:
+		return nil, nil
+	default:
+		return nil, err
+	}
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	c := &acceptedConn{descriptor: fd, local: l.address, remote: &net.TCPAddr{}}
+	if remote, ok := tcpAddr(from); ok {
+		c.remote = remote
+	}
+	return c, nil
+}
+
+func (l *inheritedListener) Close() error { return unix.Close(l.descriptor) }
+
+func (l *inheritedListener) Addr() net.Addr { return l.address }
+
+func (l *inheritedListener) Fd() int { return l.descriptor }
+
+// acceptedConn is what netpoll wants to know of a connection: it makes its own of it.
+type acceptedConn struct {
+	net.Conn
+	descriptor    int
+	local, remote net.Addr
+}
+
+func (c *acceptedConn) Fd() int { return c.descriptor }
+
+func (c *acceptedConn) LocalAddr() net.Addr { return c.local }
+
+func (c *acceptedConn) RemoteAddr() net.Addr { return c.remote }
--- /dev/null
+++ b/internal/node/listfreshness_test.go
@@ -0,0 +1,87 @@
+package node
+
+import (
+	"errors"
+	"testing"
+
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/protocol"
+)
+
+// A process that has just started takes clients once it has word of its list, whatever that is, or nobody could give it any for a while.
+func TestReadyOnceListIsConfirmed(t *testing.T) {
+	app := newTestBackend(t, serve)
+	for name, word := range map[string]func(*Node){
+		"an answer": func(n *Node) { n.UpdateEndpoints(protocol.List{Rev: 1}, false) },
+		"a refusal": func(n *Node) { n.DiscoveryCallFailed(errors.New("refused"), balancer.ListFailed, n.startedAt) },
+		"no word": func(n *Node) {
+			runOnLoop(n, func() { n.listFreshness.processStartedAt -= readyTimeout })
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			n, addr := startNode(t, app.targets(), requireListLease)
+			conn := dialNode(t, addr)
+			if code, _, _ := conn.exchange(readyRequest); code != 503 {
+				t.Errorf("before: %d", code)
+			}
+			word(n)
+			runOnLoop(n, func() {}) // it has been heard
+			if code, _, _ := conn.exchange(readyRequest); code != 200 {
+				t.Errorf("after: %d", code)
+			}
+			runOnLoop(n, func() { n.balancer.ExpireListAt(n.now(), n.now()) })
+			if code, _, _ := conn.exchange(readyRequest); code != 200 {
+				t.Errorf("with a list that has become too old: %d", code)
+			}
+		})
+	}
+}
+
+// The answer of a discovery that is behind says nothing of what is current, unless discovery has moved: another's versions may be lower. One that goes on
+// to be behind has been restarted with other versions, and must not end the service.
+func TestOutdatedListDoesNotRenewLease(t *testing.T) {
+	n, _ := startNode(t, newTestBackend(t, serve).targets(), requireListLease)
+	n.UpdateEndpoints(protocol.List{Rev: 9}, false)
+	runOnLoop(n, func() { n.balancer.ExpireListAt(n.now(), n.now()) })
+	for _, step := range []struct {
+		name string
+		do   func()
+		want bool
+	}{
+		{"behind", func() { n.UpdateEndpoints(protocol.List{Rev: 8}, false) }, false},
+		{"behind again", func() { n.UpdateEndpoints(protocol.List{Rev: 8}, false) }, true},
+		{"run out", func() { runOnLoop(n, func() { n.balancer.ExpireListAt(n.now(), n.now()) }) }, false},
+		{"up to date in between", func() { n.UpdateEndpoints(protocol.List{Rev: 9}, false) }, true},
+		{"run out again", func() { runOnLoop(n, func() { n.balancer.ExpireListAt(n.now(), n.now()) }) }, false},
+		{"behind once more", func() { n.UpdateEndpoints(protocol.List{Rev: 8}, false) }, false},
+		{"the same", func() { n.UpdateEndpoints(protocol.List{Rev: 9}, false) }, true},
+		{"moved", func() { n.DiscoveryAddressChanged(0) }, false},
+		{"lower versions there", func() { n.UpdateEndpoints(protocol.List{Rev: 1}, false) }, true},
+	} {
+		step.do()
+		runOnLoop(n, func() {
+			if current, _ := n.balancer.ListCurrent(n.now()); current != step.want {
+				t.Errorf("%s: current %v", step.name, current)
+			}
+		})
+	}
+}
+
+// No probe goes out by a list of unknown age either.
+func TestNoHealthCheckByStaleList(t *testing.T) {
+	n, _ := startNode(t, newTestBackend(t, serve).targets(), func(s *Settings) {
+		requireListLease(s)
+		s.Balancer.AllowHealthChecks = true
+	})
+	runOnLoop(n, func() {
+		if n.CheckHealth(1); n.endpoints[1].pendingDials > 0 {
+			t.Error("probed")
+		}
+	})
+	n.UpdateEndpoints(protocol.List{Rev: 1}, false)
+	runOnLoop(n, func() {
+		if n.CheckHealth(1); n.endpoints[1].pendingDials != 1 {
+			t.Error("not probed by a list that is current")
+		}
+	})
+}
--- /dev/null
+++ b/internal/node/operator_test.go
@@ -0,0 +1,152 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"tulipglade/internal/protocol"
+)
+
+// A standby sends clients away: from the call on not ready, what is open is answered and its connection closed, idle
+// connections close, and in the end nobody is held. Active takes all of it back, and repeats change nothing.
+func TestStandby(t *testing.T) {
+	a, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	idle, busy := dialNode(t, addr), dialNode(t, addr)
+	idle.exchange(readyRequest)
+	_, _ = io.WriteString(busy, requestText("once", 9000))
+	<-arrived
+	for range 2 {
+		if err := operatorCall(n.Standby); err != nil {
+			t.Error(err)
+		}
+	}
+	if code, _, _ := dialNode(t, addr).exchange(readyRequest); code != 503 {
+		t.Errorf("ready in standby: %d", code)
+	}
+	if err := operatorCall(n.Status); err != nil {
+		t.Errorf("status in standby: %v", err)
+	}
+	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("idle connection: %v", err)
+	}
+	close(release)
+	if code, _, closing := busy.readAnswer(); code != 200 || !closing {
+		t.Errorf("taken before: %d, closing %v", code, closing)
+	}
+	advanceDrain(n, rejectDelay)
+	if code, _, closing := dialNode(t, addr).exchange(requestText("read", 9000)); code != 503 || !closing {
+		t.Errorf("long after the call: %d, closing %v", code, closing)
+	}
+	silent := dialNode(t, addr)
+	if _, err := silent.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("a connection that says nothing: %v", err)
+	}
+	for range 2 {
+		if err := operatorCall(n.Active); err != nil {
+			t.Error(err)
+		}
+	}
+	back := dialNode(t, addr)
+	go func() { <-arrived }()
+	for _, request := range []string{readyRequest, requestText("read", 9000), readyRequest} {
+		if code, _, closing := back.exchange(request); code != 200 || closing {
+			t.Errorf("active again: %d, closing %v", code, closing)
+		}
+	}
+}
+
+// A stop during a standby, calls during a stop, and calls before any backend is known have answers of their own.
+func TestOperatorCallsInOtherStates(t *testing.T) {
+	n, addr := startNode(t, nil, nil)
+	if err := operatorCall(n.Status); !errors.Is(err, errNoEndpoints) {
+		t.Errorf("status without a list: %v", err)
+	}
+	if err := operatorCall(n.Standby); err != nil {
+		t.Errorf("standby without a list: %v", err)
+	}
+	n.UpdateEndpoints(protocol.List{All: true, Targets: []protocol.Target{{UID: "a", Endpoint: "127.0.0.1:1"}}}, false)
+	waitUntil(n, func() bool { return n.endpointsKnown })
+	if err := operatorCall(n.Status); err != nil {
+		t.Errorf("status with a list: %v", err)
+	}
+	if code, _, _ := dialNode(t, addr).exchange(readyRequest); code != 503 {
+		t.Errorf("a standby from before the list: ready says %d", code)
+	}
+	done := make(chan struct{})
+	n.Drain(0, func() { close(done) })
+	for name, c := range map[string]struct {
+		ask  func(func(error))
+		want error
+	}{"status": {n.Status, errStopping}, "standby": {n.Standby, nil}, "active": {n.Active, errStopping}} {
+		if err := operatorCall(c.ask); !errors.Is(err, c.want) {
+			t.Errorf("%s during a stop: %v, want %v", name, err, c.want)
+		}
+	}
+	<-done
+}
+
+// Standby and active in turn under load: each request gets its answer. One that crosses the close of its connection is
+// sent again on a new one, as clients do; these are counted.
+func TestStandbyAndActiveAlternateUnderLoad(t *testing.T) {
+	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve)), targetOf("b", newTestBackend(t, serve))}, nil)
+	stop := make(chan struct{})
+	var served, again, lost atomic.Int64
+	var wait sync.WaitGroup
+	for range 8 {
+		wait.Add(1)
+		go func() {
+			defer wait.Done()
+			one := &http.Transport{MaxConnsPerHost: 1}
+			defer one.CloseIdleConnections()
+			for {
+				select {
+				case <-stop:
+					return
+				default:
+				}
+				ok := false
+				for try := 0; try < 2 && !ok; try++ {
+					req, _ := http.NewRequest("POST", "http://"+addr+"/once", http.NoBody)
+					req.Header = http.Header{"X-Trace-Id": {fmt.Sprint("turn", lastTraceID.Add(1))}, "X-Customer": {"t"}}
+					if resp, err := one.RoundTrip(req); err == nil {
+						_, err = io.Copy(io.Discard, resp.Body)
+						_ = resp.Body.Close()
+						ok = err == nil && resp.StatusCode == 200
+					} else {
+						again.Add(1)
+					}
+				}
+				if served.Add(1); !ok {
+					lost.Add(1)
+				}
+			}
+		}()
+	}
+	for turn := range 100 {
+		if err := operatorCall(n.Standby); err != nil {
+			t.Fatal(err)
+		}
+		if turn%4 == 0 {
+			advanceDrain(n, idleCloseDelay) // idle connections close at once
+		}
+		for before := served.Load(); served.Load() < before+8; {
+			time.Sleep(time.Millisecond)
+		}
+		if err := operatorCall(n.Active); err != nil {
+			t.Fatal(err)
+		}
+	}
+	close(stop)
+	wait.Wait()
+	t.Logf("%d requests in 100 turns, %d sent again, %d lost", served.Load(), again.Load(), lost.Load())
+	if lost.Load() > 0 {
+		t.Error("requests were lost")
+	}
+}
--- a/internal/node/leave_test.go
+++ b/internal/node/peerstate_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"bytes"
 	"io"
 	"net"
 	"testing"
@@ -13,7 +12,7 @@
 
 // A reset is told from an end in order by what poll(2) says of both directions, never by the state in TCP_INFO: the second row is
 // what a layer between the process and the kernel was seen to say of a reset whose state it gave as CLOSE_WAIT.
-func TestStandingBy(t *testing.T) {
+func TestPeerStateFromPollEvents(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		revents int16
@@ -33,7 +32,7 @@
 }
 
 // What the kernel itself says, after the poller has read all there is.
-func TestStands(t *testing.T) {
+func TestPeerStateFromKernel(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(*net.TCPConn)
 		want peerState
@@ -76,36 +75,24 @@
 }
 
 // An answer without a length is whole only if its connection ends in order: cut by a reset, it is nobody's answer.
-func TestResetIsNoEndOfAnAnswer(t *testing.T) {
+func TestResetDoesNotCompleteAnswer(t *testing.T) {
 	for name, reset := range map[string]bool{"in order": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
-			h := newByHand(t, 0)
-			n, addr := start(t, h.targets(), nil)
-			c := dial(t, addr)
-			_, _ = io.WriteString(c, text("once", 5000))
-			conn, _ := h.take()
+			h := newManualBackend(t, 0)
+			n, addr := startNode(t, h.targets(), nil)
+			c := dialNode(t, addr)
+			_, _ = io.WriteString(c, requestText("once", 5000))
+			conn, _ := h.acceptRequest()
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf")
-			until(n, func() bool { return heardOf(n, "half") })
+			waitUntil(n, func() bool { return hasReceived(n, "half") })
 			if reset {
 				_ = conn.(*net.TCPConn).SetLinger(0)
 			}
 			_ = conn.Close()
-			code, body, _ := c.answer()
+			code, body, _ := c.readAnswer()
 			if reset && code == 200 || !reset && (code != 200 || body != "half") {
 				t.Errorf("answered %d %q", code, body)
 			}
 		})
 	}
 }
-
-// heardOf tells whether a host's bytes have reached Run's goroutine, on which it must be called.
-func heardOf(n *Node, part string) bool {
-	for _, r := range n.requests {
-		for _, a := range r.attempts {
-			if a.conn != nil && a.conn.input != nil && bytes.Contains(a.conn.input.bytes(), []byte(part)) {
-				return true
-			}
-		}
-	}
-	return false
-}
--- /dev/null
+++ b/internal/node/pool_test.go
@@ -0,0 +1,198 @@
+package node
+
+import (
+	"io"
+	"runtime"
+	"testing"
+	"time"
+
+	"github.com/cloudwego/netpoll"
+
+	"tulipglade/internal/protocol"
+)
+
+// Guards: a request that followed within milliseconds was given the second answer of a host that answers twice: a connection
+// rested only while another would do.
+func TestDuplicateAnswerIsDiscarded(t *testing.T) {
+	app := newManualBackend(t, 0)
+	n, addr := startNode(t, app.targets(), func(s *Settings) {
+		s.ConnectTimeout *= 60 // to give up and try anew is no way round
+	})
+	conn := dialNode(t, addr)
+	_, _ = io.WriteString(conn, requestText("read", 9000))
+	first, _ := app.acceptRequest()
+	writeOK(first, "one")
+	if code, body, _ := conn.readAnswer(); code != 200 || body != "one" {
+		t.Fatal(code, body)
+	}
+	waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
+	runOnLoop(n, func() {
+		n.endpoints[1].duplicatesUntil = noDeadline               // it has done so before
+		n.endpoints[1].idleConns[0].lastAnswerAt += 3_600_000_000 // it rests for as long as this test takes
+	})
+	_, _ = io.WriteString(conn, requestText("once", 9000))
+	waitUntil(n, func() bool { return len(n.requests) == 1 })
+	writeOK(first, "one again")
+	second, _ := app.acceptRequest()
+	writeOK(second, "two")
+	if code, body, _ := conn.readAnswer(); code != 200 || body != "two" {
+		t.Error(code, body)
+	}
+	runOnLoop(n, func() { n.endpoints[1].duplicatesUntil = 0 })
+	writeOK(second, "two again")
+	waitUntil(n, func() bool { return n.endpoints[1].duplicatesUntil > n.now() }) // it is known from now on
+	runOnLoop(n, func() { n.endpoints[1].duplicatesUntil = 0 })
+	_, _ = io.WriteString(conn, requestText("read", 9000))
+	third, _ := app.acceptRequest()
+	_, _ = io.WriteString(third, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nthreeHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	if code, body, _ := conn.readAnswer(); code != 200 || body != "three" {
+		t.Error(code, body)
+	}
+	waitUntil(n, func() bool { return n.endpoints[1].duplicatesUntil > n.now() }) // both at once tell the same
+}
+
+// What a host has sent unasked is not taken for the answer to the next request, also while it is on its way from the poller: the request
+// is on the connection before Run's goroutine hears of those bytes.
+func TestUnsolicitedAnswerIsDiscarded(t *testing.T) {
+	app := newManualBackend(t, 0)
+	n, addr := startNode(t, app.targets(), nil)
+	conn := dialNode(t, addr)
+	_, _ = io.WriteString(conn, requestText("read", 9000))
+	first, _ := app.acceptRequest()
+	writeOK(first, "one")
+	conn.readAnswer()
+	waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
+	busy, free := make(chan struct{}), make(chan struct{})
+	n.post(func() { close(busy); <-free })
+	<-busy
+	_, _ = io.WriteString(conn, requestText("once", 9000))
+	waitForPosted(n, 1) // the request, then the bytes
+	writeOK(first, "one again")
+	waitForPosted(n, 2)
+	close(free)
+	second, _ := app.acceptRequest()
+	writeOK(second, "two")
+	if code, body, _ := conn.readAnswer(); code != 200 || body != "two" {
+		t.Error(code, body)
+	}
+}
+
+// A connection that the host has just closed takes no request, though the poller has not seen that yet; and what has
+// only just answered rests while others will do. A request that crosses the close may have run, and one that must not
+// run twice would be lost.
+func TestClosingConnectionIsNotUsed(t *testing.T) {
+	app := newManualBackend(t, 0)
+	n, addr := startNode(t, app.targets(), nil)
+	conn := dialNode(t, addr)
+	_, _ = io.WriteString(conn, requestText("read", 9000))
+	peer, _ := app.acceptRequest()
+	writeOK(peer, "")
+	conn.readAnswer()
+	waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // so the poller does not run beside this
+	runOnLoop(n, func() {
+		b := n.endpoints[1].idleConns[0]
+		if !b.isOpenAndDrained() {
+			t.Error("an open connection is not clean")
+		}
+		now := n.now()
+		long, short, fresh := &backendConn{idleSince: now - 3*reuseDelay}, &backendConn{idleSince: now - 2*reuseDelay}, &backendConn{idleSince: now + reuseDelay}
+		h := &endpoint{}
+		for _, one := range []*backendConn{long, short, fresh} {
+			since := one.idleSince
+			one.conn, one.node, one.endpoint, one.lastAnswerAt = b.conn, n, h, one.idleSince
+			h.duplicatesUntil = noDeadline
+			n.setIdle(one, true)
+			one.idleSince = since
+		}
+		if n.takeIdleConn(h) != short || n.takeIdleConn(h) != long || n.takeIdleConn(h) != nil {
+			t.Error("the wrong connection is used")
+		}
+		h.waitingAttempts = []*attempt{{isHealthCheck: true, endpoint: h, request: &request{}}}
+		timers := len(n.timers)
+		if n.serveWaiting(h); len(n.timers) != timers+1 || len(h.waitingAttempts) != 1 {
+			t.Error("nobody looks again once the connection that one waits for has rested")
+		}
+		h.waitingAttempts = nil
+		if fresh.lastAnswerAt, fresh.idleSince = 0, now; n.takeIdleConn(h) != fresh {
+			t.Error("a new connection rests")
+		}
+		_ = peer.Close()
+		if b.isOpenAndDrained() {
+			t.Error("a closed connection is clean")
+		}
+	})
+}
+
+// Hosts that drop idle connections sooner than told cost one request each, until the node has seen how long is too
+// long; what breaks now and then, however short it was idle, teaches nothing.
+func TestShorterIdleTimeoutIsLearned(t *testing.T) {
+	a := newTestBackend(t, serve)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	conn := dialNode(t, addr)
+	conn.exchange(requestText("once", 9000))
+	waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
+	runOnLoop(n, func() {
+		for i := range 200 {
+			n.recordIdleOutcome(50_000, i%10 == 9)
+			n.recordIdleOutcome(2*reuseDelay, i%10 == 9)
+		}
+		if n.idleLimit() != n.settings.Keepalive/2 {
+			t.Errorf("limit %d after an odd break", n.idleLimit())
+		}
+		for range minIdleSamples {
+			n.recordIdleOutcome(150_000, true)
+		}
+		if got := n.idleLimit(); got > 150_000 || got < 100_000 {
+			t.Errorf("limit %d, after breaks at 150000", got)
+		}
+		n.endpoints[1].idleConns[0].idleSince -= 200_000
+	})
+	if code, _, _ := conn.exchange(requestText("once", 9000)); code != 200 || a.connectionCount() != 2 {
+		t.Errorf("%d on %d connections, want a new one", code, a.connectionCount())
+	}
+	runOnLoop(n, func() {
+		if n.learnedIdleLimitUntil -= observationLifetime; n.idleLimit() != n.settings.Keepalive/2 {
+			t.Error("never tried again")
+		}
+	})
+}
+
+// A host that speaks as its connection comes up, before Run's goroutine has heard of that: the connection closes, and its descriptor counts back
+// once. Counted back twice, the node would believe that it holds fewer than it does, until the system gives it no more.
+func TestBackendThatSendsFirst(t *testing.T) {
+	app := newManualBackend(t, 0)
+	n, addr := startNode(t, app.targets(), nil)
+	b := &backendConn{node: n}
+	runOnLoop(n, func() { // as dial does
+		b.endpoint, b.incarnation = n.endpoints[1], n.endpoints[1].incarnation
+		b.endpoint.pendingDials++
+		n.openDescriptors++
+	})
+	conn, err := netpoll.DialConnection("tcp", app.Addr().String(), time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := b.attach(conn); err != nil {
+		t.Fatal(err)
+	}
+	host, err := app.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = host.Close() }()
+	_, _ = io.WriteString(host, "HTTP/1.1 2")
+	waitUntil(n, func() bool { return b.closed })
+	runOnLoop(n, func() {
+		if n.dialFinished(b, nil); n.openDescriptors != 0 || b.endpoint.pendingDials != 0 {
+			t.Errorf("%d descriptors, %d connections on their way", n.openDescriptors, b.endpoint.pendingDials)
+		}
+	})
+	client := dialNode(t, addr)
+	_, _ = io.WriteString(client, requestText("read", 9000))
+	next, _ := app.acceptRequest()
+	writeOK(next, "served")
+	if code, body, _ := client.readAnswer(); code != 200 || body != "served" {
+		t.Errorf("the next request: %d %q", code, body)
+	}
+}
--- a/internal/node/retune.go
+++ b/internal/node/reconfigure.go
@@ -1,6 +1,8 @@
 package node
 
-import "tulipglade/internal/balancer"
+import (
+	"tulipglade/internal/balancer"
+)
 
 // Reconfigure takes up new settings, which must be sound: their Module is one that tulipglade.New takes. Requests that are
 // open, and what they lead to, keep the settings that they came under. What was learned of a class or a tenant lives on
@@ -65,14 +67,6 @@
 	n.log.Info("settings taken up", "classes", classNames, "attempts", settings.Balancer.MaxAttempts, "tenants", tenantNames)
 }
 
-// addDefaultTenant has all requests belong to a tenant without a name where the settings tell none apart. No tenant that has one goes on with what
-// that one has learned, nor the other way round.
-func (s *Settings) addDefaultTenant() {
-	if len(s.Tenants) == 0 {
-		s.Tenants, s.Balancer.Tenants = []string{""}, []balancer.Tenant{{QuotaFraction: 1}}
-	}
-}
-
 // assignNumbers gives each of the new names a number: its own where it stays, else one that nobody has, else a further one.
 // at tells, for each number, which of the new names has it, or -1; from whose learning it goes on with, by the old
 // numbers, or -1.
--- /dev/null
+++ b/internal/node/registry_test.go
@@ -0,0 +1,212 @@
+package node
+
+import (
+	"fmt"
+	"io"
+	"testing"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/google/go-cmp/cmp"
+
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/protocol"
+)
+
+// Rule 3: from the moment the node is told, a draining or gone host gets nothing new.
+func TestDrainingEndpointGetsNothing(t *testing.T) {
+	a, b := newTestBackend(t, serve), newTestBackend(t, serve)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", a), targetOf("b", b)}, nil)
+	conn := dialNode(t, addr)
+	for range 20 {
+		conn.exchange(requestText("read", 9000))
+	}
+	if a.requestCount.Load() == 0 || b.requestCount.Load() == 0 {
+		t.Fatalf("%d and %d requests: one host is out of use", a.requestCount.Load(), b.requestCount.Load())
+	}
+	for _, state := range []protocol.State{protocol.Terminating, protocol.Terminated} {
+		gone := targetOf("a", a)
+		gone.State = state
+		n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{gone}}, false)
+		before := a.requestCount.Load()
+		for range 20 {
+			if code, _, _ := conn.exchange(requestText("read", 9000)); code != 200 {
+				t.Fatal(code)
+			}
+		}
+		if a.requestCount.Load() != before {
+			t.Errorf("state %d: %d requests after the news", state, a.requestCount.Load()-before)
+		}
+	}
+}
+
+// Rule 4: the time of a host's start reaches the module, so a cold host is spared what a warm one gets.
+func TestWarmingEndpointGetsReducedLoad(t *testing.T) {
+	warm, cold := newTestBackend(t, serve), newTestBackend(t, serve)
+	c := targetOf("cold", cold)
+	c.BootMs = time.Now().UnixMilli()
+	_, addr := startNode(t, []protocol.Target{targetOf("warm", warm), c}, func(s *Settings) {
+		s.Balancer.SlowStartInitial, s.Balancer.SlowStartDuration, s.Balancer.OverloadFactor, s.Balancer.OverloadWindow = 0.1, 60_000_000, 3, 3_000_000
+	})
+	conn := dialNode(t, addr)
+	for range 100 {
+		if code, _, _ := conn.exchange(requestText("read", 9000)); code != 200 {
+			t.Fatal(code)
+		}
+	}
+	if cold.requestCount.Load() > 20 || warm.requestCount.Load()+cold.requestCount.Load() != 100 {
+		t.Errorf("cold host got %d, warm one %d of 100", cold.requestCount.Load(), warm.requestCount.Load())
+	}
+}
+
+// A long day replaces every host many times, at times at the address of one that has gone. Each is a host of its own,
+// and of those gone nothing stays.
+func TestRemovedEndpointsAreDeleted(t *testing.T) {
+	a := newTestBackend(t, serve)
+	n, addr := startNode(t, nil, nil)
+	conn := dialNode(t, addr)
+	for i := range 200 {
+		fresh := targetOf(fmt.Sprint("s-", i), a)
+		gone := targetOf(fmt.Sprint("s-", i-1), a)
+		gone.State = protocol.Terminated
+		n.UpdateEndpoints(protocol.List{Rev: int64(i + 1), Targets: []protocol.Target{fresh, gone}}, false)
+		if code, _, _ := conn.exchange(requestText("once", 9000)); code != 200 {
+			t.Fatal(code)
+		}
+	}
+	if got := a.connectionCount(); got != 200 {
+		t.Errorf("%d connections for 200 hosts at one address", got)
+	}
+	runOnLoop(n, func() {
+		n.deleteExpiredEndpoints()
+		if len(n.endpoints) != 200 {
+			t.Errorf("%d hosts: an old list may still name those gone", len(n.endpoints))
+		}
+		for _, h := range n.endpoints {
+			h.removedAt -= min(h.removedAt, endpointRetention)
+		}
+		n.deleteExpiredEndpoints()
+		if len(n.endpoints) != 1 || len(n.endpointsByUID) != 1 || n.idleBackends.Len() > 1 {
+			t.Errorf("%d hosts, %d by name, %d connections", len(n.endpoints), len(n.endpointsByUID), n.idleBackends.Len())
+		}
+	})
+}
+
+// A discovery that has just taken over may be behind. What it tells then adds hosts and tells of drains, but brings
+// back nothing that is known to have gone on since, and does not take away what it does not know of yet.
+func TestOutdatedListDoesNotRestoreEndpoints(t *testing.T) {
+	a := newTestBackend(t, serve)
+	entry := func(uid string, state protocol.State, boot int64) protocol.Target {
+		e := targetOf(uid, a)
+		e.State, e.BootMs = state, boot
+		return e
+	}
+	n, _ := startNode(t, nil, nil)
+	runOnLoop(n, func() {
+		n.applyEndpointList(protocol.List{Rev: 10, All: true, Targets: []protocol.Target{entry("kept", 0, 5), entry("gone", 0, 5),
+			entry("drains", protocol.Terminating, 5), entry("leaves", 0, 5), entry("unknown", 0, 5)}}, balancer.ListFull)
+		n.applyEndpointList(protocol.List{Rev: 11, Targets: []protocol.Target{entry("gone", protocol.Terminated, 5)}}, balancer.ListDelta)
+		got, kind := n.applyEndpointList(protocol.List{Rev: 9, All: true, Targets: []protocol.Target{entry("kept", protocol.Terminated, 4),
+			entry("gone", 0, 5), entry("drains", 0, 5), entry("leaves", protocol.Terminating, 5), entry("new", 0, 6)}}, balancer.ListFull)
+		want := []balancer.Endpoint{{ID: 4, StableKey: xxhash.Sum64String("leaves"), Phase: balancer.PhaseDraining, Weight: 1, StartedAt: 5000},
+			{ID: 6, StableKey: xxhash.Sum64String("new"), Phase: balancer.PhaseReady, Weight: 1, StartedAt: 6000}}
+		if diff := cmp.Diff(want, got); diff != "" || kind != balancer.ListDelta {
+			t.Errorf("kind %d\n%s", kind, diff)
+		}
+		n.endpointsByUID["gone"].removedAt = n.now() - endpointRetention // long ago
+		if n.deleteExpiredEndpoints(); n.endpointsByUID["gone"] != nil {
+			t.Error("not forgotten")
+		}
+		if got, _ = n.applyEndpointList(protocol.List{Rev: 9, Targets: []protocol.Target{entry("gone", 0, 5)}}, balancer.ListDelta); len(got) != 0 {
+			t.Errorf("brought back after it had been forgotten: %v", got)
+		}
+		if got, kind = n.applyEndpointList(protocol.List{Rev: 12, All: true, Targets: []protocol.Target{entry("gone", 0, 5)}}, balancer.ListFull); len(got) != 1 ||
+			got[0].Phase != balancer.PhaseReady || kind != balancer.ListFull {
+			t.Errorf("a new list: %v, kind %d", got, kind)
+		}
+	})
+}
+
+// A connection that carries an attempt as its host drains closes after that: it will not be needed again.
+func TestDrainingEndpointConnectionClosesAfterAnswer(t *testing.T) {
+	a, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	conn := dialNode(t, addr)
+	_, _ = io.WriteString(conn, requestText("once", 9000))
+	<-arrived
+	e := targetOf("a", a)
+	e.State = protocol.Terminating
+	n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{e}}, false)
+	runOnLoop(n, func() {})
+	close(release)
+	if code, _, _ := conn.readAnswer(); code != 200 {
+		t.Error(code)
+	}
+	waitUntil(n, func() bool { return n.openDescriptors == 1 || n.idleBackends.Len() > 0 })
+	runOnLoop(n, func() {
+		if n.idleBackends.Len() > 0 {
+			t.Error("the connection is kept")
+		}
+	})
+}
+
+// A host that has started anew is new to the pool: a connection to its earlier life would end as a reset.
+func TestRestartedEndpointGetsNewConnections(t *testing.T) {
+	a := newTestBackend(t, serve)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	conn := dialNode(t, addr)
+	conn.exchange(requestText("read", 9000))
+	anew := targetOf("a", a)
+	anew.BootMs = 1000
+	n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{anew}}, false)
+	conn.exchange(requestText("read", 9000))
+	if got := a.connectionCount(); got != 2 {
+		t.Errorf("%d connections, want 2", got)
+	}
+}
+
+// 1,024 hosts are listed, used, replaced all at once and retuned, by a node that has descriptors for half as many.
+func TestManyEndpoints(t *testing.T) {
+	const many = 1024
+	a := newTestBackend(t, serve)
+	list := func(of string, state protocol.State) (l []protocol.Target) {
+		for i := range many {
+			one := targetOf(fmt.Sprint(of, i), a)
+			one.State = state
+			l = append(l, one)
+		}
+		return l
+	}
+	n, addr := startNode(t, list("old", protocol.InService), func(s *Settings) { s.MaxDescriptors, s.Balancer.PeerCount, s.Balancer.PeerIndex = 512, many, many-1 })
+	conn := dialNode(t, addr)
+	ask := func() {
+		t.Helper()
+		for range 100 {
+			if code, _, _ := conn.exchange(requestText("read", 9000)); code != 200 {
+				t.Fatal(code)
+			}
+		}
+	}
+	ask()
+	n.UpdateEndpoints(protocol.List{Rev: 2, Targets: append(list("new", protocol.InService), list("old", protocol.Terminating)...)}, false)
+	n.UpdateEndpoints(protocol.List{Rev: 3, Targets: list("old", protocol.Terminated)}, false)
+	ask()
+	runOnLoop(n, func() {
+		left := 0
+		for _, h := range n.endpoints {
+			if h.removedAt == 0 {
+				left++
+			}
+			if h.removedAt > 0 && len(h.idleConns)+len(h.waitingAttempts)+h.pendingDials > 0 {
+				t.Errorf("host %d is gone and has connections", h.id)
+			}
+		}
+		if left != many {
+			t.Errorf("%d hosts listed", left)
+		}
+	})
+	again := *n.settings
+	again.Balancer.MaxAttempts = 2
+	n.Reconfigure(again)
+	ask()
+}
--- /dev/null
+++ b/internal/node/shutdown_test.go
@@ -0,0 +1,361 @@
+package node
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"testing"
+
+	"golang.org/x/sys/unix"
+
+	"tulipglade/internal/protocol"
+)
+
+// A connection whose answer is still on its way as the drain begins closes behind that answer: a request that
+// came on it later would be lost at the end of the process.
+func TestDrainDuringAnAnswer(t *testing.T) {
+	n, addr := startNode(t, nil, nil)
+	conn := dialNode(t, addr)
+	waitUntil(n, func() bool { return len(n.clients) == 1 })
+	done := make(chan struct{})
+	n.post(func() {
+		for c := range n.clients {
+			c.setIdle(false)
+			c.reply(nil, 200, nil, nil, 0)
+		}
+		n.Drain(0, func() { close(done) })
+	})
+	if code, _, closing := conn.readAnswer(); code != 200 || closing {
+		t.Errorf("%d, closing %v", code, closing)
+	}
+	if _, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("behind the answer: %v", err)
+	}
+	<-done
+}
+
+// At a stop: not ready any more, idle connections close after a while, and until then serve a request more; new ones
+// are served, all that was taken is answered.
+func TestDrain(t *testing.T) {
+	a, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	idle, used, busy := dialNode(t, addr), dialNode(t, addr), dialNode(t, addr)
+	for _, c := range []*testClient{idle, used} {
+		if code, _, _ := c.exchange(readyRequest); code != 200 {
+			t.Fatalf("ready: %d", code)
+		}
+	}
+	_, _ = io.WriteString(busy, requestText("once", 9000))
+	<-arrived
+	done := make(chan struct{})
+	n.Drain(0, func() { close(done) })
+	if code, _, closing := dialNode(t, addr).exchange(readyRequest); code != 503 || !closing {
+		t.Errorf("ready while draining: %d, closing %v", code, closing)
+	}
+	late := dialNode(t, addr)
+	for _, c := range []*testClient{late, used} {
+		_, _ = io.WriteString(c, requestText("once", 9000))
+		<-arrived
+	}
+	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("idle connection: %v", err)
+	}
+	select {
+	case <-done:
+		t.Error("done with requests unanswered")
+	default:
+	}
+	close(release)
+	for _, c := range []*testClient{busy, late, used} {
+		if code, _, closing := c.readAnswer(); code != 200 || !closing {
+			t.Errorf("taken before the end: %d, closing %v", code, closing)
+		}
+	}
+	<-done
+}
+
+// A stop waits a little for a request that is still coming in: turned back, its client would have to send it again.
+func TestDrainWaitsForPartialRequest(t *testing.T) {
+	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve))}, nil)
+	conn := dialNode(t, addr)
+	request := requestText("once", 9000)
+	_, _ = io.WriteString(conn, request[:30])
+	waitUntil(n, func() bool { return n.hasIncomingRequest() })
+	done := make(chan struct{})
+	n.Drain(0, func() { close(done) })
+	advanceDrain(n, idleCloseDelay)
+	if code, _, closing := conn.exchange(request[30:]); code != 200 || !closing {
+		t.Errorf("%d, closing %v", code, closing)
+	}
+	<-done
+}
+
+// A process that ends resets what its clients have not read: it waits for that, and for no client that never reads.
+func TestDrainWaitsUntilLastAnswersAreRead(t *testing.T) {
+	n, addr := startNode(t, newTestBackend(t, serve).targets(), nil)
+	conn := dialNode(t, addr)
+	conn.exchange(readyRequest)
+	waitUntil(n, func() bool { return n.idleClients.Len() == 1 }) // the answer may overtake the writer's word
+	ended := make(chan struct{})
+	runOnLoop(n, func() {
+		n.startDraining("draining")
+		n.idleClients.Front().Value.(*clientConn).closeGracefully(closeDraining)
+		n.drain.answersDueBy = n.now() + 3_600_000_000
+		n.drain.onDrained = func() { close(ended) }
+		n.checkDrained()
+		if n.drain.onDrained == nil {
+			t.Error("a connection that was shut is not waited for")
+		}
+	})
+	_ = conn.Close()
+	<-ended // once it is gone
+	runOnLoop(n, func() {
+		if n.lingeringClients.Len() > 0 {
+			t.Error("ended before")
+		}
+	})
+}
+
+// A connection that is shut after a large request whose answer came early is back with the poller by then: what comes behind is read and
+// dropped there, too.
+func TestEarlyAnsweredUploadIsClosedGracefully(t *testing.T) {
+	body := randomBody(1, 4<<20)
+	a := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("X-Never-Ran", "1")
+		w.WriteHeader(503)
+	})
+	n, addr := startNode(t, a.targets(), nil)
+	conn := dialNode(t, addr)
+	_, _ = io.WriteString(conn, postRequest("once", "Content-Length: "+strconv.Itoa(len(body))))
+	_, _ = conn.Write(body[:3<<20])
+	if code, _, _ := conn.readAnswer(); code != 503 {
+		t.Fatal(code)
+	}
+	_, _ = conn.Write(body[3<<20:])
+	waitUntil(n, func() bool { return n.lingeringClients.Len() == 1 || len(n.clients) == 0 })
+	_, _ = io.WriteString(conn, requestText("once", 9000))
+	dropped := 0
+	waitUntil(n, func() bool {
+		for c := range n.clients {
+			dropped = c.discardedBytes
+		}
+		return dropped > 0 || len(n.clients) == 0
+	})
+	if dropped == 0 {
+		t.Error("closed in one step")
+	}
+	if b, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("read %q, %v, want the end", b, err)
+	}
+}
+
+// The end of a process is told to every client before it comes: to one that has asked nothing yet, to one that has sent a part of a request, to
+// one that comes in that moment. None of them is reset, and nothing that crosses this is taken.
+func TestDrainClosesEveryConnection(t *testing.T) {
+	app := newTestBackend(t, serve)
+	n, addr := startNode(t, app.targets(), nil)
+	silent, part := dialNode(t, addr), dialNode(t, addr)
+	_, _ = io.WriteString(part, requestText("once", 9000)[:30])
+	waitUntil(n, func() bool { return len(n.clients) == 2 && n.hasIncomingRequest() })
+	ended := make(chan struct{})
+	n.Drain(0, func() { close(ended) })
+	advanceDrain(n, idleCloseDelay)
+	runOnLoop(n, func() {
+		for c := range n.clients { // they have come long ago
+			c.requestStartedAt -= idleCloseDelay
+		}
+		n.drain.partialRequestsUntil, n.drain.answersDueBy = 0, n.now()+3_600_000_000
+	})
+	waitUntil(n, func() bool { return n.drain.closingAll })
+	runOnLoop(n, func() { n.drain.generation++ }) // nothing that is looked at now and then comes to the help
+	late := dialNode(t, addr)
+	for name, conn := range map[string]*testClient{"silent": silent, "part of a request": part, "late": late} {
+		if b, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
+			t.Fatalf("%s: read %q, %v, want the end", name, b, err)
+		}
+		_, _ = io.WriteString(conn, requestText("once", 9000))
+	}
+	waitUntil(n, func() bool {
+		for c := range n.clients {
+			if c.discardedBytes == 0 && n.drain.onDrained != nil {
+				return false
+			}
+		}
+		return len(n.clients) == 3 || n.drain.onDrained == nil
+	})
+	runOnLoop(n, func() {
+		if n.openRequests > 0 || app.requestCount.Load() > 0 || n.drain.onDrained == nil {
+			t.Errorf("%d requests taken, ended %v, with %d connections", n.openRequests, n.drain.onDrained == nil, len(n.clients))
+		}
+	})
+	for _, conn := range []*testClient{silent, part, late} {
+		_ = conn.Close()
+	}
+	<-ended
+}
+
+// How long a stop may take follows from the longest deadline there is, 3 s at most: 0.7 s after that the process may be killed.
+func TestDrainEndsBeforeKillDeadline(t *testing.T) {
+	for name, test := range map[string]struct{ deadline, killed int64 }{
+		"short deadlines": {390_000, 1_090_000},
+		"long deadlines":  {10_000_000, 3_700_000},
+	} {
+		t.Run(name, func(t *testing.T) {
+			n, _ := startNode(t, nil, func(s *Settings) {
+				for i := range s.Balancer.Classes {
+					s.Balancer.Classes[i].Deadline, s.Balancer.Classes[i].LatencyObjective = test.deadline, test.deadline
+				}
+			})
+			ended := make(chan struct{})
+			n.Drain(0, func() { close(ended) })
+			runOnLoop(n, func() {
+				if end, partly := n.drain.answersDueBy-n.drain.stopRequestedAt, n.drain.partialRequestsUntil-n.drain.stopRequestedAt; end != test.killed-finalAnswerMargin || partly > test.killed-partialRequestMargin {
+					t.Errorf("ends %d us after the word, waits %d us for what comes in", end, partly)
+				}
+			})
+			<-ended
+		})
+	}
+}
+
+// A request that comes long after the word to end, on a connection that stayed open, has its answer before the process can be killed, whatever
+// its client and its host would grant: who came in the first 0.7 s may be cut off, no other.
+func TestRequestLateInDrainIsAnsweredInTime(t *testing.T) {
+	for name, after := range map[string]int64{"late": killGrace, "in time": 0} {
+		t.Run(name, func(t *testing.T) {
+			app := newManualBackend(t, 0)
+			n, addr := startNode(t, app.targets(), nil)
+			conn := dialNode(t, addr)
+			request := requestText("read", 9000)
+			_, _ = io.WriteString(conn, request[:30])
+			waitUntil(n, func() bool { return n.hasIncomingRequest() })
+			ended := make(chan struct{})
+			n.Drain(0, func() { close(ended) })
+			runOnLoop(n, func() { n.drain.stopRequestedAt, n.drain.answersDueBy = n.now()-after, n.now()+2_000_000 })
+			_, _ = io.WriteString(conn, request[30:])
+			host, _ := app.acceptRequest()
+			runOnLoop(n, func() {
+				for _, r := range n.requests {
+					if capped := r.deadline == n.drain.answersDueBy; capped != (after > 0) {
+						t.Errorf("has until %d us from the end", r.deadline-n.drain.answersDueBy)
+					}
+				}
+			})
+			if after == 0 {
+				writeOK(host, "served")
+			} // else the host never answers
+			if code, _, closing := conn.readAnswer(); (code == 200) != (after == 0) || !closing {
+				t.Errorf("%d, closing %v", code, closing)
+			}
+			<-ended
+		})
+	}
+}
+
+// News that comes while the process stops is taken up: a request that was held as the word to end came is placed on a list that comes behind it,
+// and keeps the rules that it came under, whatever settings come in between.
+func TestDrainAppliesUpdates(t *testing.T) {
+	app := newTestBackend(t, serve)
+	n, addr := startNode(t, nil, nil)
+	conn := dialNode(t, addr)
+	_, _ = io.WriteString(conn, requestText("once", 9000))
+	waitUntil(n, func() bool { return len(n.requests) == 1 })
+	ended := make(chan struct{})
+	n.Drain(0, func() { close(ended) })
+	reconfigureNode(n, func(s *Settings) { s.Classes, s.Balancer.Classes = s.Classes[:1], s.Balancer.Classes[:1] }) // its class is no more
+	n.UpdateEndpoints(protocol.List{Rev: 1, All: true, Targets: app.targets()}, false)
+	if code, body, closing := conn.readAnswer(); code != 200 || body != "body of /once" || !closing {
+		t.Errorf("%d %q, closing %v", code, body, closing)
+	}
+	<-ended
+}
+
+// A stop waits for whoever has come just now, and is about to ask, and for a large request whose answer came early: ended in that moment, the one
+// would not be heard, and the other's answer be reset.
+func TestDrainWaitsForNewConnection(t *testing.T) {
+	n, addr := startNode(t, newTestBackend(t, serve).targets(), nil)
+	conn := dialNode(t, addr)
+	waitUntil(n, func() bool {
+		for c := range n.clients {
+			c.requestStartedAt = n.now() + 3_600_000_000 // it stays one that has just come
+		}
+		return len(n.clients) == 1
+	})
+	ended := make(chan struct{})
+	n.Drain(0, func() { close(ended) })
+	advanceDrain(n, idleCloseDelay)
+	waitUntil(n, func() bool { return n.drain.onDrained != nil })
+	runOnLoop(n, func() {
+		if n.checkDrained(); n.drain.closingAll {
+			t.Error("does not wait")
+		}
+	})
+	if code, _, closing := conn.exchange(requestText("read", 9000)); code != 200 || !closing {
+		t.Errorf("%d, closing %v", code, closing)
+	}
+	<-ended
+}
+
+// A client that connects as a stop ends, and has asked before its connection could be shut, is refused: to drop what it sent would lose it.
+func TestRequestAtEndOfDrainIsRejected(t *testing.T) {
+	n, addr := startNode(t, newTestBackend(t, serve).targets(), nil)
+	ended := make(chan struct{})
+	var conn *testClient
+	ending := false
+	runOnLoop(n, func() { // the loop is at work as the client comes and asks
+		n.startDraining("draining")
+		n.drain.stopping, n.drain.closingAll = true, true
+		n.drain.onDrained, n.drain.answersDueBy = func() { close(ended) }, n.now()+3_600_000_000
+		conn = dialNode(t, addr)
+		_, _ = io.WriteString(conn, requestText("once", 9000))
+		raw, err := conn.Conn.(*net.TCPConn).SyscallConn()
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		for unsent := 1; unsent > 0; { // until the node's system has it
+			_ = raw.Control(func(fd uintptr) { unsent, _ = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
+		}
+		ending = true
+	})
+	if code, _, closing := conn.readAnswer(); !ending || code != 503 || !closing {
+		t.Errorf("%d, closing %v", code, closing)
+	}
+	_ = conn.Close()
+	<-ended
+}
+
+func TestDrainWaitsForEarlyAnsweredUpload(t *testing.T) {
+	body := randomBody(1, 4<<20)
+	a := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("X-Never-Ran", "1")
+		w.WriteHeader(503)
+	})
+	n, addr := startNode(t, a.targets(), nil)
+	conn := dialNode(t, addr)
+	_, _ = io.WriteString(conn, postRequest("once", "Content-Length: "+strconv.Itoa(len(body))))
+	_, _ = conn.Write(body[:3<<20])
+	if code, _, _ := conn.readAnswer(); code != 503 {
+		t.Fatal(code)
+	}
+	waitUntil(n, func() bool { return n.openRequests == 0 && n.answersInProgress == 0 })
+	ended := make(chan struct{})
+	n.Drain(0, func() { close(ended) })
+	advanceDrain(n, idleCloseDelay)
+	waitUntil(n, func() bool { return n.drain.onDrained != nil })
+	runOnLoop(n, func() {
+		if n.checkDrained(); n.drain.closingAll {
+			t.Error("does not wait")
+		}
+		n.drain.partialRequestsUntil = 0 // not for ever; and what is on its way through a descriptor of its own is not shut under it
+		n.checkDrained()
+		for c := range n.clients {
+			if c.lingering {
+				t.Error("shut while its request comes in")
+			}
+		}
+	})
+	<-ended
+}
--- /dev/null
+++ b/internal/node/sizehint_test.go
@@ -0,0 +1,30 @@
+package node
+
+import (
+	"fmt"
+	"testing"
+
+	"tulipglade/internal/protocol"
+)
+
+// A guess at the work reaches the module; one that makes no sense is none, and the request is served.
+func TestSizeHint(t *testing.T) {
+	a := newTestBackend(t, serve)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	m := recordModule(n)
+	conn := dialNode(t, addr)
+	for text, want := range map[string]int64{"X-Size-Hint: 48211\r\n": 48211, "": 0, "X-Size-Hint: 0\r\n": 0, "X-Size-Hint: -5\r\n": 0,
+		"X-Size-Hint: much\r\n": 0, "X-Size-Hint: 1e9\r\n": 0, "X-Size-Hint: 99999999999999999999\r\n": 0} {
+		code, _, _ := conn.exchange(requestWithField(text))
+		if got := receiveNext(t, m.requests); code != 200 || got.CostHint != want {
+			t.Errorf("%q: answer %d, hint %d, want %d", text, code, got.CostHint, want)
+		}
+	}
+}
+
+var hintedRequests int
+
+func requestWithField(field string) string {
+	hintedRequests++
+	return fmt.Sprintf("GET /read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: hint%d\r\nX-Customer: t\r\n%s\r\n", hintedRequests, field)
+}
--- /dev/null
+++ b/internal/node/testbackend_test.go
@@ -0,0 +1,150 @@
+package node
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"tulipglade/internal/protocol"
+)
+
+// testBackend is a backend that behaves as a test says, and counts.
+type testBackend struct {
+	*httptest.Server
+	requestCount    atomic.Int32
+	remoteAddresses sync.Map // remote addresses
+}
+
+func newTestBackend(t *testing.T, h http.HandlerFunc) *testBackend {
+	a := &testBackend{}
+	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		a.requestCount.Add(1)
+		a.remoteAddresses.Store(r.RemoteAddr, true)
+		h(w, r)
+	}))
+	t.Cleanup(func() {
+		a.CloseClientConnections()
+		a.Close()
+	})
+	return a
+}
+
+func (a *testBackend) connectionCount() (n int) {
+	a.remoteAddresses.Range(func(any, any) bool { n++; return true })
+	return n
+}
+
+func (a *testBackend) targets() []protocol.Target { return []protocol.Target{targetOf("a", a)} }
+
+func targetOf(uid string, a *testBackend) protocol.Target {
+	return protocol.Target{UID: uid, Endpoint: a.Listener.Addr().String(), Zone: "z", Weight: 1}
+}
+
+func serve(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "body of "+r.URL.Path) }
+
+// resetAfter ends the connection, after some bytes of an answer.
+func resetAfter(answer string) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) {
+		conn, _, _ := w.(http.Hijacker).Hijack()
+		_, _ = io.WriteString(conn, answer)
+		if answer == "" {
+			_ = conn.(*net.TCPConn).SetLinger(0)
+		}
+		_ = conn.Close()
+	}
+}
+
+// resetOnceRead sends some bytes of an answer, and resets the connection once the node has them.
+func resetOnceRead(answer string) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) {
+		conn, _, _ := w.(http.Hijacker).Hijack()
+		_, _ = io.WriteString(conn, answer)
+		raw, _ := conn.(*net.TCPConn).SyscallConn()
+		for unread := 1; unread > 0; {
+			_ = raw.Control(func(fd uintptr) { unread, _ = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
+		}
+		time.Sleep(10 * time.Millisecond) // acknowledged is not read; but a node that misses it has no answer either
+		_ = conn.(*net.TCPConn).SetLinger(0)
+		_ = conn.Close()
+	}
+}
+
+// sendGarbage sends what is no answer, and leaves the connection open.
+func sendGarbage(answer string) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) {
+		conn, _, _ := w.(http.Hijacker).Hijack()
+		_, _ = io.WriteString(conn, answer)
+		go func() { // until the node closes it
+			_, _ = io.Copy(io.Discard, conn)
+			_ = conn.Close()
+		}()
+	}
+}
+
+func respondWith(code int, fields ...string) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) {
+		for i := 0; i+1 < len(fields); i += 2 {
+			w.Header().Set(fields[i], fields[i+1])
+		}
+		w.WriteHeader(code)
+	}
+}
+
+// neverAnswer answers nothing until the node gives up, and tells gone of that.
+func neverAnswer(gone chan<- struct{}) http.HandlerFunc {
+	return func(_ http.ResponseWriter, r *http.Request) {
+		<-r.Context().Done()
+		if gone != nil {
+			gone <- struct{}{}
+		}
+	}
+}
+
+// handleFirst answers the first request as told, and serves the others.
+func handleFirst(h http.HandlerFunc) (http.HandlerFunc, *atomic.Int32) {
+	var seen atomic.Int32
+	return func(w http.ResponseWriter, r *http.Request) {
+		if seen.Add(1) == 1 {
+			h(w, r)
+			return
+		}
+		serve(w, r)
+	}, &seen
+}
+
+// newBlockedBackend is an app that tells of each arrival and serves none before release is closed.
+func newBlockedBackend(t *testing.T) (a *testBackend, arrived <-chan struct{}, release chan struct{}) {
+	in, release := make(chan struct{}), make(chan struct{})
+	return newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		in <- struct{}{}
+		<-release
+		serve(w, r)
+	}), in, release
+}
+
+// newGatedBackend is a backend that answers nobody until it is released.
+func newGatedBackend(t *testing.T) (a *testBackend, arrived chan bool, release chan bool) {
+	arrived, release = make(chan bool, 10), make(chan bool)
+	return newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		arrived <- true
+		<-release
+		serve(w, r)
+	}), arrived, release
+}
+
+// echo answers with the body that came.
+func echo(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return
+	}
+	_, _ = w.Write(body)
+}
--- /dev/null
+++ b/internal/node/testclient_test.go
@@ -0,0 +1,120 @@
+package node
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// testClient is a client's connection.
+type testClient struct {
+	t *testing.T
+	net.Conn
+	reader *bufio.Reader
+}
+
+func dialNode(t *testing.T, addr string) *testClient {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(20 * time.Second)) // no test waits so long; a hang must not last
+	return &testClient{t, conn, bufio.NewReader(conn)}
+}
+
+// lastTraceID numbers the ids: each request has a new one.
+var lastTraceID atomic.Int64
+
+func requestText(class string, ms int) string {
+	body, key := "", ""
+	method := "GET"
+	if class != "read" {
+		method, body = "POST", "Content-Length: 2\r\n\r\nhi"
+	}
+	if class == "keyed" {
+		key = "Idempotency-Key: k1\r\n"
+	}
+	return fmt.Sprintf("%s /%s?obj=1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: id%d\r\nX-Qos: %s\r\nX-Customer: t\r\nX-Expires-In-Ms: %d\r\n%s%s",
+		method, class, lastTraceID.Add(1), class, ms, key, map[bool]string{true: "\r\n", false: body}[body == ""])
+}
+
+// readAnswer reads one answer.
+func (c *testClient) readAnswer() (code int, body string, closing bool) {
+	c.t.Helper()
+	resp, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	b, err := io.ReadAll(resp.Body)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return resp.StatusCode, string(b), resp.Close
+}
+
+func (c *testClient) exchange(request string) (int, string, bool) {
+	c.t.Helper()
+	if _, err := io.WriteString(c, request); err != nil {
+		c.t.Fatal(err)
+	}
+	return c.readAnswer()
+}
+
+const readyRequest = "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n"
+
+// dialWithSmallBuffer is a client that takes in little before it reads.
+func dialWithSmallBuffer(t *testing.T, addr string) *net.TCPConn {
+	t.Helper()
+	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
+		return raw.Control(func(fd uintptr) {
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
+		})
+	}}
+	conn, err := d.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
+	return conn.(*net.TCPConn)
+}
+
+// postRequest is the head of a request with a body in it.
+func postRequest(class string, framing string, more ...string) string {
+	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Trace-Id: id%d\r\nX-Customer: t\r\nX-Expires-In-Ms: 9000\r\n%s\r\n%s\r\n",
+		class, lastTraceID.Add(1), framing, strings.Join(more, ""))
+}
+
+// chunkedBody puts a body into chunks of some size, with an extension and a trailer.
+func chunkedBody(body []byte, size int) []byte {
+	var out []byte
+	for len(body) > 0 {
+		k := min(size, len(body))
+		out = append(append(fmt.Appendf(out, "%x;n=1\r\n", k), body[:k]...), "\r\n"...)
+		body = body[k:]
+	}
+	return append(out, "0\r\nT: 1\r\n\r\n"...)
+}
+
+// noise is what bodies are made of: of a length, and the same for the same seed.
+func randomBody(seed uint64, length int) []byte {
+	p := make([]byte, length)
+	r := rand.New(rand.NewPCG(seed, 1))
+	for i := 0; i+8 <= length; i += 8 {
+		v := r.Uint64()
+		for k := range 8 {
+			p[i+k] = byte(v >> (8 * k))
+		}
+	}
+	return p
+}
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -5,7 +5,6 @@
 	"errors"
 	"math"
 	"os"
-	"slices"
 
 	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
@@ -223,25 +222,6 @@
 	return true
 }
 
-// maxForwarders is how many large messages may pass through at once: a quarter of the memory is for them.
-func (n *Node) maxForwarders() int {
-	if n.settings.MemoryLimit <= 0 {
-		return math.MaxInt
-	}
-	limit := int(n.settings.MemoryLimit / 4 / forwarderMemory)
-	return max(limit/max(n.processCount, 1), 4)
-}
-
-// forwarderFinished lets the next one go on that waits for room.
-func (n *Node) forwarderFinished() {
-	n.activeForwarders--
-	for len(n.queuedForwarders) > 0 && n.activeForwarders < n.maxForwarders() {
-		next := n.queuedForwarders[0]
-		n.queuedForwarders = slices.Delete(n.queuedForwarders, 0, 1)
-		next()
-	}
-}
-
 // discardAfterEarlyAnswer is where an answer has been given while the request was still coming in.
 func (c *clientConn) discardAfterEarlyAnswer() {
 	if !c.upload.forwarding {
