--- /dev/null
+++ b/internal/node/reconfigure_test.go
@@ -0,0 +1,188 @@
+package node
+
+import (
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/protocol"
+)
+
+// A ride-start that is out as its class is dropped, and added again as one that may be repeated, is not sent again; a new
+// one is. Its number comes free only with its last request.
+func TestClassChangeWithOpenRequests(t *testing.T) {
+	arrived, release := make(chan struct{}), make(chan struct{})
+	h, seen := handleFirst(func(w http.ResponseWriter, r *http.Request) {
+		arrived <- struct{}{}
+		<-release
+		resetAfter("")(w, r)
+	})
+	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, h)), targetOf("b", newTestBackend(t, h))}, nil)
+	old := dialNode(t, addr)
+	_, _ = io.WriteString(old, requestText("once", 9000))
+	<-arrived
+	drop := func(s *Settings) {
+		s.Classes = append(s.Classes[:1:1], s.Classes[2:]...)
+		s.Balancer.Classes = append(s.Balancer.Classes[:1:1], s.Balancer.Classes[2:]...)
+	}
+	reconfigureNode(n, drop)
+	if code, _, closing := dialNode(t, addr).exchange(requestText("once", 9000)); code != 400 || !closing {
+		t.Errorf("a class that was dropped: %d, closing %v", code, closing)
+	}
+	add := func(s *Settings) {
+		s.Classes = append(s.Classes, "once")
+		s.Balancer.Classes = append(s.Balancer.Classes, balancer.Class{LatencyObjective: 10_000_000, Deadline: 10_000_000})
+	}
+	reconfigureNode(n, add)
+	waitUntil(n, func() bool {
+		if diff := cmp.Diff([]string{"read", "once", "keyed", "once"}, n.settings.Classes); diff != "" || n.classIndex["once"] != 3 {
+			t.Error(diff, n.classIndex)
+		}
+		return true
+	})
+	close(release)
+	if code, _, _ := old.readAnswer(); code != 502 || seen.Load() != 1 {
+		t.Errorf("under the old rules: %d after %d attempts", code, seen.Load())
+	}
+	seen.Store(0) // the next one meets a reset as well
+	go func() { <-arrived }()
+	if code, _, _ := dialNode(t, addr).exchange(requestText("once", 9000)); code != 200 || seen.Load() != 2 {
+		t.Errorf("under the new rules: %d after %d attempts", code, seen.Load())
+	}
+	waitUntil(n, func() bool { return len(n.requests) == 0 })
+	reconfigureNode(n, func(s *Settings) {})
+	waitUntil(n, func() bool {
+		if diff := cmp.Diff([]string{"read", "once", "keyed", "once"}, n.settings.Classes); diff != "" {
+			t.Error(diff)
+		}
+		return true
+	})
+	reconfigureNode(n, drop)
+	waitUntil(n, func() bool {
+		if len(n.settings.Classes) != 3 {
+			t.Errorf("numbers are kept for nobody: %v", n.settings.Classes)
+		}
+		return true
+	})
+}
+
+// Attempts reduced below what an open request has used do not end it, and new requests have the new number.
+func TestReducedMaxAttempts(t *testing.T) {
+	var seen atomic.Int32
+	arrived, release := make(chan struct{}), make(chan struct{})
+	h := func(w http.ResponseWriter, r *http.Request) {
+		switch seen.Add(1) {
+		case 2:
+			arrived <- struct{}{}
+			<-release
+			respondWith(500)(w, r)
+		case 3:
+			serve(w, r)
+		default:
+			respondWith(500)(w, r)
+		}
+	}
+	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, h)), targetOf("b", newTestBackend(t, h)), targetOf("c", newTestBackend(t, h))}, nil)
+	old := dialNode(t, addr)
+	_, _ = io.WriteString(old, requestText("read", 9000))
+	<-arrived
+	reconfigureNode(n, func(s *Settings) { s.Balancer.MaxAttempts = 1 })
+	close(release)
+	if code, _, _ := old.readAnswer(); code != 200 || seen.Load() != 3 {
+		t.Errorf("by the old number: %d after %d attempts", code, seen.Load())
+	}
+	if code, _, _ := dialNode(t, addr).exchange(requestText("read", 9000)); code != 503 || seen.Load() != 4 {
+		t.Errorf("by the new one: %d after %d attempts", code, seen.Load()-3)
+	}
+}
+
+// Settings that change again and again under load: each request is answered, and the table of classes does not grow.
+func TestReconfigureUnderLoad(t *testing.T) {
+	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve)), targetOf("b", newTestBackend(t, serve))}, nil)
+	stop := make(chan struct{})
+	var wait sync.WaitGroup
+	var served atomic.Int64
+	for _, class := range []string{"read", "once", "read", "keyed"} {
+		wait.Add(1)
+		c := dialNode(t, addr)
+		go func() {
+			defer wait.Done()
+			for {
+				select {
+				case <-stop:
+					return
+				default:
+				}
+				if _, err := io.WriteString(c, requestText(class, 9000)); err != nil {
+					t.Error(err)
+					return
+				}
+				if code, _, _ := c.readAnswer(); code != 200 {
+					t.Errorf("%s: %d", class, code)
+					return
+				}
+				served.Add(1)
+			}
+		}()
+	}
+	for turn := range 50 {
+		reconfigureNode(n, func(s *Settings) {
+			s.Balancer.Classes[0].LatencyObjective = int64(9_000_000 + turn)
+			s.Balancer.MaxAttempts = 1 + turn%3
+		})
+		for before := served.Load(); served.Load() < before+4 && !t.Failed(); {
+			n.post(func() {})
+		}
+	}
+	close(stop)
+	wait.Wait()
+	waitUntil(n, func() bool {
+		if len(n.settings.Classes) > 6 {
+			t.Errorf("%d classes: %s", len(n.settings.Classes), strings.Join(n.settings.Classes, " "))
+		}
+		return true
+	})
+}
+
+// Where tenants come to be told apart, or no longer are, while requests are open, nobody goes on under the number of those: their shares and
+// what is in flight for them are their own.
+func TestTenantsChangeWithOpenRequests(t *testing.T) {
+	app, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", app)}, func(s *Settings) { s.Tenants, s.Balancer.Tenants = nil, nil })
+	conns := []*testClient{dialNode(t, addr), dialNode(t, addr), dialNode(t, addr)}
+	of := func(k int, change func(*Settings)) {
+		if k > 0 {
+			reconfigureNode(n, change)
+		}
+		_, _ = io.WriteString(conns[k], strings.Replace(requestText("read", 9000), "X-Customer: t", "X-Customer: "+[]string{"any", "t", "any"}[k], 1))
+		<-arrived
+	}
+	of(0, nil)
+	of(1, func(*Settings) {})
+	of(2, func(s *Settings) { s.Tenants, s.Balancer.Tenants = nil, nil })
+	runOnLoop(n, func() {
+		names := map[int]string{}
+		for _, r := range n.requests {
+			names[r.tenant] += r.settings.Tenants[r.tenant] + ","
+		}
+		if diff := cmp.Diff(map[int]string{0: ",", 1: "t,", 2: ","}, names); diff != "" {
+			t.Error("tenants by number\n", diff)
+		}
+	})
+	close(release)
+	for _, c := range conns {
+		if code, _, _ := c.readAnswer(); code != 200 {
+			t.Error(code)
+		}
+	}
+	reconfigureNode(n, func(*Settings) {})
+	if code, _, _ := dialNode(t, addr).exchange(strings.Replace(requestText("read", 9000), "X-Customer: t", "X-Customer: any", 1)); code != 400 {
+		t.Errorf("an unknown tenant got %d", code)
+	}
+}
