--- a/internal/protocol/subject.go
+++ b/internal/protocol/affinity.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// AffinityKey is a hash of what a request is about, as its target's query names it in obj, taken as it stands; 0 where it
-// does not.
+// AffinityKey is a hash of the object that a request concerns: the value of obj in its target's query, not decoded. It is
+// 0 where there is none.
 func AffinityKey(target []byte) uint64 {
 	_, query, _ := bytes.Cut(target, []byte("?"))
 	for part := range bytes.SplitSeq(query, []byte("&")) {
--- a/internal/protocol/subject_test.go
+++ b/internal/protocol/affinity_test.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-func TestSubject(t *testing.T) {
+func TestAffinityKey(t *testing.T) {
 	for _, c := range []struct {
 		name, target string
 		obj          string // "": none
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -8,7 +8,7 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// State is what discovery says of a backend.
+// State is the state of a backend at discovery.
 type State uint8
 
 // The states of a backend.
@@ -18,6 +18,13 @@
 	Terminated
 )
 
+// statesByName are the names of the states on the wire.
+var statesByName = map[string]State{
+	"in_service":  InService,
+	"terminating": Terminating,
+	"terminated":  Terminated,
+}
+
 // Target is one backend in discovery's list.
 type Target struct {
 	UID      string  `json:"UID"`
@@ -29,7 +36,7 @@
 	BootMs   int64   `json:"BootMs"` // Unix time of its last start; 0: long ago
 }
 
-// List is what discovery answers: all backends, or those that changed.
+// List is an answer of discovery: all backends, or those that changed.
 type List struct {
 	Rev     int64    `json:"Rev"`
 	All     bool     `json:"All"`
@@ -39,64 +46,89 @@
 // maxTargets bounds a list that discovery sends.
 const maxTargets = 1 << 14
 
-// maxBootMs bounds a time that discovery sends, so that it still counts in microseconds.
+// maxBootMs bounds a time that discovery sends, so that it does not overflow in microseconds.
 const maxBootMs = 1 << 50
 
-// ParseList reads a list of discovery's, or says what is wrong with it.
+// listJSON is the form of a list on the wire.
+type listJSON struct {
+	Rev     int64        `json:"rev"`
+	All     bool         `json:"all"`
+	Targets []targetJSON `json:"targets"`
+}
+
+type targetJSON struct {
+	UID      string  `json:"uid"`
+	Endpoint string  `json:"endpoint"`
+	Zone     string  `json:"az"`
+	Cell     int     `json:"pod_group"`
+	State    string  `json:"state"`
+	Weight   float64 `json:"capacity_hint"`
+	BootMs   int64   `json:"boot_ms"`
+}
+
+// ParseList parses a list of discovery's. An error names the field at fault.
 func ParseList(raw []byte) (List, error) {
-	var in struct {
-		Rev     int64 `json:"rev"`
-		All     bool  `json:"all"`
-		Targets []struct {
-			UID      string  `json:"uid"`
-			Endpoint string  `json:"endpoint"`
-			Zone     string  `json:"az"`
-			Cell     int     `json:"pod_group"`
-			State    string  `json:"state"`
-			Weight   float64 `json:"capacity_hint"`
-			BootMs   int64   `json:"boot_ms"`
-		} `json:"targets"`
-	}
-	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &in); err != nil {
+	var document listJSON
+	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &document); err != nil {
 		return List{}, fmt.Errorf("list of backends: %w", err)
 	}
-	if len(in.Targets) > maxTargets {
-		return List{}, fmt.Errorf("list of backends: %d targets, over %d", len(in.Targets), maxTargets)
+	if len(document.Targets) > maxTargets {
+		return List{}, fmt.Errorf("list of backends: %d targets, over %d", len(document.Targets), maxTargets)
 	}
-	out := List{Rev: in.Rev, All: in.All, Targets: make([]Target, 0, len(in.Targets))}
-	named := make(map[string]Target, len(in.Targets))
-	for i, t := range in.Targets {
-		state, ok := map[string]State{"in_service": InService, "terminating": Terminating,
-			"terminated": Terminated}[t.State]
-		if !ok {
-			return List{}, fmt.Errorf("targets[%d].state: unknown state %q", i, t.State)
+	list := List{Rev: document.Rev, All: document.All, Targets: make([]Target, 0, len(document.Targets))}
+	byUID := make(map[string]Target, len(document.Targets))
+	for i, entry := range document.Targets {
+		target, err := entry.target(i)
+		if err != nil {
+			return List{}, err
 		}
-		if t.UID == "" {
-			return List{}, fmt.Errorf("targets[%d].uid: empty", i)
+		// Among changes the last one counts. In a full list, nobody can tell which of two different entries is valid.
+		if earlier, duplicate := byUID[target.UID]; list.All && duplicate && earlier != target {
+			return List{}, fmt.Errorf("targets[%d].uid: %q is there twice, and not alike", i, target.UID)
 		}
-		if _, err := netip.ParseAddrPort(t.Endpoint); err != nil && state != Terminated {
-			return List{}, fmt.Errorf("targets[%d].endpoint: %w", i, err)
-		}
-		target := Target{UID: t.UID, Endpoint: t.Endpoint, Zone: t.Zone, Cell: t.Cell,
-			State: state, Weight: t.Weight, BootMs: min(max(t.BootMs, 0), maxBootMs)}
-		// Among changes the later one counts. A whole list has one word on each backend, or nobody can tell which of them holds.
-		if before, twice := named[t.UID]; in.All && twice && before != target {
-			return List{}, fmt.Errorf("targets[%d].uid: %q is there twice, and not alike", i, t.UID)
-		}
-		named[t.UID] = target
-		out.Targets = append(out.Targets, target)
+		byUID[target.UID] = target
+		list.Targets = append(list.Targets, target)
+	}
+	return list, nil
+}
+
+// target checks the entry at an index and converts it.
+func (t targetJSON) target(index int) (Target, error) {
+	state, ok := statesByName[t.State]
+	if !ok {
+		return Target{}, fmt.Errorf("targets[%d].state: unknown state %q", index, t.State)
+	}
+	if t.UID == "" {
+		return Target{}, fmt.Errorf("targets[%d].uid: empty", index)
+	}
+	if _, err := netip.ParseAddrPort(t.Endpoint); err != nil && state != Terminated {
+		return Target{}, fmt.Errorf("targets[%d].endpoint: %w", index, err)
 	}
-	return out, nil
+	return Target{
+		UID:      t.UID,
+		Endpoint: t.Endpoint,
+		Zone:     t.Zone,
+		Cell:     t.Cell,
+		State:    state,
+		Weight:   t.Weight,
+		BootMs:   min(max(t.BootMs, 0), maxBootMs),
+	}, nil
 }
 
-// AppendListRequest appends a request for the whole list.
+// AppendListRequest appends a request for the full list.
 func AppendListRequest(dst []byte, host string) []byte {
-	return append(append(append(dst, "GET /v1/endpoints HTTP/1.1\r\nHost: "...), host...), "\r\n\r\n"...)
+	dst = append(dst, "GET /v1/endpoints HTTP/1.1\r\nHost: "...)
+	dst = append(dst, host...)
+	return append(dst, "\r\n\r\n"...)
 }
 
-// AppendWatchRequest appends a request for what is newer than a version, which may wait for so long.
+// AppendWatchRequest appends a request for what has changed since a revision, which discovery may hold for waitMs.
 func AppendWatchRequest(dst []byte, host string, since, waitMs int64) []byte {
-	dst = strconv.AppendInt(append(dst, "GET /v1/endpoints?since="...), since, 10)
-	dst = strconv.AppendInt(append(dst, "&timeout_ms="...), waitMs, 10)
-	return append(append(append(dst, " HTTP/1.1\r\nHost: "...), host...), "\r\n\r\n"...)
+	dst = append(dst, "GET /v1/endpoints?since="...)
+	dst = strconv.AppendInt(dst, since, 10)
+	dst = append(dst, "&timeout_ms="...)
+	dst = strconv.AppendInt(dst, waitMs, 10)
+	dst = append(dst, " HTTP/1.1\r\nHost: "...)
+	dst = append(dst, host...)
+	return append(dst, "\r\n\r\n"...)
 }
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -7,23 +7,23 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestLists(t *testing.T) {
+func TestParseList(t *testing.T) {
 	const one = `{"uid":"s-1","endpoint":"127.0.0.1:3000","az":"a","model":"m2","pod_group":3,"state":"in_service","capacity_hint":1.5,"boot_ms":7}`
 	for _, c := range []struct {
 		name, in string
 		want     List
 		err      string
 	}{
-		{"whole", `{"rev":41,"all":true,"targets":[` + one + `]}`,
+		{"full", `{"rev":41,"all":true,"targets":[` + one + `]}`,
 			List{41, true, []Target{{"s-1", "127.0.0.1:3000", "a", 3, InService, 1.5, 7}}}, ""},
 		{"changes, none", `{"rev":42,"all":false,"targets":[],"new":{"x":1}}`, List{42, false, []Target{}}, ""},
 		{"states", `{"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"terminating"},{"uid":"b","state":"terminated"}]}`,
 			List{0, false, []Target{{UID: "a", Endpoint: "127.0.0.1:1", State: Terminating}, {UID: "b", State: Terminated}}}, ""},
 		{"indented", "{\n  \"rev\": 41,\n  \"all\": true,\r\n\t\"targets\": [\n" + strings.ReplaceAll(one, ",", ",\n\t ") + "\n ]\n}\n",
 			List{41, true, []Target{{"s-1", "127.0.0.1:3000", "a", 3, InService, 1.5, 7}}}, ""},
-		{"whole, a line twice", `{"rev":41,"all":true,"targets":[` + one + "," + one + `]}`,
+		{"full, with an equal duplicate", `{"rev":41,"all":true,"targets":[` + one + "," + one + `]}`,
 			List{41, true, []Target{{"s-1", "127.0.0.1:3000", "a", 3, InService, 1.5, 7}, {"s-1", "127.0.0.1:3000", "a", 3, InService, 1.5, 7}}}, ""},
-		{"whole, contradicts itself", `{"rev":41,"all":true,"targets":[` + one + "," + strings.Replace(one, "in_service", "terminating", 1) + `]}`,
+		{"full, with a contradictory duplicate", `{"rev":41,"all":true,"targets":[` + one + "," + strings.Replace(one, "in_service", "terminating", 1) + `]}`,
 			List{}, `targets[1].uid: "s-1" is there twice`},
 		{"changes, one after the other", `{"rev":41,"targets":[` + one + `,{"uid":"s-1","state":"terminated"}]}`,
 			List{41, false, []Target{{"s-1", "127.0.0.1:3000", "a", 3, InService, 1.5, 7}, {UID: "s-1", State: Terminated}}}, ""},
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestLoadReports(t *testing.T) {
+func TestParseLoad(t *testing.T) {
 	for in, want := range map[string]Load{
 		"TEXT inflight=7, queue=2, util=0.61":  {7, 2, 0.61},
 		"TEXT util=0.5":                        {-1, -1, 0.5},
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestDiscoveryRequests(t *testing.T) {
+func TestAppendedDiscoveryRequests(t *testing.T) {
 	got := string(AppendWatchRequest(nil, "127.0.0.1:8500", 41, 20000)) + string(AppendListRequest(nil, "d"))
 	want := "GET /v1/endpoints?since=41&timeout_ms=20000 HTTP/1.1\r\nHost: 127.0.0.1:8500\r\n\r\n" +
 		"GET /v1/endpoints HTTP/1.1\r\nHost: d\r\n\r\n"
--- a/internal/protocol/load.go
+++ b/internal/protocol/load.go
@@ -12,8 +12,8 @@
 // Load is a backend's own account of its load; what it does not report is -1.
 type Load struct{ Outstanding, Backlog, Utilization float64 }
 
-// ParseLoad reads a load report in ORCA's text form, "TEXT inflight=7, queue=2, util=0.61", and tells whether
-// it holds anything of use. Unknown names and values that are not numbers from 0 up are skipped.
+// ParseLoad parses a load report in ORCA's text form, "TEXT inflight=7, queue=2, util=0.61", and reports whether
+// it holds any known value. Unknown names and values that are not numbers from 0 up are skipped.
 func ParseLoad(value []byte) (Load, bool) {
 	l := Load{-1, -1, -1}
 	rest, ok := bytes.CutPrefix(value, []byte("TEXT "))
--- a/internal/protocol/http_test.go
+++ b/internal/protocol/message_test.go
@@ -17,50 +17,51 @@
 	Keep              bool
 }
 
-// read feeds in to a message in pieces of some size, as a connection would.
-func read(in string, piece int, next func(*Message, []byte) (int, bool, error)) (parsed, bool, error) {
+// readInPieces feeds input to a message in pieces of some size, as a connection would.
+func readInPieces(input string, piece int, next func(*Message, []byte) (int, bool, error)) (parsed, bool, error) {
 	var m Message
 	var buf []byte
-	for len(in) > 0 {
-		k := min(piece, len(in))
-		buf = append(buf, in[:k]...)
-		in = in[k:]
-		n, whole, err := next(&m, buf)
+	for len(input) > 0 {
+		k := min(piece, len(input))
+		buf = append(buf, input[:k]...)
+		input = input[k:]
+		n, complete, err := next(&m, buf)
 		if err != nil {
 			return parsed{}, false, err
 		}
-		if buf = buf[:n]; whole {
+		if buf = buf[:n]; complete {
 			first := string(m.Method) + " " + string(m.Target)
 			if m.Status > 0 {
-				first = reason(m.Status)
+				first = reasonPhrase(m.Status)
 			}
-			return parsed{first, string(m.Body(buf)), string(m.Rest(buf)) + in, len(m.Fields), m.KeepAlive}, true, nil
+			return parsed{first, string(m.Body(buf)), string(m.Rest(buf)) + input, len(m.Fields), m.KeepAlive}, true, nil
 		}
 	}
 	return parsed{}, false, nil
 }
 
 type messageCase struct {
-	name, in string
-	want     parsed
-	whole    bool
-	err      error
+	name, input string
+	want        parsed
+	complete    bool
+	err         error
 }
 
-func check(t *testing.T, cases []messageCase, next func(*Message, []byte) (int, bool, error)) {
+func checkMessages(t *testing.T, cases []messageCase, next func(*Message, []byte) (int, bool, error)) {
+	t.Helper()
 	for _, c := range cases {
 		for _, piece := range []int{1, 3, 1 << 20} { // where a message is cut must make no difference
-			got, whole, err := read(c.in, piece, next)
-			if diff := cmp.Diff(c.want, got); diff != "" || whole != c.whole || !errors.Is(err, c.err) {
-				t.Errorf("%s, %d bytes at a time: whole %v, %v, want %v, %v\n%s", c.name, piece, whole, err, c.whole, c.err, diff)
+			got, complete, err := readInPieces(c.input, piece, next)
+			if diff := cmp.Diff(c.want, got); diff != "" || complete != c.complete || !errors.Is(err, c.err) {
+				t.Errorf("%s, %d bytes at a time: complete %v, %v, want %v, %v\n%s", c.name, piece, complete, err, c.complete, c.err, diff)
 			}
 		}
 	}
 }
 
-func TestRequests(t *testing.T) {
+func TestRequestParsing(t *testing.T) {
 	const post = "POST /a?b=c HTTP/1.1\r\nHost: x\r\n"
-	check(t, []messageCase{
+	checkMessages(t, []messageCase{
 		{"no body", "GET /a?obj=1 HTTP/1.1\r\nHost: x\r\n\r\n", parsed{"GET /a?obj=1", "", "", 1, true}, true, nil},
 		{"empty lines before", "\r\n\r\nGET / HTTP/1.1\r\n\r\n", parsed{"GET /", "", "", 0, true}, true, nil},
 		{"body", post + "Content-Length: 3\r\n\r\nabc", parsed{"POST /a?b=c", "abc", "", 2, true}, true, nil},
@@ -98,18 +99,18 @@
 	}, (*Message).Request)
 }
 
-func TestResponses(t *testing.T) {
-	check(t, []messageCase{
+func TestResponseParsing(t *testing.T) {
+	checkMessages(t, []messageCase{
 		{"body", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", parsed{"OK", "ab", "", 1, true}, true, nil},
 		{"no reason", "HTTP/1.1 503\r\nContent-Length: 0\r\n\r\n", parsed{"Service Unavailable", "", "", 1, true}, true, nil},
 		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", parsed{"OK", "a", "", 1, true}, true, nil},
 		{"continue before", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na", parsed{"OK", "a", "", 1, true}, true, nil},
 		{"never a body", "HTTP/1.1 204 No Content\r\n\r\nrest", parsed{"Answer", "", "rest", 0, true}, true, nil},
 		{"until the end", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab", parsed{}, false, nil},
-		{"eight heads before", strings.Repeat("HTTP/1.1 102 P\r\n\r\n", maxInterim) + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na",
+		{"eight heads before", strings.Repeat("HTTP/1.1 102 P\r\n\r\n", maxInterimResponses) + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na",
 			parsed{"OK", "a", "", 1, true}, true, nil},
-		{"endless heads before", strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterim+1), parsed{}, false, ErrMalformed},
-		{"noise without an end", "\x00\x01\x02", parsed{}, false, ErrMalformed},
+		{"endless heads before", strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterimResponses+1), parsed{}, false, ErrMalformed},
+		{"control characters without an end", "\x00\x01\x02", parsed{}, false, ErrMalformed},
 		{"first line that is none", "what?\r\n", parsed{}, false, ErrMalformed},
 		{"field that is none, and no end", "HTTP/1.1 200 OK\r\nwhat?\r\n", parsed{}, false, ErrMalformed},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", parsed{}, false, ErrMalformed},
@@ -122,19 +123,19 @@
 	}, (*Message).Response)
 }
 
-func TestHeadsWritten(t *testing.T) {
+func TestAppendedHeads(t *testing.T) {
 	var m Message
-	in := "POST /ride-start?obj=7 HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: 9b1f\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\nX-Expires-In-Ms: 900\r\n" +
-		"Idempotency-Key: 5c\r\nContent-Length: 2\r\n\r\nhi"
-	if _, whole, err := m.Request([]byte(in)); !whole || err != nil {
-		t.Fatal(whole, err)
+	in := "POST /ride-start?obj=7 HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: 9b1f\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\n" +
+		"X-Expires-In-Ms: 900\r\nIdempotency-Key: 5c\r\nContent-Length: 2\r\n\r\nhi"
+	if _, complete, err := m.Request([]byte(in)); !complete || err != nil {
+		t.Fatal(complete, err)
 	}
 	for _, c := range []struct{ name, got, want string }{
 		{"request", string(AppendRequest(nil, &m.Head, 2, 480)), "POST /ride-start?obj=7 HTTP/1.1\r\nHost: app.svc\r\n" +
 			"X-Trace-Id: 9b1f\r\nIdempotency-Key: 5c\r\nX-Expires-In-Ms: 480\r\nContent-Length: 2\r\n\r\n"},
 		{"answer", string(AppendResponse(nil, 200, []Field{{[]byte("Content-Type"), []byte("a/b")}, {[]byte("Endpoint-Load-Metrics"), nil}},
 			3, true, 0)), "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 3\r\n\r\n"},
-		{"refusal", string(AppendResponse(nil, 503, nil, 0, false, 250000)),
+		{"rejection", string(AppendResponse(nil, 503, nil, 0, false, 250000)),
 			"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.250\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"},
 	} {
 		if diff := cmp.Diff(c.want, c.got); diff != "" {
@@ -143,21 +144,21 @@
 	}
 }
 
-// Nothing that a party sends may crash a parser or make it hold more than it was given.
+// No input may crash the parser, and the sizes of the pieces in which it arrives make no difference.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), 3)
 	f.Add([]byte("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na"), 1)
 	f.Fuzz(func(t *testing.T, in []byte, piece int) {
 		for _, next := range []func(*Message, []byte) (int, bool, error){(*Message).Request, (*Message).Response} {
-			whole, cut := 0, 0
-			if got, ok, _ := read(string(in), len(in)+1, next); ok {
-				whole = len(got.Body) + 1
+			atOnce, inPieces := 0, 0
+			if got, ok, _ := readInPieces(string(in), len(in)+1, next); ok {
+				atOnce = len(got.Body) + 1
 			}
-			if got, ok, _ := read(string(in), max(1, piece%64), next); ok {
-				cut = len(got.Body) + 1
+			if got, ok, _ := readInPieces(string(in), max(1, piece%64), next); ok {
+				inPieces = len(got.Body) + 1
 			}
-			if whole != cut {
-				t.Fatalf("whole %d, in pieces %d", whole, cut)
+			if atOnce != inPieces {
+				t.Fatalf("at once %d, in pieces %d", atOnce, inPieces)
 			}
 		}
 	})
@@ -201,17 +202,17 @@
 			k := min(rapid.IntRange(1, 200).Draw(t, "piece"), cap(buf)-len(buf), len(in))
 			buf = append(buf, in[:k]...)
 			in = in[k:]
-			n, whole, err := next(buf)
+			n, complete, err := next(buf)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if buf = buf[:n]; !m.Started() && !whole {
+			if buf = buf[:n]; !m.Started() && !complete {
 				continue
 			}
 			next = m.More
 			got = append(got, m.Body(buf)...)
 			buf = buf[:m.Shift(buf)]
-			if whole {
+			if complete {
 				if rest := string(buf) + string(in); rest != string(behind) {
 					t.Fatalf("behind the message: %q, want %q", rest, behind)
 				}
@@ -222,22 +223,22 @@
 			m.Finish()
 		}
 		if string(got) != string(body) || m.Started() {
-			t.Fatalf("%d bytes of %d, whole %v", len(got), len(body), !m.Started())
+			t.Fatalf("%d bytes of %d, complete %v", len(got), len(body), !m.Started())
 		}
 	})
 }
 
-// What goes on for ever ends at the bound, also where no length is told; leading zeros and absolute targets are fine.
-func TestBoundsInPieces(t *testing.T) {
+// A body without an end is rejected at the limit, also where no length is given; targets in absolute form are accepted.
+func TestBodyLimitHoldsAcrossPieces(t *testing.T) {
 	for _, head := range []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"} {
 		m := Message{MaxBody: 1000}
 		buf := []byte(head)
 		next := m.Response
 		var err error
-		for turn := 0; err == nil; turn++ {
+		for round := 0; err == nil; round++ {
 			var n int
 			n, _, err = next(append(buf, "64\r\n"+strings.Repeat("x", 100)+"\r\n"...))
-			if turn > 12 {
+			if round > 12 {
 				t.Fatal("no end")
 			}
 			if err == nil {
@@ -251,11 +252,12 @@
 		}
 	}
 	var m Message
-	if _, whole, err := m.Request([]byte("GET http://h:80/a?b HTTP/1.1\r\n\r\n")); !whole || err != nil || string(m.Target) != "/a?b" || string(m.Path()) != "/a" {
-		t.Error(whole, err, string(m.Target))
+	_, complete, err := m.Request([]byte("GET http://h:80/a?b HTTP/1.1\r\n\r\n"))
+	if !complete || err != nil || string(m.Target) != "/a?b" || string(m.Path()) != "/a" {
+		t.Error(complete, err, string(m.Target))
 	}
 	m = Message{NoBody: true}
-	if _, whole, err := m.Response([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")); !whole || err != nil || m.Length() != 9 {
-		t.Error(whole, err, m.Length())
+	if _, complete, err := m.Response([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")); !complete || err != nil || m.Length() != 9 {
+		t.Error(complete, err, m.Length())
 	}
 }
