--- /dev/null
+++ b/internal/daemon/configfile.go
@@ -0,0 +1,194 @@
+package daemon
+
+import (
+	"fmt"
+	"net/netip"
+	"strconv"
+
+	jsoniter "github.com/json-iterator/go"
+
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/protocol"
+)
+
+// minDescriptors is the least limit of descriptors with which a node can serve at all.
+const minDescriptors = 64
+
+// fieldError is a field of the configuration, by its name in the file, that cannot be used.
+type fieldError struct {
+	field   string
+	problem string
+}
+
+// Error names the field first.
+func (e *fieldError) Error() string { return e.field + ": " + e.problem }
+
+// configFile is the JSON form of the configuration.
+type configFile struct {
+	Name      string              `json:"name"`
+	Listen    string              `json:"listen"`
+	Discovery string              `json:"discovery"`
+	Admin     string              `json:"operator"`
+	Seed      string              `json:"seed"`
+	Limits    processLimitsFile   `json:"limits"`
+	Known     jsoniter.RawMessage `json:"known"`
+	Settings  jsoniter.RawMessage `json:"settings"`
+}
+
+type processLimitsFile struct {
+	Cores          float64 `json:"cores"`
+	MemoryMB       int     `json:"memory_mb"`
+	MaxDescriptors int     `json:"sockets"`
+}
+
+// nodeSettingsFile is the part of the settings that the node reads itself. Times are in microseconds.
+type nodeSettingsFile struct {
+	Tenants []namedEntry   `json:"orgs"`
+	Classes []namedEntry   `json:"profiles"`
+	Zones   []string       `json:"zones"`
+	Limits  nodeLimitsFile `json:"limits"`
+	Rules   nodeRulesFile  `json:"rules"`
+}
+
+type nodeLimitsFile struct {
+	MaxAttempts    int64 `json:"max_attempts"`
+	MaxOpen        int   `json:"max_open"`
+	ConnectTimeout int64 `json:"connect_timeout_us"`
+	Keepalive      int64 `json:"keepalive_us"`
+}
+
+type nodeRulesFile struct {
+	OverdueGrace int64 `json:"grace_to_answer_us"`
+	DrainGrace   int64 `json:"drain_grace_us"`
+}
+
+type namedEntry struct {
+	Name string `json:"name"`
+}
+
+// applyEnvironment fills empty fields from the environment.
+func (f *configFile) applyEnvironment(getenv func(string) string) {
+	f.Name = firstNonEmpty(f.Name, getenv("GW_NAME"))
+	f.Listen = firstNonEmpty(f.Listen, getenv("GW_LISTEN"))
+	f.Discovery = firstNonEmpty(f.Discovery, getenv("GW_DISCOVERY"))
+	f.Admin = firstNonEmpty(f.Admin, getenv("GW_OPERATOR"))
+}
+
+func (f *configFile) check() error {
+	if err := checkAddress("listen", f.Listen); err != nil {
+		return err
+	}
+	if err := checkAddress("discovery", f.Discovery); err != nil {
+		return err
+	}
+	if f.Admin != "" {
+		if err := checkAddress("operator", f.Admin); err != nil {
+			return err
+		}
+	}
+	if err := f.Limits.check(); err != nil {
+		return err
+	}
+	if len(f.Settings) == 0 {
+		return &fieldError{"settings", "missing"}
+	}
+	return nil
+}
+
+func checkAddress(field, address string) error {
+	if _, err := netip.ParseAddrPort(address); err != nil {
+		return fmt.Errorf("%s: %w", field, err)
+	}
+	return nil
+}
+
+func (l processLimitsFile) check() error {
+	switch {
+	case l.Cores < 0:
+		return &fieldError{"limits.cores", fmt.Sprintf("%v is below 0", l.Cores)}
+	case l.MemoryMB < 0:
+		return &fieldError{"limits.memory_mb", fmt.Sprintf("%d is below 0", l.MemoryMB)}
+	case l.MaxDescriptors != 0 && l.MaxDescriptors < minDescriptors:
+		return &fieldError{"limits.sockets", fmt.Sprintf("%d is below %d", l.MaxDescriptors, minDescriptors)}
+	}
+	return nil
+}
+
+// seed returns the seed, which is written in hexadecimal; 0 where it is left out.
+func (f *configFile) seed() (uint64, error) {
+	if f.Seed == "" {
+		return 0, nil
+	}
+	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	if err != nil {
+		return 0, fmt.Errorf("seed: %w", err)
+	}
+	return seed, nil
+}
+
+// endpoints returns the endpoint list that is known before discovery has answered.
+func (f *configFile) endpoints() (protocol.List, error) {
+	if len(f.Known) == 0 {
+		return protocol.List{All: true}, nil
+	}
+	list, err := protocol.ParseList(f.Known)
+	if err != nil {
+		return list, fmt.Errorf("known: %w", err)
+	}
+	return list, nil
+}
+
+// check checks the numbers, also those that the decision module reads.
+func (f *nodeSettingsFile) check(module balancer.Config) error {
+	if err := checkPositive("settings.limits.connect_timeout_us", f.Limits.ConnectTimeout); err != nil {
+		return err
+	}
+	if err := checkPositive("settings.limits.max_attempts", f.Limits.MaxAttempts); err != nil {
+		return err
+	}
+	for i, class := range module.Classes {
+		field := fmt.Sprintf("settings.profiles[%d]", i)
+		if err := checkPositive(field+".deadline_us", class.Deadline); err != nil {
+			return err
+		}
+		if err := checkPositive(field+".aim_us", class.LatencyObjective); err != nil {
+			return err
+		}
+	}
+	if f.Limits.MaxOpen < 0 {
+		return &fieldError{"settings.limits.max_open", fmt.Sprintf("%d is below 0", f.Limits.MaxOpen)}
+	}
+	if module.PollDiscovery && module.PollInterval <= 0 {
+		problem := fmt.Sprintf("%d is not above 0, and discovery must be polled", module.PollInterval)
+		return &fieldError{"settings.rules.ask_every_us", problem}
+	}
+	return nil
+}
+
+func checkPositive(field string, value int64) error {
+	if value <= 0 {
+		return &fieldError{field, fmt.Sprintf("%d is not above 0", value)}
+	}
+	return nil
+}
+
+// uniqueNames returns the names of the entries of a field, none of which may be empty or a duplicate.
+func uniqueNames(field string, entries []namedEntry) ([]string, error) {
+	var names []string
+	seen := map[string]bool{}
+	for i, entry := range entries {
+		if entry.Name == "" || seen[entry.Name] {
+			return nil, &fieldError{fmt.Sprintf("%s[%d].name", field, i), fmt.Sprintf("%q is empty or a duplicate", entry.Name)}
+		}
+		seen[entry.Name] = true
+		names = append(names, entry.Name)
+	}
+	return names, nil
+}
+
+func firstNonEmpty(first, second string) string {
+	if first != "" {
+		return first
+	}
+	return second
+}
--- /dev/null
+++ b/internal/daemon/configshape_test.go
@@ -0,0 +1,91 @@
+package daemon
+
+import (
+	"strings"
+	"testing"
+
+	jsoniter "github.com/json-iterator/go"
+)
+
+// compareWithRunning checks a new configuration against validConfig as the running one.
+func compareWithRunning(t *testing.T, text string) error {
+	t.Helper()
+	running := parseConfig(t, validConfig)
+	loaded, err := Parse([]byte(text), noEnvironment)
+	if err != nil {
+		return err
+	}
+	return checkShape(running.document, loaded.document, "")
+}
+
+// withoutEachKey calls visit, for each key below value, while the key is missing and while it is null.
+func withoutEachKey(value any, path string, visit func(path string)) {
+	switch value := value.(type) {
+	case map[string]any:
+		for key, field := range value {
+			delete(value, key)
+			visit(path + "." + key)
+			value[key] = nil
+			visit(path + "." + key + " null")
+			value[key] = field
+			if path+"."+key != ".known" {
+				withoutEachKey(field, path+"."+key, visit)
+			}
+		}
+	case []any:
+		for _, element := range value {
+			withoutEachKey(element, path+"[]", visit)
+		}
+	}
+}
+
+// A file that is cut short at any byte is rejected.
+func TestNewConfigurationCutShortIsRejected(t *testing.T) {
+	for i := range validConfig {
+		if err := compareWithRunning(t, validConfig[:i]); err == nil {
+			t.Fatalf("cut after %d bytes: accepted", i)
+		}
+	}
+}
+
+// A file that lacks any key of the running one is rejected.
+func TestNewConfigurationNeedsEveryKeyOfRunningOne(t *testing.T) {
+	var document any
+	if err := jsoniter.UnmarshalFromString(validConfig, &document); err != nil {
+		t.Fatal(err)
+	}
+	keys := 0
+	withoutEachKey(document, "", func(path string) {
+		keys++
+		text, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalToString(document)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := compareWithRunning(t, text); err == nil {
+			t.Errorf("without %s: accepted", path)
+		}
+	})
+	if keys < 40 {
+		t.Errorf("only %d keys tried", keys)
+	}
+}
+
+// Optional keys, and data, may differ; the kinds of values may not, and no list may become empty.
+func TestNewConfigurationNeedsShapeOfRunningOne(t *testing.T) {
+	for _, c := range []struct{ name, from, to, message string }{
+		{"the same", "", "", ""},
+		{"one more class", `"profiles":[`, `"profiles":[{"name":"new","aim_us":1,"deadline_us":2,"effect":"once"},`, ""},
+		{"one more key", `"tick_us"`, `"other":1,"tick_us"`, ""},
+		{"another endpoint list", `{"uid":"a","endpoint":"127.0.0.1:1","az":"z","state":"in_service","capacity_hint":1}`, ``, ""},
+		{"no tenants", `[{"name":"t","share":1}]`, `[]`, "settings.orgs: empty"},
+		{"no classes", `[{"name":"read","aim_us":600000,"deadline_us":1500000,"effect":"repeatable"}]`, `[]`, "settings.profiles"},
+		{"a class without a key", `"profiles":[`, `"profiles":[{"aim_us":1,"deadline_us":2,"effect":"once"},`, "settings.profiles[0].name"},
+		{"another kind", `"zones":["z"]`, `"zones":[1]`, "settings"},
+		{"an object for a number", `"tick_us":5000`, `"tick_us":{}`, "settings"},
+	} {
+		err := compareWithRunning(t, strings.Replace(validConfig, c.from, c.to, 1))
+		if c.message == "" && err != nil || c.message != "" && (err == nil || !strings.Contains(err.Error(), c.message)) {
+			t.Errorf("%s: %v, want %q", c.name, err, c.message)
+		}
+	}
+}
--- /dev/null
+++ b/internal/daemon/discoveryconn.go
@@ -0,0 +1,171 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/cloudwego/netpoll"
+
+	"tulipglade/internal/protocol"
+)
+
+// discoveryConn is a connection to discovery that is reused from one call to the next. One goroutine uses it; others end
+// its call by closing addressChanged.
+type discoveryConn struct {
+	address        string
+	addressChanged <-chan struct{}
+	conn           netpoll.Connection
+	received       chan []byte   // bytes as they arrive
+	disconnected   chan struct{} // closed when the connection has ended and all bytes that arrived have been taken
+	closed         chan struct{} // closed by close
+}
+
+func newDiscoveryConn(address string, addressChanged <-chan struct{}) *discoveryConn {
+	return &discoveryConn{address: address, addressChanged: addressChanged}
+}
+
+func (c *discoveryConn) close() {
+	if c.conn == nil {
+		return
+	}
+	close(c.closed)
+	_ = c.conn.Close() // nothing is lost: an answer that is wanted has been read
+	c.conn = nil
+}
+
+// roundTrip makes one call and reads its answer within the timeout. After an error the connection is closed.
+func (c *discoveryConn) roundTrip(request []byte, timeout time.Duration) (protocol.List, error) {
+	list, err := c.call(request, timeout)
+	if err != nil {
+		c.close()
+		return list, fmt.Errorf("discovery at %s: %w", c.address, err)
+	}
+	return list, nil
+}
+
+func (c *discoveryConn) call(request []byte, timeout time.Duration) (protocol.List, error) {
+	deadline := time.NewTimer(timeout)
+	defer deadline.Stop()
+	if err := c.connect(min(timeout, dialTimeout)); err != nil {
+		return protocol.List{}, err
+	}
+	if err := c.send(request, timeout); err != nil {
+		return protocol.List{}, err
+	}
+	body, keepAlive, err := c.readResponse(deadline.C)
+	if err != nil {
+		return protocol.List{}, err
+	}
+	if !keepAlive {
+		c.close()
+	}
+	list, err := protocol.ParseList(body)
+	if err != nil {
+		return list, fmt.Errorf("%w: %w", errInvalidList, err)
+	}
+	return list, nil
+}
+
+// connect opens the connection unless the last one is still open.
+func (c *discoveryConn) connect(timeout time.Duration) error {
+	if c.conn != nil && c.conn.IsActive() {
+		return nil
+	}
+	c.close() // discovery has closed it between two calls
+	return c.dial(timeout)
+}
+
+func (c *discoveryConn) send(request []byte, timeout time.Duration) error {
+	_ = c.conn.SetWriteTimeout(timeout) // never fails; the deadline of the call bounds it in any case
+	if _, err := c.conn.Writer().WriteBinary(request); err != nil {
+		return err
+	}
+	return c.conn.Writer().Flush()
+}
+
+// dialResult is the outcome of one attempt to connect.
+type dialResult struct {
+	conn netpoll.Connection
+	err  error
+}
+
+// dial opens the connection. One that is established after the address has changed is closed.
+func (c *discoveryConn) dial(timeout time.Duration) error {
+	results := make(chan dialResult)
+	start := time.Now()
+	go func() {
+		conn, err := netpoll.DialConnection("tcp", c.address, timeout)
+		select {
+		case results <- dialResult{conn, err}:
+		case <-c.addressChanged:
+			if err == nil {
+				_ = conn.Close() // nobody uses it
+			}
+		}
+	}()
+	select {
+	case <-c.addressChanged:
+		return errAddressChanged
+	case result := <-results:
+		if result.err != nil && time.Since(start) >= timeout { // netpoll's own error for a timeout has no type
+			return fmt.Errorf("%w: %w", errNoAnswer, result.err)
+		}
+		if result.err != nil {
+			return result.err
+		}
+		return c.attach(result.conn)
+	}
+}
+
+// attach uses an established connection for the next calls, and has the poller pass on what arrives.
+func (c *discoveryConn) attach(conn netpoll.Connection) error {
+	received := make(chan []byte)
+	disconnected := make(chan struct{})
+	closed := make(chan struct{})
+	c.conn, c.received, c.disconnected, c.closed = conn, received, disconnected, closed
+	// The poller ends a connection only while the request handler is not running, so no bytes are lost at its end.
+	_ = conn.AddCloseCallback(func(netpoll.Connection) error { // never fails
+		close(disconnected)
+		return nil
+	})
+	return conn.SetOnRequest(func(_ context.Context, conn netpoll.Connection) error {
+		reader := conn.Reader()
+		bytes, err := reader.ReadBinary(reader.Len())
+		if err != nil {
+			return err
+		}
+		_ = reader.Release() // ReadBinary has copied
+		select {
+		case received <- bytes:
+		case <-closed:
+		}
+		return nil
+	})
+}
+
+// readResponse reads a complete response of status 200.
+func (c *discoveryConn) readResponse(deadline <-chan time.Time) (body []byte, keepAlive bool, err error) {
+	message := protocol.Message{MaxBody: maxListBytes}
+	var buffer []byte
+	for {
+		select {
+		case <-c.addressChanged:
+			return nil, false, errAddressChanged
+		case <-deadline:
+			return nil, false, errNoAnswer
+		case <-c.disconnected:
+			return nil, false, errConnectionEnded
+		case bytes := <-c.received:
+			buffer = append(buffer, bytes...)
+		}
+		n, complete, err := message.Response(buffer)
+		if err != nil {
+			return nil, false, err
+		}
+		buffer = buffer[:n]
+		if complete {
+			return message.Body(buffer), message.KeepAlive, checkStatus(message.Status)
+		}
+	}
+}
--- /dev/null
+++ b/internal/daemon/hotrestart_test.go
@@ -0,0 +1,171 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// restartLoad sends non-idempotent requests to a node while it is restarted, and counts what becomes of them.
+type restartLoad struct {
+	address  string
+	stop     chan struct{}
+	workers  sync.WaitGroup
+	sent     atomic.Int64
+	rejected atomic.Int64 // no answer
+	failed   atomic.Int64 // an answer other than a complete 200
+}
+
+func startRestartLoad(t *testing.T, address string, workers int) *restartLoad {
+	t.Helper()
+	load := &restartLoad{address: address, stop: make(chan struct{})}
+	for range workers {
+		load.workers.Go(func() { load.run(t) })
+	}
+	return load
+}
+
+func (l *restartLoad) run(t *testing.T) {
+	t.Helper()
+	transport := &http.Transport{MaxConnsPerHost: 1}
+	defer transport.CloseIdleConnections()
+	for {
+		select {
+		case <-l.stop:
+			return
+		default:
+		}
+		id := fmt.Sprint("u", l.sent.Add(1))
+		status, err := send(transport, http.MethodPost, "http://"+l.address+"/read", id)
+		if status == 0 {
+			l.rejected.Add(1)
+			continue
+		}
+		if err != nil || status != http.StatusOK {
+			l.failed.Add(1)
+			t.Log(status, err)
+		}
+		time.Sleep(2 * time.Millisecond)
+	}
+}
+
+// Hot restarts under load: a new process takes the place of the old one, again and again. No request is lost or rejected,
+// and none runs twice. Without a handoff, as where no directory is set, that holds but for connections that the system resets.
+func TestHotRestartsUnderLoadLoseNoRequest(t *testing.T) {
+	var mutex sync.Mutex
+	runs := map[string]int{}
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		mutex.Lock()
+		runs[r.Header.Get("X-Trace-Id")]++
+		mutex.Unlock()
+		respond(w, "served")
+	}))
+	defer backend.Close()
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if !strings.Contains(r.RequestURI, "timeout_ms=0") {
+			<-r.Context().Done()
+			return
+		}
+		respond(w, `{"rev":41,"all":false,"targets":[]}`)
+	}))
+	defer discovery.Close()
+	defer discovery.CloseClientConnections()
+	free, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	listen := free.Addr().String()
+	_ = free.Close()
+	text := strings.NewReplacer("127.0.0.1:1\"", backend.Listener.Addr().String()+"\"", `"listen":"127.0.0.1:0"`,
+		`"operator":"127.0.0.1:0","listen":"`+listen+`"`, "127.0.0.1:8500", discovery.Listener.Addr().String(),
+		`"effect":"repeatable"`, `"effect":"once"`, "600000", "60000000", "1500000", "60000000").Replace(validConfig)
+	t.Setenv("TMPDIR", t.TempDir())
+	process, address, admin := startTestProcess(t, text)
+	load := startRestartLoad(t, address, 6)
+	const restarts = 20 // each takes the 0.75 s of a shutdown
+	var longestStart time.Duration
+	activate := func(admin string, token, want int) {
+		t.Helper()
+		url := fmt.Sprintf("http://%s/active?lease=roll&token=%d", admin, token)
+		request, err := http.NewRequest(http.MethodPut, url, http.NoBody)
+		if err != nil {
+			t.Fatal(err)
+		}
+		status, err := roundTrip(http.DefaultTransport, request)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if status != want {
+			t.Errorf("token %d: %d, want %d", token, status, want)
+		}
+	}
+	activate(admin, 10, http.StatusOK)
+	for i := range restarts {
+		start := time.Now()
+		successor, _, admin := startTestProcess(t, text)
+		activate(admin, 9+i, http.StatusConflict) // a token that was stale before the restart is rejected after it, too
+		activate(admin, 11+i, http.StatusOK)
+		status, err := send(http.DefaultTransport, http.MethodGet, "http://"+admin+"/status", "status")
+		if err != nil || status != http.StatusOK {
+			t.Fatal(status, err)
+		}
+		longestStart = max(longestStart, time.Since(start))
+		process.cancel()
+		process.log.await(t, "msg=stopped")
+		process.stop(t)
+		process = successor
+	}
+	close(load.stop)
+	load.workers.Wait()
+	process.stop(t)
+	duplicates := 0
+	mutex.Lock()
+	for _, n := range runs {
+		if n > 1 {
+			duplicates++
+		}
+	}
+	mutex.Unlock()
+	t.Logf("%d restarts, %d requests: %d rejected, %d failed, %d run twice; at most %v from start to acceptance",
+		restarts, load.sent.Load(), load.rejected.Load(), load.failed.Load(), duplicates, longestStart.Round(time.Millisecond))
+	if load.rejected.Load()+load.failed.Load() > 0 || duplicates > 0 {
+		t.Error("requests were rejected, failed or ran twice")
+	}
+}
+
+// A successor inherits the listener and the endpoint list with its revision. The predecessor serves on when the successor
+// fails to start.
+func TestPredecessorServesOnAfterFailedHotRestart(t *testing.T) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { respond(w, "served") }))
+	defer backend.Close()
+	text := strings.NewReplacer("127.0.0.1:1\"", backend.Listener.Addr().String()+"\"",
+		`"listen"`, `"operator":"127.0.0.1:0","listen"`).Replace(validConfig)
+	t.Setenv("TMPDIR", t.TempDir())
+	process, address, admin := startTestProcess(t, text)
+	broken := strings.Replace(text, `"operator":"127.0.0.1:0"`, `"operator":"`+admin+`"`, 1) // in use
+	config := parseConfig(t, strings.Replace(broken, `"rev":41`, `"rev":7`, 1))
+	log := make(logLines, 100)
+	if err := Serve(context.Background(), config, nil, nil, log.logger()); err == nil {
+		t.Error("it has started")
+	}
+	if line := log.await(t, "taken over"); !strings.Contains(line, "rev=41 backends=1") {
+		t.Error(line)
+	}
+	process.log.await(t, "handed over")
+	process.log.await(t, "the newer process has ended")
+	transport := &http.Transport{DisableKeepAlives: true} // each request is on a new connection
+	for i := range 20 {
+		status, err := send(transport, http.MethodGet, "http://"+address+"/read", fmt.Sprint("f", i))
+		if err != nil || status != http.StatusOK {
+			t.Fatal(status, err)
+		}
+	}
+	process.stop(t)
+}
--- /dev/null
+++ b/internal/daemon/process_test.go
@@ -0,0 +1,111 @@
+package daemon
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+// testTimeout bounds a wait for what is certain to come.
+const testTimeout = 10 * time.Second
+
+func noEnvironment(string) string { return "" }
+
+func parseConfig(t *testing.T, text string) *Config {
+	t.Helper()
+	config, err := Parse([]byte(text), noEnvironment)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return config
+}
+
+// respond writes a response's body. A client that has disconnected is not this side's fault.
+func respond(w http.ResponseWriter, body string) { _, _ = io.WriteString(w, body) }
+
+// logLines collects lines of a log, as far as there is capacity.
+type logLines chan string
+
+func (l logLines) Write(p []byte) (int, error) {
+	select {
+	case l <- string(p):
+	default:
+	}
+	return len(p), nil
+}
+
+func (l logLines) logger() *slog.Logger { return slog.New(slog.NewTextHandler(l, nil)) }
+
+// await returns the next line that contains a phrase.
+func (l logLines) await(t *testing.T, phrase string) string {
+	t.Helper()
+	for timeout := time.After(testTimeout); ; {
+		select {
+		case line := <-l:
+			if strings.Contains(line, phrase) {
+				return line
+			}
+		case <-timeout:
+			t.Fatalf("no line says %s", phrase)
+		}
+	}
+}
+
+// logField returns the value of an attribute in a line of a log.
+func logField(line, name string) string {
+	_, after, _ := strings.Cut(line, name+"=")
+	value, _, _ := strings.Cut(after, " ")
+	return value
+}
+
+// testProcess is a node that a test starts and stops; its signals are the context's.
+type testProcess struct {
+	cancel func()
+	ended  chan error
+	log    logLines
+}
+
+// startTestProcess starts a node and returns once it serves.
+func startTestProcess(t *testing.T, text string) (p *testProcess, clientAddress, adminAddress string) {
+	t.Helper()
+	config := parseConfig(t, text)
+	ctx, cancel := context.WithCancel(context.Background())
+	p = &testProcess{cancel: cancel, ended: make(chan error, 1), log: make(logLines, 200)}
+	go func() { p.ended <- Serve(ctx, config, nil, nil, p.log.logger()) }()
+	line := p.log.await(t, "msg=serving")
+	return p, logField(line, "listen"), logField(line, "operator")
+}
+
+// stop ends the node and waits for its end.
+func (p *testProcess) stop(t *testing.T) {
+	t.Helper()
+	p.cancel()
+	if err := <-p.ended; err != nil {
+		t.Error(err)
+	}
+}
+
+// send sends a request of tenant t with an ID of its own and returns the status.
+func send(client http.RoundTripper, method, url, requestID string) (status int, err error) {
+	request, err := http.NewRequest(method, url, http.NoBody)
+	if err != nil {
+		return 0, err
+	}
+	request.Header = http.Header{"X-Trace-Id": {requestID}, "X-Customer": {"t"}}
+	return roundTrip(client, request)
+}
+
+// roundTrip sends a request and returns the status once the body has been read.
+func roundTrip(client http.RoundTripper, request *http.Request) (status int, err error) {
+	response, err := client.RoundTrip(request)
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = response.Body.Close() }() // it has been read
+	_, err = io.Copy(io.Discard, response.Body)
+	return response.StatusCode, err
+}
--- /dev/null
+++ b/internal/daemon/reload.go
@@ -0,0 +1,109 @@
+package daemon
+
+import (
+	"log/slog"
+	"os"
+	"os/signal"
+	"reflect"
+	"slices"
+	"strings"
+	"syscall"
+
+	"tulipglade/internal/node"
+)
+
+// NotifyReload catches SIGHUP from here on; before that, the signal ends the process. A program calls it before it reads
+// its configuration: a SIGHUP that comes during the start stands for a file that is newer than the one already read.
+func NotifyReload() <-chan os.Signal {
+	signals := make(chan os.Signal, 1) // one pending signal stands for all behind it: the file is read after them
+	signal.Notify(signals, syscall.SIGHUP)
+	return signals
+}
+
+// reloadOnSignal reloads the configuration at each signal until the node has stopped, so also while it drains.
+func (s *server) reloadOnSignal(load func() (*Config, error), signals <-chan os.Signal) {
+	running := s.config
+	for {
+		select {
+		case <-signals:
+			running = reload(running, load, s.watch, s.node, s.log)
+		case <-s.nodeStopped:
+			return
+		}
+	}
+}
+
+// reload applies a new configuration, and returns the one in force from here on. Where the new one is not valid, the
+// running one stays in force unchanged.
+func reload(running *Config, load func() (*Config, error), endpointWatch *watch, runningNode *node.Node, log *slog.Logger) *Config {
+	loaded, err := load()
+	if err == nil {
+		err = checkShape(running.document, loaded.document, "")
+	}
+	if err != nil {
+		log.Error("configuration not taken up", "err", err)
+		return running
+	}
+	log.Info("configuration taken up", "discovery", loaded.Discovery)
+	if fields := restartOnlyChanges(running, loaded); len(fields) > 0 {
+		log.Warn("changes need a restart", "fields", strings.Join(fields, ","))
+	}
+	endpointWatch.SetAddress(loaded.Discovery)
+	next := keepRestartOnlyFields(running, loaded)
+	if !next.Node.Balancer.PollDiscovery {
+		endpointWatch.setDrainGrace(next.DrainGrace)
+	}
+	if !reflect.DeepEqual(running.Node, next.Node) {
+		runningNode.Reconfigure(next.Node)
+	}
+	return next
+}
+
+// keepRestartOnlyFields returns the loaded configuration with the running one's values for what takes a restart. The list
+// of endpoints and the seed are for the start alone: a list in a file is older than what discovery has sent since, and
+// would bring back endpoints that have been removed.
+func keepRestartOnlyFields(running, loaded *Config) *Config {
+	next := *loaded
+	next.Name = running.Name
+	next.Listen = running.Listen
+	next.Admin = running.Admin
+	next.Endpoints = running.Endpoints
+	next.Cores = running.Cores
+	next.MemoryMB = running.MemoryMB
+	next.Node.Seed = running.Node.Seed
+	next.Node.MaxDescriptors = running.Node.MaxDescriptors
+	next.Node.MemoryLimit = running.Node.MemoryLimit
+	next.Node.Zones = running.Node.Zones
+	next.Node.Balancer.Zone = running.Node.Balancer.Zone
+	next.Node.Balancer.PollDiscovery = running.Node.Balancer.PollDiscovery
+	next.Node.Balancer.ListLease = running.Node.Balancer.ListLease
+	return &next
+}
+
+// restartOnlyChanges names the fields that differ and that a running node does not change. The endpoint list and the seed
+// are not among them: both matter at the start alone.
+func restartOnlyChanges(running, loaded *Config) []string {
+	limitsDiffer := running.Cores != loaded.Cores ||
+		running.MemoryMB != loaded.MemoryMB ||
+		running.Node.MaxDescriptors != loaded.Node.MaxDescriptors
+	runningBalancer, loadedBalancer := running.Node.Balancer, loaded.Node.Balancer
+	checks := []struct {
+		field   string
+		differs bool
+	}{
+		{"name", running.Name != loaded.Name},
+		{"listen", running.Listen != loaded.Listen},
+		{"operator", running.Admin != loaded.Admin},
+		{"limits", limitsDiffer},
+		{"settings.zones", !slices.Equal(running.Node.Zones, loaded.Node.Zones)},
+		{"settings.my_zone", runningBalancer.Zone != loadedBalancer.Zone},
+		{"settings.discovery", runningBalancer.PollDiscovery != loadedBalancer.PollDiscovery},
+	}
+	var fields []string
+	for _, check := range checks {
+		if check.differs {
+			fields = append(fields, check.field)
+		}
+	}
+	return fields
+}
--- /dev/null
+++ b/internal/daemon/reload_test.go
@@ -0,0 +1,98 @@
+package daemon
+
+import (
+	"context"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+)
+
+// startRecordingDiscovery starts a discovery service that passes each call, after its own name, to calls. It answers calls
+// that do not wait, and leaves the others open.
+func startRecordingDiscovery(t *testing.T, name string, calls chan<- string) *httptest.Server {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		calls <- name + r.RequestURI
+		if strings.HasSuffix(r.RequestURI, "timeout_ms=0") { // a node that has just started forwards nothing before this
+			respond(w, `{"rev":41,"all":false,"targets":[]}`)
+			return
+		}
+		<-r.Context().Done()
+	}))
+	t.Cleanup(func() {
+		server.CloseClientConnections()
+		server.Close()
+	})
+	return server
+}
+
+// SIGHUP, several in a row: a valid file changes the address of discovery, an invalid one is a line that names the field
+// and changes nothing, other differences are named, and a list in the file does not count. The node serves all along,
+// also a request that was in flight.
+func TestReloadOnSIGHUP(t *testing.T) {
+	calls := make(chan string, 100)
+	first := startRecordingDiscovery(t, "first", calls)
+	second := startRecordingDiscovery(t, "second", calls)
+	arrived, release := make(chan struct{}), make(chan struct{})
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		arrived <- struct{}{}
+		<-release
+		respond(w, "served")
+	}))
+	defer backend.Close()
+	text := strings.NewReplacer("127.0.0.1:1\"", backend.Listener.Addr().String()+"\"", "127.0.0.1:8500",
+		first.Listener.Addr().String(), "600000", "60000000", "1500000", "60000000").Replace(validConfig)
+	config := parseConfig(t, text)
+	files := make(chan string, 3)
+	log, ended, reloads := make(logLines, 100), make(chan error, 1), NotifyReload()
+	ctx, stop := context.WithCancel(context.Background())
+	load := func() (*Config, error) { return Parse([]byte(<-files), noEnvironment) }
+	go func() { ended <- Serve(ctx, config, load, reloads, log.logger()) }()
+	address := logField(log.await(t, "msg=serving"), "listen")
+	if got := <-calls; got != "first/v1/endpoints?since=41&timeout_ms=0" {
+		t.Error(got)
+	}
+	answered := make(chan int, 1)
+	go func() {
+		status, _ := send(http.DefaultTransport, http.MethodGet, "http://"+address+"/read", "1") // the status shows a failure
+		answered <- status
+	}()
+	<-arrived
+	moved := strings.Replace(text, first.Listener.Addr().String(), second.Listener.Addr().String(), 1)
+	withoutEndpoints := moved[:strings.Index(moved, `{"uid"`)] + moved[strings.Index(moved, `]},`):]
+	for _, step := range []struct{ file, phrase string }{
+		{strings.Replace(text, `"cores":1`, `"cores":-1`, 1), "limits.cores"},
+		{strings.Replace(withoutEndpoints, `"n3"`, `"n4"`, 1), "fields=name\n"},
+		{strings.Replace(withoutEndpoints, `"max_attempts":6`, `"max_attempts":2`, 1), "settings taken up"},
+		{"", "configuration: empty"},
+		{withoutEndpoints, "configuration taken up"},
+	} {
+		files <- step.file
+		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
+			t.Fatal(err)
+		}
+		log.await(t, step.phrase)
+	}
+	got := <-calls
+	for strings.HasPrefix(got, "first/v1/endpoints?since=41&timeout_ms=") { // watch calls from before the reload
+		got = <-calls
+	}
+	if got != "second/v1/endpoints" {
+		t.Error(got)
+	}
+	close(release)
+	if status := <-answered; status != http.StatusOK {
+		t.Errorf("the request in flight: status %d", status)
+	}
+	stop()
+	log.await(t, "msg=draining")
+	files <- text // a reload during the shutdown is safe, too
+	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
+	log.await(t, "configuration taken up")
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/daemon/watch_errors.go
@@ -0,0 +1,52 @@
+package daemon
+
+import (
+	"errors"
+	"fmt"
+
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/protocol"
+)
+
+var (
+	// errNoAnswer is a call that had no complete answer in time. A discovery without capacity for a call rejects it, with 503 or a reset.
+	errNoAnswer = errors.New("no answer in time")
+	// errOverloaded is a call that was queued by discovery, and then rejected or reset.
+	errOverloaded = errors.New("too many callers")
+	// errInvalidList is an answer that is not a valid list, whenever it came.
+	errInvalidList = errors.New("bad list")
+	// errEmptyList is a full list without a live endpoint. A discovery that has only just started may answer so; to
+	// accept it would empty the fleet.
+	errEmptyList = errors.New("no backends on a whole list")
+	// errAddressChanged ends a call to an address of discovery that is no longer configured.
+	errAddressChanged = errors.New("discovery has moved")
+	// errConnectionEnded is a connection that discovery closed before its answer was complete.
+	errConnectionEnded = errors.New("connection ended within an answer")
+)
+
+// statusError is an answer of discovery with a status other than 200.
+type statusError struct {
+	status int
+}
+
+// Error gives the status.
+func (e *statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
+
+// checkStatus returns a statusError unless the status is 200.
+func checkStatus(status int) error {
+	if status == protocol.StatusOK {
+		return nil
+	}
+	return &statusError{status: status}
+}
+
+// failureKind is what a failed call means to the decision module.
+func failureKind(err error) balancer.ListKind {
+	switch {
+	case errors.Is(err, errNoAnswer):
+		return balancer.ListTimeout
+	case errors.Is(err, errOverloaded):
+		return balancer.ListOverloaded
+	}
+	return balancer.ListFailed
+}
--- /dev/null
+++ b/internal/daemon/watch_loop.go
@@ -0,0 +1,189 @@
+package daemon
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"tulipglade/internal/protocol"
+)
+
+// callResult is what one call to discovery has brought.
+type callResult struct {
+	address string
+	list    protocol.List
+	err     error
+	start   time.Time
+	wait    time.Duration // how long discovery was allowed to wait for events
+}
+
+// run makes one call after the other until one fails. The first fetches what has been missed and does not wait, so that
+// it shows at once whether discovery answers.
+func (w *watch) run() {
+	connection := &discoveryConn{}
+	defer func() { connection.close() }()
+	mayWait, failing := false, false
+	for {
+		next, ok := w.planCall(connection, mayWait)
+		if !ok {
+			return
+		}
+		connection = next.connection
+		time.Sleep(next.delay)
+		result := next.do()
+		if errors.Is(result.err, errAddressChanged) {
+			continue
+		}
+		w.countTimeouts(result)
+		result.err = w.classify(result)
+		if w.onPushFailure != nil && result.err != nil {
+			if !failing {
+				w.onPushFailure(result.err)
+			}
+			failing, mayWait = true, false
+			continue
+		}
+		failing = false
+		if result.err != nil && !w.endAfterFailure(result.address) {
+			continue
+		}
+		w.report(result)
+		if result.err != nil {
+			return
+		}
+		mayWait = true
+	}
+}
+
+// plannedCall is the next call of a watch.
+type plannedCall struct {
+	connection  *discoveryConn
+	revision    int64
+	fullList    bool          // the full list, and not the changes since revision
+	wait, slack time.Duration // discovery may wait so long for events, and then take so long to answer
+	delay       time.Duration // before the call
+}
+
+// do makes the call.
+func (p plannedCall) do() callResult {
+	start := time.Now()
+	list, err := p.connection.roundTrip(p.request(), p.wait+p.slack)
+	return callResult{address: p.connection.address, list: list, err: err, start: start, wait: p.wait}
+}
+
+func (p plannedCall) request() []byte {
+	if p.fullList {
+		return protocol.AppendListRequest(nil, p.connection.address)
+	}
+	return protocol.AppendWatchRequest(nil, p.connection.address, p.revision, p.wait.Milliseconds())
+}
+
+// planCall plans the next call, on a new connection where the address has changed since the last. Discovery may wait for
+// events where mayWait says that the last call was answered. It returns false where the watch has been ended.
+func (w *watch) planCall(last *discoveryConn, mayWait bool) (plannedCall, bool) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if !w.active {
+		w.running = false
+		return plannedCall{}, false
+	}
+	next := plannedCall{connection: last, revision: w.revision, fullList: w.needsFullList, slack: w.callTimeout}
+	if last.address != w.address {
+		last.close()
+		next.connection = newDiscoveryConn(w.address, w.addressChanged)
+		mayWait = false
+	}
+	if w.onPushFailure == nil {
+		next.slack <<= min(w.consecutiveTimeouts, maxTimeoutDoublings)
+	}
+	if mayWait && !w.needsFullList {
+		next.wait = w.maxWait - rand.N(w.waitJitter+1)
+		next.slack = w.watchSlack
+	}
+	// A discovery that answers or fails at once must not be called in a tight loop, whoever restarts the watch.
+	next.delay = w.minCallInterval - time.Since(w.lastCallStart)
+	w.lastCallStart = time.Now().Add(max(next.delay, 0))
+	return next, true
+}
+
+// countTimeouts counts calls in a row that do not wait and time out. A watch call that times out was lost, not slow.
+func (w *watch) countTimeouts(result callResult) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	switch {
+	case !errors.Is(result.err, errNoAnswer):
+		w.consecutiveTimeouts = 0
+	case result.wait == 0:
+		w.consecutiveTimeouts++
+	}
+}
+
+// classify returns the error that a call's result stands for: a queued call that failed has met an overloaded discovery,
+// and a full list without a live endpoint is rejected.
+func (w *watch) classify(result callResult) error {
+	err := result.err
+	if err == nil {
+		if result.list.All && !hasLiveEndpoint(result.list) {
+			return fmt.Errorf("discovery at %s: %w", result.address, errEmptyList)
+		}
+		return nil
+	}
+	queued := result.wait == 0 && time.Since(result.start) >= w.queueingThreshold
+	if queued && !errors.Is(err, errNoAnswer) && !errors.Is(err, errInvalidList) {
+		return fmt.Errorf("%w: %w", errOverloaded, err)
+	}
+	return err
+}
+
+func hasLiveEndpoint(list protocol.List) bool {
+	return slices.ContainsFunc(list.Targets, func(target protocol.Target) bool {
+		return target.State != protocol.Terminated
+	})
+}
+
+// endAfterFailure ends the watch, before the decision module learns of the failure and may restart it. It returns false
+// where the address has changed in this moment.
+func (w *watch) endAfterFailure(address string) bool {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if address != w.address {
+		return false
+	}
+	w.running, w.active = false, false
+	return true
+}
+
+// report passes a call's result to the listener.
+func (w *watch) report(result callResult) {
+	if result.err != nil {
+		asOf := time.Now() // discovery rejected the call in this moment
+		if errors.Is(result.err, errNoAnswer) {
+			asOf = result.start
+		}
+		w.listener.DiscoveryCallFailed(result.err, failureKind(result.err), asOf)
+		return
+	}
+	w.listener.UpdateEndpointsAsOf(result.list, w.acceptRevision(result))
+}
+
+// acceptRevision takes over the list's revision and returns the time at which the list was current. An answer from an
+// earlier address is still merged, but its revision does not count at the new one, and it proves no time.
+func (w *watch) acceptRevision(result callResult) time.Time {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if result.address != w.address {
+		return time.Time{}
+	}
+	w.revision = result.list.Rev
+	w.needsFullList = w.needsFullList && !result.list.All
+	return earlierOf(time.Now(), result.start.Add(result.wait+answerLatencyTolerance))
+}
+
+func earlierOf(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return a
+	}
+	return b
+}
--- /dev/null
+++ b/internal/daemon/watch_push_test.go
@@ -0,0 +1,134 @@
+package daemon
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// Where lists are pushed the watch starts by itself and never ends: an agent that fails, does not answer, sends an empty
+// list or changes its address is called again without a report to the decision module, which did not start the watch. The
+// first failure in a row is passed on, and no other.
+func TestPushedWatchRetriesForEver(t *testing.T) {
+	answers := make(chan string, 10)
+	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		select {
+		case a := <-answers:
+			switch a {
+			case "":
+				w.WriteHeader(http.StatusServiceUnavailable)
+			case "no answer":
+				<-r.Context().Done()
+			default:
+				respond(w, a)
+			}
+		case <-r.Context().Done():
+		}
+	})
+	server := httptest.NewServer(handler)
+	defer server.Close()
+	defer server.CloseClientConnections()
+	next := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if strings.Contains(r.RequestURI, "since=") {
+			<-r.Context().Done() // no events
+			return
+		}
+		respond(w, `{"rev":7,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"in_service"}]}`)
+	}))
+	defer next.Close()
+	defer next.CloseClientConnections()
+	received := make(notifications, 10)
+	w := newWatch(server.Listener.Addr().String(), 41)
+	w.listener, w.minCallInterval = received, time.Millisecond
+	for _, a := range []string{"", "no answer", `{"rev":1,"all":true,"targets":[]}`, `{"rev":42,"all":false,"targets":[]}`,
+		"no answer", `{"rev":43,"all":false,"targets":[]}`} {
+		answers <- a
+	}
+	w.startPushed((400 * time.Millisecond).Microseconds(), func(error) { received <- "failing" })
+	if w.maxWait != 100*time.Millisecond || w.callTimeout != w.maxWait {
+		t.Errorf("waits %v, times out %v after that", w.maxWait, w.callTimeout)
+	}
+	for _, want := range []string{"failing", "list 42 false", "failing", "list 43 false"} {
+		received.want(t, want)
+	}
+	server.CloseClientConnections() // the agent dies, and no call is in flight there
+	w.SetAddress(next.Listener.Addr().String())
+	for got := ""; got != "list 7 true"; {
+		select {
+		case got = <-received:
+		case <-time.After(testTimeout):
+			t.Fatal("nothing from the agent at the new address")
+		}
+		if got != "failing" && got != "list 7 true" {
+			t.Fatal(got)
+		}
+	}
+	w.Watch(false)
+}
+
+// A node to which lists are pushed is notified of a draining endpoint without having polled.
+func TestNodeReceivesPushedLists(t *testing.T) {
+	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if strings.Contains(r.RequestURI, "since=9000") {
+			<-r.Context().Done() // no events
+			return
+		}
+		respond(w, `{"rev":9000,"all":false,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"terminating"}]}`)
+	}))
+	defer agent.Close()
+	defer agent.CloseClientConnections()
+	config := parseConfig(t, strings.NewReplacer(
+		`"ask"`, `"push"`, "127.0.0.1:8500", agent.Listener.Addr().String()).Replace(validConfig))
+	ctx, stop := context.WithCancel(context.Background())
+	log, ended := make(logLines, 100), make(chan error, 1)
+	go func() { ended <- Serve(ctx, config, nil, nil, log.logger()) }()
+	log.await(t, "msg=backends rev=9000")
+	stop()
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+}
+
+// Where lists are pushed, how long calls to the agent may wait follows from the drain grace, also from one that SIGHUP
+// brings.
+func TestReloadAppliesDrainGraceToPushedWatch(t *testing.T) {
+	waits := make(chan string, 100)
+	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		select {
+		case waits <- r.URL.Query().Get("timeout_ms"):
+		default:
+		}
+		respond(w, `{"rev":9000,"all":false,"targets":[]}`)
+	}))
+	defer agent.Close()
+	defer agent.CloseClientConnections()
+	withDrainGrace := func(microseconds string) string {
+		return strings.NewReplacer(`"ask"`, `"push"`, "127.0.0.1:8500", agent.Listener.Addr().String(),
+			`"grace_to_answer_us":20000`, `"grace_to_answer_us":20000,"drain_grace_us":`+microseconds).Replace(validConfig)
+	}
+	config := parseConfig(t, withDrainGrace("2000000"))
+	load := func() (*Config, error) { return Parse([]byte(withDrainGrace("600000")), noEnvironment) }
+	ctx, stop := context.WithCancel(context.Background())
+	ended, reloads := make(chan error, 1), make(chan os.Signal, 1)
+	go func() { ended <- Serve(ctx, config, load, reloads, slog.New(slog.DiscardHandler)) }()
+	for _, want := range []string{"500", "150"} { // a quarter, in milliseconds
+		for end, got := time.After(testTimeout), ""; got != want; {
+			select {
+			case got = <-waits:
+			case <-end:
+				t.Fatalf("no call to the agent waits for %s ms", want)
+			}
+		}
+		reloads <- syscall.SIGHUP
+	}
+	stop()
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/daemon/watch_test.go
@@ -0,0 +1,208 @@
+package daemon
+
+import (
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/protocol"
+)
+
+// notifications collects what a watch passes to its listener.
+type notifications chan string
+
+func (n notifications) UpdateEndpointsAsOf(list protocol.List, _ time.Time) {
+	n <- fmt.Sprint("list ", list.Rev, list.All)
+}
+
+func (n notifications) DiscoveryAddressChanged(time.Duration) {}
+
+func (n notifications) DiscoveryCallFailed(_ error, kind balancer.ListKind, _ time.Time) {
+	n <- map[balancer.ListKind]string{
+		balancer.ListFailed:     "failed",
+		balancer.ListTimeout:    "timeout",
+		balancer.ListOverloaded: "overloaded",
+	}[kind]
+}
+
+func (n notifications) want(t *testing.T, want string) {
+	t.Helper()
+	select {
+	case got := <-n:
+		if got != want {
+			t.Fatalf("received %q, want %q", got, want)
+		}
+	case <-time.After(testTimeout):
+		t.Fatalf("received nothing, want %q", want)
+	}
+}
+
+// The first call does not wait, so that it shows at once whether discovery answers; the next ones carry the revision last
+// received. A failure ends the watch and is reported once; Watch restarts it.
+func TestWatchCallsFollowEachOther(t *testing.T) {
+	calls := make(chan string, 10)
+	answers := make(chan string, 10)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		calls <- r.RequestURI
+		select {
+		case a := <-answers:
+			if a == "" {
+				w.WriteHeader(http.StatusServiceUnavailable)
+			}
+			respond(w, a)
+		case <-r.Context().Done():
+		}
+	}))
+	defer server.Close()
+	defer server.CloseClientConnections()
+	received := make(notifications, 10)
+	w := newWatch(server.Listener.Addr().String(), 41)
+	w.listener, w.waitJitter = received, 0
+	w.Watch(true)
+	w.Watch(true) // already watching: no second call
+	answers <- `{"rev":41,"all":false,"targets":[]}`
+	received.want(t, "list 41 false")
+	answers <- `{"rev":43,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"in_service"}]}`
+	received.want(t, "list 43 true")
+	answers <- ""
+	received.want(t, "failed")
+	w.Watch(true)
+	answers <- `{`
+	received.want(t, "failed")
+	w.Poll()
+	answers <- `{"rev":50,"all":true,"targets":[]}`
+	received.want(t, "list 50 true")
+	var got []string
+	for range 5 {
+		got = append(got, <-calls)
+	}
+	if diff := cmp.Diff([]string{"/v1/endpoints?since=41&timeout_ms=0", "/v1/endpoints?since=41&timeout_ms=4000",
+		"/v1/endpoints?since=43&timeout_ms=4000", "/v1/endpoints?since=43&timeout_ms=0", "/v1/endpoints"}, got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// A change of address gives up the call in flight without reporting a failure, and fetches the full list from the new
+// address at once. An empty list, as from a discovery that has only just started, does not empty the fleet. A change of
+// address restarts a failed watch too: the decision module would restart it only after its backoff.
+func TestWatchFollowsChangedAddress(t *testing.T) {
+	oldCalls, calls := make(chan string, 10), make(chan string, 10)
+	old := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		oldCalls <- r.RequestURI
+		<-r.Context().Done() // until the call is given up
+		oldCalls <- "given up"
+	}))
+	defer old.Close()
+	lists := make(chan string, 2)
+	lists <- `{"rev":7,"all":true,"targets":[]}`
+	lists <- `{"rev":7,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"in_service"}]}`
+	next := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		calls <- r.RequestURI
+		if strings.Contains(r.RequestURI, "timeout_ms=4000") {
+			<-r.Context().Done()
+			return
+		}
+		respond(w, <-lists)
+	}))
+	defer next.Close()
+	defer next.CloseClientConnections()
+	received := make(notifications, 10)
+	w := newWatch(old.Listener.Addr().String(), 41)
+	w.listener, w.waitJitter, w.callTimeout = received, 0, time.Minute // longer than this test takes
+	w.Watch(true)
+	if got := <-oldCalls; got != "/v1/endpoints?since=41&timeout_ms=0" {
+		t.Error(got)
+	}
+	w.SetAddress(next.Listener.Addr().String())
+	select {
+	case <-oldCalls:
+	case <-time.After(testTimeout):
+		t.Fatal("the call in flight goes on")
+	}
+	received.want(t, "failed")  // the empty list, and nothing before it
+	w.SetAddress("127.0.0.1:1") // nobody is there
+	received.want(t, "failed")
+	w.SetAddress(next.Listener.Addr().String())
+	received.want(t, "list 7 true")
+	var got []string
+	for range 3 {
+		got = append(got, <-calls)
+	}
+	if diff := cmp.Diff([]string{"/v1/endpoints", "/v1/endpoints", "/v1/endpoints?since=7&timeout_ms=4000"}, got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// A full list on which every endpoint is terminated is as empty as one with none: it is rejected.
+func TestFullListWithoutLiveEndpointsIsRejected(t *testing.T) {
+	for list, want := range map[string]string{
+		`{"rev":7,"all":true,"targets":[]}`:                                                           "failed",
+		`{"rev":7,"all":true,"targets":[{"uid":"a","state":"terminated"}]}`:                           "failed",
+		`{"rev":7,"all":false,"targets":[{"uid":"a","state":"terminated"}]}`:                          "list 7 false",
+		`{"rev":7,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"terminating"}]}`: "list 7 true",
+	} {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { respond(w, list) }))
+		received := make(notifications, 100)
+		w := newWatch(server.Listener.Addr().String(), 1)
+		w.listener = received
+		w.Watch(true)
+		received.want(t, want)
+		w.Watch(false)
+		server.Close()
+	}
+}
+
+// addressNotifications records for how long lists stay valid after a change of address, and as of when answers were current.
+type addressNotifications struct {
+	notifications
+	validities chan time.Duration
+	asOf       chan time.Time
+}
+
+func (m addressNotifications) DiscoveryAddressChanged(within time.Duration) { m.validities <- within }
+
+func (m addressNotifications) UpdateEndpointsAsOf(_ protocol.List, asOf time.Time) { m.asOf <- asOf }
+
+// A change of address is reported at once, also before the first call: the list received before is valid for 4 s at most.
+// An answer from the old address proves nothing of the list at the new one, and a late one proves no more than it would
+// have when it was due.
+func TestAddressChangeAndLateAnswersLimitListValidity(t *testing.T) {
+	received := addressNotifications{make(notifications, 10), make(chan time.Duration, 1), make(chan time.Time, 1)}
+	w := newWatch("127.0.0.1:1", 41)
+	w.listener = received
+	w.SetAddress("127.0.0.1:2")
+	if len(received.validities) == 0 { // it is reported within the call
+		t.Fatal("a change of address is not reported")
+	}
+	if got := <-received.validities; got != listValidityAfterAddressChange {
+		t.Errorf("the list is valid for %v", got)
+	}
+	w.SetAddress("127.0.0.1:2") // no change
+	if len(received.validities) > 0 {
+		t.Error("reported without a change of address")
+	}
+	start := time.Now().Add(-10 * time.Second)
+	for _, c := range []struct {
+		name, address string
+		want          time.Time
+	}{
+		{"late", "127.0.0.1:2", start.Add(time.Second + answerLatencyTolerance)},
+		{"from the old address", "127.0.0.1:1", time.Time{}},
+	} {
+		w.report(callResult{address: c.address, list: protocol.List{Rev: 42}, start: start, wait: time.Second})
+		if got := <-received.asOf; !got.Equal(c.want) {
+			t.Errorf("%s: as of %v, want %v", c.name, got, c.want)
+		}
+	}
+	before := time.Now()
+	w.report(callResult{address: "127.0.0.1:2", list: protocol.List{Rev: 43}, start: before, wait: time.Hour})
+	if got := <-received.asOf; got.Before(before) || got.After(time.Now()) {
+		t.Errorf("a prompt answer: as of %v", got)
+	}
+}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -8,92 +8,127 @@
 	"tulipglade/internal/balancer"
 )
 
-// Parse turns boot JSON into a Config and the names of the load report's values. Unknown keys are
-// skipped; a missing optional key leaves its zero value, of which balancer.Config says what it means.
-func Parse(raw []byte) (balancer.Config, []string, error) {
-	var s struct {
-		Discovery string `json:"discovery"`
-		Zone      int    `json:"my_zone"`
-		Peers     int    `json:"peers_total"`
-		Self      int    `json:"me"`
-		Tick      int64  `json:"tick_us"`
-		Tenants   []struct {
-			Share float64 `json:"share"`
-			Quota float64 `json:"quota_per_s"`
-		} `json:"orgs"`
-		Classes []struct {
-			Aim      int64   `json:"aim_us"`
-			Deadline int64   `json:"deadline_us"`
-			Window   int64   `json:"window_us"`
-			Effect   string  `json:"effect"`
-			Scope    string  `json:"key_scope"`
-			Late     float64 `json:"late_share"`
-			Worth    float64 `json:"credit"`
-		} `json:"profiles"`
-		Limits struct {
-			Attempts      int   `json:"max_attempts"`
-			Duplicate     bool  `json:"may_duplicate"`
-			Cancelling    bool  `json:"cancelling"`
-			Probing       bool  `json:"probing"`
-			RetryAfter    bool  `json:"retry_after"`
-			MaxRetryAfter int64 `json:"max_retry_after_us"`
-		} `json:"limits"`
-		Prices struct {
-			CrossZone float64 `json:"cross_zone"`
-			Probe     float64 `json:"probe"`
-		} `json:"prices"`
-		Rules struct {
-			AskEvery int64   `json:"ask_every_us"`
-			ColdFrom float64 `json:"cold_from"`
-			Ramp     int64   `json:"ramp_time_us"`
-			Multiple float64 `json:"overload_factor"`
-			Window   int64   `json:"fall_us"`
-		} `json:"rules"`
-		Specifics struct {
-			WarmKeys bool `json:"warm_keys"`
-		} `json:"specifics"`
-		Clients struct {
-			Marks bool `json:"marks_retry"`
-		} `json:"clients"`
-		Report struct {
-			Fields []string `json:"fields"`
-		} `json:"report"`
+// Deployment is the settings of a deployment as far as the decision module reads them.
+type Deployment struct {
+	Balancer         balancer.Config
+	LoadReportFields []string // names of the values in a load report, in their order
+}
+
+// Values of the key "discovery".
+const (
+	discoveryPush = "push" // lists are pushed to the node
+	discoveryPoll = "ask"  // the node polls for lists
+)
+
+var idempotencies = map[string]balancer.Idempotency{
+	"repeatable": balancer.Idempotent,
+	"by_key":     balancer.IdempotentByKey,
+	"once":       balancer.NonIdempotent,
+}
+
+var keyScopes = map[string]balancer.KeyScope{
+	"":     balancer.ScopeAll,
+	"all":  balancer.ScopeAll,
+	"zone": balancer.ScopeZone,
+	"cell": balancer.ScopeCell,
+}
+
+// FieldError is a value that the settings may not have.
+type FieldError struct {
+	Field   string // path of the field or of its object, such as "profiles[0]"; empty where the problem names it
+	Problem string
+}
+
+// Error names the field first, where there is one.
+func (e *FieldError) Error() string {
+	if e.Field == "" {
+		return e.Problem
 	}
-	if err := json.Unmarshal(raw, &s); err != nil {
-		return balancer.Config{}, nil, err
+	return e.Field + ": " + e.Problem
+}
+
+// Parse reads settings from their JSON form. Unknown keys are skipped; a missing optional key leaves its zero value, of
+// which balancer.Config says what it means.
+func Parse(raw []byte) (Deployment, error) {
+	var document settingsJSON
+	if err := json.Unmarshal(raw, &document); err != nil {
+		return Deployment{}, err
 	}
-	c := balancer.Config{Zone: s.Zone, PeerCount: s.Peers, PeerIndex: s.Self, TickInterval: s.Tick, MaxAttempts: s.Limits.Attempts,
-		AllowHedging: s.Limits.Duplicate, AllowCancel: s.Limits.Cancelling, AllowHealthChecks: s.Limits.Probing,
-		PollDiscovery: s.Discovery == "ask", PollInterval: s.Rules.AskEvery, SlowStartInitial: s.Rules.ColdFrom,
-		SlowStartDuration: s.Rules.Ramp, OverloadFactor: s.Rules.Multiple, OverloadWindow: s.Rules.Window,
-		CrossZoneCost: s.Prices.CrossZone, KeyAffinity: s.Specifics.WarmKeys, ClientsMarkRetries: s.Clients.Marks, HealthCheckCost: s.Prices.Probe}
-	if s.Discovery != "ask" && s.Discovery != "push" {
-		return c, nil, fmt.Errorf("discovery %q is neither push nor ask", s.Discovery)
+	if err := document.check(); err != nil {
+		return Deployment{}, err
 	}
-	if s.Self < 0 {
-		return c, nil, fmt.Errorf("me: %d is below 0", s.Self)
+	config := document.config()
+	for _, tenant := range document.Tenants {
+		config.Tenants = append(config.Tenants, tenant.tenant())
 	}
-	if s.Limits.RetryAfter {
-		c.MaxRetryAfter = s.Limits.MaxRetryAfter
+	for i, profile := range document.Classes {
+		class, err := profile.class(fmt.Sprintf("profiles[%d]", i))
+		if err != nil {
+			return Deployment{}, err
+		}
+		config.Classes = append(config.Classes, class)
 	}
-	for _, t := range s.Tenants {
-		c.Tenants = append(c.Tenants, balancer.Tenant{QuotaFraction: t.Share, QuotaPerSecond: t.Quota})
+	return Deployment{Balancer: config, LoadReportFields: document.Report.Fields}, nil
+}
+
+func (s *settingsJSON) check() error {
+	if s.Discovery != discoveryPush && s.Discovery != discoveryPoll {
+		return &FieldError{Problem: fmt.Sprintf("discovery %q is neither %s nor %s", s.Discovery, discoveryPush, discoveryPoll)}
 	}
-	effects := map[string]balancer.Idempotency{"repeatable": balancer.Idempotent, "by_key": balancer.IdempotentByKey,
-		"once": balancer.NonIdempotent}
-	scopes := map[string]balancer.KeyScope{"": balancer.ScopeAll, "all": balancer.ScopeAll,
-		"zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
-	for i, p := range s.Classes {
-		effect, ok := effects[p.Effect]
-		if !ok {
-			return c, nil, fmt.Errorf("profiles[%d]: unknown effect %q", i, p.Effect)
-		}
-		scope, ok := scopes[p.Scope]
-		if !ok {
-			return c, nil, fmt.Errorf("profiles[%d]: unknown key_scope %q", i, p.Scope)
-		}
-		c.Classes = append(c.Classes, balancer.Class{LatencyObjective: p.Aim, Deadline: p.Deadline, IdempotencyWindow: p.Window,
-			Idempotency: effect, KeyScope: scope, LateValue: p.Late, PriorityWeight: p.Worth})
+	if s.PeerIndex < 0 {
+		return &FieldError{Field: "me", Problem: fmt.Sprintf("%d is below 0", s.PeerIndex)}
+	}
+	return nil
+}
+
+// config returns all but the tenants and the classes.
+func (s *settingsJSON) config() balancer.Config {
+	config := balancer.Config{
+		Zone:               s.Zone,
+		PeerCount:          s.PeerCount,
+		PeerIndex:          s.PeerIndex,
+		TickInterval:       s.TickInterval,
+		MaxAttempts:        s.Limits.MaxAttempts,
+		AllowHedging:       s.Limits.AllowHedging,
+		AllowCancel:        s.Limits.AllowCancel,
+		AllowHealthChecks:  s.Limits.AllowHealthChecks,
+		PollDiscovery:      s.Discovery == discoveryPoll,
+		PollInterval:       s.Rules.PollInterval,
+		SlowStartInitial:   s.Rules.SlowStartInitial,
+		SlowStartDuration:  s.Rules.SlowStartDuration,
+		OverloadFactor:     s.Rules.OverloadFactor,
+		OverloadWindow:     s.Rules.OverloadWindow,
+		CrossZoneCost:      s.Prices.CrossZone,
+		KeyAffinity:        s.Specifics.KeyAffinity,
+		ClientsMarkRetries: s.Clients.MarkRetries,
+		HealthCheckCost:    s.Prices.HealthCheck,
+	}
+	if s.Limits.SendRetryAfter {
+		config.MaxRetryAfter = s.Limits.MaxRetryAfter
+	}
+	return config
+}
+
+func (t tenantJSON) tenant() balancer.Tenant {
+	return balancer.Tenant{QuotaFraction: t.QuotaFraction, QuotaPerSecond: t.QuotaPerSecond}
+}
+
+func (c classJSON) class(field string) (balancer.Class, error) {
+	idempotency, ok := idempotencies[c.Idempotency]
+	if !ok {
+		return balancer.Class{}, &FieldError{Field: field, Problem: fmt.Sprintf("unknown effect %q", c.Idempotency)}
+	}
+	scope, ok := keyScopes[c.KeyScope]
+	if !ok {
+		return balancer.Class{}, &FieldError{Field: field, Problem: fmt.Sprintf("unknown key_scope %q", c.KeyScope)}
 	}
-	return c, s.Report.Fields, nil
+	return balancer.Class{
+		LatencyObjective:  c.LatencyObjective,
+		Deadline:          c.Deadline,
+		IdempotencyWindow: c.IdempotencyWindow,
+		Idempotency:       idempotency,
+		KeyScope:          scope,
+		LateValue:         c.LateValue,
+		PriorityWeight:    c.PriorityWeight,
+	}, nil
 }
--- a/internal/simprotocol/simprotocol.go
+++ b/internal/simprotocol/simprotocol.go
@@ -147,11 +147,12 @@
 		if err != nil {
 			return ev, false, err
 		}
-		var names []string
-		if ev.Config, names, err = settings.Parse(raw); err != nil {
+		deployment, err := settings.Parse(raw)
+		if err != nil {
 			return ev, false, fmt.Errorf("record PowerOn: boot_info: %w", err)
 		}
-		r.fields[ev.Instance] = names
+		ev.Config = deployment.Balancer
+		r.fields[ev.Instance] = deployment.LoadReportFields
 	case Members:
 		ev.List = balancer.ListKind(rec[5])
 		if ev.List > balancer.ListFailed {
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -9,7 +9,6 @@
 	"testing"
 
 	"tulipglade/internal/balancer"
-	"tulipglade/internal/settings"
 )
 
 // hexes turns hand-written hex, with spaces and +N for zero bytes, into bytes.
@@ -209,27 +208,6 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
-	c, fields, err := settings.Parse([]byte(boot))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if c.Classes[0].KeyScope != balancer.ScopeCell || c.Classes[1].Idempotency != balancer.NonIdempotent || !c.PollDiscovery ||
-		c.MaxRetryAfter != 0 || c.MaxAttempts != 6 || c.OverloadFactor != 3 || c.Tenants[0].QuotaPerSecond != 10 || len(fields) != 2 {
-		t.Errorf("%+v %v", c, fields)
-	}
-	if c, _, err = settings.Parse([]byte(`{"discovery":"push","profiles":[{"deadline_us":5,"effect":"repeatable"}]}`)); err != nil ||
-		len(c.Tenants) != 0 || c.Classes[0].Deadline != 5 {
-		t.Errorf("missing optional keys: %+v, %v", c, err)
-	}
-	for _, bad := range []string{``, `{`, `[]`, `{"discovery":"shout"}`, `{"discovery":"push","profiles":[{"effect":"twice"}]}`,
-		`{"discovery":"push","profiles":[{"effect":"once","key_scope":"street"}]}`, `{"discovery":"push","tick_us":"x"}`} {
-		if _, _, err := settings.Parse([]byte(bad)); err == nil {
-			t.Errorf("%s: no error", bad)
-		}
-	}
-}
-
 func TestDamageIsNamed(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   []byte
