--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -16,25 +16,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// older is a process that gives.
-type older struct {
-	body          []byte
-	err           error
-	ln            net.Listener
-	serving, gone chan struct{}
+// fakePredecessor is a process that offers a handoff.
+type fakePredecessor struct {
+	body            []byte
+	err             error
+	listener        net.Listener
+	serving, exited chan struct{}
 }
 
-func (o *older) State() ([]byte, int, error) {
+func (o *fakePredecessor) State() ([]byte, int, error) {
 	if o.err != nil {
 		return nil, -1, o.err
 	}
 	fd, err := -1, error(nil)
-	raw, _ := o.ln.(*net.TCPListener).SyscallConn()
+	raw, _ := o.listener.(*net.TCPListener).SyscallConn()
 	_ = raw.Control(func(old uintptr) { fd, err = unix.Dup(int(old)) })
 	return o.body, fd, err
 }
 
-// blocking tells whether a listener's socket is, for all who have it.
+// blocking reports whether a listener's socket is blocking, for all processes that have it.
 func blocking(ln net.Listener) (is bool) {
 	raw, _ := ln.(*net.TCPListener).SyscallConn()
 	_ = raw.Control(func(fd uintptr) {
@@ -43,20 +43,27 @@
 	})
 	return is
 }
-func (o *older) SuccessorServing() { o.serving <- struct{}{} }
-func (o *older) SuccessorExited()  { o.gone <- struct{}{} }
 
-func newOlder(t *testing.T) *older {
+func (o *fakePredecessor) SuccessorServing() { o.serving <- struct{}{} }
+func (o *fakePredecessor) SuccessorExited()  { o.exited <- struct{}{} }
+
+func newFakePredecessor(t *testing.T) *fakePredecessor {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	return &older{body: bytes.Repeat([]byte("what is known "), 20_000), ln: ln, serving: make(chan struct{}, 9), gone: make(chan struct{}, 9)}
+	return &fakePredecessor{
+		body:     bytes.Repeat([]byte("what is known "), 20_000),
+		listener: ln,
+		serving:  make(chan struct{}, 9),
+		exited:   make(chan struct{}, 9),
+	}
 }
 
-func path(t *testing.T) string {
+func testPath(t *testing.T) string {
+	t.Helper()
 	p, err := Path(t.TempDir(), "n3", "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +71,7 @@
 	return p
 }
 
-func wait(t *testing.T, c chan struct{}, what string) {
+func awaitSignal(t *testing.T, c chan struct{}, what string) {
 	t.Helper()
 	select {
 	case <-c:
@@ -73,150 +80,152 @@
 	}
 }
 
-// The newer process gets the body and the socket, with the connections that wait in its queue; each hears of the end of
-// the other. Two upgrades in a row find the newest process.
-func TestHandOver(t *testing.T) {
+// The successor gets the body and the socket, with the connections that wait in its queue; each notices the end of
+// the other. Of two hot restarts in a row, the second finds the newest process.
+func TestHandoffPassesListenerAndBody(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	first, at := newOlder(t), path(t)
-	if err := os.WriteFile(at, nil, 0o600); err != nil { // left by a process long dead
+	first, path := newFakePredecessor(t), testPath(t)
+	if err := os.WriteFile(path, nil, 0o600); err != nil { // left by an earlier process
 		t.Fatal(err)
 	}
-	o, err := NewOffer(at, first)
+	firstOffer, err := NewOffer(path, first)
 	if err != nil {
 		t.Fatal(err)
 	}
-	client, err := net.Dial("tcp", first.ln.Addr().String()) // nobody has accepted it
+	client, err := net.Dial("tcp", first.listener.Addr().String()) // nobody has accepted it
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer client.Close()
-	got, err := Receive(at)
-	if err != nil || !bytes.Equal(got.Body, first.body) {
-		t.Fatal(err, len(got.Body))
+	defer func() { _ = client.Close() }()
+	handoff, err := Receive(path)
+	if err != nil || !bytes.Equal(handoff.Body, first.body) {
+		t.Fatal(err, len(handoff.Body))
 	}
-	if blocking(first.ln) { // an accept that finds the queue empty would stop the poller of either process
-		t.Error("the socket has been set to blocking on its way")
+	if blocking(first.listener) { // an accept that finds the queue empty would stop the poller of either process
+		t.Error("the handoff has set the socket to blocking")
 	}
-	file := os.NewFile(uintptr(got.Listener), "listener")
-	ln, err := net.FileListener(file)
+	file := os.NewFile(uintptr(handoff.Listener), "listener")
+	listener, err := net.FileListener(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = file.Close()
-	gone := make(chan struct{}, 1)
-	got.ReportServing(func() { gone <- struct{}{} })
-	wait(t, first.serving, "the older hears that the newer serves")
-	second := newOlder(t)
-	o2, err := NewOffer(at, second)
+	exited := make(chan struct{}, 1)
+	handoff.ReportServing(func() { exited <- struct{}{} })
+	awaitSignal(t, first.serving, "the predecessor learns that the successor serves")
+	second := newFakePredecessor(t)
+	secondOffer, err := NewOffer(path, second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = first.ln.Close()
-	if err := o.Close(); err != nil {
+	_ = first.listener.Close()
+	if err := firstOffer.Close(); err != nil {
 		t.Error(err)
 	}
-	wait(t, gone, "the newer hears of the end of the older")
-	wait(t, first.gone, "the older hears that it is over")
-	conn, err := ln.Accept() // what was in the queue of the older is served
+	awaitSignal(t, exited, "the successor notices the end of the predecessor")
+	awaitSignal(t, first.exited, "the predecessor notices the end of the successor")
+	conn, err := listener.Accept() // a connection from the predecessor's queue is served
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = conn.Close()
-	_ = ln.Close()
-	third, err := Receive(at)
+	_ = listener.Close()
+	third, err := Receive(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = unix.Close(third.Listener)
 	_ = third.Close() // it dies before it serves
-	wait(t, second.gone, "an older process hears that the newer never came to serve")
-	_ = o2.Close()
+	awaitSignal(t, second.exited, "a predecessor notices the end of a successor that has never served")
+	_ = secondOffer.Close()
 }
 
-// relay stands between the two, and passes on the first so many bytes of what the older says, changed.
-func relay(t *testing.T, to, at string, most int, change func([]byte)) {
-	ln, err := net.Listen("unix", at)
+// relay listens at a path between the two processes, and forwards the first so many bytes that the predecessor sends,
+// changed.
+func relay(t *testing.T, target, path string, maxBytes int, change func([]byte)) {
+	t.Helper()
+	listener, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		defer ln.Close()
-		conn, err := ln.Accept()
+		defer func() { _ = listener.Close() }()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		defer conn.Close()
-		older, err := net.Dial("unix", to)
+		defer func() { _ = conn.Close() }()
+		predecessor, err := net.Dial("unix", target)
 		if err != nil {
 			return
 		}
-		defer older.Close()
-		go func() { _, _ = io.Copy(older, conn); _ = older.Close() }()
+		defer func() { _ = predecessor.Close() }()
+		go func() { _, _ = io.Copy(predecessor, conn); _ = predecessor.Close() }()
 		buf := make([]byte, 1<<16)
-		oob := make([]byte, 64)
-		for passed := 0; passed < most; {
-			n, k, _, _, err := older.(*net.UnixConn).ReadMsgUnix(buf, oob)
+		control := make([]byte, 64)
+		for relayed := 0; relayed < maxBytes; {
+			n, k, _, _, err := predecessor.(*net.UnixConn).ReadMsgUnix(buf, control)
 			if err != nil || n == 0 {
 				return
 			}
-			n = min(n, most-passed)
+			n = min(n, maxBytes-relayed)
 			change(buf[:n])
-			if _, _, err := conn.(*net.UnixConn).WriteMsgUnix(buf[:n], oob[:k], nil); err != nil {
+			if _, _, err := conn.(*net.UnixConn).WriteMsgUnix(buf[:n], control[:k], nil); err != nil {
 				return
 			}
-			passed += n
+			relayed += n
 		}
 	}()
 }
 
-// A hand-over that is cut at any byte, damaged, of another version, or never answered ends in time and gives nothing.
-func TestBadHandOvers(t *testing.T) {
-	o := newOlder(t)
-	o.body = []byte("short")
-	at := path(t)
-	offer, err := NewOffer(at, o)
+// A handoff that is cut at any byte, damaged, of another version, or never answered ends in time and yields nothing.
+func TestFailedHandoffYieldsNothing(t *testing.T) {
+	predecessor := newFakePredecessor(t)
+	predecessor.body = []byte("short")
+	path := testPath(t)
+	offer, err := NewOffer(path, predecessor)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer offer.Close()
-	dir, tries := t.TempDir(), 0
-	try := func(name string, most int, change func([]byte)) {
-		tries++
-		p := filepath.Join(dir, strconv.Itoa(tries)) // the one before is removed as its listener closes
-		relay(t, at, p, most, change)
-		if got, err := Receive(p); err == nil {
-			t.Errorf("%s: taken, %q", name, got.Body)
+	defer func() { _ = offer.Close() }()
+	dir, attempts := t.TempDir(), 0
+	attempt := func(name string, maxBytes int, change func([]byte)) {
+		attempts++
+		relayPath := filepath.Join(dir, strconv.Itoa(attempts)) // the one before is removed as its listener closes
+		relay(t, path, relayPath, maxBytes, change)
+		if got, err := Receive(relayPath); err == nil {
+			t.Errorf("%s: received %q", name, got.Body)
 		}
-		wait(t, o.gone, "the older hears that it came to nothing")
+		awaitSignal(t, predecessor.exited, "the predecessor notices that the handoff failed")
 	}
-	for cut := 1; cut < headLen+len(o.body); cut++ {
-		try("cut", cut, func([]byte) {})
+	for cut := 1; cut < headSize+len(predecessor.body); cut++ {
+		attempt("cut", cut, func([]byte) {})
 	}
-	try("damaged", 1<<20, func(p []byte) { p[len(p)-1]++ })
-	try("another version", 1<<20, func(p []byte) { p[0]++ })
-	p := filepath.Join(dir, "silent.sock")
-	silent, err := net.Listen("unix", p)
+	attempt("damaged", 1<<20, func(relayPath []byte) { relayPath[len(relayPath)-1]++ })
+	attempt("another version", 1<<20, func(relayPath []byte) { relayPath[0]++ })
+	relayPath := filepath.Join(dir, "silent.sock")
+	silent, err := net.Listen("unix", relayPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	if _, err := take(p, 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a process that says nothing: %v", err)
+	defer func() { _ = silent.Close() }()
+	if _, err := receive(relayPath, 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("a process that does not answer: %v", err)
 	}
 	if _, err := Receive(filepath.Join(dir, "nobody.sock")); err == nil {
-		t.Error("nobody there: taken")
+		t.Error("no process: received")
 	}
-	o.err = errors.New("no")
-	if _, err := Receive(at); err == nil {
-		t.Error("nothing given: taken")
+	predecessor.err = errors.New("no")
+	if _, err := Receive(path); err == nil {
+		t.Error("no state: received")
 	}
 	if _, err := Path("", "n", "l"); err == nil {
-		t.Error("no folder: a path")
+		t.Error("no directory: a path")
 	}
 	if _, err := Path("/"+strings.Repeat("x", 100), "n", "l"); err == nil {
 		t.Error("a path that is too long")
 	}
-	if _, err := NewOffer("/nowhere/at/all", o); err == nil {
-		t.Error("a folder that is not there")
+	if _, err := NewOffer("/nowhere/at/all", predecessor); err == nil {
+		t.Error("a directory that does not exist")
 	}
 }
--- /dev/null
+++ b/internal/hotrestart/receive.go
@@ -0,0 +1,115 @@
+package hotrestart
+
+import (
+	"io"
+	"net"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"golang.org/x/sys/unix"
+)
+
+// descriptorSize is the size of one descriptor in a control message.
+const descriptorSize = 4
+
+// Handoff is what a successor has received.
+type Handoff struct {
+	Body     []byte
+	Listener int // a descriptor, which the receiver closes
+	conn     *net.UnixConn
+}
+
+// Receive asks the process that offers a handoff at path. It returns within Timeout.
+func Receive(path string) (*Handoff, error) { return receive(path, Timeout) }
+
+func receive(path string, timeout time.Duration) (*Handoff, error) {
+	deadline := time.Now().Add(timeout)
+	dialled, err := net.DialTimeout("unix", path, timeout)
+	if err != nil {
+		return nil, err
+	}
+	handoff := &Handoff{Listener: noDescriptor, conn: dialled.(*net.UnixConn)}
+	_ = handoff.conn.SetDeadline(deadline) // an open connection takes any deadline
+	if err := handoff.read(); err != nil {
+		handoff.discard()
+		return nil, err
+	}
+	_ = handoff.conn.SetDeadline(time.Time{})
+	return handoff, nil
+}
+
+// discard releases a handoff that could not be read.
+func (h *Handoff) discard() {
+	_ = h.conn.Close() // the error that has come before is the one that counts
+	if h.Listener != noDescriptor {
+		_ = unix.Close(h.Listener)
+	}
+}
+
+// read sends the greeting and reads the listener and the body.
+func (h *Handoff) read() error {
+	if _, err := io.WriteString(h.conn, greeting); err != nil {
+		return err
+	}
+	head := make([]byte, headSize)
+	if err := h.readHead(head); err != nil {
+		return err
+	}
+	length, checksum, err := decodeHead(head)
+	if err != nil {
+		return err
+	}
+	h.Body = make([]byte, length)
+	if _, err := io.ReadFull(h.conn, h.Body); err != nil {
+		return err
+	}
+	if xxhash.Sum64(h.Body) != checksum {
+		return errChecksum
+	}
+	return nil
+}
+
+// readHead reads the head and the descriptor that comes with its first byte.
+func (h *Handoff) readHead(head []byte) error {
+	control := make([]byte, unix.CmsgSpace(descriptorSize))
+	n, controlLength, _, _, err := h.conn.ReadMsgUnix(head, control)
+	if err != nil {
+		return err
+	}
+	h.Listener, err = descriptor(control[:controlLength])
+	if err != nil {
+		return err
+	}
+	_, err = io.ReadFull(h.conn, head[n:])
+	return err
+}
+
+// descriptor returns the descriptor in a control message.
+func descriptor(control []byte) (int, error) {
+	messages, err := unix.ParseSocketControlMessage(control)
+	if err != nil {
+		return noDescriptor, err
+	}
+	for _, message := range messages {
+		descriptors, err := unix.ParseUnixRights(&message)
+		if err == nil && len(descriptors) == 1 {
+			unix.CloseOnExec(descriptors[0])
+			return descriptors[0], nil
+		}
+	}
+	return noDescriptor, errNoDescriptor
+}
+
+// ReportServing reports to the predecessor that this process accepts connections, and calls exited when the predecessor
+// has ended.
+func (h *Handoff) ReportServing(exited func()) {
+	_, _ = h.conn.Write([]byte{servingReport}) // a predecessor that has ended needs no report
+	go func() {
+		_, _ = io.Copy(io.Discard, h.conn)
+		_ = h.conn.Close() // the predecessor has ended
+		exited()
+	}()
+}
+
+// Close ends the connection to the predecessor.
+func (h *Handoff) Close() error { return h.conn.Close() }
