--- a/internal/admin/admin_test.go
+++ b/internal/admin/server_test.go
@@ -12,28 +12,28 @@
 	"go.uber.org/goleak"
 )
 
-// node answers as a test says.
-type node struct {
-	asked chan string
-	err   error
-	dumb  bool // it never answers
+// fakeNode answers as a test sets it.
+type fakeNode struct {
+	calls  chan string
+	err    error
+	silent bool // it never answers
 }
 
-func (n *node) call(name string, reply func(error)) {
-	n.asked <- name
-	if !n.dumb {
+func (n *fakeNode) call(name string, reply func(error)) {
+	n.calls <- name
+	if !n.silent {
 		go reply(n.err)
 	}
 }
-func (n *node) Status(reply func(error))  { n.call("status", reply) }
-func (n *node) Standby(reply func(error)) { n.call("standby", reply) }
-func (n *node) Active(reply func(error))  { n.call("active", reply) }
+func (n *fakeNode) Status(reply func(error))  { n.call("status", reply) }
+func (n *fakeNode) Standby(reply func(error)) { n.call("standby", reply) }
+func (n *fakeNode) Active(reply func(error))  { n.call("active", reply) }
 
-func start(t *testing.T, n *node, within time.Duration) string {
+func startServer(t *testing.T, n *fakeNode, readTimeout time.Duration) string {
 	t.Helper()
 	ignore := goleak.IgnoreCurrent()
-	n.asked = make(chan string, 100)
-	s, err := listen("127.0.0.1:0", n, slog.New(slog.DiscardHandler), within)
+	n.calls = make(chan string, 100)
+	s, err := listen("127.0.0.1:0", n, slog.New(slog.DiscardHandler), readTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	return conn
 }
 
-func answer(t *testing.T, conn net.Conn) string {
+func readAnswer(t *testing.T, conn net.Conn) string {
 	t.Helper()
 	all, err := io.ReadAll(conn) // to the close that follows each answer
 	if err != nil {
@@ -68,12 +68,12 @@
 	return strings.TrimPrefix(line, "HTTP/1.1 ")
 }
 
-func TestCalls(t *testing.T) {
+func TestCallsAreAnswered(t *testing.T) {
 	no := errors.New("no")
 	for _, c := range []struct {
 		name, call string
 		err        error
-		asked      string
+		wantCalls  string
 		want       string
 	}{
 		{"status", "GET /status HTTP/1.1\r\nHost: h\r\n\r\n", nil, "status", "200 OK"},
@@ -91,26 +91,26 @@
 		{"a call behind the call", "PUT /active HTTP/1.1\r\n\r\nPUT /standby HTTP/1.1\r\n\r\n", nil, "active", "200 OK"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := &node{err: c.err}
-			addr := start(t, n, callWithin)
-			if got := answer(t, send(t, addr, c.call)); got != c.want {
+			n := &fakeNode{err: c.err}
+			addr := startServer(t, n, callReadTimeout)
+			if got := readAnswer(t, send(t, addr, c.call)); got != c.want {
 				t.Errorf("%s, want %s", got, c.want)
 			}
-			asked := ""
-			for len(n.asked) > 0 {
-				asked += <-n.asked
+			calls := ""
+			for len(n.calls) > 0 {
+				calls += <-n.calls
 			}
-			if asked != c.asked {
-				t.Errorf("the node was asked for %q, want %q", asked, c.asked)
+			if calls != c.wantCalls {
+				t.Errorf("calls to the node %q, want %q", calls, c.wantCalls)
 			}
 		})
 	}
 }
 
-// A call under a lease that was overtaken is refused, also by the process that takes this one's place; one without a lease is not.
-func TestCallsUnderALease(t *testing.T) {
-	n := &node{}
-	addr := start(t, n, callWithin)
+// A call with a stale token is rejected; one without a lease is not.
+func TestStaleTokensAreRejected(t *testing.T) {
+	n := &fakeNode{}
+	addr := startServer(t, n, callReadTimeout)
 	for _, c := range []struct{ call, want string }{
 		{"PUT /standby?lease=roll&seat=0&token=7", "200 OK"},
 		{"PUT /active?token=6&lease=roll", "409 Conflict"},
@@ -126,51 +126,51 @@
 		{"PUT /standby?lease=other&token=1", "200 OK"},
 	} {
 		conn := send(t, addr, c.call+" HTTP/1.1\r\n\r\n")
-		if got := answer(t, conn); got != c.want {
+		if got := readAnswer(t, conn); got != c.want {
 			t.Errorf("%s: %s, want %s", c.call, got, c.want)
 		}
 		_ = conn.Close()
 	}
-	asked := len(n.asked)
-	if asked != 6 {
-		t.Errorf("the node was asked %d times", asked)
+	calls := len(n.calls)
+	if calls != 6 {
+		t.Errorf("%d calls to the node", calls)
 	}
 }
 
-// Callers that send nothing, or half a call, and stay, do not keep others out: the oldest of them goes. Each has its
-// time limit as well.
-func TestSilentCallersKeepNobodyOut(t *testing.T) {
-	n := &node{}
-	addr := start(t, n, time.Hour)
+// Callers that send nothing, or half a call, and keep the connection do not block others: the oldest connection is closed.
+// Each has its timeout as well.
+func TestSilentCallersDoNotBlockOthers(t *testing.T) {
+	n := &fakeNode{}
+	addr := startServer(t, n, time.Hour)
 	var silent []net.Conn
 	for i := range 3 * MaxConns {
 		silent = append(silent, send(t, addr, []string{"", "GET /sta"}[i%2]))
 	}
 	for range 3 {
-		if got := answer(t, send(t, addr, "GET /status HTTP/1.1\r\n\r\n")); got != "200 OK" {
+		if got := readAnswer(t, send(t, addr, "GET /status HTTP/1.1\r\n\r\n")); got != "200 OK" {
 			t.Error(got)
 		}
 	}
 	if all, _ := io.ReadAll(silent[0]); len(all) > 0 {
-		t.Errorf("the oldest was told %q", all)
+		t.Errorf("the oldest received %q", all)
 	}
 }
 
-func TestHalfACallEnds(t *testing.T) {
-	addr := start(t, &node{}, 50*time.Millisecond)
-	if got := answer(t, send(t, addr, "GET /status HT")); got != "408 Request Timeout" {
+func TestIncompleteCallTimesOut(t *testing.T) {
+	addr := startServer(t, &fakeNode{}, 50*time.Millisecond)
+	if got := readAnswer(t, send(t, addr, "GET /status HT")); got != "408 Request Timeout" {
 		t.Error(got)
 	}
 }
 
-// A node that does not answer is a no, and in time.
-func TestNodeThatDoesNotAnswer(t *testing.T) {
-	addr := start(t, &node{dumb: true}, callWithin)
+// A node that does not answer leads to a rejection, and in time.
+func TestNodeTimeoutIsAnswered(t *testing.T) {
+	addr := startServer(t, &fakeNode{silent: true}, callReadTimeout)
 	began := time.Now()
-	if got := answer(t, send(t, addr, "GET /status HTTP/1.1\r\n\r\n")); got != "503 Service Unavailable" {
+	if got := readAnswer(t, send(t, addr, "GET /status HTTP/1.1\r\n\r\n")); got != "503 Service Unavailable" {
 		t.Error(got)
 	}
-	if took := time.Since(began); took < askWithin/2 {
-		t.Errorf("after %v: it was not waited for", took)
+	if took := time.Since(began); took < nodeTimeout/2 {
+		t.Errorf("after %v: without a wait for the node", took)
 	}
 }
