--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"maps"
-	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
@@ -13,169 +12,51 @@
 	"tulipglade/internal/lease"
 )
 
-// lan is members whose messages arrive at once, and whose clock the test moves.
-type lan struct {
-	t       *testing.T
-	now     time.Duration
-	members map[uint64]*Member
-	disks   map[uint64]*disk
-	post    []*pb.Message
-}
-
-type disk struct {
-	DurableState
-	writes int
-	err    error
-}
-
-func (d *disk) Save(w StorageUpdate) error {
-	d.writes++
-	d.DurableState = d.DurableState.EntriesAfter(w)
-	return d.err
-}
-
-const interval = 100 * time.Millisecond
-
-func newLan(t *testing.T, n int) *lan {
-	l := &lan{t: t, members: map[uint64]*Member{}, disks: map[uint64]*disk{}}
-	who := map[uint64]string{}
-	for id := range uint64(n) {
-		who[id+1] = string(rune('a' + id))
-	}
-	for id := range who {
-		kept, err := Bootstrap(who, lease.Terms{Interval: interval, Drift: 0.01})
-		if err != nil {
-			t.Fatal(err)
-		}
-		l.disks[id] = &disk{DurableState: kept}
-		l.start(id)
-	}
-	return l
-}
-
-func (l *lan) start(id uint64) {
-	m, err := New(Options{ID: id, Clock: func() time.Duration { return l.now }, Rand: rand.New(rand.NewPCG(id, 1)), Storage: l.disks[id],
-		Send: func(_ string, m *pb.Message) { l.post = append(l.post, m) }, ElectionTicks: 10, SnapshotEntries: 20, RequestTimeoutTicks: 30}, l.disks[id].DurableState)
-	if err != nil {
-		l.t.Fatal(err)
-	}
-	l.members[id] = m
-}
-
-// settle delivers until nobody has anything to say.
-func (l *lan) settle() { l.deliver(func(*pb.Message) bool { return true }) }
-
-// deliver brings what is wanted to its place, and what follows from it; the rest stays on its way.
-func (l *lan) deliver(wanted func(*pb.Message) bool) {
-	for {
-		for _, id := range slices.Sorted(maps.Keys(l.members)) {
-			if l.members[id].Flush() != nil {
-				delete(l.members, id)
-			}
-		}
-		at := slices.IndexFunc(l.post, wanted)
-		if at < 0 {
-			return
-		}
-		m := l.post[at]
-		l.post = slices.Delete(l.post, at, at+1)
-		to := l.members[m.GetTo()]
-		if to != nil {
-			_ = to.Step(string(rune('a'+m.GetFrom()-1)), m)
-		}
-		if from := l.members[m.GetFrom()]; m.GetType() == pb.MsgSnap && from != nil {
-			from.Delivered(m.GetTo(), to != nil)
-		}
-	}
-}
-
-func (l *lan) beats(n int) {
-	for range n {
-		l.now += interval / 2
-		for _, id := range slices.Sorted(maps.Keys(l.members)) {
-			l.members[id].Tick()
-		}
-		l.settle()
-	}
-}
-
-func (l *lan) leader() *Member {
-	l.t.Helper()
-	for range 100 {
-		l.beats(1)
-		for _, id := range slices.Sorted(maps.Keys(l.members)) {
-			if l.members[id].IsLeader() {
-				return l.members[id]
-			}
-		}
-	}
-	l.t.Fatal("nobody leads")
-	return nil
-}
-
-func (l *lan) ask(m *Member, c lease.Command) (g lease.Grant, err error) {
-	err = errors.New("no answer")
-	m.Propose(c, func(got lease.Grant, e error) { g, err = got, e })
-	l.settle()
-	return g, err
-}
-
-func (l *lan) change(m *Member, add map[uint64]string, remove ...uint64) *error {
-	err := errors.New("no answer")
-	m.ChangeMembers(add, remove, func(e error) { err = e })
-	l.settle()
-	return &err
-}
-
-func acquire(name string) lease.Command {
-	return lease.Command{Kind: lease.Acquire, Name: name, Holder: "w", RequestID: 1, Ticks: 4}
-}
-
-// A lease is granted by whoever leads, outlives a change of leader, and ends by ticks.
-func TestLeaseOverLeaders(t *testing.T) {
-	l := newLan(t, 3)
-	lead := l.leader()
-	g, err := l.ask(lead, acquire("x"))
+// Only the leader grants a lease; the lease survives a change of leader, and expires by ticks.
+func TestLeaseSurvivesLeaderChangeAndExpires(t *testing.T) {
+	group := newNetwork(t, 3)
+	leader := group.awaitLeader()
+	g, err := group.propose(leader, acquire("x"))
 	if err != nil || g.Token != 1 {
 		t.Fatal(g, err)
 	}
-	for id, m := range l.members {
-		if m == lead {
+	for id, m := range group.members {
+		if m == leader {
 			continue
 		}
-		var not NotLeaderError
-		if _, err := l.ask(m, acquire("x")); !errors.As(err, &not) || not.Address != string(rune('a'+lead.Status().ID-1)) {
+		var notLeader NotLeaderError
+		if _, err := group.propose(m, acquire("x")); !errors.As(err, &notLeader) || notLeader.Address != address(leader.Status().ID) {
 			t.Errorf("member %d: %v", id, err)
 		}
 	}
-	delete(l.members, lead.Status().ID)
-	lead = l.leader()
-	if _, err := l.ask(lead, lease.Command{Kind: lease.Renew, Name: "x", Token: 1, Ticks: 4}); err != nil {
-		t.Error("it ended with its leader:", err)
+	delete(group.members, leader.Status().ID)
+	leader = group.awaitLeader()
+	if _, err := group.propose(leader, lease.Command{Kind: lease.Renew, Name: "x", Token: 1, Ticks: 4}); err != nil {
+		t.Error("lost with its leader:", err)
 	}
-	l.beats(20)
-	if _, err := l.ask(lead, lease.Command{Kind: lease.Renew, Name: "x", Token: 1, Ticks: 4}); !errors.Is(err, lease.ErrNotGranted) {
-		t.Error("it has not ended:", err)
+	group.runTicks(20)
+	if _, err := group.propose(leader, lease.Command{Kind: lease.Renew, Name: "x", Token: 1, Ticks: 4}); !errors.Is(err, lease.ErrNotGranted) {
+		t.Error("not expired:", err)
 	}
-	if g, err := l.ask(lead, acquire("x")); err != nil || g.Token != 2 {
+	if g, err := group.propose(leader, acquire("x")); err != nil || g.Token != 2 {
 		t.Error(g, err)
 	}
 }
 
-// Ticks are an interval apart at least; and an idle group writes nothing.
-func TestPace(t *testing.T) {
-	l := newLan(t, 3)
-	lead := l.leader()
-	writes := l.disks[1].writes
-	if l.beats(100); l.disks[1].writes != writes {
-		t.Errorf("%d writes of an idle group", l.disks[1].writes-writes)
-	}
-	hold(l, lead)
+// Lease ticks are at least an interval apart, and a group without leases writes nothing.
+func TestLeaseTicksAreOneIntervalApart(t *testing.T) {
+	group := newNetwork(t, 3)
+	leader := group.awaitLeader()
+	writes := group.storages[1].writes
+	if group.runTicks(100); group.storages[1].writes != writes {
+		t.Errorf("%d writes of an idle group", group.storages[1].writes-writes)
+	}
+	grantLongLease(group, leader)
 	var at []time.Duration
-	for tick := lead.Status().Tick; len(at) < 20; {
-		if l.beats(1); lead.Status().Tick != tick {
-			tick = lead.Status().Tick
-			at = append(at, l.now)
+	for tick := leader.Status().Tick; len(at) < 20; {
+		if group.runTicks(1); leader.Status().Tick != tick {
+			tick = leader.Status().Tick
+			at = append(at, group.now)
 		}
 	}
 	for i := range at[1:] {
@@ -185,255 +66,250 @@
 	}
 }
 
-// hold has somebody hold a lease for long, so that time goes on.
-func hold(l *lan, lead *Member) {
-	l.t.Helper()
-	c := acquire("x")
-	c.Ticks = 1000
-	if _, err := l.ask(lead, c); err != nil {
-		l.t.Fatal(err)
-	}
-}
-
-// A tick that waits for its majority is not proposed again and again: all of them would count at once, and end leases early.
-func TestOneTickAtATime(t *testing.T) {
-	l := newLan(t, 3)
-	lead := l.leader()
-	hold(l, lead)
-	l.beats(10)
-	tick := lead.Status().Tick
-	for range 8 { // four intervals, in which nobody answers
-		l.now += interval / 2
-		lead.Tick()
-		if err := lead.Flush(); err != nil {
+// While a lease tick waits for its quorum, no other is proposed: all of them would be applied at once, and expire leases early.
+func TestOnlyOneLeaseTickInFlight(t *testing.T) {
+	group := newNetwork(t, 3)
+	leader := group.awaitLeader()
+	grantLongLease(group, leader)
+	group.runTicks(10)
+	tick := leader.Status().Tick
+	for range 8 { // four intervals without any response
+		group.now += interval / 2
+		leader.Tick()
+		if err := leader.Flush(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if l.settle(); lead.Status().Tick != tick+1 {
-		t.Errorf("%d ticks at once", lead.Status().Tick-tick)
+	if group.deliverAll(); leader.Status().Tick != tick+1 {
+		t.Errorf("%d ticks applied at once", leader.Status().Tick-tick)
 	}
 }
 
-// The leader dies when its last tick has counted, and the next one has not heard of that: it must know before it proposes one of its own.
-func TestATickOfTheLeaderBefore(t *testing.T) {
-	l := newLan(t, 3)
-	old := l.leader()
-	hold(l, old)
-	l.beats(10)
-	tick := old.Status().Tick
-	l.now += 2 * interval
-	old.Tick()
-	l.deliver(func(m *pb.Message) bool { return len(m.GetEntries()) > 0 || m.GetType() == pb.MsgAppResp }) // not that it is agreed on
-	delete(l.members, old.Status().ID)
-	l.post = nil
-	var next *Member
-	for _, id := range slices.Sorted(maps.Keys(l.members)) {
-		next = l.members[id]
+// The leader stops after its last tick was committed, and its successor does not know that yet: it must apply that tick before it
+// proposes one of its own.
+func TestNewLeaderAppliesPredecessorsTickFirst(t *testing.T) {
+	group := newNetwork(t, 3)
+	predecessor := group.awaitLeader()
+	grantLongLease(group, predecessor)
+	group.runTicks(10)
+	tick := predecessor.Status().Tick
+	group.now += 2 * interval
+	predecessor.Tick()
+	group.deliver(func(m *pb.Message) bool { return len(m.GetEntries()) > 0 || m.GetType() == pb.MsgAppResp }) // but no commit index to the others
+	delete(group.members, predecessor.Status().ID)
+	group.inFlight = nil
+	var successor *Member
+	for _, id := range slices.Sorted(maps.Keys(group.members)) {
+		successor = group.members[id]
 		for range 10 {
-			next.node.TickQuiesced() // silence: who has just heard of a leader gives no vote
+			successor.node.TickQuiesced() // a member that has just received a leader's message does not vote
 		}
 	}
-	if old.Status().Tick != tick+1 || next.Status().Tick != tick {
-		t.Fatalf("the old leader is at %d, the next at %d, want %d and %d", old.Status().Tick, next.Status().Tick, tick+1, tick)
+	if predecessor.Status().Tick != tick+1 || successor.Status().Tick != tick {
+		t.Fatalf("the leader is at tick %d, its successor at %d, want %d and %d",
+			predecessor.Status().Tick, successor.Status().Tick, tick+1, tick)
 	}
-	if err := next.node.Campaign(); err != nil {
+	if err := successor.node.Campaign(); err != nil {
 		t.Fatal(err)
 	}
-	l.deliver(func(m *pb.Message) bool { return m.GetType() != pb.MsgApp })
-	if !next.IsLeader() {
-		t.Fatal("it does not lead")
+	group.deliver(func(m *pb.Message) bool { return m.GetType() != pb.MsgApp })
+	if !successor.IsLeader() {
+		t.Fatal("not the leader")
 	}
 	for range 4 {
-		l.now += interval / 2
-		next.Tick()
+		group.now += interval / 2
+		successor.Tick()
 	}
-	if l.settle(); next.Status().Tick != tick+1 {
-		t.Errorf("%d ticks at once", next.Status().Tick-tick)
+	if group.deliverAll(); successor.Status().Tick != tick+1 {
+		t.Errorf("%d ticks applied at once", successor.Status().Tick-tick)
 	}
 }
 
-// Who starts from a snapshot does not know when the last tick in it was.
-func TestATickInASnapshot(t *testing.T) {
-	l := newLan(t, 1)
-	lead := l.leader()
-	hold(l, lead)
-	for tick := lead.Status().Tick; lead.Status().Tick == tick; {
-		l.beats(1)
-	}
-	if err := lead.compact(); err != nil {
+// A member that starts from a snapshot does not know when the last tick in it was applied, so it waits for a whole interval.
+func TestNoLeaseTickRightAfterRestoringSnapshot(t *testing.T) {
+	group := newNetwork(t, 1)
+	leader := group.awaitLeader()
+	grantLongLease(group, leader)
+	for tick := leader.Status().Tick; leader.Status().Tick == tick; {
+		group.runTicks(1)
+	}
+	if err := leader.compact(); err != nil {
 		t.Fatal(err)
 	}
-	tick := lead.Status().Tick
-	l.start(1)
-	again := l.members[1]
-	if err := again.node.Campaign(); err != nil {
+	tick := leader.Status().Tick
+	group.start(1)
+	restarted := group.members[1]
+	if err := restarted.node.Campaign(); err != nil {
 		t.Fatal(err)
 	}
-	l.settle()
-	if again.Tick(); !again.IsLeader() {
-		t.Fatal("it does not lead")
+	group.deliverAll()
+	if restarted.Tick(); !restarted.IsLeader() {
+		t.Fatal("not the leader")
 	}
-	if l.settle(); again.Status().Tick != tick {
-		t.Errorf("the next tick is there at once: %d after %d", again.Status().Tick, tick)
+	if group.deliverAll(); restarted.Status().Tick != tick {
+		t.Errorf("tick %d right after tick %d", restarted.Status().Tick, tick)
 	}
 }
 
-// A new member has no say before it has caught up, which a snapshot from before its coming does not give it; meanwhile the group
-// goes on without it, takes no other change, and can give it up.
-func TestChangeOfMembers(t *testing.T) {
-	l := newLan(t, 3)
-	lead := l.leader()
-	for i := range uint64(60) { // so that what a new one needs is not in the log any more
-		if _, err := l.ask(lead, lease.Command{Kind: lease.Acquire, Name: "y", Holder: "w", RequestID: i, Ticks: 1}); err != nil && !errors.Is(err, lease.ErrNoFreeSlot) {
+// An added member has no vote before it has caught up, for which a snapshot from before it was added is not enough. Meanwhile the group
+// goes on without it, accepts no other change, and can remove it again.
+func TestAddedMemberJoinsAfterCatchingUp(t *testing.T) {
+	group := newNetwork(t, 3)
+	leader := group.awaitLeader()
+	for i := range uint64(60) { // so that a new member needs a snapshot
+		command := lease.Command{Kind: lease.Acquire, Name: "y", Holder: "w", RequestID: i, Ticks: 1}
+		if _, err := group.propose(leader, command); err != nil && !errors.Is(err, lease.ErrNoFreeSlot) {
 			t.Fatal(err)
 		}
 	}
-	old := lead.Status().ID%3 + 1
-	if err := *l.change(lead, map[uint64]string{3: "c"}); !errors.Is(err, ErrInvalidChange) {
-		t.Error("an id that was there before:", err)
+	replaced := leader.Status().ID%3 + 1
+	if err := *group.changeMembers(leader, map[uint64]string{3: "c"}); !errors.Is(err, ErrInvalidChange) {
+		t.Error("an id that was used before:", err)
 	}
-	first := l.change(lead, map[uint64]string{4: "d"}, old)
-	delete(l.members, lead.Status().ID%3+1) // with a say of the new one, which is not there, two of four would be too few
-	l.beats(40)
-	if _, err := l.ask(lead, acquire("x")); err != nil {
-		t.Error("the group waits for one that has not come:", err)
+	first := group.changeMembers(leader, map[uint64]string{4: "d"}, replaced)
+	delete(group.members, leader.Status().ID%3+1) // were the added member a voter, two of four would be no quorum
+	group.runTicks(40)
+	if _, err := group.propose(leader, acquire("x")); err != nil {
+		t.Error("the group waits for a member that has not started:", err)
 	}
-	if err := *l.change(lead, map[uint64]string{5: "e"}); !errors.Is(err, ErrBusy) {
+	if err := *group.changeMembers(leader, map[uint64]string{5: "e"}); !errors.Is(err, ErrBusy) {
 		t.Error("a second change:", err)
 	}
-	if err := *l.change(lead, nil, 4); err != nil {
-		t.Error("it can't be given up:", err)
+	if err := *group.changeMembers(leader, nil, 4); err != nil {
+		t.Error("the added member can't be removed:", err)
 	}
 	if !errors.Is(*first, ErrOutcomeUnknown) {
 		t.Error("the first change:", *first)
 	}
-	l.start(old)
-	l.disks[5] = &disk{DurableState: EmptyState()}
-	l.start(5)
-	second := l.change(lead, map[uint64]string{5: "e"}, old)
-	l.beats(20)
+	group.start(replaced)
+	group.storages[5] = &memoryStorage{DurableState: EmptyState()}
+	group.start(5)
+	second := group.changeMembers(leader, map[uint64]string{5: "e"}, replaced)
+	group.runTicks(20)
 	if *second != nil {
-		t.Fatal("a change with all there:", *second)
+		t.Fatal("a change with all members running:", *second)
 	}
-	if v := l.members[5].Status(); len(v.Members) != 3 || v.Members[5] != "e" || v.Members[old] != "" || v.Applied != lead.Status().Applied {
-		t.Errorf("the new one: %+v", v)
+	added := group.members[5].Status()
+	if len(added.Members) != 3 || added.Members[5] != "e" || added.Members[replaced] != "" || added.Applied != leader.Status().Applied {
+		t.Errorf("the added member: %+v", added)
 	}
-	if !l.members[old].Removed() {
-		t.Error("the old one does not know that it is none any more")
+	if !group.members[replaced].Removed() {
+		t.Error("the removed member does not know that it is removed")
 	}
 }
 
-// Of two changes at a time one is told no; and one that raft drops, as another is on its way of which this member has not heard, is never
-// told to be done with that one.
-func TestTwoChangesAtATime(t *testing.T) {
-	l := newLan(t, 3)
-	lead := l.leader()
-	first, second := errors.New("no answer"), errors.New("no answer")
-	lead.ChangeMembers(nil, []uint64{lead.Status().ID%3 + 1}, func(err error) { first = err })
-	lead.ChangeMembers(nil, []uint64{(lead.Status().ID+1)%3 + 1}, func(err error) { second = err })
-	if l.settle(); first != nil || !errors.Is(second, ErrBusy) {
+// Of two concurrent changes the second is rejected. A change that raft drops, because another that this member does not know of is in
+// the log, is never reported as done when that other one is.
+func TestConcurrentMembershipChangeIsRejected(t *testing.T) {
+	group := newNetwork(t, 3)
+	leader := group.awaitLeader()
+	first, second := errNoReply, errNoReply
+	leader.ChangeMembers(nil, []uint64{leader.Status().ID%3 + 1}, func(err error) { first = err })
+	leader.ChangeMembers(nil, []uint64{(leader.Status().ID+1)%3 + 1}, func(err error) { second = err })
+	if group.deliverAll(); first != nil || !errors.Is(second, ErrBusy) {
 		t.Error(first, second)
 	}
-	if n := len(lead.Status().Members); n != 2 {
+	if n := len(leader.Status().Members); n != 2 {
 		t.Errorf("%d members", n)
 	}
-	if err := lead.proposeChange(membershipChange{}, []*pb.ConfChangeSingle{single(pb.ConfChangeAddLearnerNode, 8)}); err != nil {
+	if err := leader.proposeChange(membershipChange{}, []*pb.ConfChangeSingle{confChange(pb.ConfChangeAddLearnerNode, 8)}); err != nil {
 		t.Fatal(err)
 	}
 	var other uint64
-	for id := range lead.Status().Members {
-		if id != lead.Status().ID {
+	for id := range leader.Status().Members {
+		if id != leader.Status().ID {
 			other = id
 		}
 	}
-	dropped := l.change(lead, nil, other)
-	l.beats(40)
+	dropped := group.changeMembers(leader, nil, other)
+	group.runTicks(40)
 	if !errors.Is(*dropped, ErrOutcomeUnknown) {
-		t.Error("a change that raft has dropped:", *dropped)
+		t.Error("a change that raft dropped:", *dropped)
 	}
 }
 
-// Who leads is never removed by itself: it has another lead first, also where that is the only one, new as it is. Else none of those who
-// stay might know that it has gone, and all wait for its vote.
-func TestALeaderIsRemoved(t *testing.T) {
+// A leader never removes itself: it transfers the leadership first, if need be to the member that was just added. Otherwise none of
+// those that stay might know of the removal, and all would wait for the removed member's vote.
+func TestRemovedLeaderTransfersLeadershipFirst(t *testing.T) {
 	for n := 1; n <= 3; n += 2 {
-		l := newLan(t, n)
-		lead := l.leader()
-		self, fresh := lead.Status().ID, uint64(n+1)
-		l.disks[fresh] = &disk{DurableState: EmptyState()}
-		l.start(fresh)
-		done := l.change(lead, map[uint64]string{fresh: string(rune('a' + fresh - 1))}, self)
-		removed := func() bool { return lead.Removed() }
+		group := newNetwork(t, n)
+		leader := group.awaitLeader()
+		self, added := leader.Status().ID, uint64(n+1)
+		group.storages[added] = &memoryStorage{DurableState: EmptyState()}
+		group.start(added)
+		result := group.changeMembers(leader, map[uint64]string{added: address(added)}, self)
+		removed := func() bool { return leader.Removed() }
 		for range 60 {
-			if led := lead.IsLeader(); !led && removed() {
+			if led := leader.IsLeader(); !led && removed() {
 				break
 			}
-			l.beats(1)
+			group.runTicks(1)
 		}
-		if !errors.Is(*done, ErrOutcomeUnknown) || !removed() {
-			t.Errorf("of %d: %v, removed %v", n, *done, removed())
+		if !errors.Is(*result, ErrOutcomeUnknown) || !removed() {
+			t.Errorf("group of %d: %v, removed %v", n, *result, removed())
 		}
-		delete(l.members, self) // at once
-		next := l.leader()
-		if v := next.Status(); len(v.Members) != n || v.Members[self] != "" {
-			t.Errorf("of %d: %v", n, v.Members)
+		delete(group.members, self) // at once
+		successor := group.awaitLeader()
+		if v := successor.Status(); len(v.Members) != n || v.Members[self] != "" {
+			t.Errorf("group of %d: %v", n, v.Members)
 		}
-		if _, err := l.ask(next, acquire("x")); err != nil {
-			t.Errorf("of %d: %v", n, err)
+		if _, err := group.propose(successor, acquire("x")); err != nil {
+			t.Errorf("group of %d: %v", n, err)
 		}
 	}
-	l := newLan(t, 3)
-	lead := l.leader()
-	var not NotLeaderError
-	if err := *l.change(lead, nil, lead.Status().ID); !errors.As(err, &not) || not.Address == "" || lead.IsLeader() || len(lead.Status().Members) != 3 {
-		t.Errorf("a removal without a new one: %v, leads %v", err, lead.IsLeader())
+	group := newNetwork(t, 3)
+	leader := group.awaitLeader()
+	var notLeader NotLeaderError
+	err := *group.changeMembers(leader, nil, leader.Status().ID)
+	if !errors.As(err, &notLeader) || notLeader.Address == "" || leader.IsLeader() || len(leader.Status().Members) != 3 {
+		t.Errorf("a removal without an added member: %v, is leader %v", err, leader.IsLeader())
 	}
-	lead = l.leader()
-	lead.leaving = []uint64{lead.Status().ID} // another is to lead, and has not come to yet
-	if err := *l.change(lead, map[uint64]string{9: "i"}); !errors.Is(err, ErrBusy) {
-		t.Error("a change while one is to leave:", err)
+	leader = group.awaitLeader()
+	leader.pendingRemovals = []uint64{leader.Status().ID} // as while the leadership is being transferred
+	if err := *group.changeMembers(leader, map[uint64]string{9: "i"}); !errors.Is(err, ErrBusy) {
+		t.Error("a change while a removal is pending:", err)
 	}
 }
 
-// Who leads and hears nobody stops leading; what it was asked is not known. What it can't write ends it, and nothing is answered.
-func TestAloneAndBroken(t *testing.T) {
-	l := newLan(t, 3)
-	lead := l.leader()
-	rest := maps.Clone(l.members)
-	delete(rest, lead.Status().ID)
-	l.members = map[uint64]*Member{lead.Status().ID: lead}
+// An isolated leader steps down, and the outcome of its requests is unknown. A failed write stops the member before any reply.
+func TestIsolatedLeaderStepsDownAndFailedWriteStopsMember(t *testing.T) {
+	group := newNetwork(t, 3)
+	leader := group.awaitLeader()
+	others := maps.Clone(group.members)
+	delete(others, leader.Status().ID)
+	group.members = map[uint64]*Member{leader.Status().ID: leader}
 	var got error
-	lead.Propose(acquire("x"), func(_ lease.Grant, err error) { got = err })
-	l.beats(30)
-	if !errors.Is(got, ErrOutcomeUnknown) || lead.IsLeader() {
-		t.Error(got, lead.IsLeader())
-	}
-	maps.Copy(l.members, rest)
-	lead = l.leader()
-	if g, err := l.ask(lead, acquire("x")); err != nil || g.Token != 1 {
+	leader.Propose(acquire("x"), func(_ lease.Grant, err error) { got = err })
+	group.runTicks(30)
+	if !errors.Is(got, ErrOutcomeUnknown) || leader.IsLeader() {
+		t.Error(got, leader.IsLeader())
+	}
+	maps.Copy(group.members, others)
+	leader = group.awaitLeader()
+	if g, err := group.propose(leader, acquire("x")); err != nil || g.Token != 1 {
 		t.Error(g, err)
 	}
-	l.disks[lead.Status().ID].err = errors.New("no sync")
+	group.storages[leader.Status().ID].err = errors.New("no sync")
 	got = nil
-	lead.Propose(acquire("z"), func(_ lease.Grant, err error) { got = err })
-	if err := lead.Flush(); err == nil || !errors.Is(got, ErrOutcomeUnknown) {
+	leader.Propose(acquire("z"), func(_ lease.Grant, err error) { got = err })
+	if err := leader.Flush(); err == nil || !errors.Is(got, ErrOutcomeUnknown) {
 		t.Error("after a failed write:", err, got)
 	}
-	if lead.Tick(); lead.Flush() == nil {
-		t.Error("it goes on")
+	if leader.Tick(); leader.Flush() == nil {
+		t.Error("the member goes on")
 	}
 }
 
-// A look shows what was agreed on before it, also from a member that has just come to lead.
-func TestLook(t *testing.T) {
-	l := newLan(t, 3)
-	lead := l.leader()
-	if _, err := l.ask(lead, acquire("x")); err != nil {
+// ReadIndex shows what was agreed on before it.
+func TestReadIndexSeesEarlierProposals(t *testing.T) {
+	group := newNetwork(t, 3)
+	leader := group.awaitLeader()
+	if _, err := group.propose(leader, acquire("x")); err != nil {
 		t.Fatal(err)
 	}
-	err := errors.New("no answer")
-	lead.ReadIndex(func(e error) { err = e })
-	if l.settle(); err != nil || len(lead.Status().Leases) != 1 {
-		t.Error(err, lead.Status())
+	err := errNoReply
+	leader.ReadIndex(func(e error) { err = e })
+	if group.deliverAll(); err != nil || len(leader.Status().Leases) != 1 {
+		t.Error(err, leader.Status())
 	}
 }
--- /dev/null
+++ b/internal/consensus/network_test.go
@@ -0,0 +1,166 @@
+package consensus
+
+import (
+	"errors"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"tulipglade/internal/lease"
+)
+
+// interval is the tick interval of the leases, two ticks of the members' clock.
+const interval = 100 * time.Millisecond
+
+var errNoReply = errors.New("no reply")
+
+// memoryStorage is a Storage that counts its writes and can be made to fail.
+type memoryStorage struct {
+	DurableState
+	writes int
+	err    error
+}
+
+func (s *memoryStorage) Save(update StorageUpdate) error {
+	s.writes++
+	s.DurableState = s.EntriesAfter(update)
+	return s.err
+}
+
+// network connects the members of a group without delay, and has the clock that they share.
+type network struct {
+	t        *testing.T
+	now      time.Duration // only the test advances it
+	members  map[uint64]*Member
+	storages map[uint64]*memoryStorage
+	inFlight []*pb.Message
+}
+
+// newNetwork starts the members 1 to count of a new group.
+func newNetwork(t *testing.T, count int) *network {
+	t.Helper()
+	n := &network{t: t, members: map[uint64]*Member{}, storages: map[uint64]*memoryStorage{}}
+	members := map[uint64]string{}
+	for i := range uint64(count) {
+		members[i+1] = address(i + 1)
+	}
+	for id := range members {
+		durable, err := Bootstrap(members, lease.Terms{Interval: interval, Drift: 0.01})
+		if err != nil {
+			t.Fatal(err)
+		}
+		n.storages[id] = &memoryStorage{DurableState: durable}
+		n.start(id)
+	}
+	return n
+}
+
+// address returns a member's address: a for member 1, b for member 2.
+func address(id uint64) string { return string(rune('a' + id - 1)) }
+
+// start starts a member from its storage.
+func (n *network) start(id uint64) {
+	n.t.Helper()
+	member, err := New(Options{
+		ID:                  id,
+		Clock:               func() time.Duration { return n.now },
+		Rand:                rand.New(rand.NewPCG(id, 1)),
+		Storage:             n.storages[id],
+		Send:                func(_ string, msg *pb.Message) { n.inFlight = append(n.inFlight, msg) },
+		ElectionTicks:       10,
+		SnapshotEntries:     20,
+		RequestTimeoutTicks: 30,
+	}, n.storages[id].DurableState)
+	if err != nil {
+		n.t.Fatal(err)
+	}
+	n.members[id] = member
+}
+
+// deliverAll delivers messages until no member sends any more.
+func (n *network) deliverAll() { n.deliver(func(*pb.Message) bool { return true }) }
+
+// deliver delivers the wanted messages, also those that members send in response, and leaves the others in flight.
+func (n *network) deliver(wanted func(*pb.Message) bool) {
+	for {
+		for _, id := range slices.Sorted(maps.Keys(n.members)) {
+			if n.members[id].Flush() != nil {
+				delete(n.members, id)
+			}
+		}
+		next := slices.IndexFunc(n.inFlight, wanted)
+		if next < 0 {
+			return
+		}
+		msg := n.inFlight[next]
+		n.inFlight = slices.Delete(n.inFlight, next, next+1)
+		recipient := n.members[msg.GetTo()]
+		if recipient != nil {
+			_ = recipient.Step(address(msg.GetFrom()), msg) // a member that has stopped rejects it
+		}
+		if sender := n.members[msg.GetFrom()]; msg.GetType() == pb.MsgSnap && sender != nil {
+			sender.Delivered(msg.GetTo(), recipient != nil)
+		}
+	}
+}
+
+// runTicks runs the members' clock, and delivers all messages after each tick.
+func (n *network) runTicks(count int) {
+	for range count {
+		n.now += interval / 2
+		for _, id := range slices.Sorted(maps.Keys(n.members)) {
+			n.members[id].Tick()
+		}
+		n.deliverAll()
+	}
+}
+
+// awaitLeader runs the clock until a member is the leader.
+func (n *network) awaitLeader() *Member {
+	n.t.Helper()
+	for range 100 {
+		n.runTicks(1)
+		for _, id := range slices.Sorted(maps.Keys(n.members)) {
+			if n.members[id].IsLeader() {
+				return n.members[id]
+			}
+		}
+	}
+	n.t.Fatal("no leader")
+	return nil
+}
+
+// propose proposes a command and returns the reply.
+func (n *network) propose(member *Member, command lease.Command) (grant lease.Grant, err error) {
+	err = errNoReply
+	member.Propose(command, func(g lease.Grant, e error) { grant, err = g, e })
+	n.deliverAll()
+	return grant, err
+}
+
+// changeMembers proposes a change. The reply may come after it has returned: until then the result is errNoReply.
+func (n *network) changeMembers(member *Member, add map[uint64]string, remove ...uint64) *error {
+	result := errNoReply
+	member.ChangeMembers(add, remove, func(err error) { result = err })
+	n.deliverAll()
+	return &result
+}
+
+// acquire returns a command that acquires a lease for four ticks.
+func acquire(name string) lease.Command {
+	return lease.Command{Kind: lease.Acquire, Name: name, Holder: "w", RequestID: 1, Ticks: 4}
+}
+
+// grantLongLease grants a lease for long: the leader proposes lease ticks only while a lease is held.
+func grantLongLease(n *network, leader *Member) {
+	n.t.Helper()
+	command := acquire("x")
+	command.Ticks = 1000
+	if _, err := n.propose(leader, command); err != nil {
+		n.t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/consensus/proposal.go
@@ -0,0 +1,163 @@
+package consensus
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"tulipglade/internal/lease"
+)
+
+// maxPendingRequests bounds the requests that wait for an outcome.
+const maxPendingRequests = 4096
+
+// requestKey lets a member recognize its own proposals. Its JSON form is stored and sent to other members.
+type requestKey struct {
+	Member      uint64 `json:"by"`
+	Incarnation uint64 `json:"life"`
+	Sequence    uint64 `json:"seq"`
+}
+
+// proposal is a command on the leases in a log entry.
+type proposal struct {
+	requestKey
+	lease.Command
+}
+
+// request is a call of Propose, ReadIndex or ChangeMembers that waits for its outcome. Exactly one of the replies is set.
+type request struct {
+	reply        func(lease.Grant, error)
+	readReply    func(error)
+	registeredAt int  // the tick count
+	committed    bool // a change of members that has been agreed on: it does not time out
+}
+
+// Propose has the group carry out a command. The reply is called once, perhaps before Propose returns.
+func (m *Member) Propose(command lease.Command, reply func(lease.Grant, error)) {
+	if command.Kind == lease.Tick {
+		reply(lease.Grant{}, lease.ErrInvalid)
+		return
+	}
+	sequence, err := m.register(request{reply: reply})
+	if err != nil {
+		reply(lease.Grant{}, err)
+		return
+	}
+	if err := m.propose(sequence, command); err != nil {
+		m.answer(sequence, lease.Grant{}, err)
+	}
+}
+
+// proposeLeaseTick proposes that an interval has passed, at the earliest one interval after the last such entry was applied here. Only
+// one is in flight at a time, and a new leader first applies an entry of its own term, and with it all ticks of its predecessors.
+func (m *Member) proposeLeaseTick() {
+	hasOwnTerm := m.appliedTerm == m.node.BasicStatus().GetTerm()
+	due := m.options.Clock() >= m.lastLeaseTick+m.terms.Interval
+	if m.leaseTickInFlight || !hasOwnTerm || !m.leases.Granted() || !due {
+		return
+	}
+	m.leaseTickInFlight = m.propose(0, lease.Command{Kind: lease.Tick}) == nil
+}
+
+// propose appends a command to the log. Sequence 0 is a proposal that nobody waits for.
+func (m *Member) propose(sequence uint64, command lease.Command) error {
+	data, err := json.Marshal(proposal{m.requestKey(sequence), command})
+	if err != nil {
+		return err
+	}
+	if err := m.node.Propose(data); err != nil {
+		return ErrBusy // raft has not appended it
+	}
+	return nil
+}
+
+// requestKey returns the key of one of this member's requests.
+func (m *Member) requestKey(sequence uint64) requestKey {
+	return requestKey{Member: m.options.ID, Incarnation: m.incarnation, Sequence: sequence}
+}
+
+// isOwn reports whether a key is of a request of this process.
+func (m *Member) isOwn(key requestKey) bool {
+	return key.Member == m.options.ID && key.Incarnation == m.incarnation
+}
+
+// register adds a request to those that wait, and returns its sequence number.
+func (m *Member) register(r request) (uint64, error) {
+	switch {
+	case m.err != nil:
+		return 0, ErrOutcomeUnknown
+	case !m.isLeader:
+		return 0, NotLeaderError{m.members[m.Leader()]}
+	case len(m.pendingRequests) >= maxPendingRequests:
+		return 0, ErrBusy
+	}
+	m.lastSequence++
+	r.registeredAt = m.tickCount
+	m.pendingRequests[m.lastSequence] = &r
+	return m.lastSequence, nil
+}
+
+// answer replies to a request, if it still waits.
+func (m *Member) answer(sequence uint64, grant lease.Grant, err error) {
+	r := m.pendingRequests[sequence]
+	if r == nil {
+		return
+	}
+	delete(m.pendingRequests, sequence)
+	if m.changeSequence == sequence {
+		m.changeSequence = 0
+	}
+	if r.readReply != nil {
+		r.readReply(err)
+	} else {
+		r.reply(grant, err)
+	}
+}
+
+// expireRequests answers the requests that have waited for too long.
+func (m *Member) expireRequests() {
+	for _, sequence := range slices.Sorted(maps.Keys(m.pendingRequests)) {
+		r := m.pendingRequests[sequence] // nil where an earlier reply has led to its answer
+		if r != nil && !r.committed && m.tickCount-r.registeredAt > m.options.RequestTimeoutTicks {
+			m.answer(sequence, lease.Grant{}, ErrOutcomeUnknown)
+		}
+	}
+}
+
+// applyEntries applies committed entries until one fails.
+func (m *Member) applyEntries(entries []*pb.Entry) error {
+	for _, entry := range entries {
+		if err := m.apply(entry); err != nil {
+			return fmt.Errorf("entry %d: %w", entry.GetIndex(), err)
+		}
+	}
+	return nil
+}
+
+// apply applies one committed entry to the state machine.
+func (m *Member) apply(entry *pb.Entry) error {
+	m.appliedIndex = entry.GetIndex()
+	m.appliedTerm = entry.GetTerm()
+	if entry.GetType() != pb.EntryNormal {
+		return m.applyChange(entry)
+	}
+	if len(entry.Data) == 0 { // the first entry of a new leader
+		return nil
+	}
+	var p proposal
+	if err := json.Unmarshal(entry.Data, &p); err != nil {
+		return err
+	}
+	grant, err := m.leases.Apply(p.Command)
+	if p.Kind == lease.Tick {
+		m.lastLeaseTick = m.options.Clock()
+		m.leaseTickInFlight = m.leaseTickInFlight && !m.isOwn(p.requestKey)
+	}
+	if m.isOwn(p.requestKey) {
+		m.answer(p.Sequence, grant, err)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/consensus/read.go
@@ -0,0 +1,44 @@
+package consensus
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"go.etcd.io/raft/v3"
+
+	"tulipglade/internal/lease"
+)
+
+// pendingRead is a read that may be answered once an index has been applied.
+type pendingRead struct{ sequence, index uint64 }
+
+// ReadIndex calls back once Status shows everything that was agreed on before this call.
+func (m *Member) ReadIndex(reply func(error)) {
+	sequence, err := m.register(request{readReply: reply})
+	if err != nil {
+		reply(err)
+		return
+	}
+	m.node.ReadIndex(fmt.Appendf(nil, "%d-%d", m.incarnation, sequence))
+}
+
+// addReadStates takes the indexes that raft has confirmed for this process's reads.
+func (m *Member) addReadStates(states []raft.ReadState) {
+	for _, state := range states {
+		incarnation, number, _ := strings.Cut(string(state.RequestCtx), "-")
+		sequence, err := strconv.ParseUint(number, 10, 64)
+		if err == nil && incarnation == strconv.FormatUint(m.incarnation, 10) {
+			m.pendingReads = append(m.pendingReads, pendingRead{sequence, state.Index})
+		}
+	}
+}
+
+// answerReads answers the reads whose index has been applied. Raft confirms reads in the order of their indexes.
+func (m *Member) answerReads() {
+	for len(m.pendingReads) > 0 && m.appliedIndex >= m.pendingReads[0].index {
+		sequence := m.pendingReads[0].sequence
+		m.pendingReads = m.pendingReads[1:]
+		m.answer(sequence, lease.Grant{}, nil)
+	}
+}
--- /dev/null
+++ b/internal/consensus/snapshot.go
@@ -0,0 +1,102 @@
+package consensus
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"tulipglade/internal/lease"
+)
+
+const (
+	snapshotVersion = 1
+	// trailingEntries are left in the log before a snapshot, so that members that are a little behind need no snapshot.
+	trailingEntries = 256
+)
+
+// snapshot is the state machine in a raft snapshot. Its JSON form is stored and sent to other members.
+type snapshot struct {
+	Version  int               `json:"version"`
+	Terms    lease.Terms       `json:"terms"`
+	Members  map[uint64]string `json:"members"`
+	Highest  uint64            `json:"highest"` // the highest ID that was ever given to a member
+	Removing []uint64          `json:"leaving,omitempty"`
+	Leases   json.RawMessage   `json:"leases"`
+}
+
+// restore replaces the state machine by that of a snapshot.
+func (m *Member) restore(from *pb.Snapshot) error {
+	var decoded snapshot
+	if err := json.Unmarshal(from.Data, &decoded); err != nil {
+		return fmt.Errorf("snapshot of the group: %w", err)
+	}
+	if decoded.Version != snapshotVersion {
+		return fmt.Errorf("snapshot of the group: version %d, this program reads %d", decoded.Version, snapshotVersion)
+	}
+	leases, err := lease.Restore(decoded.Leases)
+	if err != nil {
+		return err
+	}
+	m.leases = leases
+	m.members = decoded.Members
+	m.highestID = decoded.Highest
+	m.terms = decoded.Terms
+	m.pendingRemovals = decoded.Removing
+	metadata := from.GetMetadata()
+	m.confState = metadata.GetConfState()
+	m.appliedIndex = metadata.GetIndex()
+	m.snapshotIndex = metadata.GetIndex()
+	m.appliedTerm = metadata.GetTerm()
+	m.lastLeaseTick = m.options.Clock() // the snapshot's last tick may have been applied just now
+	return nil
+}
+
+// compact saves a snapshot of the applied state and deletes the log entries that are well before it.
+func (m *Member) compact() error {
+	leases, err := m.leases.Snapshot()
+	if err != nil {
+		return err
+	}
+	data, err := json.Marshal(snapshot{
+		Version:  snapshotVersion,
+		Terms:    m.terms,
+		Members:  m.members,
+		Highest:  m.highestID,
+		Removing: m.pendingRemovals,
+		Leases:   leases,
+	})
+	if err != nil {
+		return err
+	}
+	created, err := m.raftStorage.CreateSnapshot(m.appliedIndex, m.confState, data)
+	if err != nil {
+		return err
+	}
+	m.snapshotIndex = m.appliedIndex
+	m.membersChanged = false
+	compactBefore := m.appliedIndex - min(m.appliedIndex, trailingEntries)
+	if err := m.options.Storage.Save(StorageUpdate{Snapshot: created, CompactBefore: compactBefore}); err != nil {
+		return err
+	}
+	if first, err := m.raftStorage.FirstIndex(); err != nil || compactBefore < first {
+		return err
+	}
+	return m.raftStorage.Compact(compactBefore)
+}
+
+// updateRaftStorage applies an update that has been saved to raft's own copy of the log.
+func (m *Member) updateRaftStorage(update StorageUpdate) error {
+	if update.Snapshot != nil {
+		if err := errors.Join(m.restore(update.Snapshot), m.raftStorage.ApplySnapshot(update.Snapshot)); err != nil {
+			return err
+		}
+	}
+	if update.HardState != nil {
+		if err := m.raftStorage.SetHardState(update.HardState); err != nil {
+			return err
+		}
+	}
+	return m.raftStorage.Append(update.Entries)
+}
