--- a/internal/lease/guard.go
+++ b/internal/lease/guard.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Terms are what a group and its holders agree on beforehand.
+// Terms are what a group and its holders agree on in advance.
 type Terms struct {
 	Interval time.Duration `json:"Interval"` // between two ticks, by the leader's clock
-	Drift    float64       `json:"Drift"`    // by which share a clock may be fast or slow; below 1
+	Drift    float64       `json:"Drift"`    // by which fraction a clock may be fast or slow; below 1
 }
 
-// GuaranteedDuration is how long, by the holder's own clock, a grant of so many ticks lasts at least. The first tick may follow the grant at
-// once; the leader's clock may be fast, so that intervals are short, and the holder's slow.
+// GuaranteedDuration returns how long, by the holder's own clock, a grant of this many ticks lasts at least. The first tick may follow the
+// grant at once; the leader's clock may be fast, so that intervals are short, and the holder's slow.
 func (t Terms) GuaranteedDuration(ticks uint64) time.Duration {
 	if ticks == 0 {
 		return 0
@@ -17,58 +17,62 @@
 	return time.Duration(float64(ticks-1) * float64(t.Interval) * (1 - t.Drift) / (1 + t.Drift))
 }
 
-// Guard is what a holder goes by before it acts. Times are its own monotonic clock's, from any origin. The zero Guard with Terms set
-// holds nothing.
+// Guard tells a holder whether it may act. Times are those of the holder's own monotonic clock, from any origin. The zero Guard, with
+// Terms set, has no grant.
 type Guard struct {
-	Terms Terms
-	grant Grant
-	till  time.Duration // when the lease may end
-	held  bool
-	busy  time.Duration // until when acts that were begun may go on
-	past  Token         // what was dropped: the answer to a renewal that crossed a release must not bring it back
+	Terms        Terms
+	grant        Grant
+	granted      bool
+	expiresAt    time.Duration // when the grant may expire
+	busyUntil    time.Duration // until when actions that were begun may go on
+	droppedToken Token         // the answer to a renewal that crossed a release must not bring its grant back
 }
 
-// Granted takes in the answer to a request, acquisition or renewal, of so many ticks that was sent at that time: before it went out,
-// not when the answer came. An answer that is late or comes again changes nothing for the worse.
-func (g *Guard) Granted(grant Grant, ticks uint64, asked time.Duration) {
-	till := asked + g.Terms.GuaranteedDuration(ticks)
+// Granted records the answer to an acquisition or renewal of this many ticks. SentAt is when the request was sent, not when the answer
+// came. Answers may come late or repeatedly: they never shorten the lease, nor extend it wrongly.
+func (g *Guard) Granted(grant Grant, ticks uint64, sentAt time.Duration) {
+	expiresAt := sentAt + g.Terms.GuaranteedDuration(ticks)
+	isEarlier := grant.Token <= g.droppedToken || g.granted && grant.Token < g.grant.Token
 	switch {
-	case grant.Token <= g.past, g.held && grant.Token < g.grant.Token: // of an earlier holding
-	case g.held && grant.Token == g.grant.Token:
-		g.till = max(g.till, till)
+	case isEarlier:
+	case g.granted && grant.Token == g.grant.Token:
+		g.expiresAt = max(g.expiresAt, expiresAt)
 	default:
-		g.grant, g.till, g.held = grant, till, true
+		g.grant = grant
+		g.granted = true
+		g.expiresAt = expiresAt
 	}
 }
 
-// BeginAction tells whether an act that takes so long at most, from now to its end where it acts, may begin, and under which grant.
+// BeginAction reports whether an action may begin that takes at most this long until its effect is complete, and under which grant.
 func (g *Guard) BeginAction(now, longest time.Duration) (Grant, bool) {
 	end := now + time.Duration(float64(longest)*(1+g.Terms.Drift))
-	if !g.held || end > g.till {
+	if !g.granted || end > g.expiresAt {
 		return Grant{}, false
 	}
-	g.busy = max(g.busy, end)
+	g.busyUntil = max(g.busyUntil, end)
 	return g.grant, true
 }
 
-// Grant is what is held, as far as this side knows: to be renewed, or released.
-func (g *Guard) Grant() (Grant, bool) { return g.grant, g.held }
+// Grant returns the current grant, to be renewed or released.
+func (g *Guard) Grant() (Grant, bool) { return g.grant, g.granted }
 
-// Expired tells whether all acts that were begun are surely over. Before that nothing may be released: the next holder would begin
-// while an act of this one is still on its way.
-func (g *Guard) Expired(now time.Duration) bool { return now >= g.busy }
+// Expired reports whether all actions that were begun must be over. The lease must not be released before that: the next holder would
+// begin while an action of this one is still in progress.
+func (g *Guard) Expired(now time.Duration) bool { return now >= g.busyUntil }
 
-// Remaining is for how long the lease is sure to last.
+// Remaining returns for how long the lease is guaranteed to last.
 func (g *Guard) Remaining(now time.Duration) time.Duration {
-	if !g.held {
+	if !g.granted {
 		return 0
 	}
-	return max(g.till-now, 0)
+	return max(g.expiresAt-now, 0)
 }
 
-// Drop ends it on this side: after a release, or a refusal to renew.
+// Drop forgets the grant, after a release or a rejected renewal.
 func (g *Guard) Drop() {
-	if g.held {
-		g.held, g.past = false, g.grant.Token
+	if g.granted {
+		g.granted = false
+		g.droppedToken = g.grant.Token
 	}
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -8,19 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-// What is asked for in turn, and what comes of it.
-func TestCommands(t *testing.T) {
+func TestApply(t *testing.T) {
 	s := New()
 	for i, c := range []struct {
 		Command
-		err   error
-		token Token
-		till  uint64
+		err       error
+		token     Token
+		expiresAt uint64
 	}{
 		{Command{Kind: Acquire, Name: "roll", Holder: "a", RequestID: 1, Ticks: 3}, nil, 1, 3},
 		{Command{Kind: Acquire, Name: "roll", Holder: "b", RequestID: 1, Ticks: 3}, ErrNoFreeSlot, 0, 0},
 		{Command{Kind: Tick}, nil, 0, 0},
-		{Command{Kind: Acquire, Name: "roll", Holder: "a", RequestID: 1, Ticks: 9}, nil, 1, 3}, // asked twice: no longer for that
+		{Command{Kind: Acquire, Name: "roll", Holder: "a", RequestID: 1, Ticks: 9}, nil, 1, 3}, // repeated: not extended
 		{Command{Kind: Acquire, Name: "roll", Holder: "a", RequestID: 2, Ticks: 3}, ErrNoFreeSlot, 0, 0},
 		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 3}, nil, 1, 4},
 		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 1}, nil, 1, 4}, // never sooner
@@ -29,9 +28,9 @@
 		{Command{Kind: Tick}, nil, 0, 0},
 		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 1}, nil, 1, 4},
 		{Command{Kind: Tick}, nil, 0, 0},
-		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 3}, ErrNotGranted, 0, 0}, // it has ended
+		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 3}, ErrNotGranted, 0, 0}, // it has expired
 		{Command{Kind: Acquire, Name: "roll", Holder: "b", RequestID: 1, Ticks: 3}, nil, 2, 7},
-		{Command{Kind: Release, Name: "roll", Token: 1}, ErrNotGranted, 0, 0}, // late, and not its own any more
+		{Command{Kind: Release, Name: "roll", Token: 1}, ErrNotGranted, 0, 0}, // late: the lease has another holder
 		{Command{Kind: Release, Name: "roll", Token: 2}, nil, 2, 7},
 		{Command{Kind: SetMaxHolders, Name: "roll", MaxHolders: 2}, nil, 0, 0},
 		{Command{Kind: Acquire, Name: "roll", Holder: "a", RequestID: 3, Ticks: 9}, nil, 3, 13},
@@ -40,33 +39,38 @@
 		{Command{Kind: Renew, Name: "roll", Token: 3, Ticks: 10}, nil, 3, 14},
 		{Command{Kind: Renew, Name: "roll", Token: 4, Ticks: 10}, ErrFewer, 4, 13},
 		{Command{Kind: Release, Name: "roll", Token: 3}, nil, 3, 14},
-		{Command{Kind: Acquire, Name: "roll", Holder: "c", RequestID: 1, Ticks: 3}, ErrNoFreeSlot, 0, 0}, // the other seat is still held
+		{Command{Kind: Acquire, Name: "roll", Holder: "c", RequestID: 1, Ticks: 3}, ErrNoFreeSlot, 0, 0}, // the other slot is still held
 		{Command{Kind: Acquire, Name: "", Holder: "c", RequestID: 1, Ticks: 3}, ErrInvalid, 0, 0},
 		{Command{Kind: Acquire, Name: "x", Holder: "c", RequestID: 1}, ErrInvalid, 0, 0},
-		{Command{Kind: Acquire, Name: "x", Holder: "c", RequestID: 1, Ticks: ticksMost + 1}, ErrInvalid, 0, 0},
+		{Command{Kind: Acquire, Name: "x", Holder: "c", RequestID: 1, Ticks: maxGrantTicks + 1}, ErrInvalid, 0, 0},
 		{Command{Kind: SetMaxHolders, Name: "x"}, ErrInvalid, 0, 0},
 		{Command{Kind: 9, Name: "x"}, ErrInvalid, 0, 0},
 	} {
 		g, err := s.Apply(c.Command)
-		if !errors.Is(err, c.err) || g.Token != c.token || g.ExpiresAt != c.till {
-			t.Errorf("%d: %+v: %+v %v, want %d until %d, %v", i, c.Command, g, err, c.token, c.till, c.err)
+		if !errors.Is(err, c.err) || g.Token != c.token || g.ExpiresAt != c.expiresAt {
+			t.Errorf("%d: %+v: %+v %v, want %d until %d, %v", i, c.Command, g, err, c.token, c.expiresAt, c.err)
 		}
 	}
 	if len(s.leases) != 1 {
-		t.Errorf("%d names kept, want 1", len(s.leases))
+		t.Errorf("%d leases, want 1", len(s.leases))
 	}
 }
 
-// Whatever is asked in whatever order: tokens only grow, at most so many hold, nobody's seat is another's, refusals change nothing, names
-// without holders are forgotten, and a snapshot at any moment goes on as the original does.
-func TestAnyCommands(t *testing.T) {
+// For any commands in any order: tokens only grow, slots are unique, rejected commands change nothing, leases without holders are
+// forgotten, and a State that is restored from a snapshot behaves as the original does.
+func TestApplyKeepsInvariantsForAnyCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s, newest := New(), Token(0)
 		for range rapid.IntRange(1, 60).Draw(rt, "n") {
-			c := Command{Kind: Kind(rapid.IntRange(0, 5).Draw(rt, "kind")), Name: rapid.SampledFrom([]string{"", "x", "y"}).Draw(rt, "name"),
-				Holder: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "who"), RequestID: rapid.Uint64Range(1, 3).Draw(rt, "ask"),
-				Token: Token(rapid.Uint64Range(0, 9).Draw(rt, "token")), Ticks: rapid.Uint64Range(0, 4).Draw(rt, "ticks"),
-				MaxHolders: rapid.IntRange(0, 3).Draw(rt, "most")}
+			c := Command{
+				Kind:       Kind(rapid.IntRange(0, 5).Draw(rt, "kind")),
+				Name:       rapid.SampledFrom([]string{"", "x", "y"}).Draw(rt, "name"),
+				Holder:     rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "holder"),
+				RequestID:  rapid.Uint64Range(1, 3).Draw(rt, "request ID"),
+				Token:      Token(rapid.Uint64Range(0, 9).Draw(rt, "token")),
+				Ticks:      rapid.Uint64Range(0, 4).Draw(rt, "ticks"),
+				MaxHolders: rapid.IntRange(0, 3).Draw(rt, "max holders"),
+			}
 			before, err := s.Snapshot()
 			if err != nil {
 				rt.Fatal(err)
@@ -76,21 +80,21 @@
 				rt.Fatal(err)
 			}
 			g, err := s.Apply(c)
-			g2, err2 := copied.Apply(c)
+			copiedGrant, copiedErr := copied.Apply(c)
 			after, _ := s.Snapshot()
-			again, _ := copied.Snapshot()
-			if g != g2 || !errors.Is(err2, err) || string(after) != string(again) {
-				rt.Fatalf("%+v: %+v %v, after a snapshot %+v %v", c, g, err, g2, err2)
+			copiedAfter, _ := copied.Snapshot()
+			if g != copiedGrant || !errors.Is(copiedErr, err) || string(after) != string(copiedAfter) {
+				rt.Fatalf("%+v: %+v %v, after a snapshot %+v %v", c, g, err, copiedGrant, copiedErr)
 			}
 			if err != nil && string(before) != string(after) {
-				rt.Fatalf("%+v is refused, and changes %s to %s", c, before, after)
+				rt.Fatalf("%+v is rejected, and changes %s to %s", c, before, after)
 			}
 			if c.Kind == Acquire && err == nil && g.Token > newest {
 				newest = g.Token
 			}
 			for name, l := range s.leases {
 				if len(l.Grants) == 0 && l.MaxHolders == 1 {
-					rt.Fatalf("%s is kept for nothing", name)
+					rt.Fatalf("unused lease %s is not forgotten", name)
 				}
 				for i, g := range l.Grants {
 					if g.Token > newest || g.ExpiresAt <= s.tick || i > 0 && l.Grants[i-1].Slot >= g.Slot {
@@ -102,54 +106,54 @@
 	})
 }
 
-func TestSnapshotsThatMakeNoSense(t *testing.T) {
+func TestRestoreRejectsInvalidSnapshots(t *testing.T) {
 	for _, raw := range []string{``, `{}`, `{"version":2}`, `{"version":1,"leases":{"x":null}}`, `{"version":1,"leases":{"x":{"most":0}}}`,
 		`{"version":1,"token":1,"leases":{"x":{"most":1,"held":[{"name":"x","token":2,"till":3}]}}}`,
 		`{"version":1,"token":1,"tick":3,"leases":{"x":{"most":1,"held":[{"name":"x","token":1,"till":3}]}}}`} {
 		if _, err := Restore([]byte(raw)); err == nil {
-			t.Errorf("%s is taken", raw)
+			t.Errorf("%s is accepted", raw)
 		}
 	}
 }
 
-// The holder's time counts from before it asked; what comes late, again, or after the end brings nothing back.
-func TestGuard(t *testing.T) {
+// The duration counts from when the request was sent; an answer that comes late, repeatedly or after a release restores nothing.
+func TestGuardAllowsActionsOnlyWithinGuaranteedDuration(t *testing.T) {
 	const s = time.Second
 	g := Guard{Terms: Terms{Interval: s, Drift: 0}}
-	begins := func(now, longest time.Duration, want Token) {
+	checkBegin := func(now, longest time.Duration, want Token) {
 		t.Helper()
 		if grant, ok := g.BeginAction(now, longest); ok != (want > 0) || grant.Token != want {
 			t.Errorf("at %v for %v: %v %v, want %d", now, longest, grant.Token, ok, want)
 		}
 	}
-	begins(0, 0, 0)
-	g.Granted(Grant{Token: 5}, 11, 0) // sure until 10 s, whenever the answer came
-	begins(8*s, 2*s, 5)
-	begins(8*s, 2*s+1, 0)
+	checkBegin(0, 0, 0)
+	g.Granted(Grant{Token: 5}, 11, 0) // guaranteed until 10 s, whenever the answer came
+	checkBegin(8*s, 2*s, 5)
+	checkBegin(8*s, 2*s+1, 0)
 	if g.Expired(10*s-1) || !g.Expired(10*s) {
-		t.Error("free before its act is over, or not after")
+		t.Error("expired before its action is over, or not after")
 	}
 	g.Granted(Grant{Token: 5}, 11, 4*s)
-	g.Granted(Grant{Token: 5}, 11, 2*s) // an earlier one, late
-	begins(13*s, s, 5)
-	begins(13*s, s+1, 0)
+	g.Granted(Grant{Token: 5}, 11, 2*s) // the late answer to an earlier request
+	checkBegin(13*s, s, 5)
+	checkBegin(13*s, s+1, 0)
 	g.Drop()
-	g.Granted(Grant{Token: 5}, 11, 12*s) // crossed the release
-	begins(13*s, s, 0)
+	g.Granted(Grant{Token: 5}, 11, 12*s) // the answer crossed the release
+	checkBegin(13*s, s, 0)
 	g.Granted(Grant{Token: 7}, 11, 20*s)
-	begins(21*s, s, 7)
-	if left := g.Remaining(25 * s); left != 5*s {
-		t.Error(left)
+	checkBegin(21*s, s, 7)
+	if remaining := g.Remaining(25 * s); remaining != 5*s {
+		t.Error(remaining)
 	}
-	if sure := (Terms{Interval: s, Drift: 0.5}).GuaranteedDuration(4); sure != s {
-		t.Errorf("a third of three intervals: %v", sure)
+	if guaranteed := (Terms{Interval: s, Drift: 0.5}).GuaranteedDuration(4); guaranteed != s {
+		t.Errorf("three intervals with a drift of 0.5: %v, want a third of them", guaranteed)
 	}
 }
 
-// A holder's note stays for the next one, and only who holds may change it; there are so many at most.
-func TestNotes(t *testing.T) {
+// A note stays for the next holder, only the current holder may change it, and the number of notes is bounded.
+func TestNoteOutlivesItsHolder(t *testing.T) {
 	s := New()
-	hold := func(name string) Token {
+	acquire := func(name string) Token {
 		t.Helper()
 		g, err := s.Apply(Command{Kind: Acquire, Name: name, Holder: "a", RequestID: 1, Ticks: 1})
 		if err != nil {
@@ -157,17 +161,17 @@
 		}
 		return g.Token
 	}
-	note := func(name string, token Token, text string, want error) {
+	setNote := func(name string, token Token, text string, want error) {
 		t.Helper()
 		if _, err := s.Apply(Command{Kind: SetNote, Name: name, Token: token, Text: text}); !errors.Is(err, want) {
 			t.Errorf("%s: %v, want %v", name, err, want)
 		}
 	}
-	first := hold("x")
-	note("x", first, "half done", nil)
-	note("x", first, string(make([]byte, MaxNoteBytes+1)), ErrInvalid)
-	_, _ = s.Apply(Command{Kind: Tick}) // can't be refused
-	note("x", first, "mine", ErrNotGranted)
+	first := acquire("x")
+	setNote("x", first, "half done", nil)
+	setNote("x", first, string(make([]byte, MaxNoteBytes+1)), ErrInvalid)
+	_, _ = s.Apply(Command{Kind: Tick}) // a tick is never rejected
+	setNote("x", first, "mine", ErrNotGranted)
 	raw, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -178,16 +182,16 @@
 	if all := s.All(); len(all) != 1 || all[0].Note != "half done" || s.Granted() {
 		t.Errorf("%+v", all)
 	}
-	note("x", hold("x"), "", nil)
+	setNote("x", acquire("x"), "", nil)
 	_, _ = s.Apply(Command{Kind: Tick})
 	if all := s.All(); len(all) != 0 {
-		t.Errorf("nothing is to be remembered: %+v", all)
+		t.Errorf("unused leases are not forgotten: %+v", all)
 	}
-	for i := range notesMost {
+	for i := range maxNotes {
 		name := string(rune('a'+i%26)) + string(rune('a'+i/26))
-		note(name, hold(name), "n", nil)
+		setNote(name, acquire(name), "n", nil)
 	}
-	last := hold("last")
-	note("last", last, "n", ErrFull)
-	note("last", last, "", nil)
+	last := acquire("last")
+	setNote("last", last, "n", ErrFull)
+	setNote("last", last, "", nil)
 }
