--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -1,117 +1,121 @@
-// Package fencing is the side of a lease that is acted upon: it refuses what an earlier holder sends. docs/lease-design.md says why.
+// Package fencing is the side of a lease that is acted upon: it rejects actions of earlier holders. docs/lease-design.md says why.
 package fencing
 
 import "errors"
 
-// Token is a fencing token. Of all grants of a group, a later one has a larger token.
+// Token is a fencing token. A later grant of a group has a larger token than all earlier ones.
 type Token uint64
 
-// Grant is a seat of a lease that somebody holds.
+// Grant is a slot of a lease that somebody holds. Its JSON form is stored and sent over HTTP.
 type Grant struct {
 	Name      string `json:"name"`
-	Slot      int    `json:"seat"` // from 0; each has a fence of its own
+	Slot      int    `json:"seat"` // from 0; each is fenced separately
 	Holder    string `json:"who,omitempty"`
-	RequestID uint64 `json:"ask,omitempty"` // the asker's own number of the request that it answers
+	RequestID uint64 `json:"ask,omitempty"` // the holder's number of the request that was answered by this grant
 	Token     Token  `json:"token"`
-	ExpiresAt uint64 `json:"till,omitempty"` // the tick at which it ends
+	ExpiresAt uint64 `json:"till,omitempty"` // a tick
 }
 
-// Why an act is refused where it lands.
+// Reasons why a Fence rejects an action.
 var (
 	ErrStaleToken = errors.New("the token is older than one that was seen")
 	ErrBusy       = errors.New("an act of an older token is not over")
 )
 
-// fencesMost bounds the seats that a Fence knows by themselves.
-const fencesMost = 1024
+// maxSlots bounds the slots whose tokens a Fence remembers.
+const maxSlots = 1024
 
-// SeenTokens is the newest token of each seat that is known, for whoever takes this one's place.
-func (f *Fence) SeenTokens() []Grant {
-	var all []Grant
-	for k, s := range f.seats {
-		all = append(all, Grant{Name: k.name, Slot: k.seat, Token: s.newest})
-	}
-	return all
-}
-
-// RestoreTokens takes in what another one has Seen.
-func (f *Fence) RestoreTokens(seen []Grant) {
-	for _, g := range seen {
-		k := seat{g.Name, g.Slot}
-		if f.seats[k] == nil {
-			f.makeRoom()
-			f.seats[k] = &fenced{}
-		}
-		f.seats[k].newest = max(f.seats[k].newest, g.Token)
-	}
+// Fence rejects the actions of earlier holders, whatever those believe, and begins none for a later holder before the earlier one's is
+// over. It is not durable: a new Fence knows no tokens, unless it gets a MinToken or those of its predecessor. It is not safe for
+// concurrent use.
+type Fence struct {
+	MinToken Token // smaller tokens are rejected for slots that are not remembered
+	slots    map[slotKey]*slotState
 }
 
-type seat struct {
+// slotKey identifies a slot of a lease.
+type slotKey struct {
 	name string
-	seat int
-}
-
-type fenced struct {
-	newest  Token
-	running Token // 0: nothing
-	acts    int
+	slot int
 }
 
-// Fence is the side acted upon: it refuses what an earlier holder sends, whatever that believes, and begins nothing for a later one
-// before the earlier one's act is over. It is as lasting as whoever keeps it: one that starts anew knows nothing, unless it is
-// given a floor.
-type Fence struct {
-	MinToken Token // below this nothing is taken, of whatever seat
-	seats    map[seat]*fenced
+// slotState is what is remembered of a slot.
+type slotState struct {
+	newestToken    Token
+	runningToken   Token // of the running actions, or of those that ran last
+	runningActions int
 }
 
-// Begin asks for an act under a grant. Each that was let in must End.
-func (f *Fence) Begin(g Grant) error {
-	k := seat{g.Name, g.Slot}
-	s := f.seats[k]
+// Begin begins an action under a grant. Each action that was begun without an error must be ended by End.
+func (f *Fence) Begin(grant Grant) error {
+	key := slotKey{grant.Name, grant.Slot}
+	state := f.slots[key]
 	switch {
-	case s == nil && g.Token < f.MinToken:
+	case state == nil && grant.Token < f.MinToken:
 		return ErrStaleToken
-	case s == nil:
-		f.makeRoom()
-		s = &fenced{}
-		f.seats[k] = s
-	case g.Token < s.newest:
+	case state == nil:
+		f.evictOldest()
+		state = &slotState{}
+		f.slots[key] = state
+	case grant.Token < state.newestToken:
 		return ErrStaleToken
 	}
-	s.newest = g.Token // also where it has to wait: from here on the earlier holder begins nothing more
-	if s.acts > 0 && s.running != g.Token {
+	state.newestToken = grant.Token // even if ErrBusy follows: from now on the earlier holder can't begin anything
+	if state.runningActions > 0 && state.runningToken != grant.Token {
 		return ErrBusy
 	}
-	s.running, s.acts = g.Token, s.acts+1
+	state.runningToken = grant.Token
+	state.runningActions++
 	return nil
 }
 
-// End is the end of an act that Begin let in.
-func (f *Fence) End(g Grant) {
-	if s := f.seats[seat{g.Name, g.Slot}]; s != nil && s.running == g.Token && s.acts > 0 {
-		s.acts--
+// End ends an action that was begun.
+func (f *Fence) End(grant Grant) {
+	state := f.slots[slotKey{grant.Name, grant.Slot}]
+	if state != nil && state.runningToken == grant.Token && state.runningActions > 0 {
+		state.runningActions--
+	}
+}
+
+// SeenTokens returns the newest token of each remembered slot, for the Fence that takes this one's place.
+func (f *Fence) SeenTokens() []Grant {
+	var seen []Grant
+	for key, state := range f.slots {
+		seen = append(seen, Grant{Name: key.name, Slot: key.slot, Token: state.newestToken})
+	}
+	return seen
+}
+
+// RestoreTokens takes over what SeenTokens of another Fence returned.
+func (f *Fence) RestoreTokens(seen []Grant) {
+	for _, grant := range seen {
+		key := slotKey{grant.Name, grant.Slot}
+		if f.slots[key] == nil {
+			f.evictOldest()
+			f.slots[key] = &slotState{}
+		}
+		f.slots[key].newestToken = max(f.slots[key].newestToken, grant.Token)
 	}
 }
 
-// makeRoom forgets the seat that was last used the longest ago, by its token. What could be older than that is not taken any
-// more: tokens count for the whole group.
-func (f *Fence) makeRoom() {
-	if f.seats == nil {
-		f.seats = map[seat]*fenced{}
+// evictOldest makes room for one slot. It forgets the idle slot with the smallest token, and raises MinToken to that token: since tokens
+// grow over all leases of a group, no stale token of the forgotten slot can be accepted later.
+func (f *Fence) evictOldest() {
+	if f.slots == nil {
+		f.slots = map[slotKey]*slotState{}
 	}
-	if len(f.seats) < fencesMost {
+	if len(f.slots) < maxSlots {
 		return
 	}
-	var oldest seat
-	least := Token(0)
-	for k, s := range f.seats {
-		if s.acts == 0 && (least == 0 || s.newest < least) {
-			oldest, least = k, s.newest
+	var oldest slotKey
+	oldestToken := Token(0)
+	for key, state := range f.slots {
+		if state.runningActions == 0 && (oldestToken == 0 || state.newestToken < oldestToken) {
+			oldest, oldestToken = key, state.newestToken
 		}
 	}
-	if least > 0 {
-		f.MinToken = max(f.MinToken, least)
-		delete(f.seats, oldest)
+	if oldestToken > 0 {
+		f.MinToken = max(f.MinToken, oldestToken)
+		delete(f.slots, oldest)
 	}
 }
