--- a/internal/fake/backend.go
+++ b/internal/fake/backend.go
@@ -21,144 +21,144 @@
 	"tulipglade/internal/simulation/emulator"
 )
 
-// boxServer is one box's address for one node.
-type boxServer struct {
-	w     *Cluster
-	place int
-	node  int
-	addr  string
+// backendListener is one box's address for one node.
+type backendListener struct {
+	cluster *Cluster
+	place   int
+	node    int
+	addr    string
 
-	mu    sync.Mutex
-	ln    *net.TCPListener // nil: the process does not run
-	mute  bool             // the machine has vanished, or the link is cut
-	plug  net.Conn         // fills the queue of connections while the box is mute
-	life  any
-	conns map[*boxConn]bool
-	wake  *sync.Cond // ln, mute, parked or end has changed
-	park  bool       // accept waits, and will take no connection until it is woken
-	end   bool
+	mu           sync.Mutex
+	listener     *net.TCPListener // nil: the process does not run
+	unreachable  bool             // the machine has vanished, or the link is cut
+	queueFiller  net.Conn         // fills the queue of connections while the box is mute
+	incarnation  any
+	conns        map[*backendConn]bool
+	stateChanged *sync.Cond // ln, mute, parked or end has changed
+	acceptParked bool       // accept waits, and will take no connection until it is woken
+	closed       bool
 }
 
-func newBoxServer(w *Cluster, place, node int, addr string) (*boxServer, error) {
-	b := &boxServer{w: w, place: place, node: node, addr: addr, conns: map[*boxConn]bool{}, life: w.live.Incarnation(place)}
-	b.wake = sync.NewCond(&b.mu)
-	return b, b.open()
+func newBackendListener(cluster *Cluster, place, node int, addr string) (*backendListener, error) {
+	b := &backendListener{cluster: cluster, place: place, node: node, addr: addr, conns: map[*backendConn]bool{}, incarnation: cluster.live.Incarnation(place)}
+	b.stateChanged = sync.NewCond(&b.mu)
+	return b, b.listen()
 }
 
-func (b *boxServer) open() error {
+func (b *backendListener) listen() error {
 	ln, err := net.Listen("tcp4", b.addr)
 	if err != nil {
 		return fmt.Errorf("box %d for node %d: %w", b.place, b.node, err)
 	}
-	b.ln, b.addr = ln.(*net.TCPListener), ln.Addr().String()
+	b.listener, b.addr = ln.(*net.TCPListener), ln.Addr().String()
 	return nil
 }
 
-// follow brings the sockets in line with the box: a process that has died resets its connections and refuses new ones; a
+// setState brings the sockets in line with the box: a process that has died resets its connections and refuses new ones; a
 // machine that is cut off says nothing, and new connections never come up.
-func (b *boxServer) follow(up, mute bool, life any) {
+func (b *backendListener) setState(running, unreachable bool, incarnation any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.end {
+	if b.closed {
 		return
 	}
-	if life != b.life || !up && !mute {
-		b.life = life
+	if incarnation != b.incarnation || !running && !unreachable {
+		b.incarnation = incarnation
 		for c := range b.conns {
 			c.reset()
 		}
 	}
 	switch {
-	case !up && !mute && b.ln != nil:
-		b.unplug()
-		b.ln.Close()
-		b.ln = nil
-	case up && b.ln == nil:
-		if err := b.open(); err != nil {
-			b.w.log.write(event{At: b.w.now(), What: "cannot listen: " + err.Error(), Node: b.node, Place: b.place})
+	case !running && !unreachable && b.listener != nil:
+		b.allowNewConnections()
+		b.listener.Close()
+		b.listener = nil
+	case running && b.listener == nil:
+		if err := b.listen(); err != nil {
+			b.cluster.log.write(logEvent{Time: b.cluster.now(), Kind: "cannot listen: " + err.Error(), Node: b.node, Place: b.place})
 			return
 		}
 	}
-	if mute != b.mute {
-		b.mute = mute
-		if mute {
-			b.plugUp()
+	if unreachable != b.unreachable {
+		b.unreachable = unreachable
+		if unreachable {
+			b.blockNewConnections()
 		} else {
-			b.unplug()
+			b.allowNewConnections()
 			for c := range b.conns { // what was held back comes through
-				c.wake.Broadcast()
+				c.stateChanged.Broadcast()
 			}
 		}
 	}
-	b.wake.Broadcast()
+	b.stateChanged.Broadcast()
 }
 
-// plugUp lets no connection come up any more: the system's queue is cut to one, which a connection of our own fills, and
+// blockNewConnections lets no connection come up any more: the system's queue is cut to one, which a connection of our own fills, and
 // what would go beyond is dropped as if the machine were gone.
-func (b *boxServer) plugUp() {
-	if b.ln == nil {
+func (b *backendListener) blockNewConnections() {
+	if b.listener == nil {
 		return
 	}
-	b.backlog(0)
+	b.setBacklog(0)
 	// Accept gives way; the loop then waits until the box speaks again. Errors mean that the listener is closed.
-	_ = b.ln.SetDeadline(time.Unix(1, 0))
-	for !b.park && !b.end { // else it might take the plug
-		b.wake.Wait()
+	_ = b.listener.SetDeadline(time.Unix(1, 0))
+	for !b.acceptParked && !b.closed { // else it might take the plug
+		b.stateChanged.Wait()
 	}
-	if b.end {
+	if b.closed {
 		return
 	}
-	b.plug, _ = net.DialTimeout("tcp4", b.addr, 100*time.Millisecond)
+	b.queueFiller, _ = net.DialTimeout("tcp4", b.addr, 100*time.Millisecond)
 }
 
-func (b *boxServer) unplug() {
-	if b.plug != nil {
-		b.plug.Close()
-		b.plug = nil
+func (b *backendListener) allowNewConnections() {
+	if b.queueFiller != nil {
+		b.queueFiller.Close()
+		b.queueFiller = nil
 	}
-	if b.ln != nil {
-		b.backlog(unix.SOMAXCONN)
-		_ = b.ln.SetDeadline(time.Time{})
+	if b.listener != nil {
+		b.setBacklog(unix.SOMAXCONN)
+		_ = b.listener.SetDeadline(time.Time{})
 	}
 }
 
-func (b *boxServer) backlog(n int) {
-	raw, err := b.ln.SyscallConn()
+func (b *backendListener) setBacklog(length int) {
+	raw, err := b.listener.SyscallConn()
 	if err == nil {
-		err = raw.Control(func(fd uintptr) { err = errors.Join(err, unix.Listen(int(fd), n)) })
+		err = raw.Control(func(fd uintptr) { err = errors.Join(err, unix.Listen(int(fd), length)) })
 	}
 	if err != nil {
-		b.w.log.write(event{At: b.w.now(), What: "backlog: " + err.Error(), Node: b.node, Place: b.place})
+		b.cluster.log.write(logEvent{Time: b.cluster.now(), Kind: "backlog: " + err.Error(), Node: b.node, Place: b.place})
 	}
 }
 
-func (b *boxServer) shut() {
+func (b *backendListener) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.end = true
-	if b.plug != nil {
-		b.plug.Close()
+	b.closed = true
+	if b.queueFiller != nil {
+		b.queueFiller.Close()
 	}
-	if b.ln != nil {
-		b.ln.Close()
+	if b.listener != nil {
+		b.listener.Close()
 	}
 	for c := range b.conns {
 		c.reset()
 	}
-	b.wake.Broadcast()
+	b.stateChanged.Broadcast()
 }
 
 // accept serves connections until the world ends.
-func (b *boxServer) accept() {
+func (b *backendListener) accept() {
 	for {
 		b.mu.Lock()
-		for !b.end && (b.ln == nil || b.mute) {
-			b.park = true
-			b.wake.Broadcast()
-			b.wake.Wait()
+		for !b.closed && (b.listener == nil || b.unreachable) {
+			b.acceptParked = true
+			b.stateChanged.Broadcast()
+			b.stateChanged.Wait()
 		}
-		b.park = false
-		ln, end := b.ln, b.end
+		b.acceptParked = false
+		ln, end := b.listener, b.closed
 		b.mu.Unlock()
 		if end {
 			return
@@ -171,83 +171,83 @@
 			time.Sleep(time.Millisecond) // a deadline that plugUp set, or descriptors that ran out
 			continue
 		}
-		c := &boxConn{b: b, conn: conn, first: true}
-		c.wake = sync.NewCond(&b.mu)
+		c := &backendConn{backend: b, conn: conn, firstRequest: true}
+		c.stateChanged = sync.NewCond(&b.mu)
 		b.mu.Lock()
 		b.conns[c] = true
-		c.life = b.life
+		c.incarnation = b.incarnation
 		b.mu.Unlock()
-		b.w.post(func() {
-			b.w.ledger.sums.Connections++
-			if b.w.live.Incarnation(b.place) == c.life {
-				b.w.live.Connected(b.place, 1)
+		b.cluster.post(func() {
+			b.cluster.ledger.totals.Connections++
+			if b.cluster.live.Incarnation(b.place) == c.incarnation {
+				b.cluster.live.Connected(b.place, 1)
 				c.counted = true
 			}
 		})
-		b.w.wg.Go(c.serve)
+		b.cluster.wg.Go(c.serve)
 	}
 }
 
-// boxConn is one connection from a node.
-type boxConn struct {
-	b       *boxServer
-	conn    *net.TCPConn
-	life    any
-	first   bool
-	counted bool // in the box's number of connections; the world's goroutine's
-	wake    *sync.Cond
-	closed  bool
-	out     *exchange // in the box's hands, or nil; the world's goroutine's
+// backendConn is one connection from a node.
+type backendConn struct {
+	backend      *backendListener
+	conn         *net.TCPConn
+	incarnation  any
+	firstRequest bool
+	counted      bool // in the box's number of connections; the world's goroutine's
+	stateChanged *sync.Cond
+	closed       bool
+	inFlight     *exchange // in the box's hands, or nil; the world's goroutine's
 }
 
 // exchange is one request on a connection.
 type exchange struct {
-	c       *boxConn
-	id      string
-	class   int
-	box     int
-	pending emulator.Pending
-	ended   bool
-	answers chan []byte // what to write; nil: reset the connection
+	conn     *backendConn
+	id       string
+	class    int
+	backend  int
+	pending  emulator.Pending
+	ended    bool
+	response chan []byte // what to write; nil: reset the connection
 }
 
 // reset ends the connection as a dying process does. The caller holds the server's lock.
-func (c *boxConn) reset() {
+func (c *backendConn) reset() {
 	if !c.closed {
 		c.closed = true
 		_ = c.conn.SetLinger(0)
 		c.conn.Close()
-		c.wake.Broadcast()
+		c.stateChanged.Broadcast()
 	}
 }
 
-// hold waits while the machine cannot be heard, and tells whether the connection is still there after that.
-func (c *boxConn) hold() bool {
-	c.b.mu.Lock()
-	defer c.b.mu.Unlock()
-	for c.b.mute && !c.closed && !c.b.end {
-		c.wake.Wait()
+// awaitReachable waits while the machine cannot be heard, and tells whether the connection is still there after that.
+func (c *backendConn) awaitReachable() bool {
+	c.backend.mu.Lock()
+	defer c.backend.mu.Unlock()
+	for c.backend.unreachable && !c.closed && !c.backend.closed {
+		c.stateChanged.Wait()
 	}
 	return !c.closed
 }
 
-const boxIdle = 2 * time.Minute
+const backendIdleTimeout = 2 * time.Minute
 
-func (c *boxConn) serve() {
-	b := c.b
+func (c *backendConn) serve() {
+	b := c.backend
 	defer func() {
 		b.mu.Lock()
 		delete(b.conns, c)
 		c.closed = true
 		b.mu.Unlock()
 		c.conn.Close()
-		b.w.post(func() {
-			if c.counted && b.w.live.Incarnation(b.place) == c.life {
-				b.w.live.Connected(b.place, -1)
+		b.cluster.post(func() {
+			if c.counted && b.cluster.live.Incarnation(b.place) == c.incarnation {
+				b.cluster.live.Connected(b.place, -1)
 			}
-			if c.out != nil && !c.out.ended {
-				c.out.ended = true
-				b.w.live.Abandon(c.out.pending)
+			if c.inFlight != nil && !c.inFlight.ended {
+				c.inFlight.ended = true
+				b.cluster.live.Abandon(c.inFlight.pending)
 			}
 		})
 	}()
@@ -259,7 +259,7 @@
 			n, w, err := m.Request(buf)
 			buf, whole = buf[:n], w
 			if err != nil {
-				b.w.post(func() { b.w.ledger.sums.Unreadable++ })
+				b.cluster.post(func() { b.cluster.ledger.totals.Unreadable++ })
 				c.write([]byte("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"))
 				return
 			}
@@ -269,17 +269,17 @@
 				}
 			}
 		}
-		if answer := c.probe(&m); answer != nil {
-			if !c.hold() || !c.write(answer) || !m.KeepAlive {
+		if answer := c.answerHealthCheck(&m); answer != nil {
+			if !c.awaitReachable() || !c.write(answer) || !m.KeepAlive {
 				return
 			}
 			buf = append(buf[:0], m.Rest(buf)...)
-			c.first = false
+			c.firstRequest = false
 			continue
 		}
-		x, refused := c.request(&m, buf)
+		x, refused := c.dispatch(&m, buf)
 		if refused != 0 {
-			b.w.post(func() { b.w.ledger.sums.Unreadable++ })
+			b.cluster.post(func() { b.cluster.ledger.totals.Unreadable++ })
 			c.write(fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", refused, http.StatusText(refused)))
 			return
 		}
@@ -299,16 +299,16 @@
 		var answer []byte
 		var early []byte
 		select {
-		case answer = <-x.answers:
+		case answer = <-x.response:
 		case <-gone:
 			select {
 			case early = <-more: // the next request has come before this one's answer
-				answer = <-x.answers
+				answer = <-x.response
 			default:
 				return
 			}
 		}
-		if answer == nil || !c.hold() {
+		if answer == nil || !c.awaitReachable() {
 			b.mu.Lock()
 			c.reset()
 			b.mu.Unlock()
@@ -318,7 +318,7 @@
 		if !c.write(answer) || !keep {
 			return
 		}
-		c.first = false
+		c.firstRequest = false
 		if early == nil {
 			// The reader beside us already waits for the next request's first bytes.
 			<-gone
@@ -328,43 +328,43 @@
 				return
 			}
 		}
-		if !c.hold() || len(rest)+len(early) > cap(buf) {
+		if !c.awaitReachable() || len(rest)+len(early) > cap(buf) {
 			return
 		}
 		buf = append(append(buf[:0], rest...), early...)
 	}
 }
 
-func (c *boxConn) read(buf []byte) []byte {
+func (c *backendConn) read(buf []byte) []byte {
 	if len(buf) == cap(buf) {
 		return nil
 	}
-	_ = c.conn.SetReadDeadline(time.Now().Add(boxIdle))
+	_ = c.conn.SetReadDeadline(time.Now().Add(backendIdleTimeout))
 	n, err := c.conn.Read(buf[len(buf):cap(buf)])
-	if err != nil || !c.hold() {
+	if err != nil || !c.awaitReachable() {
 		return nil
 	}
 	_ = c.conn.SetReadDeadline(time.Time{})
 	return buf[:len(buf)+n]
 }
 
-func (c *boxConn) write(p []byte) bool {
+func (c *backendConn) write(p []byte) bool {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(10 * time.Second))
 	_, err := c.conn.Write(p)
 	return err == nil
 }
 
-// probe is the answer to a probe, beside the queue; nil: it is none. Where settings forbid them, paths of probes are not there.
-func (c *boxConn) probe(m *protocol.Message) []byte {
-	b, path := c.b, string(m.Target)
-	if path != "/health" && path != "/status/load" || !b.w.sc.Rules.AllowHealthChecks {
+// answerHealthCheck is the answer to a probe, beside the queue; nil: it is none. Where settings forbid them, paths of probes are not there.
+func (c *backendConn) answerHealthCheck(message *protocol.Message) []byte {
+	b, path := c.backend, string(message.Target)
+	if path != "/health" && path != "/status/load" || !b.cluster.scenario.Rules.AllowHealthChecks {
 		return nil
 	}
 	var answer []byte
-	b.w.ask(func() {
-		w, body := b.w, ""
-		w.ledger.sums.Probes++
-		if w.live.Incarnation(b.place) != c.life {
+	b.cluster.call(func() {
+		w, body := b.cluster, ""
+		w.ledger.totals.Probes++
+		if w.live.Incarnation(b.place) != c.incarnation {
 			return
 		}
 		if path == "/status/load" {
@@ -378,95 +378,95 @@
 	return answer
 }
 
-// request hands a whole request to the box, or tells the status by which it is refused.
-func (c *boxConn) request(m *protocol.Message, buf []byte) (*exchange, int) {
-	b := c.b
-	id := string(m.Get("x-trace-id"))
+// dispatch hands a whole request to the box, or tells the status by which it is refused.
+func (c *backendConn) dispatch(message *protocol.Message, buf []byte) (*exchange, int) {
+	b := c.backend
+	id := string(message.Get("x-trace-id"))
 	if id == "" {
 		return nil, http.StatusNotFound
 	}
-	u, err := url.ParseRequestURI(string(m.Target))
+	u, err := url.ParseRequestURI(string(message.Target))
 	if err != nil {
 		return nil, http.StatusBadRequest
 	}
 	class := -1
-	name, _, _ := bytes.Cut(bytes.TrimPrefix(m.Target, []byte("/")), []byte("?"))
-	for i := range b.w.sc.Classes {
-		if string(name) == b.w.sc.Classes[i].Name {
+	name, _, _ := bytes.Cut(bytes.TrimPrefix(message.Target, []byte("/")), []byte("?"))
+	for i := range b.cluster.scenario.Classes {
+		if string(name) == b.cluster.scenario.Classes[i].Name {
 			class = i
 		}
 	}
 	if class < 0 {
 		return nil, http.StatusBadRequest
 	}
-	in := emulator.Attempt{Place: b.place, Node: b.node, ID: id, Repeat: id, Class: class, Fresh: c.first}
+	attempt := emulator.Attempt{Place: b.place, Node: b.node, ID: id, Repeat: id, Class: class, Fresh: c.firstRequest}
 	if obj := u.Query().Get("obj"); obj != "" {
-		in.Key = xxhash.Sum64String(obj)
+		attempt.Key = xxhash.Sum64String(obj)
 	}
-	if key := m.Get("idempotency-key"); len(key) > 0 {
-		in.Repeat = string(key)
+	if key := message.Get("idempotency-key"); len(key) > 0 {
+		attempt.Repeat = string(key)
 	}
-	if ms, err := strconv.ParseInt(string(m.Get("x-expires-in-ms")), 10, 64); err == nil && ms > 0 {
-		in.Timeout = ms * 1000
+	if ms, err := strconv.ParseInt(string(message.Get("x-expires-in-ms")), 10, 64); err == nil && ms > 0 {
+		attempt.Timeout = ms * 1000
 	}
-	x := &exchange{c: c, id: id, class: class, answers: make(chan []byte, 1)}
-	in.Pending = x
-	tenant := string(m.Get("x-customer"))
-	ok := b.w.post(func() {
-		w := b.w
+	pendingExchange := &exchange{conn: c, id: id, class: class, response: make(chan []byte, 1)}
+	attempt.Pending = pendingExchange
+	tenant := string(message.Get("x-customer"))
+	ok := b.cluster.post(func() {
+		w := b.cluster
 		now := w.now()
-		if w.live.Incarnation(b.place) != c.life {
-			x.ended = true
-			x.answers <- nil
+		if w.live.Incarnation(b.place) != c.incarnation {
+			pendingExchange.ended = true
+			pendingExchange.response <- nil
 			return
 		}
-		c.out = x
-		x.box = w.boxOf(b.place)
-		late := w.ledger.arrived(now, b.node, b.place, x.box)
-		w.log.write(event{At: now, What: "arrived", ID: id, Node: b.node, Box: x.box, Place: b.place, Class: w.sc.Classes[class].Name,
-			Tenant: tenant, Key: in.Key})
+		c.inFlight = pendingExchange
+		pendingExchange.backend = w.backendAt(b.place)
+		late := w.ledger.recordArrival(now, b.node, b.place, pendingExchange.backend)
+		w.log.write(logEvent{Time: now, Kind: "arrived", ID: id, Node: b.node, Backend: pendingExchange.backend, Place: b.place, Class: w.scenario.Classes[class].Name,
+			Tenant: tenant, Key: attempt.Key})
 		if late {
-			w.log.write(event{At: now, What: "after-drain", ID: id, Node: b.node, Box: x.box, Place: b.place})
+			w.log.write(logEvent{Time: now, Kind: "after-drain", ID: id, Node: b.node, Backend: pendingExchange.backend, Place: b.place})
 		}
-		x.pending = w.live.Arrive(now, in)
+		pendingExchange.pending = w.live.Arrive(now, attempt)
 	})
 	if !ok {
 		return nil, http.StatusServiceUnavailable
 	}
-	return x, 0
+	return pendingExchange, 0
 }
 
-// boxOf is the number of the process that has the address now.
-func (w *Cluster) boxOf(place int) int {
-	box := 0
-	for _, l := range w.state {
+// backendAt is the number of the process that has the address now.
+func (cl *Cluster) backendAt(place int) int {
+	backend := 0
+	for _, l := range cl.endpoints {
 		if l.Place == place {
-			box = max(box, l.Backend)
+			backend = max(backend, l.Backend)
 		}
 	}
-	return box
+	return backend
 }
 
-// answer is the end of the exchange at its box, on the world's goroutine.
-func (x *exchange) answer(p emulator.Pending, out balancer.Outcome) {
+// finish is the end of the exchange at its box, on the world's goroutine.
+func (x *exchange) finish(result emulator.Pending, outcome balancer.Outcome) {
 	if x.ended {
 		return
 	}
 	x.ended = true
-	x.c.out = nil
-	w := x.c.b.w
-	w.log.write(event{At: w.now(), What: "answered", ID: x.id, Node: x.c.b.node, Box: x.box, Place: x.c.b.place, Outcome: outcomeNames[out],
-		Ran: p.Ran})
-	x.answers <- w.response(x, p, out)
+	x.conn.inFlight = nil
+	cluster := x.conn.backend.cluster
+	cluster.log.write(logEvent{Time: cluster.now(), Kind: "answered", ID: x.id, Node: x.conn.backend.node, Backend: x.backend, Place: x.conn.backend.place, Outcome: outcomeNames[outcome],
+		Ran: result.Ran})
+	x.response <- cluster.formatResponse(x, result, outcome)
 }
 
 var outcomeNames = map[balancer.Outcome]string{balancer.OutcomeOK: "ok", balancer.OutcomeServerError: "error", balancer.OutcomeRejected: "full",
 	balancer.OutcomeReset: "reset"}
 
-// response words an answer as PROTOCOL says; nil is a reset.
-func (w *Cluster) response(x *exchange, p emulator.Pending, out balancer.Outcome) []byte {
-	status, extra, body := 200, "", "ran "+x.id+"\n"
-	switch out {
+// formatResponse words an answer as PROTOCOL says; nil is a reset.
+func (cl *Cluster) formatResponse(request *exchange, result emulator.Pending, outcome balancer.Outcome) []byte {
+	status, extra, body := 200, "", "ran "+request.id+"\n"
+	switch outcome {
 	case balancer.OutcomeReset:
 		return nil
 	case balancer.OutcomeServerError:
@@ -474,11 +474,11 @@
 	case balancer.OutcomeRejected:
 		status, extra, body = 503, "X-Never-Ran: 1\r\n", ""
 	}
-	if text := reportText(p.Report); text != "" {
+	if text := reportText(result.Report); text != "" {
 		extra += "Endpoint-Load-Metrics: " + text + "\r\n"
 	}
 	head := ""
-	switch w.spoils(x) {
+	switch cl.responseFault(request) {
 	case faultinject.Garbage:
 		return []byte("\x15\x03\x01\x00\x02noise instead of an answer\r\n\r\n")
 	case faultinject.Interim:
@@ -487,11 +487,11 @@
 	return fmt.Appendf(nil, "%sHTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", head, status, http.StatusText(status), extra, len(body), body)
 }
 
-// spoils is the fault that hits how this answer is worded, or nothing. Of one request all answers fare alike.
-func (w *Cluster) spoils(x *exchange) faultinject.Kind {
-	draw := float64(xxhash.Sum64String(x.id)>>11) / (1 << 53)
-	for _, f := range w.spoilt {
-		if slices.Contains(f.Backends, x.c.b.place) && draw < f.Size {
+// responseFault is the fault that hits how this answer is worded, or nothing. Of one request all answers fare alike.
+func (cl *Cluster) responseFault(request *exchange) faultinject.Kind {
+	draw := float64(xxhash.Sum64String(request.id)>>11) / (1 << 53)
+	for _, f := range cl.responseFaults {
+		if slices.Contains(f.Backends, request.conn.backend.place) && draw < f.Size {
 			return f.Kind
 		}
 	}
--- a/internal/fake/control.go
+++ b/internal/fake/control.go
@@ -20,62 +20,62 @@
 //	DELETE /faults/{id}   ends it
 //	GET /report           what has been seen so far
 //	GET /runs/{id}        how often the request of that id has begun to run
-func (w *Cluster) Control(addr string) (string, error) {
+func (cl *Cluster) Control(addr string) (string, error) {
 	if err := loopback.Check(addr); err != nil {
 		return "", fmt.Errorf("control: %w", err)
 	}
-	ln, err := net.Listen("tcp4", addr)
+	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return "", fmt.Errorf("control: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /faults", w.postFault)
-	mux.HandleFunc("DELETE /faults/{id}", func(rw http.ResponseWriter, r *http.Request) {
-		id, err := strconv.Atoi(r.PathValue("id"))
-		if err != nil || !w.Lift(id) {
-			http.Error(rw, "there is no such fault, or it has ended", http.StatusNotFound)
+	mux.HandleFunc("POST /faults", cl.postFault)
+	mux.HandleFunc("DELETE /faults/{id}", func(response http.ResponseWriter, request *http.Request) {
+		id, err := strconv.Atoi(request.PathValue("id"))
+		if err != nil || !cl.Lift(id) {
+			http.Error(response, "there is no such fault, or it has ended", http.StatusNotFound)
 			return
 		}
-		rw.WriteHeader(http.StatusNoContent)
+		response.WriteHeader(http.StatusNoContent)
 	})
-	mux.HandleFunc("GET /report", func(rw http.ResponseWriter, _ *http.Request) { reply(rw, w.Report()) })
-	mux.HandleFunc("GET /runs/{id}", func(rw http.ResponseWriter, r *http.Request) {
-		reply(rw, map[string]int{"runs": w.Executions(r.PathValue("id"))})
+	mux.HandleFunc("GET /report", func(response http.ResponseWriter, _ *http.Request) { writeJSON(response, cl.Report()) })
+	mux.HandleFunc("GET /runs/{id}", func(response http.ResponseWriter, request *http.Request) {
+		writeJSON(response, map[string]int{"runs": cl.Executions(request.PathValue("id"))})
 	})
-	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	w.wg.Go(func() {
-		if err := srv.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			w.log.write(event{At: w.now(), What: "control: " + err.Error()})
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
+	cl.wg.Go(func() {
+		if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
+			cl.log.write(logEvent{Time: cl.now(), Kind: "control: " + err.Error()})
 		}
 	})
-	w.wg.Go(func() {
-		<-w.ctx.Done()
-		srv.Close()
+	cl.wg.Go(func() {
+		<-cl.ctx.Done()
+		server.Close()
 	})
-	return ln.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
-const maxOrder = 64 << 10 // bytes of a fault
+const maxFaultBytes = 64 << 10 // bytes of a fault
 
-func (w *Cluster) postFault(rw http.ResponseWriter, r *http.Request) {
-	dec := json.NewDecoder(http.MaxBytesReader(rw, r.Body, maxOrder))
-	dec.DisallowUnknownFields()
-	var f faultinject.Fault
-	if err := dec.Decode(&f); err != nil {
-		http.Error(rw, "fault: "+err.Error(), http.StatusBadRequest)
+func (cl *Cluster) postFault(response http.ResponseWriter, request *http.Request) {
+	decoder := json.NewDecoder(http.MaxBytesReader(response, request.Body, maxFaultBytes))
+	decoder.DisallowUnknownFields()
+	var fault faultinject.Fault
+	if err := decoder.Decode(&fault); err != nil {
+		http.Error(response, "fault: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	id, settled, err := w.Inject(f)
+	id, complete, err := cl.Inject(fault)
 	if err != nil {
-		http.Error(rw, err.Error(), http.StatusBadRequest)
+		http.Error(response, err.Error(), http.StatusBadRequest)
 		return
 	}
-	reply(rw, map[string]any{"id": id, "fault": settled})
+	writeJSON(response, map[string]any{"id": id, "fault": complete})
 }
 
-func reply(rw http.ResponseWriter, v any) {
-	rw.Header().Set("Content-Type", "application/json")
-	if err := json.NewEncoder(rw).Encode(v); err != nil {
+func writeJSON(response http.ResponseWriter, value any) {
+	response.Header().Set("Content-Type", "application/json")
+	if err := json.NewEncoder(response).Encode(value); err != nil {
 		return // whoever asked has gone
 	}
 }
--- a/internal/fake/null.go
+++ b/internal/fake/nullserver.go
@@ -13,14 +13,14 @@
 // Null answers every request with a 200 after a delay that is known exactly, and nothing else: what a load generator is
 // measured against.
 type Null struct {
-	ln    net.Listener
-	delay func(arrived time.Time) time.Time
-	sleep func(time.Time)
+	listener net.Listener
+	delay    func(arrived time.Time) time.Time
+	sleep    func(time.Time)
 
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	end   bool
-	wg    sync.WaitGroup
+	mu     sync.Mutex
+	conns  map[net.Conn]bool
+	closed bool
+	wg     sync.WaitGroup
 }
 
 // StartNull serves on a loopback address. Delay tells for the moment at which a request has come when its answer is due;
@@ -33,19 +33,19 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Null{ln: ln, delay: delay, sleep: sleep, conns: map[net.Conn]bool{}}
+	n := &Null{listener: ln, delay: delay, sleep: sleep, conns: map[net.Conn]bool{}}
 	n.wg.Go(n.accept)
 	return n, nil
 }
 
 // Addr is where it listens.
-func (n *Null) Addr() string { return n.ln.Addr().String() }
+func (n *Null) Addr() string { return n.listener.Addr().String() }
 
 // Close ends it.
 func (n *Null) Close() {
 	n.mu.Lock()
-	n.end = true
-	n.ln.Close()
+	n.closed = true
+	n.listener.Close()
 	for c := range n.conns {
 		c.Close()
 	}
@@ -55,7 +55,7 @@
 
 func (n *Null) accept() {
 	for {
-		c, err := n.ln.Accept()
+		c, err := n.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -64,7 +64,7 @@
 			continue
 		}
 		n.mu.Lock()
-		if n.end {
+		if n.closed {
 			n.mu.Unlock()
 			c.Close()
 			return
@@ -81,26 +81,26 @@
 	}
 }
 
-var nullAnswer = []byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n")
+var nullResponse = []byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n")
 
-func (n *Null) serve(c net.Conn) {
+func (n *Null) serve(conn net.Conn) {
 	buf := make([]byte, 0, protocol.BufferSize)
 	var m protocol.Message
 	for {
-		got, err := c.Read(buf[len(buf):cap(buf)])
+		got, err := conn.Read(buf[len(buf):cap(buf)])
 		if err != nil {
 			return
 		}
 		arrived := time.Now()
-		size, whole, err := m.Request(buf[:len(buf)+got])
+		size, complete, err := m.Request(buf[:len(buf)+got])
 		if buf = buf[:size]; err != nil {
 			return
 		}
-		for whole {
+		for complete {
 			if n.delay != nil {
 				n.sleep(n.delay(arrived))
 			}
-			if _, err := c.Write(nullAnswer); err != nil {
+			if _, err := conn.Write(nullResponse); err != nil {
 				return
 			}
 			rest := m.Rest(buf)
@@ -108,7 +108,7 @@
 			if len(buf) == 0 {
 				break
 			}
-			if size, whole, err = m.Request(buf); err != nil {
+			if size, complete, err = m.Request(buf); err != nil {
 				return
 			}
 			buf = buf[:size]
--- a/internal/fake/nodes.go
+++ b/internal/fake/processes.go
@@ -22,7 +22,7 @@
 // reportFields are what a report may hold: as scenarios name it, as settings do, and as it is written on sockets.
 var reportFields = []struct {
 	scenario, setting, wire string
-	of                      func(balancer.LoadReport) float64
+	value                   func(balancer.LoadReport) float64
 }{
 	{"held", "outstanding", "inflight", func(r balancer.LoadReport) float64 { return r.Outstanding }},
 	{"queue", "backlog", "queue", func(r balancer.LoadReport) float64 { return r.Backlog }},
@@ -33,7 +33,7 @@
 func reportText(r balancer.LoadReport) string {
 	var parts []string
 	for _, f := range reportFields {
-		if v := f.of(r); v >= 0 {
+		if v := f.value(r); v >= 0 {
 			parts = append(parts, f.wire+"="+strconv.FormatFloat(v, 'f', -1, 64))
 		}
 	}
@@ -44,9 +44,9 @@
 }
 
 // NodeConfig is the configuration file of a node in this world, as the platform would write it.
-func (w *Cluster) NodeConfig(node int, limits NodeLimits) ([]byte, error) {
+func (cl *Cluster) NodeConfig(node int, limits NodeLimits) ([]byte, error) {
 	type obj = map[string]any
-	sc := w.sc
+	sc := cl.scenario
 	us := func(ms float64) int64 { return int64(ms * 1000) }
 	settings := obj{"discovery": "push", "me": node, "my_zone": sc.Site(node), "peers_total": sc.Nodes.Count, "zones": sc.Fleet.Sites,
 		"tick_us": us(sc.Nodes.Tick),
@@ -86,16 +86,16 @@
 		orgs = append(orgs, obj{"name": t.Name, "share": t.Share / shares})
 	}
 	settings["profiles"], settings["orgs"] = profiles, orgs
-	known := answer{All: true, Targets: []target{}}
-	w.ask(func() {
-		var lines []line
-		lines, known.Rev = w.list(node, -1)
+	known := endpointList{Full: true, Endpoints: []listedEndpoint{}}
+	cl.call(func() {
+		var lines []endpointRecord
+		lines, known.Revision = cl.endpointsSince(node, -1)
 		for _, l := range lines {
-			known.Targets = append(known.Targets, w.targetOf(node, l))
+			known.Endpoints = append(known.Endpoints, cl.listedEndpoint(node, l))
 		}
 	})
-	return json.MarshalIndent(obj{"name": fmt.Sprintf("n%d", node), "listen": w.opts.Nodes[node], "discovery": w.Discovery(node),
-		"seed":   fmt.Sprintf("%016x", w.opts.Seed*31+uint64(node)+1),
+	return json.MarshalIndent(obj{"name": fmt.Sprintf("n%d", node), "listen": cl.options.Nodes[node], "discovery": cl.Discovery(node),
+		"seed":   fmt.Sprintf("%016x", cl.options.Seed*31+uint64(node)+1),
 		"limits": obj{"cores": limits.Cores, "memory_mb": limits.MemoryMB, "sockets": limits.Descriptors},
 		"known":  known, "settings": settings}, "", "  ")
 }
@@ -111,20 +111,20 @@
 var DefaultLimits = NodeLimits{Cores: 1, MemoryMB: 192, Descriptors: 1024, MaxInFlight: 20000}
 
 // FreeAddrs finds loopback addresses that nothing listens on.
-func FreeAddrs(n int) ([]string, error) {
-	var lns []net.Listener
+func FreeAddrs(count int) ([]string, error) {
+	var listeners []net.Listener
 	defer func() {
-		for _, ln := range lns {
-			ln.Close()
+		for _, listener := range listeners {
+			listener.Close()
 		}
 	}()
 	var addrs []string
-	for range n {
-		ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	for range count {
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		lns, addrs = append(lns, ln), append(addrs, ln.Addr().String())
+		listeners, addrs = append(listeners, listener), append(addrs, listener.Addr().String())
 	}
 	return addrs, nil
 }
@@ -133,54 +133,54 @@
 type Processes struct {
 	program string
 	dir     string
-	world   *Cluster
+	cluster *Cluster
 	limits  NodeLimits
 
-	mu   sync.Mutex
-	cmds []*exec.Cmd
-	logs []*os.File
-	down []int // faults that keep it dead
-	end  bool
-	wg   sync.WaitGroup
+	mu         sync.Mutex
+	commands   []*exec.Cmd
+	logs       []*os.File
+	killFaults []int // faults that keep it dead
+	stopped    bool
+	wg         sync.WaitGroup
 }
 
 // StartNodes starts a process of the program for each of the world's nodes. Configurations and logs are left in dir.
-func (w *Cluster) StartNodes(program, dir string, limits NodeLimits) (*Processes, error) {
-	p := &Processes{program: program, dir: dir, world: w, limits: limits, cmds: make([]*exec.Cmd, len(w.opts.Nodes)),
-		logs: make([]*os.File, len(w.opts.Nodes)), down: make([]int, len(w.opts.Nodes))}
-	for i := range w.opts.Nodes {
+func (cl *Cluster) StartNodes(program, dir string, limits NodeLimits) (*Processes, error) {
+	processes := &Processes{program: program, dir: dir, cluster: cl, limits: limits, commands: make([]*exec.Cmd, len(cl.options.Nodes)),
+		logs: make([]*os.File, len(cl.options.Nodes)), killFaults: make([]int, len(cl.options.Nodes))}
+	for i := range cl.options.Nodes {
 		f, err := os.Create(filepath.Join(dir, fmt.Sprintf("node-%d.log", i)))
 		if err == nil {
-			p.logs[i] = f
-			err = p.start(i)
+			processes.logs[i] = f
+			err = processes.start(i)
 		}
 		if err != nil {
-			return nil, errors.Join(err, p.Stop())
+			return nil, errors.Join(err, processes.Stop())
 		}
 	}
-	w.ask(func() { w.procs = p })
-	return p, nil
+	cl.call(func() { cl.processes = processes })
+	return processes, nil
 }
 
-func (p *Processes) start(i int) error {
-	raw, err := p.world.NodeConfig(i, p.limits)
+func (p *Processes) start(node int) error {
+	raw, err := p.cluster.NodeConfig(node, p.limits)
 	if err != nil {
 		return err
 	}
-	file := filepath.Join(p.dir, fmt.Sprintf("node-%d.json", i))
+	file := filepath.Join(p.dir, fmt.Sprintf("node-%d.json", node))
 	if err := os.WriteFile(file, raw, 0o644); err != nil {
 		return err
 	}
 	cmd := exec.Command(p.program, "serve", "--config", file)
-	cmd.Stdout, cmd.Stderr = p.logs[i], p.logs[i]
+	cmd.Stdout, cmd.Stderr = p.logs[node], p.logs[node]
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("node %d: %w", i, err)
+		return fmt.Errorf("node %d: %w", node, err)
 	}
 	p.mu.Lock()
-	p.cmds[i] = cmd
+	p.commands[node] = cmd
 	p.mu.Unlock()
-	p.world.log.write(event{At: p.world.now(), What: "node-started", Node: i})
+	p.cluster.log.write(logEvent{Time: p.cluster.now(), Kind: "node-started", Node: node})
 	return nil
 }
 
@@ -188,22 +188,22 @@
 func (p *Processes) Pid(node int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c := p.cmds[node]; c != nil {
+	if c := p.commands[node]; c != nil {
 		return c.Process.Pid
 	}
 	return 0
 }
 
-// fault kills the nodes that a fault hits, or starts them again at its end. It is called on the world's goroutine, which
+// applyFault kills the nodes that a fault hits, or starts them again at its end. It is called on the world's goroutine, which
 // must not wait for processes.
-func (p *Processes) fault(f faultinject.Fault, began bool) {
+func (p *Processes) applyFault(fault faultinject.Fault, began bool) {
 	var hit []int
 	switch {
-	case f.Kind == faultinject.NodeKill:
-		hit = f.Nodes
-	case f.WithNodes:
-		for i := range p.cmds {
-			if p.world.sc.Fleet.Sites[p.world.sc.Site(i)] == f.Site {
+	case fault.Kind == faultinject.NodeKill:
+		hit = fault.Nodes
+	case fault.WithNodes:
+		for i := range p.commands {
+			if p.cluster.scenario.Fleet.Sites[p.cluster.scenario.Site(i)] == fault.Site {
 				hit = append(hit, i)
 			}
 		}
@@ -212,27 +212,27 @@
 		return
 	}
 	p.wg.Go(func() {
-		for i := range p.cmds {
+		for i := range p.commands {
 			if !slices.Contains(hit, i) {
 				continue
 			}
 			p.mu.Lock()
-			cmd, end := p.cmds[i], p.end
-			p.down[i] += map[bool]int{true: 1, false: -1}[began]
-			dead := p.down[i] > 0
+			cmd, end := p.commands[i], p.stopped
+			p.killFaults[i] += map[bool]int{true: 1, false: -1}[began]
+			dead := p.killFaults[i] > 0
 			if dead {
-				p.cmds[i] = nil
+				p.commands[i] = nil
 			}
 			p.mu.Unlock()
 			switch {
 			case end:
 			case dead && cmd != nil:
-				p.world.log.write(event{At: p.world.now(), What: "node-killed", Node: i})
+				p.cluster.log.write(logEvent{Time: p.cluster.now(), Kind: "node-killed", Node: i})
 				_ = cmd.Process.Kill() // it may have ended by itself
 				_ = cmd.Wait()
 			case !dead && cmd == nil:
 				if err := p.start(i); err != nil {
-					p.world.log.write(event{At: p.world.now(), What: "node not started: " + err.Error(), Node: i})
+					p.cluster.log.write(logEvent{Time: p.cluster.now(), Kind: "node not started: " + err.Error(), Node: i})
 				}
 			}
 		}
@@ -242,8 +242,8 @@
 // Stop ends the processes as the platform does, with SIGTERM, and tells of those that did not end well.
 func (p *Processes) Stop() error {
 	p.mu.Lock()
-	p.end = true
-	cmds := slices.Clone(p.cmds)
+	p.stopped = true
+	cmds := slices.Clone(p.commands)
 	p.mu.Unlock()
 	p.wg.Wait()
 	var errs []error
@@ -266,11 +266,11 @@
 	return errors.Join(errs...)
 }
 
-func (w *Cluster) targetOf(node int, l line) target {
-	t := target{UID: fmt.Sprintf("box-%d", l.Backend), Endpoint: w.boxes[l.Place][node].addr, Zone: w.sc.Fleet.Sites[l.Site],
+func (cl *Cluster) listedEndpoint(node int, l endpointRecord) listedEndpoint {
+	t := listedEndpoint{UID: fmt.Sprintf("box-%d", l.Backend), Endpoint: cl.backends[l.Place][node].addr, Zone: cl.scenario.Fleet.Sites[l.Site],
 		Model: "box", Group: l.Rack, State: phaseNames[l.Phase], Capacity: l.Weight}
 	if l.Started >= 0 {
-		t.BootMs = w.began.UnixMilli() + l.Started/1000
+		t.BootMs = cl.startedAt.UnixMilli() + l.Started/1000
 	}
 	return t
 }
--- a/internal/fake/world_test.go
+++ b/internal/fake/world_test.go
@@ -96,13 +96,13 @@
 	return w
 }
 
-func (w *Cluster) boxAddr(place, node int) string { return w.boxes[place][node].addr }
+func (cl *Cluster) backendAddr(place, node int) string { return cl.backends[place][node].addr }
 
 // client is one connection to a box.
 type client struct {
-	t  *testing.T
-	c  net.Conn
-	in *bufio.Reader
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 func dial(t *testing.T, addr string) *client {
@@ -115,25 +115,25 @@
 	return &client{t, c, bufio.NewReader(c)}
 }
 
-func (c *client) send(path, id, more string) {
+func (c *client) sendRequest(path, id, more string) {
 	c.t.Helper()
-	if _, err := fmt.Fprintf(c.c, "GET %s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\n%s\r\n", path, id, more); err != nil {
+	if _, err := fmt.Fprintf(c.conn, "GET %s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\n%s\r\n", path, id, more); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func (c *client) answer(within time.Duration) (*http.Response, error) {
-	_ = c.c.SetReadDeadline(time.Now().Add(within))
-	r, err := http.ReadResponse(c.in, nil)
+func (c *client) readResponse(within time.Duration) (*http.Response, error) {
+	_ = c.conn.SetReadDeadline(time.Now().Add(within))
+	r, err := http.ReadResponse(c.reader, nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, r.Body)
 	}
 	return r, err
 }
 
-func (c *client) want(status int) *http.Response {
+func (c *client) wantStatus(status int) *http.Response {
 	c.t.Helper()
-	r, err := c.answer(10 * time.Second)
+	r, err := c.readResponse(10 * time.Second)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 	return r
 }
 
-func order(t *testing.T, w *Cluster, f faultinject.Fault) int {
+func inject(t *testing.T, w *Cluster, f faultinject.Fault) int {
 	t.Helper()
 	id, _, err := w.Inject(f)
 	if err != nil {
@@ -152,36 +152,36 @@
 	return id
 }
 
-func TestBoxesAnswerAndCount(t *testing.T) {
+func TestBackendsAnswerAndCountExecutions(t *testing.T) {
 	w := start(t, Options{})
-	c := dial(t, w.boxAddr(0, 0))
+	c := dial(t, w.backendAddr(0, 0))
 	for i := range 3 {
-		c.send("/read?obj=7", fmt.Sprint("r", i), "")
-		c.want(200)
+		c.sendRequest("/read?obj=7", fmt.Sprint("r", i), "")
+		c.wantStatus(200)
 	}
-	c.send("/start", "s", "")
-	c.want(200)
+	c.sendRequest("/start", "s", "")
+	c.wantStatus(200)
 	if n := w.Executions("s"); n != 1 {
 		t.Errorf("ran %d times", n)
 	}
-	c.send("/start", "s", "") // a node that repeats what must run once
-	c.want(200)
+	c.sendRequest("/start", "s", "") // a node that repeats what must run once
+	c.wantStatus(200)
 	r := w.Report()
 	if n := w.Executions("s"); n != 2 || r.DuplicateRuns != 1 || r.Executions != 5 || r.Arrived != 5 || r.Backends[0].Ran != 5 || r.Connections != 1 {
 		t.Errorf("ran %d times, %+v", n, r)
 	}
 	// A repeat by key within the rack is dropped: the second has its answer from the first run.
-	a, b := dial(t, w.boxAddr(0, 0)), dial(t, w.boxAddr(2, 0))
-	a.send("/settle", "k1", "Idempotency-Key: one\r\n")
-	b.send("/settle", "k2", "Idempotency-Key: one\r\n")
-	a.want(200)
-	b.want(200)
+	a, b := dial(t, w.backendAddr(0, 0)), dial(t, w.backendAddr(2, 0))
+	a.sendRequest("/settle", "k1", "Idempotency-Key: one\r\n")
+	b.sendRequest("/settle", "k2", "Idempotency-Key: one\r\n")
+	a.wantStatus(200)
+	b.wantStatus(200)
 	if r := w.Report(); r.Executions != 6 {
 		t.Errorf("%d runs, want one for both", r.Executions-5)
 	}
 }
 
-func TestWhatCannotBeReadIsRefused(t *testing.T) {
+func TestMalformedRequestsAreRejected(t *testing.T) {
 	w := start(t, Options{})
 	for text, status := range map[string]int{
 		"nonsense\r\n\r\n":                                           400,
@@ -190,12 +190,12 @@
 		"GET /read?%zz HTTP/1.1\r\nHost: x\r\nX-Trace-Id:\r\n\r\n":   404,
 		"GET read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\nA\r\n\r\n": 400,
 	} {
-		c := dial(t, w.boxAddr(0, 0))
-		if _, err := io.WriteString(c.c, text); err != nil {
+		c := dial(t, w.backendAddr(0, 0))
+		if _, err := io.WriteString(c.conn, text); err != nil {
 			t.Fatal(err)
 		}
-		c.want(status)
-		if _, err := c.in.ReadByte(); err == nil {
+		c.wantStatus(status)
+		if _, err := c.reader.ReadByte(); err == nil {
 			t.Errorf("%q: the connection stays open", text)
 		}
 	}
@@ -205,112 +205,112 @@
 }
 
 // The faults of a box, as its node sees them on sockets.
-func TestFaultsOnSockets(t *testing.T) {
+func TestBackendFaultsOnSockets(t *testing.T) {
 	t.Run("killed", func(t *testing.T) {
 		w := start(t, Options{})
-		c := dial(t, w.boxAddr(1, 0))
-		c.send("/read", "a", "")
-		c.want(200)
-		id := order(t, w, faultinject.Fault{Kind: faultinject.Kill, Backends: []int{1}})
-		if _, err := c.answer(5 * time.Second); err == nil || errors.Is(err, io.EOF) {
+		c := dial(t, w.backendAddr(1, 0))
+		c.sendRequest("/read", "a", "")
+		c.wantStatus(200)
+		id := inject(t, w, faultinject.Fault{Kind: faultinject.Kill, Backends: []int{1}})
+		if _, err := c.readResponse(5 * time.Second); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("an open connection ends with %v, want a reset", err)
 		}
-		if nc, err := net.DialTimeout("tcp4", w.boxAddr(1, 0), time.Second); err == nil {
+		if nc, err := net.DialTimeout("tcp4", w.backendAddr(1, 0), time.Second); err == nil {
 			nc.Close()
 			t.Error("a dead process accepts")
 		}
 		if !w.Lift(id) || w.Lift(id) {
 			t.Error("lifted not at all, or twice")
 		}
-		c = dial(t, w.boxAddr(1, 0))
-		c.send("/read", "b", "")
-		c.want(200)
+		c = dial(t, w.backendAddr(1, 0))
+		c.sendRequest("/read", "b", "")
+		c.wantStatus(200)
 	})
 	t.Run("cut", func(t *testing.T) {
 		w := start(t, Options{})
 		// Node 0 is in east, box 1 in west; box 0 stands beside it.
-		far, near := dial(t, w.boxAddr(1, 0)), dial(t, w.boxAddr(0, 0))
-		far.send("/read", "a", "")
-		far.want(200)
-		id := order(t, w, faultinject.Fault{Kind: faultinject.SiteCut, Site: "west"})
-		far.send("/read", "b", "")
-		near.send("/read", "c", "")
-		near.want(200)
-		if r, err := far.answer(300 * time.Millisecond); err == nil {
+		far, near := dial(t, w.backendAddr(1, 0)), dial(t, w.backendAddr(0, 0))
+		far.sendRequest("/read", "a", "")
+		far.wantStatus(200)
+		id := inject(t, w, faultinject.Fault{Kind: faultinject.SiteCut, Site: "west"})
+		far.sendRequest("/read", "b", "")
+		near.sendRequest("/read", "c", "")
+		near.wantStatus(200)
+		if r, err := far.readResponse(300 * time.Millisecond); err == nil {
 			t.Errorf("%d through a cut", r.StatusCode)
 		}
-		if nc, err := net.DialTimeout("tcp4", w.boxAddr(1, 0), 300*time.Millisecond); err == nil {
+		if nc, err := net.DialTimeout("tcp4", w.backendAddr(1, 0), 300*time.Millisecond); err == nil {
 			nc.Close()
 			t.Error("a connection comes up through a cut")
 		}
-		if nc, err := net.DialTimeout("tcp4", w.boxAddr(1, 1), time.Second); err != nil {
+		if nc, err := net.DialTimeout("tcp4", w.backendAddr(1, 1), time.Second); err != nil {
 			t.Errorf("a node of the same site cannot connect: %v", err)
 		} else {
 			nc.Close()
 		}
 		w.Lift(id)
-		if _, err := far.answer(5 * time.Second); err != nil { // what was held back comes through
+		if _, err := far.readResponse(5 * time.Second); err != nil { // what was held back comes through
 			t.Errorf("after the cut: %v", err)
 		}
-		dial(t, w.boxAddr(1, 0))
+		dial(t, w.backendAddr(1, 0))
 	})
 	t.Run("full, errors, resets", func(t *testing.T) {
 		w := start(t, Options{})
-		id := order(t, w, faultinject.Fault{Kind: faultinject.FastErrors, Backends: []int{0}, Size: 1})
-		c := dial(t, w.boxAddr(0, 0))
-		c.send("/read", "a", "")
-		c.want(500)
+		id := inject(t, w, faultinject.Fault{Kind: faultinject.FastErrors, Backends: []int{0}, Size: 1})
+		c := dial(t, w.backendAddr(0, 0))
+		c.sendRequest("/read", "a", "")
+		c.wantStatus(500)
 		w.Lift(id)
-		c.send("/read", "b", "")
-		c.want(200)
-		id = order(t, w, faultinject.Fault{Kind: faultinject.Interim, Backends: []int{0}, Size: 1})
-		c.send("/read", "i", "")
-		c.want(100)
-		c.want(103)
-		c.want(200)
+		c.sendRequest("/read", "b", "")
+		c.wantStatus(200)
+		id = inject(t, w, faultinject.Fault{Kind: faultinject.Interim, Backends: []int{0}, Size: 1})
+		c.sendRequest("/read", "i", "")
+		c.wantStatus(100)
+		c.wantStatus(103)
+		c.wantStatus(200)
 		w.Lift(id)
-		id = order(t, w, faultinject.Fault{Kind: faultinject.Garbage, Backends: []int{0}, Size: 1})
-		c.send("/start", "g", "")
-		if r, err := c.answer(5 * time.Second); err == nil {
+		id = inject(t, w, faultinject.Fault{Kind: faultinject.Garbage, Backends: []int{0}, Size: 1})
+		c.sendRequest("/start", "g", "")
+		if r, err := c.readResponse(5 * time.Second); err == nil {
 			t.Errorf("noise is read as %d", r.StatusCode)
 		}
 		if n := w.Executions("g"); n != 1 {
 			t.Errorf("noise after the request: it ran %d times", n)
 		}
 		w.Lift(id)
-		c = dial(t, w.boxAddr(0, 0))
-		c.send("/read", "h", "")
-		c.want(200)
-		order(t, w, faultinject.Fault{Kind: faultinject.Resets, Backends: []int{0}, Size: 1})
-		c.send("/start", "c", "")
-		if _, err := c.answer(5 * time.Second); err == nil {
+		c = dial(t, w.backendAddr(0, 0))
+		c.sendRequest("/read", "h", "")
+		c.wantStatus(200)
+		inject(t, w, faultinject.Fault{Kind: faultinject.Resets, Backends: []int{0}, Size: 1})
+		c.sendRequest("/start", "c", "")
+		if _, err := c.readResponse(5 * time.Second); err == nil {
 			t.Error("no reset")
 		}
 		if n := w.Executions("c"); n != 1 {
 			t.Errorf("a reset after the request: it ran %d times", n)
 		}
-		order(t, w, faultinject.Fault{Kind: faultinject.Freeze, Backends: []int{2}})
+		inject(t, w, faultinject.Fault{Kind: faultinject.Freeze, Backends: []int{2}})
 		// A node that gives up what has begun: it has run all the same, and a repeat is a second run.
 		for want := 1; want <= 2; want++ {
-			c := dial(t, w.boxAddr(2, 0))
-			c.send("/start", "given up", "")
+			c := dial(t, w.backendAddr(2, 0))
+			c.sendRequest("/start", "given up", "")
 			for w.Executions("given up") < want {
 				time.Sleep(time.Millisecond)
 			}
-			c.c.Close()
+			c.conn.Close()
 		}
 		if n := w.Report().DuplicateRuns; n != 1 {
 			t.Errorf("%d second runs counted, want 1", n)
 		}
 		full, before := 0, w.Report().Arrived
 		for i := range int64(28) { // 8 slots, of which 2 are taken, and 16 places to wait
-			c := dial(t, w.boxAddr(2, 0))
-			c.send("/start", fmt.Sprint("f", i), "")
+			c := dial(t, w.backendAddr(2, 0))
+			c.sendRequest("/start", fmt.Sprint("f", i), "")
 			for w.Report().Arrived < before+i+1 { // one after the other
 				time.Sleep(time.Millisecond)
 			}
 			if i >= 22 {
-				if r := c.want(503); r.Header.Get("X-Never-Ran") == "1" {
+				if r := c.wantStatus(503); r.Header.Get("X-Never-Ran") == "1" {
 					full++
 				}
 			}
@@ -322,41 +322,41 @@
 	t.Run("drained", func(t *testing.T) {
 		var log bytes.Buffer
 		w := start(t, Options{Log: &log})
-		order(t, w, faultinject.Fault{Kind: faultinject.Drain, Backends: []int{3}})
-		c := dial(t, w.boxAddr(3, 0))
-		c.send("/read", "a", "")
-		if r := c.want(503); r.Header.Get("X-Never-Ran") != "1" {
+		inject(t, w, faultinject.Fault{Kind: faultinject.Drain, Backends: []int{3}})
+		c := dial(t, w.backendAddr(3, 0))
+		c.sendRequest("/read", "a", "")
+		if r := c.wantStatus(503); r.Header.Get("X-Never-Ran") != "1" {
 			t.Error("not said to have never run")
 		}
-		list(t, w, 0, "") // from here on node 0 has been told
+		fetchList(t, w, 0, "") // from here on node 0 has been told
 		deadline := time.Now().Add(10 * time.Second)
 		for n := 0; w.Report().AfterDrain == 0; n++ {
 			if time.Now().After(deadline) {
 				t.Fatal("sends long after the node was told are not seen")
 			}
-			c.send("/read", fmt.Sprint("b", n), "")
-			if _, err := c.answer(5 * time.Second); err != nil {
-				c = dial(t, w.boxAddr(3, 0))
+			c.sendRequest("/read", fmt.Sprint("b", n), "")
+			if _, err := c.readResponse(5 * time.Second); err != nil {
+				c = dial(t, w.backendAddr(3, 0))
 			}
 		}
-		other := dial(t, w.boxAddr(3, 1)) // node 1 was told nothing
+		other := dial(t, w.backendAddr(3, 1)) // node 1 was told nothing
 		before := w.Report().AfterDrain
-		other.send("/read", "c", "")
-		other.want(503)
+		other.sendRequest("/read", "c", "")
+		other.wantStatus(503)
 		if w.Report().AfterDrain != before {
 			t.Error("a node that was not told is blamed")
 		}
 	})
 }
 
-func list(t *testing.T, w *Cluster, node int, query string) answer {
+func fetchList(t *testing.T, w *Cluster, node int, query string) endpointList {
 	t.Helper()
 	r, err := http.Get("http://" + w.Discovery(node) + "/v1/endpoints" + query)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Body.Close()
-	var a answer
+	var a endpointList
 	if err := json.NewDecoder(r.Body).Decode(&a); err != nil {
 		t.Fatal(err)
 	}
@@ -365,38 +365,38 @@
 
 func TestDiscovery(t *testing.T) {
 	w := start(t, Options{})
-	a := list(t, w, 1, "")
-	if !a.All || len(a.Targets) != 4 || a.Rev != 4 || a.Targets[3].Endpoint != w.boxAddr(3, 1) || a.Targets[3].Zone != "west" ||
-		a.Targets[0].State != "in_service" || a.Targets[0].BootMs != 0 {
+	a := fetchList(t, w, 1, "")
+	if !a.Full || len(a.Endpoints) != 4 || a.Revision != 4 || a.Endpoints[3].Endpoint != w.backendAddr(3, 1) || a.Endpoints[3].Zone != "west" ||
+		a.Endpoints[0].State != "in_service" || a.Endpoints[0].BootMs != 0 {
 		t.Errorf("%+v", a)
 	}
 	// A watch ends with the change, and with nothing when its time is over.
 	type told struct {
-		a  answer
+		a  endpointList
 		at time.Duration
 	}
 	got := make(chan told, 1)
 	go func() {
-		a := list(t, w, 0, "?since=4&timeout_ms=20000")
+		a := fetchList(t, w, 0, "?since=4&timeout_ms=20000")
 		got <- told{a, w.Since()}
 	}()
 	at := w.Since()
-	id := order(t, w, faultinject.Fault{Kind: faultinject.Kill, Backends: []int{2}})
+	id := inject(t, w, faultinject.Fault{Kind: faultinject.Kill, Backends: []int{2}})
 	x := <-got
-	if x.a.All || len(x.a.Targets) != 1 || x.a.Targets[0].UID != "box-3" || x.a.Targets[0].State != "terminated" || x.at-at > 5*time.Second {
+	if x.a.Full || len(x.a.Endpoints) != 1 || x.a.Endpoints[0].UID != "box-3" || x.a.Endpoints[0].State != "terminated" || x.at-at > 5*time.Second {
 		t.Errorf("%+v after %v", x.a, x.at-at)
 	}
 	w.Lift(id)
-	for a = list(t, w, 0, "?since=5&timeout_ms=5000"); len(a.Targets) == 0; {
+	for a = fetchList(t, w, 0, "?since=5&timeout_ms=5000"); len(a.Endpoints) == 0; {
 		t.Fatal("the box that came back is not told")
 	}
-	if a.Targets[0].State != "in_service" || time.Since(time.UnixMilli(a.Targets[0].BootMs)) > time.Minute {
+	if a.Endpoints[0].State != "in_service" || time.Since(time.UnixMilli(a.Endpoints[0].BootMs)) > time.Minute {
 		t.Errorf("%+v", a)
 	}
-	if a = list(t, w, 0, "?since=6&timeout_ms=50"); a.All || len(a.Targets) != 0 || a.Rev != 6 {
+	if a = fetchList(t, w, 0, "?since=6&timeout_ms=50"); a.Full || len(a.Endpoints) != 0 || a.Revision != 6 {
 		t.Errorf("nothing new: %+v", a)
 	}
-	if a = list(t, w, 0, "?since=99&timeout_ms=50"); !a.All || len(a.Targets) != 4 {
+	if a = fetchList(t, w, 0, "?since=99&timeout_ms=50"); !a.Full || len(a.Endpoints) != 4 {
 		t.Errorf("a version of another life: %+v", a)
 	}
 	// Down, it resets calls and watches.
@@ -405,7 +405,7 @@
 		_, err := http.Get("http://" + w.Discovery(0) + "/v1/endpoints?since=6&timeout_ms=20000")
 		ended <- err
 	}()
-	id = order(t, w, faultinject.Fault{Kind: faultinject.ListDown})
+	id = inject(t, w, faultinject.Fault{Kind: faultinject.ListDown})
 	if err := <-ended; err == nil {
 		t.Error("a watch outlives discovery")
 	}
@@ -414,7 +414,7 @@
 		t.Errorf("status %d while it is down", r.StatusCode)
 	}
 	w.Lift(id)
-	if a = list(t, w, 1, ""); len(a.Targets) != 4 {
+	if a = fetchList(t, w, 1, ""); len(a.Endpoints) != 4 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -455,9 +455,9 @@
 	if err := json.Unmarshal([]byte(body), &ordered); err != nil {
 		t.Fatal(err)
 	}
-	c := dial(t, w.boxAddr(0, 0))
-	c.send("/read", "a", "")
-	c.want(500)
+	c := dial(t, w.backendAddr(0, 0))
+	c.sendRequest("/read", "a", "")
+	c.wantStatus(500)
 	for _, want := range []int{204, 404} {
 		req, _ := http.NewRequest("DELETE", fmt.Sprintf("http://%s/faults/%d", addr, ordered.ID), nil)
 		r, err := http.DefaultClient.Do(req)
@@ -469,15 +469,15 @@
 			t.Errorf("status %d, want %d", r.StatusCode, want)
 		}
 	}
-	c.send("/read", "b", "")
-	c.want(200)
+	c.sendRequest("/read", "b", "")
+	c.wantStatus(200)
 	if _, err := w.Control("0.0.0.0:0"); !errors.Is(err, loopback.ErrNot) {
 		t.Errorf("%v", err)
 	}
 }
 
 // The front shares connections out among the nodes of its site that are ready, and leaves a dead one out after a while.
-func TestFront(t *testing.T) {
+func TestFrontendBalancesOverReadyNodes(t *testing.T) {
 	var up [2]atomic.Bool
 	var addrs []string
 	var srvs []*http.Server
@@ -538,7 +538,7 @@
 	}
 }
 
-func TestOnlyLoopback(t *testing.T) {
+func TestStartAndListenRejectOtherAddressesThanLoopback(t *testing.T) {
 	sc, err := scenario.Parse("small", []byte(small))
 	if err != nil {
 		t.Fatal(err)
@@ -554,7 +554,7 @@
 	}
 }
 
-func TestTraceOfALog(t *testing.T) {
+func TestTraceReadsEventLog(t *testing.T) {
 	sc, err := scenario.Parse("small", []byte(small))
 	if err != nil {
 		t.Fatal(err)
