--- /dev/null
+++ b/internal/fake/backend_listener.go
@@ -0,0 +1,226 @@
+package fake
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"sync"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// queueFillTimeout is how long the connection that fills the accept queue may take to come up.
+	queueFillTimeout = 100 * time.Millisecond
+	// acceptRetryDelay is the pause after an accept that failed.
+	acceptRetryDelay = time.Millisecond
+)
+
+// backendListener serves one backend's address for one node. Its goroutines share the fields below mu.
+type backendListener struct {
+	cluster *Cluster
+	place   int // index of the backend's address
+	node    int
+	addr    string
+
+	mu           sync.Mutex
+	listener     *net.TCPListener // nil: the process does not run
+	unreachable  bool             // the machine has vanished, or the link is cut
+	queueFiller  net.Conn         // fills the accept queue while the backend is unreachable
+	incarnation  any
+	conns        map[*backendConn]bool
+	stateChanged *sync.Cond // listener, unreachable, acceptParked or closed has changed
+	acceptParked bool       // accept waits, and takes no connection until it is woken
+	closed       bool
+}
+
+func newBackendListener(cluster *Cluster, place, node int, addr string) (*backendListener, error) {
+	b := &backendListener{
+		cluster:     cluster,
+		place:       place,
+		node:        node,
+		addr:        addr,
+		conns:       map[*backendConn]bool{},
+		incarnation: cluster.live.Incarnation(place),
+	}
+	b.stateChanged = sync.NewCond(&b.mu)
+	return b, b.listen()
+}
+
+// listen opens the listening socket. The caller holds mu, or is the only user.
+func (b *backendListener) listen() error {
+	ln, err := net.Listen("tcp4", b.addr)
+	if err != nil {
+		return fmt.Errorf("backend %d for node %d: %w", b.place, b.node, err)
+	}
+	b.listener = ln.(*net.TCPListener)
+	b.addr = ln.Addr().String()
+	return nil
+}
+
+// setState brings the sockets in line with the backend. A process that has died resets its connections and refuses new
+// ones; the connections of an unreachable machine stay open and silent, and new ones are never established.
+func (b *backendListener) setState(running, unreachable bool, incarnation any) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.closed {
+		return
+	}
+	processEnded := !running && !unreachable
+	if incarnation != b.incarnation || processEnded {
+		b.incarnation = incarnation
+		for c := range b.conns {
+			c.reset()
+		}
+	}
+	switch {
+	case processEnded && b.listener != nil:
+		b.allowNewConnections()
+		closeQuietly(b.listener)
+		b.listener = nil
+	case running && b.listener == nil:
+		if err := b.listen(); err != nil {
+			b.logError("cannot listen", err)
+			return
+		}
+	}
+	b.setUnreachable(unreachable)
+	b.stateChanged.Broadcast()
+}
+
+// setUnreachable cuts the backend off from its node, or reconnects it. The caller holds mu.
+func (b *backendListener) setUnreachable(unreachable bool) {
+	if unreachable == b.unreachable {
+		return
+	}
+	b.unreachable = unreachable
+	if unreachable {
+		b.blockNewConnections()
+		return
+	}
+	b.allowNewConnections()
+	for c := range b.conns { // what was written meanwhile is delivered now
+		c.stateChanged.Broadcast()
+	}
+}
+
+// blockNewConnections keeps new connections from being established: the accept queue is cut to one, which a connection of
+// our own fills, and the kernel drops further SYNs as if the machine were gone. The caller holds mu.
+func (b *backendListener) blockNewConnections() {
+	if b.listener == nil {
+		return
+	}
+	b.setBacklog(0)
+	// A deadline in the past ends Accept, and the loop parks until the backend is reachable. An error means that the
+	// listener is closed.
+	_ = b.listener.SetDeadline(time.Unix(1, 0))
+	for !b.acceptParked && !b.closed { // before that, accept might take the filler
+		b.stateChanged.Wait()
+	}
+	if b.closed {
+		return
+	}
+	// An error leaves room for one connection, which accept does not take while it is parked.
+	b.queueFiller, _ = net.DialTimeout("tcp4", b.addr, queueFillTimeout)
+}
+
+// allowNewConnections undoes blockNewConnections. The caller holds mu.
+func (b *backendListener) allowNewConnections() {
+	if b.queueFiller != nil {
+		closeQuietly(b.queueFiller)
+		b.queueFiller = nil
+	}
+	if b.listener != nil {
+		b.setBacklog(unix.SOMAXCONN)
+		_ = b.listener.SetDeadline(time.Time{}) // an error means that the listener is closed
+	}
+}
+
+func (b *backendListener) setBacklog(length int) {
+	raw, err := b.listener.SyscallConn()
+	if err == nil {
+		err = raw.Control(func(fd uintptr) { err = errors.Join(err, unix.Listen(int(fd), length)) })
+	}
+	if err != nil {
+		b.logError("backlog", err)
+	}
+}
+
+func (b *backendListener) logError(operation string, err error) {
+	b.cluster.log.write(logEvent{
+		Time:  b.cluster.now(),
+		Kind:  errorEvent(operation, err),
+		Node:  b.node,
+		Place: b.place,
+	})
+}
+
+func (b *backendListener) close() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.closed = true
+	if b.queueFiller != nil {
+		closeQuietly(b.queueFiller)
+	}
+	if b.listener != nil {
+		closeQuietly(b.listener)
+	}
+	for c := range b.conns {
+		c.reset()
+	}
+	b.stateChanged.Broadcast()
+}
+
+// accept serves connections until the cluster is closed.
+func (b *backendListener) accept() {
+	for {
+		ln := b.awaitListener()
+		if ln == nil {
+			return
+		}
+		conn, err := ln.AcceptTCP()
+		switch {
+		case errors.Is(err, net.ErrClosed), errors.Is(err, unix.ECONNABORTED):
+		case err != nil:
+			time.Sleep(acceptRetryDelay) // the deadline of blockNewConnections, or descriptors that ran out
+		default:
+			b.startConn(conn)
+		}
+	}
+}
+
+// awaitListener waits until the backend runs and is reachable, and returns its listener; nil: the cluster is closed.
+func (b *backendListener) awaitListener() *net.TCPListener {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for !b.closed && (b.listener == nil || b.unreachable) {
+		b.acceptParked = true
+		b.stateChanged.Broadcast()
+		b.stateChanged.Wait()
+	}
+	b.acceptParked = false
+	if b.closed {
+		return nil
+	}
+	return b.listener
+}
+
+// startConn registers a connection and serves it on a goroutine of its own.
+func (b *backendListener) startConn(conn *net.TCPConn) {
+	c := &backendConn{backend: b, conn: conn, firstRequest: true}
+	c.stateChanged = sync.NewCond(&b.mu)
+	b.mu.Lock()
+	b.conns[c] = true
+	c.incarnation = b.incarnation
+	b.mu.Unlock()
+	cl := b.cluster
+	cl.post(func() {
+		cl.ledger.totals.Connections++
+		if cl.live.Incarnation(b.place) == c.incarnation {
+			cl.live.Connected(b.place, 1)
+			c.counted = true
+		}
+	})
+	cl.wg.Go(c.serve)
+}
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"net"
 	"net/http"
+	"net/url"
 	"strconv"
 	"sync"
 	"time"
@@ -13,7 +14,7 @@
 	"tulipglade/internal/balancer"
 )
 
-// discovery is the list service as one node reaches it: all nodes share its capacity and its state.
+// discovery is the service of the endpoint list as one node reaches it. All nodes share its capacity and its state.
 type discovery struct {
 	cluster  *Cluster
 	node     int
@@ -25,75 +26,81 @@
 	conns map[net.Conn]bool
 }
 
-// discoveryQueue lets one call after the other through, as many a second as the scenario says.
-type discoveryQueue struct {
-	mu     sync.Mutex
-	freeAt time.Time
-}
-
-// reserve is how long a call must wait for its turn; too long, and it fails.
-func (q *discoveryQueue) reserve(work, maxWait time.Duration) (time.Duration, bool) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	now := time.Now()
-	start := now
-	if q.freeAt.After(start) {
-		start = q.freeAt
-	}
-	if wait := start.Add(work).Sub(now); wait <= maxWait {
-		q.freeAt = start.Add(work)
-		return wait, true
-	}
-	return 0, false
-}
-
 func newDiscovery(cluster *Cluster, node int) (*discovery, error) {
-	ln, err := net.Listen("tcp4", fmt.Sprintf("127.%d.255.1:0", 64+node%128))
+	listener, err := net.Listen("tcp4", discoveryIP(node)+":0")
 	if err != nil {
 		return nil, fmt.Errorf("discovery for node %d: %w", node, err)
 	}
-	d := &discovery{cluster: cluster, node: node, listener: ln, addr: ln.Addr().String(), conns: map[net.Conn]bool{}}
+	d := &discovery{
+		cluster:  cluster,
+		node:     node,
+		listener: listener,
+		addr:     listener.Addr().String(),
+		conns:    map[net.Conn]bool{},
+	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", d.serveList)
-	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, ConnState: d.connState}
+	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ConnState: d.connState}
 	return d, nil
 }
 
-func (d *discovery) connState(c net.Conn, s http.ConnState) {
+func (d *discovery) connState(conn net.Conn, state http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	switch s {
+	switch state {
 	case http.StateNew:
-		d.conns[c] = true
+		d.conns[conn] = true
 	case http.StateClosed, http.StateHijacked:
-		delete(d.conns, c)
+		delete(d.conns, conn)
 	}
 }
 
 func (d *discovery) serve() {
-	if err := d.server.Serve(d.listener); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-		d.cluster.log.write(logEvent{Time: d.cluster.now(), Kind: "discovery: " + err.Error(), Node: d.node})
+	err := d.server.Serve(d.listener)
+	if err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+		d.cluster.log.write(logEvent{Time: d.cluster.now(), Kind: errorEvent("discovery", err), Node: d.node})
 	}
 }
 
 func (d *discovery) close() {
-	d.server.Close()
-	d.listener.Close()
+	closeQuietly(d.server)
+	closeQuietly(d.listener)
 }
 
-// resetConnections resets all connections, as discovery goes down.
+// resetConnections resets all connections, as the outage of discovery begins.
 func (d *discovery) resetConnections() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for c := range d.conns {
-		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0)
-		}
-		c.Close()
+	for conn := range d.conns {
+		resetConn(conn)
 	}
 }
 
-// listedEndpoint is a box in discovery's form.
+// rateLimiter spaces calls to the rate that the scenario gives discovery.
+type rateLimiter struct {
+	mu     sync.Mutex
+	freeAt time.Time
+}
+
+// reserve returns how long a call that takes this long must wait before it is served; false: longer than maxWait.
+func (l *rateLimiter) reserve(duration, maxWait time.Duration) (wait time.Duration, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := time.Now()
+	start := now
+	if l.freeAt.After(start) {
+		start = l.freeAt
+	}
+	end := start.Add(duration)
+	wait = end.Sub(now)
+	if wait > maxWait {
+		return 0, false
+	}
+	l.freeAt = end
+	return wait, true
+}
+
+// listedEndpoint is an endpoint in discovery's form.
 type listedEndpoint struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -105,6 +112,7 @@
 	BootMs   int64   `json:"boot_ms"`
 }
 
+// endpointList is what discovery answers: all endpoints, or those that changed since a revision.
 type endpointList struct {
 	Revision  int              `json:"rev"`
 	Full      bool             `json:"all"`
@@ -114,106 +122,139 @@
 // maxWatchDuration is the longest that a watch may wait.
 const maxWatchDuration = time.Minute
 
-func (d *discovery) serveList(response http.ResponseWriter, request *http.Request) {
-	w := d.cluster
-	since, watch := -1, request.URL.Query().Has("since")
-	var wait time.Duration
-	if watch {
-		var err error
-		if since, err = strconv.Atoi(request.URL.Query().Get("since")); err != nil || since < 0 {
-			http.Error(response, "since: not a version", http.StatusBadRequest)
-			return
-		}
-		ms, err := strconv.Atoi(request.URL.Query().Get("timeout_ms"))
-		if err != nil || ms < 0 {
-			http.Error(response, "timeout_ms: not a time", http.StatusBadRequest)
-			return
-		}
-		wait = min(time.Duration(ms)*time.Millisecond, maxWatchDuration)
+// allRevisions is the revision that is older than any: the answer is a full list.
+const allRevisions = -1
+
+// listQuery is what a call asks for: the full list, or a watch of the changes since a revision.
+type listQuery struct {
+	watch   bool
+	since   int
+	timeout time.Duration // of a watch without changes
+}
+
+func parseListQuery(values url.Values) (listQuery, error) {
+	if !values.Has("since") {
+		return listQuery{since: allRevisions}, nil
 	}
-	s := &w.scenario.Discovery
-	lines := 0
-	if since < 0 {
-		lines = len(w.backends)
+	since, err := strconv.Atoi(values.Get("since"))
+	if err != nil || since < 0 {
+		return listQuery{}, errors.New("since: not a version")
+	}
+	ms, err := strconv.Atoi(values.Get("timeout_ms"))
+	if err != nil || ms < 0 {
+		return listQuery{}, errors.New("timeout_ms: not a time")
+	}
+	timeout := min(time.Duration(ms)*time.Millisecond, maxWatchDuration)
+	return listQuery{watch: true, since: since, timeout: timeout}, nil
+}
+
+func (d *discovery) serveList(response http.ResponseWriter, request *http.Request) {
+	query, err := parseListQuery(request.URL.Query())
+	if err != nil {
+		http.Error(response, err.Error(), http.StatusBadRequest)
+		return
 	}
-	work := time.Duration((1/s.PerS + float64(lines)/s.LinesPerS) * float64(time.Second))
-	turn, ok := w.discoveryCalls.reserve(work, time.Duration(s.Timeout)*time.Millisecond)
+	wait, ok := d.reserve(query)
 	if !ok {
 		http.Error(response, "too many calls", http.StatusServiceUnavailable)
 		return
 	}
 	select {
-	case <-time.After(turn):
+	case <-time.After(wait):
 	case <-request.Context().Done():
 		return
 	}
-	deadline := time.After(wait)
+	d.answer(response, request, query)
+}
+
+// reserve returns how long the call must wait for discovery's capacity; false: longer than callers would.
+func (d *discovery) reserve(query listQuery) (wait time.Duration, ok bool) {
+	limits := &d.cluster.scenario.Discovery
+	lines := 0
+	if query.since == allRevisions {
+		lines = len(d.cluster.backends)
+	}
+	duration := time.Duration((1/limits.PerS + float64(lines)/limits.LinesPerS) * float64(time.Second))
+	return d.cluster.discoveryLimiter.reserve(duration, time.Duration(limits.Timeout)*time.Millisecond)
+}
+
+// answer writes the list, or waits for its next change and writes that.
+func (d *discovery) answer(response http.ResponseWriter, request *http.Request, query listQuery) {
+	cl := d.cluster
+	timeout := time.After(query.timeout)
 	for {
-		var changed chan struct{}
-		var down bool
-		var out []endpointRecord
-		var rev int
-		if !w.call(func() {
-			down, changed = w.discoveryFaults > 0, w.listChanged
-			out, rev = w.endpointsSince(d.node, since)
-		}) {
+		var changes listChanges
+		if !cl.call(func() { changes = cl.endpointsSince(query.since) }) {
 			return
 		}
-		if down {
+		if changes.discoveryDown {
 			d.resetRequest(response)
 			return
 		}
-		if watch && rev < since { // versions of another life of ours: the whole list
-			since, watch = -1, false
+		if query.watch && changes.revision < query.since { // a revision of another incarnation: the full list
+			query = listQuery{since: allRevisions}
 			continue
 		}
-		if len(out) > 0 || !watch {
-			d.writeList(response, endpointList{Revision: rev, Full: since < 0}, out)
+		list := endpointList{Revision: changes.revision}
+		if len(changes.records) > 0 || !query.watch {
+			list.Full = query.since == allRevisions
+			d.writeList(response, list, changes.records)
 			return
 		}
 		select {
-		case <-changed:
-		case <-deadline:
-			d.writeList(response, endpointList{Revision: rev}, nil)
+		case <-changes.next:
+		case <-timeout:
+			d.writeList(response, list, nil)
 			return
 		case <-request.Context().Done():
 			return
-		case <-w.done:
+		case <-cl.done:
 			return
 		}
 	}
 }
 
+// resetRequest ends a call with a reset of its connection.
 func (d *discovery) resetRequest(response http.ResponseWriter) {
-	if h, ok := response.(http.Hijacker); ok {
-		if c, _, err := h.Hijack(); err == nil {
-			if t, ok := c.(*net.TCPConn); ok {
-				_ = t.SetLinger(0)
-			}
-			c.Close()
-		}
+	hijacker, ok := response.(http.Hijacker)
+	if !ok {
+		return
+	}
+	if conn, _, err := hijacker.Hijack(); err == nil {
+		resetConn(conn)
 	}
 }
 
+// writeList writes the list, and notes which changes the node has been notified of.
 func (d *discovery) writeList(response http.ResponseWriter, list endpointList, records []endpointRecord) {
+	cl := d.cluster
 	list.Endpoints = []listedEndpoint{}
-	for _, l := range records {
-		list.Endpoints = append(list.Endpoints, d.cluster.listedEndpoint(d.node, l))
+	for _, record := range records {
+		list.Endpoints = append(list.Endpoints, cl.listedEndpoint(d.node, record))
 	}
 	response.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(response).Encode(list); err != nil {
-		return // the node has gone: it was not told
+		return // the node has closed the connection: it was not notified
 	}
-	if f, ok := response.(http.Flusher); ok {
-		f.Flush()
+	if flusher, ok := response.(http.Flusher); ok {
+		flusher.Flush()
 	}
-	d.cluster.post(func() {
-		now := d.cluster.now()
-		for _, l := range records {
-			d.cluster.ledger.recordNotification(now, d.node, l.Backend, l.Phase)
-			if l.Phase != balancer.PhaseReady {
-				d.cluster.log.write(logEvent{Time: now, Kind: "told", Node: d.node, Backend: l.Backend, Place: l.Place, Phase: phaseNames[l.Phase], Revision: list.Revision})
+	cl.post(func() {
+		now := cl.now()
+		for _, record := range records {
+			cl.ledger.recordNotification(now, d.node, record.Backend, record.Phase)
+			if record.Phase == balancer.PhaseReady {
+				continue
 			}
+			cl.log.write(logEvent{
+				Time:     now,
+				Kind:     eventNotified,
+				Node:     d.node,
+				Backend:  record.Backend,
+				Place:    record.Place,
+				Phase:    phaseNames[record.Phase],
+				Revision: list.Revision,
+			})
 		}
 	})
 }
--- /dev/null
+++ b/internal/fake/endpoints.go
@@ -0,0 +1,89 @@
+package fake
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/simulation/emulator"
+)
+
+// phaseNames are the phases of an endpoint in discovery's form.
+var phaseNames = map[balancer.Phase]string{
+	balancer.PhaseReady:    "in_service",
+	balancer.PhaseDraining: "terminating",
+	balancer.PhaseRemoved:  "terminated",
+}
+
+// endpointRecord is an entry of discovery's list, with the revision that brought it.
+type endpointRecord struct {
+	emulator.EndpointEntry
+	revision int
+}
+
+// listChanges are the entries of discovery's list that changed after some revision, or all of them.
+type listChanges struct {
+	records       []endpointRecord // by revision
+	revision      int              // the newest one
+	discoveryDown bool
+	next          <-chan struct{} // closed at the next change
+}
+
+// updateEndpoint takes an entry into discovery's list and wakes the watches.
+func (cl *Cluster) updateEndpoint(entry emulator.EndpointEntry) {
+	cl.revision++
+	record := endpointRecord{entry, cl.revision}
+	index := slices.IndexFunc(cl.endpoints, func(r endpointRecord) bool { return r.Backend == entry.Backend })
+	if index < 0 {
+		cl.endpoints = append(cl.endpoints, record)
+	} else {
+		cl.endpoints[index] = record
+	}
+	close(cl.listChanged)
+	cl.listChanged = make(chan struct{})
+}
+
+// endpointsSince returns what has changed after a revision. After allRevisions it is all but the removed endpoints.
+func (cl *Cluster) endpointsSince(since int) listChanges {
+	changes := listChanges{
+		revision:      cl.revision,
+		discoveryDown: cl.discoveryFaults > 0,
+		next:          cl.listChanged,
+	}
+	for _, record := range cl.endpoints {
+		if record.revision > since && (since != allRevisions || record.Phase != balancer.PhaseRemoved) {
+			changes.records = append(changes.records, record)
+		}
+	}
+	slices.SortFunc(changes.records, func(a, b endpointRecord) int { return cmp.Compare(a.revision, b.revision) })
+	return changes
+}
+
+// backendAt is the number of the newest process at an address.
+func (cl *Cluster) backendAt(place int) int {
+	backend := 0
+	for _, record := range cl.endpoints {
+		if record.Place == place {
+			backend = max(backend, record.Backend)
+		}
+	}
+	return backend
+}
+
+// listedEndpoint is an entry in discovery's form, with the address that it has for the node.
+func (cl *Cluster) listedEndpoint(node int, record endpointRecord) listedEndpoint {
+	endpoint := listedEndpoint{
+		UID:      fmt.Sprintf("box-%d", record.Backend),
+		Endpoint: cl.backends[record.Place][node].addr,
+		Zone:     cl.scenario.Fleet.Sites[record.Site],
+		Model:    "box",
+		Group:    record.Rack,
+		State:    phaseNames[record.Phase],
+		Capacity: record.Weight,
+	}
+	if record.Started >= 0 {
+		endpoint.BootMs = cl.startedAt.UnixMilli() + record.Started/microsPerMilli
+	}
+	return endpoint
+}
--- /dev/null
+++ b/internal/fake/faults.go
@@ -0,0 +1,120 @@
+package fake
+
+import (
+	"fmt"
+	"net"
+	"slices"
+
+	"tulipglade/internal/balancer"
+	"tulipglade/internal/faultinject"
+	"tulipglade/internal/simulation/emulator"
+)
+
+// eventHandler receives the effects of the emulated backends, on the cluster's goroutine.
+type eventHandler struct{ cluster *Cluster }
+
+// Answered ends an exchange at its backend.
+func (h eventHandler) Answered(result emulator.Pending, outcome balancer.Outcome) {
+	result.Any.(*exchange).finish(result, outcome)
+}
+
+// Ran counts an execution as it begins: an attempt that its node cancels has no end, but it has run.
+func (h eventHandler) Ran(pending any) {
+	x, cl := pending.(*exchange), h.cluster
+	if cl.ledger.recordExecution(x.id, x.class, x.conn.backend.place) {
+		cl.log.write(x.event(cl.now(), eventRanTwice))
+	}
+}
+
+// Listed takes a change of an endpoint into discovery's list.
+func (h eventHandler) Listed(entry emulator.EndpointEntry) {
+	cl := h.cluster
+	cl.updateEndpoint(entry)
+	cl.log.write(logEvent{
+		Time:     cl.now(),
+		Kind:     eventListed,
+		Backend:  entry.Backend,
+		Place:    entry.Place,
+		Phase:    phaseNames[entry.Phase],
+		Revision: cl.revision,
+	})
+}
+
+// Began applies a fault to what the emulator does not have: node processes, discovery and the form of responses.
+func (h eventHandler) Began(fault faultinject.Fault) {
+	cl := h.cluster
+	cl.log.write(logEvent{Time: cl.now(), Kind: eventFaultBegan, Fault: &fault})
+	if cl.processes != nil {
+		cl.processes.applyFault(fault, true)
+	}
+	switch fault.Kind {
+	case faultinject.Garbage, faultinject.Interim:
+		cl.responseFaults = append(cl.responseFaults, fault)
+	case faultinject.ListDown:
+		cl.discoveryFaults++
+		for _, d := range cl.discoveries {
+			d.resetConnections()
+		}
+	}
+	cl.updateListeners()
+}
+
+// Ended undoes what Began did.
+func (h eventHandler) Ended(fault faultinject.Fault) {
+	cl := h.cluster
+	cl.log.write(logEvent{Time: cl.now(), Kind: eventFaultEnded, Fault: &fault})
+	if cl.processes != nil {
+		cl.processes.applyFault(fault, false)
+	}
+	if fault.Kind == faultinject.ListDown {
+		cl.discoveryFaults--
+	}
+	index := slices.IndexFunc(cl.responseFaults, func(active faultinject.Fault) bool {
+		return active.Kind == fault.Kind && active.Start == fault.Start && slices.Equal(active.Backends, fault.Backends)
+	})
+	if index >= 0 {
+		cl.responseFaults = slices.Delete(cl.responseFaults, index, index+1)
+	}
+	cl.updateListeners()
+}
+
+// updateListeners brings the sockets of all backends in line with their processes and links.
+func (cl *Cluster) updateListeners() {
+	for place, listeners := range cl.backends {
+		running, silent := cl.live.Up(place)
+		for node, b := range listeners {
+			b.setState(running, silent || cl.live.Partitioned(node, place), cl.live.Incarnation(place))
+		}
+	}
+}
+
+// Inject begins a fault now. It returns the number by which Lift ends it, and the fault with its defaults filled in.
+func (cl *Cluster) Inject(fault faultinject.Fault) (id int, complete faultinject.Fault, err error) {
+	if err := fault.Check("fault", cl.scenario.Scope(nil, nil)); err != nil {
+		return 0, fault, err
+	}
+	if fault.Kind == faultinject.Rolling {
+		return 0, fault, fmt.Errorf("fault.kind: %s is for a timeline; order its drains one by one", fault.Kind)
+	}
+	ok := cl.call(func() {
+		cl.live.Advance(cl.now())
+		id, complete = cl.live.Begin(fault)
+		cl.faults[id] = complete
+	})
+	if !ok {
+		return 0, fault, net.ErrClosed
+	}
+	return id, complete, nil
+}
+
+// Lift ends a fault that Inject began, and reports whether there was one.
+func (cl *Cluster) Lift(id int) (existed bool) {
+	cl.call(func() {
+		if _, existed = cl.faults[id]; existed {
+			delete(cl.faults, id)
+			cl.live.Advance(cl.now())
+			existed = cl.live.End(id)
+		}
+	})
+	return existed
+}
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -11,8 +11,15 @@
 	"time"
 )
 
-// frontendNode is a node as the front sees it: taken in once its /ready has answered 200, and left out some time after
-// its death.
+const (
+	// readinessInterval is the time between two readiness checks of a node.
+	readinessInterval = 100 * time.Millisecond
+	// nodeTimeout bounds a readiness check, and each connect to a node.
+	nodeTimeout = time.Second
+)
+
+// frontendNode is a node as the frontends see it: in rotation once its /ready has answered 200, and out of rotation some
+// time after its readiness checks begin to fail.
 type frontendNode struct {
 	cluster *Cluster
 	index   int
@@ -20,55 +27,67 @@
 	ready   atomic.Bool
 }
 
-const readinessInterval = 100 * time.Millisecond
-
-// monitor asks /ready until it answers 200, and from then on looks whether the node still takes connections.
+// monitor checks the node's readiness until the cluster is closed.
 func (n *frontendNode) monitor() {
-	notice := time.Duration(n.cluster.scenario.Nodes.Notice * float64(time.Millisecond))
-	tick := time.NewTicker(readinessInterval)
-	defer tick.Stop()
-	var lostAt time.Time
+	ticker := time.NewTicker(readinessInterval)
+	defer ticker.Stop()
+	var failingSince time.Time
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-n.cluster.ctx.Done():
 			return
 		}
-		ok := n.checkReady()
-		switch {
-		case ok:
-			lostAt = time.Time{}
-			if !n.ready.Swap(true) {
-				n.cluster.log.write(logEvent{Time: n.cluster.now(), Kind: "node-in", Node: n.index})
-				if n.cluster.options.Ready != nil {
-					n.cluster.options.Ready(n.index)
-				}
+		failingSince = n.update(n.checkReady(), failingSince)
+	}
+}
+
+// update puts the node into rotation or out of it, after a readiness check. It returns since when checks have failed.
+func (n *frontendNode) update(ready bool, failingSince time.Time) time.Time {
+	cl := n.cluster
+	if ready {
+		if !n.ready.Swap(true) {
+			cl.log.write(logEvent{Time: cl.now(), Kind: eventNodeIn, Node: n.index})
+			if cl.options.Ready != nil {
+				cl.options.Ready(n.index)
 			}
-		case !n.ready.Load():
-		case lostAt.IsZero():
-			lostAt = time.Now()
-		case time.Since(lostAt) >= notice:
-			n.ready.Store(false)
-			n.cluster.log.write(logEvent{Time: n.cluster.now(), Kind: "node-out", Node: n.index})
 		}
+		return time.Time{}
+	}
+	if !n.ready.Load() {
+		return failingSince
+	}
+	if failingSince.IsZero() {
+		return time.Now()
 	}
+	removalDelay := time.Duration(cl.scenario.Nodes.Notice * float64(time.Millisecond))
+	if time.Since(failingSince) >= removalDelay {
+		n.ready.Store(false)
+		cl.log.write(logEvent{Time: cl.now(), Kind: eventNodeOut, Node: n.index})
+	}
+	return failingSince
 }
 
+// checkReady reports whether the node's /ready answers 200.
 func (n *frontendNode) checkReady() bool {
-	c, err := net.DialTimeout("tcp4", n.addr, time.Second)
+	conn, err := net.DialTimeout("tcp4", n.addr, nodeTimeout)
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(time.Second))
-	if _, err := io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n"); err != nil {
+	defer closeQuietly(conn)
+	_ = conn.SetDeadline(time.Now().Add(nodeTimeout)) // an error means that the connection is closed
+	if _, err := io.WriteString(conn, "GET /ready HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n"); err != nil {
 		return false
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-	return err == nil && resp.StatusCode == http.StatusOK
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return false
+	}
+	_ = response.Body.Close() // nothing more is read
+	return response.StatusCode == http.StatusOK
 }
 
-// frontend shares the connections of a site's clients out among its nodes, in turn.
+// frontend balances the connections of a site's clients over its nodes, round robin.
 type frontend struct {
 	cluster   *Cluster
 	site      int
@@ -81,92 +100,101 @@
 }
 
 func newFrontend(cluster *Cluster, site int) (*frontend, error) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("front of %s: %w", cluster.scenario.Fleet.Sites[site], err)
+		return nil, fmt.Errorf("frontend of %s: %w", cluster.scenario.Fleet.Sites[site], err)
 	}
-	return &frontend{cluster: cluster, site: site, listener: ln, conns: map[net.Conn]bool{}}, nil
+	return &frontend{cluster: cluster, site: site, listener: listener, conns: map[net.Conn]bool{}}, nil
 }
 
 func (f *frontend) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed = true
-	f.listener.Close()
-	for c := range f.conns {
-		c.Close()
+	closeQuietly(f.listener)
+	for conn := range f.conns {
+		closeQuietly(conn)
 	}
 }
 
+// accept relays connections until the frontend is closed. It resets those that no node can take.
 func (f *frontend) accept() {
 	for {
-		c, err := f.listener.Accept()
+		conn, err := f.listener.Accept()
 		if err != nil {
 			return
 		}
-		n := f.nextNode()
-		if n == nil {
-			reset(c)
+		node := f.nextNode()
+		if node == nil {
+			resetConn(conn)
 			continue
 		}
-		f.cluster.wg.Go(func() { f.relay(c, n) })
+		f.cluster.wg.Go(func() { f.relay(conn, node) })
 	}
 }
 
-// nextNode takes the next node of the site that is in, or one of any site.
+// nextNode returns the next node of the site that is in rotation, else one of any site; nil: there is none.
 func (f *frontend) nextNode() *frontendNode {
 	f.nextIndex++
-	for _, own := range []bool{true, false} {
-		for i := range f.cluster.nodes {
-			n := f.cluster.nodes[(f.nextIndex+i)%len(f.cluster.nodes)]
-			if n.ready.Load() && (!own || f.cluster.scenario.Site(n.index) == f.site) {
-				return n
+	nodes := f.cluster.nodes
+	for _, sameSite := range []bool{true, false} {
+		for i := range nodes {
+			node := nodes[(f.nextIndex+i)%len(nodes)]
+			if node.ready.Load() && (!sameSite || f.cluster.scenario.Site(node.index) == f.site) {
+				return node
 			}
 		}
 	}
 	return nil
 }
 
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
-	}
-	c.Close()
-}
-
+// relay passes bytes between a client and a node until both sides have ended.
 func (f *frontend) relay(clientConn net.Conn, node *frontendNode) {
-	nodeConn, err := net.DialTimeout("tcp4", node.addr, time.Second)
+	nodeConn, err := net.DialTimeout("tcp4", node.addr, nodeTimeout)
 	if err != nil {
-		reset(clientConn)
+		resetConn(clientConn)
 		return
 	}
-	f.mu.Lock()
-	if f.closed {
-		f.mu.Unlock()
-		clientConn.Close()
-		nodeConn.Close()
+	defer closeQuietly(nodeConn)
+	defer closeQuietly(clientConn)
+	if !f.register(clientConn, nodeConn) {
 		return
 	}
-	f.conns[clientConn], f.conns[nodeConn] = true, true
-	f.mu.Unlock()
 	var both sync.WaitGroup
-	pass := func(to, from net.Conn) {
-		_, err := io.Copy(to, from)
-		if err != nil { // a reset on the one side is one on the other
-			reset(to)
-			return
-		}
-		if t, ok := to.(*net.TCPConn); ok {
-			_ = t.CloseWrite()
-		}
-	}
-	both.Go(func() { pass(nodeConn, clientConn) })
-	both.Go(func() { pass(clientConn, nodeConn) })
+	both.Go(func() { relayBytes(nodeConn, clientConn) })
+	both.Go(func() { relayBytes(clientConn, nodeConn) })
 	both.Wait()
+	f.unregister(clientConn, nodeConn)
+}
+
+// register lets close end the connections. It returns false once the frontend is closed.
+func (f *frontend) register(conns ...net.Conn) bool {
 	f.mu.Lock()
-	delete(f.conns, clientConn)
-	delete(f.conns, nodeConn)
-	f.mu.Unlock()
-	clientConn.Close()
-	nodeConn.Close()
+	defer f.mu.Unlock()
+	if f.closed {
+		return false
+	}
+	for _, conn := range conns {
+		f.conns[conn] = true
+	}
+	return true
+}
+
+func (f *frontend) unregister(conns ...net.Conn) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, conn := range conns {
+		delete(f.conns, conn)
+	}
+}
+
+// relayBytes copies one direction. An end of the source becomes an end of the destination, and a reset a reset.
+func relayBytes(destination, source net.Conn) {
+	if _, err := io.Copy(destination, source); err != nil {
+		resetConn(destination)
+		return
+	}
+	if tcp, ok := destination.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite() // an error means that the connection is closed
+	}
 }
--- a/internal/fake/nullserver.go
+++ b/internal/fake/nullserver.go
@@ -6,12 +6,11 @@
 	"sync"
 	"time"
 
-	"tulipglade/internal/loopback"
 	"tulipglade/internal/protocol"
 )
 
-// Null answers every request with a 200 after a delay that is known exactly, and nothing else: what a load generator is
-// measured against.
+// Null answers every request with a 200 after a delay that is known exactly, and does nothing else: the server that a
+// load generator is measured against.
 type Null struct {
 	listener net.Listener
 	delay    func(arrived time.Time) time.Time
@@ -23,31 +22,28 @@
 	wg     sync.WaitGroup
 }
 
-// StartNull serves on a loopback address. Delay tells for the moment at which a request has come when its answer is due;
-// nil: at once. Sleep waits for that moment.
+// StartNull serves on a loopback address. Delay returns when the response to a request that arrived at the given time is
+// due; nil: at once. Sleep waits for that time.
 func StartNull(addr string, delay func(time.Time) time.Time, sleep func(time.Time)) (*Null, error) {
-	if err := loopback.Check(addr); err != nil {
-		return nil, err
-	}
-	ln, err := net.Listen("tcp4", addr)
+	listener, err := Listen(addr)
 	if err != nil {
 		return nil, err
 	}
-	n := &Null{listener: ln, delay: delay, sleep: sleep, conns: map[net.Conn]bool{}}
+	n := &Null{listener: listener, delay: delay, sleep: sleep, conns: map[net.Conn]bool{}}
 	n.wg.Go(n.accept)
 	return n, nil
 }
 
-// Addr is where it listens.
+// Addr is the address that the server listens on.
 func (n *Null) Addr() string { return n.listener.Addr().String() }
 
-// Close ends it.
+// Close ends the server with its connections, and waits for its goroutines.
 func (n *Null) Close() {
 	n.mu.Lock()
 	n.closed = true
-	n.listener.Close()
-	for c := range n.conns {
-		c.Close()
+	closeQuietly(n.listener)
+	for conn := range n.conns {
+		closeQuietly(conn)
 	}
 	n.mu.Unlock()
 	n.wg.Wait()
@@ -55,60 +51,71 @@
 
 func (n *Null) accept() {
 	for {
-		c, err := n.listener.Accept()
+		conn, err := n.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(time.Millisecond)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		n.mu.Lock()
-		if n.closed {
-			n.mu.Unlock()
-			c.Close()
+		if !n.register(conn) {
+			closeQuietly(conn)
 			return
 		}
-		n.conns[c] = true
-		n.mu.Unlock()
 		n.wg.Go(func() {
-			n.serve(c)
-			n.mu.Lock()
-			delete(n.conns, c)
-			n.mu.Unlock()
-			c.Close()
+			n.serve(conn)
+			n.unregister(conn)
+			closeQuietly(conn)
 		})
 	}
 }
 
+// register lets Close end the connection. It returns false once the server is closed.
+func (n *Null) register(conn net.Conn) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.closed {
+		return false
+	}
+	n.conns[conn] = true
+	return true
+}
+
+func (n *Null) unregister(conn net.Conn) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.conns, conn)
+}
+
 var nullResponse = []byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n")
 
+// serve answers the requests of a connection, pipelined ones in their order.
 func (n *Null) serve(conn net.Conn) {
 	buf := make([]byte, 0, protocol.BufferSize)
-	var m protocol.Message
+	var message protocol.Message
 	for {
-		got, err := conn.Read(buf[len(buf):cap(buf)])
+		count, err := conn.Read(buf[len(buf):cap(buf)])
 		if err != nil {
 			return
 		}
 		arrived := time.Now()
-		size, complete, err := m.Request(buf[:len(buf)+got])
-		if buf = buf[:size]; err != nil {
+		size, complete, err := message.Request(buf[:len(buf)+count])
+		if err != nil {
 			return
 		}
+		buf = buf[:size]
 		for complete {
-			if n.delay != nil {
-				n.sleep(n.delay(arrived))
-			}
-			if _, err := conn.Write(nullResponse); err != nil {
+			if !n.respond(conn, arrived) {
 				return
 			}
-			rest := m.Rest(buf)
-			buf, m = buf[:copy(buf[:cap(buf)], rest)], protocol.Message{}
+			rest := message.Rest(buf)
+			buf = buf[:copy(buf[:cap(buf)], rest)]
+			message = protocol.Message{}
 			if len(buf) == 0 {
 				break
 			}
-			if size, complete, err = m.Request(buf); err != nil {
+			if size, complete, err = message.Request(buf); err != nil {
 				return
 			}
 			buf = buf[:size]
@@ -116,10 +123,11 @@
 	}
 }
 
-// Listen listens on a loopback address and on nothing else.
-func Listen(addr string) (net.Listener, error) {
-	if err := loopback.Check(addr); err != nil {
-		return nil, err
+// respond writes a response when it is due. It returns false once the connection has ended.
+func (n *Null) respond(conn net.Conn, arrived time.Time) bool {
+	if n.delay != nil {
+		n.sleep(n.delay(arrived))
 	}
-	return net.Listen("tcp4", addr)
+	_, err := conn.Write(nullResponse)
+	return err == nil
 }
