--- /dev/null
+++ b/internal/faultinject/check.go
@@ -0,0 +1,112 @@
+package faultinject
+
+import (
+	"slices"
+
+	"tulipglade/internal/tomlfile"
+)
+
+// Scope is what there is to be hit.
+type Scope struct {
+	Backends    int
+	Nodes       int
+	Processes   int // of our own that talk to each other
+	Sites       []string
+	Tenants     []string
+	BackendSite func(backend int) string
+	NodeSite    func(node int) string
+}
+
+// Check returns an error that names the invalid field of the fault; path is where the fault stands in its file.
+func (f Fault) Check(path string, scope Scope) error {
+	t, ok := traits[f.Kind]
+	if !ok {
+		return tomlfile.Invalidf(path+".kind", "%q is none of %v", f.Kind, Kinds())
+	}
+	invalid := func(field, format string, args ...any) error {
+		return tomlfile.Invalidf(path+"."+field, format, args...)
+	}
+	if err := f.checkAmounts(t, invalid); err != nil {
+		return err
+	}
+	if err := f.checkTarget(t, scope, invalid); err != nil {
+		return err
+	}
+	return f.checkNumbers(scope, invalid)
+}
+
+// invalidf makes the error of a field.
+type invalidf func(field, format string, args ...any) error
+
+// checkAmounts checks times, size and share.
+func (f Fault) checkAmounts(t trait, invalid invalidf) error {
+	switch {
+	case f.Start < 0:
+		return invalid("at_ms", "%d is before the start", f.Start)
+	case f.Duration < 0:
+		return invalid("for_ms", "%d is below 0", f.Duration)
+	case f.Duration == 0 && f.Kind == Rolling:
+		return invalid("for_ms", "a rolling change needs a length")
+	case !t.hasSize() && f.Size != 0:
+		return invalid("size", "%s has no size", f.Kind)
+	case t.hasSize() && f.Size != 0 && (f.Size < t.minSize || f.Size > t.maxSize):
+		return invalid("size", "%g is not within %g and %g, as %s needs", f.Size, t.minSize, t.maxSize, f.Kind)
+	case f.Share < 0 || f.Share > 1:
+		return invalid("share", "%g is not within 0 and 1", f.Share)
+	}
+	return nil
+}
+
+// checkTarget checks that the fault names only what its kind hits, and what is there.
+func (f Fault) checkTarget(t trait, scope Scope, invalid invalidf) error {
+	switch {
+	case len(f.Backends) > 0 && t.target != targetBackends:
+		return invalid("boxes", "%s does not hit boxes", f.Kind)
+	case t.target == targetProcesses && scope.Processes == 0:
+		return invalid("kind", "%s: there are no processes to hit here", f.Kind)
+	case len(f.Processes) > 0 && t.target != targetProcesses:
+		return invalid("processes", "%s does not hit processes", f.Kind)
+	case len(f.Nodes) > 0 && t.target != targetNodes:
+		return invalid("nodes", "%s does not hit nodes", f.Kind)
+	case f.Site != "" && t.target == targetNone:
+		return invalid("site", "%s hits no site", f.Kind)
+	case f.Site != "" && !slices.Contains(scope.Sites, f.Site):
+		return invalid("site", "%q is none of %v", f.Site, scope.Sites)
+	case f.Site == "" && t.target == targetSites:
+		return invalid("site", "%s needs one of %v", f.Kind, scope.Sites)
+	case f.WithNodes && t.target != targetSites:
+		return invalid("with_nodes", "%s does not take nodes along", f.Kind)
+	case f.Tenant != "" && (f.Kind != Surge || !slices.Contains(scope.Tenants, f.Tenant)):
+		return invalid("tenant", "%q: only a surge has a tenant, one of %v", f.Tenant, scope.Tenants)
+	case f.Share != 0 && !f.allowsShare(t):
+		return invalid("share", "%s takes no share here", f.Kind)
+	}
+	return nil
+}
+
+// allowsShare reports whether a share can choose what the fault hits.
+func (f Fault) allowsShare(t trait) bool {
+	if t.target == targetNone || t.target == targetSites {
+		return false
+	}
+	return len(f.Backends)+len(f.Nodes) == 0
+}
+
+// checkNumbers checks that the backends and nodes named are there.
+func (f Fault) checkNumbers(scope Scope, invalid invalidf) error {
+	for _, list := range []struct {
+		field   string
+		numbers []int
+		count   int
+	}{
+		{"boxes", f.Backends, scope.Backends},
+		{"nodes", f.Nodes, scope.Nodes},
+	} {
+		for _, number := range list.numbers {
+			if number < 0 || number >= list.count {
+				return invalid(list.field, "there is no number %d among %d", number, list.count)
+			}
+		}
+	}
+	return nil
+}
