--- a/internal/fake/control.go
+++ b/internal/fake/control.go
@@ -4,78 +4,91 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net"
 	"net/http"
 	"strconv"
 	"time"
 
 	"tulipglade/internal/faultinject"
-	"tulipglade/internal/loopback"
 )
 
-// Control serves a small HTTP port by which faults are ordered and figures read while a world runs, until the world is
-// closed. It returns the address.
+const (
+	// headerTimeout bounds how long a request's header may take at the HTTP servers of this package.
+	headerTimeout = 5 * time.Second
+	// maxFaultBytes bounds the body that describes a fault.
+	maxFaultBytes = 64 << 10
+)
+
+// injectedFault answers the injection of a fault.
+type injectedFault struct {
+	Fault faultinject.Fault `json:"fault"`
+	ID    int               `json:"id"`
+}
+
+// executionCount answers how often a request was executed.
+type executionCount struct {
+	Executions int `json:"runs"`
+}
+
+// Control serves a small HTTP port by which faults are injected and figures read, until the cluster is closed. It returns
+// the address.
 //
-//	POST /faults          a fault as JSON, in the lab's words; answers {"id": N, "fault": {...}} with nothing left open
+//	POST /faults          injects a fault, as JSON in the form of scenarios; answers {"id": N, "fault": {...}}, complete
 //	DELETE /faults/{id}   ends it
-//	GET /report           what has been seen so far
-//	GET /runs/{id}        how often the request of that id has begun to run
-func (w *Cluster) Control(addr string) (string, error) {
-	if err := loopback.Check(addr); err != nil {
-		return "", fmt.Errorf("control: %w", err)
-	}
-	ln, err := net.Listen("tcp4", addr)
+//	GET /report           the figures so far
+//	GET /runs/{id}        how often the request of that ID has begun to run
+func (cl *Cluster) Control(addr string) (string, error) {
+	listener, err := Listen(addr)
 	if err != nil {
 		return "", fmt.Errorf("control: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /faults", w.postFault)
-	mux.HandleFunc("DELETE /faults/{id}", func(rw http.ResponseWriter, r *http.Request) {
-		id, err := strconv.Atoi(r.PathValue("id"))
-		if err != nil || !w.Lift(id) {
-			http.Error(rw, "there is no such fault, or it has ended", http.StatusNotFound)
-			return
-		}
-		rw.WriteHeader(http.StatusNoContent)
+	mux.HandleFunc("POST /faults", cl.handleInject)
+	mux.HandleFunc("DELETE /faults/{id}", cl.handleLift)
+	mux.HandleFunc("GET /report", func(response http.ResponseWriter, _ *http.Request) {
+		writeJSON(response, cl.Report())
 	})
-	mux.HandleFunc("GET /report", func(rw http.ResponseWriter, _ *http.Request) { reply(rw, w.Report()) })
-	mux.HandleFunc("GET /runs/{id}", func(rw http.ResponseWriter, r *http.Request) {
-		reply(rw, map[string]int{"runs": w.Executions(r.PathValue("id"))})
+	mux.HandleFunc("GET /runs/{id}", func(response http.ResponseWriter, request *http.Request) {
+		writeJSON(response, executionCount{cl.Executions(request.PathValue("id"))})
 	})
-	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	w.wg.Go(func() {
-		if err := srv.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			w.log.write(event{At: w.now(), What: "control: " + err.Error()})
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
+	cl.wg.Go(func() {
+		if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
+			cl.log.write(logEvent{Time: cl.now(), Kind: errorEvent("control", err)})
 		}
 	})
-	w.wg.Go(func() {
-		<-w.ctx.Done()
-		srv.Close()
+	cl.wg.Go(func() {
+		<-cl.ctx.Done()
+		closeQuietly(server)
 	})
-	return ln.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
-const maxOrder = 64 << 10 // bytes of a fault
-
-func (w *Cluster) postFault(rw http.ResponseWriter, r *http.Request) {
-	dec := json.NewDecoder(http.MaxBytesReader(rw, r.Body, maxOrder))
-	dec.DisallowUnknownFields()
-	var f faultinject.Fault
-	if err := dec.Decode(&f); err != nil {
-		http.Error(rw, "fault: "+err.Error(), http.StatusBadRequest)
+func (cl *Cluster) handleInject(response http.ResponseWriter, request *http.Request) {
+	decoder := json.NewDecoder(http.MaxBytesReader(response, request.Body, maxFaultBytes))
+	decoder.DisallowUnknownFields()
+	var fault faultinject.Fault
+	if err := decoder.Decode(&fault); err != nil {
+		http.Error(response, "fault: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	id, settled, err := w.Inject(f)
+	id, complete, err := cl.Inject(fault)
 	if err != nil {
-		http.Error(rw, err.Error(), http.StatusBadRequest)
+		http.Error(response, err.Error(), http.StatusBadRequest)
 		return
 	}
-	reply(rw, map[string]any{"id": id, "fault": settled})
+	writeJSON(response, injectedFault{Fault: complete, ID: id})
 }
 
-func reply(rw http.ResponseWriter, v any) {
-	rw.Header().Set("Content-Type", "application/json")
-	if err := json.NewEncoder(rw).Encode(v); err != nil {
-		return // whoever asked has gone
+func (cl *Cluster) handleLift(response http.ResponseWriter, request *http.Request) {
+	id, err := strconv.Atoi(request.PathValue("id"))
+	if err != nil || !cl.Lift(id) {
+		http.Error(response, "there is no such fault, or it has ended", http.StatusNotFound)
+		return
 	}
+	response.WriteHeader(http.StatusNoContent)
+}
+
+func writeJSON(response http.ResponseWriter, value any) {
+	response.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(response).Encode(value) // an error means that the caller has closed the connection
 }
