--- /dev/null
+++ b/internal/processtest/addresses_test.go
@@ -0,0 +1,42 @@
+package processtest
+
+import (
+	"net"
+	"sync"
+	"testing"
+)
+
+// TestAddressesStayFreeBesideOtherHarnesses has several harnesses choose their addresses and open relays at the same time. No process
+// may find its address taken when it comes to listen there.
+func TestAddressesStayFreeBesideOtherHarnesses(t *testing.T) {
+	const rounds, harnesses, processes, relays = 200, 4, 4, 18
+	for range rounds {
+		var group sync.WaitGroup
+		for range harnesses {
+			group.Go(func() {
+				addresses, err := freeAddresses(nextLoopbackHost(), processes)
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				for range relays {
+					relay, err := newRelay("127.0.0.1:1", 1)
+					if err != nil {
+						t.Error(err)
+						return
+					}
+					defer relay.close()
+				}
+				for _, address := range addresses {
+					listener, err := net.Listen("tcp4", address)
+					if err != nil {
+						t.Errorf("the address of a process was taken: %v", err)
+						continue
+					}
+					defer func() { _ = listener.Close() }()
+				}
+			})
+		}
+		group.Wait()
+	}
+}
--- a/internal/processtest/processtest.go
+++ b/internal/processtest/processtest.go
@@ -21,7 +21,6 @@
 
 	"tulipglade/internal/agent"
 	"tulipglade/internal/consensus"
-	"tulipglade/internal/fake"
 	"tulipglade/internal/faultinject"
 	"tulipglade/internal/lease"
 )
@@ -82,7 +81,7 @@
 			r.Stop()
 		}
 	}()
-	addrs, err := fake.FreeAddrs(o.Agents + o.Spares + 1)
+	addrs, err := freeAddresses(nextLoopbackHost(), o.Agents+o.Spares+1)
 	if err != nil {
 		return nil, err
 	}
