--- a/internal/simulation/emulator/backend.go
+++ b/internal/simulation/emulator/backend.go
@@ -11,112 +11,112 @@
 
 // What a box's events mean.
 const (
-	boxArrive  = iota // P: the attempt
-	boxDone           // A: the turn that it was set in
-	boxCancel         // P: the attempt
-	boxTick           // while it warms up
-	boxRefresh        // of its load report
-	boxPublish        // the report becomes visible
-	boxCrowded        // A: since when it has been so; too many may have waited too long
-	boxRested         // A: since when; it may have been idle long enough
+	backendArrival         = iota // P: the attempt
+	backendCompletion             // A: the turn that it was set in
+	backendCancellation           // P: the attempt
+	backendWarmUpTick             // while it warms up
+	backendReportMeasured         // of its load report
+	backendReportPublished        // the report becomes visible
+	backendOverloadDue            // A: since when it has been so; too many may have waited too long
+	backendRecoveryDue            // A: since when; it may have been idle long enough
 )
 
-const warmStep = 50 * eventqueue.Millisecond // between two steps of a cold box's capacity
+const slowStartStep = 50 * eventqueue.Millisecond // between two steps of a cold box's capacity
 
 // Where an attempt is.
 const (
-	travelling = iota
-	joined     // a repeat by key that waits for the first run
-	waiting
-	running
-	over
+	attemptInTransit = iota
+	attemptJoined    // a repeat by key that waits for the first run
+	attemptQueued
+	attemptRunning
+	attemptFinished
 )
 
 type attempt struct {
-	req     *request
-	no      int
-	box     *Backend
-	life    *boxLife // of the box as the connection was made
-	sent    eventqueue.Time
-	work    float64 // µs on one core of speed 1
-	due     float64 // the box's attained service at which it is done
-	state   uint8
-	open    bool // the node waits for it
-	fresh   bool // on a new connection
-	conn    bool // it holds a connection
-	ran     bool
-	lost    bool // its request or answer was lost in a cut
-	report  balancer.LoadReport
-	pending any // of a Live
-}
-
-// boxLife is one process of a box; a restart begins another.
-type boxLife struct {
-	started eventqueue.Time // 0: long ago
-	conns   int
+	request           *request
+	number            int
+	backend           *Backend
+	incarnation       *backendIncarnation // of the box as the connection was made
+	sentAt            eventqueue.Time
+	work              float64 // µs on one core of speed 1
+	completionService float64 // the box's attained service at which it is done
+	state             uint8
+	awaited           bool // the node waits for it
+	newConnection     bool // on a new connection
+	holdsConnection   bool // it holds a connection
+	started           bool
+	lost              bool // its request or answer was lost in a cut
+	report            balancer.LoadReport
+	liveContext       any // of a Live
+}
+
+// backendIncarnation is one process of a box; a restart begins another.
+type backendIncarnation struct {
+	startedAt   eventqueue.Time // 0: long ago
+	connections int
 }
 
 // Backend is an app box: cores that its running requests share, slots, and a bounded waiting room. Requests in work all
 // get the same part of the cores, at most one core each, so one number (attained) tells how far each has come:
 // processor sharing, and with one slot a core the plain queue of so many servers.
 type Backend struct {
-	w      *Simulation
-	src    eventqueue.Source
-	rand   eventqueue.Stream
-	id     balancer.EndpointID
-	place  int // its address: what replaces it has the same
-	site   int
-	rack   int
-	kind   *scenario.Kind
-	ledger *ledger
-
-	speed, coldFrom float64
-	coldFor         eventqueue.Span
-	slots, room     int
-
-	life     *boxLife
-	up       bool // the process runs
-	silent   bool // the machine has vanished
-	retired  bool // replaced for good
-	draining bool
-	frozen   bool
-	slow     float64
-	errors   float64
-	resets   float64
-	garbage  float64
-
-	attained float64
-	rate     float64 // of attained, per µs
-	at       eventqueue.Time
-	turn     int64
-	heap     jobs
-	queue    []*attempt // with those that were dropped
-	queued   int        // without
-	coming   int        // attempts on their way
-
-	crowdedSince, restedSince eventqueue.Time // 0: not so
-	overdriven                bool
-	overdrivenAt              eventqueue.Time
-
-	keys          []metKey
-	busy          float64 // core time used since the last refresh of the report
-	busyAt        eventqueue.Time
-	next, visible balancer.LoadReport
-}
-
-type metKey struct {
-	key uint64
-	at  eventqueue.Time
-}
-
-// jobs is a heap of running attempts by due.
-type jobs []*attempt
-
-func (j jobs) Len() int           { return len(j) }
-func (j jobs) Less(a, b int) bool { return j[a].due < j[b].due }
-func (j jobs) Swap(a, b int)      { j[a], j[b] = j[b], j[a] }
-func (j *jobs) Push(x any)        { *j = append(*j, x.(*attempt)) }
-func (j *jobs) Pop() any {
+	simulation       *Simulation
+	source           eventqueue.Source
+	random           eventqueue.Stream
+	id               balancer.EndpointID
+	place            int // its address: what replaces it has the same
+	site             int
+	rack             int
+	kind             *scenario.Kind
+	idempotencyStore *idempotencyStore
+
+	speed, slowStartInitial float64
+	slowStartDuration       eventqueue.Span
+	slots, queueCapacity    int
+
+	incarnation *backendIncarnation
+	running     bool // the process runs
+	unreachable bool // the machine has vanished
+	replaced    bool // replaced for good
+	draining    bool
+	frozen      bool
+	slowdown    float64
+	errorRate   float64
+	resetRate   float64
+	garbageRate float64
+
+	attainedService      float64
+	serviceRate          float64 // of attained, per µs
+	updatedAt            eventqueue.Time
+	completionGeneration int64
+	active               attemptHeap
+	queue                []*attempt // with those that were dropped
+	queueLength          int        // without
+	inTransit            int        // attempts on their way
+
+	longQueueSince, lowLoadSince eventqueue.Time // 0: not so
+	overloaded                   bool
+	overloadedAt                 eventqueue.Time
+
+	cachedKeys                []cachedKey
+	busyTime                  float64 // core time used since the last refresh of the report
+	busyMeasuredAt            eventqueue.Time
+	nextReport, visibleReport balancer.LoadReport
+}
+
+type cachedKey struct {
+	key      uint64
+	lastUsed eventqueue.Time
+}
+
+// attemptHeap is a heap of running attempts by due.
+type attemptHeap []*attempt
+
+func (j attemptHeap) Len() int           { return len(j) }
+func (j attemptHeap) Less(a, b int) bool { return j[a].completionService < j[b].completionService }
+func (j attemptHeap) Swap(a, b int)      { j[a], j[b] = j[b], j[a] }
+func (j *attemptHeap) Push(x any)        { *j = append(*j, x.(*attempt)) }
+func (j *attemptHeap) Pop() any {
 	old := *j
 	x := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -124,440 +124,440 @@
 	return x
 }
 
-var unknown = balancer.LoadReport{Outstanding: -1, Backlog: -1, Utilization: -1}
+var unknownReport = balancer.LoadReport{Outstanding: -1, Backlog: -1, Utilization: -1}
 
-func (w *Simulation) newBox(place int, id balancer.EndpointID, name string) *Backend {
-	b := &Backend{w: w, src: eventqueue.NewSource(sourceBox | uint32(id)), rand: eventqueue.NewStream(w.seed, name), id: id, place: place,
-		site: w.sc.Site(place), life: &boxLife{}, up: true, slow: 1, at: w.sim.Now(), visible: unknown}
-	sites := len(w.sc.Fleet.Sites)
-	b.rack = place/sites/w.sc.Fleet.Rack*sites + b.site // no two sites have a rack of the same number
-	b.ledger = w.ledgerOf(b.rack)
-	b.kind = w.kindOf(place)
-	b.speed = between(b.kind.Speed, b.rand.Float64())
-	b.coldFrom = between(b.kind.SlowStartInitial, b.rand.Float64())
-	b.coldFor = us(between(b.kind.SlowStartDuration, b.rand.Float64()))
+func (s *Simulation) newBackend(place int, id balancer.EndpointID, name string) *Backend {
+	b := &Backend{simulation: s, source: eventqueue.NewSource(sourceBackend | uint32(id)), random: eventqueue.NewStream(s.seed, name), id: id, place: place,
+		site: s.scenario.Site(place), incarnation: &backendIncarnation{}, running: true, slowdown: 1, updatedAt: s.events.Now(), visibleReport: unknownReport}
+	sites := len(s.scenario.Fleet.Sites)
+	b.rack = place/sites/s.scenario.Fleet.Rack*sites + b.site // no two sites have a rack of the same number
+	b.idempotencyStore = s.idempotencyStoreOf(b.rack)
+	b.kind = s.backendKindAt(place)
+	b.speed = interpolate(b.kind.Speed, b.random.Float64())
+	b.slowStartInitial = interpolate(b.kind.SlowStartInitial, b.random.Float64())
+	b.slowStartDuration = fromMilliseconds(interpolate(b.kind.SlowStartDuration, b.random.Float64()))
 	b.slots = max(1, int(math.Round(b.kind.Slots*float64(b.kind.Cores))))
-	b.room = int(math.Round(b.kind.Queue * float64(b.kind.Cores)))
+	b.queueCapacity = int(math.Round(b.kind.Queue * float64(b.kind.Cores)))
 	return b
 }
 
-func between(r scenario.Range, x float64) float64 { return r[0] + (r[1]-r[0])*x }
+func interpolate(r scenario.Range, x float64) float64 { return r[0] + (r[1]-r[0])*x }
 
-func us(ms float64) eventqueue.Span { return eventqueue.Span(math.Round(ms * 1000)) }
+func fromMilliseconds(ms float64) eventqueue.Span { return eventqueue.Span(math.Round(ms * 1000)) }
 
-// full is what the box does when warm and well, in µs of work for each µs.
-func (b *Backend) full() float64 { return b.speed * float64(b.kind.Cores) }
+// nominalCapacity is what the box does when warm and well, in µs of work for each µs.
+func (b *Backend) nominalCapacity() float64 { return b.speed * float64(b.kind.Cores) }
 
-// warmth is the share of its capacity that the box has by now.
-func (b *Backend) warmth(now eventqueue.Time) float64 {
-	if age := now - b.life.started; b.life.started > 0 && age < b.coldFor {
-		return b.coldFrom + (1-b.coldFrom)*float64(age)/float64(b.coldFor)
+// slowStartFraction is the share of its capacity that the box has by now.
+func (b *Backend) slowStartFraction(now eventqueue.Time) float64 {
+	if age := now - b.incarnation.startedAt; b.incarnation.startedAt > 0 && age < b.slowStartDuration {
+		return b.slowStartInitial + (1-b.slowStartInitial)*float64(age)/float64(b.slowStartDuration)
 	}
 	return 1
 }
 
 // capacity is what the box can do at the moment, in µs of work for each µs.
 func (b *Backend) capacity(now eventqueue.Time) float64 {
-	c := b.full() * b.warmth(now) / b.slow
-	if held := float64(len(b.heap)+b.queued) / float64(b.kind.Cores); held > b.kind.CrowdFrom {
-		c /= 1 + b.kind.Crowd*(held-b.kind.CrowdFrom)
+	capacity := b.nominalCapacity() * b.slowStartFraction(now) / b.slowdown
+	if perCore := float64(len(b.active)+b.queueLength) / float64(b.kind.Cores); perCore > b.kind.CrowdFrom {
+		capacity /= 1 + b.kind.Crowd*(perCore-b.kind.CrowdFrom)
 	}
-	if b.overdriven {
-		c /= b.w.sc.Fleet.Overdrive.Slower
+	if b.overloaded {
+		capacity /= b.simulation.scenario.Fleet.Overdrive.Slower
 	}
-	if b.frozen || !b.up {
+	if b.frozen || !b.running {
 		return 0
 	}
-	return c
+	return capacity
 }
 
-// Wait is the time in µs that a request of ordinary work would take if it were sent now, by what the box holds and
+// ExpectedLatency is the time in µs that a request of ordinary work would take if it were sent now, by what the box holds and
 // what is on its way to it.
-func (b *Backend) Wait() float64 {
-	now, work := b.w.sim.Now(), 0.0
-	b.advance(now)
-	for _, a := range b.heap {
-		work += a.due - b.attained
+func (b *Backend) ExpectedLatency() float64 {
+	now, work := b.simulation.events.Now(), 0.0
+	b.advanceService(now)
+	for _, a := range b.active {
+		work += a.completionService - b.attainedService
 	}
-	work += float64(b.queued+b.coming) * b.w.meanWork
+	work += float64(b.queueLength+b.inTransit) * b.simulation.meanWork
 	capacity := max(b.capacity(now), 1e-9)
-	return max((work+b.w.meanWork)/capacity, b.w.meanWork*float64(b.kind.Cores)/capacity)
+	return max((work+b.simulation.meanWork)/capacity, b.simulation.meanWork*float64(b.kind.Cores)/capacity)
 }
 
 // InFlight counts what is in work and waits.
-func (b *Backend) InFlight() int { return len(b.heap) + b.queued }
+func (b *Backend) InFlight() int { return len(b.active) + b.queueLength }
 
-// advance brings attained up to now.
-func (b *Backend) advance(now eventqueue.Time) {
-	if d := float64(now - b.at); d > 0 {
-		b.attained += b.rate * d
-		b.busy += d * float64(min(len(b.heap), b.kind.Cores))
-		b.at = now
+// advanceService brings attained up to now.
+func (b *Backend) advanceService(now eventqueue.Time) {
+	if d := float64(now - b.updatedAt); d > 0 {
+		b.attainedService += b.serviceRate * d
+		b.busyTime += d * float64(min(len(b.active), b.kind.Cores))
+		b.updatedAt = now
 	}
 }
 
-// reset works out the rate anew and sets the next completion.
-func (b *Backend) reset(now eventqueue.Time) {
-	n := len(b.heap)
-	if n == 0 {
-		b.rate = 0
-		b.turn++
+// rescheduleCompletion works out the rate anew and sets the next completion.
+func (b *Backend) rescheduleCompletion(now eventqueue.Time) {
+	activeCount := len(b.active)
+	if activeCount == 0 {
+		b.serviceRate = 0
+		b.completionGeneration++
 		return
 	}
-	rate := b.capacity(now) / float64(max(n, b.kind.Cores))
-	b.rate = rate
-	b.turn++
+	rate := b.capacity(now) / float64(max(activeCount, b.kind.Cores))
+	b.serviceRate = rate
+	b.completionGeneration++
 	if rate > 0 {
-		left := math.Ceil((b.heap[0].due - b.attained) / rate)
-		b.w.sim.After(&b.src, eventqueue.Span(min(left, 1e15)), eventqueue.Event{To: b, Kind: boxDone, A: b.turn})
+		remaining := math.Ceil((b.active[0].completionService - b.attainedService) / rate)
+		b.simulation.events.After(&b.source, eventqueue.Span(min(remaining, 1e15)), eventqueue.Event{To: b, Kind: backendCompletion, A: b.completionGeneration})
 	}
 }
 
 // Handle takes the box's events.
 func (b *Backend) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
-	case boxArrive:
-		b.arrive(now, e.P.(*attempt))
-	case boxDone:
-		if e.A == b.turn {
-			b.complete(now)
+	case backendArrival:
+		b.receiveAttempt(now, e.P.(*attempt))
+	case backendCompletion:
+		if e.A == b.completionGeneration {
+			b.completeAttempts(now)
 		}
-	case boxCancel:
-		if a := e.P.(*attempt); a.state == waiting && b.kind.CancelQueued && a.life == b.life {
-			b.drop(a)
-			b.promote(now)
+	case backendCancellation:
+		if a := e.P.(*attempt); a.state == attemptQueued && b.kind.CancelQueued && a.incarnation == b.incarnation {
+			b.cancelQueuedAttempt(a)
+			b.startQueuedAttempts(now)
 		}
-	case boxTick:
-		if e.P == b.life {
-			b.advance(now)
-			b.reset(now)
-			if b.warmth(now) < 1 {
-				b.w.sim.After(&b.src, warmStep, eventqueue.Event{To: b, Kind: boxTick, P: b.life})
+	case backendWarmUpTick:
+		if e.P == b.incarnation {
+			b.advanceService(now)
+			b.rescheduleCompletion(now)
+			if b.slowStartFraction(now) < 1 {
+				b.simulation.events.After(&b.source, slowStartStep, eventqueue.Event{To: b, Kind: backendWarmUpTick, P: b.incarnation})
 			} else {
-				b.w.judge.Warm(b.id)
+				b.simulation.checker.Warm(b.id)
 			}
 		}
-	case boxRefresh:
-		b.refresh(now)
-	case boxPublish:
-		b.visible = b.next
-	case boxCrowded:
-		if b.crowdedSince == e.A && e.A > 0 && !b.overdriven {
-			b.overdriven, b.overdrivenAt = true, now
-			b.w.rec.overdriven++
-			b.w.sim.After(&b.src, us(b.w.sc.Fleet.Overdrive.Most), eventqueue.Event{To: b, Kind: boxRested, A: -now})
-			b.change(now)
+	case backendReportMeasured:
+		b.measureReport(now)
+	case backendReportPublished:
+		b.visibleReport = b.nextReport
+	case backendOverloadDue:
+		if b.longQueueSince == e.A && e.A > 0 && !b.overloaded {
+			b.overloaded, b.overloadedAt = true, now
+			b.simulation.recorder.overloads++
+			b.simulation.events.After(&b.source, fromMilliseconds(b.simulation.scenario.Fleet.Overdrive.Most), eventqueue.Event{To: b, Kind: backendRecoveryDue, A: -now})
+			b.handleLoadChange(now)
 		}
-	case boxRested:
-		if b.overdriven && (e.A > 0 && b.restedSince == e.A || e.A < 0 && b.overdrivenAt == -e.A) {
-			b.overdriven, b.crowdedSince = false, 0
-			b.change(now)
+	case backendRecoveryDue:
+		if b.overloaded && (e.A > 0 && b.lowLoadSince == e.A || e.A < 0 && b.overloadedAt == -e.A) {
+			b.overloaded, b.longQueueSince = false, 0
+			b.handleLoadChange(now)
 		}
 	}
 }
 
-// change follows whatever alters what the box holds or can do.
-func (b *Backend) change(now eventqueue.Time) {
-	b.reset(now)
-	o := &b.w.sc.Fleet.Overdrive
+// handleLoadChange follows whatever alters what the box holds or can do.
+func (b *Backend) handleLoadChange(now eventqueue.Time) {
+	b.rescheduleCompletion(now)
+	o := &b.simulation.scenario.Fleet.Overdrive
 	if o.PerCore <= 0 {
 		return
 	}
 	cores := float64(b.kind.Cores)
-	if float64(b.queued) <= o.PerCore*cores {
-		b.crowdedSince = 0
-	} else if b.crowdedSince == 0 {
-		b.crowdedSince = now
-		b.w.sim.After(&b.src, us(o.Over), eventqueue.Event{To: b, Kind: boxCrowded, A: now})
+	if float64(b.queueLength) <= o.PerCore*cores {
+		b.longQueueSince = 0
+	} else if b.longQueueSince == 0 {
+		b.longQueueSince = now
+		b.simulation.events.After(&b.source, fromMilliseconds(o.Over), eventqueue.Event{To: b, Kind: backendOverloadDue, A: now})
 	}
-	if !b.overdriven || float64(b.InFlight()) > o.Below*cores {
-		b.restedSince = 0
-	} else if b.restedSince == 0 {
-		b.restedSince = now
-		b.w.sim.After(&b.src, us(o.Rest), eventqueue.Event{To: b, Kind: boxRested, A: now})
+	if !b.overloaded || float64(b.InFlight()) > o.Below*cores {
+		b.lowLoadSince = 0
+	} else if b.lowLoadSince == 0 {
+		b.lowLoadSince = now
+		b.simulation.events.After(&b.source, fromMilliseconds(o.Rest), eventqueue.Event{To: b, Kind: backendRecoveryDue, A: now})
 	}
 }
 
-// arrive is an attempt whose last byte has come.
-func (b *Backend) arrive(now eventqueue.Time, a *attempt) {
-	b.coming--
-	if b.silent {
-		a.lose(b.w)
+// receiveAttempt is an attempt whose last byte has come.
+func (b *Backend) receiveAttempt(now eventqueue.Time, a *attempt) {
+	b.inTransit--
+	if b.unreachable {
+		a.loseMessage(b.simulation)
 		return
 	}
-	if !b.up || a.life != b.life {
+	if !b.running || a.incarnation != b.incarnation {
 		a.reply(now, balancer.OutcomeReset) // the process that had accepted the connection is gone
 		return
 	}
-	c := &b.w.sc.Fleet.Conns
-	if a.fresh {
+	c := &b.simulation.scenario.Fleet.Conns
+	if a.newConnection {
 		a.work += c.Work
 	}
-	if b.warmth(now) < 1 {
-		b.w.judge.AttemptReached(now, a.req.node.index, b.id, b.life.started, a.work, b.capacity(now))
+	if b.slowStartFraction(now) < 1 {
+		b.simulation.checker.AttemptReached(now, a.request.node.index, b.id, b.incarnation.startedAt, a.work, b.capacity(now))
 	}
-	d := eventqueue.NewDraws(b.w.seed, uint64(a.req.id)<<8|uint64(a.no), drawOutcome)
+	d := eventqueue.NewDraws(b.simulation.seed, uint64(a.request.id)<<8|uint64(a.number), drawOutcome)
 	switch {
-	case a.fresh && c.PerCore > 0 && float64(b.life.conns) > c.PerCore*float64(b.kind.Cores),
-		b.draining, len(b.heap) >= b.slots && b.queued >= b.room:
+	case a.newConnection && c.PerCore > 0 && float64(b.incarnation.connections) > c.PerCore*float64(b.kind.Cores),
+		b.draining, len(b.active) >= b.slots && b.queueLength >= b.queueCapacity:
 		a.reply(now, balancer.OutcomeRejected)
 		return
-	case d.Float64() < max(b.errors, b.kind.Errors):
+	case d.Float64() < max(b.errorRate, b.kind.Errors):
 		a.reply(now, balancer.OutcomeServerError)
 		return
 	}
-	if a.req.call.effect == balancer.IdempotentByKey && b.kind.KeyedDrop && b.ledger.repeat(now, a) {
+	if a.request.call.idempotency == balancer.IdempotentByKey && b.kind.KeyedDrop && b.idempotencyStore.joinEarlierExecution(now, a) {
 		return
 	}
-	b.accept(now, a)
+	b.enqueueAttempt(now, a)
 }
 
-func (b *Backend) accept(now eventqueue.Time, a *attempt) {
-	b.advance(now)
-	if len(b.heap) < b.slots {
-		b.begin(now, a)
+func (b *Backend) enqueueAttempt(now eventqueue.Time, a *attempt) {
+	b.advanceService(now)
+	if len(b.active) < b.slots {
+		b.startAttempt(now, a)
 	} else {
-		a.state = waiting
+		a.state = attemptQueued
 		b.queue = append(b.queue, a)
-		b.queued++
+		b.queueLength++
 	}
-	b.change(now)
+	b.handleLoadChange(now)
 }
 
-// begin is the moment from which a request has run.
-func (b *Backend) begin(now eventqueue.Time, a *attempt) {
-	a.state, a.ran = running, true
-	a.req.call.runs++
-	if a.req.call.runs > 1 && a.req.call.effect == balancer.NonIdempotent {
-		b.w.rec.secondRuns++
+// startAttempt is the moment from which a request has run.
+func (b *Backend) startAttempt(now eventqueue.Time, a *attempt) {
+	a.state, a.started = attemptRunning, true
+	a.request.call.executions++
+	if a.request.call.executions > 1 && a.request.call.idempotency == balancer.NonIdempotent {
+		b.simulation.recorder.duplicateExecutions++
 	}
-	if b.w.sc.Fleet.Affinity.Gain > 0 && b.meet(now, a.req.call.Key) {
-		a.work *= 1 - b.w.sc.Fleet.Affinity.Gain
+	if b.simulation.scenario.Fleet.Affinity.Gain > 0 && b.touchKey(now, a.request.call.Key) {
+		a.work *= 1 - b.simulation.scenario.Fleet.Affinity.Gain
 	}
-	b.w.rec.executions++
-	if b.w.ran != nil {
-		b.w.ran(a)
+	b.simulation.recorder.executions++
+	if b.simulation.onExecution != nil {
+		b.simulation.onExecution(a)
 	}
-	a.due = b.attained + a.work
-	heap.Push(&b.heap, a)
+	a.completionService = b.attainedService + a.work
+	heap.Push(&b.active, a)
 }
 
-// meet tells whether the box has lately met the key, and remembers it.
-func (b *Backend) meet(now eventqueue.Time, key uint64) bool {
+// touchKey tells whether the box has lately met the key, and remembers it.
+func (b *Backend) touchKey(now eventqueue.Time, key uint64) bool {
 	if key == 0 {
 		return false
 	}
-	f := &b.w.sc.Fleet.Affinity
-	most := max(1, int(f.KeysPerCore*float64(b.kind.Cores)))
+	affinity := &b.simulation.scenario.Fleet.Affinity
+	limit := max(1, int(affinity.KeysPerCore*float64(b.kind.Cores)))
 	oldest := -1
-	for i := range b.keys {
-		if b.keys[i].key == key {
-			known := now-b.keys[i].at < us(f.Millis)
-			b.keys[i].at = now
-			return known
+	for i := range b.cachedKeys {
+		if b.cachedKeys[i].key == key {
+			cached := now-b.cachedKeys[i].lastUsed < fromMilliseconds(affinity.Millis)
+			b.cachedKeys[i].lastUsed = now
+			return cached
 		}
-		if oldest < 0 || b.keys[i].at < b.keys[oldest].at {
+		if oldest < 0 || b.cachedKeys[i].lastUsed < b.cachedKeys[oldest].lastUsed {
 			oldest = i
 		}
 	}
-	if len(b.keys) < most {
-		b.keys = append(b.keys, metKey{key, now})
+	if len(b.cachedKeys) < limit {
+		b.cachedKeys = append(b.cachedKeys, cachedKey{key, now})
 	} else {
-		b.keys[oldest] = metKey{key, now}
+		b.cachedKeys[oldest] = cachedKey{key, now}
 	}
 	return false
 }
 
-func (b *Backend) complete(now eventqueue.Time) {
-	b.advance(now)
+func (b *Backend) completeAttempts(now eventqueue.Time) {
+	b.advanceService(now)
 	const crumb = 1e-6 // of a µs of work: what rounding may leave
-	for len(b.heap) > 0 && b.heap[0].due <= b.attained+crumb {
-		a := heap.Pop(&b.heap).(*attempt)
-		a.state = over
-		b.w.rec.work(a)
+	for len(b.active) > 0 && b.active[0].completionService <= b.attainedService+crumb {
+		a := heap.Pop(&b.active).(*attempt)
+		a.state = attemptFinished
+		b.simulation.recorder.recordWork(a)
 		out := balancer.OutcomeOK
-		if b.resets > 0 || b.garbage > 0 || b.w.sc.Net.Reset > 0 {
-			d := eventqueue.NewDraws(b.w.seed, uint64(a.req.id)<<8|uint64(a.no), drawReset)
-			if d.Float64() < max(b.resets, b.w.sc.Net.Reset) {
+		if b.resetRate > 0 || b.garbageRate > 0 || b.simulation.scenario.Net.Reset > 0 {
+			d := eventqueue.NewDraws(b.simulation.seed, uint64(a.request.id)<<8|uint64(a.number), drawReset)
+			if d.Float64() < max(b.resetRate, b.simulation.scenario.Net.Reset) {
 				out = balancer.OutcomeReset
-			} else if d.Float64() < b.garbage { // what a node makes of an answer that it cannot read
+			} else if d.Float64() < b.garbageRate { // what a node makes of an answer that it cannot read
 				out = balancer.OutcomeServerError
 			}
 		}
 		a.reply(now, out)
-		if a.req.call.effect == balancer.IdempotentByKey && b.kind.KeyedDrop {
-			b.ledger.finished(now, a)
+		if a.request.call.idempotency == balancer.IdempotentByKey && b.kind.KeyedDrop {
+			b.idempotencyStore.completeExecution(now, a)
 		}
 	}
-	b.promote(now)
+	b.startQueuedAttempts(now)
 }
 
-// promote lets those who wait into free slots.
-func (b *Backend) promote(now eventqueue.Time) {
-	b.advance(now)
-	for len(b.heap) < b.slots && len(b.queue) > 0 {
+// startQueuedAttempts lets those who wait into free slots.
+func (b *Backend) startQueuedAttempts(now eventqueue.Time) {
+	b.advanceService(now)
+	for len(b.active) < b.slots && len(b.queue) > 0 {
 		a := b.queue[0]
 		b.queue[0] = nil
 		b.queue = b.queue[1:]
-		if a.state != waiting {
+		if a.state != attemptQueued {
 			continue
 		}
-		b.queued--
-		if b.kind.DropExpired && now >= a.req.deadline {
-			b.never(now, a, balancer.OutcomeRejected)
+		b.queueLength--
+		if b.kind.DropExpired && now >= a.request.deadline {
+			b.finishUnstarted(now, a, balancer.OutcomeRejected)
 			continue
 		}
-		b.begin(now, a)
+		b.startAttempt(now, a)
 	}
-	b.change(now)
+	b.handleLoadChange(now)
 }
 
-// drop takes an attempt that waits out of the queue, where its place stays until its turn.
-func (b *Backend) drop(a *attempt) {
-	b.queued--
-	b.never(b.w.sim.Now(), a, 0)
+// cancelQueuedAttempt takes an attempt that waits out of the queue, where its place stays until its turn.
+func (b *Backend) cancelQueuedAttempt(a *attempt) {
+	b.queueLength--
+	b.finishUnstarted(b.simulation.events.Now(), a, 0)
 }
 
-// never is the end of an attempt that did not run and will not; repeats that waited for it take its place.
-func (b *Backend) never(now eventqueue.Time, a *attempt, out balancer.Outcome) {
-	a.state = over
+// finishUnstarted is the end of an attempt that did not run and will not; repeats that waited for it take its place.
+func (b *Backend) finishUnstarted(now eventqueue.Time, a *attempt, out balancer.Outcome) {
+	a.state = attemptFinished
 	if out != 0 {
 		a.reply(now, out)
 	}
-	if a.req.call.effect == balancer.IdempotentByKey && b.kind.KeyedDrop {
-		b.ledger.dropped(now, a)
+	if a.request.call.idempotency == balancer.IdempotentByKey && b.kind.KeyedDrop {
+		b.idempotencyStore.restartFromWaiters(now, a)
 	}
 }
 
-// die ends the process: what it held is gone, and connections are reset unless the machine has vanished with it.
-func (b *Backend) die(now eventqueue.Time, silent bool) {
-	if !b.up {
-		b.silent = b.silent || silent
+// stopProcess ends the process: what it held is gone, and connections are reset unless the machine has vanished with it.
+func (b *Backend) stopProcess(now eventqueue.Time, unreachable bool) {
+	if !b.running {
+		b.unreachable = b.unreachable || unreachable
 		return
 	}
-	b.advance(now)
-	b.up, b.silent, b.draining = false, silent, false
-	held := append([]*attempt(b.heap), b.queue...)
-	b.heap, b.queue, b.queued = nil, nil, 0
-	b.keys = nil
-	b.overdriven, b.crowdedSince, b.restedSince = false, 0, 0
-	b.change(now)
-	b.w.judge.Warm(b.id)
-	for _, a := range held {
-		if a.state != running && a.state != waiting {
+	b.advanceService(now)
+	b.running, b.unreachable, b.draining = false, unreachable, false
+	interrupted := append([]*attempt(b.active), b.queue...)
+	b.active, b.queue, b.queueLength = nil, nil, 0
+	b.cachedKeys = nil
+	b.overloaded, b.longQueueSince, b.lowLoadSince = false, 0, 0
+	b.handleLoadChange(now)
+	b.simulation.checker.Warm(b.id)
+	for _, a := range interrupted {
+		if a.state != attemptRunning && a.state != attemptQueued {
 			continue
 		}
-		if a.state == running {
-			b.w.rec.lostWork(a, b.attained)
+		if a.state == attemptRunning {
+			b.simulation.recorder.recordLostWork(a, b.attainedService)
 		}
-		a.state = over
-		if silent {
-			a.lose(b.w)
+		a.state = attemptFinished
+		if unreachable {
+			a.loseMessage(b.simulation)
 		} else {
 			a.reply(now, balancer.OutcomeReset)
 		}
-		if a.req.call.effect == balancer.IdempotentByKey && b.kind.KeyedDrop {
-			b.ledger.died(now, a)
+		if a.request.call.idempotency == balancer.IdempotentByKey && b.kind.KeyedDrop {
+			b.idempotencyStore.abortExecution(now, a)
 		}
 	}
 }
 
-// start begins a new process, cold.
-func (b *Backend) start(now eventqueue.Time) {
-	b.life = &boxLife{started: now}
-	b.up, b.silent, b.draining = true, false, false
-	b.at, b.busyAt, b.busy = now, now, 0
-	b.visible = unknown
-	b.w.sim.After(&b.src, warmStep, eventqueue.Event{To: b, Kind: boxTick, P: b.life})
-	b.change(now)
+// startProcess begins a new process, cold.
+func (b *Backend) startProcess(now eventqueue.Time) {
+	b.incarnation = &backendIncarnation{startedAt: now}
+	b.running, b.unreachable, b.draining = true, false, false
+	b.updatedAt, b.busyMeasuredAt, b.busyTime = now, now, 0
+	b.visibleReport = unknownReport
+	b.simulation.events.After(&b.source, slowStartStep, eventqueue.Event{To: b, Kind: backendWarmUpTick, P: b.incarnation})
+	b.handleLoadChange(now)
 }
 
-// refresh measures the load report, which becomes visible some time later.
-func (b *Backend) refresh(now eventqueue.Time) {
-	r := &b.w.sc.Fleet.Report
-	b.advance(now)
-	noise := func(x float64) float64 { return max(0, x*(1+r.Noise*b.rand.NormFloat64())) }
-	b.next = unknown
-	if d := float64(now - b.busyAt); d > 0 {
-		b.next.Utilization = min(noise(b.busy/d/float64(b.kind.Cores)), 1)
-		b.next.Backlog = math.Round(noise(float64(b.queued)))
+// measureReport measures the load report, which becomes visible some time later.
+func (b *Backend) measureReport(now eventqueue.Time) {
+	r := &b.simulation.scenario.Fleet.Report
+	b.advanceService(now)
+	noise := func(x float64) float64 { return max(0, x*(1+r.Noise*b.random.NormFloat64())) }
+	b.nextReport = unknownReport
+	if d := float64(now - b.busyMeasuredAt); d > 0 {
+		b.nextReport.Utilization = min(noise(b.busyTime/d/float64(b.kind.Cores)), 1)
+		b.nextReport.Backlog = math.Round(noise(float64(b.queueLength)))
 		if r.Includes("held") {
-			b.next.Outstanding = math.Round(noise(float64(b.InFlight())))
+			b.nextReport.Outstanding = math.Round(noise(float64(b.InFlight())))
 		}
-		b.next = r.LoadReport(b.next)
+		b.nextReport = r.LoadReport(b.nextReport)
 	}
-	b.busy, b.busyAt = 0, now
-	b.w.sim.After(&b.src, us(r.Delay), eventqueue.Event{To: b, Kind: boxPublish})
-	b.w.sim.After(&b.src, eventqueue.Span(float64(us(r.Every))*(0.9+0.2*b.rand.Float64())), eventqueue.Event{To: b, Kind: boxRefresh})
+	b.busyTime, b.busyMeasuredAt = 0, now
+	b.simulation.events.After(&b.source, fromMilliseconds(r.Delay), eventqueue.Event{To: b, Kind: backendReportPublished})
+	b.simulation.events.After(&b.source, eventqueue.Span(float64(fromMilliseconds(r.Every))*(0.9+0.2*b.random.Float64())), eventqueue.Event{To: b, Kind: backendReportMeasured})
 }
 
 // reply sends an answer or a reset back to the node.
 func (a *attempt) reply(now eventqueue.Time, out balancer.Outcome) {
-	a.state = over
-	n, b := a.req.node, a.box
-	if b.w.parted(n.site, b.site) {
-		a.lose(b.w)
+	a.state = attemptFinished
+	n, b := a.request.node, a.backend
+	if b.simulation.partitioned(n.site, b.site) {
+		a.loseMessage(b.simulation)
 		return
 	}
-	if a.report = unknown; b.w.sc.Fleet.Report.By == "answers" {
-		a.report = b.visible
+	if a.report = unknownReport; b.simulation.scenario.Fleet.Report.By == "answers" {
+		a.report = b.visibleReport
 	}
-	b.w.sim.After(&b.src, b.w.delay(&b.rand, b.site, n.site), eventqueue.Event{To: a.req.to, Kind: nodeReply, P: a, A: int64(out)})
+	b.simulation.events.After(&b.source, b.simulation.delay(&b.random, b.site, n.site), eventqueue.Event{To: a.request.replyTo, Kind: nodeReply, P: a, A: int64(out)})
 }
 
-// lose is a request or an answer that a cut has swallowed: nothing is heard until the link is back.
-func (a *attempt) lose(w *Simulation) {
+// loseMessage is a request or an answer that a cut has swallowed: nothing is heard until the link is back.
+func (a *attempt) loseMessage(simulation *Simulation) {
 	a.lost = true
-	if a.open {
-		w.swallowed = append(w.swallowed, a)
+	if a.awaited {
+		simulation.lostAttempts = append(simulation.lostAttempts, a)
 	}
 }
 
-// ledger is the memory of keys that the boxes of a rack share: a repeat within the window does not run again.
-type ledger struct {
-	w       *Simulation
-	runs    map[uint64]*keyedRun
-	inOrder []*keyedRun
+// idempotencyStore is the memory of keys that the boxes of a rack share: a repeat within the window does not run again.
+type idempotencyStore struct {
+	simulation *Simulation
+	executions map[uint64]*keyedExecution
+	inOrder    []*keyedExecution
 }
 
-type keyedRun struct {
-	key     uint64 // of the call
-	at      eventqueue.Time
-	window  eventqueue.Span
-	first   *attempt // nil: it has run
-	waiters []*attempt
+type keyedExecution struct {
+	key       uint64 // of the call
+	startedAt eventqueue.Time
+	window    eventqueue.Span
+	first     *attempt // nil: it has run
+	waiters   []*attempt
 }
 
-// repeat tells whether the attempt repeats one that the rack knows; if not, it is the first from now on.
-func (l *ledger) repeat(now eventqueue.Time, a *attempt) bool {
-	for len(l.inOrder) > 0 && now-l.inOrder[0].at > l.inOrder[0].window {
-		if r := l.inOrder[0]; l.runs[r.key] == r && r.first == nil {
-			delete(l.runs, r.key)
+// joinEarlierExecution tells whether the attempt repeats one that the rack knows; if not, it is the first from now on.
+func (l *idempotencyStore) joinEarlierExecution(now eventqueue.Time, a *attempt) bool {
+	for len(l.inOrder) > 0 && now-l.inOrder[0].startedAt > l.inOrder[0].window {
+		if execution := l.inOrder[0]; l.executions[execution.key] == execution && execution.first == nil {
+			delete(l.executions, execution.key)
 		}
 		l.inOrder[0] = nil
 		l.inOrder = l.inOrder[1:]
 	}
-	key, window := a.req.call.Number, l.w.classes[a.req.call.Class].IdempotencyWindow
-	if r := l.runs[key]; r != nil && now-r.at <= window {
-		if r.first == nil {
+	key, window := a.request.call.Number, l.simulation.classes[a.request.call.Class].IdempotencyWindow
+	if execution := l.executions[key]; execution != nil && now-execution.startedAt <= window {
+		if execution.first == nil {
 			a.reply(now, balancer.OutcomeOK)
 		} else {
-			a.state = joined
-			r.waiters = append(r.waiters, a)
+			a.state = attemptJoined
+			execution.waiters = append(execution.waiters, a)
 		}
 		return true
 	}
-	r := &keyedRun{key: key, at: now, window: window, first: a}
-	l.runs[key] = r
-	l.inOrder = append(l.inOrder, r)
+	execution := &keyedExecution{key: key, startedAt: now, window: window, first: a}
+	l.executions[key] = execution
+	l.inOrder = append(l.inOrder, execution)
 	return false
 }
 
-func (l *ledger) finished(now eventqueue.Time, a *attempt) {
-	if r := l.runs[a.req.call.Number]; r != nil && r.first == a {
+func (l *idempotencyStore) completeExecution(now eventqueue.Time, a *attempt) {
+	if r := l.executions[a.request.call.Number]; r != nil && r.first == a {
 		r.first = nil
 		for _, x := range r.waiters {
-			if x.box.up && x.life == x.box.life {
+			if x.backend.running && x.incarnation == x.backend.incarnation {
 				x.reply(now, balancer.OutcomeOK)
 			} else {
 				x.reply(now, balancer.OutcomeReset)
@@ -567,28 +567,28 @@
 	}
 }
 
-// died is a first run that was lost halfway: a later repeat runs anew, those that wait for it are reset.
-func (l *ledger) died(now eventqueue.Time, a *attempt) {
-	if r := l.runs[a.req.call.Number]; r != nil && r.first == a {
-		delete(l.runs, r.key)
+// abortExecution is a first run that was lost halfway: a later repeat runs anew, those that wait for it are reset.
+func (l *idempotencyStore) abortExecution(now eventqueue.Time, a *attempt) {
+	if r := l.executions[a.request.call.Number]; r != nil && r.first == a {
+		delete(l.executions, r.key)
 		for _, x := range r.waiters {
 			x.reply(now, balancer.OutcomeReset)
 		}
 	}
 }
 
-// dropped is a first that never ran: a repeat that waited for it runs in its place.
-func (l *ledger) dropped(now eventqueue.Time, a *attempt) {
-	r := l.runs[a.req.call.Number]
+// restartFromWaiters is a first that never ran: a repeat that waited for it runs in its place.
+func (l *idempotencyStore) restartFromWaiters(now eventqueue.Time, a *attempt) {
+	r := l.executions[a.request.call.Number]
 	if r == nil || r.first != a {
 		return
 	}
-	delete(l.runs, r.key)
+	delete(l.executions, r.key)
 	for _, x := range r.waiters {
-		if !x.box.up || x.life != x.box.life {
+		if !x.backend.running || x.incarnation != x.backend.incarnation {
 			x.reply(now, balancer.OutcomeReset)
-		} else if !l.repeat(now, x) {
-			x.box.accept(now, x)
+		} else if !l.joinEarlierExecution(now, x) {
+			x.backend.enqueueAttempt(now, x)
 		}
 	}
 }
--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -12,132 +12,132 @@
 
 // What the clients' events mean.
 const (
-	clientNext            = iota // the next call is due
-	clientAnswer                 // P: the request; A: when to come back, µs. This and the next two are in judge's order
-	clientRefused                //
-	clientFailed                 //
-	clientTimeout                // P: the request, whose try is given up
-	clientRefusedByNobody        // P: the request: its node does not run, so it never ran
-	clientBroken                 // P: the request: its node died with it
-	clientAgain                  // P: the call, whose next try is due
-	clientLeaves                 // P: the request, whose client does not wait to the end
+	clientCallDue          = iota // the next call is due
+	clientAnswered                // P: the request; A: when to come back, µs. This and the next two are in judge's order
+	clientRejected                //
+	clientFailed                  //
+	clientTimedOut                // P: the request, whose try is given up
+	clientNodeUnreachable         // P: the request: its node does not run, so it never ran
+	clientConnectionBroken        // P: the request: its node died with it
+	clientRetryDue                // P: the call, whose next try is due
+	clientCancels                 // P: the request, whose client does not wait to the end
 )
 
 // call is a call in the lab: what the client wants, and how far it has got.
 type call struct {
 	workload.Call
-	effect   balancer.Idempotency
-	overOwn  bool // beyond its tenant's share
-	counted  bool // after the warm-up
-	ended    bool
-	due      eventqueue.Time
-	deadline eventqueue.Time
-	tries    int
-	runs     int
-	current  *request
+	idempotency    balancer.Idempotency
+	overQuota      bool // beyond its tenant's share
+	measured       bool // after the warm-up
+	finished       bool
+	dueAt          eventqueue.Time
+	deadline       eventqueue.Time
+	requestCount   int
+	executions     int
+	currentRequest *request
 }
 
-// crowd is all clients. Calls arrive by a schedule that does not wait for answers.
-type crowd struct {
-	w      *Simulation
-	src    eventqueue.Source
-	rand   eventqueue.Stream
-	calls  uint64
-	ids    balancer.RequestID
-	plan   *workload.Schedule
-	retry  *workload.Retry
-	next   workload.Call
-	only   map[int]bool
-	second int64     // in which left holds
-	left   []float64 // of each tenant's quota in that second
+// clientPopulation is all clients. Calls arrive by a schedule that does not wait for answers.
+type clientPopulation struct {
+	simulation      *Simulation
+	source          eventqueue.Source
+	random          eventqueue.Stream
+	callCount       uint64
+	lastRequestID   balancer.RequestID
+	arrivals        *workload.Schedule
+	retryPolicy     *workload.Retry
+	nextCall        workload.Call
+	onlyCalls       map[int]bool
+	quotaSecond     int64     // in which left holds
+	remainingQuotas []float64 // of each tenant's quota in that second
 }
 
-func (w *Simulation) newCrowd() (*crowd, error) {
-	c := &crowd{w: w, src: eventqueue.NewSource(sourceCrowd), rand: eventqueue.NewStream(w.seed, "clients"), second: -1,
-		retry: workload.NewRetry(w.sc, w.seed)}
-	if len(w.sc.OnlyCalls) > 0 {
-		c.only = map[int]bool{}
-		for _, n := range w.sc.OnlyCalls {
-			c.only[n] = true
+func (s *Simulation) newClients() (*clientPopulation, error) {
+	c := &clientPopulation{simulation: s, source: eventqueue.NewSource(sourceClients), random: eventqueue.NewStream(s.seed, "clients"), quotaSecond: -1,
+		retryPolicy: workload.NewRetry(s.scenario, s.seed)}
+	if len(s.scenario.OnlyCalls) > 0 {
+		c.onlyCalls = map[int]bool{}
+		for _, n := range s.scenario.OnlyCalls {
+			c.onlyCalls[n] = true
 		}
 	}
 	var err error
-	if c.plan, err = workload.NewSchedule(w.sc, w.seed, w.capacity, w.faults); err != nil {
+	if c.arrivals, err = workload.NewSchedule(s.scenario, s.seed, s.capacity, s.faults); err != nil {
 		return nil, err
 	}
-	return c, c.schedule()
+	return c, c.scheduleNextCall()
 }
 
-// schedule sets the next call.
-func (c *crowd) schedule() error {
+// scheduleNextCall sets the next call.
+func (p *clientPopulation) scheduleNextCall() error {
 	var err error
-	if c.next, err = c.plan.Next(); errors.Is(err, io.EOF) {
+	if p.nextCall, err = p.arrivals.Next(); errors.Is(err, io.EOF) {
 		return nil
 	} else if err != nil {
 		return err
 	}
-	c.w.sim.At(&c.src, origin+c.next.At, eventqueue.Event{To: c, Kind: clientNext})
+	p.simulation.events.At(&p.source, origin+p.nextCall.At, eventqueue.Event{To: p, Kind: clientCallDue})
 	return nil
 }
 
 // Handle takes the clients' events.
-func (c *crowd) Handle(now eventqueue.Time, e eventqueue.Event) {
+func (p *clientPopulation) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
-	case clientNext:
-		k := &call{Call: c.next, due: now}
-		if err := c.schedule(); err != nil {
+	case clientCallDue:
+		c := &call{Call: p.nextCall, dueAt: now}
+		if err := p.scheduleNextCall(); err != nil {
 			panic(err) // a trace whose later lines are wrong
 		}
-		c.arrive(now, k)
-	case clientAgain:
-		c.send(now, e.P.(*call))
-	case clientLeaves:
-		if r := e.P.(*request); r.call.current == r && !r.call.ended {
-			c.w.sim.After(&c.src, c.w.clientDelay(&c.rand, r.call.Site, r.node.site), eventqueue.Event{To: r.node, Kind: nodeLeft, P: r})
-			c.finish(now, r.call, outcomeGone)
+		p.startCall(now, c)
+	case clientRetryDue:
+		p.sendRequest(now, e.P.(*call))
+	case clientCancels:
+		if r := e.P.(*request); r.call.currentRequest == r && !r.call.finished {
+			p.simulation.events.After(&p.source, p.simulation.clientDelay(&p.random, r.call.Site, r.node.site), eventqueue.Event{To: r.node, Kind: nodeClientCanceled, P: r})
+			p.finishCall(now, r.call, outcomeCanceled)
 		}
 	default:
-		if r := e.P.(*request); r.call.current == r && !r.call.ended {
-			c.answered(now, r, e.Kind, e.A)
+		if r := e.P.(*request); r.call.currentRequest == r && !r.call.finished {
+			p.handleRequestEnd(now, r, e.Kind, e.A)
 		}
 	}
 }
 
-func (c *crowd) arrive(now eventqueue.Time, k *call) {
-	s := c.w.sc
-	c.calls++
-	if c.only != nil && !c.only[int(k.Number)] {
+func (p *clientPopulation) startCall(now eventqueue.Time, c *call) {
+	s := p.simulation.scenario
+	p.callCount++
+	if p.onlyCalls != nil && !p.onlyCalls[int(c.Number)] {
 		return
 	}
-	class := &s.Classes[k.Class]
-	k.effect = c.w.classes[k.Class].Idempotency
-	k.deadline = now + us(class.Deadline)
-	k.counted = now >= origin+eventqueue.Span(s.WarmUp*1e6)
-	if sec := now / eventqueue.Second; sec != c.second {
-		c.second = sec
-		c.left = append(c.left[:0], c.w.quota...)
+	class := &s.Classes[c.Class]
+	c.idempotency = p.simulation.classes[c.Class].Idempotency
+	c.deadline = now + fromMilliseconds(class.Deadline)
+	c.measured = now >= origin+eventqueue.Span(s.WarmUp*1e6)
+	if sec := now / eventqueue.Second; sec != p.quotaSecond {
+		p.quotaSecond = sec
+		p.remainingQuotas = append(p.remainingQuotas[:0], p.simulation.quotas...)
 	}
-	c.left[k.Tenant]--
-	k.overOwn = c.left[k.Tenant] < 0
-	c.w.rec.asked(k)
-	c.send(now, k)
+	p.remainingQuotas[c.Tenant]--
+	c.overQuota = p.remainingQuotas[c.Tenant] < 0
+	p.simulation.recorder.recordCall(c)
+	p.sendRequest(now, c)
 }
 
-// send makes the next try, through the front of the client's site.
-func (c *crowd) send(now eventqueue.Time, k *call) {
-	c.ids++
-	r := &request{id: c.ids, call: k, try: k.tries}
-	k.tries++
-	k.current = r
-	d := eventqueue.NewDraws(c.w.seed, k.Number<<8|uint64(r.try), drawTry)
-	r.deadline = now + c.retry.Timeout(&k.Call, now-k.due)
-	r.node = c.w.front(k.Site, d.Float64(), d.Float64())
-	r.to = r.node
-	c.w.sim.After(&c.src, c.w.clientDelay(&c.rand, k.Site, r.node.site), eventqueue.Event{To: r.node, Kind: nodeRequest, P: r})
-	c.w.sim.At(&c.src, r.deadline, eventqueue.Event{To: c, Kind: clientTimeout, P: r})
-	if d.Float64() < c.w.sc.Clients.Impatient {
-		leaves := now + eventqueue.Span(d.Float64()*float64(r.deadline-now))
-		c.w.sim.At(&c.src, leaves, eventqueue.Event{To: c, Kind: clientLeaves, P: r})
+// sendRequest makes the next try, through the front of the client's site.
+func (p *clientPopulation) sendRequest(now eventqueue.Time, c *call) {
+	p.lastRequestID++
+	r := &request{id: p.lastRequestID, call: c, number: c.requestCount}
+	c.requestCount++
+	c.currentRequest = r
+	d := eventqueue.NewDraws(p.simulation.seed, c.Number<<8|uint64(r.number), drawRequest)
+	r.deadline = now + p.retryPolicy.Timeout(&c.Call, now-c.dueAt)
+	r.node = p.simulation.selectNode(c.Site, d.Float64(), d.Float64())
+	r.replyTo = r.node
+	p.simulation.events.After(&p.source, p.simulation.clientDelay(&p.random, c.Site, r.node.site), eventqueue.Event{To: r.node, Kind: nodeRequest, P: r})
+	p.simulation.events.At(&p.source, r.deadline, eventqueue.Event{To: p, Kind: clientTimedOut, P: r})
+	if d.Float64() < p.simulation.scenario.Clients.Impatient {
+		cancelAt := now + eventqueue.Span(d.Float64()*float64(r.deadline-now))
+		p.simulation.events.At(&p.source, cancelAt, eventqueue.Event{To: p, Kind: clientCancels, P: r})
 	}
 }
 
@@ -145,43 +145,43 @@
 const (
 	outcomeServed = iota
 	outcomeLate   // served after the aim
-	outcomeRefused
+	outcomeRejected
 	outcomeFailed
 	outcomeTimedOut
-	outcomeGone
-	outcomes
+	outcomeCanceled
+	outcomeCount
 )
 
-var outcomeNames = [outcomes]string{"served", "late", "refused", "failed", "timed-out", "left"}
+var outcomeNames = [outcomeCount]string{"served", "late", "refused", "failed", "timed-out", "left"}
 
-func (c *crowd) answered(now eventqueue.Time, r *request, kind uint8, retryIn eventqueue.Span) {
-	k, s := r.call, c.w.sc
-	how, end := workload.Failed, outcomeFailed
+func (p *clientPopulation) handleRequestEnd(now eventqueue.Time, r *request, kind uint8, retryIn eventqueue.Span) {
+	c, s := r.call, p.simulation.scenario
+	clientOutcome, callOutcome := workload.Failed, outcomeFailed
 	switch kind {
-	case clientAnswer + uint8(invariant.Served):
-		end = outcomeLate
-		if now-k.due <= us(s.Classes[k.Class].LatencyObjective) {
-			end = outcomeServed
+	case clientAnswered + uint8(invariant.Served):
+		callOutcome = outcomeLate
+		if now-c.dueAt <= fromMilliseconds(s.Classes[c.Class].LatencyObjective) {
+			callOutcome = outcomeServed
 		}
-		c.finish(now, k, end)
+		p.finishCall(now, c, callOutcome)
 		return
-	case clientRefused:
-		how, end = workload.Rejected, outcomeRefused
-	case clientRefusedByNobody:
-		how, end = workload.Unreachable, outcomeRefused
-	case clientTimeout:
-		how, end = workload.Timeout, outcomeTimedOut
+	case clientRejected:
+		clientOutcome, callOutcome = workload.Rejected, outcomeRejected
+	case clientNodeUnreachable:
+		clientOutcome, callOutcome = workload.Unreachable, outcomeRejected
+	case clientTimedOut:
+		clientOutcome, callOutcome = workload.Timeout, outcomeTimedOut
 	}
-	wait, again := c.retry.Next(&k.Call, how, k.tries, now-k.due, retryIn)
-	if !again {
-		c.finish(now, k, end)
+	wait, shouldRetry := p.retryPolicy.Next(&c.Call, clientOutcome, c.requestCount, now-c.dueAt, retryIn)
+	if !shouldRetry {
+		p.finishCall(now, c, callOutcome)
 		return
 	}
-	k.current = nil
-	c.w.sim.After(&c.src, wait, eventqueue.Event{To: c, Kind: clientAgain, P: k})
+	c.currentRequest = nil
+	p.simulation.events.After(&p.source, wait, eventqueue.Event{To: p, Kind: clientRetryDue, P: c})
 }
 
-func (c *crowd) finish(now eventqueue.Time, k *call, how int) {
-	k.ended, k.current = true, nil
-	c.w.rec.ended(k, how, now)
+func (p *clientPopulation) finishCall(now eventqueue.Time, c *call, how int) {
+	c.finished, c.currentRequest = true, nil
+	p.simulation.recorder.recordCallEnd(c, how, now)
 }
--- a/internal/simulation/emulator/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -7,239 +7,239 @@
 
 // What discovery's events mean.
 const (
-	discChanged = iota // P: the change, as discovery notices it
-	discServe          // P: the call, whose turn has come
-	discNotify         // P: the node whose watch has something to tell
+	discoveryChangeDetected = iota // P: the change, as discovery notices it
+	discoveryCallServed            // P: the call, whose turn has come
+	discoveryWatchNotified         // P: the node whose watch has something to tell
 )
 
-// change is one line of the list, in the order in which discovery learned it.
-type change struct {
-	host balancer.Endpoint
-	at   eventqueue.Time
+// listChange is one line of the list, in the order in which discovery learned it.
+type listChange struct {
+	endpoint  balancer.Endpoint
+	learnedAt eventqueue.Time
 }
 
-type listCall struct {
-	node *Node
-	life *nodeLife
-	full bool
-	ok   bool
+type discoveryCall struct {
+	node        *Node
+	incarnation *nodeIncarnation
+	full        bool
+	accepted    bool
 }
 
-// news is what a node is told.
-type news struct {
-	life    *nodeLife
-	kind    balancer.ListKind
-	list    []balancer.Endpoint
-	version int
-	watch   bool
+// listMessage is what a node is told.
+type listMessage struct {
+	incarnation *nodeIncarnation
+	kind        balancer.ListKind
+	endpoints   []balancer.Endpoint
+	revision    int
+	fromWatch   bool
 }
 
 // discovery is the one service that knows the boxes: late, asked, with a queue of calls, and at times down. A version
 // is the number of changes so far.
 type discovery struct {
-	w       *Simulation
-	src     eventqueue.Source
-	rand    eventqueue.Stream
-	log     []change
-	free    eventqueue.Time // when it is done with the calls that it has
-	down    int
-	whole   []balancer.Endpoint // as of wholeAt, shared by all who are told it
-	wholeAt int
+	simulation       *Simulation
+	source           eventqueue.Source
+	random           eventqueue.Stream
+	changes          []listChange
+	busyUntil        eventqueue.Time // when it is done with the calls that it has
+	outages          int
+	fullList         []balancer.Endpoint // as of wholeAt, shared by all who are told it
+	fullListRevision int
 }
 
-func (d *discovery) version() int { return len(d.log) }
+func (d *discovery) revision() int { return len(d.changes) }
 
-// noticed sets the moment at which discovery learns of a change.
-func (d *discovery) noticed(after eventqueue.Span, h balancer.Endpoint) {
-	d.w.sim.After(&d.src, after, eventqueue.Event{To: d, Kind: discChanged, P: &change{host: h}})
+// scheduleChange sets the moment at which discovery learns of a change.
+func (d *discovery) scheduleChange(after eventqueue.Span, endpoint balancer.Endpoint) {
+	d.simulation.events.After(&d.source, after, eventqueue.Event{To: d, Kind: discoveryChangeDetected, P: &listChange{endpoint: endpoint}})
 }
 
 // Handle takes discovery's events.
 func (d *discovery) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
-	case discChanged:
-		c := e.P.(*change)
-		d.add(now, c.host)
-	case discServe:
-		d.serve(now, e.P.(*listCall))
-	case discNotify:
+	case discoveryChangeDetected:
+		c := e.P.(*listChange)
+		d.appendChange(now, c.endpoint)
+	case discoveryCallServed:
+		d.serveCall(now, e.P.(*discoveryCall))
+	case discoveryWatchNotified:
 		n := e.P.(*Node)
-		n.notifying = false
-		if n.watching && d.down == 0 && n.version < d.version() {
-			d.send(n, &news{life: n.life, kind: balancer.ListDelta, list: d.between(n.version, d.version()), version: d.version(), watch: true}, 0)
+		n.notificationScheduled = false
+		if n.watching && d.outages == 0 && n.listRevision < d.revision() {
+			d.sendMessage(n, &listMessage{incarnation: n.incarnation, kind: balancer.ListDelta, endpoints: d.changesBetween(n.listRevision, d.revision()), revision: d.revision(), fromWatch: true}, 0)
 		}
 	}
 }
 
-func (d *discovery) add(now eventqueue.Time, h balancer.Endpoint) {
-	d.log = append(d.log, change{h, now})
-	for _, n := range d.w.nodes {
-		d.notify(n)
+func (d *discovery) appendChange(now eventqueue.Time, endpoint balancer.Endpoint) {
+	d.changes = append(d.changes, listChange{endpoint, now})
+	for _, n := range d.simulation.nodes {
+		d.scheduleNotification(n)
 	}
 }
 
-func (d *discovery) notify(n *Node) {
-	if n.watching && !n.notifying && d.down == 0 {
-		n.notifying = true
-		d.w.sim.After(&d.src, us(between(d.w.sc.Discovery.Spread, d.rand.Float64())), eventqueue.Event{To: d, Kind: discNotify, P: n})
+func (d *discovery) scheduleNotification(n *Node) {
+	if n.watching && !n.notificationScheduled && d.outages == 0 {
+		n.notificationScheduled = true
+		d.simulation.events.After(&d.source, fromMilliseconds(interpolate(d.simulation.scenario.Discovery.Spread, d.random.Float64())), eventqueue.Event{To: d, Kind: discoveryWatchNotified, P: n})
 	}
 }
 
-// between are the latest lines of those that changed after one version and up to another.
-func (d *discovery) between(from, to int) []balancer.Endpoint {
-	at := map[balancer.EndpointID]int{}
+// changesBetween are the latest lines of those that changed after one version and up to another.
+func (d *discovery) changesBetween(from, to int) []balancer.Endpoint {
+	indexByID := map[balancer.EndpointID]int{}
 	var list []balancer.Endpoint
-	for _, c := range d.log[from:to] {
-		if i, ok := at[c.host.ID]; ok {
-			list[i] = c.host
+	for _, c := range d.changes[from:to] {
+		if i, ok := indexByID[c.endpoint.ID]; ok {
+			list[i] = c.endpoint
 			continue
 		}
-		at[c.host.ID] = len(list)
-		list = append(list, c.host)
+		indexByID[c.endpoint.ID] = len(list)
+		list = append(list, c.endpoint)
 	}
 	return list
 }
 
-// listAt is the whole list as of a version.
-func (d *discovery) listAt(version int) []balancer.Endpoint {
-	if d.whole != nil && d.wholeAt == version {
-		return d.whole
+// fullListAt is the whole list as of a version.
+func (d *discovery) fullListAt(version int) []balancer.Endpoint {
+	if d.fullList != nil && d.fullListRevision == version {
+		return d.fullList
 	}
-	at := map[balancer.EndpointID]int{}
+	indexByID := map[balancer.EndpointID]int{}
 	var all, list []balancer.Endpoint
-	for _, c := range d.log[:version] {
-		if i, ok := at[c.host.ID]; ok {
-			all[i] = c.host
+	for _, c := range d.changes[:version] {
+		if i, ok := indexByID[c.endpoint.ID]; ok {
+			all[i] = c.endpoint
 			continue
 		}
-		at[c.host.ID] = len(all)
-		all = append(all, c.host)
+		indexByID[c.endpoint.ID] = len(all)
+		all = append(all, c.endpoint)
 	}
-	for _, h := range all {
-		if h.Phase != balancer.PhaseRemoved {
-			list = append(list, h)
+	for _, endpoint := range all {
+		if endpoint.Phase != balancer.PhaseRemoved {
+			list = append(list, endpoint)
 		}
 	}
-	d.whole, d.wholeAt = list, version
+	d.fullList, d.fullListRevision = list, version
 	return list
 }
 
-// ask queues a call. One that would wait too long, or finds discovery down, fails.
-func (d *discovery) ask(n *Node, full bool) {
-	now, s := d.w.sim.Now(), &d.w.sc.Discovery
-	d.w.rec.callsMade++
-	c := &listCall{node: n, life: n.life, full: full, ok: d.down == 0}
+// enqueueCall queues a call. One that would wait too long, or finds discovery down, fails.
+func (d *discovery) enqueueCall(node *Node, full bool) {
+	now, settings := d.simulation.events.Now(), &d.simulation.scenario.Discovery
+	d.simulation.recorder.discoveryCalls++
+	call := &discoveryCall{node: node, incarnation: node.incarnation, full: full, accepted: d.outages == 0}
 	lines := 0
-	if full || d.version()-n.version > s.DeltaLines {
-		lines = len(d.w.boxes)
+	if full || d.revision()-node.listRevision > settings.DeltaLines {
+		lines = len(d.simulation.backends)
 	}
-	finish := max(now, d.free) + eventqueue.Span(1e6/s.PerS+1e6*float64(lines)/s.LinesPerS)
+	finish := max(now, d.busyUntil) + eventqueue.Span(1e6/settings.PerS+1e6*float64(lines)/settings.LinesPerS)
 	switch {
-	case !c.ok:
-		finish = now + us(d.w.sc.Net.Cross)
-	case finish-now > us(s.Timeout):
-		if c.ok = false; s.FailedCost {
-			d.free = finish
+	case !call.accepted:
+		finish = now + fromMilliseconds(d.simulation.scenario.Net.Cross)
+	case finish-now > fromMilliseconds(settings.Timeout):
+		if call.accepted = false; settings.FailedCost {
+			d.busyUntil = finish
 		}
-		finish = now + us(s.Timeout)
+		finish = now + fromMilliseconds(settings.Timeout)
 	default:
-		d.free = finish
+		d.busyUntil = finish
 	}
-	d.w.sim.At(&d.src, finish, eventqueue.Event{To: d, Kind: discServe, P: c})
+	d.simulation.events.At(&d.source, finish, eventqueue.Event{To: d, Kind: discoveryCallServed, P: call})
 }
 
-func (d *discovery) serve(_ eventqueue.Time, c *listCall) {
-	n := c.node
-	if n.life != c.life {
+func (d *discovery) serveCall(_ eventqueue.Time, call *discoveryCall) {
+	node := call.node
+	if node.incarnation != call.incarnation {
 		return
 	}
-	if !c.ok || d.down > 0 {
-		d.send(n, &news{life: n.life, kind: balancer.ListFailed}, 0)
+	if !call.accepted || d.outages > 0 {
+		d.sendMessage(node, &listMessage{incarnation: node.incarnation, kind: balancer.ListFailed}, 0)
 		return
 	}
-	m := &news{life: n.life, kind: balancer.ListDelta, version: d.version(), watch: !c.full}
-	if c.full || d.version()-n.version > d.w.sc.Discovery.DeltaLines {
-		m.kind, m.list = balancer.ListFull, d.listAt(d.version())
+	message := &listMessage{incarnation: node.incarnation, kind: balancer.ListDelta, revision: d.revision(), fromWatch: !call.full}
+	if call.full || d.revision()-node.listRevision > d.simulation.scenario.Discovery.DeltaLines {
+		message.kind, message.endpoints = balancer.ListFull, d.fullListAt(d.revision())
 	} else {
-		m.list = d.between(n.version, d.version())
+		message.endpoints = d.changesBetween(node.listRevision, d.revision())
 	}
-	d.send(n, m, us(d.w.sc.Net.Cross))
+	d.sendMessage(node, message, fromMilliseconds(d.simulation.scenario.Net.Cross))
 }
 
-func (d *discovery) send(n *Node, m *news, after eventqueue.Span) {
-	d.w.sim.After(&d.src, after, eventqueue.Event{To: n, Kind: nodeList, P: m})
+func (d *discovery) sendMessage(node *Node, message *listMessage, after eventqueue.Span) {
+	d.simulation.events.After(&d.source, after, eventqueue.Event{To: node, Kind: nodeListMessage, P: message})
 }
 
-// fall ends all watches; rise lets calls in again.
-func (d *discovery) fall() {
-	if d.down++; d.down > 1 {
+// beginOutage ends all watches; rise lets calls in again.
+func (d *discovery) beginOutage() {
+	if d.outages++; d.outages > 1 {
 		return
 	}
-	for _, n := range d.w.nodes {
+	for _, n := range d.simulation.nodes {
 		if n.watching {
 			n.watching = false
-			d.send(n, &news{life: n.life, kind: balancer.ListFailed}, us(d.w.sc.Net.Cross))
+			d.sendMessage(n, &listMessage{incarnation: n.incarnation, kind: balancer.ListFailed}, fromMilliseconds(d.simulation.scenario.Net.Cross))
 		}
 	}
 }
 
-func (d *discovery) rise() { d.down-- }
+func (d *discovery) endOutage() { d.outages-- }
 
-// hear is news that has reached the node.
-func (n *Node) hear(now eventqueue.Time, m *news) {
-	if m.life != n.life || n.life == nil {
+// handleListMessage is news that has reached the node.
+func (n *Node) handleListMessage(now eventqueue.Time, message *listMessage) {
+	if message.incarnation != n.incarnation || n.incarnation == nil {
 		return
 	}
-	n.askFailed = m.kind == balancer.ListFailed
-	if m.kind == balancer.ListFailed {
+	n.pollFailed = message.kind == balancer.ListFailed
+	if message.kind == balancer.ListFailed {
 		n.watching = false
-		n.policy.HandleEndpoints(n.clock(now), m.kind, nil)
+		n.policy.HandleEndpoints(n.localTime(now), message.kind, nil)
 		return
 	}
-	if m.version < n.version {
+	if message.revision < n.listRevision {
 		return
 	}
-	if m.watch {
+	if message.fromWatch {
 		n.watching = true
 	}
-	n.tell(now, m.kind, m.list, m.version)
-	if n.version < n.w.disc.version() {
-		n.w.disc.notify(n)
+	n.applyList(now, message.kind, message.endpoints, message.revision)
+	if n.listRevision < n.simulation.discovery.revision() {
+		n.simulation.discovery.scheduleNotification(n)
 	}
 }
 
-// tell hands a list to the policy, and to the judge what is new in it.
-func (n *Node) tell(now eventqueue.Time, kind balancer.ListKind, list []balancer.Endpoint, version int) {
-	from := n.version
+// applyList hands a list to the policy, and to the judge what is new in it.
+func (n *Node) applyList(now eventqueue.Time, kind balancer.ListKind, list []balancer.Endpoint, version int) {
+	from := n.listRevision
 	if kind == balancer.ListCached {
-		from = n.w.first // of those known from the start there is nothing to be told
+		from = n.simulation.initialRevision // of those known from the start there is nothing to be told
 	}
-	for _, h := range n.w.disc.between(min(from, version), version) {
-		n.w.judge.NodeNotified(now, n.index, h.ID, h.Phase, h.StartedAt)
+	for _, endpoint := range n.simulation.discovery.changesBetween(min(from, version), version) {
+		n.simulation.checker.NodeNotified(now, n.index, endpoint.ID, endpoint.Phase, endpoint.StartedAt)
 	}
-	for _, h := range list {
-		n.told[h.ID] = true
+	for _, endpoint := range list {
+		n.knownEndpoints[endpoint.ID] = true
 	}
-	n.version, n.deemed = version, max(n.deemed, version)
+	n.listRevision, n.enforcedRevision = version, max(n.enforcedRevision, version)
 	n.decisions++
-	n.policy.HandleEndpoints(n.clock(now), kind, list)
+	n.policy.HandleEndpoints(n.localTime(now), kind, list)
 }
 
-// catchUp tells the judge what the rules take as told: a node that neither watches nor asks for so long (four times
+// enforceNotificationDeadlines tells the judge what the rules take as told: a node that neither watches nor asks for so long (four times
 // that after a failed call) is held to what was listed so long ago.
-func (n *Node) catchUp(now eventqueue.Time) {
-	every := us(n.w.sc.Discovery.PollInterval)
-	if n.watching || every == 0 || n.deemed >= n.w.disc.version() {
+func (n *Node) enforceNotificationDeadlines(now eventqueue.Time) {
+	every := fromMilliseconds(n.simulation.scenario.Discovery.PollInterval)
+	if n.watching || every == 0 || n.enforcedRevision >= n.simulation.discovery.revision() {
 		return
 	}
-	if n.askFailed {
+	if n.pollFailed {
 		every *= 4
 	}
-	for _, c := range n.w.disc.log[n.deemed:] {
-		if since := max(c.at, n.asked); since+every > now {
+	for _, c := range n.simulation.discovery.changes[n.enforcedRevision:] {
+		if since := max(c.learnedAt, n.polledAt); since+every > now {
 			return
 		}
-		n.deemed++
-		n.w.judge.NodeNotified(max(c.at, n.asked)+every, n.index, c.host.ID, c.host.Phase, c.host.StartedAt)
+		n.enforcedRevision++
+		n.simulation.checker.NodeNotified(max(c.learnedAt, n.polledAt)+every, n.index, c.endpoint.ID, c.endpoint.Phase, c.endpoint.StartedAt)
 	}
 }
--- a/internal/simulation/emulator/emulator.go
+++ b/internal/simulation/emulator/emulator.go
@@ -25,14 +25,14 @@
 const (
 	sourceFault = iota << 20
 	sourceDiscovery
-	sourceBox
+	sourceBackend
 	sourceNode
-	sourceCrowd
+	sourceClients
 )
 
 // What short streams are for.
 const (
-	drawTry = iota + 8 // below that: package clients
+	drawRequest = iota + 8 // below that: package clients
 	drawWork
 	drawOutcome
 	drawReset
@@ -43,41 +43,43 @@
 	// Log, if set, takes the policies' lines: µs since the start, node, text.
 	Log func(at eventqueue.Time, node int, text string)
 
-	sc       *scenario.Scenario
-	seed     uint64
-	make     policy.Maker
-	ran      func(*attempt)    // hears of every run as it begins, if it is set
-	perm     func(n int) []int // the order in which components are created
-	sim      eventqueue.Sim
-	end      eventqueue.Time // of arrivals
-	classes  []balancer.Class
-	boxes    []*Backend // by place: the one that has the address now
-	byID     map[balancer.EndpointID]*Backend
-	lastID   balancer.EndpointID
-	nodes    []*Node
-	disc     *discovery
-	crowd    *crowd
-	ledgers  map[int]*ledger
-	judge    *invariant.Checker
-	rec      *recorder
-	first    int // version of the list at the start
-	capacity float64
-	meanWork float64 // µs
-	quota    []float64
-	cut      []int // by site: faults that cut it off
-	peerLoss float64
-
-	faults    []faultinject.Fault
-	active    map[int]bool
-	faultSrc  eventqueue.Source
-	swallowed []*attempt
+	scenario          *scenario.Scenario
+	seed              uint64
+	newPolicy         policy.Maker
+	onExecution       func(*attempt)    // hears of every run as it begins, if it is set
+	creationOrder     func(n int) []int // the order in which components are created
+	events            eventqueue.Sim
+	arrivalsEnd       eventqueue.Time // of arrivals
+	classes           []balancer.Class
+	backends          []*Backend // by place: the one that has the address now
+	backendsByID      map[balancer.EndpointID]*Backend
+	lastBackendID     balancer.EndpointID
+	nodes             []*Node
+	discovery         *discovery
+	clients           *clientPopulation
+	idempotencyStores map[int]*idempotencyStore
+	checker           *invariant.Checker
+	recorder          *recorder
+	initialRevision   int // version of the list at the start
+	capacity          float64
+	meanWork          float64 // µs
+	quotas            []float64
+	partitions        []int // by site: faults that cut it off
+	peerMessageLoss   float64
+
+	faults       []faultinject.Fault
+	activeFaults map[int]bool
+	faultSource  eventqueue.Source
+	lostAttempts []*attempt
 }
 
 // Option changes how a world is built.
 type Option func(*Simulation)
 
 // Shuffled creates the components in the order that perm gives. Nothing may depend on it.
-func Shuffled(perm func(n int) []int) Option { return func(w *Simulation) { w.perm = perm } }
+func Shuffled(perm func(n int) []int) Option {
+	return func(simulation *Simulation) { simulation.creationOrder = perm }
+}
 
 // WithFaults plays these faults, settled before, in place of the scenario's own.
 func WithFaults(list []faultinject.Fault) Option { return func(w *Simulation) { w.faults = list } }
@@ -85,10 +87,10 @@
 // New builds the world of a scenario, which has been checked. The error names what the scenario asks for and cannot be
 // had, such as a trace file or a policy's settings.
 func New(sc *scenario.Scenario, seed uint64, maker policy.Maker, opts ...Option) (*Simulation, error) {
-	w := &Simulation{sc: sc, seed: seed, make: maker, byID: map[balancer.EndpointID]*Backend{}, ledgers: map[int]*ledger{},
-		cut: make([]int, len(sc.Fleet.Sites)), active: map[int]bool{}, faultSrc: eventqueue.NewSource(sourceFault),
+	w := &Simulation{scenario: sc, seed: seed, newPolicy: maker, backendsByID: map[balancer.EndpointID]*Backend{}, idempotencyStores: map[int]*idempotencyStore{},
+		partitions: make([]int, len(sc.Fleet.Sites)), activeFaults: map[int]bool{}, faultSource: eventqueue.NewSource(sourceFault),
 		classes: sc.Config(0, make([]float64, len(sc.Tenants))).Classes, faults: Faults(sc, seed),
-		perm: func(n int) []int {
+		creationOrder: func(n int) []int {
 			order := make([]int, n)
 			for i := range order {
 				order[i] = i
@@ -98,66 +100,66 @@
 	for _, o := range opts {
 		o(w)
 	}
-	w.sim.Run(origin)
-	w.end = origin + eventqueue.Span(sc.Seconds*1e6)
-	w.judge = invariant.New(invariant.Config{Classes: w.classes, AnswerGrace: us(sc.Rules.AnswerGrace),
-		DrainGrace: us(sc.Rules.DrainGrace), OverloadFactor: sc.Rules.OverloadFactor, OverloadWindow: us(sc.Rules.OverloadWindow),
+	w.events.Run(origin)
+	w.arrivalsEnd = origin + eventqueue.Span(sc.Seconds*1e6)
+	w.checker = invariant.New(invariant.Config{Classes: w.classes, AnswerGrace: fromMilliseconds(sc.Rules.AnswerGrace),
+		DrainGrace: fromMilliseconds(sc.Rules.DrainGrace), OverloadFactor: sc.Rules.OverloadFactor, OverloadWindow: fromMilliseconds(sc.Rules.OverloadWindow),
 		AllowHedging: sc.Rules.AllowHedging}, origin)
 	w.meanWork = workload.MeanWork(sc)
-	w.rec = newRecorder(w)
-	w.boxes, w.nodes = make([]*Backend, sc.Fleet.Backends), make([]*Node, sc.Nodes.Count)
-	for _, place := range w.perm(len(w.boxes)) {
-		w.boxes[place] = w.newBox(place, balancer.EndpointID(place+1), fmt.Sprint("box ", place))
-	}
-	w.lastID = balancer.EndpointID(len(w.boxes))
-	w.disc = &discovery{w: w, src: eventqueue.NewSource(sourceDiscovery), rand: eventqueue.NewStream(seed, "discovery"), free: origin}
-	for _, b := range w.boxes {
-		w.byID[b.id] = b
-		w.capacity += b.full()
-		w.disc.log = append(w.disc.log, change{w.line(b, balancer.PhaseReady), origin})
-	}
-	w.first = w.disc.version()
+	w.recorder = newRecorder(w)
+	w.backends, w.nodes = make([]*Backend, sc.Fleet.Backends), make([]*Node, sc.Nodes.Count)
+	for _, place := range w.creationOrder(len(w.backends)) {
+		w.backends[place] = w.newBackend(place, balancer.EndpointID(place+1), fmt.Sprint("box ", place))
+	}
+	w.lastBackendID = balancer.EndpointID(len(w.backends))
+	w.discovery = &discovery{simulation: w, source: eventqueue.NewSource(sourceDiscovery), random: eventqueue.NewStream(seed, "discovery"), busyUntil: origin}
+	for _, b := range w.backends {
+		w.backendsByID[b.id] = b
+		w.capacity += b.nominalCapacity()
+		w.discovery.changes = append(w.discovery.changes, listChange{w.endpointOf(b, balancer.PhaseReady), origin})
+	}
+	w.initialRevision = w.discovery.revision()
 	share := 0.0
 	for _, t := range sc.Tenants {
 		share += t.Share
 	}
 	for _, t := range sc.Tenants {
-		w.quota = append(w.quota, t.Share/share*sc.Goal.Quota*w.capacity/w.meanWork*1e6)
+		w.quotas = append(w.quotas, t.Share/share*sc.Goal.Quota*w.capacity/w.meanWork*1e6)
 	}
-	for _, i := range w.perm(len(w.nodes)) {
+	for _, i := range w.creationOrder(len(w.nodes)) {
 		w.nodes[i] = w.newNode(i, fmt.Sprint("node ", i))
-		w.nodes[i].cached = w.first
+		w.nodes[i].cachedRevision = w.initialRevision
 	}
 	var err error
-	if w.crowd, err = w.newCrowd(); err != nil {
+	if w.clients, err = w.newClients(); err != nil {
 		return nil, err
 	}
 	w.scheduleFaults()
-	for _, i := range w.perm(len(w.nodes)) {
-		if w.nodes[i].down > 0 {
+	for _, i := range w.creationOrder(len(w.nodes)) {
+		if w.nodes[i].stoppingFaults > 0 {
 			continue
 		}
-		if err := w.nodes[i].start(origin); err != nil {
+		if err := w.nodes[i].startProcess(origin); err != nil {
 			return nil, err
 		}
 	}
-	if every := us(sc.Fleet.Report.Every); every > 0 {
-		for _, i := range w.perm(len(w.boxes)) {
-			b := w.boxes[i]
-			w.sim.After(&b.src, eventqueue.Span(b.rand.Float64()*float64(every)), eventqueue.Event{To: b, Kind: boxRefresh})
+	if every := fromMilliseconds(sc.Fleet.Report.Every); every > 0 {
+		for _, i := range w.creationOrder(len(w.backends)) {
+			b := w.backends[i]
+			w.events.After(&b.source, eventqueue.Span(b.random.Float64()*float64(every)), eventqueue.Event{To: b, Kind: backendReportMeasured})
 		}
 	}
 	return w, nil
 }
 
-func (w *Simulation) line(b *Backend, phase balancer.Phase) balancer.Endpoint {
-	return balancer.Endpoint{ID: b.id, Phase: phase, Zone: b.site, Cell: b.rack, Weight: math.Round(b.full()*100) / 100,
-		StartedAt: b.life.started}
+func (s *Simulation) endpointOf(b *Backend, phase balancer.Phase) balancer.Endpoint {
+	return balancer.Endpoint{ID: b.id, Phase: phase, Zone: b.site, Cell: b.rack, Weight: math.Round(b.nominalCapacity()*100) / 100,
+		StartedAt: b.incarnation.startedAt}
 }
 
-// kindOf spreads the kinds over the places in proportion to their shares, mixed, and alike for all seeds.
-func (w *Simulation) kindOf(place int) *scenario.Kind {
-	kinds, sum := w.sc.Fleet.Kinds, 0.0
+// backendKindAt spreads the kinds over the places in proportion to their shares, mixed, and alike for all seeds.
+func (s *Simulation) backendKindAt(place int) *scenario.Kind {
+	kinds, sum := s.scenario.Fleet.Kinds, 0.0
 	for i := range kinds {
 		sum += kinds[i].Share
 	}
@@ -170,84 +172,86 @@
 	return &kinds[len(kinds)-1]
 }
 
-func (w *Simulation) ledgerOf(rack int) *ledger {
-	if w.ledgers[rack] == nil {
-		w.ledgers[rack] = &ledger{w: w, runs: map[uint64]*keyedRun{}}
+func (s *Simulation) idempotencyStoreOf(rack int) *idempotencyStore {
+	if s.idempotencyStores[rack] == nil {
+		s.idempotencyStores[rack] = &idempotencyStore{simulation: s, executions: map[uint64]*keyedExecution{}}
 	}
-	return w.ledgers[rack]
+	return s.idempotencyStores[rack]
 }
 
-// parted tells whether the link between two sites is cut.
-func (w *Simulation) parted(a, b int) bool { return a != b && (w.cut[a] > 0 || w.cut[b] > 0) }
+// partitioned tells whether the link between two sites is cut.
+func (s *Simulation) partitioned(a, b int) bool {
+	return a != b && (s.partitions[a] > 0 || s.partitions[b] > 0)
+}
 
 // delay is one way between two sites.
-func (w *Simulation) delay(r *eventqueue.Stream, a, b int) eventqueue.Span {
-	ms := w.sc.Net.Same
+func (s *Simulation) delay(r *eventqueue.Stream, a, b int) eventqueue.Span {
+	ms := s.scenario.Net.Same
 	if a != b {
-		ms = w.sc.Net.Cross
+		ms = s.scenario.Net.Cross
 	}
-	return w.jitter(r, ms)
+	return s.jitter(r, ms)
 }
 
-func (w *Simulation) clientDelay(r *eventqueue.Stream, a, b int) eventqueue.Span {
-	ms := w.sc.Net.Client
+func (s *Simulation) clientDelay(r *eventqueue.Stream, a, b int) eventqueue.Span {
+	ms := s.scenario.Net.Client
 	if a != b {
-		ms += w.sc.Net.Cross
+		ms += s.scenario.Net.Cross
 	}
-	return w.jitter(r, ms)
+	return s.jitter(r, ms)
 }
 
-func (w *Simulation) jitter(r *eventqueue.Stream, ms float64) eventqueue.Span {
-	if w.sc.Net.Jitter > 0 {
-		ms *= 1 + w.sc.Net.Jitter*(r.ExpFloat64()-1)
+func (s *Simulation) jitter(r *eventqueue.Stream, ms float64) eventqueue.Span {
+	if s.scenario.Net.Jitter > 0 {
+		ms *= 1 + s.scenario.Net.Jitter*(r.ExpFloat64()-1)
 	}
-	return us(max(ms, 0))
+	return fromMilliseconds(max(ms, 0))
 }
 
-// front chooses the node that a client's try comes in at: one of its site that the front believes alive, else one of
+// selectNode chooses the node that a client's try comes in at: one of its site that the front believes alive, else one of
 // any site, else any.
-func (w *Simulation) front(site int, x, y float64) *Node {
-	sites, hot := len(w.sc.Fleet.Sites), 0.0
-	for _, n := range w.nodes {
-		hot += n.hot
-	}
-	if hot > 0 && y < hot {
-		y = y / hot * hot
-		for _, n := range w.nodes {
-			if y -= n.hot; y < 0 && n.believed {
+func (s *Simulation) selectNode(site int, nodeDraw, extraDraw float64) *Node {
+	sites, extraTotal := len(s.scenario.Fleet.Sites), 0.0
+	for _, n := range s.nodes {
+		extraTotal += n.extraTraffic
+	}
+	if extraTotal > 0 && extraDraw < extraTotal {
+		extraDraw = extraDraw / extraTotal * extraTotal
+		for _, n := range s.nodes {
+			if extraDraw -= n.extraTraffic; extraDraw < 0 && n.believedUp {
 				return n
 			}
 		}
 	}
-	own := (len(w.nodes) - site + sites - 1) / sites // nodes site, site+sites, ...
-	for i := range own {
-		if n := w.nodes[site+(int(x*float64(own))+i)%own*sites]; n.believed {
+	siteNodes := (len(s.nodes) - site + sites - 1) / sites // nodes site, site+sites, ...
+	for i := range siteNodes {
+		if n := s.nodes[site+(int(nodeDraw*float64(siteNodes))+i)%siteNodes*sites]; n.believedUp {
 			return n
 		}
 	}
-	start := int(x * float64(len(w.nodes)))
-	for i := range w.nodes {
-		if n := w.nodes[(start+i)%len(w.nodes)]; n.believed {
+	start := int(nodeDraw * float64(len(s.nodes)))
+	for i := range s.nodes {
+		if n := s.nodes[(start+i)%len(s.nodes)]; n.believedUp {
 			return n
 		}
 	}
-	return w.nodes[start]
+	return s.nodes[start]
 }
 
 // Run plays to the end and past it until all calls have ended, and returns the figures.
-func (w *Simulation) Run() (res *Result, err error) {
+func (s *Simulation) Run() (res *Result, err error) {
 	defer func() {
-		if p := recover(); p != nil {
-			res, err = nil, fmt.Errorf("at %.6f s: panic: %v\n%s", float64(w.sim.Now()-origin)/1e6, p, debug.Stack())
+		if panicked := recover(); panicked != nil {
+			res, err = nil, fmt.Errorf("at %.6f s: panic: %v\n%s", float64(s.events.Now()-origin)/1e6, panicked, debug.Stack())
 		}
 	}()
 	longest := eventqueue.Span(0)
-	for _, c := range w.classes {
+	for _, c := range s.classes {
 		longest = max(longest, c.Deadline)
 	}
-	w.sim.Run(w.end + longest + eventqueue.Second)
-	w.judge.Close(w.sim.Now())
-	return w.rec.result(), nil
+	s.events.Run(s.arrivalsEnd + longest + eventqueue.Second)
+	s.checker.Close(s.events.Now())
+	return s.recorder.result(), nil
 }
 
 func sortBy[T any, K cmp.Ordered](list []T, key func(T) K) {
--- a/internal/simulation/emulator/emulator_test.go
+++ b/internal/simulation/emulator/emulator_test.go
@@ -27,48 +27,48 @@
 	m.Run()
 }
 
-func scene(t testing.TB, text string) *scenario.Scenario {
-	t.Helper()
+func parseScenario(tb testing.TB, text string) *scenario.Scenario {
+	tb.Helper()
 	sc, err := scenario.Parse("test.toml", []byte(text))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return sc
 }
 
-func play(t testing.TB, sc *scenario.Scenario, maker policy.Maker, seed uint64, opts ...Option) *Result {
-	t.Helper()
+func play(tb testing.TB, sc *scenario.Scenario, maker policy.Maker, seed uint64, opts ...Option) *Result {
+	tb.Helper()
 	w, err := New(sc, seed, maker, opts...)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	r, err := w.Run()
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return r
 }
 
-func find(t testing.TB, name string) policy.Maker {
-	t.Helper()
+func findPolicy(tb testing.TB, name string) policy.Maker {
+	tb.Helper()
 	m, err := policy.Find(name)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return m
 }
 
-func text(t testing.TB, r *Result) string {
-	t.Helper()
+func marshalResult(tb testing.TB, r *Result) string {
+	tb.Helper()
 	raw, err := json.Marshal(r)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return string(raw)
 }
 
-// small draws a scenario of every part, small enough for hundreds of runs.
-func small(t *rapid.T) *scenario.Scenario {
+// drawScenario draws a scenario of every part, small enough for hundreds of runs.
+func drawScenario(t *rapid.T) *scenario.Scenario {
 	sc := scenario.Default()
 	sc.Seconds, sc.WarmUp = rapid.Float64Range(1, 6).Draw(t, "seconds"), 0
 	sc.Fleet.Backends = rapid.IntRange(1, 9).Draw(t, "boxes")
@@ -89,29 +89,29 @@
 // The same scenario and seed give the same bytes, also where the components are created in another order.
 func TestRunsAreDeterministic(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		sc := small(rt)
+		sc := drawScenario(rt)
 		seed := rapid.Uint64().Draw(rt, "seed")
-		m := find(t, rapid.SampledFrom(policy.Names()).Draw(rt, "policy"))
+		maker := findPolicy(t, rapid.SampledFrom(policy.Names()).Draw(rt, "policy"))
 		r := rand.New(rand.NewPCG(seed, 9))
-		first := text(t, play(t, sc, m, seed))
-		if again := text(t, play(t, sc, m, seed)); again != first {
-			rt.Fatalf("two runs differ:\n%.300s\n%.300s", first, again)
+		first := marshalResult(t, play(t, sc, maker, seed))
+		if repeated := marshalResult(t, play(t, sc, maker, seed)); repeated != first {
+			rt.Fatalf("two runs differ:\n%.300s\n%.300s", first, repeated)
 		}
-		if shuffled := text(t, play(t, sc, m, seed, Shuffled(r.Perm))); shuffled != first {
+		if shuffled := marshalResult(t, play(t, sc, maker, seed, Shuffled(r.Perm))); shuffled != first {
 			rt.Fatalf("the order in which components are created matters:\n%.300s\n%.300s", first, shuffled)
 		}
 	})
 }
 
 // A call ends once, work is neither lost nor made, and connections are given back: over random worlds.
-func TestBooksBalance(t *testing.T) {
+func TestCallsAndConnectionsAreConserved(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		sc := small(rt)
-		w, err := New(sc, rapid.Uint64().Draw(rt, "seed"), find(t, rapid.SampledFrom(policy.Names()).Draw(rt, "policy")))
+		sc := drawScenario(rt)
+		simulation, err := New(sc, rapid.Uint64().Draw(rt, "seed"), findPolicy(t, rapid.SampledFrom(policy.Names()).Draw(rt, "policy")))
 		if err != nil {
 			rt.Fatal(err)
 		}
-		r, err := w.Run()
+		r, err := simulation.Run()
 		if err != nil {
 			rt.Fatal(err)
 		}
@@ -122,60 +122,60 @@
 		if ended != r.Calls {
 			rt.Errorf("%d calls, %d ended: %v", r.Calls, ended, r.Outcomes)
 		}
-		if w.judge.InFlight() > 0 && len(w.swallowed) == 0 {
-			rt.Errorf("the judge still remembers %d requests", w.judge.InFlight())
+		if simulation.checker.InFlight() > 0 && len(simulation.lostAttempts) == 0 {
+			rt.Errorf("the judge still remembers %d requests", simulation.checker.InFlight())
 		}
-		for _, b := range w.boxes {
-			held := 0
-			for _, n := range w.nodes {
-				if p := n.pools[b]; p != nil && p.life == b.life {
-					held += len(p.used)
+		for _, b := range simulation.backends {
+			heldByNodes := 0
+			for _, n := range simulation.nodes {
+				if p := n.pools[b]; p != nil && p.incarnation == b.incarnation {
+					heldByNodes += len(p.idleSince)
 				}
-				for _, q := range n.reqs {
-					for _, a := range q.attempts {
-						if a.conn && a.life == b.life && a.box == b {
-							held++
+				for _, request := range n.requests {
+					for _, a := range request.attempts {
+						if a.holdsConnection && a.incarnation == b.incarnation && a.backend == b {
+							heldByNodes++
 						}
 					}
 				}
 			}
-			if b.life.conns != held {
-				rt.Errorf("box %d counts %d connections, nodes hold %d", b.id, b.life.conns, held)
+			if b.incarnation.connections != heldByNodes {
+				rt.Errorf("box %d counts %d connections, nodes hold %d", b.id, b.incarnation.connections, heldByNodes)
 			}
 		}
 	})
 }
 
-func TestADifferentSeedIsADifferentDay(t *testing.T) {
-	sc := scene(t, "seconds = 5.0")
-	if m := find(t, "random"); text(t, play(t, sc, m, 1)) == text(t, play(t, sc, m, 2)) {
+func TestSeedChangesTheRun(t *testing.T) {
+	sc := parseScenario(t, "seconds = 5.0")
+	if m := findPolicy(t, "random"); marshalResult(t, play(t, sc, m, 1)) == marshalResult(t, play(t, sc, m, 2)) {
 		t.Error("the seed does not matter")
 	}
 }
 
 // What a further component draws must not change what the others draw: with one box more that gets no work, all calls
 // come at the same moments with the same work.
-func TestMoreComponentsLeaveTheSchedule(t *testing.T) {
-	a := play(t, scene(t, "seconds = 5.0\nload.per_s = 100.0"), find(t, "random"), 3)
-	b := play(t, scene(t, "seconds = 5.0\nload.per_s = 100.0\nfleet.boxes = 13\nnodes.count = 4"), find(t, "random"), 3)
+func TestExtraComponentsDoNotChangeTheSchedule(t *testing.T) {
+	a := play(t, parseScenario(t, "seconds = 5.0\nload.per_s = 100.0"), findPolicy(t, "random"), 3)
+	b := play(t, parseScenario(t, "seconds = 5.0\nload.per_s = 100.0\nfleet.boxes = 13\nnodes.count = 4"), findPolicy(t, "random"), 3)
 	if fmt.Sprint(a.Series.Calls) != fmt.Sprint(b.Series.Calls) {
 		t.Errorf("calls a second: %v and %v", a.Series.Calls, b.Series.Calls)
 	}
 }
 
 // A retry storm must be able to stay up after its trigger has gone, or the model is too kind.
-func TestNaivePolicyStaysDownAfterTheTrigger(t *testing.T) {
+func TestRetryStormIsMetastableUnderNaivePolicy(t *testing.T) {
 	sc, err := scenario.Read("retry-storm")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, seed := range []uint64{1, 2} {
-		if r := play(t, sc, find(t, "random"), seed); r.ServiceAfterEnd > 0.2 {
+		if r := play(t, sc, findPolicy(t, "random"), seed); r.ServiceAfterEnd > 0.2 {
 			t.Errorf("seed %d: random serves %.2f half a minute after the trigger: no metastable state", seed, r.ServiceAfterEnd)
 		}
 		calm := *sc
 		calm.Faults = nil
-		if r := play(t, &calm, find(t, "random"), seed); r.ServedValue < 0.8 {
+		if r := play(t, &calm, findPolicy(t, "random"), seed); r.ServedValue < 0.8 {
 			t.Errorf("seed %d: without the trigger random serves %.2f: the load alone is too much", seed, r.ServedValue)
 		}
 	}
@@ -185,17 +185,17 @@
 type broken struct {
 	policy.Policy
 	balancer.Commands
-	env   policy.Env
-	what  string
-	seen  int
-	ready []balancer.EndpointID // as first told, whatever came later
-	cold  balancer.EndpointID
-	class map[balancer.RequestID]int
+	env              policy.Env
+	violation        string
+	listCount        int
+	initialEndpoints []balancer.EndpointID // as first told, whatever came later
+	warmingEndpoint  balancer.EndpointID
+	classes          map[balancer.RequestID]int
 }
 
-func breaker(what string) policy.Maker {
+func brokenPolicy(violation string) policy.Maker {
 	return func(e policy.Env) (policy.Policy, error) {
-		b := &broken{Commands: e.Actions, env: e, what: what, class: map[balancer.RequestID]int{}}
+		b := &broken{Commands: e.Actions, env: e, violation: violation, classes: map[balancer.RequestID]int{}}
 		e.Actions = b
 		m, err := policy.Find("least-outstanding")
 		if err != nil {
@@ -207,46 +207,46 @@
 }
 
 func (b *broken) HandleEndpoints(now balancer.Time, kind balancer.ListKind, list []balancer.Endpoint) {
-	for _, h := range list {
-		if b.seen < 1 {
-			b.ready = append(b.ready, h.ID)
+	for _, endpoint := range list {
+		if b.listCount < 1 {
+			b.initialEndpoints = append(b.initialEndpoints, endpoint.ID)
 		}
-		if h.StartedAt > 0 && h.Phase == balancer.PhaseReady {
-			b.cold = h.ID
+		if endpoint.StartedAt > 0 && endpoint.Phase == balancer.PhaseReady {
+			b.warmingEndpoint = endpoint.ID
 		}
 	}
-	b.seen++
+	b.listCount++
 	b.Policy.HandleEndpoints(now, kind, list)
 }
 
-func (b *broken) HandleRequest(now balancer.Time, a balancer.Request) {
-	b.class[a.ID] = a.Class
+func (b *broken) HandleRequest(now balancer.Time, request balancer.Request) {
+	b.classes[request.ID] = request.Class
 	switch {
-	case b.what == "forgets some" && a.ID%50 == 0:
+	case b.violation == "forgets some" && request.ID%50 == 0:
 		return
-	case b.what == "sends two at once" && a.ID%50 == 0:
-		b.Commands.SendAttempt(a.ID, b.ready[0], 0)
-		b.Commands.SendAttempt(a.ID, b.ready[1], 0)
+	case b.violation == "sends two at once" && request.ID%50 == 0:
+		b.Commands.SendAttempt(request.ID, b.initialEndpoints[0], 0)
+		b.Commands.SendAttempt(request.ID, b.initialEndpoints[1], 0)
 		return
 	}
-	b.Policy.HandleRequest(now, a)
+	b.Policy.HandleRequest(now, request)
 }
 
-func (b *broken) SendAttempt(id balancer.RequestID, h balancer.EndpointID, timeout balancer.Span) {
+func (b *broken) SendAttempt(id balancer.RequestID, endpoint balancer.EndpointID, timeout balancer.Span) {
 	switch {
-	case b.what == "ignores drains":
-		h = b.ready[int(id)%len(b.ready)]
-	case b.what == "floods a cold box" && b.cold != 0:
-		h = b.cold
+	case b.violation == "ignores drains":
+		endpoint = b.initialEndpoints[int(id)%len(b.initialEndpoints)]
+	case b.violation == "floods a cold box" && b.warmingEndpoint != 0:
+		endpoint = b.warmingEndpoint
 	}
-	b.Commands.SendAttempt(id, h, timeout)
+	b.Commands.SendAttempt(id, endpoint, timeout)
 }
 
 func (b *broken) Fail(id balancer.RequestID) {
-	switch b.what {
+	switch b.violation {
 	case "repeats what must run once":
-		if b.env.Config.Classes[b.class[id]].Idempotency == balancer.NonIdempotent {
-			b.Commands.SendAttempt(id, b.ready[int(id)%len(b.ready)], 0)
+		if b.env.Config.Classes[b.classes[id]].Idempotency == balancer.NonIdempotent {
+			b.Commands.SendAttempt(id, b.initialEndpoints[int(id)%len(b.initialEndpoints)], 0)
 		}
 	case "refuses what may have run":
 		b.Commands.Reject(id, 0)
@@ -255,17 +255,17 @@
 	b.Commands.Fail(id)
 }
 
-func (b *broken) Reject(id balancer.RequestID, in balancer.Span) {
-	b.Commands.Reject(id, in)
-	if b.what == "answers twice" {
+func (b *broken) Reject(id balancer.RequestID, retryIn balancer.Span) {
+	b.Commands.Reject(id, retryIn)
+	if b.violation == "answers twice" {
 		b.Commands.Fail(id)
 	}
 }
 
 // The judge has to be able to fail: each way of breaking a rule is caught under that rule's name, with the request's
 // history, and the same policy unbroken is not.
-func TestTheJudgeCatchesEachBrokenPolicy(t *testing.T) {
-	world := scene(t, `
+func TestCheckerDetectsEachBrokenPolicy(t *testing.T) {
+	sc := parseScenario(t, `
 seconds = 12.0
 [load]
 level = 0.8
@@ -289,7 +289,7 @@
 at_ms = 5000
 size = 9.0
 `)
-	for what, rule := range map[string]invariant.Rule{
+	for violation, rule := range map[string]invariant.Rule{
 		"":                           "",
 		"answers twice":              invariant.OneAnswer,
 		"forgets some":               invariant.OneAnswer,
@@ -299,8 +299,8 @@
 		"ignores drains":             invariant.NoSendToDrained,
 		"floods a cold box":          invariant.NoSlowStartOverload,
 	} {
-		t.Run(what, func(t *testing.T) {
-			r := play(t, world, breaker(what), 1)
+		t.Run(violation, func(t *testing.T) {
+			r := play(t, sc, brokenPolicy(violation), 1)
 			if rule == "" {
 				if len(r.Broken) > 0 {
 					t.Fatalf("the policy unbroken is said to break %v: %v", r.Broken, r.Violations[0])
@@ -323,9 +323,9 @@
 }
 
 // One fault at a time, and what can be seen of it from outside.
-func TestEachFaultBites(t *testing.T) {
+func TestEachFaultHasItsEffect(t *testing.T) {
 	base := "seconds = 12.0\nwarm_up_s = 0.0\nload.level = 0.5\n"
-	calm := play(t, scene(t, base), find(t, "random"), 1)
+	calm := play(t, parseScenario(t, base), findPolicy(t, "random"), 1)
 	for name, c := range map[string]struct {
 		fault string
 		bites func(r *Result) bool
@@ -353,7 +353,7 @@
 		"clock-off":      {"size = 5000.0\nnodes = [1]", func(r *Result) bool { return true }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := play(t, scene(t, base+"[[fault]]\nkind = '"+name+"'\nat_ms = 3000\nfor_ms = 6000\n"+c.fault), find(t, "random"), 1)
+			r := play(t, parseScenario(t, base+"[[fault]]\nkind = '"+name+"'\nat_ms = 3000\nfor_ms = 6000\n"+c.fault), findPolicy(t, "random"), 1)
 			if !c.bites(r) {
 				t.Errorf("not seen: outcomes %v (calm %v), attempts %.3f (%.3f), worth %.3f (%.3f)", r.Outcomes, calm.Outcomes,
 					r.AttemptsPerRequest, calm.AttemptsPerRequest, r.ServedValue, calm.ServedValue)
@@ -361,27 +361,27 @@
 		})
 	}
 	t.Run("clock-off is seen by the node", func(t *testing.T) {
-		sc := scene(t, base+"[[fault]]\nkind = 'clock-off'\nnodes = [1]\nsize = 5000.0")
-		w, err := New(sc, 1, find(t, "random"))
+		sc := parseScenario(t, base+"[[fault]]\nkind = 'clock-off'\nnodes = [1]\nsize = 5000.0")
+		simulation, err := New(sc, 1, findPolicy(t, "random"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := w.nodes[1].clock(0) - w.nodes[0].clock(0); got != 5_000_000 {
+		if got := simulation.nodes[1].localTime(0) - simulation.nodes[0].localTime(0); got != 5_000_000 {
 			t.Errorf("node 1 is off by %d µs", got)
 		}
 	})
 	t.Run("datagrams are lost", func(t *testing.T) {
 		got := map[float64]int{}
 		for _, loss := range []float64{0, 1} {
-			sc := scene(t, base+fmt.Sprintf("net.peer_loss = %.1f", loss))
-			w, err := New(sc, 1, func(e policy.Env) (policy.Policy, error) {
-				p, err := find(t, "least-shared")(e)
-				return &counting{p, &got, loss}, err
+			sc := parseScenario(t, base+fmt.Sprintf("net.peer_loss = %.1f", loss))
+			simulation, err := New(sc, 1, func(e policy.Env) (policy.Policy, error) {
+				p, err := findPolicy(t, "least-shared")(e)
+				return &peerMessageCounter{p, &got, loss}, err
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := w.Run(); err != nil {
+			if _, err := simulation.Run(); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -390,36 +390,36 @@
 		}
 	})
 	t.Run("a hot node takes its share", func(t *testing.T) {
-		sc := scene(t, base+"[[fault]]\nkind = 'hot-node'\nnodes = [1]\nsize = 0.9")
-		w, err := New(sc, 1, find(t, "random"))
+		sc := parseScenario(t, base+"[[fault]]\nkind = 'hot-node'\nnodes = [1]\nsize = 0.9")
+		simulation, err := New(sc, 1, findPolicy(t, "random"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := w.Run(); err != nil {
+		if _, err := simulation.Run(); err != nil {
 			t.Fatal(err)
 		}
-		if a, b := w.nodes[1].decisions, w.nodes[0].decisions+w.nodes[2].decisions; a < 5*b {
+		if a, b := simulation.nodes[1].decisions, simulation.nodes[0].decisions+simulation.nodes[2].decisions; a < 5*b {
 			t.Errorf("the hot node decided %d times, the others %d", a, b)
 		}
 	})
 }
 
-type counting struct {
+type peerMessageCounter struct {
 	policy.Policy
-	got  *map[float64]int
-	loss float64
+	received *map[float64]int
+	loss     float64
 }
 
-func (c *counting) HandlePeerMessage(now balancer.Time, from int, data []byte) {
-	(*c.got)[c.loss]++
+func (c *peerMessageCounter) HandlePeerMessage(now balancer.Time, from int, data []byte) {
+	(*c.received)[c.loss]++
 	c.Policy.HandlePeerMessage(now, from, data)
 }
 
 // The module keeps every rule on random worlds with any faults. A failing seed is a bug report: shrink it.
-func TestModuleKeepsTheRulesOnRandomWorlds(t *testing.T) {
+func TestModuleKeepsInvariantsOnRandomScenarios(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		sc := small(rt)
-		r := play(t, sc, find(t, policy.Module), rapid.Uint64().Draw(rt, "seed"))
+		sc := drawScenario(rt)
+		r := play(t, sc, findPolicy(t, policy.Module), rapid.Uint64().Draw(rt, "seed"))
 		if len(r.Broken) > 0 {
 			rt.Errorf("broken: %v\n%v", r.Broken, r.Violations[0])
 		}
@@ -428,7 +428,7 @@
 
 // Eighty nodes before sixty boxes, the start of the shipped days: what is harmless for one node and not for all. In full these are
 // lab scenarios; docs/large-fleets.md has their figures.
-func TestManyNodesTogether(t *testing.T) {
+func TestLargeFleetsStayWithinBounds(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		calls  int64 // to discovery: one for each start of a node, and few more; by calls close together it was half as many again
@@ -449,7 +449,7 @@
 			if err := sc.Check(); err != nil {
 				t.Fatal(err)
 			}
-			r := play(t, sc, find(t, policy.Module), 1)
+			r := play(t, sc, findPolicy(t, policy.Module), 1)
 			t.Logf("worth %.3f, %d calls to discovery, %d dials", r.ServedValue, r.DiscoveryCalls, r.Dials)
 			if len(r.Broken) > 0 || r.DiscoveryCalls > c.calls || r.Dials > c.dials || r.ServedValue < c.served {
 				t.Errorf("broken %v; worth %.3f, %d calls to discovery, %d dials; want at least %.2f, at most %d and %d",
@@ -468,7 +468,7 @@
 			}
 			events := uint64(0)
 			for b.Loop() {
-				events += play(b, sc, find(b, name), 1).Events
+				events += play(b, sc, findPolicy(b, name), 1).Events
 			}
 			b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 		})
--- a/internal/simulation/emulator/faults.go
+++ b/internal/simulation/emulator/faults.go
@@ -12,11 +12,11 @@
 
 // What the faults' events mean. A: the fault's number.
 const (
-	faultBegins = iota
-	faultEnds
-	faultResets  // what a cut has swallowed is reset
-	faultDrained // P: the box's life, which has had its time to finish
-	faultFront   // P: the node, whose death the front notices
+	faultStart = iota
+	faultEnd
+	faultConnectionsReset // what a cut has swallowed is reset
+	faultDrainDeadline    // P: the box's life, which has had its time to finish
+	faultNodeDownDetected // P: the node, whose death the front notices
 )
 
 // Faults are the faults that the scenario plays with that seed, nothing left open.
@@ -25,99 +25,99 @@
 	return sc.ApplyDefaults(r)
 }
 
-func (w *Simulation) scheduleFaults() {
-	for i, f := range w.faults {
+func (s *Simulation) scheduleFaults() {
+	for i, f := range s.faults {
 		if f.Start == 0 {
-			w.begin(origin, i)
+			s.startFault(origin, i)
 		} else {
-			w.sim.At(&w.faultSrc, origin+f.Start*eventqueue.Millisecond, eventqueue.Event{To: w, Kind: faultBegins, A: int64(i)})
+			s.events.At(&s.faultSource, origin+f.Start*eventqueue.Millisecond, eventqueue.Event{To: s, Kind: faultStart, A: int64(i)})
 		}
 		if f.Duration > 0 {
-			w.sim.At(&w.faultSrc, origin+f.End()*eventqueue.Millisecond, eventqueue.Event{To: w, Kind: faultEnds, A: int64(i)})
+			s.events.At(&s.faultSource, origin+f.End()*eventqueue.Millisecond, eventqueue.Event{To: s, Kind: faultEnd, A: int64(i)})
 		}
 	}
 }
 
 // Handle takes the events of faults.
-func (w *Simulation) Handle(now eventqueue.Time, e eventqueue.Event) {
+func (s *Simulation) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
-	case faultBegins:
-		w.begin(now, int(e.A))
-	case faultEnds:
-		w.finish(now, int(e.A))
-	case faultResets:
-		kept := w.swallowed[:0]
-		for _, a := range w.swallowed {
+	case faultStart:
+		s.startFault(now, int(e.A))
+	case faultEnd:
+		s.endFault(now, int(e.A))
+	case faultConnectionsReset:
+		stillLost := s.lostAttempts[:0]
+		for _, a := range s.lostAttempts {
 			switch {
-			case !a.open:
-			case w.parted(a.req.node.site, a.box.site) || a.box.silent:
-				kept = append(kept, a)
+			case !a.awaited:
+			case s.partitioned(a.request.node.site, a.backend.site) || a.backend.unreachable:
+				stillLost = append(stillLost, a)
 			default:
-				w.sim.After(&w.faultSrc, 0, eventqueue.Event{To: a.req.to, Kind: nodeReply, P: a, A: int64(balancer.OutcomeReset)})
+				s.events.After(&s.faultSource, 0, eventqueue.Event{To: a.request.replyTo, Kind: nodeReply, P: a, A: int64(balancer.OutcomeReset)})
 			}
 		}
-		clear(w.swallowed[len(kept):])
-		w.swallowed = kept
-	case faultDrained:
-		if b := w.byID[balancer.EndpointID(e.A)]; b.draining && e.P == b.life {
-			b.die(now, false)
-			w.disc.noticed(w.notice(false), w.line(b, balancer.PhaseRemoved))
+		clear(s.lostAttempts[len(stillLost):])
+		s.lostAttempts = stillLost
+	case faultDrainDeadline:
+		if b := s.backendsByID[balancer.EndpointID(e.A)]; b.draining && e.P == b.incarnation {
+			b.stopProcess(now, false)
+			s.discovery.scheduleChange(s.detectionDelay(false), s.endpointOf(b, balancer.PhaseRemoved))
 		}
-	case faultFront:
-		if n := e.P.(*Node); n.life == nil {
-			n.believed = false
+	case faultNodeDownDetected:
+		if n := e.P.(*Node); n.incarnation == nil {
+			n.believedUp = false
 		}
 	}
 }
 
-func (w *Simulation) notice(silent bool) eventqueue.Span {
-	r := w.sc.Discovery.Notice
-	if silent {
-		r = w.sc.Discovery.Silent
+func (s *Simulation) detectionDelay(unreachable bool) eventqueue.Span {
+	delayRange := s.scenario.Discovery.Notice
+	if unreachable {
+		delayRange = s.scenario.Discovery.Silent
 	}
-	return us(between(r, w.disc.rand.Float64()))
+	return fromMilliseconds(interpolate(delayRange, s.discovery.random.Float64()))
 }
 
-// hits tells whether the fault is on and hits the box.
-func (w *Simulation) hits(i int, b *Backend) bool {
-	f := &w.faults[i]
+// faultAffects tells whether the fault is on and hits the box.
+func (s *Simulation) faultAffects(faultIndex int, backend *Backend) bool {
+	f := &s.faults[faultIndex]
 	switch f.Kind {
 	case faultinject.SiteLost, faultinject.SiteSilent:
-		return w.active[i] && w.sc.Fleet.Sites[b.site] == f.Site
+		return s.activeFaults[faultIndex] && s.scenario.Fleet.Sites[backend.site] == f.Site
 	}
-	return w.active[i] && slices.Contains(f.Backends, b.place)
+	return s.activeFaults[faultIndex] && slices.Contains(f.Backends, backend.place)
 }
 
-// afflict works out anew what all faults that are on do to a box.
-func (w *Simulation) afflict(now eventqueue.Time, b *Backend) {
-	b.advance(now)
-	b.slow, b.errors, b.resets, b.garbage, b.frozen = 1, 0, 0, 0, false
-	for i := range w.faults {
-		if !w.hits(i, b) {
+// applyFaults works out anew what all faults that are on do to a box.
+func (s *Simulation) applyFaults(now eventqueue.Time, backend *Backend) {
+	backend.advanceService(now)
+	backend.slowdown, backend.errorRate, backend.resetRate, backend.garbageRate, backend.frozen = 1, 0, 0, 0, false
+	for i := range s.faults {
+		if !s.faultAffects(i, backend) {
 			continue
 		}
-		switch f := &w.faults[i]; f.Kind {
+		switch f := &s.faults[i]; f.Kind {
 		case faultinject.Slow:
-			b.slow *= f.Size
+			backend.slowdown *= f.Size
 		case faultinject.FastErrors:
-			b.errors = max(b.errors, f.Size)
+			backend.errorRate = max(backend.errorRate, f.Size)
 		case faultinject.Resets:
-			b.resets = max(b.resets, f.Size)
+			backend.resetRate = max(backend.resetRate, f.Size)
 		case faultinject.Garbage:
-			b.garbage = max(b.garbage, f.Size)
+			backend.garbageRate = max(backend.garbageRate, f.Size)
 		case faultinject.Freeze:
-			b.frozen = true
+			backend.frozen = true
 		}
 	}
-	b.change(now)
+	backend.handleLoadChange(now)
 }
 
-// heldDown tells whether any fault that is on keeps the box from running.
-func (w *Simulation) heldDown(b *Backend) bool {
-	for i := range w.faults {
-		switch w.faults[i].Kind {
+// keptDownByFault tells whether any fault that is on keeps the box from running.
+func (s *Simulation) keptDownByFault(backend *Backend) bool {
+	for i := range s.faults {
+		switch s.faults[i].Kind {
 		case faultinject.Kill, faultinject.Drain, faultinject.Replace, faultinject.SiteLost, faultinject.SiteSilent:
-			if w.hits(i, b) {
+			if s.faultAffects(i, backend) {
 				return true
 			}
 		}
@@ -125,186 +125,186 @@
 	return false
 }
 
-// drainTime is how long a box that drains has to finish what it holds.
-const drainTime = 5 * eventqueue.Second
+// drainTimeout is how long a box that drains has to finish what it holds.
+const drainTimeout = 5 * eventqueue.Second
 
-func (w *Simulation) begin(now eventqueue.Time, i int) {
-	f := w.faults[i]
-	w.active[i] = true
-	site := slices.Index(w.sc.Fleet.Sites, f.Site)
+func (s *Simulation) startFault(now eventqueue.Time, faultIndex int) {
+	f := s.faults[faultIndex]
+	s.activeFaults[faultIndex] = true
+	site := slices.Index(s.scenario.Fleet.Sites, f.Site)
 	switch f.Kind {
 	case faultinject.FastErrors, faultinject.Slow, faultinject.Resets, faultinject.Garbage, faultinject.Freeze:
 		for _, p := range f.Backends {
-			w.afflict(now, w.boxes[p])
+			s.applyFaults(now, s.backends[p])
 		}
 	case faultinject.Kill, faultinject.Replace:
 		for _, p := range f.Backends {
-			w.fell(now, w.boxes[p], false)
+			s.killBackend(now, s.backends[p], false)
 		}
 	case faultinject.Drain:
 		for _, p := range f.Backends {
-			if b := w.boxes[p]; b.up && !b.draining {
+			if b := s.backends[p]; b.running && !b.draining {
 				b.draining = true
-				w.disc.noticed(0, w.line(b, balancer.PhaseDraining))
-				time := drainTime
+				s.discovery.scheduleChange(0, s.endpointOf(b, balancer.PhaseDraining))
+				time := drainTimeout
 				if f.Duration > 0 {
 					time = min(time, f.Duration*eventqueue.Millisecond/2)
 				}
-				w.sim.After(&w.faultSrc, time, eventqueue.Event{To: w, Kind: faultDrained, A: int64(b.id), P: b.life})
+				s.events.After(&s.faultSource, time, eventqueue.Event{To: s, Kind: faultDrainDeadline, A: int64(b.id), P: b.incarnation})
 			}
 		}
 	case faultinject.SiteLost, faultinject.SiteSilent:
-		for _, b := range w.boxes {
+		for _, b := range s.backends {
 			if b.site == site {
-				w.fell(now, b, f.Kind == faultinject.SiteSilent)
+				s.killBackend(now, b, f.Kind == faultinject.SiteSilent)
 			}
 		}
 		if f.WithNodes {
-			w.downNodes(now, func(n *Node) bool { return n.site == site })
+			s.stopNodes(now, func(n *Node) bool { return n.site == site })
 		}
 	case faultinject.SiteCut:
-		w.cut[site]++
+		s.partitions[site]++
 	case faultinject.ListDown:
-		w.disc.fall()
+		s.discovery.beginOutage()
 	case faultinject.NodeKill:
-		w.downNodes(now, func(n *Node) bool { return slices.Contains(f.Nodes, n.index) })
+		s.stopNodes(now, func(n *Node) bool { return slices.Contains(f.Nodes, n.index) })
 	case faultinject.ClockOff:
-		for _, i := range f.Nodes {
-			w.nodes[i].offs = append(w.nodes[i].offs, us(f.Size))
+		for _, faultIndex := range f.Nodes {
+			s.nodes[faultIndex].clockOffsets = append(s.nodes[faultIndex].clockOffsets, fromMilliseconds(f.Size))
 		}
 	case faultinject.DatagramsLost:
-		w.peerLoss = max(w.peerLoss, f.Size)
+		s.peerMessageLoss = max(s.peerMessageLoss, f.Size)
 	case faultinject.HotNode:
-		for _, i := range f.Nodes {
-			w.nodes[i].hot += f.Size / float64(len(f.Nodes))
+		for _, faultIndex := range f.Nodes {
+			s.nodes[faultIndex].extraTraffic += f.Size / float64(len(f.Nodes))
 		}
 	}
 }
 
-// fell kills a box, of which discovery learns late.
-func (w *Simulation) fell(now eventqueue.Time, b *Backend, silent bool) {
-	if !b.up {
-		b.silent = b.silent || silent
+// killBackend kills a box, of which discovery learns late.
+func (s *Simulation) killBackend(now eventqueue.Time, backend *Backend, unreachable bool) {
+	if !backend.running {
+		backend.unreachable = backend.unreachable || unreachable
 		return
 	}
-	b.die(now, silent)
-	w.disc.noticed(w.notice(silent), w.line(b, balancer.PhaseRemoved))
+	backend.stopProcess(now, unreachable)
+	s.discovery.scheduleChange(s.detectionDelay(unreachable), s.endpointOf(backend, balancer.PhaseRemoved))
 }
 
-func (w *Simulation) downNodes(now eventqueue.Time, which func(*Node) bool) {
-	for _, n := range w.nodes {
+func (s *Simulation) stopNodes(now eventqueue.Time, which func(*Node) bool) {
+	for _, n := range s.nodes {
 		if which(n) {
-			if n.down++; n.life != nil {
-				n.die(now)
+			if n.stoppingFaults++; n.incarnation != nil {
+				n.stopProcess(now)
 			}
-			w.sim.After(&w.faultSrc, us(w.sc.Nodes.Notice), eventqueue.Event{To: w, Kind: faultFront, P: n})
+			s.events.After(&s.faultSource, fromMilliseconds(s.scenario.Nodes.Notice), eventqueue.Event{To: s, Kind: faultNodeDownDetected, P: n})
 		}
 	}
 }
 
-func (w *Simulation) upNodes(now eventqueue.Time, which func(*Node) bool) {
-	for _, n := range w.nodes {
+func (s *Simulation) startNodes(now eventqueue.Time, which func(*Node) bool) {
+	for _, n := range s.nodes {
 		if !which(n) {
 			continue
 		}
-		if n.down--; n.down == 0 && n.life == nil {
-			if err := n.start(now); err != nil {
+		if n.stoppingFaults--; n.stoppingFaults == 0 && n.incarnation == nil {
+			if err := n.startProcess(now); err != nil {
 				panic(err) // the same settings were sound at the start
 			}
-			w.sim.After(&n.src, us(w.sc.Nodes.Notice), eventqueue.Event{To: n, Kind: nodeReady})
+			s.events.After(&n.source, fromMilliseconds(s.scenario.Nodes.Notice), eventqueue.Event{To: n, Kind: nodeReady})
 		}
 	}
 }
 
-func (w *Simulation) finish(now eventqueue.Time, i int) {
-	f := w.faults[i]
-	if !w.active[i] {
+func (s *Simulation) endFault(now eventqueue.Time, faultIndex int) {
+	f := s.faults[faultIndex]
+	if !s.activeFaults[faultIndex] {
 		return
 	}
-	delete(w.active, i)
-	site := slices.Index(w.sc.Fleet.Sites, f.Site)
+	delete(s.activeFaults, faultIndex)
+	site := slices.Index(s.scenario.Fleet.Sites, f.Site)
 	switch f.Kind {
 	case faultinject.FastErrors, faultinject.Slow, faultinject.Resets, faultinject.Garbage, faultinject.Freeze:
 		for _, p := range f.Backends {
-			w.afflict(now, w.boxes[p])
+			s.applyFaults(now, s.backends[p])
 		}
 	case faultinject.Kill, faultinject.Drain:
 		for _, p := range f.Backends {
-			w.raise(now, w.boxes[p])
+			s.restartBackend(now, s.backends[p])
 		}
 	case faultinject.Replace:
 		for _, p := range f.Backends {
-			w.replace(now, p)
+			s.replaceBackend(now, p)
 		}
 	case faultinject.SiteLost, faultinject.SiteSilent:
-		for _, b := range w.boxes {
+		for _, b := range s.backends {
 			if b.site == site {
-				w.raise(now, b)
+				s.restartBackend(now, b)
 			}
 		}
 		if f.WithNodes {
-			w.upNodes(now, func(n *Node) bool { return n.site == site })
+			s.startNodes(now, func(n *Node) bool { return n.site == site })
 		}
-		w.sim.After(&w.faultSrc, us(w.sc.Net.Silent), eventqueue.Event{To: w, Kind: faultResets})
+		s.events.After(&s.faultSource, fromMilliseconds(s.scenario.Net.Silent), eventqueue.Event{To: s, Kind: faultConnectionsReset})
 	case faultinject.SiteCut:
-		w.cut[site]--
-		w.sim.After(&w.faultSrc, us(w.sc.Net.Silent), eventqueue.Event{To: w, Kind: faultResets})
+		s.partitions[site]--
+		s.events.After(&s.faultSource, fromMilliseconds(s.scenario.Net.Silent), eventqueue.Event{To: s, Kind: faultConnectionsReset})
 	case faultinject.ListDown:
-		w.disc.rise()
+		s.discovery.endOutage()
 	case faultinject.NodeKill:
-		w.upNodes(now, func(n *Node) bool { return slices.Contains(f.Nodes, n.index) })
+		s.startNodes(now, func(n *Node) bool { return slices.Contains(f.Nodes, n.index) })
 	case faultinject.ClockOff:
-		for _, i := range f.Nodes {
-			n := w.nodes[i]
-			if at := slices.Index(n.offs, us(f.Size)); at >= 0 {
-				n.offs = slices.Delete(n.offs, at, at+1)
+		for _, faultIndex := range f.Nodes {
+			n := s.nodes[faultIndex]
+			if at := slices.Index(n.clockOffsets, fromMilliseconds(f.Size)); at >= 0 {
+				n.clockOffsets = slices.Delete(n.clockOffsets, at, at+1)
 			}
 		}
 	case faultinject.DatagramsLost:
-		w.peerLoss = 0
-		for i, g := range w.faults {
-			if w.active[i] && g.Kind == faultinject.DatagramsLost {
-				w.peerLoss = max(w.peerLoss, g.Size)
+		s.peerMessageLoss = 0
+		for faultIndex, g := range s.faults {
+			if s.activeFaults[faultIndex] && g.Kind == faultinject.DatagramsLost {
+				s.peerMessageLoss = max(s.peerMessageLoss, g.Size)
 			}
 		}
 	case faultinject.HotNode:
-		for _, i := range f.Nodes {
-			w.nodes[i].hot = max(0, w.nodes[i].hot-f.Size/float64(len(f.Nodes)))
+		for _, faultIndex := range f.Nodes {
+			s.nodes[faultIndex].extraTraffic = max(0, s.nodes[faultIndex].extraTraffic-f.Size/float64(len(f.Nodes)))
 		}
 	}
 }
 
-// raise starts a box's process again, if nothing else keeps it down.
-func (w *Simulation) raise(now eventqueue.Time, b *Backend) {
-	if w.heldDown(b) {
+// restartBackend starts a box's process again, if nothing else keeps it down.
+func (s *Simulation) restartBackend(now eventqueue.Time, backend *Backend) {
+	if s.keptDownByFault(backend) {
 		return
 	}
-	if b.up && b.draining { // its end has not come yet: it is restarted in place
-		b.die(now, false)
+	if backend.running && backend.draining { // its end has not come yet: it is restarted in place
+		backend.stopProcess(now, false)
 	}
-	if b.up {
+	if backend.running {
 		return
 	}
-	b.start(now)
-	w.afflict(now, b)
-	w.disc.noticed(w.notice(false), w.line(b, balancer.PhaseReady))
+	backend.startProcess(now)
+	s.applyFaults(now, backend)
+	s.discovery.scheduleChange(s.detectionDelay(false), s.endpointOf(backend, balancer.PhaseReady))
 }
 
-// replace puts a new box at the address of one that is gone for good.
-func (w *Simulation) replace(now eventqueue.Time, place int) {
-	old := w.boxes[place]
-	if w.heldDown(old) {
+// replaceBackend puts a new box at the address of one that is gone for good.
+func (s *Simulation) replaceBackend(now eventqueue.Time, place int) {
+	old := s.backends[place]
+	if s.keptDownByFault(old) {
 		return
 	}
-	old.retired = true
-	w.lastID++
-	b := w.newBox(place, w.lastID, "box "+strconv.FormatUint(uint64(w.lastID), 10)+" in place")
-	b.up = false
-	w.boxes[place], w.byID[b.id] = b, b
-	b.start(now)
-	w.afflict(now, b)
-	w.disc.noticed(w.notice(false), w.line(b, balancer.PhaseReady))
-	if every := us(w.sc.Fleet.Report.Every); every > 0 {
-		w.sim.After(&b.src, every, eventqueue.Event{To: b, Kind: boxRefresh})
+	old.replaced = true
+	s.lastBackendID++
+	b := s.newBackend(place, s.lastBackendID, "box "+strconv.FormatUint(uint64(s.lastBackendID), 10)+" in place")
+	b.running = false
+	s.backends[place], s.backendsByID[b.id] = b, b
+	b.startProcess(now)
+	s.applyFaults(now, b)
+	s.discovery.scheduleChange(s.detectionDelay(false), s.endpointOf(b, balancer.PhaseReady))
+	if every := fromMilliseconds(s.scenario.Fleet.Report.Every); every > 0 {
+		s.events.After(&b.source, every, eventqueue.Event{To: b, Kind: backendReportMeasured})
 	}
 }
--- a/internal/simulation/emulator/live.go
+++ b/internal/simulation/emulator/live.go
@@ -17,10 +17,10 @@
 // on sockets in real time. It has no clock of its own. Whoever drives it calls Advance with the time since the start,
 // and hears what happens meanwhile through Effects. It is not safe for concurrent use.
 type LiveBackends struct {
-	w      *Simulation
-	out    Effects
-	nodes  []*Node
-	listed int
+	simulation        *Simulation
+	effects           Effects
+	nodes             []*Node
+	publishedRevision int
 }
 
 // Effects is who hears of what a Live does. Calls come from within Advance and the other methods, and must not call
@@ -61,32 +61,32 @@
 
 // Pending is an attempt that a box has taken in hand.
 type Pending struct {
-	Any    any
-	Ran    bool // it has begun to run
-	Report balancer.LoadReport
-	a      *attempt
+	Any     any
+	Ran     bool // it has begun to run
+	Report  balancer.LoadReport
+	attempt *attempt
 }
 
-// liveEnd hears the ends of attempts in place of a node.
-type liveEnd struct{ l *LiveBackends }
+// liveAttemptEnds hears the ends of attempts in place of a node.
+type liveAttemptEnds struct{ live *LiveBackends }
 
-func (e liveEnd) Handle(_ eventqueue.Time, ev eventqueue.Event) {
+func (e liveAttemptEnds) Handle(_ eventqueue.Time, ev eventqueue.Event) {
 	a := ev.P.(*attempt)
-	if !a.open {
+	if !a.awaited {
 		return
 	}
-	a.open = false
-	e.l.out.Answered(Pending{Any: a.pending, Ran: a.ran, Report: a.report, a: a}, balancer.Outcome(ev.A))
+	a.awaited = false
+	e.live.effects.Answered(Pending{Any: a.liveContext, Ran: a.started, Report: a.report, attempt: a}, balancer.Outcome(ev.A))
 }
 
 // liveFaults hears the scenario's faults begin and end.
-type liveFaults struct{ l *LiveBackends }
+type liveFaults struct{ live *LiveBackends }
 
 func (f liveFaults) Handle(now eventqueue.Time, ev eventqueue.Event) {
-	if ev.Kind == faultBegins {
-		f.l.begin(now, int(ev.A))
+	if ev.Kind == faultStart {
+		f.live.startFault(now, int(ev.A))
 	} else {
-		f.l.finish(now, int(ev.A))
+		f.live.endFault(now, int(ev.A))
 	}
 }
 
@@ -94,45 +94,45 @@
 func NewLive(sc *scenario.Scenario, seed uint64, out Effects) *LiveBackends {
 	own := *sc
 	own.Net.Same, own.Net.Cross, own.Net.Jitter = 0, 0, 0 // sockets have delays of their own
-	w := &Simulation{sc: &own, seed: seed, byID: map[balancer.EndpointID]*Backend{}, ledgers: map[int]*ledger{}, active: map[int]bool{},
-		cut: make([]int, len(sc.Fleet.Sites)), faultSrc: eventqueue.NewSource(sourceFault), faults: Faults(sc, seed),
+	simulation := &Simulation{scenario: &own, seed: seed, backendsByID: map[balancer.EndpointID]*Backend{}, idempotencyStores: map[int]*idempotencyStore{}, activeFaults: map[int]bool{},
+		partitions: make([]int, len(sc.Fleet.Sites)), faultSource: eventqueue.NewSource(sourceFault), faults: Faults(sc, seed),
 		classes: sc.Config(0, make([]float64, len(sc.Tenants))).Classes, meanWork: workload.MeanWork(sc),
-		judge: invariant.New(invariant.Config{}, origin)}
-	w.sim.Run(origin)
-	w.rec = newRecorder(w)
-	w.disc = &discovery{w: w, src: eventqueue.NewSource(sourceDiscovery), rand: eventqueue.NewStream(seed, "discovery")}
-	l := &LiveBackends{w: w, out: out}
-	w.ran = func(a *attempt) { out.Ran(a.pending) }
+		checker: invariant.New(invariant.Config{}, origin)}
+	simulation.events.Run(origin)
+	simulation.recorder = newRecorder(simulation)
+	simulation.discovery = &discovery{simulation: simulation, source: eventqueue.NewSource(sourceDiscovery), random: eventqueue.NewStream(seed, "discovery")}
+	l := &LiveBackends{simulation: simulation, effects: out}
+	simulation.onExecution = func(a *attempt) { out.Ran(a.liveContext) }
 	for place := range sc.Fleet.Backends {
-		b := w.newBox(place, balancer.EndpointID(place+1), "box")
-		w.boxes, w.byID[b.id] = append(w.boxes, b), b
-		w.capacity += b.full()
-		w.disc.log = append(w.disc.log, change{w.line(b, balancer.PhaseReady), origin})
-		if every := us(sc.Fleet.Report.Every); every > 0 {
-			w.sim.After(&b.src, eventqueue.Span(b.rand.Float64()*float64(every)), eventqueue.Event{To: b, Kind: boxRefresh})
+		b := simulation.newBackend(place, balancer.EndpointID(place+1), "box")
+		simulation.backends, simulation.backendsByID[b.id] = append(simulation.backends, b), b
+		simulation.capacity += b.nominalCapacity()
+		simulation.discovery.changes = append(simulation.discovery.changes, listChange{simulation.endpointOf(b, balancer.PhaseReady), origin})
+		if every := fromMilliseconds(sc.Fleet.Report.Every); every > 0 {
+			simulation.events.After(&b.source, eventqueue.Span(b.random.Float64()*float64(every)), eventqueue.Event{To: b, Kind: backendReportMeasured})
 		}
 	}
-	w.lastID = balancer.EndpointID(len(w.boxes))
+	simulation.lastBackendID = balancer.EndpointID(len(simulation.backends))
 	for i := range sc.Nodes.Count {
-		l.nodes = append(l.nodes, &Node{w: w, index: i, site: sc.Site(i)})
+		l.nodes = append(l.nodes, &Node{simulation: simulation, index: i, site: sc.Site(i)})
 	}
-	l.tell()
-	for i, f := range w.faults {
-		l.plan(i, f)
+	l.publishChanges()
+	for i, f := range simulation.faults {
+		l.scheduleFault(i, f)
 	}
 	return l
 }
 
-func (l *LiveBackends) plan(i int, f faultinject.Fault) {
-	w := l.w
-	w.sim.At(&w.faultSrc, origin+f.Start*eventqueue.Millisecond, eventqueue.Event{To: liveFaults{l}, Kind: faultBegins, A: int64(i)})
+func (l *LiveBackends) scheduleFault(i int, f faultinject.Fault) {
+	simulation := l.simulation
+	simulation.events.At(&simulation.faultSource, origin+f.Start*eventqueue.Millisecond, eventqueue.Event{To: liveFaults{l}, Kind: faultStart, A: int64(i)})
 	if f.Duration > 0 {
-		w.sim.At(&w.faultSrc, origin+f.End()*eventqueue.Millisecond, eventqueue.Event{To: liveFaults{l}, Kind: faultEnds, A: int64(i)})
+		simulation.events.At(&simulation.faultSource, origin+f.End()*eventqueue.Millisecond, eventqueue.Event{To: liveFaults{l}, Kind: faultEnd, A: int64(i)})
 	}
 }
 
-// ofNodes are the faults that the boxes have no part in: those of nodes, of discovery, and of how answers are worded.
-func ofNodes(k faultinject.Kind) bool {
+// concernsNodesOnly are the faults that the boxes have no part in: those of nodes, of discovery, and of how answers are worded.
+func concernsNodesOnly(k faultinject.Kind) bool {
 	switch k {
 	case faultinject.Garbage, faultinject.Interim, faultinject.NodeKill, faultinject.ClockOff, faultinject.DatagramsLost, faultinject.HotNode, faultinject.Surge, faultinject.ListDown:
 		return true
@@ -140,124 +140,126 @@
 	return false
 }
 
-func (l *LiveBackends) begin(now eventqueue.Time, i int) {
-	f := l.w.faults[i]
-	if !ofNodes(f.Kind) {
-		l.w.begin(now, i)
+func (l *LiveBackends) startFault(now eventqueue.Time, i int) {
+	f := l.simulation.faults[i]
+	if !concernsNodesOnly(f.Kind) {
+		l.simulation.startFault(now, i)
 	}
-	l.out.Began(f)
-	l.tell()
+	l.effects.Began(f)
+	l.publishChanges()
 }
 
-func (l *LiveBackends) finish(now eventqueue.Time, i int) {
-	f := l.w.faults[i]
-	if !ofNodes(f.Kind) {
-		l.w.finish(now, i)
+func (l *LiveBackends) endFault(now eventqueue.Time, i int) {
+	f := l.simulation.faults[i]
+	if !concernsNodesOnly(f.Kind) {
+		l.simulation.endFault(now, i)
 	}
-	l.out.Ended(f)
-	l.tell()
+	l.effects.Ended(f)
+	l.publishChanges()
 }
 
 // Begin starts a fault now, whatever its own times say; it lasts for its own length, or until End. What is left open
 // in it is settled by the seed. It returns the fault's number.
 func (l *LiveBackends) Begin(f faultinject.Fault) (int, faultinject.Fault) {
-	name := func(i int) string { return l.w.sc.Fleet.Sites[l.w.sc.Site(i)] }
-	f = f.ApplyDefaults(l.w.sc.Scope(name, name), eventqueue.NewStream(l.w.seed, "order "+string(f.Kind)))
-	f.Start = (l.w.sim.Now() - origin) / eventqueue.Millisecond
-	i := len(l.w.faults)
-	l.w.faults = append(l.w.faults, f)
-	l.begin(l.w.sim.Now(), i)
+	name := func(i int) string { return l.simulation.scenario.Fleet.Sites[l.simulation.scenario.Site(i)] }
+	f = f.ApplyDefaults(l.simulation.scenario.Scope(name, name), eventqueue.NewStream(l.simulation.seed, "order "+string(f.Kind)))
+	f.Start = (l.simulation.events.Now() - origin) / eventqueue.Millisecond
+	i := len(l.simulation.faults)
+	l.simulation.faults = append(l.simulation.faults, f)
+	l.startFault(l.simulation.events.Now(), i)
 	if f.Duration > 0 {
-		l.w.sim.At(&l.w.faultSrc, origin+f.End()*eventqueue.Millisecond, eventqueue.Event{To: liveFaults{l}, Kind: faultEnds, A: int64(i)})
+		l.simulation.events.At(&l.simulation.faultSource, origin+f.End()*eventqueue.Millisecond, eventqueue.Event{To: liveFaults{l}, Kind: faultEnd, A: int64(i)})
 	}
 	return i, f
 }
 
 // End ends the fault of that number, and tells whether it was on.
 func (l *LiveBackends) End(i int) bool {
-	if i < 0 || i >= len(l.w.faults) || !l.w.active[i] && !ofNodes(l.w.faults[i].Kind) {
+	if i < 0 || i >= len(l.simulation.faults) || !l.simulation.activeFaults[i] && !concernsNodesOnly(l.simulation.faults[i].Kind) {
 		return false
 	}
-	l.finish(l.w.sim.Now(), i)
+	l.endFault(l.simulation.events.Now(), i)
 	return true
 }
 
 // Advance plays up to now, and returns when the next thing is due; never, if nothing is.
 func (l *LiveBackends) Advance(now eventqueue.Time) (next eventqueue.Time) {
-	l.w.sim.Run(origin + now)
-	l.tell()
-	if at, ok := l.w.sim.Next(); ok {
+	l.simulation.events.Run(origin + now)
+	l.publishChanges()
+	if at, ok := l.simulation.events.Next(); ok {
 		return at - origin
 	}
 	return math.MaxInt64
 }
 
-// tell passes on what discovery has learned.
-func (l *LiveBackends) tell() {
-	for ; l.listed < l.w.disc.version(); l.listed++ {
-		h := l.w.disc.log[l.listed].host
+// publishChanges passes on what discovery has learned.
+func (l *LiveBackends) publishChanges() {
+	for ; l.publishedRevision < l.simulation.discovery.revision(); l.publishedRevision++ {
+		h := l.simulation.discovery.changes[l.publishedRevision].endpoint
 		started := h.StartedAt - origin
 		if h.StartedAt == 0 {
 			started = -1
 		}
-		l.out.Listed(EndpointEntry{Backend: int(h.ID), Place: l.w.byID[h.ID].place, Site: h.Zone, Rack: h.Cell, Weight: h.Weight, Phase: h.Phase,
+		l.effects.Listed(EndpointEntry{Backend: int(h.ID), Place: l.simulation.backendsByID[h.ID].place, Site: h.Zone, Rack: h.Cell, Weight: h.Weight, Phase: h.Phase,
 			Started: started})
 	}
 }
 
 // Up tells whether the process at that address runs, and whether its machine has vanished.
-func (l *LiveBackends) Up(place int) (up, silent bool) {
-	return l.w.boxes[place].up, l.w.boxes[place].silent
+func (l *LiveBackends) Up(place int) (running, unreachable bool) {
+	return l.simulation.backends[place].running, l.simulation.backends[place].unreachable
 }
 
 // Partitioned tells whether the link between a node and a box's address is cut.
 func (l *LiveBackends) Partitioned(node, place int) bool {
-	return l.w.parted(l.w.sc.Site(node), l.w.sc.Site(place))
+	return l.simulation.partitioned(l.simulation.scenario.Site(node), l.simulation.scenario.Site(place))
 }
 
 // Incarnation changes whenever the process at that address does.
-func (l *LiveBackends) Incarnation(place int) any { return l.w.boxes[place].life }
+func (l *LiveBackends) Incarnation(place int) any { return l.simulation.backends[place].incarnation }
 
 // Capacity is what the fleet can do, in µs of work for each µs.
-func (l *LiveBackends) Capacity() float64 { return l.w.capacity }
+func (l *LiveBackends) Capacity() float64 { return l.simulation.capacity }
 
 // Executions counts what has begun to run.
-func (l *LiveBackends) Executions() int64 { return l.w.rec.executions }
+func (l *LiveBackends) Executions() int64 { return l.simulation.recorder.executions }
 
 // Arrive hands an attempt to the box at its address.
-func (l *LiveBackends) Arrive(now eventqueue.Time, in Attempt) Pending {
-	w := l.w
-	w.sim.Run(origin + now)
-	b := w.boxes[in.Place]
-	id := xxhash.Sum64String(in.ID)
-	c := &call{Call: workload.Call{Number: xxhash.Sum64String(in.Repeat), Class: in.Class, Key: in.Key}, effect: w.classes[in.Class].Idempotency}
-	r := &request{id: balancer.RequestID(id >> 8), call: c, node: l.nodes[in.Node], to: liveEnd{l}, deadline: math.MaxInt64}
-	if in.Timeout > 0 {
-		r.deadline = w.sim.Now() + in.Timeout
+func (l *LiveBackends) Arrive(now eventqueue.Time, incoming Attempt) Pending {
+	w := l.simulation
+	w.events.Run(origin + now)
+	b := w.backends[incoming.Place]
+	id := xxhash.Sum64String(incoming.ID)
+	c := &call{Call: workload.Call{Number: xxhash.Sum64String(incoming.Repeat), Class: incoming.Class, Key: incoming.Key}, idempotency: w.classes[incoming.Class].Idempotency}
+	r := &request{id: balancer.RequestID(id >> 8), call: c, node: l.nodes[incoming.Node], replyTo: liveAttemptEnds{l}, deadline: math.MaxInt64}
+	if incoming.Timeout > 0 {
+		r.deadline = w.events.Now() + incoming.Timeout
 	}
-	a := &attempt{req: r, box: b, life: b.life, sent: w.sim.Now(), open: true, fresh: in.Fresh, pending: in.Pending}
-	a.work = workload.DrawWork(w.sc, w.seed, c.Number, in.Class)
-	if noise := w.sc.Classes[in.Class].Noise; noise > 0 {
+	a := &attempt{request: r, backend: b, incarnation: b.incarnation, sentAt: w.events.Now(), awaited: true, newConnection: incoming.Fresh, liveContext: incoming.Pending}
+	a.work = workload.DrawWork(w.scenario, w.seed, c.Number, incoming.Class)
+	if noise := w.scenario.Classes[incoming.Class].Noise; noise > 0 {
 		d := eventqueue.NewDraws(w.seed, id, drawWork)
 		a.work *= workload.Lognormal(noise, d.Norm())
 	}
-	b.coming++
-	b.arrive(w.sim.Now(), a)
-	return Pending{Any: in.Pending, a: a}
+	b.inTransit++
+	b.receiveAttempt(w.events.Now(), a)
+	return Pending{Any: incoming.Pending, attempt: a}
 }
 
 // Probe is what the box at an address tells of itself when it is asked.
 func (l *LiveBackends) Probe(now eventqueue.Time, place int) balancer.LoadReport {
-	l.w.sim.Run(origin + now)
-	return l.w.probed(l.w.boxes[place])
+	l.simulation.events.Run(origin + now)
+	return l.simulation.loadReportOf(l.simulation.backends[place])
 }
 
 // Abandon is a node that has given an attempt up: its connection is closed.
 func (l *LiveBackends) Abandon(p Pending) {
-	p.a.open = false
-	b := p.a.box
-	b.Handle(l.w.sim.Now(), eventqueue.Event{To: b, Kind: boxCancel, P: p.a})
+	p.attempt.awaited = false
+	b := p.attempt.backend
+	b.Handle(l.simulation.events.Now(), eventqueue.Event{To: b, Kind: backendCancellation, P: p.attempt})
 }
 
 // Connected counts connections to an address, for the box's cap.
-func (l *LiveBackends) Connected(place, n int) { l.w.boxes[place].life.conns += n }
+func (l *LiveBackends) Connected(place, delta int) {
+	l.simulation.backends[place].incarnation.connections += delta
+}
--- a/internal/simulation/emulator/result.go
+++ b/internal/simulation/emulator/result.go
@@ -51,8 +51,8 @@
 
 // Quantile is the time within which this share of calls was served.
 type Quantile struct {
-	Q  float64 `json:"q"`
-	Ms float64 `json:"ms"`
+	Percent      float64 `json:"q"`
+	Milliseconds float64 `json:"ms"`
 }
 
 // quantiles are those told of all calls, in percent.
@@ -89,159 +89,159 @@
 	Late     []int64   `json:"late"`
 }
 
-type sums struct{ asked, got float64 }
+type valueTotals struct{ offered, served float64 }
 
-func (s sums) share() float64 {
-	if s.asked == 0 {
+func (s valueTotals) fraction() float64 {
+	if s.offered == 0 {
 		return 1
 	}
-	return s.got / s.asked
+	return s.served / s.offered
 }
 
 // recorder gathers the figures of a run.
 type recorder struct {
-	w          *Simulation
-	series     Series
-	classes    []sums
-	tenants    []sums
-	within     []sums
-	outcomes   [][outcomes]int64 // by class
-	times      []*hdrhistogram.Histogram
-	total      []float64 // ms, by class
-	calls      int64
-	tries      int64
-	attempts   int64
-	crossed    int64
-	asks       float64 // work
-	done       float64
-	used       float64
-	secondRuns int64
-	executions int64
-	overdriven int64
-	dials      int64
-	probes     int64
-	datagrams  int64
-	callsMade  int64 // to discovery
+	simulation          *Simulation
+	series              Series
+	classes             []valueTotals
+	tenants             []valueTotals
+	withinQuota         []valueTotals
+	outcomes            [][outcomeCount]int64 // by class
+	latencies           []*hdrhistogram.Histogram
+	latencySums         []float64 // ms, by class
+	callCount           int64
+	requestCount        int64
+	attemptCount        int64
+	crossSiteAttempts   int64
+	offeredWork         float64 // work
+	executedWork        float64
+	usefulWork          float64
+	duplicateExecutions int64
+	executions          int64
+	overloads           int64
+	dials               int64
+	healthChecks        int64
+	datagrams           int64
+	discoveryCalls      int64 // to discovery
 }
 
-func newRecorder(w *Simulation) *recorder {
-	r := &recorder{w: w, classes: make([]sums, len(w.classes)), tenants: make([]sums, len(w.sc.Tenants)),
-		within: make([]sums, len(w.sc.Tenants)), outcomes: make([][outcomes]int64, len(w.classes)),
-		total: make([]float64, len(w.classes))}
-	for range w.classes {
-		r.times = append(r.times, hdrhistogram.New(1, 100*int64(eventqueue.Second), 3))
+func newRecorder(simulation *Simulation) *recorder {
+	r := &recorder{simulation: simulation, classes: make([]valueTotals, len(simulation.classes)), tenants: make([]valueTotals, len(simulation.scenario.Tenants)),
+		withinQuota: make([]valueTotals, len(simulation.scenario.Tenants)), outcomes: make([][outcomeCount]int64, len(simulation.classes)),
+		latencySums: make([]float64, len(simulation.classes))}
+	for range simulation.classes {
+		r.latencies = append(r.latencies, hdrhistogram.New(1, 100*int64(eventqueue.Second), 3))
 	}
-	n := int(math.Ceil(w.sc.Seconds))
+	n := int(math.Ceil(simulation.scenario.Seconds))
 	r.series = Series{make([]float64, n), make([]float64, n), make([]int64, n), make([]int64, n), make([]int64, n), make([]int64, n)}
 	return r
 }
 
-func (r *recorder) worth(k *call) float64 {
-	x := r.w.sc.Classes[k.Class].PriorityWeight
-	if k.overOwn {
-		x *= r.w.sc.Goal.OverShare
+func (r *recorder) callValue(c *call) float64 {
+	x := r.simulation.scenario.Classes[c.Class].PriorityWeight
+	if c.overQuota {
+		x *= r.simulation.scenario.Goal.OverShare
 	}
 	return x
 }
 
-func (r *recorder) asked(k *call) {
-	x, sec := r.worth(k), int((k.due-origin)/eventqueue.Second)
-	r.series.Offered[sec] += x
-	r.series.Calls[sec]++
-	if !k.counted {
+func (r *recorder) recordCall(c *call) {
+	value, second := r.callValue(c), int((c.dueAt-origin)/eventqueue.Second)
+	r.series.Offered[second] += value
+	r.series.Calls[second]++
+	if !c.measured {
 		return
 	}
-	r.calls++
-	r.asks += k.Work
-	r.classes[k.Class].asked += x
-	r.tenants[k.Tenant].asked += x
-	if !k.overOwn {
-		r.within[k.Tenant].asked += x
+	r.callCount++
+	r.offeredWork += c.Work
+	r.classes[c.Class].offered += value
+	r.tenants[c.Tenant].offered += value
+	if !c.overQuota {
+		r.withinQuota[c.Tenant].offered += value
 	}
 }
 
-func (r *recorder) ended(k *call, how int, now eventqueue.Time) {
-	x, sec := 0.0, int((k.due-origin)/eventqueue.Second)
+func (r *recorder) recordCallEnd(c *call, how int, now eventqueue.Time) {
+	value, second := 0.0, int((c.dueAt-origin)/eventqueue.Second)
 	switch how {
 	case outcomeServed:
-		x = r.worth(k)
+		value = r.callValue(c)
 	case outcomeLate:
-		x = r.worth(k) * r.w.sc.Classes[k.Class].LateValue
-		r.series.Late[sec]++
-	case outcomeRefused:
-		r.series.Rejected[sec]++
+		value = r.callValue(c) * r.simulation.scenario.Classes[c.Class].LateValue
+		r.series.Late[second]++
+	case outcomeRejected:
+		r.series.Rejected[second]++
 	default:
-		r.series.Failed[sec]++
+		r.series.Failed[second]++
 	}
-	r.series.Served[sec] += x
-	if !k.counted {
+	r.series.Served[second] += value
+	if !c.measured {
 		return
 	}
-	r.tries += int64(k.tries)
-	r.outcomes[k.Class][how]++
-	r.classes[k.Class].got += x
-	r.tenants[k.Tenant].got += x
-	if !k.overOwn {
-		r.within[k.Tenant].got += x
+	r.requestCount += int64(c.requestCount)
+	r.outcomes[c.Class][how]++
+	r.classes[c.Class].served += value
+	r.tenants[c.Tenant].served += value
+	if !c.overQuota {
+		r.withinQuota[c.Tenant].served += value
 	}
 	if how <= outcomeLate {
 		// Longer than the histogram's 100 s no deadline lets anything take but by configuration; it keeps its bound.
-		_ = r.times[k.Class].RecordValue(min(max(now-k.due, 1), 100*int64(eventqueue.Second)))
-		r.total[k.Class] += float64(now-k.due) / 1000
+		_ = r.latencies[c.Class].RecordValue(min(max(now-c.dueAt, 1), 100*int64(eventqueue.Second)))
+		r.latencySums[c.Class] += float64(now-c.dueAt) / 1000
 	}
 }
 
-func (r *recorder) attempt(k *call, crossed bool) {
-	if k.counted {
-		r.attempts++
+func (r *recorder) recordAttempt(c *call, crossed bool) {
+	if c.measured {
+		r.attemptCount++
 		if crossed {
-			r.crossed++
+			r.crossSiteAttempts++
 		}
 	}
 }
 
-func (r *recorder) work(a *attempt) {
-	if a.req.call.counted {
-		r.done += a.work
+func (r *recorder) recordWork(a *attempt) {
+	if a.request.call.measured {
+		r.executedWork += a.work
 	}
 }
 
-func (r *recorder) lostWork(a *attempt, attained float64) {
-	if a.req.call.counted {
-		r.done += a.work - (a.due - attained)
+func (r *recorder) recordLostWork(a *attempt, attained float64) {
+	if a.request.call.measured {
+		r.executedWork += a.work - (a.completionService - attained)
 	}
 }
 
-func (r *recorder) useful(a *attempt) {
-	if a.req.call.counted && a.ran {
-		r.used += a.work
+func (r *recorder) recordUsefulWork(a *attempt) {
+	if a.request.call.measured && a.started {
+		r.usefulWork += a.work
 	}
 }
 
 func (r *recorder) result() *Result {
-	w := r.w
-	res := &Result{Scenario: w.sc.Name, Seed: w.seed, Calls: r.calls, Outcomes: map[string]int64{}, Series: r.series,
-		SecondRuns: r.secondRuns, Executions: r.executions, Overdriven: r.overdriven, Dials: r.dials, Probes: r.probes,
-		Datagrams: r.datagrams, DiscoveryCalls: r.callsMade, Events: w.sim.Done(), Broken: map[string]int{},
-		Violations: w.judge.Violations(), Capacity: w.capacity / w.meanWork * 1e6, WorstClass: 1, WorstTenant: 1}
-	res.Arrivals, res.Faults = int64(w.crowd.calls), w.faults
-	all, times := sums{}, hdrhistogram.New(1, 100*int64(eventqueue.Second), 3)
+	simulation := r.simulation
+	res := &Result{Scenario: simulation.scenario.Name, Seed: simulation.seed, Calls: r.callCount, Outcomes: map[string]int64{}, Series: r.series,
+		SecondRuns: r.duplicateExecutions, Executions: r.executions, Overdriven: r.overloads, Dials: r.dials, Probes: r.healthChecks,
+		Datagrams: r.datagrams, DiscoveryCalls: r.discoveryCalls, Events: simulation.events.Done(), Broken: map[string]int{},
+		Violations: simulation.checker.Violations(), Capacity: simulation.capacity / simulation.meanWork * 1e6, WorstClass: 1, WorstTenant: 1}
+	res.Arrivals, res.Faults = int64(simulation.clients.callCount), simulation.faults
+	all, times := valueTotals{}, hdrhistogram.New(1, 100*int64(eventqueue.Second), 3)
 	for i, c := range r.classes {
-		all.asked, all.got = all.asked+c.asked, all.got+c.got
-		p := PerClass{Name: w.sc.Classes[i].Name, ServedValue: c.share(), Outcomes: map[string]int64{}}
+		all.offered, all.served = all.offered+c.offered, all.served+c.served
+		p := PerClass{Name: simulation.scenario.Classes[i].Name, ServedValue: c.fraction(), Outcomes: map[string]int64{}}
 		for how, n := range r.outcomes[i] {
 			p.Outcomes[outcomeNames[how]] = n
 			res.Outcomes[outcomeNames[how]] += n
 		}
-		if h := r.times[i]; h.TotalCount() > 0 {
+		if h := r.latencies[i]; h.TotalCount() > 0 {
 			times.Merge(h)
 			at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 			p.P50, p.P90, p.P99, p.P999, p.Max = at(50), at(90), at(99), at(99.9), float64(h.Max())/1000
-			p.Mean = r.total[i] / float64(h.TotalCount())
+			p.Mean = r.latencySums[i] / float64(h.TotalCount())
 		}
 		res.Classes = append(res.Classes, p)
-		if c.asked > 0 {
-			res.WorstClass = min(res.WorstClass, c.share())
+		if c.offered > 0 {
+			res.WorstClass = min(res.WorstClass, c.fraction())
 		}
 	}
 	for _, q := range quantiles {
@@ -250,45 +250,45 @@
 		}
 	}
 	for i := range r.tenants {
-		res.Tenants = append(res.Tenants, PerTenant{w.sc.Tenants[i].Name, r.tenants[i].share(), r.within[i].share()})
-		if r.within[i].asked > 0 {
-			res.WorstTenant = min(res.WorstTenant, r.within[i].share())
+		res.Tenants = append(res.Tenants, PerTenant{simulation.scenario.Tenants[i].Name, r.tenants[i].fraction(), r.withinQuota[i].fraction()})
+		if r.withinQuota[i].offered > 0 {
+			res.WorstTenant = min(res.WorstTenant, r.withinQuota[i].fraction())
 		}
 	}
-	res.ServedValue = all.share()
-	res.WorstWindow, res.ServiceAfterEnd = r.windows()
-	if r.tries > 0 {
-		res.AttemptsPerRequest = float64(r.attempts) / float64(r.tries)
-		res.RequestsPerCall = float64(r.tries) / float64(r.calls)
-		res.CrossSite = float64(r.crossed) / float64(r.calls)
-		res.Waste = max(0, r.done-r.used) / r.asks
+	res.ServedValue = all.fraction()
+	res.WorstWindow, res.ServiceAfterEnd = r.windowValues()
+	if r.requestCount > 0 {
+		res.AttemptsPerRequest = float64(r.attemptCount) / float64(r.requestCount)
+		res.RequestsPerCall = float64(r.requestCount) / float64(r.callCount)
+		res.CrossSite = float64(r.crossSiteAttempts) / float64(r.callCount)
+		res.Waste = max(0, r.executedWork-r.usefulWork) / r.offeredWork
 	}
-	for _, n := range w.nodes {
+	for _, n := range simulation.nodes {
 		res.Decisions += n.decisions
 	}
-	g := w.sc.Goal
+	g := simulation.scenario.Goal
 	if sum := g.Overall + g.WorstWindow + g.WorstClass + g.WorstTenant; sum > 0 {
 		res.Score = (g.Overall*res.ServedValue + g.WorstWindow*res.WorstWindow + g.WorstClass*res.WorstClass +
 			g.WorstTenant*res.WorstTenant) / sum
 	}
-	for rule, n := range w.judge.Broken() {
+	for rule, n := range simulation.checker.Broken() {
 		res.Broken[string(rule)] = n
 		res.Score = 0
 	}
 	return res
 }
 
-// windows are the worst 10 s after the warm-up, and the last 10 s. A shorter run is one window.
-func (r *recorder) windows() (worst, last float64) {
-	from := int(math.Ceil(r.w.sc.WarmUp))
+// windowValues are the worst 10 s after the warm-up, and the last 10 s. A shorter run is one window.
+func (r *recorder) windowValues() (worst, last float64) {
+	from := int(math.Ceil(r.simulation.scenario.WarmUp))
 	worst, last = 1, 1
 	const length = 10
-	for i := min(from, max(len(r.series.Offered)-length, 0)); i == from || i+length <= len(r.series.Offered); i++ {
-		var s sums
-		for j := i; j < min(i+length, len(r.series.Offered)); j++ {
-			s.asked, s.got = s.asked+r.series.Offered[j], s.got+r.series.Served[j]
+	for start := min(from, max(len(r.series.Offered)-length, 0)); start == from || start+length <= len(r.series.Offered); start++ {
+		var totals valueTotals
+		for second := start; second < min(start+length, len(r.series.Offered)); second++ {
+			totals.offered, totals.served = totals.offered+r.series.Offered[second], totals.served+r.series.Served[second]
 		}
-		last = s.share()
+		last = totals.fraction()
 		worst = min(worst, last)
 	}
 	return worst, last
--- a/internal/simulation/experiment/sweep.go
+++ b/internal/simulation/experiment/sweep.go
@@ -322,8 +322,8 @@
 
 func latency(r *emulator.Result, q float64) float64 {
 	for _, x := range r.Latency {
-		if x.Q == q {
-			return x.Ms
+		if x.Percent == q {
+			return x.Milliseconds
 		}
 	}
 	return math.NaN()
--- a/internal/simulation/experiment/verify_test.go
+++ b/internal/simulation/experiment/verify_test.go
@@ -31,9 +31,9 @@
 
 // The check has to be able to fail.
 func TestVerifySeesAWrongModel(t *testing.T) {
-	st := emulator.Station{Backends: 1, Cores: 1, Slots: 1, QueueCapacity: 1e6, Rho: 0.8, Dist: "exp", Choices: 1, Jobs: 300000, Warm: 10000, Seed: 1}
+	st := emulator.Station{Backends: 1, Cores: 1, Slots: 1, QueueCapacity: 1e6, Utilization: 0.8, WorkDistribution: "exp", Choices: 1, Jobs: 300000, WarmUpJobs: 10000, Seed: 1}
 	right := st.Run().Wait
-	st.Rho = 0.82 // what a server 2.5% too slow would do
+	st.Utilization = 0.82 // what a server 2.5% too slow would do
 	if wrong := st.Run().Wait; math.Abs(wrong-4) < math.Abs(right-4) || math.Abs(wrong-4)/4 < 0.1 {
 		t.Errorf("wait %.3f at 0.80 and %.3f at 0.82: the check could not tell them apart", right, wrong)
 	}
--- a/internal/simulation/plots/plots.go
+++ b/internal/simulation/plots/plots.go
@@ -110,8 +110,8 @@
 	for i, r := range results {
 		var pts plotter.XYs
 		for _, l := range r.Latency {
-			if l.Q < 100 {
-				pts = append(pts, plotter.XY{X: step(l.Q), Y: l.Ms})
+			if l.Percent < 100 {
+				pts = append(pts, plotter.XY{X: step(l.Percent), Y: l.Milliseconds})
 			}
 		}
 		if err := addLine(p, r.Policy, i, pts, true); err != nil {
