--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -62,56 +62,56 @@
 // setDeadlineTimer sets the time of a request's final answer. If an answer past the objective is worth
 // nothing and attempts may be canceled, that is shortly before the objective: it spares the endpoint the
 // work.
-func (b *Balancer) setDeadlineTimer(r *request) {
-	end := r.deadline
-	if b.config.Classes[r.class].LateValue == 0 && b.config.AllowCancel && r.objectiveAt > b.now {
-		margin := min(b.config.TickInterval, (r.objectiveAt-b.now)/8)
-		end = r.objectiveAt - margin - Span(b.networkDelay)
+func (b *Balancer) setDeadlineTimer(request *openRequest) {
+	end := request.deadline
+	if b.config.Classes[request.class].LateValue == 0 && b.config.AllowCancel && request.objectiveAt > b.now {
+		margin := min(b.config.TickInterval, (request.objectiveAt-b.now)/8)
+		end = request.objectiveAt - margin - Span(b.networkDelay)
 	}
-	b.setRequestTimer(r, timerDeadline, max(end-b.now, 0))
+	b.setRequestTimer(request, timerDeadline, max(end-b.now, 0))
 }
 
 // wouldBeLate tells whether a new request has no time left: it is rejected before any other.
-func (b *Balancer) wouldBeLate(r *request) bool {
-	if b.overloadMode && r.objectiveAt <= b.now {
+func (b *Balancer) wouldBeLate(request *openRequest) bool {
+	if b.overloadMode && request.objectiveAt <= b.now {
 		return true
 	}
-	return b.classes[r.class].work.samples > 0 && b.latestStart(r) <= b.now
+	return b.classes[request.class].work.samples > 0 && b.latestStart(request) <= b.now
 }
 
 // latestStart is the time after which a queued request is rejected, as its answer would be late: a rejection
 // before the latency objective costs its client less.
-func (b *Balancer) latestStart(r *request) Time {
-	class := &b.config.Classes[r.class]
-	until, margin := r.objectiveAt, min(2*b.config.TickInterval, class.LatencyObjective/4)
-	if len(r.attempts) > 0 && class.LateValue > 0 {
-		until = r.deadline
+func (b *Balancer) latestStart(request *openRequest) Time {
+	class := &b.config.Classes[request.class]
+	until, margin := request.objectiveAt, min(2*b.config.TickInterval, class.LatencyObjective/4)
+	if len(request.attempts) > 0 && class.LateValue > 0 {
+		until = request.deadline
 	}
-	latest := until - max(Span(b.expectedWork(r)), margin)
-	if b.overloadMode && len(r.attempts) == 0 {
+	latest := until - max(Span(b.expectedWork(request)), margin)
+	if b.overloadMode && len(request.attempts) == 0 {
 		// Newer requests go first. The sooner a client has its rejection, the more time it has for a retry.
-		latest = min(latest, r.halfTimeAt)
+		latest = min(latest, request.halfTimeAt)
 	}
 	return latest
 }
 
 // rejectOrFail is the only way to a final answer that does not come from an endpoint.
-func (b *Balancer) rejectOrFail(r *request) {
+func (b *Balancer) rejectOrFail(request *openRequest) {
 	switch {
-	case r.done:
+	case request.done:
 		return
-	case b.mayReject(r):
-		b.commands.Reject(r.id, b.config.MaxRetryAfter)
+	case b.mayReject(request):
+		b.commands.Reject(request.id, b.config.MaxRetryAfter)
 	default:
-		b.commands.Fail(r.id)
+		b.commands.Fail(request.id)
 	}
-	b.closeRequest(r)
+	b.closeRequest(request)
 }
 
 // tenantState is what is known of a tenant.
 type tenantState struct {
 	quota    tenantQuota
-	queue    []*request // requests that wait for a slot; it may hold some that have ended meanwhile
+	queue    []*openRequest // requests that wait for a slot; it may hold some that have ended meanwhile
 	inFlight inFlightMeter
 }
 
@@ -124,25 +124,26 @@
 }
 
 // enqueue puts a request into its tenant's queue, at the front or at the end.
-func (b *Balancer) enqueue(r *request, atFront bool) {
-	tenant := &b.tenants[r.tenant]
-	r.queued = true
+func (b *Balancer) enqueue(request *openRequest, atFront bool) {
+	tenant := &b.tenants[request.tenant]
+	request.queued = true
 	if atFront {
-		tenant.queue = slices.Insert(tenant.queue, 0, r)
+		tenant.queue = slices.Insert(tenant.queue, 0, request)
 	} else {
-		tenant.queue = append(tenant.queue, r)
+		tenant.queue = append(tenant.queue, request)
 	}
-	b.setQueueTimer(r)
+	b.setQueueTimer(request)
 }
 
 // setQueueTimer sets the next time at which a queued request is looked at even if nothing happens: the
 // fraction of a slot may become free without an event.
-func (b *Balancer) setQueueTimer(r *request) {
-	b.setRequestTimer(r, timerQueue, max(0, min(b.latestStart(r)-b.now, b.queueInterval(r))))
+func (b *Balancer) setQueueTimer(request *openRequest) {
+	delay := min(b.latestStart(request)-b.now, b.queueInterval(request))
+	b.setRequestTimer(request, timerQueue, max(0, delay))
 }
 
-func (b *Balancer) queueInterval(r *request) Span {
-	return max(Span(b.classes[r.class].latency.mean/4), 2*b.config.TickInterval)
+func (b *Balancer) queueInterval(request *openRequest) Span {
+	return max(Span(b.classes[request.class].latency.mean/4), 2*b.config.TickInterval)
 }
 
 func (b *Balancer) anyQueued() bool {
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -23,7 +23,7 @@
 	started       bool
 	endpoints     []*endpointState // by rank, in the same order at every node
 	endpointsByID map[EndpointID]*endpointState
-	requests      map[RequestID]*request
+	requests      map[RequestID]*openRequest
 	tenants       []tenantState
 	classes       []classState
 	logLines      int
@@ -71,7 +71,7 @@
 		commands:      commands,
 		random:        randomSource{seed},
 		endpointsByID: map[EndpointID]*endpointState{},
-		requests:      map[RequestID]*request{},
+		requests:      map[RequestID]*openRequest{},
 		processCount:  1,
 	}
 	if err := b.applyConfig(config); err != nil {
@@ -99,9 +99,9 @@
 	case timerPoll:
 		b.handlePollTimer()
 	default:
-		r := b.requests[RequestID(id/timerKinds)]
-		if r != nil && !r.responseStarted {
-			b.handleRequestTimer(r, kind)
+		request := b.requests[RequestID(id/timerKinds)]
+		if request != nil && !request.responseStarted {
+			b.handleRequestTimer(request, kind)
 		}
 	}
 }
@@ -115,31 +115,31 @@
 	b.dispatch()
 }
 
-func (b *Balancer) handleRequestTimer(r *request, kind TimerID) {
-	if kind == timerDeadline || r.queued && b.now >= b.latestStart(r) {
-		b.rejectOrFail(r)
+func (b *Balancer) handleRequestTimer(request *openRequest, kind TimerID) {
+	if kind == timerDeadline || request.queued && b.now >= b.latestStart(request) {
+		b.rejectOrFail(request)
 		return
 	}
-	if kind == timerQueue && r.queued {
-		b.setQueueTimer(r)
+	if kind == timerQueue && request.queued {
+		b.setQueueTimer(request)
 	}
 	b.dispatch()
 }
 
-func (b *Balancer) setRequestTimer(r *request, kind TimerID, delay Span) {
-	b.commands.SetTimer(TimerID(r.id)*timerKinds+kind, delay)
+func (b *Balancer) setRequestTimer(request *openRequest, kind TimerID, delay Span) {
+	b.commands.SetTimer(TimerID(request.id)*timerKinds+kind, delay)
 }
 
 // HandleRequest takes a client's request. It is queued, and sent at once if a slot is free.
 func (b *Balancer) HandleRequest(now Time, incoming Request) {
 	b.now = now
-	r := b.newRequest(incoming)
-	b.requests[r.id] = r
-	b.tenants[r.tenant].quota.arrivals++
-	b.setDeadlineTimer(r)
-	b.enqueue(r, false)
-	if b.wouldBeLate(r) {
-		b.rejectOrFail(r)
+	request := b.newRequest(incoming)
+	b.requests[request.id] = request
+	b.tenants[request.tenant].quota.arrivals++
+	b.setDeadlineTimer(request)
+	b.enqueue(request, false)
+	if b.wouldBeLate(request) {
+		b.rejectOrFail(request)
 	}
 	b.dispatch()
 }
@@ -147,24 +147,27 @@
 // HandleAttemptResult takes the end of one attempt.
 func (b *Balancer) HandleAttemptResult(now Time, result AttemptResult) {
 	b.now = now
-	r := b.requests[result.ID]
-	if r == nil || result.Attempt >= len(r.attempts) || !r.attempts[result.Attempt].inFlight {
+	request := b.requests[result.ID]
+	if request == nil || result.Attempt >= len(request.attempts) {
+		return
+	}
+	ended := &request.attempts[result.Attempt]
+	if !ended.inFlight {
 		return
 	}
-	ended := &r.attempts[result.Attempt]
 	ended.inFlight = false
 	ended.mayHaveRun = !provesNotRun(result.Outcome)
-	b.accountAttempt(r, ended.endpoint, -1, result)
+	b.accountAttempt(request, ended.endpoint, -1, result)
 	if result.Outcome == OutcomeOK || result.Outcome == OutcomeTimeout {
-		b.recordLatency(r, ended, float64(result.Latency), result.Outcome == OutcomeOK)
+		b.recordLatency(request, ended, float64(result.Latency), result.Outcome == OutcomeOK)
 	}
-	b.recordOutcome(ended.endpoint, r.class, result)
+	b.recordOutcome(ended.endpoint, request.class, result)
 	if result.RequestDone {
-		b.closeRequest(r)
-	} else if !r.done && r.attemptsInFlight == 0 {
-		b.retryOrEnd(r)
+		b.closeRequest(request)
+	} else if !request.done && request.attemptsInFlight == 0 {
+		b.retryOrEnd(request)
 	}
-	b.forgetIfComplete(r)
+	b.forgetIfComplete(request)
 	b.dispatch()
 }
 
@@ -172,13 +175,13 @@
 // answer.
 func (b *Balancer) HandleCancellation(now Time, id RequestID) {
 	b.now = now
-	r := b.requests[id]
-	if r == nil {
+	request := b.requests[id]
+	if request == nil {
 		return
 	}
-	b.closeRequest(r)
-	for i := range r.attempts {
-		if r.attempts[i].inFlight && b.config.AllowCancel {
+	b.closeRequest(request)
+	for i := range request.attempts {
+		if request.attempts[i].inFlight && b.config.AllowCancel {
 			b.commands.CancelAttempt(id, i)
 		}
 	}
@@ -188,8 +191,8 @@
 // HandleResponseStart takes the start of a streamed response. After that the request has no deadline.
 func (b *Balancer) HandleResponseStart(now Time, id RequestID) {
 	b.now = now
-	if r := b.requests[id]; r != nil {
-		r.responseStarted = true
+	if request := b.requests[id]; request != nil {
+		request.responseStarted = true
 	}
 }
 
@@ -198,18 +201,18 @@
 // retried, and the node decides how long its answer may take.
 func (b *Balancer) HandleUpload(now Time, id RequestID, uploading bool) {
 	b.now = now
-	r := b.requests[id]
-	if r == nil || r.attemptsInFlight == 0 || r.uploading == uploading {
+	request := b.requests[id]
+	if request == nil || request.attemptsInFlight == 0 || request.uploading == uploading {
 		return
 	}
-	r.responseStarted, r.uploading = true, uploading
-	endpoint, change := r.attempts[len(r.attempts)-1].endpoint, 1
+	request.responseStarted, request.uploading = true, uploading
+	endpoint, change := request.attempts[len(request.attempts)-1].endpoint, 1
 	if uploading {
 		change = -1
 	} else if endpoint.inFlight.count == 0 {
 		endpoint.lastAnswerAt = now // the time without an answer counts from here
 	}
-	b.countInFlight(r, endpoint, change)
+	b.countInFlight(request, endpoint, change)
 	b.dispatch()
 }
 
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -44,10 +44,10 @@
 // time that it takes: in an overload that gives the most value, and no class is left out.
 func (b *Balancer) dispatchTenant(tenant *tenantState, lent bool) bool {
 	clear(b.classWeights)
-	for _, r := range tenant.queue {
-		if !r.done && r.queued {
-			value := b.config.Classes[r.class].PriorityWeight
-			b.classWeights[r.class] = value / b.classes[r.class].latency.mean
+	for _, request := range tenant.queue {
+		if !request.done && request.queued {
+			value := b.config.Classes[request.class].PriorityWeight
+			b.classWeights[request.class] = value / b.classes[request.class].latency.mean
 		}
 	}
 	for {
@@ -69,18 +69,18 @@
 		if b.overloadMode { // the newest first: the oldest would be answered too late
 			i = len(tenant.queue) - 1 - i
 		}
-		r := tenant.queue[i]
-		if r.class != class || !b.readyToSend(r) || b.startsHealthChecks(r, lent) {
+		request := tenant.queue[i]
+		if request.class != class || !b.readyToSend(request) || b.startsHealthChecks(request, lent) {
 			continue
 		}
-		if b.sendToLeastLoaded(r) {
-			r.queued = false
+		if b.sendToLeastLoaded(request) {
+			request.queued = false
 			tenant.queue = append(tenant.queue[:i], tenant.queue[i+1:]...)
 			return true
 		}
 		if b.checksHealth() { // all candidates are full: select others, but not at once
-			r.waitUntil = b.now + b.queueInterval(r)
-		} else if len(r.attempts) == 0 { // the next one would find no endpoint either
+			request.waitUntil = b.now + b.queueInterval(request)
+		} else if len(request.attempts) == 0 { // the next one would find no endpoint either
 			return false
 		}
 	}
@@ -88,26 +88,26 @@
 }
 
 // readyToSend tells whether a request is queued and does not wait for health checks.
-func (b *Balancer) readyToSend(r *request) bool {
-	return !r.done && r.queued && (b.now >= r.waitUntil || b.candidatesChecked(r))
+func (b *Balancer) readyToSend(request *openRequest) bool {
+	return !request.done && request.queued && (b.now >= request.waitUntil || b.candidatesChecked(request))
 }
 
 // startsHealthChecks selects candidates for a request that has none, and tells whether it now waits for their
 // load.
-func (b *Balancer) startsHealthChecks(r *request, lent bool) bool {
-	if r.candidates != nil {
+func (b *Balancer) startsHealthChecks(request *openRequest, lent bool) bool {
+	if request.candidates != nil {
 		return false
 	}
-	r.candidates = b.selectCandidates(r, lent)
-	if !b.checksHealth() || len(r.candidates) == 0 {
+	request.candidates = b.selectCandidates(request, lent)
+	if !b.checksHealth() || len(request.candidates) == 0 {
 		return false
 	}
-	b.checkCandidates(r)
+	b.checkCandidates(request)
 	return true
 }
 
-func (b *Balancer) sendToLeastLoaded(r *request) bool {
-	endpoint := b.leastLoaded(r, r.candidates)
-	r.candidates, r.waitUntil = nil, 0
-	return b.sendAttempt(r, endpoint)
+func (b *Balancer) sendToLeastLoaded(request *openRequest) bool {
+	endpoint := b.leastLoaded(request, request.candidates)
+	request.candidates, request.waitUntil = nil, 0
+	return b.sendAttempt(request, endpoint)
 }
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -10,8 +10,8 @@
 // timers; each method only has to start the work and come back.
 type proxy struct{}
 
-func (proxy) SendAttempt(id balancer.RequestID, h balancer.EndpointID, _ balancer.Span) {
-	fmt.Println("send request", id, "to host", h)
+func (proxy) SendAttempt(id balancer.RequestID, endpoint balancer.EndpointID, _ balancer.Span) {
+	fmt.Println("send request", id, "to host", endpoint)
 }
 func (proxy) CancelAttempt(balancer.RequestID, int)    {}
 func (proxy) Reject(balancer.RequestID, balancer.Span) {}
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -21,40 +21,40 @@
 
 // saturate keeps every gateway full of requests for d, answers each attempt after took, and returns the mean number
 // in flight over all gateways and the attempts that each host got.
-func saturate(all []*fakeNode, from RequestID, d, took Span, share func(RequestID) int) (mean float64, sent map[EndpointID]int) {
+func saturate(all []*fakeNode, from RequestID, duration, took Span, share func(RequestID) int) (mean float64, sent map[EndpointID]int) {
 	sent = map[EndpointID]int{}
 	id, steps := from, 0
-	type out struct {
-		g  *fakeNode
-		id RequestID
-		at Time
+	type pendingAnswer struct {
+		node     *fakeNode
+		id       RequestID
+		answerAt Time
 	}
-	var flying []out
-	for t := Span(0); t < d; t += 10 * ms {
+	var inFlight []pendingAnswer
+	for t := Span(0); t < duration; t += 10 * ms {
 		steps++
-		kept := flying[:0]
-		for _, o := range flying {
-			if o.at <= o.g.now {
-				o.g.balancer.HandleAttemptResult(o.g.now, AttemptResult{ID: o.id, Endpoint: o.g.attempts[o.id][0], Outcome: OutcomeOK, Latency: took, RequestDone: true})
-				o.g.finalAnswers[o.id] = "served"
+		remaining := inFlight[:0]
+		for _, pending := range inFlight {
+			if pending.answerAt <= pending.node.now {
+				pending.node.balancer.HandleAttemptResult(pending.node.now, AttemptResult{ID: pending.id, Endpoint: pending.node.attempts[pending.id][0], Outcome: OutcomeOK, Latency: took, RequestDone: true})
+				pending.node.finalAnswers[pending.id] = "served"
 			} else {
-				kept = append(kept, o)
+				remaining = append(remaining, pending)
 			}
 		}
-		flying = kept
-		for _, g := range all {
+		inFlight = remaining
+		for _, node := range all {
 			id++
-			g.request(id, 0, share(id))
-			g.advance(10 * ms)
+			node.request(id, 0, share(id))
+			node.advance(10 * ms)
 			for i := max(id, from+RequestID(len(all))*20) - RequestID(len(all))*20; i <= id; i++ {
-				if len(g.attempts[i]) > 0 && g.finalAnswers[i] == "" && !g.attemptSeen[i] {
-					g.attemptSeen[i] = true
-					sent[g.attempts[i][0]]++
-					flying = append(flying, out{g, i, g.now + took - 10*ms})
+				if len(node.attempts[i]) > 0 && node.finalAnswers[i] == "" && !node.attemptSeen[i] {
+					node.attemptSeen[i] = true
+					sent[node.attempts[i][0]]++
+					inFlight = append(inFlight, pendingAnswer{node, i, node.now + took - 10*ms})
 				}
 			}
 		}
-		mean += float64(len(flying))
+		mean += float64(len(inFlight))
 	}
 	return mean / float64(steps), sent
 }
@@ -86,9 +86,9 @@
 	list := testEndpoints(4)
 	all := startFleet(t, n, testConfig(), list)
 	_, warm := saturate(all, 1, 4000*ms, steadyLatency, firstTenant)
-	cold := []Endpoint{{ID: 99, Phase: PhaseReady, StartedAt: all[0].now}}
-	for _, g := range all {
-		g.balancer.HandleEndpoints(g.now, ListDelta, cold)
+	warming := []Endpoint{{ID: 99, Phase: PhaseReady, StartedAt: all[0].now}}
+	for _, node := range all {
+		node.balancer.HandleEndpoints(node.now, ListDelta, warming)
 	}
 	_, sent := saturate(all, 1000000, 2000*ms, steadyLatency, firstTenant)
 	perWindow := float64(warm[1]+warm[2]+warm[3]+warm[4]) / 4 / 2
@@ -104,18 +104,18 @@
 	list := testEndpoints(40)
 	all := startFleet(t, 200, testConfig(), list)
 	users := map[EndpointID]int{}
-	for _, g := range all {
-		if len(g.balancer.subset) > 10 {
-			t.Fatalf("%d hosts in a subset", len(g.balancer.subset))
+	for _, node := range all {
+		if len(node.balancer.subset) > 10 {
+			t.Fatalf("%d hosts in a subset", len(node.balancer.subset))
 		}
-		before := append([]*endpointState(nil), g.balancer.subset...)
-		g.balancer.HandleEndpoints(g.now, ListDelta, []Endpoint{{ID: 77, Phase: PhaseReady}})
+		before := append([]*endpointState(nil), node.balancer.subset...)
+		node.balancer.HandleEndpoints(node.now, ListDelta, []Endpoint{{ID: 77, Phase: PhaseReady}})
 		lost := 0
-		for _, h := range before {
-			users[h.ID]++
+		for _, endpoint := range before {
+			users[endpoint.ID]++
 			found := false
-			for _, k := range g.balancer.subset {
-				found = found || k == h
+			for _, k := range node.balancer.subset {
+				found = found || k == endpoint
 			}
 			if !found {
 				lost++
@@ -125,33 +125,33 @@
 			t.Errorf("one new host moved %d of a subset", lost)
 		}
 	}
-	for _, h := range list {
-		if n := users[h.ID]; n == 0 || n > 60 {
-			t.Errorf("host %d is used by %d of 200 gateways", h.ID, n)
+	for _, endpoint := range list {
+		if n := users[endpoint.ID]; n == 0 || n > 60 {
+			t.Errorf("host %d is used by %d of 200 gateways", endpoint.ID, n)
 		}
 	}
-	if g := startFleet(t, 4, testConfig(), list)[0]; len(g.balancer.subset) != 40 {
-		t.Errorf("four gateways use %d of 40 hosts each, want all", len(g.balancer.subset))
+	if node := startFleet(t, 4, testConfig(), list)[0]; len(node.balancer.subset) != 40 {
+		t.Errorf("four gateways use %d of 40 hosts each, want all", len(node.balancer.subset))
 	}
 }
 
 func TestTenantsWithinQuotaDivideSlotsInOverload(t *testing.T) {
 	// Guards: with a fraction of a slot a gateway, tenants within their share had to wait for room that the
 	// tenant over its share always took first (midlands at size: 0.72 of their worth served, 0.97 on the twin).
-	b := startNode(t, configWithQuotas(0.5, 0.3, 0.2), testEndpoints(2)...).balancer
+	balancer := startNode(t, configWithQuotas(0.5, 0.3, 0.2), testEndpoints(2)...).balancer
 	for _, over := range []bool{false, true} {
-		b.overloadMode, b.lastControlAt = over, b.now
+		balancer.overloadMode, balancer.lastControlAt = over, balancer.now
 		for i, demand := range []float64{0.9, 0.06, 0.04} {
-			b.tenants[i].quota.demand, b.tenants[i].quota.predicted = demand, 0 // Eq. 1 gives nothing more: each had its share
+			balancer.tenants[i].quota.demand, balancer.tenants[i].quota.predicted = demand, 0 // Eq. 1 gives nothing more: each had its share
 		}
-		b.runControl()
-		want := []float64{b.capacity * minQuotaFraction / 3, b.capacity * 0.6, b.capacity * 0.4}
+		balancer.runControl()
+		want := []float64{balancer.capacity * minQuotaFraction / 3, balancer.capacity * 0.6, balancer.capacity * 0.4}
 		for i := range want {
 			if !over {
 				want[i] = want[0]
 			}
-			if got := b.tenants[i].quota.slots; got < want[i]-1e-9 || got > want[i]+1e-9 {
-				t.Errorf("overload %v: tenant %d has %g of %g slots, want %g", over, i, got, b.capacity, want[i])
+			if got := balancer.tenants[i].quota.slots; got < want[i]-1e-9 || got > want[i]+1e-9 {
+				t.Errorf("overload %v: tenant %d has %g of %g slots, want %g", over, i, got, balancer.capacity, want[i])
 			}
 		}
 	}
@@ -170,8 +170,8 @@
 				list[k].StableKey = uint64(k + 1)
 				list[k].ID = EndpointID(1 + (k+i)%c.hosts)
 			}
-			for _, h := range startNodeWithSeed(t, uint64(i), cfg, list...).balancer.subset {
-				users[h.StableKey]++
+			for _, endpoint := range startNodeWithSeed(t, uint64(i), cfg, list...).balancer.subset {
+				users[endpoint.StableKey]++
 				total++
 			}
 		}
@@ -201,8 +201,8 @@
 	// 0.3 s. From then on discovery worked on calls that nobody waited for: 32 of 80 subscribed, and of 56 that were
 	// killed and restarted together none (herd+vast).
 	for _, c := range []struct {
-		gateways, heard int
-		within          Span
+		gateways, receiving int
+		within              Span
 	}{{3, 3, 400 * ms}, {80, 80, 8000 * ms}, {200, 190, 30000 * ms}} { // the service alone needs 50 ms for each
 		n := c.gateways
 		cfg := testConfig()
@@ -213,34 +213,34 @@
 			at Time
 			ok bool
 		}
-		calls, waits, heard, failed := make([]int, n), make([][]answer, n), map[int]Time{}, 0
+		calls, waits, receivedAt, failed := make([]int, n), make([][]answer, n), map[int]Time{}, 0
 		began := all[0].now - ms
 		for step := Span(0); step < 30000*ms; step += 10 * ms {
-			for i, g := range all {
-				for len(waits[i]) > 0 && waits[i][0].at <= g.now {
+			for i, node := range all {
+				for len(waits[i]) > 0 && waits[i][0].at <= node.now {
 					kind := ListDelta
 					if !waits[i][0].ok {
 						kind = ListOverloaded
 						failed++
-					} else if heard[i] == 0 {
-						heard[i] = g.now
+					} else if receivedAt[i] == 0 {
+						receivedAt[i] = node.now
 					}
 					waits[i] = waits[i][1:]
-					g.balancer.HandleEndpoints(g.now, kind, nil)
+					node.balancer.HandleEndpoints(node.now, kind, nil)
 				}
-				for ; calls[i] < g.watchCalls; calls[i]++ {
-					at, ok := q.call(g.now)
+				for ; calls[i] < node.watchCalls; calls[i]++ {
+					at, ok := q.call(node.now)
 					waits[i] = append(waits[i], answer{at, ok})
 				}
-				g.advance(10 * ms)
+				node.advance(10 * ms)
 			}
 		}
 		last := Time(0)
-		for _, at := range heard {
+		for _, at := range receivedAt {
 			last = max(last, at-began)
 		}
-		if len(heard) < c.heard || last > c.within || failed > n {
-			t.Errorf("%d gateways: %d heard, the last after %d ms, %d calls failed", n, len(heard), last/ms, failed)
+		if len(receivedAt) < c.receiving || last > c.within || failed > n {
+			t.Errorf("%d gateways: %d heard, the last after %d ms, %d calls failed", n, len(receivedAt), last/ms, failed)
 		}
 	}
 }
@@ -261,22 +261,22 @@
 					list[i].Weight = 4
 				}
 			}
-			born := func(i int, now Time) *fakeNode {
+			startWarming := func(i int, now Time) *fakeNode {
 				cfg.PeerIndex = i
-				g := startNodeWithSeed(t, uint64(i)+uint64(now), cfg, list...)
-				cold := Endpoint{ID: 99, StableKey: 99, Phase: PhaseReady, StartedAt: g.now}
+				node := startNodeWithSeed(t, uint64(i)+uint64(now), cfg, list...)
+				warming := Endpoint{ID: 99, StableKey: 99, Phase: PhaseReady, StartedAt: node.now}
 				if small {
-					cold.Weight = 1
+					warming.Weight = 1
 				}
-				g.balancer.HandleEndpoints(g.now, ListDelta, []Endpoint{cold})
-				g.balancer.answerRate = capacity / g.balancer.nodesPerEndpoint
-				g.balancer.now += now
-				g.balancer.endpointsByID[99].slowStart.updatedAt = g.balancer.now
-				return g
+				node.balancer.HandleEndpoints(node.now, ListDelta, []Endpoint{warming})
+				node.balancer.answerRate = capacity / node.balancer.nodesPerEndpoint
+				node.balancer.now += now
+				node.balancer.endpointsByID[99].slowStart.updatedAt = node.balancer.now
+				return node
 			}
 			all := make([]*fakeNode, n)
 			for i := range all {
-				all[i] = born(i, 0)
+				all[i] = startWarming(i, 0)
 			}
 			budget := 0.2 * 3 * 3 * float64(second) * capacity
 			if small {
@@ -286,21 +286,21 @@
 			var sent []Time
 			worst := 0
 			for now := Time(0); now < 45*second; now += 10 * ms {
-				for i, g := range all {
+				for i, node := range all {
 					if at := (20*second + 10*second*Time(i)/Time(n)) / (10 * ms); now == at*10*ms || now == 40*second { // in turn, then at once
-						g = born(i, now)
-						all[i] = g
+						node = startWarming(i, now)
+						all[i] = node
 					}
-					g.balancer.now = max(g.balancer.now, 1e9+now)
-					if !slices.Contains(g.balancer.subset, g.balancer.endpointsByID[99]) { // it is not of this gateway's subset
+					node.balancer.now = max(node.balancer.now, 1e9+now)
+					if !slices.Contains(node.balancer.subset, node.balancer.endpointsByID[99]) { // it is not of this gateway's subset
 						continue
 					}
 					if now%(14*second) < 8*second { // quiet, but for the looks of each period
-						g.balancer.hasSlowStartToken(g.balancer.endpointsByID[99])
+						node.balancer.hasSlowStartToken(node.balancer.endpointsByID[99])
 						continue
 					}
-					for g.balancer.hasSlowStartToken(g.balancer.endpointsByID[99]) {
-						g.balancer.endpointsByID[99].slowStart.count--
+					for node.balancer.hasSlowStartToken(node.balancer.endpointsByID[99]) {
+						node.balancer.endpointsByID[99].slowStart.count--
 						sent = append(sent, now)
 					}
 				}
@@ -320,22 +320,22 @@
 	// Guards: each of hundreds of gateways held a whole token for a new host and sent it in the same moment.
 	const n = 300
 	ready := func(all []*fakeNode) (k int) {
-		for _, g := range all {
-			if h := g.balancer.endpointsByID[99]; g.balancer.hasSlowStartToken(h) {
+		for _, node := range all {
+			if endpoint := node.balancer.endpointsByID[99]; node.balancer.hasSlowStartToken(endpoint) {
 				k++
 			}
 		}
 		return k
 	}
 	all := startFleet(t, n, testConfig(), testEndpoints(5))
-	for _, g := range all {
-		g.balancer.HandleEndpoints(g.now, ListDelta, []Endpoint{{ID: 99, Phase: PhaseReady, StartedAt: g.now}})
+	for _, node := range all {
+		node.balancer.HandleEndpoints(node.now, ListDelta, []Endpoint{{ID: 99, Phase: PhaseReady, StartedAt: node.now}})
 	}
 	if k := ready(all); k > 0 {
 		t.Errorf("%d of %d gateways may send to a new host at once", k, n)
 	}
-	for _, g := range all {
-		g.balancer.now += g.balancer.config.OverloadWindow
+	for _, node := range all {
+		node.balancer.now += node.balancer.config.OverloadWindow
 	}
 	if k := ready(all); k > n/20 {
 		t.Errorf("%d of %d gateways may send to a host of which nothing is known within a window", k, n)
@@ -347,14 +347,14 @@
 	cfg := testConfig()
 	cfg.PollDiscovery = true
 	controls, calls := map[Time]int{}, map[Time]int{}
-	for _, g := range startFleet(t, 50, cfg, testEndpoints(4)) {
-		g.advance(2000 * ms)
-		for _, w := range g.timers {
+	for _, node := range startFleet(t, 50, cfg, testEndpoints(4)) {
+		node.advance(2000 * ms)
+		for _, w := range node.timers {
 			if w.id == timerControl {
-				controls[w.at]++
+				controls[w.expiresAt]++
 			}
 		}
-		calls[g.firstWatchAt]++
+		calls[node.firstWatchAt]++
 	}
 	if len(controls) < 40 || len(calls) < 20 {
 		t.Errorf("50 gateways decide at %d moments and first call discovery at %d", len(controls), len(calls))
@@ -372,42 +372,42 @@
 func TestLeastLoadedCheckedEndpointIsSelected(t *testing.T) {
 	// Guards: of one-core hosts that hold less than one of our requests, our own in-flight chose no better than
 	// chance (sofia at size).
-	g := startNode(t, healthCheckConfig(), testEndpoints(6)...)
-	g.request(1, 0, 0)
-	if len(g.healthChecks) != healthCheckCandidates || len(g.attempts[1]) != 0 {
-		t.Fatalf("%d probes, tries %v; want %d probes and no try yet", len(g.healthChecks), g.attempts[1], healthCheckCandidates)
+	node := startNode(t, healthCheckConfig(), testEndpoints(6)...)
+	node.request(1, 0, 0)
+	if len(node.healthChecks) != healthCheckCandidates || len(node.attempts[1]) != 0 {
+		t.Fatalf("%d probes, tries %v; want %d probes and no try yet", len(node.healthChecks), node.attempts[1], healthCheckCandidates)
 	}
-	for i, h := range g.healthChecks {
-		g.balancer.HandleHealthCheck(g.now, h, OutcomeOK, ms, &LoadReport{Outstanding: float64(3 - i), Backlog: -1, Utilization: -1})
+	for i, endpoint := range node.healthChecks {
+		node.balancer.HandleHealthCheck(node.now, endpoint, OutcomeOK, ms, &LoadReport{Outstanding: float64(3 - i), Backlog: -1, Utilization: -1})
 	}
-	if len(g.attempts[1]) != 1 || g.attempts[1][0] != g.healthChecks[2] {
-		t.Errorf("probed %v, tried %v; want the last, it holds least", g.healthChecks, g.attempts[1])
+	if len(node.attempts[1]) != 1 || node.attempts[1][0] != node.healthChecks[2] {
+		t.Errorf("probed %v, tried %v; want the last, it holds least", node.healthChecks, node.attempts[1])
 	}
 }
 
 func TestSlowHealthCheckIsNotAwaited(t *testing.T) {
-	g := startNode(t, healthCheckConfig(), testEndpoints(6)...)
-	g.request(1, 0, 0)
-	g.balancer.HandleHealthCheck(g.now, g.healthChecks[0], OutcomeOK, ms, &LoadReport{Outstanding: 1, Backlog: -1, Utilization: -1})
-	g.advance(3 * ms)
-	if len(g.attempts[1]) != 1 || g.attempts[1][0] != g.healthChecks[0] {
-		t.Errorf("probed %v, tried %v; want the one that answered", g.healthChecks, g.attempts[1])
+	node := startNode(t, healthCheckConfig(), testEndpoints(6)...)
+	node.request(1, 0, 0)
+	node.balancer.HandleHealthCheck(node.now, node.healthChecks[0], OutcomeOK, ms, &LoadReport{Outstanding: 1, Backlog: -1, Utilization: -1})
+	node.advance(3 * ms)
+	if len(node.attempts[1]) != 1 || node.attempts[1][0] != node.healthChecks[0] {
+		t.Errorf("probed %v, tried %v; want the one that answered", node.healthChecks, node.attempts[1])
 	}
 }
 
 func TestEndpointFullByItsReportGetsNothing(t *testing.T) {
-	g := startNode(t, healthCheckConfig(), testEndpoints(6)...)
-	g.request(1, 0, 0)
-	for _, h := range g.healthChecks {
-		g.balancer.HandleHealthCheck(g.now, h, OutcomeOK, ms, &LoadReport{Outstanding: initialLimit, Backlog: -1, Utilization: -1})
+	node := startNode(t, healthCheckConfig(), testEndpoints(6)...)
+	node.request(1, 0, 0)
+	for _, endpoint := range node.healthChecks {
+		node.balancer.HandleHealthCheck(node.now, endpoint, OutcomeOK, ms, &LoadReport{Outstanding: initialLimit, Backlog: -1, Utilization: -1})
 	}
-	if len(g.attempts[1]) != 0 {
-		t.Errorf("tried %v though all were full", g.attempts[1])
+	if len(node.attempts[1]) != 0 {
+		t.Errorf("tried %v though all were full", node.attempts[1])
 	}
-	first := len(g.healthChecks)
-	g.advance(100 * ms)
-	if len(g.healthChecks) <= first || len(g.healthChecks) > 10*first {
-		t.Errorf("%d probes after %d", len(g.healthChecks), first)
+	first := len(node.healthChecks)
+	node.advance(100 * ms)
+	if len(node.healthChecks) <= first || len(node.healthChecks) > 10*first {
+		t.Errorf("%d probes after %d", len(node.healthChecks), first)
 	}
 }
 
@@ -417,31 +417,31 @@
 	forbidden := healthCheckConfig()
 	forbidden.AllowHealthChecks = false
 	for _, cfg := range []Config{dear, forbidden} {
-		g := startNode(t, cfg, testEndpoints(6)...)
-		g.request(1, 0, 0)
-		if len(g.healthChecks) != 0 || len(g.attempts[1]) != 1 {
-			t.Errorf("%d probes, tries %v", len(g.healthChecks), g.attempts[1])
+		node := startNode(t, cfg, testEndpoints(6)...)
+		node.request(1, 0, 0)
+		if len(node.healthChecks) != 0 || len(node.attempts[1]) != 1 {
+			t.Errorf("%d probes, tries %v", len(node.healthChecks), node.attempts[1])
 		}
 	}
-	g := startNode(t, healthCheckConfig(), testEndpoints(6)...)
-	g.request(1, 0, 0)
-	g.balancer.HandleHealthCheck(g.now, g.healthChecks[0], OutcomeOK, ms, &LoadReport{Outstanding: -1, Backlog: 2, Utilization: 0.5})
-	g.advance(20 * ms)
-	n := len(g.healthChecks)
-	g.request(2, 0, 0)
-	if len(g.healthChecks) != n || len(g.attempts[1]) != 1 || len(g.attempts[2]) != 1 {
+	node := startNode(t, healthCheckConfig(), testEndpoints(6)...)
+	node.request(1, 0, 0)
+	node.balancer.HandleHealthCheck(node.now, node.healthChecks[0], OutcomeOK, ms, &LoadReport{Outstanding: -1, Backlog: 2, Utilization: 0.5})
+	node.advance(20 * ms)
+	n := len(node.healthChecks)
+	node.request(2, 0, 0)
+	if len(node.healthChecks) != n || len(node.attempts[1]) != 1 || len(node.attempts[2]) != 1 {
 		t.Error("still probed though probes do not tell what hosts hold, or not placed")
 	}
 }
 
 func TestLimitRisesOnlyWhenUsed(t *testing.T) {
 	// Guards: a cold host's limit rose because little of it looked like much (zagreb big-2 0.98 to 0.91).
-	g := startNode(t, testConfig(), testEndpoints(4)...)
-	h := g.balancer.endpoints[0]
-	h.StartedAt = g.now
-	before := h.limit
-	g.balancer.recordOutcome(h, 0, AttemptResult{Outcome: OutcomeOK, Latency: ms})
-	if h.limit != before {
-		t.Errorf("limit went from %g to %g with nothing in flight", before, h.limit)
+	node := startNode(t, testConfig(), testEndpoints(4)...)
+	endpoint := node.balancer.endpoints[0]
+	endpoint.StartedAt = node.now
+	before := endpoint.limit
+	node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeOK, Latency: ms})
+	if endpoint.limit != before {
+		t.Errorf("limit went from %g to %g with nothing in flight", before, endpoint.limit)
 	}
 }
--- a/internal/balancer/foresee_test.go
+++ b/internal/balancer/foresee_test.go
@@ -28,55 +28,55 @@
 }
 
 // report is what a host tells.
-func (b *singleCoreFleet) report(h EndpointID) *LoadReport {
-	n := float64(len(b.queues[h]))
+func (s *singleCoreFleet) report(endpoint EndpointID) *LoadReport {
+	n := float64(len(s.queues[endpoint]))
 	return &LoadReport{Outstanding: n, Backlog: max(n-1, 0), Utilization: min(n, 1)}
 }
 
 // step lets a millisecond go by: probes are answered, hosts begin and end work.
-func (b *singleCoreFleet) step() {
-	for _, h := range b.healthChecks {
-		if !b.unresponsive {
-			b.balancer.HandleHealthCheck(b.now, h, OutcomeOK, ms, b.report(h))
+func (s *singleCoreFleet) step() {
+	for _, endpoint := range s.healthChecks {
+		if !s.unresponsive {
+			s.balancer.HandleHealthCheck(s.now, endpoint, OutcomeOK, ms, s.report(endpoint))
 		}
 	}
-	b.healthChecks = b.healthChecks[:0]
-	b.advance(ms)
-	for id, tries := range b.attempts {
-		if _, known := b.sentAt[id]; !known {
-			h := tries[0]
-			begin := b.now
-			if q := b.queues[h]; len(q) > 0 {
+	s.healthChecks = s.healthChecks[:0]
+	s.advance(ms)
+	for id, attempts := range s.attempts {
+		if _, known := s.sentAt[id]; !known {
+			endpoint := attempts[0]
+			begin := s.now
+			if q := s.queues[endpoint]; len(q) > 0 {
 				begin = q[len(q)-1].endsAt
 			}
-			b.sentAt[id] = b.now
-			b.queues[h] = append(b.queues[h], queuedWork{id, begin + b.serviceTime(id)})
+			s.sentAt[id] = s.now
+			s.queues[endpoint] = append(s.queues[endpoint], queuedWork{id, begin + s.serviceTime(id)})
 		}
 	}
 	for i := range EndpointID(20) {
-		for h := i + 1; len(b.queues[h]) > 0 && b.queues[h][0].endsAt <= b.now; {
-			id := b.queues[h][0].id
-			b.queues[h] = b.queues[h][1:]
-			done := b.finalAnswers[id] != ""
+		for endpoint := i + 1; len(s.queues[endpoint]) > 0 && s.queues[endpoint][0].endsAt <= s.now; {
+			id := s.queues[endpoint][0].id
+			s.queues[endpoint] = s.queues[endpoint][1:]
+			done := s.finalAnswers[id] != ""
 			if !done {
-				b.served++
+				s.served++
 			} else {
-				b.late++
+				s.late++
 			}
-			b.balancer.HandleAttemptResult(b.now, AttemptResult{ID: id, Endpoint: h, Outcome: OutcomeOK, Latency: b.now - b.sentAt[id], RequestDone: true, Load: b.report(h)})
+			s.balancer.HandleAttemptResult(s.now, AttemptResult{ID: id, Endpoint: endpoint, Outcome: OutcomeOK, Latency: s.now - s.sentAt[id], RequestDone: true, Load: s.report(endpoint)})
 			if !done {
-				b.finalAnswers[id] = "served"
+				s.finalAnswers[id] = "served"
 			}
 		}
 	}
 }
 
 // sendRequests has a request come every so often for a time.
-func (b *singleCoreFleet) sendRequests(first RequestID, n int, every Span) {
+func (s *singleCoreFleet) sendRequests(first RequestID, n int, every Span) {
 	for k := range n {
-		b.request(first+RequestID(k), 0, 0)
+		s.request(first+RequestID(k), 0, 0)
 		for range every / ms {
-			b.step()
+			s.step()
 		}
 	}
 }
@@ -89,32 +89,32 @@
 
 // Twice as many requests as hosts can serve: those that are sent are in time, and no host stands idle for that.
 func TestEndpointsHoldWhatIsInTime(t *testing.T) {
-	b := startSingleCoreFleet(t, singleClassConfig(), 4)
-	b.sendRequests(1, 100, 5*ms) // they learn
-	b.served, b.late = 0, 0
-	b.sendRequests(1001, 400, 5*ms)
-	if most := 2000 / 40 * 4; b.served < most*9/10 || b.late > most/20 {
-		t.Errorf("%d in time and %d late of %d that were possible", b.served, b.late, most)
+	fleet := startSingleCoreFleet(t, singleClassConfig(), 4)
+	fleet.sendRequests(1, 100, 5*ms) // they learn
+	fleet.served, fleet.late = 0, 0
+	fleet.sendRequests(1001, 400, 5*ms)
+	if most := 2000 / 40 * 4; fleet.served < most*9/10 || fleet.late > most/20 {
+		t.Errorf("%d in time and %d late of %d that were possible", fleet.served, fleet.late, most)
 	}
 }
 
 // All hosts become so slow that nothing is in time, and recover: requests find that out, and few are spent on it.
 func TestSlownessDecays(t *testing.T) {
-	b := startSingleCoreFleet(t, singleClassConfig(), 4)
-	b.sendRequests(1, 100, 15*ms)
-	b.serviceTime = func(RequestID) Span { return 500 * ms }
-	b.sendRequests(1001, 300, 15*ms)
-	before := len(b.sentAt)
-	b.sendRequests(2001, 100, 15*ms)
-	if n := len(b.sentAt) - before; n == 0 || n > 6 {
+	fleet := startSingleCoreFleet(t, singleClassConfig(), 4)
+	fleet.sendRequests(1, 100, 15*ms)
+	fleet.serviceTime = func(RequestID) Span { return 500 * ms }
+	fleet.sendRequests(1001, 300, 15*ms)
+	before := len(fleet.sentAt)
+	fleet.sendRequests(2001, 100, 15*ms)
+	if n := len(fleet.sentAt) - before; n == 0 || n > 6 {
 		t.Errorf("%d requests sent in 1.5 s that could not be in time", n)
 	}
-	b.serviceTime = func(RequestID) Span { return 40 * ms }
-	b.sendRequests(3001, 100, 15*ms)
-	b.served = 0
-	b.sendRequests(4001, 100, 15*ms)
-	if b.served < 90 {
-		t.Errorf("%d of 100 served after that", b.served)
+	fleet.serviceTime = func(RequestID) Span { return 40 * ms }
+	fleet.sendRequests(3001, 100, 15*ms)
+	fleet.served = 0
+	fleet.sendRequests(4001, 100, 15*ms)
+	if fleet.served < 90 {
+		t.Errorf("%d of 100 served after that", fleet.served)
 	}
 }
 
@@ -127,27 +127,27 @@
 		want  string
 	}{{"exact", true, "decline"}, {"noise", false, "served"}} {
 		t.Run(c.name, func(t *testing.T) {
-			b := startSingleCoreFleet(t, singleClassConfig(), 4)
+			fleet := startSingleCoreFleet(t, singleClassConfig(), 4)
 			hint := func(id RequestID) Span { return (10 + 60*(Span(id)%2)) * ms }
-			b.serviceTime = func(id RequestID) Span { return 40 * ms }
+			fleet.serviceTime = func(id RequestID) Span { return 40 * ms }
 			if c.exact {
-				b.serviceTime = hint
+				fleet.serviceTime = hint
 			}
-			ask := func(id RequestID, hint Span) {
-				b.balancer.HandleRequest(b.now, Request{ID: id, Deadline: b.now + b.balancer.config.Classes[0].Deadline, CostHint: hint})
+			sendRequest := func(id RequestID, hint Span) {
+				fleet.balancer.HandleRequest(fleet.now, Request{ID: id, Deadline: fleet.now + fleet.balancer.config.Classes[0].Deadline, CostHint: hint})
 				for range 20 {
-					b.step()
+					fleet.step()
 				}
 			}
 			for id := RequestID(1); id < 200; id++ {
-				ask(id, hint(id))
+				sendRequest(id, hint(id))
 			}
-			ask(1000, 1000*ms)
+			sendRequest(1000, 1000*ms)
 			for range 100 {
-				b.step()
+				fleet.step()
 			}
-			wantFinal(t, b.fakeNode, 1000, c.want)
-			if x := b.balancer.classes[0].hints.slope(); c.exact != (x > 0.7) || !c.exact != (x < 0.3) {
+			wantFinal(t, fleet.fakeNode, 1000, c.want)
+			if x := fleet.balancer.classes[0].hints.slope(); c.exact != (x > 0.7) || !c.exact != (x < 0.3) {
 				t.Errorf("hints are believed by %.2f", x)
 			}
 		})
@@ -156,17 +156,17 @@
 
 // Probes that nobody answers keep no request waiting for long, and are taken up again once they are answered.
 func TestUnansweredHealthChecksAreNotAwaited(t *testing.T) {
-	b := startSingleCoreFleet(t, singleClassConfig(), 4)
-	b.unresponsive = true
-	b.sendRequests(1, 40, 20*ms)
-	b.served = 0
-	b.sendRequests(1001, 50, 20*ms)
-	if b.served < 48 {
-		t.Errorf("%d of 50 served without an answer to any probe", b.served)
+	fleet := startSingleCoreFleet(t, singleClassConfig(), 4)
+	fleet.unresponsive = true
+	fleet.sendRequests(1, 40, 20*ms)
+	fleet.served = 0
+	fleet.sendRequests(1001, 50, 20*ms)
+	if fleet.served < 48 {
+		t.Errorf("%d of 50 served without an answer to any probe", fleet.served)
 	}
-	b.unresponsive = false
-	b.sendRequests(2001, 50, 20*ms)
-	if !b.balancer.checksHealth() {
+	fleet.unresponsive = false
+	fleet.sendRequests(2001, 50, 20*ms)
+	if !fleet.balancer.checksHealth() {
 		t.Error("probes are answered, and not used")
 	}
 }
@@ -174,14 +174,14 @@
 // A probe that is answered without a word of what the host holds is of no use, and none waits for another.
 func TestHealthChecksWithoutLoadAreNotUsed(t *testing.T) {
 	for name, rep := range map[string]*LoadReport{"no report": nil, "other fields": {-1, 2, 0.5}} {
-		b := startSingleCoreFleet(t, singleClassConfig(), 4)
-		b.unresponsive = true
-		b.request(1, 0, 0)
-		b.balancer.HandleHealthCheck(b.now, b.healthChecks[0], OutcomeOK, ms, rep)
-		b.request(2, 0, 0)
-		b.step()
-		if b.balancer.checksHealth() || len(b.attempts[2]) != 1 {
-			t.Errorf("%s: probing %v, attempts %v", name, b.balancer.checksHealth(), b.attempts[2])
+		fleet := startSingleCoreFleet(t, singleClassConfig(), 4)
+		fleet.unresponsive = true
+		fleet.request(1, 0, 0)
+		fleet.balancer.HandleHealthCheck(fleet.now, fleet.healthChecks[0], OutcomeOK, ms, rep)
+		fleet.request(2, 0, 0)
+		fleet.step()
+		if fleet.balancer.checksHealth() || len(fleet.attempts[2]) != 1 {
+			t.Errorf("%s: probing %v, attempts %v", name, fleet.balancer.checksHealth(), fleet.attempts[2])
 		}
 	}
 }
@@ -191,13 +191,13 @@
 func TestMarkedRetriesCountFromFirstAttempt(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.ClientsMarkRetries = true
-	g := startNode(t, cfg, testEndpoints(4)...)
-	ask := func(id RequestID, left Span, repeat bool) Span {
-		g.balancer.HandleRequest(g.now, Request{ID: id, Deadline: g.now + left, IsRetry: repeat})
-		return g.balancer.requests[id].objectiveAt - g.now
+	node := startNode(t, cfg, testEndpoints(4)...)
+	objectiveIn := func(id RequestID, left Span, repeat bool) Span {
+		node.balancer.HandleRequest(node.now, Request{ID: id, Deadline: node.now + left, IsRetry: repeat})
+		return node.balancer.requests[id].objectiveAt - node.now
 	}
 	for id := RequestID(1); id < 100; id++ { // most give a try 300 ms
-		ask(id, 300*ms, false)
+		objectiveIn(id, 300*ms, false)
 	}
 	for id, c := range []struct {
 		left   Span
@@ -206,7 +206,7 @@
 	}{{300 * ms, false, 200 * ms}, {490 * ms, false, 200 * ms}, // first tries
 		{400 * ms, true, 150 * ms}, {300 * ms, true, 100 * ms}, // somewhere between now and 500 ms before its end
 		{250 * ms, true, -50 * ms}, {100 * ms, true, -200 * ms}} { // ends with the whole request, which began 500 ms before
-		if got := ask(RequestID(1000+id), c.left, c.repeat); math.Abs(float64(got-c.want)) > ms {
+		if got := objectiveIn(RequestID(1000+id), c.left, c.repeat); math.Abs(float64(got-c.want)) > ms {
 			t.Errorf("%d ms left, repeat %v: aim in %d µs, want %d", c.left/ms, c.repeat, got, c.want)
 		}
 	}
@@ -214,16 +214,16 @@
 
 // A host of many cores is found to have them by what it works on at once.
 func TestCoresAreLearnedFromReports(t *testing.T) {
-	g := startNode(t, singleClassConfig(), testEndpoints(2)...)
-	h := g.balancer.endpointsByID[1]
-	for _, r := range []LoadReport{{3, 0, 0.2}, {9, 1, 0.9}, {4, 0, 0.3}} {
-		g.balancer.recordReport(h, &r)
+	node := startNode(t, singleClassConfig(), testEndpoints(2)...)
+	endpoint := node.balancer.endpointsByID[1]
+	for _, report := range []LoadReport{{3, 0, 0.2}, {9, 1, 0.9}, {4, 0, 0.3}} {
+		node.balancer.recordReport(endpoint, &report)
 	}
-	if h.cores != 8 {
-		t.Errorf("%v cores, want 8", h.cores)
+	if endpoint.cores != 8 {
+		t.Errorf("%v cores, want 8", endpoint.cores)
 	}
-	g.balancer.recordReport(g.balancer.endpointsByID[2], &LoadReport{5, -1, 0.5})
-	if c := g.balancer.endpointsByID[2].cores; c != 0 {
+	node.balancer.recordReport(node.balancer.endpointsByID[2], &LoadReport{5, -1, 0.5})
+	if c := node.balancer.endpointsByID[2].cores; c != 0 {
 		t.Errorf("%v cores where no queue is told", c)
 	}
 }
@@ -233,26 +233,26 @@
 	for _, marked := range []bool{true, false} {
 		cfg := singleClassConfig()
 		cfg.ClientsMarkRetries = marked
-		g := startNode(t, cfg) // no host: all is held
+		node := startNode(t, cfg) // no host: all is held
 		for id := RequestID(1); id < 200; id++ {
-			g.balancer.HandleRequest(g.now, Request{ID: id, Deadline: g.now + 490*ms})
-			g.advance(ms)
+			node.balancer.HandleRequest(node.now, Request{ID: id, Deadline: node.now + 490*ms})
+			node.advance(ms)
 		}
-		aim := g.balancer.requests[199].objectiveAt - (g.now - ms)
-		if want := map[bool]Span{true: 190 * ms, false: 200 * ms}[marked]; math.Abs(float64(aim-want)) > ms {
-			t.Errorf("marked %v: aim in %d µs, want %d", marked, aim, want)
+		objective := node.balancer.requests[199].objectiveAt - (node.now - ms)
+		if want := map[bool]Span{true: 190 * ms, false: 200 * ms}[marked]; math.Abs(float64(objective-want)) > ms {
+			t.Errorf("marked %v: aim in %d µs, want %d", marked, objective, want)
 		}
 	}
 }
 
 // Once answers have been late in the mean, fresh requests still go out: only their answers bring the mean down.
 func TestLateMeanDoesNotRejectNewRequests(t *testing.T) {
-	g := startNode(t, singleClassConfig(), testEndpoints(4)...)
-	g.balancer.classes[0].latency.mean = 190 * ms // of an aim of 200
-	g.request(1, 0, 0)
-	g.advance(50 * ms)
-	if len(g.attempts[1]) != 1 || g.finalAnswers[1] != "" {
-		t.Errorf("%d attempts, final answer %q", len(g.attempts[1]), g.finalAnswers[1])
+	node := startNode(t, singleClassConfig(), testEndpoints(4)...)
+	node.balancer.classes[0].latency.mean = 190 * ms // of an aim of 200
+	node.request(1, 0, 0)
+	node.advance(50 * ms)
+	if len(node.attempts[1]) != 1 || node.finalAnswers[1] != "" {
+		t.Errorf("%d attempts, final answer %q", len(node.attempts[1]), node.finalAnswers[1])
 	}
 }
 
@@ -262,48 +262,48 @@
 	cfg := singleClassConfig()
 	cfg.TickInterval = 5 * ms
 	cfg.Classes[0].LatencyObjective, cfg.Classes[0].Deadline = 10*ms, 10*ms
-	g := startNode(t, cfg, testEndpoints(4)...)
-	g.request(1, 0, 0)
-	g.advance(8 * ms)
-	if len(g.attempts[1]) != 1 || g.finalAnswers[1] != "" {
-		t.Errorf("after 8 of 10 ms: %d attempts, final answer %q", len(g.attempts[1]), g.finalAnswers[1])
+	node := startNode(t, cfg, testEndpoints(4)...)
+	node.request(1, 0, 0)
+	node.advance(8 * ms)
+	if len(node.attempts[1]) != 1 || node.finalAnswers[1] != "" {
+		t.Errorf("after 8 of 10 ms: %d attempts, final answer %q", len(node.attempts[1]), node.finalAnswers[1])
 	}
-	g.advance(3 * ms)
-	wantFinal(t, g, 1, "decline")
+	node.advance(3 * ms)
+	wantFinal(t, node, 1, "decline")
 }
 
 // As limits move, what all hosts may hold moves with them: with long aims the next period is far away.
 func TestCapacityFollowsLimits(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.Classes[0].LatencyObjective, cfg.Classes[0].Deadline = 10000*ms, 20000*ms
-	g := startNode(t, cfg, testEndpoints(4)...)
+	node := startNode(t, cfg, testEndpoints(4)...)
 	for id := RequestID(1); id <= 200; id++ {
-		g.request(id, 0, 0)
+		node.request(id, 0, 0)
 	}
-	before, sum := g.balancer.capacity, 0.0
+	before, sum := node.balancer.capacity, 0.0
 	for id := RequestID(1); id <= 20; id++ {
-		g.complete(id, 0, OutcomeOK) // at once: limits rise
+		node.complete(id, 0, OutcomeOK) // at once: limits rise
 	}
-	for _, h := range g.balancer.subset {
-		sum += g.balancer.effectiveLimit(h)
+	for _, endpoint := range node.balancer.subset {
+		sum += node.balancer.effectiveLimit(endpoint)
 	}
-	if math.Abs(g.balancer.capacity-sum) > 1e-6 || sum <= before {
-		t.Errorf("capacity %.2f, was %.2f, limits sum up to %.2f", g.balancer.capacity, before, sum)
+	if math.Abs(node.balancer.capacity-sum) > 1e-6 || sum <= before {
+		t.Errorf("capacity %.2f, was %.2f, limits sum up to %.2f", node.balancer.capacity, before, sum)
 	}
 }
 
 // An answer whose time was its client's, as its body was still coming in, says nothing of work.
 func TestUploadTimeIsNotCountedAsWork(t *testing.T) {
-	b := startSingleCoreFleet(t, singleClassConfig(), 4)
-	b.sendRequests(1, 50, 20*ms)
+	fleet := startSingleCoreFleet(t, singleClassConfig(), 4)
+	fleet.sendRequests(1, 50, 20*ms)
 	for range 100 {
-		b.step() // all are done
+		fleet.step() // all are done
 	}
-	b.request(1000, 0, 0)
-	b.step()
-	before := b.balancer.classes[0].work.mean
-	b.balancer.HandleAttemptResult(b.now, AttemptResult{ID: 1000, Endpoint: b.attempts[1000][0], Outcome: OutcomeOK, RequestDone: true})
-	if got := b.balancer.classes[0].work.mean; got != before || before < 30*ms || before > 50*ms {
+	fleet.request(1000, 0, 0)
+	fleet.step()
+	before := fleet.balancer.classes[0].work.mean
+	fleet.balancer.HandleAttemptResult(fleet.now, AttemptResult{ID: 1000, Endpoint: fleet.attempts[1000][0], Outcome: OutcomeOK, RequestDone: true})
+	if got := fleet.balancer.classes[0].work.mean; got != before || before < 30*ms || before > 50*ms {
 		t.Errorf("work %.0f, before %.0f, truly %d", got, before, 40*ms)
 	}
 }
--- a/internal/balancer/healthcheck.go
+++ b/internal/balancer/healthcheck.go
@@ -50,20 +50,22 @@
 
 // checkCandidates asks the candidates of a request for their load. The request waits for the slowest, but not
 // for long.
-func (b *Balancer) checkCandidates(r *request) {
+func (b *Balancer) checkCandidates(request *openRequest) {
 	b.healthChecks.unansweredSince = cmp.Or(b.healthChecks.unansweredSince, b.now)
-	r.checkedAt = b.now
-	r.waitUntil = b.now + max(Span(4*b.healthChecks.meanLatency), 2*b.config.TickInterval)
-	for _, endpoint := range r.candidates {
+	request.checkedAt = b.now
+	request.waitUntil = b.now + max(Span(4*b.healthChecks.meanLatency), 2*b.config.TickInterval)
+	for _, endpoint := range request.candidates {
 		b.commands.CheckHealth(endpoint.ID)
 	}
-	b.setRequestTimer(r, timerHealthCheck, r.waitUntil-b.now)
+	b.setRequestTimer(request, timerHealthCheck, request.waitUntil-b.now)
 }
 
 // candidatesChecked tells whether all candidates of a request have answered their health checks.
-func (b *Balancer) candidatesChecked(r *request) bool {
-	unanswered := func(endpoint *endpointState) bool { return endpoint.reported.receivedAt < r.checkedAt }
-	return r.candidates != nil && !slices.ContainsFunc(r.candidates, unanswered)
+func (b *Balancer) candidatesChecked(request *openRequest) bool {
+	unanswered := func(endpoint *endpointState) bool {
+		return endpoint.reported.receivedAt < request.checkedAt
+	}
+	return request.candidates != nil && !slices.ContainsFunc(request.candidates, unanswered)
 }
 
 // HandleHealthCheck takes the end of a health check.
--- a/internal/balancer/inflight.go
+++ b/internal/balancer/inflight.go
@@ -45,23 +45,25 @@
 }
 
 // accountAttempt counts the start (1) or the end (-1) of an attempt, with what its end has shown.
-func (b *Balancer) accountAttempt(r *request, endpoint *endpointState, change int, result AttemptResult) {
-	b.tenants[r.tenant].quota.slotTime += float64(result.Latency)
+func (b *Balancer) accountAttempt(
+	request *openRequest, endpoint *endpointState, change int, result AttemptResult,
+) {
+	b.tenants[request.tenant].quota.slotTime += float64(result.Latency)
 	b.recordReport(endpoint, result.Load)
-	r.attemptsInFlight += change
-	if r.uploading { // it is not counted while its endpoint has no work with it
-		r.uploading = false
+	request.attemptsInFlight += change
+	if request.uploading { // it is not counted while its endpoint has no work with it
+		request.uploading = false
 	} else {
-		b.countInFlight(r, endpoint, change)
+		b.countInFlight(request, endpoint, change)
 	}
 }
 
 // countInFlight changes the counts of the endpoint, the tenant and the node.
-func (b *Balancer) countInFlight(r *request, endpoint *endpointState, change int) {
+func (b *Balancer) countInFlight(request *openRequest, endpoint *endpointState, change int) {
 	limit := b.effectiveLimit(endpoint)
 	endpoint.inFlight.add(b.now, change, limit, b.averagingTime(limit))
-	endpoint.inFlightByTenant[r.tenant] += change
-	tenant := &b.tenants[r.tenant]
+	endpoint.inFlightByTenant[request.tenant] += change
+	tenant := &b.tenants[request.tenant]
 	tenant.inFlight.add(b.now, change, tenant.quota.slots, b.averagingTime(tenant.quota.slots))
 	b.inFlight.add(b.now, change, b.capacity, b.averagingTime(b.capacity))
 }
--- a/internal/balancer/prediction.go
+++ b/internal/balancer/prediction.go
@@ -36,13 +36,13 @@
 
 // predictLatency predicts the latency of a request if it is sent to an endpoint now, or 0 if endpoints report
 // too little. It holds for an endpoint of usual speed; slownessFactor is the factor for this one.
-func (b *Balancer) predictLatency(r *request, endpoint *endpointState) latencyPrediction {
+func (b *Balancer) predictLatency(request *openRequest, endpoint *endpointState) latencyPrediction {
 	if endpoint.cores == 0 || !b.checksHealth() {
 		return latencyPrediction{}
 	}
 	inFlight := b.totalInFlight(endpoint)
 	waiting := max(inFlight+1-endpoint.cores, 0) / endpoint.cores * b.meanWork
-	work := r.relativeWork * b.classes[r.class].work.mean
+	work := request.relativeWork * b.classes[request.class].work.mean
 	return latencyPrediction{latency: work + waiting, inFlight: inFlight}
 }
 
@@ -54,34 +54,35 @@
 // expectedWork is the time that a request takes on an endpoint that does nothing else, or the mean latency of
 // its class with the time in queues, if endpoints report too little. It is half of the objective at most:
 // only answers bring it down, so it must not keep all requests out.
-func (b *Balancer) expectedWork(r *request) float64 {
-	class, half := &b.classes[r.class], float64(b.config.Classes[r.class].LatencyObjective)/2
+func (b *Balancer) expectedWork(request *openRequest) float64 {
+	class, half := &b.classes[request.class], float64(b.config.Classes[request.class].LatencyObjective)/2
 	if class.work.samples > 0 {
-		return r.relativeWork * min(class.work.mean, half)
+		return request.relativeWork * min(class.work.mean, half)
 	}
 	return min(class.latency.mean, half)
 }
 
 // recordLatency learns from an attempt that was answered, or that was not answered in so long.
-func (b *Balancer) recordLatency(r *request, ended *attempt, latency float64, answered bool) {
+func (b *Balancer) recordLatency(request *openRequest, ended *attempt, latency float64, answered bool) {
 	predicted := &ended.predicted
 	if predicted.latency == 0 || latency <= 0 { // at 0 the upload was not complete: it was the client's time
 		return
 	}
-	if predicted.expectedLate && answered && b.now <= r.objectiveAt {
+	if predicted.expectedLate && answered && b.now <= request.objectiveAt {
 		b.lastLateAttemptAt = 0 // the prediction is wrong: the next attempt may follow at once
 	}
-	endpoint, class := ended.endpoint, &b.classes[r.class]
+	endpoint, class := ended.endpoint, &b.classes[request.class]
 	ratio := latency * math.Sqrt(b.warmUpFraction(endpoint)) / predicted.latency
 	ratio = min(ratio, maxSlownessRatio*endpoint.slowness)
 	if !answered && ratio < endpoint.slowness {
 		return
 	}
 	if predicted.inFlight < endpoint.cores { // it waited for nothing, so its latency was work
-		class.hints.learn(r.hintDistance, max(ratio*r.relativeWork/endpoint.slowness, minWorkRatio))
+		work := max(ratio*request.relativeWork/endpoint.slowness, minWorkRatio)
+		class.hints.learn(request.hintDistance, work)
 	}
 	class.work.learn(ratio / endpoint.slowness)
-	b.meanWork += workGain * (r.relativeWork*class.work.mean - b.meanWork)
+	b.meanWork += workGain * (request.relativeWork*class.work.mean - b.meanWork)
 	endpoint.slowness += slownessGain * (ratio - endpoint.slowness)
 }
 
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -18,8 +18,8 @@
 	predicted  latencyPrediction
 }
 
-// request is an open request: one without a final answer, or with attempts in flight.
-type request struct {
+// openRequest is an open request: one without a final answer, or with attempts in flight.
+type openRequest struct {
 	id               RequestID
 	class, tenant    int
 	affinityKey      uint64  // 0: endpoints do no less work for a known key
@@ -41,9 +41,9 @@
 }
 
 // newRequest sets up the state of a request that has just come.
-func (b *Balancer) newRequest(incoming Request) *request {
+func (b *Balancer) newRequest(incoming Request) *openRequest {
 	class := &b.classes[incoming.Class]
-	r := &request{
+	request := &openRequest{
 		id:           incoming.ID,
 		class:        incoming.Class,
 		tenant:       incoming.Tenant % len(b.tenants),
@@ -51,26 +51,26 @@
 		maxAttempts:  b.config.MaxAttempts,
 		hintDistance: class.hints.observe(incoming.CostHint),
 	}
-	r.relativeWork = math.Exp(r.hintDistance * class.hints.slope())
+	request.relativeWork = math.Exp(request.hintDistance * class.hints.slope())
 	if b.config.KeyAffinity {
-		r.affinityKey = incoming.AffinityKey
+		request.affinityKey = incoming.AffinityKey
 	}
 	objective := b.config.Classes[incoming.Class].LatencyObjective
-	r.objectiveAt = min(b.firstAttemptAt(incoming)+objective, r.deadline)
-	r.halfTimeAt = b.now + (incoming.Deadline-b.now)/2
-	return r
+	request.objectiveAt = min(b.firstAttemptAt(incoming)+objective, request.deadline)
+	request.halfTimeAt = b.now + (incoming.Deadline-b.now)/2
+	return request
 }
 
 // closeRequest ends a request. Attempts in flight are of no more use, but end by themselves: a canceled one
 // would leave the counts while its endpoint still works on it, and the next would need a new connection.
-func (b *Balancer) closeRequest(r *request) {
-	r.done, r.queued = true, false
-	b.forgetIfComplete(r)
+func (b *Balancer) closeRequest(request *openRequest) {
+	request.done, request.queued = true, false
+	b.forgetIfComplete(request)
 }
 
-func (b *Balancer) forgetIfComplete(r *request) {
-	if r.done && r.attemptsInFlight == 0 {
-		delete(b.requests, r.id)
+func (b *Balancer) forgetIfComplete(request *openRequest) {
+	if request.done && request.attemptsInFlight == 0 {
+		delete(b.requests, request.id)
 	}
 }
 
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -6,27 +6,27 @@
 import "tulipglade/internal/safety"
 
 // mayAttempt tells whether a request may have one more attempt, at an endpoint. Every SendAttempt passes it.
-func (b *Balancer) mayAttempt(r *request, endpoint *endpointState) bool {
-	made := len(r.attempts)
-	justFailed := made > 0 && r.attempts[made-1].endpoint == endpoint && len(b.endpoints) > 1
+func (b *Balancer) mayAttempt(request *openRequest, endpoint *endpointState) bool {
+	made := len(request.attempts)
+	justFailed := made > 0 && request.attempts[made-1].endpoint == endpoint && len(b.endpoints) > 1
 	if justFailed {
 		return false
 	}
-	further := safety.Attempt{Made: made, Max: r.maxAttempts, InFlight: r.attemptsInFlight}
-	if further.Check() != safety.Allowed || b.maySend(r, endpoint, r.attempts) != safety.Allowed {
+	further := safety.Attempt{Made: made, Max: request.maxAttempts, InFlight: request.attemptsInFlight}
+	if further.Check() != safety.Allowed || b.maySend(request, endpoint, request.attempts) != safety.Allowed {
 		return false
 	}
 	return b.hasSlowStartToken(endpoint)
 }
 
 // maySend asks internal/safety whether an attempt may be sent, given the attempts before it.
-func (b *Balancer) maySend(r *request, endpoint *endpointState, earlier []attempt) safety.Reason {
+func (b *Balancer) maySend(request *openRequest, endpoint *endpointState, earlier []attempt) safety.Reason {
 	return safety.Send{
 		Now:         b.now,
-		Deadline:    r.deadline,
-		RequestDone: r.done || r.responseStarted,
+		Deadline:    request.deadline,
+		RequestDone: request.done || request.responseStarted,
 		ListCurrent: b.listLease.Valid(b.now),
-		Rules:       b.safetyRules(r),
+		Rules:       b.safetyRules(request),
 		Prior:       firstThatMayHaveRun(earlier),
 		Backend: safety.Backend{
 			InService: endpoint.Phase == PhaseReady,
@@ -38,8 +38,8 @@
 
 // safetyRules are those of a request's class. A part of the idempotency window is kept for the way to the
 // endpoint.
-func (b *Balancer) safetyRules(r *request) safety.Rules {
-	class := &b.config.Classes[r.class]
+func (b *Balancer) safetyRules(request *openRequest) safety.Rules {
+	class := &b.config.Classes[request.class]
 	return safety.Rules{
 		Idempotency: class.Idempotency,
 		KeyScope:    class.KeyScope,
@@ -50,13 +50,14 @@
 
 // mayRetry tells whether there is any endpoint to which a request may be sent once more without running
 // twice.
-func (b *Balancer) mayRetry(r *request) bool {
-	return safety.MayRetry(b.now, b.safetyRules(r), firstThatMayHaveRun(r.attempts), nil) == safety.Allowed
+func (b *Balancer) mayRetry(request *openRequest) bool {
+	prior := firstThatMayHaveRun(request.attempts)
+	return safety.MayRetry(b.now, b.safetyRules(request), prior, nil) == safety.Allowed
 }
 
 // mayReject tells whether a rejection, which promises that a retry does no harm, would be true.
-func (b *Balancer) mayReject(r *request) bool {
-	return safety.MayReject(b.safetyRules(r), firstThatMayHaveRun(r.attempts)) == safety.Allowed
+func (b *Balancer) mayReject(request *openRequest) bool {
+	return safety.MayReject(b.safetyRules(request), firstThatMayHaveRun(request.attempts)) == safety.Allowed
 }
 
 // MayStartAttempt tells whether an attempt that has waited for its connection may start, and if not, why:
@@ -64,28 +65,28 @@
 // passed.
 func (b *Balancer) MayStartAttempt(now Time, id RequestID, attempt int) safety.Reason {
 	b.now = now
-	r := b.requests[id]
-	if r == nil || attempt >= len(r.attempts) {
+	request := b.requests[id]
+	if request == nil || attempt >= len(request.attempts) {
 		return safety.RequestDone
 	}
-	return b.maySend(r, r.attempts[attempt].endpoint, r.attempts[:attempt])
+	return b.maySend(request, request.attempts[attempt].endpoint, request.attempts[:attempt])
 }
 
 // sendAttempt is the only way to SendAttempt. It tells whether the attempt was sent.
-func (b *Balancer) sendAttempt(r *request, endpoint *endpointState) bool {
-	if endpoint == nil || !b.mayAttempt(r, endpoint) {
+func (b *Balancer) sendAttempt(request *openRequest, endpoint *endpointState) bool {
+	if endpoint == nil || !b.mayAttempt(request, endpoint) {
 		return false
 	}
 	if endpoint.inFlight.count == 0 { // the time without an answer counts from here
 		endpoint.lastAnswerAt = b.now
 	}
-	prediction := b.predictLatency(r, endpoint)
+	prediction := b.predictLatency(request, endpoint)
 	latency := prediction.latency * b.slownessFactor(endpoint)
-	if latency > float64(r.objectiveAt-b.now) {
+	if latency > float64(request.objectiveAt-b.now) {
 		prediction.expectedLate = true
 		b.lastLateAttemptAt = b.now
 	}
-	r.attempts = append(r.attempts, attempt{
+	request.attempts = append(request.attempts, attempt{
 		endpoint:   endpoint,
 		zone:       endpoint.Zone,
 		cell:       endpoint.Cell,
@@ -94,22 +95,22 @@
 		mayHaveRun: true,
 		predicted:  prediction,
 	})
-	b.accountAttempt(r, endpoint, 1, AttemptResult{})
+	b.accountAttempt(request, endpoint, 1, AttemptResult{})
 	endpoint.slowStart.count--
 	if endpoint.reported.Outstanding >= 0 { // until the next report
 		endpoint.reported.Outstanding++
 	}
-	b.commands.SendAttempt(r.id, endpoint.ID, 0)
+	b.commands.SendAttempt(request.id, endpoint.ID, 0)
 	return true
 }
 
 // retryOrEnd queues a failed request for a retry, if one is allowed and can still be in time, or else ends
 // it.
-func (b *Balancer) retryOrEnd(r *request) {
-	attemptsUsed := len(r.attempts) >= r.maxAttempts
-	if r.responseStarted || attemptsUsed || b.now >= b.latestStart(r) || !b.mayRetry(r) {
-		b.rejectOrFail(r)
+func (b *Balancer) retryOrEnd(request *openRequest) {
+	attemptsUsed := len(request.attempts) >= request.maxAttempts
+	if request.responseStarted || attemptsUsed || b.now >= b.latestStart(request) || !b.mayRetry(request) {
+		b.rejectOrFail(request)
 		return
 	}
-	b.enqueue(r, true)
+	b.enqueue(request, true)
 }
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -15,10 +15,10 @@
 
 // selectCandidates draws endpoints in proportion to the tenant's slots on them, or to the capacity lent. If
 // none is available, it draws from all in use.
-func (b *Balancer) selectCandidates(r *request, lent bool) (candidates []*endpointState) {
-	idempotency := b.config.Classes[r.class].Idempotency
+func (b *Balancer) selectCandidates(request *openRequest, lent bool) (candidates []*endpointState) {
+	idempotency := b.config.Classes[request.class].Idempotency
 	from := b.subset
-	if idempotency == IdempotentByKey && firstThatMayHaveRun(r.attempts) != nil {
+	if idempotency == IdempotentByKey && firstThatMayHaveRun(request.attempts) != nil {
 		from = b.endpoints // its key's scope may lie outside the subset
 	}
 	onlyAvailable := b.anyAvailable()
@@ -29,11 +29,11 @@
 		if onlyAvailable && !b.available(endpoint) || onlyTrusted && !b.trusted(endpoint) {
 			continue
 		}
-		if b.mayAttempt(r, endpoint) {
-			weights[i] = b.selectionWeight(endpoint, r.tenant, lent)
+		if b.mayAttempt(request, endpoint) {
+			weights[i] = b.selectionWeight(endpoint, request.tenant, lent)
 		}
 	}
-	draw := func() int { return b.drawEndpoint(r.affinityKey, from) }
+	draw := func() int { return b.drawEndpoint(request.affinityKey, from) }
 	for i := draw(); i >= 0 && len(candidates) < b.candidateCount(); i = draw() {
 		candidates = append(candidates, from[i])
 		weights[i] = 0
@@ -84,12 +84,12 @@
 }
 
 // leastLoaded is the candidate that uses the least part of its limit, or nil if none has capacity.
-func (b *Balancer) leastLoaded(r *request, candidates []*endpointState) (best *endpointState) {
+func (b *Balancer) leastLoaded(request *openRequest, candidates []*endpointState) (best *endpointState) {
 	least := math.Inf(1)
 	for _, endpoint := range candidates {
 		load := b.inFlightShare(endpoint) / b.effectiveLimit(endpoint)
 		usable := !b.checksHealth() || b.hasFreshReport(endpoint) && b.freeCapacity(endpoint) > 0
-		if usable && load < least && b.mayAttempt(r, endpoint) && b.meetsDeadline(r, endpoint) {
+		if usable && load < least && b.mayAttempt(request, endpoint) && b.meetsDeadline(request, endpoint) {
 			best, least = endpoint, load
 		}
 	}
@@ -98,13 +98,13 @@
 
 // meetsDeadline tells whether an answer is predicted in time. An endpoint that holds nothing is tried now and
 // then even if its answer would be late: the prediction may be wrong, and only answers correct it.
-func (b *Balancer) meetsDeadline(r *request, endpoint *endpointState) bool {
-	class := &b.config.Classes[r.class]
-	until := r.objectiveAt
+func (b *Balancer) meetsDeadline(request *openRequest, endpoint *endpointState) bool {
+	class := &b.config.Classes[request.class]
+	until := request.objectiveAt
 	if class.LateValue > 0 {
-		until = r.deadline
+		until = request.deadline
 	}
-	prediction := b.predictLatency(r, endpoint)
+	prediction := b.predictLatency(request, endpoint)
 	latency := prediction.latency * b.slownessFactor(endpoint)
 	timeLeft := float64(until - b.now)
 	if latency == 0 || latency*latencyMargin <= timeLeft {
