--- /dev/null
+++ b/internal/balancer/config_test.go
@@ -0,0 +1,146 @@
+package balancer
+
+import (
+	"math"
+	"testing"
+)
+
+func TestInvalidConfigIsRejected(t *testing.T) {
+	if _, err := New(Config{}, 1, nil); err == nil {
+		t.Error("no classes: no error")
+	}
+	if _, err := New(Config{Classes: []Class{{LatencyObjective: 5}}}, 1, nil); err == nil {
+		t.Error("no deadline: no error")
+	}
+}
+
+// TestMinimalConfig has no tenants, no slow start, no limits, an objective past the deadline, and a tenant
+// that is not in the configuration.
+func TestMinimalConfig(t *testing.T) {
+	cfg := Config{Classes: []Class{{LatencyObjective: 900 * ms, Deadline: 100 * ms}}}
+	node := startNode(t, cfg, testEndpoints(1)...)
+	node.balancer.HandleRequest(node.now, Request{ID: 1, Tenant: 9, Deadline: node.now + 100*ms})
+	if len(node.attempts[1]) != 1 {
+		t.Error("not sent")
+	}
+	node.advance(100 * ms)
+	if node.finalAnswers[1] == "" {
+		t.Error("not answered")
+	}
+}
+
+// TestOpenRequestsKeepRulesAcrossReconfigure guards against an open request that may have run and is
+// retried by its class's new rules, or whose attempts are counted by the new maximum.
+func TestOpenRequestsKeepRulesAcrossReconfigure(t *testing.T) {
+	cfg := testConfig()
+	node := startNode(t, cfg, testEndpoints(6)...)
+	node.request(1, 1, 0) // non-idempotent
+	node.request(2, 0, 0) // idempotent
+	next := testConfig()
+	next.MaxAttempts = 1
+	next.Classes = append(next.Classes, Class{LatencyObjective: 200 * ms, Deadline: 500 * ms, Idempotency: Idempotent})
+	learned := node.balancer.classes[0].latency.mean
+	if err := node.balancer.Reconfigure(node.now, next, []int{0, 1, 2, 3, 4, 5, 1}, []int{0}); err != nil {
+		t.Fatal(err)
+	}
+	node.complete(1, 0, OutcomeReset)
+	wantFinal(t, node, 1, "fail")
+	node.complete(2, 0, OutcomeReset)
+	node.advance(ms)
+	if len(node.attempts[2]) != 2 {
+		t.Errorf("%d attempts by the rules under which it came, want a second", len(node.attempts[2]))
+	}
+	node.request(3, 6, 0) // its class may be retried now, but has only one attempt
+	node.complete(3, 0, OutcomeReset)
+	wantFinal(t, node, 3, "reject")
+	if node.balancer.classes[0].latency.mean != learned {
+		t.Errorf("the mean latency of a class that stayed went from %v to %v", learned, node.balancer.classes[0].latency.mean)
+	}
+	next.Classes[0].Deadline = 0
+	err := node.balancer.Reconfigure(node.now, next, []int{0, 1, 2, 3, 4, 5, 6}, []int{0})
+	if deadline := node.balancer.config.Classes[0].Deadline; err == nil || deadline == 0 {
+		t.Errorf("invalid configuration: %v, deadline %d", err, deadline)
+	}
+}
+
+// TestQueuedRequestsSurviveTenantChanges guards against a new tenant without counts at the known endpoints,
+// and against a removed one that takes queued requests along.
+func TestQueuedRequestsSurviveTenantChanges(t *testing.T) {
+	cfg := testConfig()
+	cfg.Tenants = []Tenant{{QuotaFraction: 0.5}, {QuotaFraction: 0.5}}
+	node := startNode(t, cfg, testEndpoints(2)...)
+	for id := RequestID(1); id <= 60; id++ {
+		node.request(id, 0, int(id)%2)
+	}
+	queued := len(node.balancer.tenants[1].queue)
+	if queued == 0 {
+		t.Fatal("nothing is queued")
+	}
+	cfg.Tenants = []Tenant{{QuotaFraction: 0.5}, {}, {QuotaFraction: 0.5}}
+	if err := node.balancer.Reconfigure(node.now, cfg, []int{0, 1, 2, 3, 4, 5}, []int{0, 1, -1}); err != nil {
+		t.Fatal(err)
+	}
+	for id := RequestID(61); id <= 70; id++ {
+		node.request(id, 0, 2)
+	}
+	node.advance(2000 * ms)
+	for id := RequestID(1); id <= 70; id++ {
+		if node.finalAnswers[id] == "" && len(node.attempts[id]) == 0 {
+			t.Errorf("request %d, queued as the tenants changed, has no answer and no attempt", id)
+		}
+	}
+}
+
+// wantSlots is the first tenant's part of its slots on an endpoint, in line with the limits.
+func wantSlots(balancer *Balancer, endpoint *endpointState) float64 {
+	limit := balancer.effectiveLimit(endpoint)
+	return balancer.tenants[0].quota.slots * limit / max(balancer.capacity, limit)
+}
+
+// TestNewTenantInheritsNothing has a tenant that gets the number of a removed one: it must inherit neither
+// slots nor utilization nor demand.
+func TestNewTenantInheritsNothing(t *testing.T) {
+	cfg := configWithQuotas(0.9, 0.1)
+	node := startNode(t, cfg, testEndpoints(3)...)
+	for id := RequestID(1); id <= 60; id++ {
+		node.request(id, 0, 0)
+		if len(node.attempts[id]) == 1 {
+			node.advance(20 * ms)
+			node.complete(id, 0, OutcomeOK)
+		}
+		node.advance(10 * ms)
+	}
+	node.advance(5000 * ms)
+	if node.balancer.endpoints[0].slots[0] == 0 || node.balancer.tenants[0].quota.utilization[0] == 0 {
+		t.Fatal("nothing was learned")
+	}
+	per := node.balancer.endpoints[0].inFlightByTenant[0]
+	next := configWithQuotas(0.5, 0.5)
+	if err := node.balancer.Reconfigure(node.now, next, []int{0, 1, 2, 3, 4, 5}, []int{-1, 0}); err != nil {
+		t.Fatal(err)
+	}
+	if u := node.balancer.tenants[0].quota.utilization; u != [2]float64{} {
+		t.Errorf("the new tenant has used %v", u)
+	}
+	for _, endpoint := range node.balancer.endpoints {
+		want := 0.0 // as for an unknown tenant
+		if node.balancer.available(endpoint) {
+			want = wantSlots(node.balancer, endpoint)
+		}
+		if math.Abs(endpoint.slots[0]-want) > 1e-9 || endpoint.inFlightByTenant[0] != 0 || endpoint.inFlightByTenant[1] != per {
+			t.Errorf("endpoint %d: slots %v, want %v for the new tenant; in flight %v",
+				endpoint.ID, endpoint.slots, want, endpoint.inFlightByTenant)
+		}
+	}
+	// An entry of the slot matrix changes only if it is far from its value: one near it would stay.
+	endpoint := node.balancer.endpoints[0]
+	for range 2 { // the second time the quotas are the same
+		endpoint.slots[0] *= 1.2
+		if err := node.balancer.Reconfigure(node.now, next, []int{0, 1, 2, 3, 4, 5}, []int{-1, 1}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := wantSlots(node.balancer, endpoint); math.Abs(endpoint.slots[0]-want) > 1e-9 {
+		t.Errorf("slots %v, want %v for the new tenant", endpoint.slots, want)
+	}
+}
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -6,12 +6,12 @@
 	"tulipglade/internal/balancer"
 )
 
-// proxy stands for a gateway: it carries out what the module decides. A real one opens connections and keeps
+// proxy stands for a node: it carries out what the module decides. A real one opens connections and keeps
 // timers; each method only has to start the work and come back.
 type proxy struct{}
 
 func (proxy) SendAttempt(id balancer.RequestID, endpoint balancer.EndpointID, _ balancer.Span) {
-	fmt.Println("send request", id, "to host", endpoint)
+	fmt.Println("send request", id, "to endpoint", endpoint)
 }
 func (proxy) CancelAttempt(balancer.RequestID, int)    {}
 func (proxy) Reject(balancer.RequestID, balancer.Span) {}
@@ -33,9 +33,11 @@
 		fmt.Println(err)
 		return
 	}
-	now := balancer.Time(1_000_000) // microseconds on the gateway's clock
+	now := balancer.Time(1_000_000) // microseconds on the node's clock
 	b.HandleEndpoints(now, balancer.ListFull, []balancer.Endpoint{{ID: 7, Phase: balancer.PhaseReady, Weight: 1}})
 	b.HandleRequest(now, balancer.Request{ID: 42, Deadline: now + 1_000_000})
-	b.HandleAttemptResult(now+30_000, balancer.AttemptResult{ID: 42, Endpoint: 7, Outcome: balancer.OutcomeOK, Latency: 30_000, RequestDone: true})
-	// Output: send request 42 to host 7
+	b.HandleAttemptResult(now+30_000, balancer.AttemptResult{
+		ID: 42, Endpoint: 7, Outcome: balancer.OutcomeOK, Latency: 30_000, RequestDone: true,
+	})
+	// Output: send request 42 to endpoint 7
 }
--- a/internal/balancer/lease_test.go
+++ b/internal/balancer/listlease_test.go
@@ -6,32 +6,34 @@
 	"tulipglade/internal/safety"
 )
 
-// leasedConfig are settings under which nothing is sent by a list of unknown age.
+// leasedConfig has nothing sent by a list of unknown age.
 func leasedConfig() Config {
 	cfg := testConfig()
 	cfg.ListLease, cfg.PollDiscovery = NotificationDeadline, true
 	return cfg
 }
 
-// Nothing is sent by a list of which nothing is known but that it was once so. A request waits for word, and goes out as that comes.
+// TestNothingIsSentByListOfUnknownAge has nodes that know nothing of the list but that it was current once.
+// A request waits for evidence, and is sent as that comes.
 func TestNothingIsSentByListOfUnknownAge(t *testing.T) {
-	for name, word := range map[string]ListKind{"an answer": ListDelta, "a refusal": ListFailed, "too many callers": ListOverloaded,
+	for name, evidence := range map[string]ListKind{"an answer": ListDelta, "a failed call": ListFailed, "overloaded": ListOverloaded,
 		"no answer to the first call": ListTimeout} {
 		node := startNode(t, leasedConfig(), testEndpoints(4)...)
 		node.request(1, 0, 0)
 		node.advance(20 * ms)
 		if len(node.attempts[1]) > 0 {
-			t.Errorf("%s: sent before it", name)
+			t.Errorf("%s: sent without evidence", name)
 		}
-		node.balancer.HandleEndpointsAsOf(node.now, node.now, word, nil)
+		node.balancer.HandleEndpointsAsOf(node.now, node.now, evidence, nil)
 		if len(node.attempts[1]) != 1 {
-			t.Errorf("%s: %d attempts behind it", name, len(node.attempts[1]))
+			t.Errorf("%s: %d attempts after it", name, len(node.attempts[1]))
 		}
 	}
 }
 
-// An answer lets requests be sent for as long as a change may take to count as notified, from the time as of which it held; so does no list of
-// the configuration's, and no watch that has fallen silent.
+// TestListLeaseEndsAndIsRenewed lets requests be sent for the notification deadline from the time as of
+// which an answer held. A list of the configuration's gives no lease, and neither does a watch that has
+// timed out.
 func TestListLeaseEndsAndIsRenewed(t *testing.T) {
 	node := startNode(t, leasedConfig(), testEndpoints(4)...)
 	receivedAt := node.now
@@ -54,15 +56,16 @@
 		t.Errorf("current %v, until %d", current, until)
 	}
 	if node.balancer.HandleEndpointsAsOf(node.now, node.now, ListFailed, nil); !sent(3) {
-		t.Error("not sent though nothing newer could be had")
+		t.Error("not sent although nothing newer could be fetched")
 	}
 	node.balancer.ExpireListAt(node.now, node.now+100*ms)
 	if node.advance(100 * ms); sent(4) {
-		t.Error("sent by what was heard before a move of discovery")
+		t.Error("sent by evidence from discovery's old address")
 	}
 }
 
-// An attempt that has waited for its connection is not begun by a list that has become too old meanwhile.
+// TestAttemptDoesNotStartByStaleList has an attempt that has waited for its connection while the list has
+// become stale.
 func TestAttemptDoesNotStartByStaleList(t *testing.T) {
 	cfg := leasedConfig()
 	cfg.Classes[0].LatencyObjective, cfg.Classes[0].Deadline = 2*NotificationDeadline, 2*NotificationDeadline
@@ -79,8 +82,9 @@
 	}
 }
 
-// Where nothing is sent before the answer, hundreds that start together call within half a second, and again within 3 s after having been turned away:
-// a list that is not asked for is too old before it is told.
+// TestCallsComeBeforeListIsStale has hundreds of nodes that start together and send nothing before the
+// answer: they call within half a second, and again within 3 s after a rejected call. Otherwise the list is
+// stale before they are notified.
 func TestCallsComeBeforeListIsStale(t *testing.T) {
 	cfg := leasedConfig()
 	cfg.PeerCount = 300
@@ -94,12 +98,13 @@
 		node.balancer.HandleEndpointsAsOf(node.now, node.now, ListOverloaded, nil)
 		node.watchCalls = 0
 		if node.advance(NotificationDeadline/2 + 10*ms); node.watchCalls == 0 {
-			t.Fatalf("seed %d: no call %d us after too many callers", seed, NotificationDeadline/2)
+			t.Fatalf("seed %d: no call %d us after an overloaded call", seed, NotificationDeadline/2)
 		}
 	}
 }
 
-// Another process goes on with what is left of the lease on the list that it takes over, less what the hand-over may have taken.
+// TestListLeaseIsHandedOver has another process continue what is left of the lease on the list, less the
+// time that the handoff may have taken.
 func TestListLeaseIsHandedOver(t *testing.T) {
 	node := startNode(t, leasedConfig(), testEndpoints(4)...)
 	node.balancer.HandleEndpointsAsOf(node.now, node.now, ListDelta, nil)
@@ -109,12 +114,12 @@
 	next.advance(node.now - next.now)
 	next.balancer.ImportState(next.now, node.balancer.ExportState(node.now))
 	if _, until := next.balancer.ListCurrent(next.now); until != receivedAt+NotificationDeadline-maxHandoffDuration {
-		t.Errorf("until %d us after it was heard", until-receivedAt)
+		t.Errorf("until %d us after it was received", until-receivedAt)
 	}
 	late := startNode(t, leasedConfig(), testEndpoints(4)...)
 	for _, left := range []Span{0, -1, maxHandoffDuration, NotificationDeadline + 1} {
 		if late.balancer.ImportState(late.now, Learned{ListLeaseLeft: left}); late.balancer.listLease.Valid(late.now) {
-			t.Errorf("%d us left are taken for a lease", left)
+			t.Errorf("%d us left give a lease", left)
 		}
 	}
 }
--- /dev/null
+++ b/internal/balancer/poll_test.go
@@ -0,0 +1,164 @@
+package balancer
+
+import "testing"
+
+func TestDiscoveryIsCalledUntilItAnswers(t *testing.T) {
+	cfg := testConfig()
+	cfg.PollDiscovery = true
+	node := startNode(t, cfg, testEndpoints(2)...)
+	if node.watchCalls != 1 {
+		t.Fatalf("called %d times at start", node.watchCalls)
+	}
+	node.advance(cfg.PollInterval / 2)
+	if node.watchCalls < 2 {
+		t.Error("a call without an answer was not retried")
+	}
+	before := node.watchCalls
+	for range 5 {
+		node.balancer.HandleEndpoints(node.now, ListFailed, nil)
+		node.advance(cfg.PollInterval / 2)
+	}
+	if n := node.watchCalls - before; n < 5 || n > 15 {
+		t.Errorf("%d calls for 5 failures", n)
+	}
+	node.balancer.HandleEndpoints(node.now, ListFull, testEndpoints(2))
+	before = node.watchCalls
+	node.advance(10 * cfg.PollInterval)
+	if node.watchCalls != before {
+		t.Error("called while a watch is open")
+	}
+	node.balancer.HandleEndpoints(node.now, ListFailed, nil) // the watch broke
+	node.advance(cfg.PollInterval / 4)
+	if node.watchCalls == before {
+		t.Error("a broken watch was not reopened")
+	}
+	node.request(1, 0, 0)
+	if len(node.attempts[1]) != 1 {
+		t.Error("the old list is no longer used after a failure")
+	}
+}
+
+// TestTimedOutWatchIsReopenedAtOnce guards against a late call after a watch has timed out: one of 279
+// nodes called again after up to 17 s, as all spread their calls over the time that discovery needs for
+// all, and draining endpoints got requests meanwhile.
+func TestTimedOutWatchIsReopenedAtOnce(t *testing.T) {
+	for _, peers := range []int{3, 300, 1024} {
+		cfg := testConfig()
+		cfg.PollDiscovery, cfg.PeerCount = true, peers
+		for seed := range uint64(20) {
+			node := startNodeWithSeed(t, seed, cfg, testEndpoints(2)...)
+			node.advance(cfg.PollInterval)
+			node.balancer.HandleEndpoints(node.now, ListDelta, nil)
+			before := node.watchCalls
+			node.balancer.HandleEndpoints(node.now, ListTimeout, nil)
+			if node.advance(700 * ms); node.watchCalls != before+1 {
+				t.Fatalf("%d nodes: %d calls within 0.7 s of a timeout", peers, node.watchCalls-before)
+			}
+			for range 20 { // unreachable, nobody knows for how long: a call times out after 3.2 s
+				before = node.watchCalls
+				node.balancer.HandleEndpoints(node.now, ListTimeout, nil)
+				if node.advance(700 * ms); node.watchCalls != before+1 {
+					t.Fatalf("%d nodes: %d calls within 0.7 s of another timeout", peers, node.watchCalls-before)
+				}
+				node.advance(3200 * ms)
+			}
+		}
+	}
+}
+
+// TestNextCallComesWithinNotificationDeadline guards against a backoff without bound: it doubled up to 32
+// times what 300 nodes need to call in turn, ten minutes, and endpoints that began to drain after discovery
+// had recovered got requests for as long. What discovery has counts as notified 6 s after it can be
+// fetched.
+func TestNextCallComesWithinNotificationDeadline(t *testing.T) {
+	for _, c := range []struct {
+		kind   ListKind
+		peers  int
+		within Span // of the failure: 6 s must also hold a timed-out call and the answer to the next
+	}{{ListFailed, 1, 3100 * ms}, {ListFailed, 6, 3100 * ms}, {ListFailed, 30, 3100 * ms}, {ListFailed, 350, 3100 * ms},
+		{ListFailed, 1024, 3100 * ms}, {ListTimeout, 350, 700 * ms}, {ListOverloaded, 6, 3100 * ms}, {ListOverloaded, 20, 3100 * ms}} {
+		cfg := testConfig()
+		cfg.PollDiscovery, cfg.PeerCount = true, c.peers
+		for seed := range uint64(10) {
+			node := startNodeWithSeed(t, seed, cfg, testEndpoints(2)...)
+			node.advance(cfg.PollInterval)
+			for k := range 12 {
+				before := node.watchCalls
+				node.balancer.HandleEndpoints(node.now, c.kind, nil)
+				if node.advance(c.within); node.watchCalls == before {
+					t.Fatalf("kind %d, %d nodes: no call within %d ms of failure %d", c.kind, c.peers, c.within/ms, k+1)
+				}
+			}
+		}
+	}
+}
+
+func TestPushedListIsNotPolled(t *testing.T) {
+	node := startNode(t, testConfig(), testEndpoints(2)...)
+	node.advance(60000 * ms)
+	if node.watchCalls != 0 {
+		t.Errorf("called %d times", node.watchCalls)
+	}
+}
+
+// discoveryQueue is an overloaded discovery: it answers calls in turn, and one that has waited too long
+// fails. It has taken its turn all the same.
+type discoveryQueue struct {
+	serviceTime, timeout Span
+	freeAt               Time
+}
+
+func (q *discoveryQueue) call(now Time) (at Time, ok bool) {
+	q.freeAt = max(q.freeAt, now) + q.serviceTime
+	return min(q.freeAt, now+q.timeout), q.freeAt <= now+q.timeout
+}
+
+// TestNodesStartedTogetherAllReceiveTheList guards against calls to discovery that come together: 80 nodes
+// called within 80 ms, half of the calls waited too long, and the next followed within 0.3 s. From then on
+// discovery worked on calls that nobody waited for: 32 of 80 nodes got the list, and of 56 that were
+// restarted together none.
+func TestNodesStartedTogetherAllReceiveTheList(t *testing.T) {
+	for _, c := range []struct {
+		nodes, receiving int
+		within           Span
+	}{{3, 3, 400 * ms}, {80, 80, 8000 * ms}, {200, 190, 30000 * ms}} { // discovery needs 50 ms for each
+		n := c.nodes
+		cfg := testConfig()
+		cfg.PollDiscovery = true
+		all := startFleet(t, n, cfg, testEndpoints(20))
+		q := &discoveryQueue{serviceTime: 50 * ms, timeout: 2000 * ms, freeAt: all[0].now}
+		type answer struct {
+			at Time
+			ok bool
+		}
+		calls, waits, receivedAt, failed := make([]int, n), make([][]answer, n), map[int]Time{}, 0
+		began := all[0].now - ms
+		for step := Span(0); step < 30000*ms; step += 10 * ms {
+			for i, node := range all {
+				for len(waits[i]) > 0 && waits[i][0].at <= node.now {
+					kind := ListDelta
+					if !waits[i][0].ok {
+						kind = ListOverloaded
+						failed++
+					} else if receivedAt[i] == 0 {
+						receivedAt[i] = node.now
+					}
+					waits[i] = waits[i][1:]
+					node.balancer.HandleEndpoints(node.now, kind, nil)
+				}
+				for ; calls[i] < node.watchCalls; calls[i]++ {
+					at, ok := q.call(node.now)
+					waits[i] = append(waits[i], answer{at, ok})
+				}
+				node.advance(10 * ms)
+			}
+		}
+		last := Time(0)
+		for _, at := range receivedAt {
+			last = max(last, at-began)
+		}
+		if len(receivedAt) < c.receiving || last > c.within || failed > n {
+			t.Errorf("%d nodes: %d got the list, the last after %d ms, %d calls failed", n, len(receivedAt), last/ms, failed)
+		}
+	}
+}
--- /dev/null
+++ b/internal/balancer/slowstart_test.go
@@ -0,0 +1,228 @@
+package balancer
+
+import (
+	"math"
+	"slices"
+	"testing"
+)
+
+// sendAndCount sends a request each millisecond for two overload windows, with quick answers, and counts
+// what each endpoint got.
+func sendAndCount(node *fakeNode, from RequestID) map[EndpointID]int {
+	sent := map[EndpointID]int{}
+	for id := from; id < from+2000; id++ { // a request each millisecond: two windows
+		node.request(id, 0, 0)
+		for i := 0; i < len(node.attempts[id]); i++ {
+			if id < from+2000 {
+				sent[node.attempts[id][i]]++
+			}
+		}
+		node.advance(ms)
+		if len(node.attempts[id]) > 0 && node.finalAnswers[id] == "" {
+			node.complete(id, 0, OutcomeOK)
+		}
+	}
+	return sent
+}
+
+func TestWarmingEndpointStaysWithinOverloadBudget(t *testing.T) {
+	for _, change := range []string{"restarted", "new"} {
+		list := testEndpoints(4)
+		node := startNode(t, testConfig(), list...)
+		warm := sendAndCount(node, 1)
+		warming := list[:1]
+		if change == "new" {
+			warming = []Endpoint{{ID: 99, Phase: PhaseReady}}
+		}
+		warming[0].StartedAt = node.now
+		node.balancer.HandleEndpoints(node.now, ListDelta, warming)
+		got := sendAndCount(node, 10001)[warming[0].ID]
+		for from := RequestID(20001); got == 0 && from < 50000; from += 10000 { // it is seldom selected at first
+			got = sendAndCount(node, from)[warming[0].ID]
+		}
+		// In a window of 2 s, at most the multiple of its capacity at the end of the window.
+		most := 3 * (0.1 + 0.9*2/20) * float64(warm[2])
+		if got == 0 || float64(got) > most {
+			t.Errorf("%s: warming endpoint got %d, warm ones %d before; want some and at most %.0f", change, got, warm[2], most)
+		}
+	}
+}
+
+func TestWarmingFleetGetsFewRequests(t *testing.T) {
+	list := testEndpoints(4)
+	for i := range list {
+		list[i].StartedAt = 1e9
+	}
+	node := startNode(t, testConfig(), list...)
+	for endpoint, n := range sendAndCount(node, 1) {
+		if n > 20 { // without an answer rate: a few in two seconds
+			t.Errorf("endpoint %d got %d", endpoint, n)
+		}
+	}
+	if len(node.attempts) == 0 {
+		t.Error("nothing was sent at all")
+	}
+}
+
+// TestWarmingEndpointOfManyNodesStaysWithinBudget guards against hundreds of nodes that each hold a token
+// for a warming endpoint and use it at the same time.
+func TestWarmingEndpointOfManyNodesStaysWithinBudget(t *testing.T) {
+	const n = 100
+	list := testEndpoints(4)
+	all := startFleet(t, n, testConfig(), list)
+	_, warm := saturate(all, 1, 4000*ms)
+	warming := []Endpoint{{ID: 99, Phase: PhaseReady, StartedAt: all[0].now}}
+	for _, node := range all {
+		node.balancer.HandleEndpoints(node.now, ListDelta, warming)
+	}
+	_, sent := saturate(all, 1000000, 2000*ms)
+	perWindow := float64(warm[1]+warm[2]+warm[3]+warm[4]) / 4 / 2
+	most := 3 * (0.1 + 0.9*2/20) * perWindow
+	_, later := saturate(all, 2000000, 6000*ms)
+	if got := float64(sent[99]); got > most || later[99] == 0 {
+		t.Errorf("warming endpoint got %.0f in its first window, want at most %.0f, and %d later, want some", got, most, later[99])
+	}
+}
+
+// warmingEndpoint is the ID of the endpoint that warms up beside others that are warm.
+const warmingEndpoint EndpointID = 99
+
+const second = 1000 * ms
+
+// surgeTest has many nodes send all that their slow-start tokens allow to one warming endpoint.
+type surgeTest struct {
+	config   Config
+	small    bool    // the endpoint is small, among large ones
+	capacity float64 // of a warm endpoint, all of it in use, in requests per microsecond
+	nodes    []*fakeNode
+	sent     []Time // within the last window
+}
+
+func newSurgeTest(t *testing.T, nodes int, small bool) *surgeTest {
+	t.Helper()
+	s := &surgeTest{config: testConfig(), small: small, capacity: 30.0 / float64(second)}
+	s.config.PeerCount = nodes
+	s.config.SlowStartInitial, s.config.SlowStartDuration = 0.2, 1000*second
+	s.config.OverloadFactor, s.config.OverloadWindow = 3, 3*second
+	for i := range nodes {
+		s.nodes = append(s.nodes, s.startNode(t, i, 0))
+	}
+	return s
+}
+
+// startNode starts a node, at a time after the start of the endpoint.
+func (s *surgeTest) startNode(t *testing.T, index int, elapsed Span) *fakeNode {
+	t.Helper()
+	list := testEndpoints(5)
+	warming := Endpoint{ID: warmingEndpoint, StableKey: uint64(warmingEndpoint), Phase: PhaseReady}
+	if s.small {
+		warming.Weight = 1
+		for i := range list {
+			list[i].Weight = 4
+		}
+	}
+	s.config.PeerIndex = index
+	node := startNodeWithSeed(t, uint64(index)+uint64(elapsed), s.config, list...)
+	warming.StartedAt = node.now
+	node.balancer.HandleEndpoints(node.now, ListDelta, []Endpoint{warming})
+	node.balancer.answerRate = s.capacity / node.balancer.nodesPerEndpoint
+	node.balancer.now += elapsed
+	node.balancer.endpointsByID[warmingEndpoint].slowStart.updatedAt = node.balancer.now
+	return node
+}
+
+// budget is what the endpoint can take within a window.
+func (s *surgeTest) budget() float64 {
+	budget := 0.2 * 3 * 3 * float64(second) * s.capacity
+	if s.small {
+		budget /= 3.5 // the mean weight is (5 x 4 + 1) / 6
+	}
+	return budget
+}
+
+// restartDue tells whether a node restarts now: one after the other for 10 s, then all at once.
+func (s *surgeTest) restartDue(index int, elapsed Span) bool {
+	own := (20*second + 10*second*Span(index)/Span(len(s.nodes))) / (10 * ms)
+	return elapsed == own*10*ms || elapsed == 40*second
+}
+
+// sendAll has a node send what its tokens allow, but in quiet times.
+func (s *surgeTest) sendAll(node *fakeNode, elapsed Span) {
+	node.balancer.now = max(node.balancer.now, 1e9+elapsed)
+	endpoint := node.balancer.endpointsByID[warmingEndpoint]
+	if !slices.Contains(node.balancer.subset, endpoint) {
+		return
+	}
+	if elapsed%(14*second) < 8*second { // quiet, but for the check in each period
+		node.balancer.hasSlowStartToken(endpoint)
+		return
+	}
+	for node.balancer.hasSlowStartToken(endpoint) {
+		endpoint.slowStart.count--
+		s.sent = append(s.sent, elapsed)
+	}
+}
+
+// mostInWindow plays 45 s and returns the most attempts that were sent within a window.
+func (s *surgeTest) mostInWindow(t *testing.T) (most int) {
+	t.Helper()
+	for elapsed := Span(0); elapsed < 45*second; elapsed += 10 * ms {
+		for i := range s.nodes {
+			if s.restartDue(i, elapsed) {
+				s.nodes[i] = s.startNode(t, i, elapsed)
+			}
+			s.sendAll(s.nodes[i], elapsed)
+		}
+		for len(s.sent) > 0 && s.sent[0] <= elapsed-s.config.OverloadWindow {
+			s.sent = s.sent[1:]
+		}
+		most = max(most, len(s.sent))
+	}
+	return most
+}
+
+// TestSlowStartTokensOfAllNodesKeepTheBudget guards against nodes that each save up a token: after a quiet
+// time, a surge at all of them found as many tokens as nodes, 350 at once, where the budget of a window was
+// 18. It also has small endpoints among large ones, and nodes that restart, in the surge too. What is left
+// to chance is 2 x root of N + 2.
+func TestSlowStartTokensOfAllNodesKeepTheBudget(t *testing.T) {
+	for _, nodes := range []int{1, 3, 20, 30, 350} {
+		for _, small := range []bool{false, true} {
+			surge := newSurgeTest(t, nodes, small)
+			budget := surge.budget()
+			limit := budget + 2*math.Sqrt(budget) + 2
+			most := float64(surge.mostInWindow(t))
+			if most > limit || most < budget/4 {
+				t.Errorf("%d nodes, small %v: %.0f in a window, want %.0f at most, a budget of %.0f",
+					nodes, small, most, limit, budget)
+			}
+		}
+	}
+}
+
+// TestFirstSlowStartTokensComeOneByOne guards against hundreds of nodes that each have a whole token for a
+// new endpoint and use it at the same time.
+func TestFirstSlowStartTokensComeOneByOne(t *testing.T) {
+	const n = 300
+	ready := func(all []*fakeNode) (k int) {
+		for _, node := range all {
+			if endpoint := node.balancer.endpointsByID[99]; node.balancer.hasSlowStartToken(endpoint) {
+				k++
+			}
+		}
+		return k
+	}
+	all := startFleet(t, n, testConfig(), testEndpoints(5))
+	for _, node := range all {
+		node.balancer.HandleEndpoints(node.now, ListDelta, []Endpoint{{ID: 99, Phase: PhaseReady, StartedAt: node.now}})
+	}
+	if k := ready(all); k > 0 {
+		t.Errorf("%d of %d nodes may send to a new endpoint at once", k, n)
+	}
+	for _, node := range all {
+		node.balancer.now += node.balancer.config.OverloadWindow
+	}
+	if k := ready(all); k > n/20 {
+		t.Errorf("%d of %d nodes may send to an unknown endpoint within a window", k, n)
+	}
+}
--- /dev/null
+++ b/internal/balancer/subset_test.go
@@ -0,0 +1,71 @@
+package balancer
+
+import (
+	"math"
+	"testing"
+)
+
+// TestSubsetsAreSmallStableAndCoverAllEndpoints guards against nodes that all hold a connection to every
+// endpoint, and reach the maximum that endpoints accept.
+func TestSubsetsAreSmallStableAndCoverAllEndpoints(t *testing.T) {
+	list := testEndpoints(40)
+	all := startFleet(t, 200, testConfig(), list)
+	users := map[EndpointID]int{}
+	for _, node := range all {
+		if len(node.balancer.subset) > 10 {
+			t.Fatalf("%d endpoints in a subset", len(node.balancer.subset))
+		}
+		before := append([]*endpointState(nil), node.balancer.subset...)
+		node.balancer.HandleEndpoints(node.now, ListDelta, []Endpoint{{ID: 77, Phase: PhaseReady}})
+		lost := 0
+		for _, endpoint := range before {
+			users[endpoint.ID]++
+			found := false
+			for _, k := range node.balancer.subset {
+				found = found || k == endpoint
+			}
+			if !found {
+				lost++
+			}
+		}
+		if lost > 1 {
+			t.Errorf("one new endpoint changed %d of a subset", lost)
+		}
+	}
+	for _, endpoint := range list {
+		if n := users[endpoint.ID]; n == 0 || n > 60 {
+			t.Errorf("endpoint %d is used by %d of 200 nodes", endpoint.ID, n)
+		}
+	}
+	if node := startFleet(t, 4, testConfig(), list)[0]; len(node.balancer.subset) != 40 {
+		t.Errorf("four nodes use %d of 40 endpoints each, want all", len(node.balancer.subset))
+	}
+}
+
+// TestSubsetsAreEven guards against subsets drawn at random: of 80 nodes, 2 to 17 used an endpoint, and
+// some endpoints rejected requests while others were at a third of their capacity. The order of endpoints
+// is the same at all nodes, whatever their IDs are there.
+func TestSubsetsAreEven(t *testing.T) {
+	for _, c := range []struct{ nodes, endpoints int }{{80, 60}, {80, 41}, {200, 40}, {17, 60}, {300, 100}} {
+		users, total := map[uint64]int{}, 0
+		for i := range c.nodes {
+			cfg := testConfig()
+			cfg.PeerCount, cfg.PeerIndex = c.nodes, i
+			list := testEndpoints(c.endpoints)
+			for k := range list {
+				list[k].StableKey = uint64(k + 1)
+				list[k].ID = EndpointID(1 + (k+i)%c.endpoints)
+			}
+			for _, endpoint := range startNodeWithSeed(t, uint64(i), cfg, list...).balancer.subset {
+				users[endpoint.StableKey]++
+				total++
+			}
+		}
+		mean := float64(total) / float64(c.endpoints)
+		for k := range c.endpoints {
+			if n := float64(users[uint64(k+1)]); math.Abs(n-mean) > max(2, mean/4) {
+				t.Errorf("%d nodes, %d endpoints: endpoint %d is used by %g, the mean is %.1f", c.nodes, c.endpoints, k, n, mean)
+			}
+		}
+	}
+}
