--- a/internal/safety/safety.go
+++ b/internal/safety/safety.go
@@ -1,28 +1,28 @@
-// Package safety decides whether something may be done now: an attempt be sent, a request be repeated, a refusal be given, a
-// connection be closed, a new request be taken. It is asked when a decision is made and again when it takes effect, since backends drain,
-// clients leave and time passes in between. It does no input or output and keeps no state.
+// Package safety decides whether something may be done now: an attempt be sent, a request be retried, a rejection
+// be given, a connection be closed. It is asked when a decision is made and again when it takes effect, since in
+// between backends drain, clients disconnect and time passes. It does no input or output and keeps no state.
 package safety
 
-// Time is a point on the caller's monotonic clock and Span a length of time, both in microseconds.
-type (
-	Time = int64
-	Span = int64
-)
+// Time is a point on the caller's monotonic clock, in microseconds.
+type Time = int64
+
+// Span is a length of time, in microseconds.
+type Span = int64
 
 // Idempotency says how often a request may run.
 type Idempotency uint8
 
-// The kinds of effect.
+// The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota
-	IdempotentByKey             // repeats are dropped by the backends of one Scope for Rules.Window
+	IdempotentByKey             // backends of one KeyScope drop repeats of a key for Rules.Window
 	NonIdempotent               // must never run twice
 )
 
-// KeyScope is the group of backends that drops the repeats of a ByKey request.
+// KeyScope is the group of backends that drops repeats of an idempotency key.
 type KeyScope uint8
 
-// The groups of backends.
+// The key scopes: all backends, those of a zone, those of a cell.
 const (
 	ScopeAll KeyScope = iota
 	ScopeZone
@@ -35,24 +35,38 @@
 // The reasons.
 const (
 	Allowed                  Reason = iota
-	RequestDone                     // it has its final answer, or its answer has begun
-	ClientDisconnected              // its client has closed the connection or cancelled
+	RequestDone                     // it has its final answer, or its response has started
+	ClientDisconnected              // its client has closed the connection or canceled the request
 	DeadlinePassed                  // its client no longer waits
-	AttemptsUsed                    // it has had as many attempts as the settings allow
-	AttemptInFlight                 // another attempt is out, and second copies are not allowed
-	ListStale                       // the list of backends is not known to be current
-	BackendDraining                 // the backend drains or is gone
+	AttemptsUsed                    // it has had as many attempts as the configuration allows
+	AttemptInFlight                 // another attempt is in flight, and hedging is not allowed
+	ListStale                       // the endpoint list is not known to be current
+	BackendDraining                 // the backend is draining or removed
 	MayHaveExecuted                 // it may have run already, and must not run twice
 	IdempotencyWindowExpired        // repeats of its key are not dropped any longer
 	OutsideKeyScope                 // repeats of its key are not dropped there
-	RequestInProgress               // the connection carries a request that has no answer yet
-	UnreadInput                     // the connection holds input that nobody has read
+	RequestInProgress               // the connection carries a request without an answer
+	UnreadInput                     // the connection has input that was not read
 	ShuttingDown                    // the process takes no more requests
 	reasons
 )
 
-var reasonNames = [reasons]string{"allowed", "request over", "client gone", "deadline passed", "attempts used", "attempt in flight",
-	"list stale", "backend leaving", "may have run", "window over", "outside scope", "request open", "input unread", "shutting down"}
+var reasonNames = [reasons]string{
+	Allowed:                  "allowed",
+	RequestDone:              "request done",
+	ClientDisconnected:       "client disconnected",
+	DeadlinePassed:           "deadline passed",
+	AttemptsUsed:             "attempts used",
+	AttemptInFlight:          "attempt in flight",
+	ListStale:                "list stale",
+	BackendDraining:          "backend draining",
+	MayHaveExecuted:          "may have executed",
+	IdempotencyWindowExpired: "idempotency window expired",
+	OutsideKeyScope:          "outside key scope",
+	RequestInProgress:        "request in progress",
+	UnreadInput:              "unread input",
+	ShuttingDown:             "shutting down",
+}
 
 // String names the reason as logs do.
 func (r Reason) String() string {
@@ -62,17 +76,17 @@
 	return "unknown"
 }
 
-// Rules are what the settings say of a request's class.
+// Rules are what the configuration says of a request's class.
 type Rules struct {
 	Idempotency Idempotency
 	KeyScope    KeyScope
-	Window      Span // repeats of a key are dropped for so long after the first attempt was sent
-	Margin      Span // of the window, for what passes between a decision and the backend's clock
+	Window      Span // repeats of a key are dropped for this long after the first attempt was sent
+	Margin      Span // part of the window that is kept for the time until the backend has the request
 }
 
-// Backend is where an attempt would go.
+// Backend is where an attempt would be sent.
 type Backend struct {
-	InService  bool // by the last list heard of
+	InService  bool // by the last endpoint list
 	Zone, Cell int
 }
 
@@ -82,40 +96,44 @@
 	Zone, Cell int
 }
 
-// MayRetry tells whether a request of which an earlier attempt may have run may be sent to a backend. Without an earlier attempt it may;
-// without a backend the question is whether there could be one at all.
-func MayRetry(now Time, rules Rules, earlier *PriorAttempt, at *Backend) Reason {
+// MayRetry tells whether a request may be sent to a backend although an earlier attempt may have run. Without such
+// an attempt it may. With a nil backend the question is whether there could be one at all.
+func MayRetry(now Time, rules Rules, prior *PriorAttempt, backend *Backend) Reason {
 	switch {
-	case earlier == nil || rules.Idempotency == Idempotent:
+	case prior == nil || rules.Idempotency == Idempotent:
 		return Allowed
 	case rules.Idempotency == NonIdempotent:
 		return MayHaveExecuted
-	case now-earlier.SentAt+rules.Margin >= rules.Window:
+	case now-prior.SentAt+rules.Margin >= rules.Window:
 		return IdempotencyWindowExpired
-	case at == nil || rules.KeyScope == ScopeAll:
+	case backend == nil || rules.KeyScope == ScopeAll:
+		return Allowed
+	case rules.KeyScope == ScopeZone && prior.Zone == backend.Zone:
 		return Allowed
-	case rules.KeyScope == ScopeZone && earlier.Zone == at.Zone, rules.KeyScope == ScopeCell && earlier.Cell == at.Cell:
+	case rules.KeyScope == ScopeCell && prior.Cell == backend.Cell:
 		return Allowed
 	}
 	return OutsideKeyScope
 }
 
-// MayReject tells whether a refusal, which promises that a repeat does no harm, would be true.
-func MayReject(rules Rules, earlier *PriorAttempt) Reason {
-	if earlier == nil || rules.Idempotency == Idempotent || rules.Idempotency == IdempotentByKey && rules.KeyScope == ScopeAll {
+// MayReject tells whether a rejection, which promises that a retry does no harm, would be true.
+func MayReject(rules Rules, prior *PriorAttempt) Reason {
+	droppedEverywhere := rules.Idempotency == IdempotentByKey && rules.KeyScope == ScopeAll
+	if prior == nil || rules.Idempotency == Idempotent || droppedEverywhere {
 		return Allowed
 	}
 	return MayHaveExecuted
 }
 
-// Send is what the sending of an attempt depends on. It is checked as the attempt is decided on, and again at its first byte.
+// Send is what the sending of an attempt depends on. It is checked when the attempt is decided on, and again at its
+// first byte.
 type Send struct {
 	Now, Deadline      Time
 	RequestDone        bool
 	ClientDisconnected bool
-	ListCurrent        bool // the list of backends is recent enough to send by
+	ListCurrent        bool // there is recent evidence that the endpoint list is current
 	Rules              Rules
-	Prior              *PriorAttempt
+	Prior              *PriorAttempt // nil if no attempt may have run
 	Backend            Backend
 }
 
@@ -136,7 +154,7 @@
 	return MayRetry(s.Now, s.Rules, s.Prior, &s.Backend)
 }
 
-// Attempt is what a further attempt of a request depends on beyond Send: how many it has had.
+// Attempt is what one more attempt of a request depends on beyond Send: how many it has had.
 type Attempt struct {
 	Made, Max    int
 	InFlight     int
@@ -154,10 +172,10 @@
 	return Allowed
 }
 
-// Close is what the closing of a client's connection depends on, whatever the close is for.
+// Close is what the closing of a client's connection depends on, whatever it is closed for.
 type Close struct {
-	RequestInProgress bool // a request has been taken from it, or an answer is on its way out
-	UnreadInput       bool // input has come that nobody has read
+	RequestInProgress bool // a request was read from it, or an answer is being written
+	UnreadInput       bool // it has input that was not read
 }
 
 // Check tells whether the connection may be closed.
--- a/internal/safety/safety_test.go
+++ b/internal/safety/safety_test.go
@@ -14,14 +14,14 @@
 		change func(*Send)
 		want   Reason
 	}{
-		"nothing against it": {func(*Send) {}, Allowed},
-		"answered":           {func(s *Send) { s.RequestDone = true }, RequestDone},
-		"client gone":        {func(s *Send) { s.ClientDisconnected = true }, ClientDisconnected},
-		"at its deadline":    {func(s *Send) { s.Now = s.Deadline }, DeadlinePassed},
-		"just before it":     {func(s *Send) { s.Now = s.Deadline - 1 }, Allowed},
-		"list too old":       {func(s *Send) { s.ListCurrent = false }, ListStale},
-		"backend drains":     {func(s *Send) { s.Backend.InService = false }, BackendDraining},
-		"may have run": {func(s *Send) {
+		"allowed":                  {func(*Send) {}, Allowed},
+		"request done":             {func(s *Send) { s.RequestDone = true }, RequestDone},
+		"client disconnected":      {func(s *Send) { s.ClientDisconnected = true }, ClientDisconnected},
+		"at its deadline":          {func(s *Send) { s.Now = s.Deadline }, DeadlinePassed},
+		"just before its deadline": {func(s *Send) { s.Now = s.Deadline - 1 }, Allowed},
+		"list stale":               {func(s *Send) { s.ListCurrent = false }, ListStale},
+		"backend draining":         {func(s *Send) { s.Backend.InService = false }, BackendDraining},
+		"may have executed": {func(s *Send) {
 			s.Rules.Idempotency, s.Prior = NonIdempotent, &PriorAttempt{SentAt: 9 * second}
 		}, MayHaveExecuted},
 	} {
@@ -33,29 +33,29 @@
 }
 
 func TestMayRetry(t *testing.T) {
-	earlier := &PriorAttempt{SentAt: 9 * second, Zone: 1, Cell: 2}
+	prior := &PriorAttempt{SentAt: 9 * second, Zone: 1, Cell: 2}
 	keyed := func(scope KeyScope) Rules {
 		return Rules{Idempotency: IdempotentByKey, KeyScope: scope, Window: 2 * second, Margin: second / 10}
 	}
 	for name, test := range map[string]struct {
-		now     Time
-		rules   Rules
-		earlier *PriorAttempt
-		at      *Backend
-		want    Reason
+		now   Time
+		rules Rules
+		prior *PriorAttempt
+		at    *Backend
+		want  Reason
 	}{
-		"never ran":               {10 * second, Rules{Idempotency: NonIdempotent}, nil, &Backend{}, Allowed},
-		"repeatable":              {10 * second, Rules{}, earlier, &Backend{}, Allowed},
-		"once":                    {10 * second, Rules{Idempotency: NonIdempotent}, earlier, &Backend{}, MayHaveExecuted},
-		"in the window":           {10 * second, keyed(ScopeAll), earlier, &Backend{}, Allowed},
-		"window over but spare":   {11*second - second/10, keyed(ScopeAll), earlier, &Backend{}, IdempotencyWindowExpired},
-		"same zone":               {10 * second, keyed(ScopeZone), earlier, &Backend{Zone: 1}, Allowed},
-		"other zone":              {10 * second, keyed(ScopeZone), earlier, &Backend{Zone: 2}, OutsideKeyScope},
-		"same cell":               {10 * second, keyed(ScopeCell), earlier, &Backend{Cell: 2}, Allowed},
-		"other cell":              {10 * second, keyed(ScopeCell), earlier, &Backend{Cell: 1}, OutsideKeyScope},
-		"anywhere, in the window": {10 * second, keyed(ScopeCell), earlier, nil, Allowed},
+		"never ran":                         {10 * second, Rules{Idempotency: NonIdempotent}, nil, &Backend{}, Allowed},
+		"idempotent":                        {10 * second, Rules{}, prior, &Backend{}, Allowed},
+		"non-idempotent":                    {10 * second, Rules{Idempotency: NonIdempotent}, prior, &Backend{}, MayHaveExecuted},
+		"within the window":                 {10 * second, keyed(ScopeAll), prior, &Backend{}, Allowed},
+		"window expired but for its margin": {11*second - second/10, keyed(ScopeAll), prior, &Backend{}, IdempotencyWindowExpired},
+		"same zone":                         {10 * second, keyed(ScopeZone), prior, &Backend{Zone: 1}, Allowed},
+		"other zone":                        {10 * second, keyed(ScopeZone), prior, &Backend{Zone: 2}, OutsideKeyScope},
+		"same cell":                         {10 * second, keyed(ScopeCell), prior, &Backend{Cell: 2}, Allowed},
+		"other cell":                        {10 * second, keyed(ScopeCell), prior, &Backend{Cell: 1}, OutsideKeyScope},
+		"any backend, within the window":    {10 * second, keyed(ScopeCell), prior, nil, Allowed},
 	} {
-		if got := MayRetry(test.now, test.rules, test.earlier, test.at); got != test.want {
+		if got := MayRetry(test.now, test.rules, test.prior, test.at); got != test.want {
 			t.Errorf("%s: %v, want %v", name, got, test.want)
 		}
 	}
@@ -64,17 +64,17 @@
 func TestMayReject(t *testing.T) {
 	ran := &PriorAttempt{}
 	for name, test := range map[string]struct {
-		rules   Rules
-		earlier *PriorAttempt
-		want    Reason
+		rules Rules
+		prior *PriorAttempt
+		want  Reason
 	}{
-		"never ran":      {Rules{Idempotency: NonIdempotent}, nil, Allowed},
-		"once":           {Rules{Idempotency: NonIdempotent}, ran, MayHaveExecuted},
-		"repeatable":     {Rules{}, ran, Allowed},
-		"key everywhere": {Rules{Idempotency: IdempotentByKey}, ran, Allowed},
-		"key in a zone":  {Rules{Idempotency: IdempotentByKey, KeyScope: ScopeZone}, ran, MayHaveExecuted},
+		"never ran":           {Rules{Idempotency: NonIdempotent}, nil, Allowed},
+		"non-idempotent":      {Rules{Idempotency: NonIdempotent}, ran, MayHaveExecuted},
+		"idempotent":          {Rules{}, ran, Allowed},
+		"key of all backends": {Rules{Idempotency: IdempotentByKey}, ran, Allowed},
+		"key of a zone":       {Rules{Idempotency: IdempotentByKey, KeyScope: ScopeZone}, ran, MayHaveExecuted},
 	} {
-		if got := MayReject(test.rules, test.earlier); got != test.want {
+		if got := MayReject(test.rules, test.prior); got != test.want {
 			t.Errorf("%s: %v, want %v", name, got, test.want)
 		}
 	}
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -4,7 +4,8 @@
 
 const length = 6_000_000
 
-// A lease of a list of unknown age has ended; each kind of evidence renews it as of its own time, or not at all.
+// TestRecordRenewsLease begins with a lease that has expired; each kind of evidence renews it as of its own time, or
+// not at all.
 func TestRecordRenewsLease(t *testing.T) {
 	type note struct {
 		evidence Evidence
@@ -12,16 +13,16 @@
 	}
 	for name, test := range map[string]struct {
 		notes []note
-		until Time // the last moment but one
+		until Time // the first moment when it is not valid
 	}{
-		"nothing known":                 {nil, 100},
-		"answered":                      {[]note{{Answered, 200}}, 200 + length},
-		"an older answer takes nothing": {[]note{{Answered, 200}, {Answered, 150}}, 200 + length},
-		"refused":                       {[]note{{Rejected, 300}}, 300 + length},
-		"first call silent":             {[]note{{NoAnswer, 300}}, 300 + length},
-		"a watch silent":                {[]note{{Answered, 200}, {NoAnswer, 300}}, 200 + length},
-		"and the call after it":         {[]note{{Answered, 200}, {NoAnswer, 300}, {NoAnswer, 400}}, 400 + length},
-		"a word in between":             {[]note{{Answered, 200}, {NoAnswer, 300}, {Rejected, 350}, {NoAnswer, 400}}, 350 + length},
+		"nothing known":                       {nil, 100},
+		"answered":                            {[]note{{Answered, 200}}, 200 + length},
+		"an older answer does not shorten it": {[]note{{Answered, 200}, {Answered, 150}}, 200 + length},
+		"rejected":                            {[]note{{Rejected, 300}}, 300 + length},
+		"first call timed out":                {[]note{{NoAnswer, 300}}, 300 + length},
+		"a watch timed out":                   {[]note{{Answered, 200}, {NoAnswer, 300}}, 200 + length},
+		"a watch and the next call timed out": {[]note{{Answered, 200}, {NoAnswer, 300}, {NoAnswer, 400}}, 400 + length},
+		"a rejection between two timeouts":    {[]note{{Answered, 200}, {NoAnswer, 300}, {Rejected, 350}, {NoAnswer, 400}}, 350 + length},
 	} {
 		l := New(100, length)
 		for _, n := range test.notes {
@@ -33,7 +34,7 @@
 	}
 }
 
-// After a move of discovery, what was heard before counts for so long at most.
+// TestShortenEndsLeaseEarlier has the address of discovery change: earlier evidence counts no longer than until then.
 func TestShortenEndsLeaseEarlier(t *testing.T) {
 	l := New(100, length)
 	l.Record(Answered, 200)
@@ -43,19 +44,19 @@
 	}
 	l.Shorten(5000)
 	if l.Valid(1000) {
-		t.Error("made longer")
+		t.Error("extended by Shorten")
 	}
 	if l.Record(Answered, 900); !l.Valid(1000) {
-		t.Error("not renewed by what is heard after the move")
+		t.Error("not renewed by later evidence")
 	}
 }
 
-// Without a length the list is never too old.
+// TestLeaseWithoutLengthNeverEnds has a list that is never stale.
 func TestLeaseWithoutLengthNeverEnds(t *testing.T) {
 	if l := New(100, 0); !l.Valid(1<<60) || l.Bounded() {
-		t.Error("ends")
+		t.Error("expires")
 	}
 	if l := (Lease{}); !l.Valid(0) {
-		t.Error("the zero value ends")
+		t.Error("the zero value expires")
 	}
 }
