--- a/internal/balancer/latency_test.go
+++ b/internal/balancer/latency_test.go
@@ -67,3 +67,35 @@
 		}
 	}
 }
+
+func TestBaselineIsLowestPeriodMeanAndDriftsUp(t *testing.T) {
+	latency := classLatency{baseline: 100, mean: 100}
+	period := func(took float64, answers int) {
+		for range answers {
+			latency.recordAnswer(took)
+		}
+		latency.endPeriod()
+	}
+	period(60, minPeriodSamples-1)
+	if latency.baseline != 100 {
+		t.Errorf("baseline %g after too few answers, want 100", latency.baseline)
+	}
+	period(60, 1)
+	if latency.baseline != 60 {
+		t.Errorf("baseline %g, want the period's mean of 60", latency.baseline)
+	}
+	period(200, minPeriodSamples)
+	if want := 60 * baselineDrift; latency.baseline != want {
+		t.Errorf("baseline %g after a slow period, want %g", latency.baseline, want)
+	}
+}
+
+func TestMissingAnswerOnlyRaisesMean(t *testing.T) {
+	latency := classLatency{mean: 100}
+	if latency.recordMissing(50); latency.mean != 100 {
+		t.Errorf("mean %g after an attempt that was canceled early", latency.mean)
+	}
+	if latency.recordMissing(200); latency.mean != 105 {
+		t.Errorf("mean %g after one without an answer in 200, want 105", latency.mean)
+	}
+}
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -167,3 +167,23 @@
 		t.Error("the other endpoint got nothing either")
 	}
 }
+
+func TestOutlierStateCountsErrorsAndRecovers(t *testing.T) {
+	outlier := outlierState{consecutiveFailures: 2, ejections: 3}
+	for range 3 {
+		outlier.recordError()
+	}
+	if outlier.errorRate <= ejectionErrorRate {
+		t.Errorf("error rate %g after three errors, want more than %g", outlier.errorRate, ejectionErrorRate)
+	}
+	outlier.recordSuccess()
+	if outlier.consecutiveFailures != 0 || outlier.ejections != 3 {
+		t.Errorf("%+v after one success: want no failures, and the ejections kept", outlier)
+	}
+	for range 10 {
+		outlier.recordSuccess()
+	}
+	if outlier.errorRate >= suspectErrorRate || outlier.ejections != 0 {
+		t.Errorf("%+v after eleven successes: want a low error rate and no ejections", outlier)
+	}
+}
--- a/internal/balancer/poll_test.go
+++ b/internal/balancer/poll_test.go
@@ -162,3 +162,26 @@
 		}
 	}
 }
+
+func TestMaxBackoff(t *testing.T) {
+	cfg := testConfig()
+	cfg.PeerCount, cfg.PollInterval = 1024, 10*second
+	leased := cfg
+	leased.ListLease = NotificationDeadline
+	for _, test := range []struct {
+		name string
+		cfg  Config
+		kind ListKind
+		want float64
+	}{
+		{"failed", cfg, ListFailed, 3 * second},
+		{"timed out", cfg, ListTimeout, 0.6 * second},
+		{"overloaded", cfg, ListOverloaded, 10 * second * 1023 / 160.0},
+		{"overloaded, with a lease", leased, ListOverloaded, 3 * second},
+	} {
+		node := startNode(t, test.cfg, testEndpoints(2)...)
+		if got := node.balancer.maxBackoff(test.kind); got < test.want-1 || got > test.want+1 {
+			t.Errorf("%s: %g us, want %g", test.name, got, test.want)
+		}
+	}
+}
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -226,3 +226,16 @@
 		t.Errorf("%d of %d nodes may send to an unknown endpoint within a window", k, n)
 	}
 }
+
+func TestSlowStartTokensExpire(t *testing.T) {
+	tokens := slowStartTokens{count: 0.5, updatedAt: 1000 * ms}
+	const rate = 1.0 / float64(100*ms)
+	tokens.refill(1100*ms, rate, float64(100*ms))
+	if math.Abs(tokens.count-1.5) > 1e-9 || tokens.updatedAt != 1100*ms {
+		t.Errorf("%+v after 100 ms at 10 per second, want 1.5 tokens", tokens)
+	}
+	tokens.refill(5000*ms, rate, float64(100*ms))
+	if tokens.count < 1 || tokens.count > 2 {
+		t.Errorf("%g tokens after 4 s without use, want no more than those of 100 ms and the next", tokens.count)
+	}
+}
