--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -56,7 +56,7 @@
 	return baseline * math.Pow(objective/baseline, latencyTargetExponent) / b.warmUpFraction(endpoint)
 }
 
-// limitSignal prefers the endpoint's own report, which speaks of all its work, to the latency of one answer.
+// limitSignal prefers the endpoint's own report, which covers all its work, to the latency of one answer.
 func (b *Balancer) limitSignal(
 	endpoint *endpointState, outcome Outcome, latency, target float64,
 ) limitSignal {
@@ -103,7 +103,8 @@
 	b.capacity += b.effectiveLimit(endpoint) - before
 }
 
-// predictedLimit is what an endpoint that reports its load completes within a part of the objective.
+// predictedLimit is what an endpoint that reports its load completes within objectiveFillFraction of the
+// objective.
 func (b *Balancer) predictedLimit(endpoint *endpointState) float64 {
 	work := b.meanWork * b.slownessFactor(endpoint)
 	completed := endpoint.cores * b.meanObjective * objectiveFillFraction / work
@@ -114,10 +115,8 @@
 // another endpoint, that must hold for the whole subset too.
 func (b *Balancer) limitInUse(endpoint *endpointState, part float64) bool {
 	used := max(b.inFlightShare(endpoint), endpoint.inFlight.mean)
-	if used < limitInUseFraction*b.effectiveLimit(endpoint) {
-		return false
-	}
-	return part == 1 || b.inFlight.mean+1 >= limitInUseFraction*b.capacity
+	return used >= limitInUseFraction*b.effectiveLimit(endpoint) &&
+		(part == 1 || b.inFlight.mean+1 >= limitInUseFraction*b.capacity)
 }
 
 // effectiveLimit is what an endpoint may hold of this node's requests now. A warming endpoint has all its
@@ -127,8 +126,8 @@
 	return endpoint.limit / b.nodesPerEndpoint * math.Sqrt(b.warmUpFraction(endpoint))
 }
 
-// freeCapacity is what is left of an endpoint's limit: all of it if a health check will tell, and nothing if
-// the fraction of a request has been used.
+// freeCapacity is what is left of an endpoint's limit: all of it if a health check will show its load, and
+// nothing if no whole request fits and the fraction of one has been used.
 func (b *Balancer) freeCapacity(endpoint *endpointState) float64 {
 	used := b.inFlightShare(endpoint)
 	limit := b.effectiveLimit(endpoint)
@@ -147,7 +146,8 @@
 	limits, weights := 0.0, 0.0
 	b.capacity = 0
 	for _, endpoint := range b.subset {
-		if !b.available(endpoint) || endpoint.limit <= 0 { // without a limit it has just been listed
+		listedNow := endpoint.limit == 0 // its limit depends on the others' and is not set yet
+		if !b.available(endpoint) || listedNow {
 			continue
 		}
 		b.capacity += b.effectiveLimit(endpoint)
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -31,13 +31,14 @@
 }
 
 // hasFreeSlot tells whether a tenant has a slot of its own, or one that is lent. Where health checks are
-// used, these show whether an endpoint has capacity to lend.
+// used, these will show whether an endpoint has capacity to lend.
 func (b *Balancer) hasFreeSlot(tenant *tenantState, lent bool) bool {
-	free := b.belowLimit(&tenant.inFlight, tenant.quota.slots)
-	if lent {
-		free = b.checksHealth() || b.belowLimit(&b.inFlight, b.capacity)
+	// Asked for both kinds of slots, as it also brings the tenant's mean in flight up to date.
+	ownSlot := b.belowLimit(&tenant.inFlight, tenant.quota.slots)
+	if !lent {
+		return ownSlot
 	}
-	return free
+	return b.checksHealth() || b.belowLimit(&b.inFlight, b.capacity)
 }
 
 // dispatchTenant sends one queued request of a tenant. Its class is drawn by the value of a request for the
--- a/internal/balancer/learned.go
+++ b/internal/balancer/learned.go
@@ -33,12 +33,12 @@
 type LearnedEndpoint struct {
 	StartedAt           Time    `json:"Started"`
 	Limit               float64 `json:"Limit"`
-	ErrorShare          float64 `json:"Bad"`
-	Tokens              float64 `json:"Tokens"`
+	ErrorRate           float64 `json:"Bad"`
+	SlowStartTokens     float64 `json:"Tokens"`
 	ConsecutiveFailures int     `json:"Fails"`
 	Ejections           int     `json:"Outs"`
 	EjectedUntil        Time    `json:"OutTill"`
-	TokensAt            Time    `json:"TokensAt"`
+	SlowStartUpdatedAt  Time    `json:"TokensAt"`
 	Backlog             float64 `json:"Queue"` // by its last report, as the next two
 	Utilization         float64 `json:"Util"`
 	Outstanding         float64 `json:"Holding"`
@@ -46,15 +46,15 @@
 
 // LearnedClass is what was learned of a class.
 type LearnedClass struct {
-	BaseLatency float64 `json:"Base"`
-	MeanLatency float64 `json:"Mean"`
+	BaselineLatency float64 `json:"Base"`
+	MeanLatency     float64 `json:"Mean"`
 }
 
 // LearnedTenant is what was learned of a tenant.
 type LearnedTenant struct {
-	Demand      float64    `json:"Demand"`
-	QuotaTarget float64    `json:"Want"`
-	Used        [2]float64 `json:"Used"`
+	Demand         float64    `json:"Demand"`
+	PredictedQuota float64    `json:"Want"`
+	Utilization    [2]float64 `json:"Used"`
 }
 
 // ExportState returns what was learned. Half of the slow-start tokens that are left go with it.
@@ -81,9 +81,9 @@
 	for i := range b.tenants {
 		quota := &b.tenants[i].quota
 		learned.Tenants = append(learned.Tenants, LearnedTenant{
-			Demand:      quota.demand,
-			QuotaTarget: quota.predicted,
-			Used:        quota.utilization,
+			Demand:         quota.demand,
+			PredictedQuota: quota.predicted,
+			Utilization:    quota.utilization,
 		})
 	}
 	return learned
@@ -93,12 +93,12 @@
 	return LearnedEndpoint{
 		StartedAt:           e.StartedAt,
 		Limit:               e.limit,
-		ErrorShare:          e.outlier.errorRate,
-		Tokens:              e.slowStart.count,
+		ErrorRate:           e.outlier.errorRate,
+		SlowStartTokens:     e.slowStart.count,
 		ConsecutiveFailures: e.outlier.consecutiveFailures,
 		Ejections:           e.outlier.ejections,
 		EjectedUntil:        e.outlier.ejectedUntil,
-		TokensAt:            e.slowStart.updatedAt,
+		SlowStartUpdatedAt:  e.slowStart.updatedAt,
 		Backlog:             e.reported.Backlog,
 		Utilization:         e.reported.Utilization,
 		Outstanding:         e.reported.Outstanding,
@@ -130,11 +130,11 @@
 	endpoint.limit = state.Limit
 	endpoint.outlier = outlierState{
 		consecutiveFailures: min(max(state.ConsecutiveFailures, 0), ejectionFailures),
-		errorRate:           state.ErrorShare,
+		errorRate:           state.ErrorRate,
 		ejections:           min(max(state.Ejections, 0), 2*maxDoublings),
 		ejectedUntil:        min(state.EjectedUntil, b.now+b.controlPeriod<<maxDoublings),
 	}
-	endpoint.slowStart = slowStartTokens{count: state.Tokens, updatedAt: b.now}
+	endpoint.slowStart = slowStartTokens{count: state.SlowStartTokens, updatedAt: b.now}
 	endpoint.reported = reportedLoad{LoadReport: unknownLoad, changedAt: b.now}
 	if sound(state.Backlog, state.Utilization) {
 		endpoint.reported.LoadReport = LoadReport{state.Outstanding, state.Backlog, state.Utilization}
@@ -146,8 +146,8 @@
 		return
 	}
 	for i, class := range classes {
-		if sound(class.BaseLatency, class.MeanLatency) && class.BaseLatency > 0 && class.MeanLatency > 0 {
-			b.classes[i].latency.baseline, b.classes[i].latency.mean = class.BaseLatency, class.MeanLatency
+		if sound(class.BaselineLatency, class.MeanLatency) && class.BaselineLatency > 0 && class.MeanLatency > 0 {
+			b.classes[i].latency.baseline, b.classes[i].latency.mean = class.BaselineLatency, class.MeanLatency
 		}
 	}
 }
@@ -157,9 +157,9 @@
 		return
 	}
 	for i, tenant := range tenants {
-		if sound(tenant.Demand, tenant.QuotaTarget, tenant.Used[0], tenant.Used[1]) {
+		if sound(tenant.Demand, tenant.PredictedQuota, tenant.Utilization[0], tenant.Utilization[1]) {
 			quota := &b.tenants[i].quota
-			quota.demand, quota.predicted, quota.utilization = tenant.Demand, tenant.QuotaTarget, tenant.Used
+			quota.demand, quota.predicted, quota.utilization = tenant.Demand, tenant.PredictedQuota, tenant.Utilization
 		}
 	}
 }
@@ -174,7 +174,7 @@
 
 // sound tells whether the state has values that an endpoint can have.
 func (e *LearnedEndpoint) sound() bool {
-	return sound(e.Limit, e.ErrorShare) && e.Limit != 0 && e.ErrorShare <= 1 && !math.IsNaN(e.Tokens)
+	return sound(e.Limit, e.ErrorRate) && e.Limit != 0 && e.ErrorRate <= 1 && !math.IsNaN(e.SlowStartTokens)
 }
 
 // sound tells whether all values are finite and not negative.
--- a/internal/balancer/learned_test.go
+++ b/internal/balancer/learned_test.go
@@ -20,8 +20,8 @@
 	node.balancer.endpointsByID[1].outlier.errorRate, node.balancer.endpointsByID[1].limit = 0.3, 17
 	before := node.balancer.endpointsByID[4].slowStart.count
 	learned := node.balancer.ExportState(node.now)
-	if now := node.balancer.endpointsByID[4].slowStart.count; now != before/2 || learned.Endpoints[4].Tokens != before/2 {
-		t.Errorf("of %v tokens one process has %v and the other %v", before, now, learned.Endpoints[4].Tokens)
+	if now := node.balancer.endpointsByID[4].slowStart.count; now != before/2 || learned.Endpoints[4].SlowStartTokens != before/2 {
+		t.Errorf("of %v tokens one process has %v and the other %v", before, now, learned.Endpoints[4].SlowStartTokens)
 	}
 	next := startNodeWithSeed(t, 8, cfg, list...)
 	next.balancer.ImportState(next.now, learned)
@@ -46,7 +46,7 @@
 		t.Errorf("one process has earned %v, one of two %v", earnedAlone, earnedAsOneOfTwo)
 	}
 	odd := learned
-	odd.Endpoints = map[uint64]LearnedEndpoint{1: {Limit: math.NaN(), ErrorShare: 7}, 2: {Limit: -1}, 9: {Limit: 5}}
+	odd.Endpoints = map[uint64]LearnedEndpoint{1: {Limit: math.NaN(), ErrorRate: 7}, 2: {Limit: -1}, 9: {Limit: 5}}
 	odd.Classes, odd.AnswerRate = []LearnedClass{{0, 0}}, math.Inf(1)
 	third := startNodeWithSeed(t, 10, cfg, list...)
 	limit := third.balancer.endpointsByID[1].limit
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -79,7 +79,8 @@
 	b.recordFailure(endpoint)
 }
 
-// recordNoAnswer takes an attempt without an answer. Only failed connects eject: lateness is load.
+// recordNoAnswer takes an attempt without an answer. Only failed connects eject: a late answer is a
+// sign of load.
 func (b *Balancer) recordNoAnswer(endpoint *endpointState, class int, latency float64, outcome Outcome) {
 	b.classes[class].latency.recordMissing(latency)
 	if outcome == OutcomeConnectFailed {
--- /dev/null
+++ b/internal/balancer/overload_test.go
@@ -0,0 +1,31 @@
+package balancer
+
+import "testing"
+
+// TestQueuedRequestsMeanOverload guards against a mode that stays underload, by reports of idle endpoints,
+// while most requests are rejected.
+func TestQueuedRequestsMeanOverload(t *testing.T) {
+	node := startNode(t, testConfig(), testEndpoints(2)...)
+	for _, endpoint := range node.balancer.endpoints {
+		node.balancer.recordReport(endpoint, &LoadReport{Outstanding: -1, Backlog: -1, Utilization: 0.3})
+	}
+	for id := RequestID(1); id <= 40; id++ {
+		node.request(id, 2, 0)
+	}
+	node.balancer.runControl()
+	if !node.balancer.overloadDetected() {
+		t.Error("requests are queued, and no overload was detected")
+	}
+	node = startNode(t, testConfig(), testEndpoints(2)...)
+	for _, endpoint := range node.balancer.endpoints {
+		node.balancer.recordReport(endpoint, &LoadReport{Outstanding: -1, Backlog: -1, Utilization: 0.97})
+	}
+	if !node.balancer.overloadDetected() {
+		t.Error("high utilization was reported, and no overload was detected")
+	}
+	node.now += 10 * node.balancer.controlPeriod
+	node.balancer.now = node.now
+	if node.balancer.overloadDetected() {
+		t.Error("reports that have not changed for long still count")
+	}
+}
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -105,7 +105,7 @@
 }
 
 // assignSlots spreads a tenant's slots over the endpoints in proportion to their limits. As in the paper as
-// little as possible changes: an entry moves only if it is far from its value.
+// little as possible changes: an entry changes only if it is far from its value.
 func (b *Balancer) assignSlots(tenant int, slots float64) {
 	for _, endpoint := range b.subset {
 		limit := b.effectiveLimit(endpoint)
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -48,12 +48,11 @@
 		return max(b.freeCapacity(endpoint), 0)
 	}
 	slotFree := float64(endpoint.inFlightByTenant[tenant]) < endpoint.slots[tenant]
-	// Capacity that was lent to others must not keep a tenant from its own slots: the limit counts attempts
-	// alone.
-	if slotFree && float64(endpoint.inFlight.count) < max(b.effectiveLimit(endpoint), 1) {
-		return endpoint.slots[tenant]
+	belowLimit := float64(endpoint.inFlight.count) < max(b.effectiveLimit(endpoint), 1)
+	if !slotFree || !belowLimit {
+		return 0
 	}
-	return 0
+	return endpoint.slots[tenant] // all of them, whatever part of the endpoint is lent to other tenants
 }
 
 func (b *Balancer) candidateCount() int {
@@ -64,8 +63,8 @@
 }
 
 // drawEndpoint draws an index by endpointWeights: at random, or by weighted rendezvous hashing of a key if
-// endpoints do less work for one that they have seen. Over all keys the endpoints are still met in proportion
-// to their weights, but one key meets the same endpoints, at whichever node it comes in.
+// endpoints do less work for one that they have seen. Over all keys the endpoints are still drawn in
+// proportion to their weights, but one key selects the same endpoints at every node.
 func (b *Balancer) drawEndpoint(key uint64, from []*endpointState) int {
 	if key == 0 {
 		return b.random.weightedIndex(b.endpointWeights[:len(from)])
@@ -96,8 +95,8 @@
 	return best
 }
 
-// meetsDeadline tells whether an answer is predicted in time. An endpoint that holds nothing is tried now and
-// then even if its answer would be late: the prediction may be wrong, and only answers correct it.
+// meetsDeadline tells whether an answer is predicted in time. An endpoint that holds nothing still gets an
+// attempt now and then if its answer would be late: the prediction may be wrong, and only answers correct it.
 func (b *Balancer) meetsDeadline(request *openRequest, endpoint *endpointState) bool {
 	class := &b.config.Classes[request.class]
 	until := request.objectiveAt
