--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -8,17 +8,17 @@
 	"tulipglade/internal/protocol"
 )
 
-// admit makes a request of what a client sent, or says why not: these refusals are the node's own and come
-// before the module hears of the request.
+// admit makes a request of what a client sent, or returns the status and text of a rejection. These are the node's
+// own rejections, of which the balancer is not notified.
 func (n *Node) admit(msg *protocol.Message, buf *buffer, receivedAt int64) (req *request, status int, reason string) {
 	switch string(msg.Method) {
 	case "CONNECT", "TRACE", "OPTIONS":
 		return nil, 405, "method not allowed"
 	}
 	if duplicate := msg.HasDuplicate("x-trace-id", "x-qos", "x-customer", "x-expires-in-ms", "idempotency-key"); duplicate != "" {
-		return nil, 400, duplicate + " is there twice" // a backend may go by the other one
+		return nil, 400, duplicate + " is there twice" // a backend might use the other value
 	}
-	className, _, _ := bytes.Cut(msg.Target[1:], []byte("?")) // the first part of the path holds the class too
+	className, _, _ := bytes.Cut(msg.Target[1:], []byte("?")) // the first part of the path names the class too
 	className, _, _ = bytes.Cut(className, []byte("/"))
 	if header := msg.Get("x-qos"); header != nil {
 		if len(className) > 0 && !bytes.Equal(className, header) {
@@ -30,7 +30,7 @@
 	if !ok {
 		return nil, 400, "unknown class"
 	}
-	tenant, ok := n.tenantIndex[""] // where the settings tell no tenants apart
+	tenant, ok := n.tenantIndex[""] // if the settings define no tenants
 	if !ok {
 		if tenant, ok = n.tenantIndex[string(msg.Get("x-customer"))]; !ok {
 			return nil, 400, "unknown tenant"
@@ -40,7 +40,8 @@
 	if len(traceID) == 0 {
 		return nil, 400, "no X-Trace-Id"
 	}
-	if _, inUse := n.requestIDsInUse[string(traceID)]; inUse { // to a backend, two requests with one id would be one that runs twice
+	// a backend would take the second for the same request, running twice
+	if _, inUse := n.requestIDsInUse[string(traceID)]; inUse {
 		return nil, 400, "X-Trace-Id is in use"
 	}
 	rules := &n.settings.Balancer.Classes[class]
@@ -63,11 +64,11 @@
 		deadline: n.answerDeadline(receivedAt, receivedAt+timeout)}, 0, ""
 }
 
-// maxRequestIDsInUse bounds the ids that are remembered.
+// maxRequestIDsInUse bounds the trace IDs that are remembered.
 const maxRequestIDsInUse = 1 << 14
 
-// parseSizeHint reads a client's guess at the work, in microseconds; 0 is none. It is no more than a guess: one that is no number
-// above 0, or not of this world, is as good as none, and no reason to turn a request away.
+// parseSizeHint reads a client's estimate of the work, in microseconds; 0: none. A value that is not a positive
+// 32-bit number counts as none, as it is no reason to reject a request.
 func parseSizeHint(text []byte) balancer.Span {
 	micros, err := strconv.ParseUint(string(text), 10, 32)
 	if err != nil {
--- a/internal/node/arrivals.go
+++ b/internal/node/arrivals.go
@@ -4,19 +4,21 @@
 	"slices"
 )
 
-// arrival is when the bytes of a connection up to a place had come, for what still waits for the answer before it.
+// arrival is when the input of a connection up to some byte was received, kept while requests in it wait for earlier
+// answers.
 type arrival struct {
 	upToByte   int
 	receivedAt int64
 }
 
-// arrivalMergeInterval bounds how many of these there are, in microseconds: what comes sooner behind another counts as come with it.
+// arrivalMergeInterval bounds the number of arrivals, in microseconds: input that follows sooner counts as received
+// with what came before.
 const arrivalMergeInterval = 10_000
 
-// recordArrival notes when so many bytes have come.
+// recordArrival records when so many bytes were received.
 func (c *clientConn) recordArrival(length int, receivedAt int64) {
 	c.receivedBytes += length
-	if c.request == nil && !c.writingAnswer { // every whole request of before has been read
+	if c.request == nil && !c.writingAnswer { // all complete requests before it have been parsed
 		c.arrivals = c.arrivals[:0]
 	}
 	if last := len(c.arrivals) - 1; last >= 0 && receivedAt-c.arrivals[last].receivedAt < arrivalMergeInterval {
@@ -26,8 +28,8 @@
 	c.arrivals = append(c.arrivals, arrival{c.receivedBytes, receivedAt})
 }
 
-// arrivalTime is when the last byte before so many others had come: a request's time counts from its own last byte, also where it has stood behind
-// another.
+// arrivalTime returns when the last byte before so many others was received: a request's deadline counts from its own
+// last byte, also if it has waited behind another.
 func (c *clientConn) arrivalTime(behind int) (receivedAt int64) {
 	index := slices.IndexFunc(c.arrivals, func(arrived arrival) bool { return arrived.upToByte >= c.receivedBytes-behind })
 	if index < 0 {
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -7,20 +7,19 @@
 	"tulipglade/internal/protocol"
 )
 
-// attempt is one Try of a request.
+// attempt is one sending of a request, or a health check, to an endpoint.
 type attempt struct {
 	request       *request
 	number        int
 	endpoint      *endpoint
 	startedAt     int64
-	deadline      int64        // how long the node waits for its answer
-	conn          *backendConn // once it has a connection
-	completed     bool         // it has its outcome
-	isHealthCheck bool         // it is one, and req is nobody's
+	deadline      int64        // until when the node waits for the answer; noDeadline while a large request is being uploaded
+	conn          *backendConn // nil: it has had no connection
+	state         attemptState
+	isHealthCheck bool // request is then a placeholder that no client sent
 }
 
-// answerOutcome is what an answer says about the attempt it belongs to. Only a turned-away request, marked as such,
-// is known never to have run.
+// answerOutcome classifies an answer. Only a rejection that is marked as such proves that the attempt never ran.
 func answerOutcome(msg *protocol.Message) balancer.Outcome {
 	switch msg.Status {
 	case 200:
@@ -33,12 +32,12 @@
 	return balancer.OutcomeServerError
 }
 
-// completeAttempt gives an attempt its one outcome. The module hears of it after the call it may be in.
+// completeAttempt gives an attempt its one outcome. The balancer is notified after the call in which it may be.
 func (n *Node) completeAttempt(att *attempt, outcome balancer.Outcome, report *balancer.LoadReport) {
-	if att.completed {
+	if att.isCompleted() {
 		return
 	}
-	att.completed = true
+	n.setAttemptState(att, attemptCompleted)
 	if att.isHealthCheck {
 		n.healthCheckDone(att, outcome, report)
 		return
@@ -46,25 +45,25 @@
 	n.traceRequest(att.request, "attempt over", "attempt", att.number, "host", att.endpoint.address, "outcome", int(outcome), "took_us", n.now()-att.startedAt)
 	result := balancer.AttemptResult{ID: att.request.id, Attempt: att.number, Endpoint: att.endpoint.id, Outcome: outcome,
 		Latency: n.now() - att.startedAt, Load: report}
-	if att.deadline == noDeadline { // it had not all been sent: that took its client's time, not the host's
+	if att.deadline == noDeadline { // not fully sent: the time was the client's, not the backend's
 		result.Latency = 0
 	}
 	n.deferred = append(n.deferred, func() {
 		att.request.pendingAttempts--
-		result.RequestDone = att.request.done
+		result.RequestDone = att.request.isDone()
 		n.balancer.HandleAttemptResult(n.now(), result)
 		n.releaseRequest(att.request)
 	})
 }
 
-// checkAttemptDeadline gives up an attempt whose time has passed.
+// checkAttemptDeadline abandons an attempt whose time is over.
 func (n *Node) checkAttemptDeadline(att *attempt) {
-	if !att.completed && n.now() >= att.deadline {
+	if !att.isCompleted() && n.now() >= att.deadline {
 		n.abandonAttempt(att, balancer.OutcomeTimeout)
 	}
 }
 
-// abandonAttempt ends an attempt that is still out. What never had a connection has never run.
+// abandonAttempt ends an attempt that is in flight. Without a connection it has never run.
 func (n *Node) abandonAttempt(att *attempt, outcome balancer.Outcome) {
 	if conn := att.conn; conn != nil {
 		n.closeBackend(conn, closeAttemptAbandoned)
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -134,7 +134,7 @@
 		n.SendAttempt(r.id, 1, -1)
 		n.SendAttempt(r.id, 1, 0) // the fourth of three
 		for _, a := range r.attempts[1:] {
-			if !a.completed || a.conn != nil {
+			if !a.isCompleted() || a.conn != nil {
 				t.Errorf("attempt %d went out", a.number)
 			}
 		}
--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -11,7 +11,7 @@
 	"tulipglade/internal/protocol"
 )
 
-// backendConn is a connection to a host. It carries one request at a time.
+// backendConn is a connection to a backend. It carries one request at a time.
 type backendConn struct {
 	socket
 	node              *Node
@@ -20,28 +20,26 @@
 	attempt           *attempt
 	input             *buffer
 	message           protocol.Message
-	dialHandled       bool      // the pool has it
-	requestWritten    bool      // the request's last byte is
-	answerComplete    bool      // whole, before the writer said that it was done
-	download          *download // it passes on an answer too large to be held
-	deferredInput     []*buffer // what came before the word that all of a large request has gone
-	peerEndedEarly    bool      // the other side has closed while the request was being written
-	closed            bool
+	state             backendConnState
+	answerComplete    bool      // the whole answer came before the writer had returned
+	download          *download // forwards an answer that is too large to be buffered
+	deferredInput     []*buffer // input that came before the event loop learned that a large request had been written
+	peerEndedEarly    bool      // the backend has closed while the request was being written
 	idleElement       *list.Element
 	idleSince         int64
-	idleBeforeAttempt int64 // before the attempt it carries; 0: it is new
-	lastAnswerAt      int64 // when it last brought the answer to a request: another may follow that; 0: never
+	idleBeforeAttempt int64 // idle time before the attempt that it carries; 0: the connection is new
+	lastAnswerAt      int64 // when it last brought the answer to a request, which a duplicate may follow; 0: never
 }
 
-// onInput hands on what the poller has read.
+// onInput passes on what the poller has read.
 func (b *backendConn) onInput(_ context.Context, conn netpoll.Connection) error {
 	return b.deliver(conn, b.node, b.receive)
 }
 
-// receive takes in what the host sent.
+// receive processes input from the backend.
 func (b *backendConn) receive(buf *buffer) {
 	defer buf.release()
-	if b.closed {
+	if b.state == backendClosed {
 		return
 	}
 	if b.download != nil {
@@ -52,7 +50,7 @@
 		b.deferredInput = append(b.deferredInput, buf.retain())
 		return
 	}
-	if b.attempt == nil { // nothing was asked
+	if b.attempt == nil { // no request is in flight
 		b.endpoint.duplicatesUntil = b.node.now() + observationLifetime
 		b.node.closeBackend(b, closeUnexpectedInput)
 		b.node.dialForWaiting(b.endpoint)
@@ -64,7 +62,7 @@
 		return
 	}
 	rest := buf.bytes()
-	for len(rest) > 0 && b.attempt != nil && !b.closed {
+	for len(rest) > 0 && b.attempt != nil && b.state != backendClosed {
 		rest = b.input.add(rest)
 		b.parseAnswer(len(rest))
 		if b.download != nil {
@@ -74,7 +72,7 @@
 	}
 }
 
-// processDeferredInput takes in what was kept until a large request had gone.
+// processDeferredInput processes the input that was deferred until a large request had been written.
 func (b *backendConn) processDeferredInput() {
 	deferred, peerEnded := b.deferredInput, b.peerEndedEarly
 	b.deferredInput, b.peerEndedEarly = nil, false
@@ -86,12 +84,13 @@
 	}
 }
 
-// uploadFullyRead tells that all of a large request has come in and goes out, though Run's goroutine has not heard that it has gone.
+// uploadFullyRead reports whether the last byte of a large request has been read from its client, while the event
+// loop has not learned yet that it was written.
 func (b *backendConn) uploadFullyRead() bool {
 	return b.attempt != nil && b.attempt.deadline == noDeadline && b.attempt.request.upload.forwarder.fullyRead.Load()
 }
 
-// keepDownloadInput keeps what comes of a large answer before it can be passed on.
+// keepDownloadInput buffers input of a large answer until it can be forwarded.
 func (b *backendConn) keepDownloadInput(data []byte) {
 	if err := b.download.keepInput(data); err != nil {
 		att := b.download.attempt
@@ -101,7 +100,7 @@
 	}
 }
 
-// parseAnswer parses what has come; more bytes wait that found no room.
+// parseAnswer parses the input so far; unread is the number of bytes that the buffer had no space for.
 func (b *backendConn) parseAnswer(unread int) {
 	n, att := b.node, b.attempt
 	size, complete, err := b.message.Response(b.input.bytes())
@@ -111,7 +110,7 @@
 	case err != nil:
 		n.warnLimited("bad answer", "host", b.endpoint.address, "err", err)
 		n.closeBackend(b, closeMalformedAnswer)
-		n.completeAttempt(att, balancer.OutcomeReset, nil) // it may have run
+		n.completeAttempt(att, balancer.OutcomeReset, nil) // the request may have run
 	case complete:
 		b.finishAnswer(unread > 0)
 	case large:
@@ -119,10 +118,11 @@
 	}
 }
 
-// errEarlyLargeAnswer is a large answer to a request that has not been written: there is no room for it.
+// errEarlyLargeAnswer reports a large answer to a request that has not been written: too much of it would have to be
+// buffered.
 var errEarlyLargeAnswer = errors.New("a large answer before the end of its request")
 
-// finishAnswer is a whole answer.
+// finishAnswer processes a complete answer; unread says that more input follows it.
 func (b *backendConn) finishAnswer(unread bool) {
 	n, att, in, msg := b.node, b.attempt, b.input, b.message
 	n.recordIdleOutcome(b.idleBeforeAttempt, false)
@@ -139,7 +139,7 @@
 	switch {
 	case !reusable:
 		n.closeBackend(b, closeNotReusable)
-	case b.requestWritten:
+	case b.state == backendAwaitingAnswer:
 		n.releaseConn(b)
 	default:
 		b.answerComplete = true
@@ -161,32 +161,35 @@
 	in.release()
 }
 
-// connectionEnded is a connection that has ended.
+// connectionEnded processes the end of the connection.
 func (b *backendConn) connectionEnded() {
 	n, att := b.node, b.attempt
 	switch {
-	case b.closed || !b.dialHandled: // dialled will see it
+	case b.state == backendClosed || b.state == backendDialing: // dialFinished handles it
 	case b.download != nil && !b.download.awaitingRequestEnd:
 		n.startDownloadForwarding(b, nil, nil, nil)
 	case att == nil:
 		n.closeBackend(b, closedByPeer)
 		n.dialForWaiting(b.endpoint)
-	case !b.requestWritten && att.deadline == noDeadline && !b.uploadFullyRead(): // the request was still coming in, and will never be whole
+	case b.state == backendWriting && att.deadline == noDeadline && !b.uploadFullyRead():
+		// the request was still being uploaded and is never completed
 		n.closeBackend(b, closedByPeer)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
-	case !b.requestWritten:
-		b.peerEndedEarly = true // whether all was written decides what this means
+	case b.state == backendWriting:
+		b.peerEndedEarly = true // requestSent decides, once it is known how much was written
 	default:
 		n.recordIdleOutcome(b.idleBeforeAttempt, b.input == nil && n.now()-att.startedAt < 2*reuseDelay)
 		n.finishEndedConn(b, att)
 	}
 }
 
-// finishEndedConn is a connection whose end may be that of the answer on it: where the head does not say how long that is.
+// finishEndedConn processes the end of a connection with an answer due. It completes an answer whose head states no
+// length.
 func (n *Node) finishEndedConn(conn *backendConn, att *attempt) {
 	if conn.input != nil && conn.message.UntilEnd() && conn.peerClosedInOrder {
 		conn.message.Finish()
-		conn.message.KeepAlive, conn.requestWritten = false, true
+		conn.message.KeepAlive = false
+		conn.setState(backendAwaitingAnswer)
 		conn.finishAnswer(false)
 		return
 	}
@@ -194,13 +197,13 @@
 	n.completeAttempt(att, balancer.OutcomeReset, nil)
 }
 
-// closeBackend ends a connection. An attempt on it must be settled by the caller.
+// closeBackend closes a connection. The caller completes an attempt on it.
 func (n *Node) closeBackend(conn *backendConn, reason closeReason) {
-	if conn.closed {
+	if conn.state == backendClosed {
 		return
 	}
 	conn.logClose(reason)
-	conn.closed = true
+	conn.setState(backendClosed)
 	n.setIdle(conn, false)
 	n.openDescriptors--
 	conn.attempt = nil
@@ -210,7 +213,8 @@
 		buf.release()
 	}
 	conn.deferredInput = nil
-	if conn.download == nil || conn.download.awaitingRequestEnd || conn.descriptor != nil { // else it is on its way out of the poller, and closes as it is there
+	// a connection that is being detached from the poller closes when that is done
+	if conn.download == nil || conn.download.awaitingRequestEnd || conn.descriptor != nil {
 		conn.closeTransport()
 	}
 }
--- a/internal/node/clientanswer.go
+++ b/internal/node/clientanswer.go
@@ -4,10 +4,10 @@
 	"tulipglade/internal/protocol"
 )
 
-// reply writes an answer. It holds held until that is done.
+// reply writes an answer. It retains source, into which fields and body point, until that is done.
 func (c *clientConn) reply(source *buffer, status int, fields []protocol.Field, body []byte, retryAfter int64) {
 	c.request = nil
-	if c.closed {
+	if c.state == clientClosed {
 		source.release()
 		return
 	}
@@ -41,10 +41,11 @@
 	}, out, body)
 }
 
-// rejectUnreadable answers what cannot be read, after which the connection closes.
+// rejectUnreadable answers what can't be parsed, after which the connection closes.
 func (c *clientConn) rejectUnreadable(status int, reason string) {
 	c.setIdle(false)
-	c.closeAfterAnswer, c.lingering = true, true
+	c.closeAfterAnswer = true
+	c.setState(clientLingering)
 	c.input.release()
 	c.input = nil
 	c.reply(nil, status, nil, []byte(reason+"\n"), 0)
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -11,41 +11,40 @@
 	"tulipglade/internal/protocol"
 )
 
-// writeTimeout is how long a client may take to read an answer.
+// writeTimeout is how long a peer may take to accept what is written to it.
 const writeTimeout = 10 * time.Second
 
 // clientConn is a connection that a client opened.
 type clientConn struct {
 	socket
+	state             clientConnState
 	node              *Node
 	input             *buffer
 	message           protocol.Message
-	request           *request // taken from it and not answered
-	writingAnswer     bool     // an answer is on its way
-	closeAfterAnswer  bool     // the connection closes after this answer
-	continueSent      bool
-	lingering         bool // what still comes is dropped; it only waits for its last answer to be read
-	discardedBytes    int  // bytes that came meanwhile
-	closed            bool
-	hasSentRequest    bool // a whole request has come from it
+	request           *request // being answered; nil: none
+	writingAnswer     bool     // an answer, or 100 Continue, is being written
+	closeAfterAnswer  bool     // the connection closes behind this answer
+	continueSent      bool     // 100 Continue has been written for the request that is being read
+	discardedBytes    int      // input that was discarded while lingering
+	hasSentRequest    bool     // a complete request, or the head of a large one, has come
 	idleElement       *list.Element
-	idleList          *list.List // fresh, idleClients or lingering
-	overflow          [][]byte   // came behind what c.in has room for
+	idleList          *list.List // the list that holds idleElement: newClients, idleClients or lingeringClients
+	overflow          [][]byte   // pipelined input that the buffer has no space for
 	overflowSize      int
-	inputTruncated    bool // some of what came was dropped: nothing behind it can be read
-	receivedBytes     int  // bytes that have come and were kept
+	inputTruncated    bool // input was dropped: nothing behind it can be parsed
+	receivedBytes     int  // input that was received and not dropped
 	arrivals          []arrival
-	upload            *upload      // the request that is coming in is too large to be held
-	downloadConn      *backendConn // it passes on an answer too large to be held
-	http10            bool         // its request came as HTTP/1.0
-	headRequest       bool         // its request is a HEAD: no answer to it has a body
-	headContentLength int          // of the body that a backend tells in answer to a HEAD
-	headCompleteAt    int64        // when the head of the request that is coming in was whole; 0: it is not
-	requestStartedAt  int64        // when the request that is coming in began, at first the connection
+	upload            *upload      // the request that is being read is too large to be buffered
+	downloadConn      *backendConn // forwards an answer that is too large to be buffered
+	http10            bool         // the request came as HTTP/1.0
+	headRequest       bool         // the request is a HEAD: its answer has no body
+	headContentLength int          // length that a backend states in answer to a HEAD
+	headCompleteAt    int64        // when the head of the request that is being read was complete; 0: it is not
+	requestStartedAt  int64        // when the request that is being read began; at first, when the connection was accepted
 	idleSince         int64
 }
 
-// Serve returns the event loop that takes clients in.
+// Serve returns the event loop of the poller that accepts clients.
 func (n *Node) Serve() (netpoll.EventLoop, error) {
 	type key struct{}
 	return netpoll.NewEventLoop(
@@ -63,43 +62,44 @@
 		}))
 }
 
-// onInput hands on what the poller has read.
+// onInput passes on what the poller has read.
 func (c *clientConn) onInput(_ context.Context, conn netpoll.Connection) error {
 	receivedAt := c.node.now()
 	return c.deliver(conn, c.node, func(buf *buffer) { c.receive(buf, receivedAt) })
 }
 
-// maxPendingAccepts is how many connections may have been accepted that Run's goroutine has not seen. It is well within
-// reserve: at the system's limit of descriptors the poller would not hear of new connections for a while.
+// maxPendingAccepts is how many accepted connections the event loop may not have registered yet. It is well within
+// reservedDescriptors: at the system's limit of descriptors the poller would not notice new connections for a while.
 const maxPendingAccepts = 8
 
-// throttleAccepts has the poller wait a little for Run's goroutine, which makes room for what has been accepted: left alone,
-// the poller takes in a burst of hundreds at once.
+// throttleAccepts makes the poller wait a little for the event loop, which frees descriptors for accepted
+// connections: otherwise the poller accepts a burst of hundreds at once.
 func (n *Node) throttleAccepts() {
 	for yields := 0; yields < 1000 && n.pendingAccepts.Load() >= maxPendingAccepts; yields++ {
 		runtime.Gosched()
 	}
 }
 
+// register adds an accepted connection to the node's state.
 func (c *clientConn) register() {
 	c.node.pendingAccepts.Add(-1)
 	c.node.clients[c] = struct{}{}
 	c.node.openDescriptors++
-	if !c.node.reserveDescriptors(0) { // beyond the cap, with nothing idle to close
+	if !c.node.reserveDescriptors(0) { // at the limit, and no connection is idle
 		c.node.warnLimited("connection refused", "descriptors", c.node.openDescriptors)
 		c.close(closeNoDescriptor)
 		return
 	}
-	c.setIdle(true) // where the process is about to end, checkDrained shuts it unless it has asked already
+	c.setIdle(true) // at the end of a shutdown, checkDrained closes it unless a request has come
 }
 
-// close ends the connection. Unless the client went first, it holds no unanswered request.
+// close closes the connection. Unless the client has closed it first, no request on it is unanswered.
 func (c *clientConn) close(reason closeReason) {
-	if c.closed {
+	if c.state == clientClosed {
 		return
 	}
 	c.logClose(reason)
-	c.closed = true
+	c.setState(clientClosed)
 	c.setIdle(false)
 	delete(c.node.clients, c)
 	c.node.openDescriptors--
@@ -109,20 +109,21 @@
 	if c.downloadConn != nil {
 		c.node.closeBackend(c.downloadConn, closeAnswerTruncated)
 	}
-	if c.upload == nil || c.descriptor != nil { // else it is on its way out of the poller, and closes as it is there
+	if c.upload == nil || c.descriptor != nil { // a connection that is being detached from the poller closes when that is done
 		c.closeTransport()
 	}
 }
 
-// closeGracefully ends a connection behind its last answer, or between two requests. The other side is told first, and what it has sent meanwhile is
-// read and dropped: a close over unread bytes resets the connection, and with it goes what the client has not read of its answer. Whoever
-// sent a request that crosses the end sees that, with no answer to it; nothing of it is sent on.
+// closeGracefully closes a connection behind its last answer or between two requests. The client is told first, and
+// what it sends meanwhile is read and discarded: to close over unread input would reset the connection, and destroy
+// what the client has not read of its answer. A client whose request crosses the close sees the end of the connection
+// and no answer; nothing of the request is forwarded.
 func (c *clientConn) closeGracefully(reason closeReason) {
-	if c.closed || c.idleElement != nil && c.idleList == &c.node.lingeringClients {
+	if c.state == clientClosed || c.idleElement != nil && c.idleList == &c.node.lingeringClients {
 		return
 	}
 	c.logClose(reason)
-	c.lingering = true
+	c.setState(clientLingering)
 	c.input.release()
 	c.input, c.overflow = nil, nil
 	c.setOverflowSize(0)
@@ -138,13 +139,14 @@
 	c.node.scheduleAt(c.node.now()+lingerDuration, func() { c.close(closeLingerTimeout) })
 }
 
-// lingerDuration is how long a connection stays after its last answer if the client does not close it, in microseconds.
+// lingerDuration is how long a connection lingers unless the client closes it, in microseconds.
 const lingerDuration = 500_000
 
-// maxLingerBytes is how much of that is read: enough for what was on its way, but not all that a client may send.
+// maxLingerBytes is how much input is discarded meanwhile: enough for what was in transit, but not all that a client
+// may send.
 const maxLingerBytes = 4 * protocol.BufferSize
 
-// onClosed is called as the connection has closed, beside Run's goroutine.
+// onClosed returns the callback for the end of the connection, which runs on the poller's goroutine.
 func (c *clientConn) onClosed(n *Node) func() {
 	return func() {
 		c.disconnectedAt.Store(n.now())
@@ -152,7 +154,7 @@
 	}
 }
 
-// disconnected is a connection that has ended.
+// disconnected processes the end of the connection.
 func (c *clientConn) disconnected(reason closeReason) {
 	req := c.request
 	c.close(reason)
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -71,7 +71,7 @@
 	later := func(since int64) { waitUntil(n, func() bool { return n.now() > since+2*arrivalMergeInterval }) }
 	took := func(k int) {
 		for _, r := range n.requests {
-			if !r.done {
+			if !r.isDone() {
 				deadlines[k] = r.deadline
 			}
 		}
@@ -158,12 +158,12 @@
 			runOnLoop(n, func() {
 				shut = n.idleClients.Front().Value.(*clientConn)
 				end(n, shut)
-				if !shut.lingering {
+				if shut.state != clientLingering {
 					t.Error("not shut")
 				}
 			})
 			_, _ = io.WriteString(conn, requestText("once", 9000))
-			waitUntil(n, func() bool { return shut.discardedBytes > 0 || shut.closed || n.openRequests > 0 })
+			waitUntil(n, func() bool { return shut.discardedBytes > 0 || shut.state == clientClosed || n.openRequests > 0 })
 			runOnLoop(n, func() {
 				if n.openRequests > 0 || len(n.requests) > 0 {
 					t.Error("taken")
--- a/internal/node/clientidle.go
+++ b/internal/node/clientidle.go
@@ -9,22 +9,23 @@
 // How long clients may hold on to what they do not use, in microseconds. Whoever cannot or will not ask is due an
 // error or a close within 3 s of connecting; a sweep comes on top of these times.
 const (
-	headTimeout       = 2_200_000  // from the connection to the end of its first head, or from the start of a later one
-	bodyTimeout       = 1_000_000  // from there to the end of the body, and what that takes at the least rate
-	newConnGrace      = 500_000    // a new connection is not closed to make room for others unless nothing else is idle
+	headTimeout       = 2_200_000  // from accept to the end of the first head, or from the start of a later one
+	bodyTimeout       = 1_000_000  // from there to the end of the body, beside the time that it takes at the minimum rate
+	newConnGrace      = 500_000    // until then a new connection is closed for others only if nothing else is idle
 	maxClientIdleTime = 30_000_000 // between two requests
-	minClientIdleTime = 2_000_000  // sooner, only connections that are in the way are closed
+	minClientIdleTime = 2_000_000  // until then only connections whose descriptors are needed are closed
 )
 
-// setIdle keeps the lists of connections that hold no request: those that have never asked, and the others.
+// setIdle maintains the lists of connections without a request: those that have never sent one, the others, and those
+// that linger.
 func (c *clientConn) setIdle(idle bool) {
 	if c.idleElement != nil {
 		c.idleList.Remove(c.idleElement)
 		c.idleElement = nil
 	}
-	if idle && !c.closed {
+	if idle && c.state != clientClosed {
 		switch {
-		case c.lingering:
+		case c.state == clientLingering:
 			c.idleList = &c.node.lingeringClients
 		case c.hasSentRequest:
 			c.idleList = &c.node.idleClients
@@ -32,7 +33,7 @@
 			c.idleList = &c.node.newClients
 		}
 		c.idleElement, c.idleSince = c.idleList.PushBack(c), c.node.now()
-		if limit := c.node.descriptorLimit() / idleClientFraction; c.hasSentRequest && !c.lingering && limit > 0 && c.idleList.Len() > limit {
+		if limit := c.node.descriptorLimit() / idleClientFraction; c.hasSentRequest && c.state != clientLingering && limit > 0 && c.idleList.Len() > limit {
 			if oldest := c.node.oldestIdleClient(c.idleList, 0); oldest != nil && oldest != c {
 				oldest.closeGracefully(closeTooManyIdle)
 			}
@@ -40,17 +41,19 @@
 	}
 }
 
-// idleClientFraction is the part of all descriptors that connections between two requests may take. Clients hold a third of
-// them at most: with that full of connections that nobody uses any more, new clients could not connect.
+// idleClientFraction is the divisor of the descriptor limit that gives the most connections which may be between two
+// requests. Clients have at most a third of all descriptors: full of connections that are not used any more, that
+// would keep new clients out.
 const idleClientFraction = 6
 
-// mayClose tells whether the connection may be ended between two requests, and if not, why: what has come, and waits to be read, asks for an answer.
+// mayClose reports whether the connection may be closed between two requests, and if not, why: input that has not
+// been parsed asks for an answer.
 func (c *clientConn) mayClose() safety.Reason {
 	return safety.Close{RequestInProgress: c.request != nil || c.writingAnswer || c.upload != nil, UnreadInput: c.unreadInput() > 0 || !c.isOpenAndDrained()}.Check()
 }
 
-// closeStalledClients ends what clients hold on to and do not use: connections that never ask, requests that begin and do
-// not come in whole, each of which holds a buffer too, and connections that stay after their last answer.
+// closeStalledClients closes client connections that hold resources and don't use them: those that never send a
+// request, requests that are not completed in time, each of which holds a buffer too, and those idle for too long.
 func (n *Node) closeStalledClients() {
 	now := n.now()
 	for _, conns := range []*list.List{&n.newClients, &n.idleClients} {
@@ -59,8 +62,8 @@
 			element = element.Next()
 			idleTime := now - client.idleSince
 			switch {
-			case client.lingering:
-			case client.mayClose() != safety.Allowed: // it asks in this moment
+			case client.state == clientLingering:
+			case client.mayClose() != safety.Allowed: // a request is coming in right now
 			case client.input != nil && client.headCompleteAt == 0 && now-client.requestStartedAt >= headTimeout,
 				client.input != nil && client.headCompleteAt > 0 && now-client.headCompleteAt >= bodyTimeout+int64(float64(client.input.length)*1e6/(minBodyRate*bodyRateTolerance)):
 				client.rejectUnreadable(408, "request not complete in time")
@@ -68,14 +71,15 @@
 			case !client.hasSentRequest && now-client.requestStartedAt >= headTimeout, idleTime >= maxClientIdleTime:
 				client.closeGracefully(closeNoRequest)
 			case client.hasSentRequest && idleTime >= minClientIdleTime && n.descriptorLimit() > 0 && len(n.clients) > n.descriptorLimit()/3:
-				client.closeGracefully(closeTooManyIdle) // more than clients need for their requests, silent ones counted
+				// more connections than clients need for their requests, idle ones included
+				client.closeGracefully(closeTooManyIdle)
 			}
 		}
 	}
 }
 
-// oldestIdleClient is the connection in a list that has held no request for the longest time, and at least for so long,
-// or nil.
+// oldestIdleClient returns the connection of a list that has been idle for longest, and at least for so long; nil if
+// there is none.
 func (n *Node) oldestIdleClient(conns *list.List, minIdle int64) *clientConn {
 	for element := conns.Front(); element != nil; element = element.Next() {
 		if client := element.Value.(*clientConn); n.now()-client.idleSince < minIdle {
--- a/internal/node/clientinput.go
+++ b/internal/node/clientinput.go
@@ -4,15 +4,15 @@
 	"tulipglade/internal/protocol"
 )
 
-// receive takes in what the client sent.
+// receive processes input from the client.
 func (c *clientConn) receive(buf *buffer, receivedAt int64) {
 	defer buf.release()
-	if c.lingering && !c.closed {
+	if c.state == clientLingering {
 		if c.discardedBytes += buf.length; c.discardedBytes > maxLingerBytes && !c.writingAnswer {
 			c.close(closeTooMuchInput)
 		}
 	}
-	if c.closed || c.lingering {
+	if c.state != clientOpen {
 		return
 	}
 	if c.upload != nil {
@@ -34,13 +34,13 @@
 		return
 	}
 	rest := buf.bytes()
-	for len(rest) > 0 && !c.closed && !c.lingering {
+	for len(rest) > 0 && c.state == clientOpen {
 		if c.input == nil {
 			c.input = newBuffer()
 			c.requestStarted(receivedAt)
 		}
 		before := len(rest)
-		if rest = c.input.add(rest); len(rest) == before { // full, and the request before is not answered yet
+		if rest = c.input.add(rest); len(rest) == before { // full, and the previous request is not answered yet
 			c.keepOverflow(rest)
 			return
 		}
@@ -54,11 +54,12 @@
 
 // What is kept of requests while the answer to the one before is on its way: of one connection, and of all.
 const (
-	maxOverflowPerConn = maxLingerBytes
-	maxOverflowBytes   = 4 << 20
+	maxOverflowPerConn = maxLingerBytes // of one connection
+	maxOverflowBytes   = 4 << 20        // of all connections
 )
 
-// keepOverflow keeps what c.in has no room for. What is too much is dropped, so nothing behind it can be read.
+// keepOverflow keeps pipelined input that the buffer has no space for. What exceeds the limits is dropped, so that
+// nothing behind it can be parsed.
 func (c *clientConn) keepOverflow(data []byte) {
 	if c.overflowSize+len(data) > maxOverflowPerConn || c.node.overflowBytes+len(data) > maxOverflowBytes {
 		c.closeAfterAnswer, c.inputTruncated = true, true
@@ -69,13 +70,13 @@
 	c.setOverflowSize(c.overflowSize + len(data))
 }
 
-// setOverflowSize notes how much that is.
+// setOverflowSize records how much overflow the connection holds.
 func (c *clientConn) setOverflowSize(size int) {
 	c.node.overflowBytes += size - c.overflowSize
 	c.overflowSize = size
 }
 
-// refillInput moves what was kept into c.in, as far as there is room.
+// refillInput moves overflow into the buffer, as far as there is space.
 func (c *clientConn) refillInput(receivedAt int64) {
 	if len(c.overflow) > 0 && c.input == nil {
 		c.input = newBuffer()
@@ -91,7 +92,8 @@
 	}
 }
 
-// requestStarted notes when a request begins to come in. The first has been due since the connection came.
+// requestStarted records when a request begins to come in. The first one has been due since the connection was
+// accepted.
 func (c *clientConn) requestStarted(receivedAt int64) {
 	c.headCompleteAt = 0
 	if c.hasSentRequest {
@@ -99,9 +101,9 @@
 	}
 }
 
-// parseNextRequest reads the next request, if all before is answered.
+// parseNextRequest parses the next request once the previous one is answered.
 func (c *clientConn) parseNextRequest(receivedAt int64) {
-	if c.request != nil || c.writingAnswer || c.closed || c.upload != nil {
+	if c.request != nil || c.writingAnswer || c.state == clientClosed || c.upload != nil {
 		return
 	}
 	c.refillInput(receivedAt)
@@ -127,21 +129,21 @@
 		c.handleRequest(receivedAt)
 	case c.message.Started() && (c.message.Length() > protocol.MaxBody || size == protocol.BufferSize):
 		c.startUpload()
-	case len(c.overflow) > 0 && size < protocol.BufferSize: // framing was taken out: there is room again
+	case len(c.overflow) > 0 && size < protocol.BufferSize: // removing the framing has freed space
 		c.parseNextRequest(receivedAt)
 	case c.message.Started() && c.message.Expect && !c.continueSent:
 		c.continueSent, c.writingAnswer = true, true
 		c.node.write(&c.socket, func(err error) {
 			if c.writingAnswer = false; err != nil {
 				c.close(closeWriteFailed)
-			} else if !c.closed {
+			} else if c.state != clientClosed {
 				c.parseNextRequest(receivedAt)
 			}
 		}, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 }
 
-// handleRequest takes the request that has just been read, or refuses it.
+// handleRequest admits the request that has just been parsed, or rejects it.
 func (c *clientConn) handleRequest(receivedAt int64) {
 	buf := c.input
 	c.input = nil
@@ -166,15 +168,15 @@
 		}
 		return
 	}
-	if c.node.drain.rejecting || c.node.drain.closingAll { // long after the call to leave: nobody may be held
+	if c.node.drain.rejecting || c.node.drain.closingAll { // late in a shutdown no client may be kept waiting
 		c.closeAfterAnswer = true
 		c.reply(buf, 503, nil, []byte("not in service\n"), 0)
 		return
 	}
 	req, status, reason := c.node.admit(&msg, buf, arrivedAt)
 	if req == nil {
-		// A client that asks for what it must not have loses its connection. (And what answers a HEAD has no body:
-		// ours would be read as the next answer.)
+		// A client whose request is invalid loses its connection. An answer to HEAD has no body: the text of a
+		// rejection would be read as the next answer.
 		c.closeAfterAnswer = c.closeAfterAnswer || status != 503
 		c.reply(buf, status, nil, []byte(reason+"\n"), 0)
 		return
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -6,7 +6,7 @@
 
 var _ balancer.Commands = (*Node)(nil)
 
-// SendAttempt sends a request to a host.
+// SendAttempt implements balancer.Commands: it sends a request to an endpoint.
 func (n *Node) SendAttempt(id balancer.RequestID, endpointID balancer.EndpointID, timeout balancer.Span) {
 	req := n.requests[id]
 	ep := n.endpoints[endpointID]
@@ -22,7 +22,7 @@
 		att.deadline = min(att.deadline, now+timeout)
 	}
 	switch {
-	case req.done || n.clientHasDisconnected(req) || now >= req.deadline || len(req.attempts) > max(req.settings.Balancer.MaxAttempts, 1):
+	case req.isDone() || n.clientHasDisconnected(req) || now >= req.deadline || len(req.attempts) > max(req.settings.Balancer.MaxAttempts, 1):
 		n.completeAttempt(att, balancer.OutcomeNotSent, nil)
 		return
 	case !req.settings.Balancer.AllowHedging && req.pendingAttempts > 1:
@@ -36,43 +36,43 @@
 	n.assignConn(att)
 }
 
-// CancelAttempt stops waiting for an attempt.
+// CancelAttempt implements balancer.Commands: it stops waiting for an attempt.
 func (n *Node) CancelAttempt(id balancer.RequestID, number int) {
-	if req := n.requests[id]; req != nil && number < len(req.attempts) && !req.attempts[number].completed {
+	if req := n.requests[id]; req != nil && number < len(req.attempts) && !req.attempts[number].isCompleted() {
 		n.abandonAttempt(req.attempts[number], balancer.OutcomeCanceled)
 	}
 }
 
-// Reject refuses a request: trying again does no harm.
+// Reject implements balancer.Commands: it answers that a retry does no harm.
 func (n *Node) Reject(id balancer.RequestID, retryAfter balancer.Span) {
 	if req := n.requests[id]; req != nil {
 		n.answer(req, nil, 503, nil, []byte("refused\n"), retryAfter)
 	}
 }
 
-// Fail ends a request without a promise about its effect.
+// Fail implements balancer.Commands: it answers without a promise about the request's effect.
 func (n *Node) Fail(id balancer.RequestID) {
 	req := n.requests[id]
 	if req == nil {
 		return
 	}
 	status := 502
-	if req.pendingAttempts > 0 { // nothing came in time
+	if req.pendingAttempts > 0 { // an attempt is still in flight: nothing came in time
 		status = 504
 	}
 	n.answer(req, nil, status, nil, []byte("failed\n"), 0)
 }
 
-// SetTimer sets one of the module's timers.
+// SetTimer implements balancer.Commands.
 func (n *Node) SetTimer(id balancer.TimerID, delay balancer.Span) {
 	n.scheduleAt(n.now()+max(delay, 1), func() { n.balancer.HandleTimer(n.now(), id) })
 }
 
-// WatchEndpoints asks discovery for changes from here on.
+// WatchEndpoints implements balancer.Commands: it starts or stops the watch of the endpoint list.
 func (n *Node) WatchEndpoints(on bool) { n.discovery.Watch(on) }
 
-// PollEndpoints asks discovery for the whole list, once.
+// PollEndpoints implements balancer.Commands: it asks discovery for the full list, once.
 func (n *Node) PollEndpoints() { n.discovery.Poll() }
 
-// Log writes a line of the module's.
+// Log implements balancer.Commands.
 func (n *Node) Log(text string) { n.log.Info("decision", "text", text) }
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -1,19 +1,20 @@
 package node
 
-// reservedDescriptors is the part of the descriptors that are neither clients' nor backends': standard streams, poller,
-// listener, discovery, and the few that the runtime opens.
+// reservedDescriptors are those of neither clients nor backends: standard streams, poller, listener, discovery, and
+// the few that the runtime opens.
 const reservedDescriptors = 32
 
-// descriptorLimit is how many descriptors this process may hold; 0: any.
+// descriptorLimit is how many descriptors this process may hold; 0: unlimited.
 func (n *Node) descriptorLimit() int {
 	return max(n.settings.MaxDescriptors/max(n.processCount, 1), min(n.settings.MaxDescriptors, reservedDescriptors+minServingDescriptors))
 }
 
-// minServingDescriptors is what is left to serve with, however few descriptors processes share.
+// minServingDescriptors is what is left to serve with, however many processes share the descriptors.
 const minServingDescriptors = 16
 
-// reserveDescriptors closes idle connections until so many more descriptors fit, and tells whether they do. Those that clients
-// do not use go first: a new connection to a backend costs it work, and its first request time.
+// reserveDescriptors closes idle connections until so many more descriptors are available, and reports whether they
+// are. Connections that clients do not use go first: a new connection to a backend costs it work, and the next
+// request time.
 func (n *Node) reserveDescriptors(more int) bool {
 	for limit := n.descriptorLimit(); limit > 0 && n.openDescriptors+more > limit-reservedDescriptors; {
 		if client := n.oldestIdleClient(&n.newClients, newConnGrace); client != nil {
--- a/internal/node/detach.go
+++ b/internal/node/detach.go
@@ -14,7 +14,7 @@
 // all that was taken has been posted. It returns false where the connection has ended: onClose's f is called as ever.
 func (s *socket) detach(onDetached func(file *os.File, rest []byte, err error)) bool {
 	s.mu.Lock()
-	if s.closed {
+	if s.transportClosed {
 		s.mu.Unlock()
 		return false
 	}
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -8,6 +8,7 @@
 	"tulipglade/internal/balancer"
 )
 
+// dial opens a connection to an endpoint.
 func (n *Node) dial(ep *endpoint) {
 	pending := &backendConn{node: n, endpoint: ep, incarnation: ep.incarnation}
 	ep.pendingDials++
@@ -22,7 +23,8 @@
 	}()
 }
 
-// attach takes up a connection that has come up. From here on what the host sends goes to Run's goroutine, which has not heard of it yet.
+// attach takes over a connection that has been established. From here on its input is posted to the event loop, which
+// has not processed the result of the dial yet.
 func (b *backendConn) attach(conn netpoll.Connection) error {
 	b.conn = conn
 	_ = conn.SetWriteTimeout(writeTimeout)
@@ -33,20 +35,20 @@
 	return conn.SetOnRequest(b.onInput)
 }
 
-// dialFinished is a connection that has come up or not. It goes to whoever has waited longest.
+// dialFinished processes the result of a dial. A new connection goes to the attempt that has waited longest; a
+// failure is that of a waiting attempt if no other connection is due for it.
 func (n *Node) dialFinished(conn *backendConn, err error) {
 	ep := conn.endpoint
 	ep.pendingDials--
-	conn.dialHandled = true
 	if err != nil || !conn.conn.IsActive() {
-		if !conn.closed { // else its host spoke before it was asked, and receive has closed it
-			conn.closed = true
+		if conn.state != backendClosed { // closed already if the backend has sent input before any request
+			conn.setState(backendClosed)
 			n.openDescriptors--
 		}
 		if conn.conn != nil {
 			_ = conn.conn.Close()
 		}
-		if len(ep.waitingAttempts) > ep.pendingDials+len(ep.idleConns) { // one of them waits in vain
+		if len(ep.waitingAttempts) > ep.pendingDials+len(ep.idleConns) { // no connection is due for one of them
 			n.log.Debug("connect failed", "host", ep.address, "err", err)
 			failed := ep.waitingAttempts[0]
 			if last := ep.waitingAttempts[len(ep.waitingAttempts)-1]; last.isHealthCheck {
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -7,16 +7,19 @@
 	"tulipglade/internal/protocol"
 )
 
-// UpdateEndpoints is news about the backends. Cached tells that the list may be out of date.
+// UpdateEndpoints applies changes of the endpoint list. Cached says that the list comes from disk and may be out of
+// date.
 func (n *Node) UpdateEndpoints(update protocol.List, cached bool) {
 	n.handleEndpointList(update, cached, time.Now())
 }
 
-// UpdateEndpointsAsOf is an answer of discovery's that held at a time.
+// UpdateEndpointsAsOf applies an answer of discovery that was current at a time.
 func (n *Node) UpdateEndpointsAsOf(update protocol.List, asOf time.Time) {
 	n.handleEndpointList(update, false, asOf)
 }
 
+// handleEndpointList posts a change of the endpoint list to the event loop, which merges it and notifies the
+// balancer.
 func (n *Node) handleEndpointList(update protocol.List, cached bool, asOf time.Time) {
 	n.post(func() {
 		kind := balancer.ListDelta
@@ -27,7 +30,7 @@
 			kind = balancer.ListCached
 		}
 		if n.listFreshness.observeRevision(update.Rev, n.listRevision) {
-			asOf = time.Time{} // a list that is older than the last says nothing of what is current
+			asOf = time.Time{} // an outdated list is no evidence of what is current
 		}
 		endpoints, kind := n.applyEndpointList(update, kind)
 		if cached || len(endpoints) > 0 {
@@ -35,14 +38,15 @@
 		}
 		n.endpointsKnown = n.endpointsKnown || len(endpoints) > 0
 		if len(endpoints) == 0 && kind == balancer.ListDelta && !n.settings.Balancer.PollDiscovery {
-			return // where nothing was asked, nothing is owed: the module hears of changes alone
+			return // without polling, the balancer is notified of changes only
 		}
 		n.balancer.HandleEndpointsAsOf(n.now(), n.nodeTime(asOf), kind, endpoints)
 		n.updateListFreshness()
 	})
 }
 
-// DiscoveryCallFailed tells that a call to discovery has failed, and how: ListFailed, ListSilent or ListBusy. Nothing newer could be had as of a time.
+// DiscoveryCallFailed reports a failed call to discovery and the kind of failure: ListFailed, ListSilent or ListBusy.
+// The call would have shown the list as of the given time.
 func (n *Node) DiscoveryCallFailed(err error, how balancer.ListKind, asOf time.Time) {
 	n.post(func() {
 		n.log.Warn("discovery failed", "err", err)
@@ -51,7 +55,8 @@
 	})
 }
 
-// DiscoveryAddressChanged tells that discovery has another address from now on: what was heard at the one before counts for so long at most.
+// DiscoveryAddressChanged reports that discovery has a new address: what the old one answered expires within the
+// given time.
 func (n *Node) DiscoveryAddressChanged(within time.Duration) {
 	n.post(func() {
 		n.listFreshness.addressChanged = true
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -21,7 +21,7 @@
 // startDownload has the connection leave the poller. What has come of the answer is in b.in.
 func (b *backendConn) startDownload() {
 	n, att := b.node, b.attempt
-	if result := answerOutcome(&b.message); result != balancer.OutcomeOK || att.request.done || att.isHealthCheck { // nobody wants it
+	if result := answerOutcome(&b.message); result != balancer.OutcomeOK || att.request.isDone() || att.isHealthCheck { // nobody wants it
 		if att.isHealthCheck {
 			result = balancer.OutcomeReset // what it says of its load could not be read
 		}
@@ -30,8 +30,8 @@
 		n.completeAttempt(att, result, report)
 		return
 	}
-	b.download = &download{attempt: att, awaitingRequestEnd: !b.requestWritten}
-	if b.requestWritten {
+	b.download = &download{attempt: att, awaitingRequestEnd: b.state == backendWriting}
+	if b.state == backendAwaitingAnswer {
 		b.detachForDownload()
 	}
 }
@@ -50,7 +50,7 @@
 func (n *Node) startDownloadForwarding(conn *backendConn, descriptor *os.File, rest []byte, err error) {
 	pending := conn.download
 	att := pending.attempt
-	if conn.closed || att.completed || err != nil {
+	if conn.state == backendClosed || att.isCompleted() || err != nil {
 		if descriptor != nil {
 			_ = descriptor.Close()
 		}
@@ -122,7 +122,7 @@
 		n.warnLimited("answer cut off", "host", conn.endpoint.address, "err", err, "client", fwd.writeErr)
 	}
 	switch {
-	case client.closed:
+	case client.state == clientClosed:
 	case !complete:
 		client.abortAnswer(untilClose)
 	case client.closeAfterAnswer && client.upload != nil && !client.upload.complete: // the request is still coming in
@@ -134,7 +134,7 @@
 		client.parseNextRequest(n.now())
 	}
 	conn.download = nil
-	if !reusable || conn.closed || conn.descriptor == nil {
+	if !reusable || conn.state == backendClosed || conn.descriptor == nil {
 		n.closeBackend(conn, closeNotReusable)
 		return
 	}
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// post hands f to Run's goroutine. It never blocks.
+// post queues a callback for the event loop. It never blocks.
 func (n *Node) post(callback func()) {
 	n.mu.Lock()
 	n.posted = append(n.posted, callback)
@@ -15,11 +15,13 @@
 	}
 }
 
-// postPriority hands f to Run's goroutine ahead of all that is posted: what clients cause must not hold up an operator.
+// postPriority queues a callback ahead of all that post has queued: load from clients must not delay an operator's
+// call.
 func (n *Node) postPriority(callback func()) {
 	n.mu.Lock()
 	n.priorityPosted = append(n.priorityPosted, callback)
-	n.priorityPending.Store(true) // before anybody can see that it was asked: what Run's goroutine does next is to look
+	// set before the caller can observe the call: the loop checks the flag before its next callback
+	n.priorityPending.Store(true)
 	n.mu.Unlock()
 	select {
 	case n.wake <- struct{}{}:
@@ -27,7 +29,7 @@
 	}
 }
 
-// runPriority runs what operators have asked for.
+// runPriority runs the callbacks that postPriority has queued.
 func (n *Node) runPriority() {
 	if !n.priorityPending.Swap(false) {
 		return
@@ -42,7 +44,7 @@
 	}
 }
 
-// Run serves until stop is closed.
+// Run is the event loop: it serves until stop is closed.
 func (n *Node) Run(stop <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -77,7 +79,8 @@
 	}
 }
 
-// runDeferred delivers the results that Actions have queued, and those that these lead to.
+// runDeferred delivers the results that were queued while the balancer was being called, and those that these cause
+// in turn.
 func (n *Node) runDeferred() {
 	for i := 0; i < len(n.deferred); i++ {
 		callback := n.deferred[i]
--- a/internal/node/gatedlistener.go
+++ b/internal/node/gatedlistener.go
@@ -8,16 +8,18 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// GatedListener is a listener that can stop accepting while its queue stays: another process accepts from it.
+// GatedListener is a listener that can stop accepting while its queue is kept, so that another process accepts from
+// it.
 type GatedListener struct {
 	netpoll.Listener
 	stopped atomic.Bool
 }
 
-// errAcceptingStopped has netpoll take the listener out of its poller: it goes by that word.
+// errAcceptingStopped makes netpoll remove the listener from its poller, which it does for an error that says
+// "closed".
 var errAcceptingStopped = errors.New("listener closed: another process accepts")
 
-// Accept is netpoll's.
+// Accept implements netpoll.Listener.
 func (g *GatedListener) Accept() (net.Conn, error) {
 	if g.stopped.Load() {
 		return nil, errAcceptingStopped
@@ -25,5 +27,5 @@
 	return g.Listener.Accept()
 }
 
-// StopAccepting ends accepting.
+// StopAccepting makes Accept fail from now on.
 func (g *GatedListener) StopAccepting() { g.stopped.Store(true) }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -7,21 +7,22 @@
 	"tulipglade/internal/protocol"
 )
 
-// HotRestartState is what one process of a node gives the next: together they are one node to hosts and clients.
+// HotRestartState is what a process passes to its successor: to backends and clients the two are one node.
 type HotRestartState struct {
 	EndpointList protocol.List    `json:"List"`
-	Classes      []string         `json:"Classes"` // those that Learned speaks of, in its order
+	Classes      []string         `json:"Classes"` // those that Learned refers to, in its order
 	Tenants      []string         `json:"Tenants"`
 	Learned      balancer.Learned `json:"Learned"`
-	RequestIDs   map[string]int64 `json:"IDs"` // of requests that may be running, and until when, on the clock that both have
+	// trace IDs of requests that may be running, with their expiry on the clock that both processes share
+	RequestIDs map[string]int64 `json:"IDs"`
 }
 
-// maxHandedOverIDs bounds the ids that are handed over.
+// maxHandedOverIDs bounds the trace IDs that are passed on.
 const maxHandedOverIDs = 1 << 12
 
-// ExportState hands on what this node has, and with it half of what is left of cold hosts' budgets.
+// ExportState passes on this node's state, with half of what is left of warming endpoints' budgets.
 func (n *Node) ExportState(deliver func(HotRestartState)) {
-	n.post(func() { // behind the list that a process starts with
+	n.post(func() { // posted, so that the list with which the process started is included
 		state := HotRestartState{EndpointList: protocol.List{Rev: n.listRevision, All: true}, Classes: n.settings.Classes, Tenants: n.settings.Tenants, RequestIDs: map[string]int64{}}
 		for uid, ep := range n.endpointsByUID {
 			if ep.removedAt == 0 {
@@ -38,10 +39,11 @@
 	})
 }
 
-// ImportState takes up what an older process of this node has learned, of the hosts that it has been told of.
+// ImportState takes over what an earlier process of this node has learned of the endpoints that this one knows.
 func (n *Node) ImportState(state HotRestartState) {
 	n.post(func() {
-		if !slices.Equal(state.Classes, n.settings.Classes) || !slices.Equal(state.Tenants, n.settings.Tenants) { // the settings are others by now
+		// the settings have changed meanwhile
+		if !slices.Equal(state.Classes, n.settings.Classes) || !slices.Equal(state.Tenants, n.settings.Tenants) {
 			state.Learned.Classes, state.Learned.Tenants = nil, nil
 		}
 		n.balancer.ImportState(n.now(), state.Learned)
@@ -55,11 +57,11 @@
 	})
 }
 
-// maxHandedOverIDAge is for how long an id that was handed over is kept at most, in microseconds.
+// maxHandedOverIDAge is how long a trace ID that was passed on is kept at most, in microseconds.
 const maxHandedOverIDAge = 60_000_000
 
-// SetProcessCount tells how many processes are this node: each has its part of the descriptors, of the memory for large messages,
-// and of the cold hosts' budgets.
+// SetProcessCount sets how many processes are this node. Each has its part of the descriptors, of the memory for
+// large messages and of warming endpoints' budgets.
 func (n *Node) SetProcessCount(processes int) {
 	n.postPriority(func() {
 		n.processCount = processes
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -4,31 +4,33 @@
 	"math"
 )
 
-// reuseDelay is how long a connection rests after an answer while others will do, in microseconds. A host that closes a
-// connection says so behind its last answer: a request that crosses this ends as one that may have run. Of a host that has
-// lately answered a request twice, connections rest whether others will do or not: its second answers come some
-// milliseconds late, and the next request would be given one for its own. To let all rest so costs far more than it saves.
+// reuseDelay is how long a connection is spared after an answer while others will do, in microseconds. A backend that
+// closes a connection says so right after its last answer, and a request that crosses the close counts as one that
+// may have run. Connections to an endpoint that has lately answered a request twice are always spared: duplicates
+// come some milliseconds late, and the next request would take one for its own answer. To spare all connections
+// always costs far more than it saves.
 const reuseDelay = 10_000
 
 // Hosts, or what is between, may drop idle connections sooner than told, and without a word: the next request is
 // reset, and counts as one that may have run. So the node learns after how long connections break at once.
 const (
-	idleOutcomeDecay     = 0.95       // of the earlier attempts on connections idle for about as long, with each new one
-	minIdleSamples       = 3          // attempts at least
-	idleFailureThreshold = 0.35       // share of them that broke, far more than break for other reasons
-	observationLifetime  = 30_000_000 // for so long nothing that was idle for longer is used, in microseconds
+	idleOutcomeDecay     = 0.95       // weight of earlier attempts with each new one
+	minIdleSamples       = 3          // attempts before a limit is derived
+	idleFailureThreshold = 0.35       // share that broke, far above that of other reasons
+	observationLifetime  = 30_000_000 // how long what was learned holds, in microseconds
 )
 
-// idleOutcome is how attempts on connections fared that had been idle for about as long.
+// idleOutcome counts attempts on connections that had been idle for about the same time.
 type idleOutcome struct{ attempts, failures float64 }
 
-// recordIdleOutcome takes in how an attempt on a connection that had been idle has ended. Only what broke at once, with no
-// byte of an answer, broke for that: a host that dies takes all attempts with it, whatever they were sent on.
+// recordIdleOutcome records how an attempt on a connection that had been idle has ended. Only a connection that broke
+// at once, without a byte of an answer, counts as failed: a backend that dies ends all attempts, whatever they were
+// sent on.
 func (n *Node) recordIdleOutcome(idleTime int64, failed bool) {
 	if idleTime <= reuseDelay {
 		return
 	}
-	bucket := int(2 * math.Log2(float64(idleTime))) // two steps to a doubling
+	bucket := int(2 * math.Log2(float64(idleTime))) // two buckets for each doubling
 	record := &n.idleOutcomes[min(bucket, len(n.idleOutcomes)-1)]
 	record.attempts, record.failures = idleOutcomeDecay*record.attempts+1, idleOutcomeDecay*record.failures
 	if failed {
@@ -41,7 +43,7 @@
 	}
 }
 
-// idleLimit is how long a connection to a backend may have been idle and still be used.
+// idleLimit is how long a backend connection may have been idle and still be reused, in microseconds.
 func (n *Node) idleLimit() int64 {
 	limit := int64(math.MaxInt64)
 	if n.settings.Keepalive > 0 {
@@ -53,7 +55,8 @@
 	return limit
 }
 
-// mayReceiveDuplicate tells that the next request on a connection might be given a second answer to the last.
+// mayReceiveDuplicate reports whether the next request on a connection might take a duplicate of the last answer for
+// its own.
 func (e *endpoint) mayReceiveDuplicate(conn *backendConn, now int64) bool {
 	return now < e.duplicatesUntil && now-conn.lastAnswerAt < reuseDelay
 }
--- a/internal/node/inheritedlistener.go
+++ b/internal/node/inheritedlistener.go
@@ -8,14 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// inheritedListener is a listening socket of another process. netpoll's own listener would set it to blocking for a moment, for
-// both: an accept that then finds the queue empty stops the poller, and with it all connections.
+// inheritedListener is a listening socket of another process. netpoll's own listener would make it blocking for a
+// moment, for both processes; an accept that then finds the queue empty would stop the poller and all connections
+// with it.
 type inheritedListener struct {
 	descriptor int
 	address    net.Addr
 }
 
-// InheritListener makes a listener of a descriptor, which belongs to it from here on.
+// InheritListener makes a listener of a descriptor and takes ownership of it.
 func InheritListener(fd int) (netpoll.Listener, error) {
 	name, err := unix.Getsockname(fd)
 	if err != nil {
@@ -28,6 +29,7 @@
 	return &inheritedListener{fd, addr}, unix.SetNonblock(fd, true)
 }
 
+// tcpAddr converts the address of a TCP socket.
 func tcpAddr(address unix.Sockaddr) (*net.TCPAddr, bool) {
 	switch socketAddress := address.(type) {
 	case *unix.SockaddrInet4:
@@ -38,7 +40,7 @@
 	return nil, false
 }
 
-// Accept is netpoll's: nothing and no error where the queue is empty.
+// Accept implements netpoll.Listener: it returns neither a connection nor an error if the queue is empty.
 func (l *inheritedListener) Accept() (net.Conn, error) {
 	fd, from, err := unix.Accept(l.descriptor)
 	switch err {
@@ -56,21 +58,27 @@
 	return c, nil
 }
 
+// Close implements net.Listener.
 func (l *inheritedListener) Close() error { return unix.Close(l.descriptor) }
 
+// Addr implements net.Listener.
 func (l *inheritedListener) Addr() net.Addr { return l.address }
 
+// Fd implements netpoll.Listener.
 func (l *inheritedListener) Fd() int { return l.descriptor }
 
-// acceptedConn is what netpoll wants to know of a connection: it makes its own of it.
+// acceptedConn has what netpoll needs of a connection to make its own of it.
 type acceptedConn struct {
 	net.Conn
 	descriptor    int
 	local, remote net.Addr
 }
 
+// Fd implements netpoll.Conn.
 func (c *acceptedConn) Fd() int { return c.descriptor }
 
+// LocalAddr implements net.Conn.
 func (c *acceptedConn) LocalAddr() net.Addr { return c.local }
 
+// RemoteAddr implements net.Conn.
 func (c *acceptedConn) RemoteAddr() net.Addr { return c.remote }
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -10,16 +10,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// receiveBufferSize is what the system may hold of a connection's input. The poller reads whatever is there at once, so
-// this also bounds the memory that one connection can take: without it that grows to some MB.
+// receiveBufferSize is how much of a connection's input the kernel may buffer. The poller reads all of it at once, so
+// it also bounds the memory that one connection can take, which otherwise grows to some MB.
 const receiveBufferSize = 64 << 10
 
+// limitReceiveBuffer sets the size of a socket's receive buffer.
 func limitReceiveBuffer(fd uintptr) error {
 	return syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferSize)
 }
 
-// Listen opens the listener that Serve's event loop is for. Shared lets another process listen there too, as in an
-// upgrade.
+// Listen opens the listener for the event loop that Node.Serve returns. Shared lets another process listen on the
+// same port, as in a hot restart.
 func Listen(addr string, shared bool) (netpoll.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
--- a/internal/node/listfreshness.go
+++ b/internal/node/listfreshness.go
@@ -1,20 +1,21 @@
 package node
 
-// listFreshness is what the node has said of the age of its list of backends.
+// listFreshness tracks whether the endpoint list is current, and what has been logged about it.
 type listFreshness struct {
-	processStartedAt    int64 // when the process started
-	everCurrent         bool  // requests have been sent by the list, or might have been
-	stale               bool  // they are not now, and a line says so
-	addressChanged      bool  // discovery has: versions of another may be lower and yet newer
-	consecutiveOutdated int   // answers in a row that were older than the newest list heard of
+	processStartedAt    int64
+	everCurrent         bool // the list has been current at least once since the start
+	stale               bool // the list is not current any more, and this has been logged
+	addressChanged      bool // discovery has a new address: its revisions may be lower and yet newer
+	consecutiveOutdated int  // answers in a row that were older than the latest list
 	staleSince          int64
 }
 
-// maxConsecutiveOutdated is how many answers in a row may be older than the newest list without counting as word of what is current. A discovery that goes on to be
-// behind has been restarted with other versions, or has nothing newer: to wait for it for ever would end the service.
+// maxConsecutiveOutdated is how many answers in a row may be older than the latest list without counting as evidence
+// of what is current. A discovery server that stays behind has been restarted with other revisions or has nothing
+// newer; waiting for it without end would stop the service.
 const maxConsecutiveOutdated = 1
 
-// observeRevision takes in the version of an answer, and tells whether it says nothing of what is current.
+// observeRevision records the revision of an answer and reports whether the answer is no evidence of what is current.
 func (l *listFreshness) observeRevision(revision, newest int64) (stale bool) {
 	if revision >= newest || l.addressChanged {
 		l.consecutiveOutdated = 0
@@ -24,11 +25,11 @@
 	return l.consecutiveOutdated <= maxConsecutiveOutdated
 }
 
-// readyTimeout is how long a process that has just started waits for word of its list before it takes clients all the same, in
-// microseconds: nine in ten restarted processes are to be ready within 6 s on short days.
+// readyTimeout is how long a process that has just started waits for a confirmed list before it accepts clients
+// without one, in microseconds: nine in ten restarted processes are to be ready within 6 s.
 const readyTimeout = 4_500_000
 
-// updateListFreshness follows whether requests are sent by the list, and says when that changes.
+// updateListFreshness logs when the endpoint list stops or starts being current.
 func (n *Node) updateListFreshness() {
 	now := n.now()
 	current, _ := n.balancer.ListCurrent(now)
@@ -43,7 +44,8 @@
 	n.listFreshness.everCurrent = n.listFreshness.everCurrent || current
 }
 
-// ready tells whether clients may come: a backend has been named, and the list has been found current or nobody could say so in time.
+// ready reports whether clients may be sent here: an endpoint is known, and the list was found current or could not
+// be confirmed in time.
 func (n *Node) ready() bool {
 	if n.drain.active || !n.endpointsKnown {
 		return false
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -1,10 +1,11 @@
 package node
 
-// maintenanceInterval is how often idle connections are looked at, in microseconds.
+// maintenanceInterval is the time between two runs of runMaintenance, in microseconds.
 const maintenanceInterval = 250_000
 
-// runMaintenance looks after the connections that carry nothing. It closes backend connections that stood idle for half the time after which the backend would: a
-// request written to one that is just being closed would end as a reset. Where they break sooner, they close sooner.
+// runMaintenance closes idle and stalled connections and deletes expired endpoints. A backend connection closes once
+// it has been idle for half the time after which the backend would close it, because a request that crosses the
+// backend's close ends in a reset. Where connections have been seen to break sooner, they close sooner.
 func (n *Node) runMaintenance() {
 	n.scheduleAt(n.now()+maintenanceInterval, n.runMaintenance)
 	for element := n.idleBackends.Front(); element != nil; element = n.idleBackends.Front() {
@@ -25,10 +26,10 @@
 	clear(n.warningCounts)
 }
 
-// maxWarningsPerInterval is how many lines of one text are logged between two sweeps.
+// maxWarningsPerInterval is how many lines with the same message are logged between two runs of runMaintenance.
 const maxWarningsPerInterval = 5
 
-// warnLimited logs what a peer can cause as often as it likes.
+// warnLimited logs a warning that a peer can cause at any rate.
 func (n *Node) warnLimited(message string, args ...any) {
 	if n.warningCounts[message]++; n.warningCounts[message] <= maxWarningsPerInterval {
 		n.log.Warn(message, args...)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,8 +1,8 @@
-// Package node keeps what a running node holds in memory: requests and their attempts, connections in both
-// directions, hosts and timers. A Node carries out the decision module's Actions directly on the sockets.
+// Package node holds the state of a running node: requests and their attempts, connections to clients and backends,
+// endpoints and timers. A Node implements balancer.Commands on real sockets.
 //
-// One goroutine, Run, owns the module and all state. Everything else (the poller's callbacks, dials, writes,
-// discovery's watch) only posts to it. Nothing on that goroutine blocks.
+// One goroutine, that of Node.Run, owns the balancer and all state. Everything else (the poller's callbacks, dials, writes,
+// discovery's watch) only posts to it, and nothing on it blocks.
 package node
 
 import (
@@ -16,14 +16,14 @@
 	"tulipglade/internal/safety"
 )
 
-// Discovery is how a node asks for news about backends. Its methods must not block; what they lead to comes
-// back through Node.Members and Node.MembersFailed.
+// Discovery is how a node asks for changes of the endpoint list. Its methods must not block; results come back
+// through Node.UpdateEndpoints, Node.UpdateEndpointsAsOf and Node.DiscoveryCallFailed.
 type Discovery interface {
 	Watch(on bool)
 	Poll()
 }
 
-// decisionModule is what the node asks of the decision module: a tulipglade.Balancer.
+// decisionModule is the part of balancer.Balancer that the node calls; tests put a recording one in between.
 type decisionModule interface {
 	HandleEndpointsAsOf(now, asOf balancer.Time, kind balancer.ListKind, list []balancer.Endpoint)
 	HandleRequest(now balancer.Time, a balancer.Request)
@@ -41,68 +41,93 @@
 	SetProcessCount(processes int)
 }
 
-// Node serves requests by the module's decisions.
+// Node forwards clients' requests to backends as the balancer decides.
 type Node struct {
-	settings        *Settings // in force; classes and tenants in the order of the module's numbers
+	settings        *Settings // in force; classes and tenants in the order of the balancer's numbers
 	log             *slog.Logger
 	discovery       Discovery
 	balancer        decisionModule
 	startedAt       time.Time
 	startedAtMicros int64
 
-	mu              sync.Mutex
+	mu              sync.Mutex // guards posted and priorityPosted
 	posted          []func()
-	priorityPosted  []func() // by operators: these come before what is posted
+	priorityPosted  []func() // operators' calls, which run before what is posted
 	priorityPending atomic.Bool
 	wake            chan struct{}
 
-	pendingAccepts atomic.Int32 // connections accepted of which Run's goroutine has not heard
-	// What follows belongs to Run's goroutine.
-	deferred          []func() // results for the module, which must not be called from within its Actions
-	timers            timerHeap
-	lastTimerSequence uint64
-
-	classIndex, tenantIndex, zoneIndex      map[string]int
-	requests                                map[balancer.RequestID]*request
-	requestIDsInUse                         map[string]struct{} // the clients' own, each until its request's time is over
-	lastRequestID                           balancer.RequestID
-	openRequests                            int // requests taken and not answered
-	answersInProgress                       int // answers on their way out
-	activeForwarders                        int // large messages on their way through
-	queuedForwarders                        []func()
-	overflowBytes                           int // bytes that clients have sent behind a request that is not answered
-	endpoints                               map[balancer.EndpointID]*endpoint
-	tombstones                              tombstones
-	endpointsByUID                          map[string]*endpoint
-	lastEndpointID                          balancer.EndpointID
-	listRevision                            int64          // the latest version of the list of backends
-	warningCounts                           map[string]int // lines by text since the last sweep
-	clients                                 map[*clientConn]struct{}
-	newClients                              list.List // of *client: connections that have never asked, oldest first
-	idleClients                             list.List // of *client: the others that hold no request, oldest first
-	lingeringClients                        list.List // of *client: those that have been shut, oldest first
-	idleBackends                            list.List // of *backend, oldest first
-	idleOutcomes                            [64]idleOutcome
-	learnedIdleLimit, learnedIdleLimitUntil int64 // what learnIdle found, and for how long it holds
-	openDescriptors                         int
-	endpointsKnown                          bool // at least one backend has been named
-	listFreshness                           listFreshness
-	drain                                   drainState
-	processCount                            int // processes that are this node; 0: one
-	violations                              map[safety.Reason]int
-	traceRequests                           bool  // a line for each step of each request
-	testWriteDelay                          int64 // by so much every first byte is late, in tests
+	pendingAccepts atomic.Int32 // accepted connections that the event loop has not registered
+
+	// What follows belongs to the event loop.
+
+	deferred           []func() // results for the balancer, which must not be called from within its commands
+	timers             timerHeap
+	lastTimerSequence  uint64
+	invalidTransitions map[invalidTransition]struct{} // those that have been logged
+	warningCounts      map[string]int                 // by message, since the last maintenance
+
+	classIndex, tenantIndex, zoneIndex map[string]int
+
+	requests          map[balancer.RequestID]*request
+	requestIDsInUse   map[string]struct{} // clients' trace IDs, each until its request's time is over
+	lastRequestID     balancer.RequestID
+	openRequests      int // admitted and not answered
+	answersInProgress int // answers that are being written
+	activeForwarders  int // large messages that are being forwarded
+	queuedForwarders  []func()
+	overflowBytes     int // input that clients have sent behind a request that is not answered
+
+	endpoints       map[balancer.EndpointID]*endpoint
+	endpointsByUID  map[string]*endpoint
+	lastEndpointID  balancer.EndpointID
+	tombstones      tombstones
+	listRevision    int64 // of the latest endpoint list
+	endpointsKnown  bool  // at least one endpoint has been listed
+	listFreshness   listFreshness
+	openDescriptors int
+	processCount    int // processes that share this node's address; 0: one
+
+	clients          map[*clientConn]struct{}
+	newClients       list.List // of *clientConn: those that have never sent a request, oldest first
+	idleClients      list.List // of *clientConn: the others without a request, oldest first
+	lingeringClients list.List // of *clientConn: those in state clientLingering, oldest first
+
+	idleBackends          list.List // of *backendConn, oldest first
+	idleOutcomes          [64]idleOutcome
+	learnedIdleLimit      int64 // idle time after which backend connections break
+	learnedIdleLimitUntil int64 // when learnedIdleLimit expires
+
+	drain          drainState
+	violations     map[safety.Reason]int // by the audit
+	traceRequests  bool                  // log each step of each request
+	testWriteDelay int64                 // set by tests: delay of every first byte
 }
 
 // New returns a Node that has not started. Run must be called before anything else has an effect.
 func New(settings Settings, discovery Discovery, log *slog.Logger) (*Node, error) {
 	start := time.Now()
 	settings.addDefaultTenant()
-	n := &Node{settings: &settings, log: log, discovery: discovery, listFreshness: listFreshness{processStartedAt: start.UnixMicro()}, startedAt: start, startedAtMicros: start.UnixMicro(),
-		wake: make(chan struct{}, 1), classIndex: indexByName(settings.Classes), tenantIndex: indexByName(settings.Tenants),
-		zoneIndex: indexByName(settings.Zones), requests: map[balancer.RequestID]*request{}, endpointsByUID: map[string]*endpoint{},
-		endpoints: map[balancer.EndpointID]*endpoint{}, warningCounts: map[string]int{},
-		clients: map[*clientConn]struct{}{}, requestIDsInUse: map[string]struct{}{}, violations: map[safety.Reason]int{}, traceRequests: debugEnabled(log)}
+	n := &Node{
+		settings:           &settings,
+		log:                log,
+		discovery:          discovery,
+		startedAt:          start,
+		startedAtMicros:    start.UnixMicro(),
+		wake:               make(chan struct{}, 1),
+		invalidTransitions: map[invalidTransition]struct{}{},
+		warningCounts:      map[string]int{},
+		classIndex:         indexByName(settings.Classes),
+		tenantIndex:        indexByName(settings.Tenants),
+		zoneIndex:          indexByName(settings.Zones),
+		requests:           map[balancer.RequestID]*request{},
+		requestIDsInUse:    map[string]struct{}{},
+		endpoints:          map[balancer.EndpointID]*endpoint{},
+		endpointsByUID:     map[string]*endpoint{},
+		listFreshness:      listFreshness{processStartedAt: start.UnixMicro()},
+		clients:            map[*clientConn]struct{}{},
+		violations:         map[safety.Reason]int{},
+		traceRequests:      debugEnabled(log),
+	}
 	decisions, err := balancer.New(settings.Balancer, settings.Seed, n)
 	if err != nil {
 		return nil, err
@@ -111,6 +136,7 @@
 	return n, nil
 }
 
+// indexByName maps each name to its position.
 func indexByName(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, name := range names {
@@ -119,11 +145,11 @@
 	return m
 }
 
-// now is the node's clock: microseconds that run monotonically from the Unix time of the start. Unix times
-// from elsewhere, such as a backend's start, so need no further conversion.
+// now reads the node's clock: microseconds that run monotonically from the Unix time of the start. Unix times from
+// elsewhere, such as a backend's start, so need no conversion.
 func (n *Node) now() int64 { return n.startedAtMicros + time.Since(n.startedAt).Microseconds() }
 
-// nodeTime is a moment of this process on the node's clock.
+// nodeTime converts a time of this process to the node's clock.
 func (n *Node) nodeTime(t time.Time) int64 {
 	return n.startedAtMicros + t.Sub(n.startedAt).Microseconds()
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -8,7 +8,7 @@
 	"tulipglade/internal/safety"
 )
 
-// assignConn gives an attempt a connection: an idle one, one that will have rested soon, or a new one.
+// assignConn gives an attempt a connection: an idle one, one that becomes reusable soon, or a new one.
 func (n *Node) assignConn(att *attempt) {
 	ep := att.endpoint
 	if conn := n.takeIdleConn(ep); conn != nil {
@@ -32,15 +32,15 @@
 		n.dial(ep)
 	}
 	n.scheduleAt(n.now()+n.settings.ConnectTimeout, func() {
-		if !att.completed && att.conn == nil {
+		if att.state == attemptWaiting {
 			n.abandonAttempt(att, balancer.OutcomeConnectFailed)
 		}
 	})
 }
 
-// takeIdleConn takes the idle connection to a host that was used last, but for those that may be about to close, of which it
-// is the one that has waited longest, those that rest, and those that are no longer good: these close. It is nil where
-// there is none.
+// takeIdleConn takes the most recently used idle connection of an endpoint that is old enough to be reused, else the
+// oldest of the younger ones; nil if there is none. It skips connections on which a duplicate answer may follow, and
+// closes those that can't be used any more.
 func (n *Node) takeIdleConn(ep *endpoint) *backendConn {
 	now := n.now()
 	var candidate, fallback *backendConn
@@ -66,11 +66,11 @@
 	return candidate
 }
 
-// releaseConn gives a connection that carries nothing to the next attempt, or keeps it.
+// releaseConn returns a connection that carries nothing to the pool, and serves waiting attempts with it.
 func (n *Node) releaseConn(conn *backendConn) {
 	ep := conn.endpoint
 	switch {
-	case conn.closed:
+	case conn.state == backendClosed:
 	case conn.incarnation != ep.incarnation || !conn.isOpenAndDrained() || ep.state != protocol.InService && len(ep.waitingAttempts) == 0:
 		n.closeBackend(conn, closeUnusable)
 		n.dialForWaiting(ep)
@@ -82,10 +82,11 @@
 	}
 }
 
-// serveWaiting gives the connections that have rested to those who wait, the longest first.
+// serveWaiting gives reusable connections to waiting attempts, the longest waiting first.
 func (n *Node) serveWaiting(ep *endpoint) {
 	for len(ep.waitingAttempts) > 0 {
-		if att := ep.waitingAttempts[0]; n.mayStart(att) != safety.Allowed { // since it was asked for
+		// conditions have changed since the balancer decided
+		if att := ep.waitingAttempts[0]; n.mayStart(att) != safety.Allowed {
 			ep.waitingAttempts = ep.waitingAttempts[1:]
 			n.completeAttempt(att, balancer.OutcomeNotSent, nil)
 		} else if conn := n.takeIdleConn(ep); conn != nil {
@@ -102,7 +103,8 @@
 	}
 }
 
-// scheduleServeWaiting has the next connection that will have rested handed over then. All idle ones rest, or somebody would have them.
+// scheduleServeWaiting runs serveWaiting when the next idle connection becomes reusable. No idle connection is
+// reusable now, or an attempt would have taken it.
 func (n *Node) scheduleServeWaiting(ep *endpoint) {
 	next := int64(noDeadline)
 	for _, conn := range ep.idleConns {
@@ -113,13 +115,14 @@
 	}
 }
 
-// dialForWaiting opens connections until there is one for each who waits: on its way, or resting.
+// dialForWaiting opens connections until each waiting attempt has one that is being dialled or becomes reusable.
 func (n *Node) dialForWaiting(ep *endpoint) {
 	for len(ep.waitingAttempts) > ep.pendingDials+len(ep.idleConns) && n.reserveDescriptors(1) {
 		n.dial(ep)
 	}
 }
 
+// setIdle adds a connection to the idle ones or removes it from them.
 func (n *Node) setIdle(conn *backendConn, idle bool) {
 	if conn.idleElement != nil {
 		n.idleBackends.Remove(conn.idleElement)
@@ -132,12 +135,14 @@
 		}
 	}
 	if idle {
+		conn.setState(backendIdle)
 		conn.idleSince = n.now()
 		conn.idleElement = n.idleBackends.PushBack(conn)
 		conn.endpoint.idleConns = append(conn.endpoint.idleConns, conn)
 	}
 }
 
+// closeIdleBackends closes an endpoint's idle connections because it drains, was removed or has restarted.
 func (n *Node) closeIdleBackends(ep *endpoint, reason closeReason) {
 	for len(ep.idleConns) > 0 {
 		n.closeBackend(ep.idleConns[0], reason)
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -182,7 +182,7 @@
 	}
 	defer func() { _ = host.Close() }()
 	_, _ = io.WriteString(host, "HTTP/1.1 2")
-	waitUntil(n, func() bool { return b.closed })
+	waitUntil(n, func() bool { return b.state == backendClosed })
 	runOnLoop(n, func() {
 		if n.dialFinished(b, nil); n.openDescriptors != 0 || b.endpoint.pendingDials != 0 {
 			t.Errorf("%d descriptors, %d connections on their way", n.openDescriptors, b.endpoint.pendingDials)
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -7,27 +7,27 @@
 	"tulipglade/internal/protocol"
 )
 
-// endpoint is one backend that discovery has named. Its id is never used again.
+// endpoint is an entry of the endpoint list and the state of its connections. An ID is never reused.
 type endpoint struct {
 	id                  balancer.EndpointID
 	address             string
 	state               protocol.State
 	bootMillis          int64
-	zone                string // as discovery tells it, with the next two
+	zone                string // zone, cell and weight are as discovery states them
 	cell                int
 	weight              float64
-	removedAt           int64 // when discovery said so, or left it off a whole list; 0: it is listed
-	outOfServiceSince   int64 // when it was first heard that it drains or is gone; 0: it is in service
-	duplicatesUntil     int64 // until when it is held to answer requests twice
-	incarnation         int   // counts its processes: a connection to an earlier one is never used again
+	removedAt           int64 // when discovery reported it removed, or left it off a full list; 0: listed
+	outOfServiceSince   int64 // when the node was first notified that it drains or is removed; 0: in service
+	duplicatesUntil     int64 // until then it is assumed to answer requests twice
+	incarnation         int   // counts its processes: a connection to an earlier one is never reused
 	idleConns           []*backendConn
-	waitingAttempts     []*attempt // for a connection
-	pendingDials        int        // connections on their way
-	pendingHealthChecks int        // out, and not settled
+	waitingAttempts     []*attempt // attempts that wait for a connection, in the order in which they are served
+	pendingDials        int        // dials whose result has not been processed
+	pendingHealthChecks int        // health checks in flight
 }
 
-// setState notes what discovery says of a host, and since when nothing new may go there.
-func (e *endpoint) setState(state protocol.State, now int64) {
+// setDiscoveryState records what discovery says of the endpoint, and since when no attempt may start there.
+func (e *endpoint) setDiscoveryState(state protocol.State, now int64) {
 	if state == protocol.InService {
 		e.outOfServiceSince = 0
 	} else if e.outOfServiceSince == 0 {
@@ -36,14 +36,15 @@
 	e.state = state
 }
 
-// target is a host as discovery has told of it.
+// target returns the endpoint as discovery described it.
 func (e *endpoint) target(uid string) protocol.Target {
 	return protocol.Target{UID: uid, Endpoint: e.address, Zone: e.zone, Cell: e.cell, State: e.state, Weight: e.weight, BootMs: e.bootMillis}
 }
 
-// applyEndpointList takes a list into the pool and turns it into the module's form. A list that is older than the last one, as
-// that of a discovery which has just taken over may be, adds hosts and tells of drains, but brings nothing back that
-// is known to have gone on since, and what it leaves off is not gone.
+// applyEndpointList merges a list into the registry and converts it for the balancer. A list that is older than the
+// latest one, such as that of a discovery server which has just taken over, adds endpoints and reports drains, but
+// neither restores an endpoint that is known to have been removed or restarted since nor removes those that it leaves
+// out.
 func (n *Node) applyEndpointList(update protocol.List, kind balancer.ListKind) ([]balancer.Endpoint, balancer.ListKind) {
 	outdated := update.Rev < n.listRevision
 	n.listRevision = max(n.listRevision, update.Rev)
@@ -65,16 +66,16 @@
 			continue
 		}
 		listed[ep] = true
-		ep.setState(target.State, n.now())
+		ep.setDiscoveryState(target.State, n.now())
 		ep.removedAt = 0
 		switch {
 		case target.State == protocol.Terminated:
 			n.endpointRemoved(ep)
-		case ep.address != target.Endpoint || ep.bootMillis != target.BootMs: // another process
+		case ep.address != target.Endpoint || ep.bootMillis != target.BootMs: // a new process
 			ep.incarnation++
 			n.closeIdleBackends(ep, closeEndpointChanged)
 			ep.address = target.Endpoint
-		case target.State == protocol.Terminating: // it gets nothing new
+		case target.State == protocol.Terminating: // no attempt starts there any more
 			n.closeIdleBackends(ep, closeEndpointChanged)
 		}
 		ep.bootMillis, ep.zone, ep.cell, ep.weight = target.BootMs, target.Zone, target.Cell, target.Weight
@@ -89,25 +90,25 @@
 	}
 	for _, ep := range n.endpoints {
 		if kind != balancer.ListDelta && !listed[ep] && ep.removedAt == 0 {
-			ep.setState(protocol.Terminated, n.now())
+			ep.setDiscoveryState(protocol.Terminated, n.now())
 			n.endpointRemoved(ep)
 		}
 	}
 	return changed, kind
 }
 
-// endpointRetention is for how long a host that is gone is remembered, in microseconds: longer than any attempt at it may
-// take, and than an old list may come late.
+// endpointRetention is how long a removed endpoint is kept, in microseconds: longer than an attempt to it can take,
+// and than an outdated list can arrive late.
 const endpointRetention = 60_000_000
 
-// endpointRemoved notes that a host is gone. Connections to it that still carry an attempt close after that.
+// endpointRemoved marks an endpoint as removed. A connection that still carries an attempt closes behind it.
 func (n *Node) endpointRemoved(ep *endpoint) {
 	ep.removedAt = n.now()
 	ep.incarnation++
 	n.closeIdleBackends(ep, closeEndpointChanged)
 }
 
-// deleteExpiredEndpoints drops the hosts that have been gone for long: every release brings new ones.
+// deleteExpiredEndpoints deletes endpoints that were removed long ago, as every rollout of backends brings new ones.
 func (n *Node) deleteExpiredEndpoints() {
 	for uid, ep := range n.endpointsByUID {
 		if ep.removedAt > 0 && n.now()-ep.removedAt >= endpointRetention {
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -5,26 +5,27 @@
 	"tulipglade/internal/protocol"
 )
 
-// request is one that this node has taken: it gets exactly one answer.
+// request is a request that this node has admitted: it gets exactly one answer.
 type request struct {
 	id              balancer.RequestID
-	traceID         string    // its client's own
-	settings        *Settings // that it came under
+	traceID         string    // given by its client
+	settings        *Settings // under which it was admitted
 	message         *protocol.Message
-	buffer          *buffer // msg points into it
+	buffer          *buffer // message points into it
 	class           int
 	tenant          int
 	deadline        int64
-	uploadTimeout   int64   // from its last byte to the deadline, where that is still to come
-	upload          *upload // it is passed on while it comes in
+	uploadTimeout   int64   // from its last byte to the deadline, while the last byte is still to come
+	upload          *upload // it is forwarded while it is read; nil: it is buffered
 	clientConn      *clientConn
 	attempts        []*attempt
-	pendingAttempts int  // attempts without an outcome
-	done            bool // answered, or nobody waits any more
+	pendingAttempts int // without an outcome
+	state           requestState
 }
 
-// submit hands a request to the module.
+// submit hands a request to the balancer.
 func (n *Node) submit(req *request) {
+	n.setRequestState(req, requestOpen)
 	n.openRequests++
 	n.requests[req.id] = req
 	req.traceID = string(req.message.Get("x-trace-id"))
@@ -35,25 +36,25 @@
 		AffinityKey: protocol.AffinityKey(req.message.Target), IsRetry: string(req.message.Get("x-second-try")) == "1", CostHint: parseSizeHint(req.message.Get("x-size-hint"))})
 }
 
-// expireOverdue ends what is left of a request after its time.
+// expireOverdue answers a request that has no answer when its time is over, and releases its trace ID.
 func (n *Node) expireOverdue(id balancer.RequestID, traceID string) {
 	req := n.requests[id]
-	if req != nil && req.upload != nil && !req.done && n.now() < req.deadline { // its time begins, or began, with its last byte
+	if req != nil && req.upload != nil && !req.isDone() && n.now() < req.deadline { // its deadline counts from its last byte
 		n.scheduleAt(min(req.deadline, n.now()+overdueCheckInterval)+n.settings.OverdueGrace, func() { n.expireOverdue(id, traceID) })
 		return
 	}
 	delete(n.requestIDsInUse, traceID)
-	if req != nil && !req.done { // the module owed an answer by now; the client must not wait for ever
+	if req != nil && !req.isDone() { // the balancer should have answered; the client must not wait for ever
 		n.log.Error("request overdue", "id", req.id, "attempts", len(req.attempts))
 		n.answer(req, nil, 504, nil, []byte("overdue\n"), 0)
 		n.balancer.HandleCancellation(n.now(), req.id)
 	}
 }
 
-// overdueCheckInterval is how often a request that is still coming in is looked at, in microseconds.
+// overdueCheckInterval is the time between two checks of a request that is still being uploaded, in microseconds.
 const overdueCheckInterval = 1_000_000
 
-// answer gives a request its one answer.
+// answer gives a request its one answer; source is the buffer into which fields and body point.
 func (n *Node) answer(req *request, source *buffer, status int, fields []protocol.Field, body []byte, retryAfter int64) {
 	if n.finishRequest(req) {
 		n.traceRequest(req, "answered", "status", status, "attempts", len(req.attempts))
@@ -63,39 +64,41 @@
 	}
 }
 
-// finishRequest marks a request as over, and returns whether it was not before.
+// finishRequest moves a request to state requestDone, and reports whether it was not there before.
 func (n *Node) finishRequest(req *request) bool {
-	if req.done {
+	if req.isDone() {
 		return false
 	}
-	req.done = true
+	n.setRequestState(req, requestDone)
 	n.openRequests--
 	n.abortPartialWrites(req)
 	n.releaseRequest(req)
 	return true
 }
 
-// abortPartialWrites keeps what is still being written of a request from going out behind its answer. An attempt that has no
-// connection yet stays in the books, so that its host is held to account, and handOver drops it; of a larger request than a
-// connection takes at once, the rest would go out whenever its host reads on.
+// abortPartialWrites prevents the rest of a request from being written after its answer. An attempt without a
+// connection stays, so that its endpoint is held responsible for it, and serveWaiting drops it. The rest of a request
+// that is larger than a connection accepts at once would be written whenever its backend reads on.
 func (n *Node) abortPartialWrites(req *request) {
 	for _, att := range req.attempts {
-		if conn := att.conn; !att.completed && conn != nil && conn.attempt == att && !conn.requestWritten && conn.download == nil && att.deadline != noDeadline {
+		if conn := att.conn; att.state == attemptAssigned && conn.attempt == att && conn.state == backendWriting && conn.download == nil && att.deadline != noDeadline {
 			n.closeBackend(conn, closeRequestAnswered)
 			n.completeAttempt(att, balancer.OutcomeCanceled, nil)
 		}
 	}
 }
 
-// releaseRequest drops a request of which nothing more can come.
+// releaseRequest deletes a request that is done and has no attempt in flight.
 func (n *Node) releaseRequest(req *request) {
-	if req.done && req.pendingAttempts == 0 && req.buffer != nil {
+	if req.state == requestDone && req.pendingAttempts == 0 {
+		n.setRequestState(req, requestReleased)
 		delete(n.requests, req.id)
 		req.buffer.release()
 		req.buffer = nil
 	}
 }
 
+// clientDisconnected cancels a request whose client has disconnected.
 func (n *Node) clientDisconnected(req *request) {
 	if n.finishRequest(req) {
 		n.traceRequest(req, "client gone", "attempts", len(req.attempts))
@@ -103,9 +106,9 @@
 	}
 }
 
-// clientHasDisconnected tells whether the client of a request has gone, by its connection as it is now: word of that may stand behind much else that Run's
-// goroutine has to do, and what begins long after the client went is work for nobody. If so, the request is over as soon as the module's
-// call has returned.
+// clientHasDisconnected asks the kernel whether a request's client has disconnected, as the notification of that may
+// be queued behind much else, and an attempt that starts long after is wasted work. If so, the request is cancelled
+// as soon as the balancer's call has returned.
 func (n *Node) clientHasDisconnected(req *request) bool {
 	if req.clientConn == nil || !req.clientConn.peerHasEnded() {
 		return false
@@ -114,5 +117,5 @@
 	return true
 }
 
-// loggedTraceID is the id that the request's client gave it.
+// loggedTraceID returns the trace ID for log lines.
 func (r *request) loggedTraceID() string { return r.traceID }
--- a/internal/node/sendrequest.go
+++ b/internal/node/sendrequest.go
@@ -9,13 +9,13 @@
 	"tulipglade/internal/safety"
 )
 
-// mayStart tells whether an attempt that has waited may still begin, at the moment in which its first byte would be written, and if not, why.
+// mayStart checks right before its first byte whether an attempt may still start, and if not, why.
 func (n *Node) mayStart(att *attempt) (reason safety.Reason) {
 	switch {
 	case att.isHealthCheck && att.endpoint.state != protocol.InService:
 		reason = safety.BackendDraining
 	case att.isHealthCheck:
-	case att.request.done:
+	case att.request.isDone():
 		reason = safety.RequestDone
 	case n.clientHasDisconnected(att.request):
 		reason = safety.ClientDisconnected
@@ -28,10 +28,12 @@
 	return reason
 }
 
-// sendRequest writes an attempt's request, or as much of it as is held.
+// sendRequest writes an attempt's request, or as much of it as is buffered.
 func (n *Node) sendRequest(conn *backendConn, att *attempt) {
 	req := att.request
-	att.conn, conn.attempt, conn.requestWritten = conn, att, false
+	att.conn, conn.attempt = conn, att
+	n.setAttemptState(att, attemptAssigned)
+	conn.setState(backendWriting)
 	if att.isHealthCheck {
 		conn.message = protocol.Message{}
 		n.write(&conn.socket, func(err error) { n.requestSent(conn, att, err) }, n.appendHealthCheck(nil, conn.endpoint))
@@ -62,12 +64,12 @@
 			n.audit(att, first)
 		}
 		switch {
-		case conn.closed:
+		case conn.state == backendClosed:
 		case errors.Is(err, errWriteDelayed):
 			n.retryDelayedWrite(conn, att)
-		case req.upload != nil && err == nil && !conn.answerComplete && !conn.peerEndedEarly && !req.done:
+		case req.upload != nil && err == nil && !conn.answerComplete && !conn.peerEndedEarly && !req.isDone():
 			n.forwardUpload(conn, att)
-		case req.upload != nil: // not all of it was written: it has never begun
+		case req.upload != nil: // incomplete: it has never started
 			n.closeBackend(conn, closeRequestIncomplete)
 			n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 		default:
@@ -76,14 +78,15 @@
 	}, parts...)
 }
 
-// retryDelayedWrite is an attempt of which not a byte was written in time: it is looked at once more, on the same connection.
+// retryDelayedWrite handles an attempt whose write was delayed so long that not a byte was written: it is checked and
+// sent again on the same connection.
 func (n *Node) retryDelayedWrite(conn *backendConn, att *attempt) {
-	if !att.completed && !conn.peerEndedEarly && n.mayStart(att) == safety.Allowed {
+	if !att.isCompleted() && !conn.peerEndedEarly && n.mayStart(att) == safety.Allowed {
 		n.sendRequest(conn, att)
 		return
 	}
 	conn.attempt = nil
-	if !att.completed {
+	if !att.isCompleted() {
 		att.conn = nil
 		n.completeAttempt(att, balancer.OutcomeNotSent, nil)
 	}
@@ -95,26 +98,26 @@
 	n.releaseConn(conn)
 }
 
-// requestSent is the end of a request's way to its host.
+// requestSent processes the end of the write of a request.
 func (n *Node) requestSent(conn *backendConn, att *attempt, err error) {
 	switch {
-	case conn.closed:
+	case conn.state == backendClosed:
 	case conn.answerComplete && err == nil:
-		conn.requestWritten, conn.answerComplete = true, false
+		conn.answerComplete = false
 		n.releaseConn(conn)
 	case conn.answerComplete:
 		n.closeBackend(conn, closeWriteFailed)
-	case err != nil: // not all of the request was written: it has never begun
+	case err != nil: // incomplete: it has never started
 		n.closeBackend(conn, closeWriteFailed)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	case conn.peerEndedEarly && conn.download != nil:
-		conn.requestWritten = true
+		conn.setState(backendAwaitingAnswer)
 		n.startDownloadForwarding(conn, nil, nil, nil)
 	case conn.peerEndedEarly:
 		n.recordIdleOutcome(conn.idleBeforeAttempt, conn.input == nil && n.now()-att.startedAt < 2*reuseDelay)
 		n.finishEndedConn(conn, att)
 	default:
-		conn.requestWritten = true
+		conn.setState(backendAwaitingAnswer)
 		if conn.download != nil {
 			conn.detachForDownload()
 		}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -120,7 +120,7 @@
 func (n *Node) closeClientsGracefully() (busy int) {
 	for client := range n.clients {
 		switch {
-		case client.lingering:
+		case client.state == clientLingering:
 		case client.mayClose() == safety.Allowed:
 			client.closeGracefully(closeDraining)
 		default:
@@ -150,7 +150,7 @@
 // hasIncomingRequest tells whether a part of a request has come from a client, or is about to.
 func (n *Node) hasIncomingRequest() bool {
 	for client := range n.clients {
-		if !client.lingering && (client.input != nil || client.unreadInput() > 0 || client.upload != nil || client.isNew()) {
+		if client.state != clientLingering && (client.input != nil || client.unreadInput() > 0 || client.upload != nil || client.isNew()) {
 			return true
 		}
 	}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -352,7 +352,7 @@
 		n.drain.partialRequestsUntil = 0 // not for ever; and what is on its way through a descriptor of its own is not shut under it
 		n.checkDrained()
 		for c := range n.clients {
-			if c.lingering {
+			if c.state == clientLingering {
 				t.Error("shut while its request comes in")
 			}
 		}
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -14,12 +14,12 @@
 // socket is one connection of the poller's. Its lock keeps a write and the end of the connection apart: the
 // poller gives a connection's buffers to others once it has closed, also while somebody still fills them.
 type socket struct {
-	conn           netpoll.Connection
-	inputInTransit atomic.Int32 // pieces of input on their way to Run's goroutine
-	descriptor     *os.File     // in its place while it has left the poller
-	mu             sync.Mutex
-	closed         bool
-	closedByPoller atomic.Bool // the poller has ended it
+	conn            netpoll.Connection
+	inputInTransit  atomic.Int32 // pieces of input on their way to Run's goroutine
+	descriptor      *os.File     // in its place while it has left the poller
+	mu              sync.Mutex
+	transportClosed bool
+	closedByPoller  atomic.Bool // the poller has ended it
 	// disconnectedAt is when the poller met the end of a client's connection, on the node's clock; 0: it has not.
 	disconnectedAt    atomic.Int64
 	peerClosedInOrder bool // the other side has closed it in order
@@ -35,7 +35,7 @@
 	}
 	_ = s.conn.AddCloseCallback(func(conn netpoll.Connection) error {
 		s.mu.Lock()
-		s.closed = true
+		s.transportClosed = true
 		onDetached := s.onDetached
 		s.onDetached = nil
 		s.mu.Unlock()
@@ -62,7 +62,7 @@
 		}
 		return nil
 	}
-	if s.closed {
+	if s.transportClosed {
 		return netpoll.ErrConnClosed
 	}
 	w := s.conn.Writer()
@@ -78,7 +78,7 @@
 func (s *socket) closeWrite() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.descriptor != nil || s.closed || !s.conn.IsActive() {
+	if s.descriptor != nil || s.transportClosed || !s.conn.IsActive() {
 		return false
 	}
 	c, ok := s.conn.(interface{ Fd() int })
@@ -104,7 +104,7 @@
 
 func (s *socket) usePollerConn(conn netpoll.Connection) {
 	s.mu.Lock()
-	s.conn, s.descriptor, s.closed = conn, nil, false
+	s.conn, s.descriptor, s.transportClosed = conn, nil, false
 	s.mu.Unlock()
 	s.closedByPoller.Store(false)
 }
@@ -123,7 +123,7 @@
 func (s *socket) isOpenAndDrained() bool {
 	s.mu.Lock() // its descriptor may be another connection's once it has ended
 	defer s.mu.Unlock()
-	if s.closed || !s.conn.IsActive() {
+	if s.transportClosed || !s.conn.IsActive() {
 		return false
 	}
 	if c, ok := s.conn.(interface{ Fd() int }); ok {
@@ -143,7 +143,7 @@
 		return false
 	}
 	defer s.mu.Unlock()
-	return s.closed || !s.conn.IsActive() || queryPeerState(s.conn) != peerOpen
+	return s.transportClosed || !s.conn.IsActive() || queryPeerState(s.conn) != peerOpen
 }
 
 // deliver takes what the connection has received and has receive get it on Run's goroutine. Until then it counts as unread: whoever
--- a/internal/node/tombstones.go
+++ b/internal/node/tombstones.go
@@ -4,16 +4,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxTombstones bounds the hosts that are remembered only as gone.
+// maxTombstones bounds the removed endpoints that are remembered by tombstones.
 const maxTombstones = 4096
 
-// tombstones are hosts that have been gone for so long that nothing else is kept of them: a list that is older than the last must not bring them
-// back, however late it comes. The oldest are dropped first.
+// tombstones remember endpoints that have been deleted from the registry, so that an outdated list can't restore them
+// however late it comes. The oldest are dropped first.
 type tombstones struct {
-	bootMillis map[uint64]int64 // when the host's last process started, by the hash of its id
+	bootMillis map[uint64]int64 // start of the endpoint's last process, by the hash of its UID
 	order      []uint64
 }
 
+// add remembers a deleted endpoint.
 func (t *tombstones) add(uid string, bootMillis int64) {
 	if t.bootMillis == nil {
 		t.bootMillis = map[uint64]int64{}
@@ -29,7 +30,7 @@
 	}
 }
 
-// has tells whether a host is known to have gone, and has not started again since.
+// has reports whether an endpoint is known to have been removed and not restarted since.
 func (t *tombstones) has(uid string, bootMillis int64) bool {
 	last, known := t.bootMillis[xxhash.Sum64String(uid)]
 	return known && bootMillis <= last
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		c.node.warnLimited("connection could not leave the poller", "err", err)
 	}
-	if err != nil || c.closed || descriptor == nil {
+	if err != nil || c.state == clientClosed || descriptor == nil {
 		if descriptor != nil {
 			_ = descriptor.Close()
 		}
@@ -82,7 +82,7 @@
 	fwd := up.newForwarder(client, func(parts ...[]byte) error { return conn.socket.write(parts) })
 	fwd.onWriteError = func() {
 		n.post(func() {
-			if !att.completed { // not all of it was written: it has never begun
+			if !att.isCompleted() { // not all of it was written: it has never begun
 				n.closeBackend(conn, closeWriteFailed)
 				n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 			}
@@ -134,15 +134,15 @@
 	n.forwarderFinished()
 	up.complete = true
 	req := client.request
-	if err == nil && att != nil && !att.completed {
+	if err == nil && att != nil && !att.isCompleted() {
 		now := n.now()
 		req := att.request
 		req.deadline = n.answerDeadline(now, now+req.uploadTimeout)
 		att.startedAt, att.deadline = now, req.deadline
 		n.scheduleAt(att.deadline, func() { n.checkAttemptDeadline(att) })
 		n.balancer.HandleUpload(now, req.id, false)
-		if fwd.writeErr == nil && !conn.answerComplete && !conn.closed {
-			conn.requestWritten = true
+		if fwd.writeErr == nil && !conn.answerComplete && conn.state != backendClosed {
+			conn.setState(backendAwaitingAnswer)
 			if conn.download != nil {
 				conn.detachForDownload()
 			}
@@ -156,7 +156,7 @@
 		}
 	}()
 	switch {
-	case client.closed:
+	case client.state == clientClosed:
 	case err != nil && req == nil: // answered already
 		if !client.writingAnswer {
 			client.close(closeRequestIncomplete)
@@ -175,7 +175,7 @@
 	default:
 		client.disconnected(closedByPeer)
 	}
-	if err != nil && att != nil && !att.completed {
+	if err != nil && att != nil && !att.isCompleted() {
 		n.abandonAttempt(att, balancer.OutcomeConnectFailed)
 	}
 }
