--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -42,7 +42,8 @@
 		n.healthCheckDone(att, outcome, report)
 		return
 	}
-	n.traceRequest(att.request, "attempt over", "attempt", att.number, "host", att.endpoint.address, "outcome", int(outcome), "took_us", n.now()-att.startedAt)
+	n.traceRequest(att.request, "attempt completed", "attempt", att.number, "endpoint", att.endpoint.address,
+		"outcome", int(outcome), "duration_us", n.now()-att.startedAt)
 	result := balancer.AttemptResult{ID: att.request.id, Attempt: att.number, Endpoint: att.endpoint.id, Outcome: outcome,
 		Latency: n.now() - att.startedAt, Load: report}
 	if att.deadline == noDeadline { // not fully sent: the time was the client's, not the backend's
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -6,28 +6,29 @@
 	"tulipglade/internal/safety"
 )
 
-// maxWriteDelay is how much time may pass from the check of an attempt to its first byte, in microseconds. An attempt whose goroutine, or whose
-// process, was held up for longer is checked again instead of being written.
+// maxWriteDelay is how much time may pass between the check of an attempt and its first byte, in microseconds. An
+// attempt whose goroutine or process was delayed for longer is checked again instead of being written.
 const maxWriteDelay = 10_000
 
-// errWriteDelayed is a write that was not begun, as too much time had passed since it was allowed.
+// errWriteDelayed reports a write that was not started because too much time had passed since its check.
 var errWriteDelayed = errors.New("held up before the first byte")
 
-// Limits of what is audited, in microseconds.
+// Limits of the audit, in microseconds.
 const (
-	auditSlack         = 50_000  // of every limit of the rules
-	maxDisconnectDelay = 100_000 // after its client has gone an attempt may begin for so long
-	deadlineSlack      = 150_000 // by which a deadline told to a backend may exceed what is left
+	auditSlack         = 50_000  // added to every limit
+	maxDisconnectDelay = 100_000 // time after its client's disconnect in which an attempt may start
+	deadlineSlack      = 150_000 // by which the deadline stated to a backend may exceed the time that is left
 )
 
-// firstByte is what is known of an attempt as its first byte is written.
+// firstByte is what the audit needs to know of an attempt's first byte.
 type firstByte struct {
-	writtenAt     int64 // just before it was written
-	statedTimeout int64 // the time that the backend was told it has
-	listExpiresAt int64 // until when the list was known to be current; 0: not bounded
+	writtenAt     int64 // right before the write
+	statedTimeout int64 // the time that the request states to the backend
+	listExpiresAt int64 // until when the endpoint list was known to be current; 0: unbounded
 }
 
-// audit holds an attempt that has begun against the rules, whatever decided it. It changes nothing: it counts and logs what must not happen.
+// audit checks a started attempt against the rules, independently of what decided it. It only counts and logs
+// violations.
 func (n *Node) audit(att *attempt, first firstByte) {
 	ep, req := att.endpoint, att.request
 	if since := ep.outOfServiceSince; since > 0 && first.writtenAt > since+n.settings.DrainGrace+auditSlack {
@@ -46,9 +47,9 @@
 	}
 }
 
-// recordViolation counts one attempt that should not have begun.
+// recordViolation counts and logs an attempt that should not have started.
 func (n *Node) recordViolation(att *attempt, reason safety.Reason, excess int64) {
 	n.violations[reason]++
-	n.log.Error("invariant violated", "rule", reason.String(), "by_us", excess, "trace", att.request.loggedTraceID(), "attempt", att.number,
-		"host", att.endpoint.address, "rev", n.listRevision, "count", n.violations[reason])
+	n.log.Error("invariant violated", "rule", reason.String(), "by_us", excess, "trace_id", att.request.loggedTraceID(), "attempt", att.number,
+		"endpoint", att.endpoint.address, "rev", n.listRevision, "count", n.violations[reason])
 }
--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -21,7 +21,7 @@
 	input             *buffer
 	message           protocol.Message
 	state             backendConnState
-	answerComplete    bool      // the whole answer came before the writer had returned
+	answerComplete    bool      // the complete answer came before the writer had returned
 	download          *download // forwards an answer that is too large to be buffered
 	deferredInput     []*buffer // input that came before the event loop learned that a large request had been written
 	peerEndedEarly    bool      // the backend has closed while the request was being written
@@ -94,7 +94,7 @@
 func (b *backendConn) keepDownloadInput(data []byte) {
 	if err := b.download.keepInput(data); err != nil {
 		att := b.download.attempt
-		b.node.warnLimited("bad answer", "host", b.endpoint.address, "err", err)
+		b.node.warnLimited("malformed answer", "endpoint", b.endpoint.address, "err", err)
 		b.node.closeBackend(b, closeMalformedAnswer)
 		b.node.completeAttempt(att, balancer.OutcomeReset, nil)
 	}
@@ -108,7 +108,7 @@
 	large := b.message.Started() && (b.message.Length() > protocol.MaxBody || size == protocol.BufferSize)
 	switch {
 	case err != nil:
-		n.warnLimited("bad answer", "host", b.endpoint.address, "err", err)
+		n.warnLimited("malformed answer", "endpoint", b.endpoint.address, "err", err)
 		n.closeBackend(b, closeMalformedAnswer)
 		n.completeAttempt(att, balancer.OutcomeReset, nil) // the request may have run
 	case complete:
--- a/internal/node/buffer.go
+++ b/internal/node/buffer.go
@@ -9,8 +9,8 @@
 	"tulipglade/internal/protocol"
 )
 
-// buffer is a piece of memory of the one size that holds any message. Its users count: those that an answer
-// or an attempt still reads from must not be used again before that is written. Only Run's goroutine counts.
+// buffer is a reference-counted piece of memory of a fixed size that holds any message. It is not reused before every
+// answer and attempt that reads from it has been written. Only the event loop counts references.
 type buffer struct {
 	data   [protocol.BufferSize]byte
 	length int
@@ -19,21 +19,24 @@
 
 var buffers = sync.Pool{New: func() any { return new(buffer) }}
 
+// newBuffer returns an empty buffer with one reference.
 func newBuffer() *buffer {
 	b := buffers.Get().(*buffer)
 	b.length, b.refs = 0, 1
 	return b
 }
 
+// bytes returns the content.
 func (b *buffer) bytes() []byte { return b.data[:b.length] }
 
-// add appends as much of p as there is room for and returns the rest.
+// add appends as much of p as there is space for and returns the rest.
 func (b *buffer) add(p []byte) []byte {
 	k := copy(b.data[b.length:], p)
 	b.length += k
 	return p[k:]
 }
 
+// retain adds a reference.
 func (b *buffer) retain() *buffer {
 	if b != nil {
 		b.refs++
@@ -41,6 +44,7 @@
 	return b
 }
 
+// release drops a reference; the last one returns the buffer to the pool.
 func (b *buffer) release() {
 	if b == nil {
 		return
@@ -50,7 +54,7 @@
 	}
 }
 
-// readBuffer moves what a connection has received, up to one buffer of it, into a buffer.
+// readBuffer moves up to one buffer of what a connection has received into a buffer.
 func readBuffer(conn netpoll.Connection) (*buffer, error) {
 	r := conn.Reader()
 	k := min(r.Len(), protocol.BufferSize)
@@ -63,5 +67,5 @@
 	return b, r.Release()
 }
 
-// appendCopy keeps what comes while the connection leaves the poller.
+// appendCopy appends a copy of data to pieces.
 func appendCopy(pieces [][]byte, data []byte) [][]byte { return append(pieces, bytes.Clone(data)) }
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -86,7 +86,7 @@
 	c.node.clients[c] = struct{}{}
 	c.node.openDescriptors++
 	if !c.node.reserveDescriptors(0) { // at the limit, and no connection is idle
-		c.node.warnLimited("connection refused", "descriptors", c.node.openDescriptors)
+		c.node.warnLimited("client connection rejected", "descriptors", c.node.openDescriptors)
 		c.close(closeNoDescriptor)
 		return
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-// closeGracefully closes a connection behind its last answer or between two requests. The client is told first, and
+// closeGracefully closes a connection behind its last answer or between two requests. The client is notified first, and
 // what it sends meanwhile is read and discarded: to close over unread input would reset the connection, and destroy
 // what the client has not read of its answer. A client whose request crosses the close sees the end of the connection
 // and no answer; nothing of the request is forwarded.
--- a/internal/node/clientidle.go
+++ b/internal/node/clientidle.go
@@ -6,8 +6,8 @@
 	"tulipglade/internal/safety"
 )
 
-// How long clients may hold on to what they do not use, in microseconds. Whoever cannot or will not ask is due an
-// error or a close within 3 s of connecting; a sweep comes on top of these times.
+// How long clients may hold what they do not use, in microseconds. A client that does not send a request gets an
+// error or a close within 3 s of connecting; a maintenance interval comes on top of these times.
 const (
 	headTimeout       = 2_200_000  // from accept to the end of the first head, or from the start of a later one
 	bodyTimeout       = 1_000_000  // from there to the end of the body, beside the time that it takes at the minimum rate
@@ -33,7 +33,8 @@
 			c.idleList = &c.node.newClients
 		}
 		c.idleElement, c.idleSince = c.idleList.PushBack(c), c.node.now()
-		if limit := c.node.descriptorLimit() / idleClientFraction; c.hasSentRequest && c.state != clientLingering && limit > 0 && c.idleList.Len() > limit {
+		limit := c.node.descriptorLimit() / idleClientFraction
+		if c.hasSentRequest && c.state != clientLingering && limit > 0 && c.idleList.Len() > limit {
 			if oldest := c.node.oldestIdleClient(c.idleList, 0); oldest != nil && oldest != c {
 				oldest.closeGracefully(closeTooManyIdle)
 			}
@@ -49,7 +50,10 @@
 // mayClose reports whether the connection may be closed between two requests, and if not, why: input that has not
 // been parsed asks for an answer.
 func (c *clientConn) mayClose() safety.Reason {
-	return safety.Close{RequestInProgress: c.request != nil || c.writingAnswer || c.upload != nil, UnreadInput: c.unreadInput() > 0 || !c.isOpenAndDrained()}.Check()
+	return safety.Close{
+		RequestInProgress: c.request != nil || c.writingAnswer || c.upload != nil,
+		UnreadInput:       c.unreadInput() > 0 || !c.isOpenAndDrained(),
+	}.Check()
 }
 
 // closeStalledClients closes client connections that hold resources and don't use them: those that never send a
@@ -65,7 +69,7 @@
 			case client.state == clientLingering:
 			case client.mayClose() != safety.Allowed: // a request is coming in right now
 			case client.input != nil && client.headCompleteAt == 0 && now-client.requestStartedAt >= headTimeout,
-				client.input != nil && client.headCompleteAt > 0 && now-client.headCompleteAt >= bodyTimeout+int64(float64(client.input.length)*1e6/(minBodyRate*bodyRateTolerance)):
+				client.input != nil && client.headCompleteAt > 0 && now-client.headCompleteAt >= maxBodyTime(client.input.length):
 				client.rejectUnreadable(408, "request not complete in time")
 			case client.input != nil:
 			case !client.hasSentRequest && now-client.requestStartedAt >= headTimeout, idleTime >= maxClientIdleTime:
@@ -78,6 +82,11 @@
 	}
 }
 
+// maxBodyTime is how long the body of a buffered request may take of which so many bytes have come, in microseconds.
+func maxBodyTime(received int) int64 {
+	return bodyTimeout + int64(float64(received)*1e6/(minBodyRate*bodyRateTolerance))
+}
+
 // oldestIdleClient returns the connection of a list that has been idle for longest, and at least for so long; nil if
 // there is none.
 func (n *Node) oldestIdleClient(conns *list.List, minIdle int64) *clientConn {
--- a/internal/node/clientinput.go
+++ b/internal/node/clientinput.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// What is kept of requests while the answer to the one before is on its way: of one connection, and of all.
+// Limits of pipelined input that is kept while the previous answer is being written.
 const (
 	maxOverflowPerConn = maxLingerBytes // of one connection
 	maxOverflowBytes   = 4 << 20        // of all connections
@@ -168,7 +168,7 @@
 		}
 		return
 	}
-	if c.node.drain.rejecting || c.node.drain.closingAll { // late in a shutdown no client may be kept waiting
+	if c.node.drain.rejecting || c.node.drain.closingAll { // late in a shutdown no client may wait
 		c.closeAfterAnswer = true
 		c.reply(buf, 503, nil, []byte("not in service\n"), 0)
 		return
--- a/internal/node/closereason.go
+++ b/internal/node/closereason.go
@@ -1,52 +1,53 @@
 package node
 
-// closeReason says why this node ends a connection.
+// closeReason is why the node closes a connection.
 type closeReason string
 
-// The reasons, of clients' connections and of backends'.
+// Reasons for closing connections of clients and backends.
 const (
-	closedByPeer           closeReason = "closed by the other side"
+	closedByPeer           closeReason = "closed by the peer"
 	closeNoDescriptor      closeReason = "no descriptor"
-	closeForDescriptors    closeReason = "room for others"
+	closeForDescriptors    closeReason = "descriptor needed"
 	closeIdle              closeReason = "idle"
-	closeNoRequest         closeReason = "nothing asked in time"
+	closeNoRequest         closeReason = "no request in time"
 	closeTooManyIdle       closeReason = "too many idle"
 	closeDraining          closeReason = "draining"
 	closeLastAnswer        closeReason = "last answer"
 	closeLingerTimeout     closeReason = "not closed by the client after its last answer"
 	closeTooMuchInput      closeReason = "too much input after the last answer"
 	closeWriteFailed       closeReason = "write failed"
-	closeAnswerTruncated   closeReason = "answer cut off"
-	closePollerFailed      closeReason = "connection could not leave or rejoin the poller"
-	closeRequestIncomplete closeReason = "request not whole"
-	closeUnexpectedInput   closeReason = "input that nobody asked for"
-	closeUnusable          closeReason = "closed, used up or idle for too long"
-	closeEndpointChanged   closeReason = "backend drains, is gone or has restarted"
-	closeMalformedAnswer   closeReason = "bad answer"
-	closeNotReusable       closeReason = "not kept after the answer"
-	closeAttemptAbandoned  closeReason = "attempt given up"
+	closeAnswerTruncated   closeReason = "answer truncated"
+	closePollerFailed      closeReason = "detaching or reattaching failed"
+	closeRequestIncomplete closeReason = "request incomplete"
+	closeUnexpectedInput   closeReason = "unexpected input"
+	closeUnusable          closeReason = "not usable"
+	closeEndpointChanged   closeReason = "endpoint draining, removed or restarted"
+	closeMalformedAnswer   closeReason = "malformed answer"
+	closeNotReusable       closeReason = "not reusable"
+	closeAttemptAbandoned  closeReason = "attempt abandoned"
 	closeRequestAnswered   closeReason = "request answered before it was written"
-	closeUnwantedDownload  closeReason = "large answer that nobody wants"
+	closeUnwantedDownload  closeReason = "large answer not needed"
 )
 
-// logClose says that the node ends a client's connection. One on which a request, or a part of one, is still without an answer is worth a warning,
-// whoever is at fault; all others are seen where each step is logged.
+// logClose logs why the node closes a client's connection. A connection with an unanswered request, or a part of one,
+// is worth a warning whoever is at fault; others are logged only if tracing is on.
 func (c *clientConn) logClose(reason closeReason) {
 	unanswered := c.request != nil || c.input != nil && c.input.length > 0 || c.upload != nil && !c.upload.complete
-	if !unanswered || reason == closedByPeer || reason == closeLastAnswer { // what stands behind a last answer was never taken
-		c.node.traceClient(c, "client connection ends", "reason", string(reason), "owed", unanswered)
+	if !unanswered || reason == closedByPeer || reason == closeLastAnswer { // input behind the last answer was never admitted
+		c.node.traceClient(c, "client connection closed", "reason", string(reason), "unanswered", unanswered)
 		return
 	}
 	trace := ""
 	if c.request != nil {
 		trace = c.request.loggedTraceID()
 	}
-	c.node.warnLimited("client connection ends within a request", "reason", string(reason), "trace", trace, "came", c.receivedBytes, "asked", c.hasSentRequest)
+	c.node.warnLimited("client connection closed within a request", "reason", string(reason),
+		"trace_id", trace, "received_bytes", c.receivedBytes, "has_sent_request", c.hasSentRequest)
 }
 
-// logClose says that the node ends a connection to a backend.
+// logClose traces why the node closes a connection to a backend.
 func (b *backendConn) logClose(reason closeReason) {
 	if b.node.traceRequests && b.endpoint != nil {
-		b.node.log.Debug("backend connection ends", "host", b.endpoint.address, "reason", string(reason), "carries", b.attempt != nil)
+		b.node.log.Debug("backend connection closed", "endpoint", b.endpoint.address, "reason", string(reason), "carries_attempt", b.attempt != nil)
 	}
 }
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -11,7 +11,7 @@
 	req := n.requests[id]
 	ep := n.endpoints[endpointID]
 	if req == nil || ep == nil {
-		n.log.Error("attempt without a request or host", "id", id, "host", endpointID)
+		n.log.Error("attempt without a request or endpoint", "request_id", id, "endpoint_id", endpointID)
 		return
 	}
 	now := n.now()
--- a/internal/node/detach.go
+++ b/internal/node/detach.go
@@ -10,24 +10,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// detach has the poller give up the connection, and hands on its descriptor with what was read and not taken yet. By then
-// all that was taken has been posted. It returns false where the connection has ended: onClose's f is called as ever.
-func (s *socket) detach(onDetached func(file *os.File, rest []byte, err error)) bool {
+// detach removes the connection from the poller and passes on its descriptor, with the input that was read and not
+// posted. All other input has been posted by then. If the connection has ended, the callback of onClose is called as
+// usual.
+func (s *socket) detach(onDetached func(file *os.File, rest []byte, err error)) {
 	s.mu.Lock()
 	if s.transportClosed {
 		s.mu.Unlock()
-		return false
+		return
 	}
 	s.onDetached = onDetached
 	conn := s.conn
 	s.mu.Unlock()
 	pollerBacklog.Add(1)
-	go func() { _ = conn.Close() }() // which waits for the poller
-	return true
+	go func() { _ = conn.Close() }() // waits for the poller
 }
 
-// takeDescriptor is what onClose does for a connection that leaves. Its own descriptor closes after that. Without a file, the
-// connection has ended, and rest is all that came.
+// takeDescriptor duplicates the descriptor of a connection that is being detached, whose own one closes after that. A
+// nil file means that the connection has ended, and that rest is all its input.
 func (s *socket) takeDescriptor(conn netpoll.Connection) (*os.File, []byte, error) {
 	c, ok := conn.(interface{ Fd() int })
 	if !ok {
@@ -36,9 +36,9 @@
 	if err := removeFromPollSet(conn); err != nil {
 		return nil, nil, err
 	}
-	// It is out of the poller's set now, but an event of before may be at hand still. Where the poller itself has ended
-	// the connection, it has done with it (and waits for us). The first byte through the poller may come with somebody else's that had
-	// overtaken such an event, the second can't.
+	// It is out of the poller's set now, but an earlier event may still be due. If the poller itself has closed the
+	// connection, it has finished with it and waits for this callback. The first byte through the poller may arrive
+	// together with an earlier caller's that had overtaken such an event; the second can't.
 	closedByPoller := s.closedByPoller.Load()
 	for range 2 {
 		if closedByPoller {
@@ -56,7 +56,8 @@
 		}
 		rest = append(rest, p...)
 	}
-	// The poller may have met a reset, of which the descriptor then says no more: it would look like an end in order.
+	// The poller may have seen a reset, which the descriptor then does not show any more: it would look like an
+	// orderly end.
 	peer := queryPeerState(conn)
 	s.peerClosedInOrder = peer == peerFinished
 	if closedByPoller || peer == peerBroken {
@@ -69,14 +70,15 @@
 	return os.NewFile(uintptr(fd), "connection"), rest, nil
 }
 
-// errNoOperator is a connection of netpoll's in another form than this package knows.
+// errNoOperator reports that netpoll's connection has a form that this package does not know.
 var errNoOperator = errors.New("netpoll: a connection without an operator")
 
-// removeFromPollSet takes a connection that is closing out of the poller's set. netpoll does so itself but for one case: where Close comes in the moment in
-// which a handler of input has done (onProcess, between its last look at the state and its unlock), the handler's goroutine runs the callbacks
-// and takes the connection for one that the poller has ended. With its descriptor duplicated, as here, the system keeps the
-// entry: the poller would go on to read what is another reader's, and refuse the descriptor when it comes back (EEXIST). To detach
-// twice does no harm.
+// removeFromPollSet removes a connection that is being closed from the poller's set. netpoll does so itself except in
+// one case: if Close is called at the moment in which an input handler finishes (in onProcess, between its last check
+// of the state and its unlock), the handler's goroutine runs the callbacks and believes that the poller has closed
+// the connection. As the descriptor is duplicated here, the kernel would keep the entry: the poller would go on to
+// read input that belongs to another reader, and reject the descriptor when it comes back (EEXIST). Removing it twice
+// does no harm.
 func removeFromPollSet(conn netpoll.Connection) error {
 	v := reflect.ValueOf(conn)
 	if v.Kind() != reflect.Pointer || v.Elem().Kind() != reflect.Struct {
@@ -89,7 +91,7 @@
 	return (*netpoll.FDOperator)(field.UnsafePointer()).Control(netpoll.PollDetach)
 }
 
-// attachToPoller returns a connection to the poller. The descriptor belongs to it from here on.
+// attachToPoller returns a connection to the poller, which takes ownership of the descriptor.
 func attachToPoller(descriptor *os.File) (netpoll.Connection, error) {
 	raw, err := descriptor.SyscallConn()
 	if err != nil {
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -49,7 +49,7 @@
 			_ = conn.conn.Close()
 		}
 		if len(ep.waitingAttempts) > ep.pendingDials+len(ep.idleConns) { // no connection is due for one of them
-			n.log.Debug("connect failed", "host", ep.address, "err", err)
+			n.log.Debug("connect failed", "endpoint", ep.address, "err", err)
 			failed := ep.waitingAttempts[0]
 			if last := ep.waitingAttempts[len(ep.waitingAttempts)-1]; last.isHealthCheck {
 				failed = last
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -9,21 +9,22 @@
 	"tulipglade/internal/protocol"
 )
 
-// download is an answer that is too large to be held: it is passed on while it comes in. The first bytes make it the
-// answer of its request, and the attempt has been settled then. Its backend's connection has left the poller.
+// download is an answer that is too large to be buffered: it is forwarded while it is read, with its backend's
+// connection detached from the poller. Its first bytes make it the answer of its request and complete the attempt.
 type download struct {
 	attempt            *attempt
-	awaitingRequestEnd bool     // its connection can't leave yet: the request is still being written
-	earlyInput         [][]byte // what came while the connection left
+	awaitingRequestEnd bool     // the connection can't be detached: the request is still being written
+	earlyInput         [][]byte // what came while the connection was being detached
 	earlyBytes         int
 }
 
-// startDownload has the connection leave the poller. What has come of the answer is in b.in.
+// startDownload detaches the connection from the poller. The input buffer has what has been read of the answer.
 func (b *backendConn) startDownload() {
 	n, att := b.node, b.attempt
-	if result := answerOutcome(&b.message); result != balancer.OutcomeOK || att.request.isDone() || att.isHealthCheck { // nobody wants it
+	// its body is not needed
+	if result := answerOutcome(&b.message); result != balancer.OutcomeOK || att.request.isDone() || att.isHealthCheck {
 		if att.isHealthCheck {
-			result = balancer.OutcomeReset // what it says of its load could not be read
+			result = balancer.OutcomeReset // its load report could not be read
 		}
 		report := headerLoadReport(&b.message)
 		n.closeBackend(b, closeUnwantedDownload)
@@ -36,17 +37,17 @@
 	}
 }
 
-// detachForDownload begins the way out of the poller.
+// detachForDownload starts to detach the connection.
 func (b *backendConn) detachForDownload() {
 	n := b.node
 	b.download.awaitingRequestEnd = false
 	b.detach(func(descriptor *os.File, rest []byte, err error) {
 		n.post(func() { n.startDownloadForwarding(b, descriptor, rest, err) })
-	}) // where it has ended, gone follows
+	}) // if the connection has ended, connectionEnded follows
 }
 
-// startDownloadForwarding gives the client the beginning of its answer. Without a file the backend's connection has ended, and
-// what came of it is all there is.
+// startDownloadForwarding starts the client's answer. Without a descriptor the backend's connection has ended, and its
+// input so far is all there is.
 func (n *Node) startDownloadForwarding(conn *backendConn, descriptor *os.File, rest []byte, err error) {
 	pending := conn.download
 	att := pending.attempt
@@ -64,7 +65,6 @@
 	n.recordIdleOutcome(conn.idleBeforeAttempt, false)
 	conn.idleBeforeAttempt = 0
 	req, in, msg := att.request, conn.input, conn.message
-	client := req.clientConn
 	conn.attempt, conn.input = nil, nil
 	report := headerLoadReport(&msg)
 	if !n.finishRequest(req) {
@@ -73,7 +73,18 @@
 		n.completeAttempt(att, balancer.OutcomeOK, report)
 		return
 	}
-	length := msg.Length()
+	from := source{
+		buffered:     append(pending.earlyInput, rest),
+		descriptor:   descriptor,
+		endedInOrder: descriptor == nil && conn.peerClosedInOrder,
+	}
+	n.forwardDownload(conn, req.clientConn, &forwarder{source: from, message: msg, buffer: in})
+	n.completeAttempt(att, balancer.OutcomeOK, report)
+}
+
+// forwardDownload writes the head of an answer to the client and starts its forwarder, or queues it until there is memory.
+func (n *Node) forwardDownload(conn *backendConn, client *clientConn, fwd *forwarder) {
+	length := fwd.message.Length()
 	switch {
 	case length < 0 && client.http10:
 		length = protocol.UntilClose
@@ -85,10 +96,10 @@
 	client.closeAfterAnswer = client.closeAfterAnswer || n.drain.active || client.upload != nil
 	client.writingAnswer, client.downloadConn = true, conn
 	n.answersInProgress++
-	fwd := &forwarder{source: source{buffered: append(pending.earlyInput, rest), descriptor: descriptor, endedInOrder: descriptor == nil && conn.peerClosedInOrder}, message: msg, buffer: in,
-		chunked: length == protocol.Chunked, write: func(parts ...[]byte) error { return client.socket.write(parts) }}
+	fwd.chunked = length == protocol.Chunked
+	fwd.write = func(parts ...[]byte) error { return client.write(parts) }
 	head := newBuffer()
-	headBytes := protocol.AppendResponse(head.data[:0], 200, msg.Fields, length, !client.closeAfterAnswer, 0)
+	headBytes := protocol.AppendResponse(head.data[:0], 200, fwd.message.Fields, length, !client.closeAfterAnswer, 0)
 	start := func() {
 		n.activeForwarders++
 		go func() {
@@ -107,25 +118,24 @@
 	} else {
 		n.queuedForwarders = append(n.queuedForwarders, start)
 	}
-	n.completeAttempt(att, balancer.OutcomeOK, report)
 }
 
-// downloadFinished is the end of a flow from a backend.
+// downloadFinished processes the end of a forwarder that reads from a backend.
 func (n *Node) downloadFinished(conn *backendConn, client *clientConn, fwd *forwarder, err error, untilClose bool) {
 	complete := err == nil && fwd.writeErr == nil
-	reusable := complete && len(fwd.message.Rest(fwd.buffer.bytes())) == 0 && len(fwd.source.buffered) == 0 && fwd.message.KeepAlive && !fwd.message.UntilEnd()
+	reusable := complete && fwd.endedWithMessage() && fwd.message.KeepAlive && !fwd.message.UntilEnd()
 	fwd.buffer.release()
 	n.forwarderFinished()
 	n.answersInProgress--
 	client.writingAnswer, client.downloadConn = false, nil
 	if !complete {
-		n.warnLimited("answer cut off", "host", conn.endpoint.address, "err", err, "client", fwd.writeErr)
+		n.warnLimited("answer truncated", "endpoint", conn.endpoint.address, "err", err, "write_err", fwd.writeErr)
 	}
 	switch {
 	case client.state == clientClosed:
 	case !complete:
 		client.abortAnswer(untilClose)
-	case client.closeAfterAnswer && client.upload != nil && !client.upload.complete: // the request is still coming in
+	case client.closeAfterAnswer && client.upload != nil && !client.upload.complete: // the request is still being uploaded
 		client.discardAfterEarlyAnswer()
 	case client.closeAfterAnswer:
 		client.closeGracefully(closeLastAnswer)
@@ -138,6 +148,11 @@
 		n.closeBackend(conn, closeNotReusable)
 		return
 	}
+	n.reattachBackend(conn)
+}
+
+// reattachBackend returns a backend's detached connection to the poller and to the pool.
+func (n *Node) reattachBackend(conn *backendConn) {
 	polled, err := attachToPoller(conn.descriptor)
 	if err != nil {
 		conn.descriptor = nil
@@ -154,19 +169,20 @@
 	n.releaseConn(conn)
 }
 
-// abortAnswer ends a connection within an answer, so that its client can tell.
+// abortAnswer closes a connection in the middle of an answer, so that its client can tell.
 func (c *clientConn) abortAnswer(untilClose bool) {
-	if transport, ok := c.conn.(interface{ Fd() int }); ok && untilClose && c.descriptor == nil { // an end in order would look like that of the answer
+	// an orderly end would look like that of the answer
+	if transport, ok := c.conn.(interface{ Fd() int }); ok && untilClose && c.descriptor == nil {
 		_ = unix.SetsockoptLinger(transport.Fd(), unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 	c.close(closeAnswerTruncated)
 }
 
-// maxEarlyDownloadBytes bounds what is kept of a large answer to a request that is still being written. All of it has been written when
-// a backend answers: only the word of that is on its way.
+// maxEarlyDownloadBytes bounds what is buffered of a large answer while its request is still being written. When a
+// backend answers, all of it has usually been written, and only the notification is outstanding.
 const maxEarlyDownloadBytes = 1 << 20
 
-// keepInput keeps what comes while the connection cannot be read in pieces yet.
+// keepInput buffers input that comes before the connection has been detached.
 func (d *download) keepInput(data []byte) error {
 	d.earlyInput = appendCopy(d.earlyInput, data)
 	if d.earlyBytes += len(data); d.awaitingRequestEnd && d.earlyBytes > maxEarlyDownloadBytes {
--- a/internal/node/eventloop_test.go
+++ b/internal/node/eventloop_test.go
@@ -31,13 +31,13 @@
 	runOnLoop(n, func() {
 		n.log = slog.New(slog.NewTextHandler(&out, nil))
 		for range 1000 {
-			n.warnLimited("bad answer", "host", "h")
+			n.warnLimited("malformed answer", "endpoint", "h")
 		}
 		n.runMaintenance()
-		n.warnLimited("bad answer", "host", "h")
+		n.warnLimited("malformed answer", "endpoint", "h")
 		n.log = slog.New(slog.DiscardHandler)
 	})
-	if got := strings.Count(out.String(), "msg=\"bad answer\""); got != maxWarningsPerInterval+1 || !strings.Contains(out.String(), "lines=995") {
+	if got := strings.Count(out.String(), "msg=\"malformed answer\""); got != maxWarningsPerInterval+1 || !strings.Contains(out.String(), "count=995") {
 		t.Errorf("%d lines, and %.300s", got, out.String())
 	}
 }
--- a/internal/node/forwarder.go
+++ b/internal/node/forwarder.go
@@ -12,33 +12,35 @@
 	"tulipglade/internal/protocol"
 )
 
-// Bounds of a message that passes through in pieces.
+// Limits of a message that is forwarded in pieces.
 const (
-	// forwardIdleTimeout is how long either side may neither give nor take anything.
+	// forwardIdleTimeout is how long either side may neither send nor accept anything.
 	forwardIdleTimeout = 10 * time.Second
-	// minBodyRate is what a client must give, in bytes a second, once bodyGrace has passed. Time spent on passing it on does not
-	// count.
+	// minBodyRate is what a client must send, in bytes a second, once bodyGrace has passed. Time spent on forwarding
+	// does not count.
 	minBodyRate = 64_000
 	bodyGrace   = 3 * time.Second
-	// bodyRateTolerance is the part of the rate that is asked for: who gives just as much as he must is never cut off.
+	// bodyRateTolerance is the part of the rate that is enforced, so that a client which just keeps it is never cut
+	// off.
 	bodyRateTolerance = 0.9
-	// forwarderMemory is what one flow takes: its buffer, and the one that the request or the answer began in.
+	// forwarderMemory is what one forwarder takes: its buffer, and the one in which the request or answer began.
 	forwarderMemory = 2 * protocol.BufferSize
 )
 
-// Why a flow ended before its message did.
+// Reasons why reading a message failed.
 var (
 	errBodyTooSlow      = errors.New("body too slow")
 	errMessageTruncated = errors.New("connection ended within a message")
 )
 
-// source is where a flow reads from: what had come before its connection left the poller, and then the connection.
+// source is what a forwarder reads from: input from before its connection was detached, then the connection.
 type source struct {
 	buffered     [][]byte
 	descriptor   *os.File // nil: the connection has ended
-	endedInOrder bool     // … in order
+	endedInOrder bool     // … without a reset
 }
 
+// Read implements io.Reader.
 func (s *source) Read(dst []byte) (int, error) {
 	for len(s.buffered) > 0 {
 		if n := copy(dst, s.buffered[0]); n > 0 {
@@ -56,25 +58,25 @@
 	return s.descriptor.Read(dst)
 }
 
-// forwarder passes the rest of a message on, piece by piece: the next is read when the last has been written. It runs on a
-// goroutine of its own, and only posts to Run's.
+// forwarder forwards the rest of a large message piece by piece: the next piece is read once the last has been
+// written. It runs on a goroutine of its own and only posts to the event loop.
 type forwarder struct {
 	source         source
-	message        protocol.Message // as Tail has it
-	buffer         *buffer          // n: what has been read and not passed on
+	message        protocol.Message // as protocol.Message.Tail returns it
+	buffer         *buffer          // what has been read and not forwarded
 	write          func(parts ...[]byte) error
-	chunked        bool // how it is written
-	enforceMinRate bool // the reader asks for bodyRate
+	chunked        bool // write with chunked framing
+	enforceMinRate bool // the sender must keep up minBodyRate
 	receivedBytes  int64
-	fullyRead      atomic.Bool // all of it has been read
-	maxBytes       int64       // 0: any; more is not read
+	fullyRead      atomic.Bool // the last byte has been read
+	maxBytes       int64       // stop reading after so many; 0: unlimited
 	startedAt      time.Time
-	writeTime      time.Duration
-	writeErr       error  // of the other side: what still comes is dropped
-	onWriteError   func() // called as that happens
+	writeTime      time.Duration // time spent on writing
+	writeErr       error         // why writing has failed: the rest of the message is discarded
+	onWriteError   func()        // called when writeErr is set
 }
 
-// run passes all of it on. It returns why it could not; written says so where that is for the side written to.
+// run forwards the message. It returns why reading failed; writeErr has why writing did.
 func (f *forwarder) run() error {
 	if f.onWriteError == nil {
 		f.onWriteError = func() {}
@@ -106,7 +108,12 @@
 	}
 }
 
-// writePiece writes a piece, and the end behind the last.
+// endedWithMessage reports whether nothing has been read beyond the end of the message.
+func (f *forwarder) endedWithMessage() bool {
+	return len(f.message.Rest(f.buffer.bytes())) == 0 && len(f.source.buffered) == 0
+}
+
+// writePiece writes a piece, and the end of the framing behind the last.
 func (f *forwarder) writePiece(piece []byte, last bool) error {
 	if f.writeErr != nil {
 		return nil
@@ -132,7 +139,7 @@
 	return f.write(parts...)
 }
 
-// readTimeout is how long the next piece may take: what has been given allows for so much time since the beginning.
+// readTimeout is how long the next piece may take: the sender has earned time by what it has sent so far.
 func (f *forwarder) readTimeout(now time.Time) time.Duration {
 	if !f.enforceMinRate {
 		return forwardIdleTimeout
@@ -141,7 +148,7 @@
 	return min(bodyGrace+earned-(now.Sub(f.startedAt)-f.writeTime), forwardIdleTimeout)
 }
 
-// readPiece takes the next piece in.
+// readPiece reads the next piece.
 func (f *forwarder) readPiece() error {
 	if f.maxBytes > 0 && f.receivedBytes > f.maxBytes {
 		return errMessageTruncated
--- a/internal/node/forwarderlimit.go
+++ b/internal/node/forwarderlimit.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// maxForwarders is how many large messages may pass through at once: a quarter of the memory is for them.
+// maxForwarders is how many large messages may be forwarded at once: a quarter of the memory limit is for them.
 func (n *Node) maxForwarders() int {
 	if n.settings.MemoryLimit <= 0 {
 		return math.MaxInt
@@ -14,7 +14,7 @@
 	return max(limit/max(n.processCount, 1), 4)
 }
 
-// forwarderFinished lets the next one go on that waits for room.
+// forwarderFinished starts the next forwarder that waits for memory.
 func (n *Node) forwarderFinished() {
 	n.activeForwarders--
 	for len(n.queuedForwarders) > 0 && n.activeForwarders < n.maxForwarders() {
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -5,30 +5,40 @@
 	"tulipglade/internal/protocol"
 )
 
-// maxHealthChecksPerEndpoint is how many probes may be out at one host. A host that accepts and never answers holds so many connections
-// at most, each for the time limit of a connection; what the module asks for beyond that has not been asked.
+// maxHealthChecksPerEndpoint is how many health checks may be in flight to one endpoint. A backend that accepts and
+// never answers holds so many connections at most, each for ConnectTimeout; what the balancer asks for beyond that is
+// not sent.
 const maxHealthChecksPerEndpoint = 8
 
-// What a probe asks for: with a report where the deployment has reports, else only whether the process runs.
+// Paths of health checks: with a load report if the deployment has reports, else only whether the process runs.
 const (
 	loadCheckPath     = "/status/load"
 	livenessCheckPath = "/health"
 )
 
-// CheckHealth asks a host for its load. The module hears of exactly one outcome through Checked.
+// CheckHealth implements balancer.Commands: it asks an endpoint for its load. The balancer is notified of exactly one
+// outcome by HandleHealthCheck. A health check travels as an attempt without a request: on the same connections, with
+// the same failures and one outcome. Attempts that wait for a connection are served before it, and no connection is
+// closed to make descriptors available for it.
 func (n *Node) CheckHealth(endpointID balancer.EndpointID) {
 	ep := n.endpoints[endpointID]
 	if ep == nil {
-		n.log.Error("probe without a host", "host", endpointID)
+		n.log.Error("health check of unknown endpoint", "endpoint_id", endpointID)
 		return
 	}
 	now := n.now()
 	current, _ := n.balancer.ListCurrent(now)
-	att := &attempt{isHealthCheck: true, request: &request{settings: n.settings}, endpoint: ep, startedAt: now, deadline: now + n.settings.ConnectTimeout}
+	att := &attempt{
+		isHealthCheck: true,
+		request:       &request{settings: n.settings},
+		endpoint:      ep,
+		startedAt:     now,
+		deadline:      now + n.settings.ConnectTimeout,
+	}
 	ep.pendingHealthChecks++
 	switch {
 	case ep.state != protocol.InService, !n.settings.Balancer.AllowHealthChecks, !current:
-		n.completeAttempt(att, balancer.OutcomeNotSent, nil) // it wants nothing new
+		n.completeAttempt(att, balancer.OutcomeNotSent, nil) // nothing may be sent there
 	case ep.pendingHealthChecks > maxHealthChecksPerEndpoint:
 		n.completeAttempt(att, balancer.OutcomeNotSent, nil)
 	case len(ep.idleConns) == 0 && n.descriptorLimit() > 0 && n.openDescriptors+1 > n.descriptorLimit()-reservedDescriptors:
@@ -39,7 +49,7 @@
 	}
 }
 
-// appendHealthCheck appends the request of a probe.
+// appendHealthCheck appends the request of a health check.
 func (n *Node) appendHealthCheck(dst []byte, ep *endpoint) []byte {
 	path := livenessCheckPath
 	if n.settings.LoadReports {
@@ -48,7 +58,7 @@
 	return append(append(append(append(append(dst, "GET "...), path...), " HTTP/1.1\r\nHost: "...), ep.address...), "\r\n\r\n"...)
 }
 
-// healthCheckDone tells the module how a probe has ended.
+// healthCheckDone notifies the balancer of the outcome of a health check.
 func (n *Node) healthCheckDone(att *attempt, outcome balancer.Outcome, report *balancer.LoadReport) {
 	took := n.now() - att.startedAt
 	n.deferred = append(n.deferred, func() {
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -23,14 +23,20 @@
 // ExportState passes on this node's state, with half of what is left of warming endpoints' budgets.
 func (n *Node) ExportState(deliver func(HotRestartState)) {
 	n.post(func() { // posted, so that the list with which the process started is included
-		state := HotRestartState{EndpointList: protocol.List{Rev: n.listRevision, All: true}, Classes: n.settings.Classes, Tenants: n.settings.Tenants, RequestIDs: map[string]int64{}}
+		state := HotRestartState{
+			EndpointList: protocol.List{Rev: n.listRevision, All: true},
+			Classes:      n.settings.Classes,
+			Tenants:      n.settings.Tenants,
+			RequestIDs:   map[string]int64{},
+		}
 		for uid, ep := range n.endpointsByUID {
 			if ep.removedAt == 0 {
 				state.EndpointList.Targets = append(state.EndpointList.Targets, ep.target(uid))
 			}
 		}
 		for _, req := range n.requests {
-			if expiresAt := min(req.deadline, n.now()+req.settings.Balancer.Classes[req.class].Deadline); len(state.RequestIDs) < maxHandedOverIDs && req.message != nil {
+			expiresAt := min(req.deadline, n.now()+req.settings.Balancer.Classes[req.class].Deadline)
+			if len(state.RequestIDs) < maxHandedOverIDs && req.message != nil {
 				state.RequestIDs[string(req.message.Get("x-trace-id"))] = expiresAt
 			}
 		}
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -11,8 +11,8 @@
 // always costs far more than it saves.
 const reuseDelay = 10_000
 
-// Hosts, or what is between, may drop idle connections sooner than told, and without a word: the next request is
-// reset, and counts as one that may have run. So the node learns after how long connections break at once.
+// Backends, or what is between, may close idle connections sooner than configured, and without notice: the next request is
+// reset and counts as one that may have run. So the node learns after which idle time connections break at once.
 const (
 	idleOutcomeDecay     = 0.95       // weight of earlier attempts with each new one
 	minIdleSamples       = 3          // attempts before a limit is derived
@@ -39,7 +39,7 @@
 	if record.attempts >= minIdleSamples-0.2 && record.failures > idleFailureThreshold*record.attempts {
 		*record = idleOutcome{}
 		n.learnedIdleLimit, n.learnedIdleLimitUntil = int64(math.Exp2(float64(bucket)/2)), n.now()+observationLifetime
-		n.log.Info("idle connections break", "after_us", n.learnedIdleLimit)
+		n.log.Info("shorter idle timeout learned", "after_us", n.learnedIdleLimit)
 	}
 }
 
--- a/internal/node/loadreport.go
+++ b/internal/node/loadreport.go
@@ -7,10 +7,12 @@
 	"tulipglade/internal/protocol"
 )
 
+// headerLoadReport reads the load report in the head of an answer; nil: there is none.
 func headerLoadReport(msg *protocol.Message) *balancer.LoadReport {
 	return parseLoadReport(msg.Get(protocol.LoadHeader))
 }
 
+// parseLoadReport parses a load report; nil: it is malformed.
 func parseLoadReport(text []byte) *balancer.LoadReport {
 	if load, ok := protocol.ParseLoad(text); ok {
 		return &balancer.LoadReport{Outstanding: load.Outstanding, Backlog: load.Backlog, Utilization: load.Utilization}
@@ -18,7 +20,8 @@
 	return nil
 }
 
-// healthCheckReport is what the answer to a probe says of its host's load: in its body, or as any answer may.
+// healthCheckReport reads the load report in the answer to a health check: in its body, or in its head as in any
+// answer.
 func healthCheckReport(msg *protocol.Message, body []byte) *balancer.LoadReport {
 	if report := headerLoadReport(msg); report != nil {
 		return report
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -20,7 +20,7 @@
 	n.deleteExpiredEndpoints()
 	for message, count := range n.warningCounts {
 		if count > maxWarningsPerInterval {
-			n.log.Warn("lines left out", "of", message, "lines", count-maxWarningsPerInterval)
+			n.log.Warn("warnings suppressed", "message", message, "count", count-maxWarningsPerInterval)
 		}
 	}
 	clear(n.warningCounts)
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -4,14 +4,14 @@
 	"errors"
 )
 
-// What an operator can be told.
+// Errors that operators get.
 var (
 	errNoEndpoints = errors.New("no backend has been named yet")
 	errStopping    = errors.New("the process is stopping")
 )
 
-// Status tells whether this process can serve: it has been told of a backend, and is not about to end. That it is in
-// standby does not count.
+// Status reports whether this process can serve: an endpoint is known, and no shutdown is in progress. A standby
+// makes no difference.
 func (n *Node) Status(reply func(error)) {
 	n.postPriority(func() {
 		switch {
@@ -25,7 +25,7 @@
 	})
 }
 
-// Standby sends clients away until Active. Where the node is on its way out already, nothing changes.
+// Standby drains the node until Active is called. It has no effect on a drain in progress.
 func (n *Node) Standby(reply func(error)) {
 	n.postPriority(func() {
 		n.startDraining("standby")
@@ -33,7 +33,7 @@
 	})
 }
 
-// Active takes a standby back, at any point of it. A stop can't be taken back.
+// Active ends a standby at any point of it. A shutdown can't be revoked.
 func (n *Node) Active(reply func(error)) {
 	n.postPriority(func() {
 		if n.drain.stopping {
--- a/internal/node/peerstate.go
+++ b/internal/node/peerstate.go
@@ -5,18 +5,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// peerState is how the other side of a connection stands.
+// peerState is the state of the peer's side of a connection.
 type peerState uint8
 
 const (
 	peerOpen     peerState = iota
-	peerFinished           // it has closed its side in order
-	peerBroken             // it was reset, or there is no telling
+	peerFinished           // closed in order
+	peerBroken             // reset, or unknown
 )
 
-// peerStateOf reads that off the events of poll(2): a reset ends both directions, and says so for as long as the descriptor lives, while
-// the end of the other side leaves ours open. The state in TCP_INFO is no proof: beneath a system call layer that is not the
-// kernel's own it has been seen to say CLOSE_WAIT for both.
+// peerStateOf derives the state from the events of poll(2): a reset ends both directions and shows for as long as the
+// descriptor lives, while an orderly end leaves this side open. The state in TCP_INFO proves nothing: under a system
+// call layer other than the kernel's own it has been seen to say CLOSE_WAIT for both.
 func peerStateOf(revents int16) peerState {
 	switch {
 	case revents&(unix.POLLHUP|unix.POLLERR|unix.POLLNVAL) != 0:
@@ -27,7 +27,7 @@
 	return peerOpen
 }
 
-// queryPeerState asks the kernel. Whoever asks must hold the descriptor open.
+// queryPeerState asks the kernel. The caller must keep the descriptor open.
 func queryPeerState(conn netpoll.Connection) peerState {
 	c, ok := conn.(interface{ Fd() int })
 	if !ok {
--- a/internal/node/poller.go
+++ b/internal/node/poller.go
@@ -10,22 +10,22 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// pollerBacklog counts what the poller has set off and the rest of the node has not seen to: handlers at work, pieces of input on
-// their way to Run's goroutine, connections about to leave.
+// pollerBacklog counts what the poller has caused and the node has not processed: running handlers, input posted to
+// the event loop, connections that are being detached.
 var pollerBacklog atomic.Int64
 
 // maxPollerYields bounds how long the poller waits for that.
 const maxPollerYields = 200
 
-// ConfigurePoller sets up the poller that nodes of this process share: one, which waits a little for what it has set off.
-// It reads whatever is there: left alone, it would take in some MB of a large message before anybody could tell it that
-// nobody wants more for now.
+// ConfigurePoller sets up the one poller that all nodes of this process share. It waits a little for what it has
+// caused: as it reads all there is, it would otherwise buffer some MB of a large message before the node could stop
+// it.
 func ConfigurePoller(log io.Writer) (err error) {
 	configurePollerOnce.Do(func() { err = configurePoller(log) })
 	return err
 }
 
-// configurePollerOnce is once for each process: the poller is running after that.
+// configurePollerOnce guards the configuration, as the poller runs after the first one.
 var configurePollerOnce sync.Once
 
 func configurePoller(log io.Writer) error {
--- a/internal/node/pollerbarrier.go
+++ b/internal/node/pollerbarrier.go
@@ -12,20 +12,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// pollerBarrier waits until the poller has done with all events that it had at hand: a byte sent through it comes behind
-// them.
+// pollerBarrier waits until the poller has processed all events that it has taken from the kernel: a byte written to
+// a pipe that it polls comes behind them.
 type pollerBarrier struct {
 	mu      sync.Mutex
 	pipe    *os.File
 	waiters []chan struct{}
 }
 
-// sharedPollerBarrier is the one there is: netpoll keeps one set of pollers for the process, and a node has it keep one.
+// sharedPollerBarrier is the only one: netpoll has one set of pollers in a process, which a node limits to one.
 var sharedPollerBarrier pollerBarrier
 
-// barrierTimeout bounds the wait: a poller that takes longer has hung.
+// barrierTimeout bounds the wait: a poller that takes longer hangs.
 const barrierTimeout = 2 * time.Second
 
+// wait returns once the poller has processed the events that it has taken from the kernel.
 func (b *pollerBarrier) wait() error {
 	passed := make(chan struct{})
 	b.mu.Lock()
@@ -51,7 +52,7 @@
 	}
 }
 
-// open makes the pipe, when it is first needed.
+// open creates the pipe when it is first needed.
 func (b *pollerBarrier) open() error {
 	var fds [2]int
 	if err := unix.Pipe2(fds[:], unix.O_CLOEXEC|unix.O_NONBLOCK); err != nil {
@@ -66,7 +67,7 @@
 	return conn.SetOnRequest(b.onBytes)
 }
 
-// onBytes lets as many go on as bytes have come through.
+// onBytes releases as many waiters as bytes have come through.
 func (b *pollerBarrier) onBytes(_ context.Context, conn netpoll.Connection) error {
 	n := conn.Reader().Len()
 	if err := conn.Reader().Skip(n); err != nil {
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -17,7 +17,7 @@
 	}
 	resting := len(ep.idleConns)+ep.pendingDials > len(ep.waitingAttempts) && len(ep.idleConns) > 0
 	if !resting && !att.isHealthCheck && !n.reserveDescriptors(1) {
-		n.warnLimited("no descriptor for a connection", "descriptors", n.openDescriptors)
+		n.warnLimited("no descriptor for backend connection", "descriptors", n.openDescriptors)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 		return
 	}
@@ -99,7 +99,7 @@
 		}
 	}
 	if ep.state != protocol.InService {
-		n.closeIdleBackends(ep, closeEndpointChanged)
+		n.closeIdleBackends(ep)
 	}
 }
 
@@ -143,8 +143,8 @@
 }
 
 // closeIdleBackends closes an endpoint's idle connections because it drains, was removed or has restarted.
-func (n *Node) closeIdleBackends(ep *endpoint, reason closeReason) {
+func (n *Node) closeIdleBackends(ep *endpoint) {
 	for len(ep.idleConns) > 0 {
-		n.closeBackend(ep.idleConns[0], reason)
+		n.closeBackend(ep.idleConns[0], closeEndpointChanged)
 	}
 }
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -4,15 +4,15 @@
 	"tulipglade/internal/balancer"
 )
 
-// Reconfigure takes up new settings, which must be sound: their Module is one that tulipglade.New takes. Requests that are
-// open, and what they lead to, keep the settings that they came under. What was learned of a class or a tenant lives on
-// under its name.
+// Reconfigure puts new settings in force. They must be valid: balancer.New accepts their Balancer part. Open requests
+// and what follows from them keep the settings under which they were admitted. What was learned of a class or tenant
+// is kept under its name.
 func (n *Node) Reconfigure(set Settings) {
 	n.post(func() { n.applySettings(set) })
 }
 
-// applySettings gives each class and tenant a number. One that stays as it is keeps its own; a class that changes gets
-// another, as those of its requests that are open keep the old rules; numbers that only open requests have stay as they are.
+// applySettings gives each class and tenant a number. A class that stays the same keeps its number; one that changes
+// gets another, as open requests of it keep the old rules; numbers that only open requests use stay the same.
 func (n *Node) applySettings(settings Settings) {
 	previous := n.settings
 	settings.addDefaultTenant()
@@ -39,8 +39,9 @@
 	for i, k := range classes {
 		if k >= 0 {
 			settings.Classes, settings.Balancer.Classes = append(settings.Classes, classNames[k]), append(settings.Balancer.Classes, classRules[k])
-		} else { // of open requests only, or of nobody
-			settings.Classes, settings.Balancer.Classes = append(settings.Classes, previous.Classes[i]), append(settings.Balancer.Classes, previous.Balancer.Classes[i])
+		} else { // used by open requests only, or unused
+			settings.Classes = append(settings.Classes, previous.Classes[i])
+			settings.Balancer.Classes = append(settings.Balancer.Classes, previous.Balancer.Classes[i])
 		}
 	}
 	tenantNames, shares := settings.Tenants, settings.Balancer.Tenants
@@ -55,7 +56,8 @@
 		if k >= 0 {
 			settings.Tenants, settings.Balancer.Tenants = append(settings.Tenants, tenantNames[k]), append(settings.Balancer.Tenants, shares[k])
 		} else {
-			settings.Tenants, settings.Balancer.Tenants = append(settings.Tenants, previous.Tenants[i]), append(settings.Balancer.Tenants, balancer.Tenant{})
+			settings.Tenants = append(settings.Tenants, previous.Tenants[i])
+			settings.Balancer.Tenants = append(settings.Balancer.Tenants, balancer.Tenant{})
 		}
 	}
 	if err := n.balancer.Reconfigure(n.now(), settings.Balancer, classesFrom, tenantsFrom); err != nil {
@@ -67,9 +69,9 @@
 	n.log.Info("settings taken up", "classes", classNames, "attempts", settings.Balancer.MaxAttempts, "tenants", tenantNames)
 }
 
-// assignNumbers gives each of the new names a number: its own where it stays, else one that nobody has, else a further one.
-// at tells, for each number, which of the new names has it, or -1; from whose learning it goes on with, by the old
-// numbers, or -1.
+// assignNumbers gives each of the new names a number: its own if origin says that it is kept, else an unused one,
+// else the next higher. For each number, nameAt has the index of the new name that has it, and learnedFrom the old
+// number whose learned state it continues; -1: none.
 func assignNumbers(used []bool, names []string, origin func(name int) (kept, learned int)) (nameAt, learnedFrom []int) {
 	nameAt, learnedFrom = make([]int, len(used)), make([]int, len(used))
 	for number := range nameAt {
@@ -94,13 +96,13 @@
 		}
 		nameAt[free], learnedFrom[free] = name, learned
 	}
-	for len(nameAt) > 0 && nameAt[len(nameAt)-1] < 0 && !used[len(nameAt)-1] { // nobody's, at the end
+	for len(nameAt) > 0 && nameAt[len(nameAt)-1] < 0 && !used[len(nameAt)-1] { // unused ones at the end
 		nameAt, learnedFrom, used = nameAt[:len(nameAt)-1], learnedFrom[:len(learnedFrom)-1], used[:len(used)-1]
 	}
 	return nameAt, learnedFrom
 }
 
-// activeIndex is the index of those that new requests may name.
+// activeIndex maps the names that new requests may use to their numbers.
 func activeIndex(nameAt []int, names []string) map[string]int {
 	index := make(map[string]int, len(names))
 	for number, name := range nameAt {
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -73,10 +73,10 @@
 			n.endpointRemoved(ep)
 		case ep.address != target.Endpoint || ep.bootMillis != target.BootMs: // a new process
 			ep.incarnation++
-			n.closeIdleBackends(ep, closeEndpointChanged)
+			n.closeIdleBackends(ep)
 			ep.address = target.Endpoint
 		case target.State == protocol.Terminating: // no attempt starts there any more
-			n.closeIdleBackends(ep, closeEndpointChanged)
+			n.closeIdleBackends(ep)
 		}
 		ep.bootMillis, ep.zone, ep.cell, ep.weight = target.BootMs, target.Zone, target.Cell, target.Weight
 		zone, ok := n.zoneIndex[target.Zone]
@@ -85,8 +85,15 @@
 		}
 		phase := map[protocol.State]balancer.Phase{protocol.InService: balancer.PhaseReady,
 			protocol.Terminating: balancer.PhaseDraining, protocol.Terminated: balancer.PhaseRemoved}[target.State]
-		changed = append(changed, balancer.Endpoint{ID: ep.id, StableKey: xxhash.Sum64String(target.UID), Phase: phase, Zone: zone, Cell: target.Cell, Weight: target.Weight,
-			StartedAt: target.BootMs * 1000})
+		changed = append(changed, balancer.Endpoint{
+			ID:        ep.id,
+			StableKey: xxhash.Sum64String(target.UID),
+			Phase:     phase,
+			Zone:      zone,
+			Cell:      target.Cell,
+			Weight:    target.Weight,
+			StartedAt: target.BootMs * 1000,
+		})
 	}
 	for _, ep := range n.endpoints {
 		if kind != balancer.ListDelta && !listed[ep] && ep.removedAt == 0 {
@@ -105,7 +112,7 @@
 func (n *Node) endpointRemoved(ep *endpoint) {
 	ep.removedAt = n.now()
 	ep.incarnation++
-	n.closeIdleBackends(ep, closeEndpointChanged)
+	n.closeIdleBackends(ep)
 }
 
 // deleteExpiredEndpoints deletes endpoints that were removed long ago, as every rollout of backends brings new ones.
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -32,8 +32,15 @@
 	id, traceID := req.id, req.traceID
 	n.requestIDsInUse[traceID] = struct{}{}
 	n.scheduleAt(req.deadline+n.settings.OverdueGrace, func() { n.expireOverdue(id, traceID) })
-	n.balancer.HandleRequest(n.now(), balancer.Request{ID: req.id, Class: req.class, Tenant: req.tenant, Deadline: req.deadline,
-		AffinityKey: protocol.AffinityKey(req.message.Target), IsRetry: string(req.message.Get("x-second-try")) == "1", CostHint: parseSizeHint(req.message.Get("x-size-hint"))})
+	n.balancer.HandleRequest(n.now(), balancer.Request{
+		ID:          req.id,
+		Class:       req.class,
+		Tenant:      req.tenant,
+		Deadline:    req.deadline,
+		AffinityKey: protocol.AffinityKey(req.message.Target),
+		IsRetry:     string(req.message.Get("x-second-try")) == "1",
+		CostHint:    parseSizeHint(req.message.Get("x-size-hint")),
+	})
 }
 
 // expireOverdue answers a request that has no answer when its time is over, and releases its trace ID.
@@ -45,7 +52,7 @@
 	}
 	delete(n.requestIDsInUse, traceID)
 	if req != nil && !req.isDone() { // the balancer should have answered; the client must not wait for ever
-		n.log.Error("request overdue", "id", req.id, "attempts", len(req.attempts))
+		n.log.Error("request overdue", "request_id", req.id, "attempts", len(req.attempts))
 		n.answer(req, nil, 504, nil, []byte("overdue\n"), 0)
 		n.balancer.HandleCancellation(n.now(), req.id)
 	}
@@ -57,7 +64,7 @@
 // answer gives a request its one answer; source is the buffer into which fields and body point.
 func (n *Node) answer(req *request, source *buffer, status int, fields []protocol.Field, body []byte, retryAfter int64) {
 	if n.finishRequest(req) {
-		n.traceRequest(req, "answered", "status", status, "attempts", len(req.attempts))
+		n.traceRequest(req, "request answered", "status", status, "attempts", len(req.attempts))
 		req.clientConn.reply(source, status, fields, body, retryAfter)
 	} else {
 		source.release()
@@ -81,13 +88,22 @@
 // that is larger than a connection accepts at once would be written whenever its backend reads on.
 func (n *Node) abortPartialWrites(req *request) {
 	for _, att := range req.attempts {
-		if conn := att.conn; att.state == attemptAssigned && conn.attempt == att && conn.state == backendWriting && conn.download == nil && att.deadline != noDeadline {
-			n.closeBackend(conn, closeRequestAnswered)
+		if att.isPartlyWritten() {
+			n.closeBackend(att.conn, closeRequestAnswered)
 			n.completeAttempt(att, balancer.OutcomeCanceled, nil)
 		}
 	}
 }
 
+// isPartlyWritten reports whether the end of the attempt's buffered request is not known to have been written.
+func (a *attempt) isPartlyWritten() bool {
+	return a.state == attemptAssigned &&
+		a.conn.attempt == a &&
+		a.conn.state == backendWriting &&
+		a.conn.download == nil &&
+		a.deadline != noDeadline
+}
+
 // releaseRequest deletes a request that is done and has no attempt in flight.
 func (n *Node) releaseRequest(req *request) {
 	if req.state == requestDone && req.pendingAttempts == 0 {
@@ -101,7 +117,7 @@
 // clientDisconnected cancels a request whose client has disconnected.
 func (n *Node) clientDisconnected(req *request) {
 	if n.finishRequest(req) {
-		n.traceRequest(req, "client gone", "attempts", len(req.attempts))
+		n.traceRequest(req, "client disconnected", "attempts", len(req.attempts))
 		n.balancer.HandleCancellation(n.now(), req.id)
 	}
 }
--- a/internal/node/requesttrace.go
+++ b/internal/node/requesttrace.go
@@ -7,25 +7,25 @@
 	"tulipglade/internal/safety"
 )
 
-// logWithheld notes an attempt that was decided on and may not begin any more.
+// logWithheld traces an attempt that was decided on and may not start any more.
 func (n *Node) logWithheld(att *attempt, reason safety.Reason) {
-	n.traceRequest(att.request, "attempt withheld", "attempt", att.number, "host", att.endpoint.address, "reason", reason.String())
+	n.traceRequest(att.request, "attempt withheld", "attempt", att.number, "endpoint", att.endpoint.address, "reason", reason.String())
 }
 
-// traceRequest writes a line on one request where lines on each are wanted.
+// traceRequest logs a step of a request if tracing is on.
 func (n *Node) traceRequest(req *request, message string, args ...any) {
 	if !n.traceRequests || req == nil {
 		return
 	}
-	n.log.Debug(message, append([]any{"trace", req.loggedTraceID()}, args...)...)
+	n.log.Debug(message, append([]any{"trace_id", req.loggedTraceID()}, args...)...)
 }
 
-// traceClient does so for a client's connection.
+// traceClient logs a step of a client's connection if tracing is on.
 func (n *Node) traceClient(client *clientConn, message string, args ...any) {
 	if n.traceRequests && client.conn != nil {
 		n.log.Debug(message, append([]any{"client", client.conn.RemoteAddr().String()}, args...)...)
 	}
 }
 
-// debugEnabled tells whether lines on each request are wanted.
+// debugEnabled reports whether each step of each request is to be logged.
 func debugEnabled(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
--- a/internal/node/sendrequest.go
+++ b/internal/node/sendrequest.go
@@ -46,12 +46,13 @@
 	if req.upload != nil {
 		length, remaining = req.message.Length(), req.uploadTimeout
 	}
-	remaining = max(remaining-min(maxWriteDelay, remaining/10), 1000)
+	remaining = statedTimeout(remaining)
 	first := firstByte{statedTimeout: remaining}
 	if _, until := n.balancer.ListCurrent(n.now()); n.settings.Balancer.ListLease > 0 {
 		first.listExpiresAt = until
 	}
-	n.traceRequest(req, "attempt", "attempt", att.number, "host", conn.endpoint.address, "rev", n.listRevision, "left_us", remaining, "idle_us", conn.idleBeforeAttempt)
+	n.traceRequest(req, "attempt started", "attempt", att.number, "endpoint", conn.endpoint.address, "rev", n.listRevision,
+		"remaining_us", remaining, "idle_us", conn.idleBeforeAttempt)
 	headBytes := protocol.AppendRequest(head.data[:0], &req.message.Head, length, remaining/1000)
 	parts := [][]byte{headBytes, body}
 	if length < 0 && len(body) > 0 {
@@ -63,21 +64,33 @@
 		if first.writtenAt = startedAt; !errors.Is(err, errWriteDelayed) {
 			n.audit(att, first)
 		}
-		switch {
-		case conn.state == backendClosed:
-		case errors.Is(err, errWriteDelayed):
-			n.retryDelayedWrite(conn, att)
-		case req.upload != nil && err == nil && !conn.answerComplete && !conn.peerEndedEarly && !req.isDone():
-			n.forwardUpload(conn, att)
-		case req.upload != nil: // incomplete: it has never started
-			n.closeBackend(conn, closeRequestIncomplete)
-			n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
-		default:
-			n.requestSent(conn, att, err)
-		}
+		n.requestWritten(conn, att, err)
 	}, parts...)
 }
 
+// statedTimeout is the time that a request states to its backend, in microseconds: what remains less an allowance for a
+// delayed write, and at least the one millisecond that the header can express.
+func statedTimeout(remaining int64) int64 {
+	return max(remaining-min(maxWriteDelay, remaining/10), 1000)
+}
+
+// requestWritten processes the end of the write that sendRequest has started.
+func (n *Node) requestWritten(conn *backendConn, att *attempt, err error) {
+	req := att.request
+	switch {
+	case conn.state == backendClosed:
+	case errors.Is(err, errWriteDelayed):
+		n.retryDelayedWrite(conn, att)
+	case req.upload != nil && err == nil && !conn.answerComplete && !conn.peerEndedEarly && !req.isDone():
+		n.forwardUpload(conn, att)
+	case req.upload != nil: // incomplete: it has never started
+		n.closeBackend(conn, closeRequestIncomplete)
+		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
+	default:
+		n.requestSent(conn, att, err)
+	}
+}
+
 // retryDelayedWrite handles an attempt whose write was delayed so long that not a byte was written: it is checked and
 // sent again on the same connection.
 func (n *Node) retryDelayedWrite(conn *backendConn, att *attempt) {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -7,46 +7,47 @@
 	"tulipglade/internal/safety"
 )
 
-// A node leaves in one way, whoever asks it to: an operator's standby, which /active takes back, or the end of the
-// process. Clients are sent away; what has been taken is answered.
+// Steps of a drain, which a standby and the end of the process have in common, in microseconds from its start.
+// Clients are sent elsewhere; what has been admitted is answered.
 const (
-	// idleCloseDelay is when idle connections close, in microseconds from the call. Until then each answer closes its own:
-	// a close that crosses a request turns that back, and the front sends new connections for 0.3 s.
+	// idleCloseDelay is when idle connections are closed. Until then each answer closes its own: a close that crosses
+	// a request rejects it, and the front end takes 0.3 s to send new connections elsewhere.
 	idleCloseDelay = 500_000
-	// rejectDelay is when requests that still come are refused: 4 s after the call no client may be held, nor one whose
+	// rejectDelay is when new requests are rejected: 4 s after the start no client may be kept waiting, nor one whose
 	// request came in the last 2 s of these.
 	rejectDelay = 1_500_000
-	// drainCheckInterval is how often connections are looked at from then on.
+	// drainCheckInterval is the time between two checks of idle connections.
 	drainCheckInterval = 100_000
-	// partialRequestGrace bounds the wait, at a stop, for requests that are still coming in.
+	// partialRequestGrace bounds the wait for incomplete requests at the end of the process.
 	partialRequestGrace = 2_000_000
 )
 
-// A process that has been told to end is killed no sooner than the longest deadline, 3 s at most, and 0.7 s later (protocol, figures). What came
-// in those 0.7 s may be open then; what came later must have its answer.
+// A process that has been told to end is killed no sooner than after the longest deadline, 3 s at most, and 0.7 s
+// more (see the figures of the protocol), in microseconds. A request of the first 0.7 s may be unanswered then; a
+// later one must be answered.
 const (
 	killDeadline         = 3_000_000
 	killGrace            = 700_000
-	finalAnswerMargin    = 100_000 // for the last answers' way out
-	partialRequestMargin = 300_000 // so long before it, connections are shut that still hold a part of a request
+	finalAnswerMargin    = 100_000 // for the transmission of the last answers
+	partialRequestMargin = 300_000 // so long before it, connections with an incomplete request are closed
 )
 
-// drainState is where a node stands on its way out of service.
+// drainState is the progress of a graceful shutdown, or of a standby.
 type drainState struct {
-	active               bool  // /ready says no, and each answer closes its connection
-	rejecting            bool  // what still comes is refused
-	stopping             bool  // the process ends; otherwise it is a standby
-	startedAt            int64 // when it began
-	generation           int   // counts drains: the timers of an earlier one do nothing
+	active               bool // /ready answers 503, and each answer closes its connection
+	rejecting            bool // new requests are rejected
+	stopping             bool // the process ends; otherwise this is a standby
+	startedAt            int64
+	generation           int   // counts drains: the timers of an earlier one have no effect
 	stopRequestedAt      int64 // when the process was told to end
-	partialRequestsUntil int64 // until when a stop waits for what is coming in
-	answersDueBy         int64 // by when all must have been answered, and last answers been read
-	closingAll           bool  // all has been answered, and nobody is heard any more
+	partialRequestsUntil int64 // until when the end of the process waits for incomplete requests
+	answersDueBy         int64 // when all requests must be answered, and all answers read
+	closingAll           bool  // all requests are answered: every connection is being closed
 	onDrained            func()
 }
 
-// Drain makes the node leave for good: as Standby does, and after grace done is called as soon as all that was taken
-// has been answered.
+// Drain starts a graceful shutdown: it drains as Standby does and calls done, at the earliest after grace, once all
+// admitted requests are answered.
 func (n *Node) Drain(grace time.Duration, done func()) {
 	n.postPriority(func() {
 		if n.drain.stopping {
@@ -55,14 +56,20 @@
 		n.startDraining("draining")
 		n.drain.stopping = true
 		now := n.now()
-		killed := now + min(n.longestDeadline(), killDeadline) + killGrace
-		n.drain.stopRequestedAt, n.drain.answersDueBy = now, killed-finalAnswerMargin
-		n.drain.partialRequestsUntil = min(now+partialRequestGrace, killed-partialRequestMargin)
+		n.drain.setDeadlines(now, n.longestDeadline())
 		n.scheduleAt(max(now+grace.Microseconds(), n.drain.startedAt+idleCloseDelay), func() { n.drain.onDrained = done })
 	})
 }
 
-// startDraining begins a drain, if none is on.
+// setDeadlines derives the deadlines of a shutdown from its start and the longest deadline of a request.
+func (d *drainState) setDeadlines(now, longestDeadline int64) {
+	killedAt := now + min(longestDeadline, killDeadline) + killGrace
+	d.stopRequestedAt = now
+	d.answersDueBy = killedAt - finalAnswerMargin
+	d.partialRequestsUntil = min(now+partialRequestGrace, killedAt-partialRequestMargin)
+}
+
+// startDraining begins a drain unless one is in progress.
 func (n *Node) startDraining(message string) {
 	if n.drain.active {
 		return
@@ -73,7 +80,7 @@
 	n.scheduleAt(n.drain.startedAt+idleCloseDelay, func() { n.drainTick(generation) })
 }
 
-// drainTick closes what is idle, again and again until the drain is over.
+// drainTick closes idle connections, again and again until the drain is over.
 func (n *Node) drainTick(generation int) {
 	if !n.drain.active || n.drain.generation != generation {
 		return
@@ -84,8 +91,8 @@
 	n.scheduleAt(now+drainCheckInterval, func() { n.drainTick(generation) })
 }
 
-// closeIdleClients closes the connections that hold nothing, not even a part of a request, but for new ones that are
-// about to ask.
+// closeIdleClients closes connections that hold no request, not even a part of one, except new ones on which the
+// first request is expected.
 func (n *Node) closeIdleClients() {
 	for _, conns := range []*list.List{&n.newClients, &n.idleClients} {
 		for element := conns.Front(); element != nil; {
@@ -98,11 +105,15 @@
 	}
 }
 
-// checkDrained ends a stop in this order: all is answered; every connection is shut, also such as have just come; their clients have seen
-// that, and closed. What crosses this is never read, and its client sees an end in order: a process that ends would reset it.
+// checkDrained ends a graceful shutdown in this order: all requests are answered; every connection is closed
+// gracefully, new ones too; all clients have seen that and closed their side. What crosses this is never read, and
+// its client sees an orderly end of the connection: the end of the process would reset it.
 func (n *Node) checkDrained() {
 	now := n.now()
-	if n.drain.onDrained == nil || n.openRequests > 0 || n.answersInProgress > 0 || now < n.drain.partialRequestsUntil && n.hasIncomingRequest() {
+	if n.drain.onDrained == nil || n.openRequests > 0 || n.answersInProgress > 0 {
+		return
+	}
+	if now < n.drain.partialRequestsUntil && n.hasIncomingRequest() {
 		return
 	}
 	n.drain.closingAll = true
@@ -115,8 +126,8 @@
 	onDrained()
 }
 
-// closeClientsGracefully shuts all connections but those on which something is on its way still, and returns how many of these there are. What has come before
-// its connection is shut is refused, not dropped.
+// closeClientsGracefully closes all connections on which no request or answer is in progress, and returns the number
+// of the others. A request that came before its connection could be closed is rejected, not dropped.
 func (n *Node) closeClientsGracefully() (busy int) {
 	for client := range n.clients {
 		switch {
@@ -130,8 +141,8 @@
 	return busy
 }
 
-// answerDeadline is by when a request whose last byte came at a time must have its answer: by its deadline, and in a stop before the process is
-// killed.
+// answerDeadline is when a request whose last byte came at a time must be answered: by its deadline, and during a
+// shutdown before the process is killed.
 func (n *Node) answerDeadline(receivedAt, deadline int64) int64 {
 	if n.drain.stopping && receivedAt >= n.drain.stopRequestedAt+killGrace {
 		return min(deadline, n.drain.answersDueBy)
@@ -139,7 +150,7 @@
 	return deadline
 }
 
-// longestDeadline is the longest deadline there is.
+// longestDeadline is the longest deadline of any class.
 func (n *Node) longestDeadline() (longest int64) {
 	for i := range n.settings.Balancer.Classes {
 		longest = max(longest, n.settings.Balancer.Classes[i].Deadline)
@@ -147,7 +158,7 @@
 	return longest
 }
 
-// hasIncomingRequest tells whether a part of a request has come from a client, or is about to.
+// hasIncomingRequest reports whether a part of a request has come from a client, or is expected on a new connection.
 func (n *Node) hasIncomingRequest() bool {
 	for client := range n.clients {
 		if client.state != clientLingering && (client.input != nil || client.unreadInput() > 0 || client.upload != nil || client.isNew()) {
@@ -157,7 +168,7 @@
 	return false
 }
 
-// isNew tells that a connection has come just now and has not asked yet.
+// isNew reports whether the connection was accepted a short time ago and has not sent a request yet.
 func (c *clientConn) isNew() bool {
 	return !c.hasSentRequest && c.node.now()-c.requestStartedAt < idleCloseDelay
 }
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -11,22 +11,23 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// socket is one connection of the poller's. Its lock keeps a write and the end of the connection apart: the
-// poller gives a connection's buffers to others once it has closed, also while somebody still fills them.
+// socket is a connection of the poller, or the descriptor that replaces it while it is detached. Its lock keeps a
+// write and the end of the connection apart: the poller reuses a connection's buffers once it has closed, even while
+// they are being filled.
 type socket struct {
 	conn            netpoll.Connection
-	inputInTransit  atomic.Int32 // pieces of input on their way to Run's goroutine
-	descriptor      *os.File     // in its place while it has left the poller
+	inputInTransit  atomic.Int32 // pieces of input that are posted to the event loop
+	descriptor      *os.File     // replaces conn while it is detached from the poller
 	mu              sync.Mutex
 	transportClosed bool
-	closedByPoller  atomic.Bool // the poller has ended it
-	// disconnectedAt is when the poller met the end of a client's connection, on the node's clock; 0: it has not.
+	closedByPoller  atomic.Bool // the poller has closed conn
+	// disconnectedAt is when the poller noticed the end of a client's connection, on the node's clock; 0: it has not.
 	disconnectedAt    atomic.Int64
-	peerClosedInOrder bool // the other side has closed it in order
+	peerClosedInOrder bool // the peer has closed the connection without a reset
 	onDetached        func(*os.File, []byte, error)
 }
 
-// onClose has f called when the connection has closed.
+// onClose registers the callback for the end of the connection.
 func (s *socket) onClose(onClosed func()) {
 	if c, ok := s.conn.(interface {
 		SetOnDisconnect(netpoll.OnDisconnect) error
@@ -44,12 +45,13 @@
 			onDetached(s.takeDescriptor(conn))
 			return nil
 		}
-		s.peerClosedInOrder = queryPeerState(conn) == peerFinished // only then is what goes on until the end of a connection whole
+		s.peerClosedInOrder = queryPeerState(conn) == peerFinished // only an orderly end completes an answer without a length
 		onClosed()
 		return nil
 	})
 }
 
+// write writes parts to the connection, wherever it is.
 func (s *socket) write(parts [][]byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +76,7 @@
 	return w.Flush()
 }
 
-// closeWrite tells the other side that nothing more comes. What it sends is read on. It returns false where the connection has ended.
+// closeWrite closes the node's direction; input is still read. It returns false if the connection has ended.
 func (s *socket) closeWrite() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,14 +96,14 @@
 	}
 }
 
-// useDescriptor puts a descriptor in the place of the connection that has left the poller, and inside a new connection of the
-// poller's in the place of that.
+// useDescriptor replaces the poller's connection by the descriptor that was detached from it.
 func (s *socket) useDescriptor(file *os.File) {
 	s.mu.Lock()
 	s.descriptor = file
 	s.mu.Unlock()
 }
 
+// usePollerConn replaces the descriptor by a new connection of the poller.
 func (s *socket) usePollerConn(conn netpoll.Connection) {
 	s.mu.Lock()
 	s.conn, s.descriptor, s.transportClosed = conn, nil, false
@@ -109,8 +111,8 @@
 	s.closedByPoller.Store(false)
 }
 
-// unreadInput is how much has come in that Run's goroutine has not seen, in bytes or pieces. It looks in the order in which input moves on, so
-// that what is between the two is not missed.
+// unreadInput is how much input the event loop has not processed, in bytes or pieces. It looks in the order in which
+// input moves on, so that none in between is missed.
 func (s *socket) unreadInput() int {
 	if s.descriptor != nil {
 		return 0
@@ -118,10 +120,10 @@
 	return s.conn.Reader().Len() + int(s.inputInTransit.Load())
 }
 
-// isOpenAndDrained tells whether the connection is open and holds no input, also by what the poller has not seen yet. Like unread it looks in the
-// order in which input moves on: the system first, then the poller, then what is on its way to Run's goroutine.
+// isOpenAndDrained reports whether the connection is open and has no unprocessed input, including what the poller has
+// not read yet. Like unreadInput it looks in the order in which input moves on: kernel, poller, event loop.
 func (s *socket) isOpenAndDrained() bool {
-	s.mu.Lock() // its descriptor may be another connection's once it has ended
+	s.mu.Lock() // once it is closed, its descriptor may belong to another connection
 	defer s.mu.Unlock()
 	if s.transportClosed || !s.conn.IsActive() {
 		return false
@@ -136,8 +138,8 @@
 	return s.conn.IsActive() && s.unreadInput() == 0
 }
 
-// peerHasEnded tells whether the other side has closed the connection or reset it, also where the poller has not seen that yet. Where somebody is
-// writing, or reads beside the poller, it is they who find out.
+// peerHasEnded reports whether the peer has closed or reset the connection, also if the poller has not noticed yet.
+// While the connection is being written, or is detached, the writer or reader finds out.
 func (s *socket) peerHasEnded() bool {
 	if s.descriptor != nil || !s.mu.TryLock() {
 		return false
@@ -146,8 +148,8 @@
 	return s.transportClosed || !s.conn.IsActive() || queryPeerState(s.conn) != peerOpen
 }
 
-// deliver takes what the connection has received and has receive get it on Run's goroutine. Until then it counts as unread: whoever
-// looks in between must not find the connection empty, so it counts before the bytes leave the reader.
+// deliver posts what the connection has received to the event loop. Until then it counts as unread, and it is counted
+// before the bytes leave the reader, so that the connection never looks drained in between.
 func (s *socket) deliver(conn netpoll.Connection, node *Node, receive func(*buffer)) error {
 	s.inputInTransit.Add(1)
 	b, err := readBuffer(conn)
@@ -164,8 +166,8 @@
 	return nil
 }
 
-// writeWithoutDelay is write where the first byte must follow soon: what is held up before that is not written at all. It tells when the first byte
-// was about to be written.
+// writeWithoutDelay is write for a first byte that must follow its check soon: after a delay of more than
+// maxWriteDelay nothing is written. It reports when the write started.
 func (n *Node) writeWithoutDelay(target *socket, onWritten func(startedAt int64, err error), parts ...[]byte) {
 	allowedAt := n.now() - n.testWriteDelay
 	go func() {
@@ -179,8 +181,8 @@
 	}()
 }
 
-// write writes parts to a connection beside Run's goroutine, which then calls done. A connection has one write
-// at a time. Parts must stay as they are until then.
+// write writes parts on a goroutine of its own and posts the result. A connection has one write at a time, and parts
+// must not change until it is done.
 func (n *Node) write(target *socket, onWritten func(error), parts ...[]byte) {
 	go func() {
 		err := target.write(parts)
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -10,21 +10,21 @@
 	"tulipglade/internal/protocol"
 )
 
-// upload is a request that is too large to be held: it is passed on while it comes in. Its client's connection has left
-// the poller until all of it has come.
+// upload is a request that is too large to be buffered: it is forwarded while it is read, with its client's
+// connection detached from the poller.
 type upload struct {
-	earlyInput [][]byte // what came behind the part of the body that is held
+	earlyInput [][]byte // what came behind the part of the body that is buffered
 	tail       protocol.Message
-	rejected   bool // it should not have come: not much more of it is read
+	rejected   bool // the request is invalid: little more of it is read
 	forwarder  *forwarder
-	forwarding bool // bytes that cannot be sent again are gone
-	complete   bool
+	forwarding bool // bytes have been consumed that can't be sent again
+	complete   bool // the forwarder has ended
 }
 
-// noDeadline is the time of what has no time limit yet: that of a request counts from its last byte.
+// noDeadline stands for a deadline that is not known yet: that of a request counts from its last byte.
 const noDeadline = math.MaxInt64
 
-// startUpload has the connection leave the poller. What has come of the request is in c.in.
+// startUpload detaches the connection from the poller. The buffer has what has been read of the request.
 func (c *clientConn) startUpload() {
 	c.hasSentRequest = true
 	c.setIdle(false)
@@ -33,13 +33,13 @@
 	c.setOverflowSize(0)
 	c.detach(func(descriptor *os.File, rest []byte, err error) {
 		c.node.post(func() { c.uploadDetached(descriptor, rest, err) })
-	}) // where it has ended, gone follows
+	}) // if the connection has ended, disconnected follows
 }
 
-// uploadDetached takes the request in, or refuses it.
+// uploadDetached admits the request, or rejects it.
 func (c *clientConn) uploadDetached(descriptor *os.File, rest []byte, err error) {
 	if err != nil {
-		c.node.warnLimited("connection could not leave the poller", "err", err)
+		c.node.warnLimited("detaching client connection failed", "err", err)
 	}
 	if err != nil || c.state == clientClosed || descriptor == nil {
 		if descriptor != nil {
@@ -71,18 +71,18 @@
 	n.submit(req)
 }
 
-// forwardUpload passes on what the attempt's first write did not hold. From here on the request can't be sent again, and its time
-// does not count until all of it has come.
+// forwardUpload forwards what the attempt's first write did not include. From here on the request can't be sent
+// again, and it has no deadline until its last byte has come.
 func (n *Node) forwardUpload(conn *backendConn, att *attempt) {
 	req := att.request
 	client, up := req.clientConn, req.upload
 	up.forwarding = true
 	req.deadline, att.deadline = noDeadline, noDeadline
 	n.balancer.HandleUpload(n.now(), req.id, true)
-	fwd := up.newForwarder(client, func(parts ...[]byte) error { return conn.socket.write(parts) })
+	fwd := up.newForwarder(client, func(parts ...[]byte) error { return conn.write(parts) })
 	fwd.onWriteError = func() {
 		n.post(func() {
-			if !att.isCompleted() { // not all of it was written: it has never begun
+			if !att.isCompleted() { // incomplete: it has never started
 				n.closeBackend(conn, closeWriteFailed)
 				n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 			}
@@ -93,15 +93,15 @@
 	n.activeForwarders++
 	go func() {
 		if expect {
-			fwd.writeErr = client.socket.write([][]byte{[]byte("HTTP/1.1 100 Continue\r\n\r\n")})
+			fwd.writeErr = client.write([][]byte{[]byte("HTTP/1.1 100 Continue\r\n\r\n")})
 		}
 		err := fwd.run()
 		n.post(func() { n.uploadFinished(client, fwd, conn, att, err) })
 	}()
 }
 
-// discardUpload reads what still comes of a request that has been answered: to close while it comes in would reset the
-// connection, and the answer might not be seen.
+// discardUpload reads the rest of a request that has been answered: closing while it comes in would reset the
+// connection, and the client might not see the answer.
 func (c *clientConn) discardUpload() {
 	up := c.upload
 	up.forwarding = true
@@ -116,14 +116,17 @@
 	}()
 }
 
+// newForwarder returns a forwarder for the rest of the request.
 func (u *upload) newForwarder(client *clientConn, write func(...[]byte) error) *forwarder {
-	fwd := &forwarder{source: source{buffered: u.earlyInput, descriptor: client.descriptor}, message: u.tail, buffer: newBuffer(), write: write,
+	fwd := &forwarder{
+		source: source{buffered: u.earlyInput, descriptor: client.descriptor}, message: u.tail, buffer: newBuffer(), write: write,
 		chunked: u.tail.Length() < 0, enforceMinRate: true}
 	u.earlyInput, u.forwarder = nil, fwd
 	return fwd
 }
 
-// uploadFinished is the end of a flow from a client.
+// uploadFinished processes the end of a forwarder that reads from a client. Without an attempt, the request was being
+// discarded.
 func (n *Node) uploadFinished(client *clientConn, fwd *forwarder, conn *backendConn, att *attempt, err error) {
 	up := client.upload
 	rest := bytes.Clone(fwd.message.Rest(fwd.buffer.bytes()))
@@ -150,14 +153,14 @@
 			n.requestSent(conn, att, fwd.writeErr)
 		}
 	}
-	defer func() { // the client's connection is back by then
+	defer func() { // after the client's connection has been reattached
 		if conn != nil {
 			conn.processDeferredInput()
 		}
 	}()
 	switch {
 	case client.state == clientClosed:
-	case err != nil && req == nil: // answered already
+	case err != nil && req == nil: // already answered
 		if !client.writingAnswer {
 			client.close(closeRequestIncomplete)
 		}
@@ -180,13 +183,13 @@
 	}
 }
 
-// resumeAfterUpload returns the connection to the poller, with what came behind the request.
+// resumeAfterUpload returns the connection to the poller, with the input that followed the request.
 func (c *clientConn) resumeAfterUpload(rest []byte) {
 	if c.closeAfterAnswer && c.request == nil && !c.writingAnswer {
 		c.closeGracefully(closeLastAnswer)
 		return
 	}
-	if c.writingAnswer { // an early answer is on its way through the descriptor; the connection closes behind it
+	if c.writingAnswer { // an early answer is being written to the descriptor; the connection closes behind it
 		return
 	}
 	if !c.rejoinPoller() {
@@ -205,12 +208,12 @@
 	}
 }
 
-// rejoinPoller gives the poller a connection that had left it. Where that can't be, it is gone.
+// rejoinPoller returns a detached connection to the poller. If that fails, the client counts as disconnected.
 func (c *clientConn) rejoinPoller() bool {
 	conn, err := attachToPoller(c.descriptor)
 	c.upload = nil
 	if err != nil {
-		c.node.warnLimited("connection could not rejoin the poller", "err", err)
+		c.node.warnLimited("reattaching client connection failed", "err", err)
 		c.disconnected(closePollerFailed)
 		return false
 	}
@@ -222,7 +225,7 @@
 	return true
 }
 
-// discardAfterEarlyAnswer is where an answer has been given while the request was still coming in.
+// discardAfterEarlyAnswer handles the end of an answer that was written while the request was still being uploaded.
 func (c *clientConn) discardAfterEarlyAnswer() {
 	if !c.upload.forwarding {
 		c.discardUpload()
