--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simadapter runs Balancers on the simulator's wire: one for each instance, sharing nothing.
+// Command simadapter runs the decision module on the simulator's protocol: one Balancer for each instance, sharing nothing.
 package main
 
 import (
@@ -12,16 +12,20 @@
 	"tulipglade/internal/simprotocol"
 )
 
+// inputBufferSize is the size of the buffer in front of standard input.
+const inputBufferSize = 1 << 16
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintf(os.Stderr, "simadapter: %v\n", err)
+		_, _ = fmt.Fprintf(os.Stderr, "simadapter: %v\n", err) // the exit status tells it too
 		os.Exit(1)
 	}
 }
 
-func run(in io.Reader, out io.Writer) error {
-	reader, w := simprotocol.NewReader(bufio.NewReaderSize(in, 1<<16)), &simprotocol.Writer{}
-	live := map[uint32]*balancer.Balancer{}
+// run answers one batch after the other until the input ends.
+func run(input io.Reader, output io.Writer) error {
+	reader := simprotocol.NewReader(bufio.NewReaderSize(input, inputBufferSize))
+	adapter := newAdapter()
 	for {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -30,60 +34,88 @@
 		if err != nil {
 			return err
 		}
-		for i := range batch.Events {
-			if err := step(live, w, batch.Now, &batch.Events[i]); err != nil {
-				return fmt.Errorf("event %d of the batch at clock %d: %w", i, batch.Now, err)
-			}
+		if err := adapter.handleBatch(&batch); err != nil {
+			return err
 		}
-		if err := w.Flush(out); err != nil {
+		if err := adapter.writer.Flush(output); err != nil {
 			return err
 		}
 	}
 }
 
-// step hands one event to its instance; a panic in the module becomes a Fault.
-func step(live map[uint32]*balancer.Balancer, w *simprotocol.Writer, now balancer.Time, ev *simprotocol.Event) error {
+// adapter passes events to the instances and collects their commands.
+type adapter struct {
+	writer    *simprotocol.Writer
+	balancers map[uint32]*balancer.Balancer // by instance
+}
+
+func newAdapter() *adapter {
+	return &adapter{writer: &simprotocol.Writer{}, balancers: map[uint32]*balancer.Balancer{}}
+}
+
+func (a *adapter) handleBatch(batch *simprotocol.Batch) error {
+	for i := range batch.Events {
+		if err := a.handleEvent(batch.Now, &batch.Events[i]); err != nil {
+			return fmt.Errorf("event %d of the batch at clock %d: %w", i, batch.Now, err)
+		}
+	}
+	return nil
+}
+
+// handleEvent passes one event to its instance; a panic in the decision module becomes a Fault.
+func (a *adapter) handleEvent(now balancer.Time, event *simprotocol.Event) error {
 	defer func() {
-		if p := recover(); p != nil {
-			w.Fault(ev.Instance, fmt.Sprint(p))
+		if cause := recover(); cause != nil {
+			a.writer.Fault(event.Instance, fmt.Sprint(cause))
 		}
 	}()
-	if ev.Code == simprotocol.PowerOn {
-		b, err := balancer.New(ev.Config, ev.Seed, simprotocol.Instance{W: w, ID: ev.Instance})
-		if err != nil {
-			return err
-		}
-		live[ev.Instance] = b
+	switch event.Code {
+	case simprotocol.EventStart:
+		return a.start(event)
+	case simprotocol.EventStop:
+		delete(a.balancers, event.Instance)
 		return nil
 	}
-	if ev.Code == simprotocol.Detach {
-		delete(live, ev.Instance)
-		return nil
-	}
-	b := live[ev.Instance]
+	b := a.balancers[event.Instance]
 	if b == nil {
-		return fmt.Errorf("instance %d was never started", ev.Instance)
+		return fmt.Errorf("instance %d was never started", event.Instance)
 	}
-	switch ev.Code {
-	case simprotocol.Members:
-		b.HandleEndpoints(now, ev.List, ev.Hosts)
-	case simprotocol.Request:
-		if n := ev.Arrival.Class; n >= len(b.Config().Classes) {
-			return fmt.Errorf("record Request: class %d is not in the settings", n)
+	return dispatch(b, now, event)
+}
+
+func (a *adapter) start(event *simprotocol.Event) error {
+	commands := simprotocol.Instance{Writer: a.writer, ID: event.Instance}
+	b, err := balancer.New(event.Config, event.Seed, commands)
+	if err != nil {
+		return err
+	}
+	a.balancers[event.Instance] = b
+	return nil
+}
+
+// dispatch calls the Balancer's handler for an event.
+func dispatch(b *balancer.Balancer, now balancer.Time, event *simprotocol.Event) error {
+	result := &event.Result
+	switch event.Code {
+	case simprotocol.EventEndpoints:
+		b.HandleEndpoints(now, event.ListKind, event.Endpoints)
+	case simprotocol.EventRequest:
+		if class := event.Request.Class; class >= len(b.Config().Classes) {
+			return fmt.Errorf("record Request: class %d is not in the settings", class)
 		}
-		b.HandleRequest(now, ev.Arrival)
-	case simprotocol.Streaming:
-		b.HandleResponseStart(now, ev.Settled.ID)
-	case simprotocol.Settled:
-		b.HandleAttemptResult(now, ev.Settled)
-	case simprotocol.Gone:
-		b.HandleCancellation(now, ev.Settled.ID)
-	case simprotocol.Elapsed:
-		b.HandleTimer(now, ev.Token)
-	case simprotocol.Check:
-		b.HandleHealthCheck(now, ev.Settled.Endpoint, ev.Settled.Outcome, ev.Settled.Latency, ev.Settled.Load)
-	case simprotocol.Peer:
-		b.HandlePeerMessage(now, ev.From, ev.Data)
+		b.HandleRequest(now, event.Request)
+	case simprotocol.EventResponseStart:
+		b.HandleResponseStart(now, result.ID)
+	case simprotocol.EventAttemptResult:
+		b.HandleAttemptResult(now, *result)
+	case simprotocol.EventCancellation:
+		b.HandleCancellation(now, result.ID)
+	case simprotocol.EventTimer:
+		b.HandleTimer(now, event.Timer)
+	case simprotocol.EventHealthCheck:
+		b.HandleHealthCheck(now, result.Endpoint, result.Outcome, result.Latency, result.Load)
+	case simprotocol.EventPeerMessage:
+		b.HandlePeerMessage(now, event.Peer, event.Data)
 	}
 	return nil
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"os/exec"
 	"strings"
 	"testing"
@@ -11,45 +12,57 @@
 	"tulipglade/internal/simprotocol"
 )
 
-func batch(recs []byte, tail string) []byte {
-	head := make([]byte, 16)
-	binary.BigEndian.PutUint32(head, uint32(len(recs)+len(tail)))
+// Sizes and codes of the simulator's protocol, written out here so that the test does not take them from the code under test.
+const (
+	frameHeadSize = 16
+	recordSize    = 48
+	replyHeadSize = 8
+	faultCode     = 89
+)
+
+// batch returns a frame of the simulator's.
+func batch(records []byte, tail string) []byte {
+	head := make([]byte, frameHeadSize)
+	binary.BigEndian.PutUint32(head, uint32(len(records)+len(tail)))
 	binary.BigEndian.PutUint64(head[4:], 1000)
-	binary.BigEndian.PutUint32(head[12:], uint32(len(recs)/48))
-	return append(append(head, recs...), tail...)
+	binary.BigEndian.PutUint32(head[12:], uint32(len(records)/recordSize))
+	return append(append(head, records...), tail...)
 }
 
-func powerOn(settings string) []byte {
-	rec := make([]byte, 48)
-	rec[0] = simprotocol.PowerOn
-	binary.BigEndian.PutUint32(rec[17:], uint32(len(settings)))
-	return rec
+// startRecord returns a record that starts an instance with settings that stand at the start of the tail.
+func startRecord(settings string) []byte {
+	record := make([]byte, recordSize)
+	record[0] = byte(simprotocol.EventStart)
+	binary.BigEndian.PutUint32(record[17:], uint32(len(settings)))
+	return record
 }
 
-func TestEndOfInputIsCleanAndEachBatchAnswered(t *testing.T) {
-	var out bytes.Buffer
-	if err := run(bytes.NewReader(append(batch(nil, ""), batch(nil, "")...)), &out); err != nil || out.Len() != 16 {
-		t.Errorf("%v, %d bytes", err, out.Len())
+func TestRunAnswersEachBatchAndEndsWithInput(t *testing.T) {
+	var output bytes.Buffer
+	input := append(batch(nil, ""), batch(nil, "")...)
+	if err := run(bytes.NewReader(input), &output); err != nil || output.Len() != 2*replyHeadSize {
+		t.Errorf("%v, %d bytes", err, output.Len())
 	}
 }
 
-func TestBadInputExitsWithOnePlainLine(t *testing.T) {
-	bin := t.TempDir() + "/simadapter"
-	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+func TestInvalidInputExitsWithOnePlainLine(t *testing.T) {
+	program := t.TempDir() + "/simadapter"
+	if output, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, output)
 	}
-	none := `{"discovery":"push"}`
-	for name, in := range map[string][]byte{
+	withoutClasses := `{"discovery":"push"}`
+	for name, input := range map[string][]byte{
 		"short":               []byte("abc"),
-		"no classes":          batch(powerOn(none), none),
-		"an unknown instance": batch(append([]byte{simprotocol.Elapsed}, make([]byte, 47)...), ""),
+		"no classes":          batch(startRecord(withoutClasses), withoutClasses),
+		"an unknown instance": batch(append([]byte{byte(simprotocol.EventTimer)}, make([]byte, recordSize-1)...), ""),
 	} {
-		cmd := exec.Command(bin)
-		cmd.Stdin = bytes.NewReader(in)
+		cmd := exec.Command(program)
+		cmd.Stdin = bytes.NewReader(input)
 		var stderr bytes.Buffer
 		cmd.Stderr = &stderr
 		err := cmd.Run()
-		if e, ok := err.(*exec.ExitError); !ok || e.ExitCode() != 1 {
+		var exit *exec.ExitError
+		if !errors.As(err, &exit) || exit.ExitCode() != 1 {
 			t.Errorf("%s: %v, want exit status 1", name, err)
 		}
 		if got := stderr.String(); strings.Count(got, "\n") != 1 || !strings.HasPrefix(got, "simadapter: ") {
@@ -59,22 +72,23 @@
 }
 
 func TestPanicBecomesFault(t *testing.T) {
-	w := &simprotocol.Writer{}
-	live := map[uint32]*balancer.Balancer{7: {}} // no settings: the module divides by its tenants
-	ev := simprotocol.Event{Code: simprotocol.Settled, Instance: 7}
-	if err := step(live, w, 1, &ev); err != nil {
+	const instance = 7
+	a := newAdapter()
+	a.balancers[instance] = &balancer.Balancer{} // without settings: the decision module divides by its tenants
+	result := simprotocol.Event{Code: simprotocol.EventAttemptResult, Instance: instance}
+	if err := a.handleEvent(1, &result); err != nil {
 		t.Fatal(err)
 	}
-	live[7] = nil
-	_ = w.Flush(&bytes.Buffer{})
-	broken := simprotocol.Event{Code: simprotocol.Members, Instance: 7, Hosts: []balancer.Endpoint{{ID: 1, Phase: balancer.PhaseReady}}}
-	live[7] = &balancer.Balancer{}
-	if err := step(live, w, 1, &broken); err != nil {
+	_ = a.writer.Flush(&bytes.Buffer{}) // never fails
+	a.balancers[instance] = &balancer.Balancer{}
+	endpoints := simprotocol.Event{Code: simprotocol.EventEndpoints, Instance: instance,
+		Endpoints: []balancer.Endpoint{{ID: 1, Phase: balancer.PhaseReady}}}
+	if err := a.handleEvent(1, &endpoints); err != nil {
 		t.Fatal(err)
 	}
-	var out bytes.Buffer
-	_ = w.Flush(&out)
-	if out.Len() < 32 || out.Bytes()[8] != 89 || !strings.Contains(out.String(), "nil") {
-		t.Errorf("reply %q, want a Fault with the panic's text", out.String())
+	var output bytes.Buffer
+	_ = a.writer.Flush(&output) // never fails
+	if output.Len() < 32 || output.Bytes()[replyHeadSize] != faultCode || !strings.Contains(output.String(), "nil") {
+		t.Errorf("reply %q, want a Fault with the panic's text", output.String())
 	}
 }
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -5,17 +5,18 @@
 	"encoding/hex"
 	"errors"
 	"io"
+	"slices"
 	"strings"
 	"testing"
 
 	"tulipglade/internal/balancer"
 )
 
-// hexes turns hand-written hex, with spaces and +N for zero bytes, into bytes.
-func hexes(t testing.TB, s string) []byte {
-	t.Helper()
+// hexBytes turns hand-written hex, with spaces and +N for zero bytes, into bytes.
+func hexBytes(tb testing.TB, text string) []byte {
+	tb.Helper()
 	var out []byte
-	for _, word := range strings.Fields(s) {
+	for _, word := range strings.Fields(text) {
 		if n, ok := strings.CutPrefix(word, "+"); ok {
 			zeros := 0
 			for _, d := range n {
@@ -26,14 +27,15 @@
 		}
 		b, err := hex.DecodeString(word)
 		if err != nil {
-			t.Fatalf("%q: %v", word, err)
+			tb.Fatalf("%q: %v", word, err)
 		}
 		out = append(out, b...)
 	}
 	return out
 }
 
-const boot = `{"discovery":"ask","my_zone":1,"peers_total":4,"tick_us":5000,"novel":{"x":[1]},` +
+// bootInfo is the settings of an instance.
+const bootInfo = `{"discovery":"ask","my_zone":1,"peers_total":4,"tick_us":5000,"novel":{"x":[1]},` +
 	`"orgs":[{"name":"a","share":0.6,"quota_per_s":10}],` +
 	`"profiles":[{"aim_us":500000,"deadline_us":1500000,"effect":"by_key","key_scope":"cell","window_us":1500000},` +
 	`{"aim_us":600000,"deadline_us":2500000,"effect":"once"}],` +
@@ -42,36 +44,37 @@
 	`"report":{"fields":["utilization","backlog"],"how":"piggyback"}}`
 
 // frame builds a batch: header, records of 48 bytes, tail.
-func frame(t testing.TB, tail []byte, recs ...string) []byte {
-	t.Helper()
+func frame(tb testing.TB, tail []byte, records ...string) []byte {
+	tb.Helper()
 	var body []byte
-	for _, r := range recs {
-		b := hexes(t, r)
-		if len(b) != eventSize {
-			t.Fatalf("record of %d bytes: %s", len(b), r)
+	for _, record := range records {
+		raw := hexBytes(tb, record)
+		if len(raw) != recordSize {
+			tb.Fatalf("record of %d bytes: %s", len(raw), record)
 		}
-		body = append(body, b...)
+		body = append(body, raw...)
 	}
 	body = append(body, tail...)
-	head := hexes(t, "00000000 0000000000805c5a 00000000")
+	head := hexBytes(tb, "00000000 0000000000805c5a 00000000")
 	head[2], head[3] = byte(len(body)>>8), byte(len(body))
-	head[15] = byte(len(recs))
+	head[15] = byte(len(records))
 	return append(head, body...)
 }
 
-func powerOn(t testing.TB) (string, []byte) {
-	n := len(boot)
-	return "10 00000003 0102030405060708 00000000 0000" + hex.EncodeToString([]byte{byte(n >> 8), byte(n)}) + " +27", []byte(boot)
+// startRecord returns a record that starts an instance, and the tail that it refers to.
+func startRecord() (record string, tail []byte) {
+	n := len(bootInfo)
+	return "10 00000003 0102030405060708 00000000 0000" + hex.EncodeToString([]byte{byte(n >> 8), byte(n)}) + " +27", []byte(bootInfo)
 }
 
-func TestEveryEvent(t *testing.T) {
-	on, tail := powerOn(t)
+func TestReaderDecodesEveryEvent(t *testing.T) {
+	start, tail := startRecord()
 	at := hex.EncodeToString([]byte{0, 0, byte(len(tail) >> 8), byte(len(tail))})
-	tail = append(tail, hexes(t, `01 3f800000 0000 0000 0000000000000000 0a124a07 2bc3 0000
+	tail = append(tail, hexBytes(t, `01 3f800000 0000 0000 0000000000000000 0a124a07 2bc3 0000
 		02 3fc00000 0004 0001 00000000005d1420 0a9011f2 2bec 0000 68692037`)...)
 	peerAt := hex.EncodeToString([]byte{0, 0, byte((len(tail) - 4) >> 8), byte(len(tail) - 4)})
 	in := frame(t, tail,
-		on,
+		start,
 		"1a 0000 "+at+" 00000002 +37",
 		"11 00000003 02 0000 0000000000000029 +32",
 		"11 00000003 03 0000 0000000000000000 +32",
@@ -92,69 +95,74 @@
 		t.Fatalf("clock %x, %d events", b.Now, len(b.Events))
 	}
 	e := b.Events
-	for i, code := range []byte{PowerOn, Members, Members, Request, Elapsed, Streaming, Settled, Check, Peer, Gone, Detach} {
+	for i, code := range []EventCode{
+		EventStart, EventEndpoints, EventEndpoints, EventRequest, EventTimer, EventResponseStart,
+		EventAttemptResult, EventHealthCheck, EventPeerMessage, EventCancellation, EventStop,
+	} {
 		if e[i].Code != code || e[i].Instance != 3 {
 			t.Errorf("event %d: code %d of instance %d", i, e[i].Code, e[i].Instance)
 		}
 	}
 	if e[0].Seed != 0x0102030405060708 || e[0].Config.Zone != 1 || len(e[0].Config.Classes) != 2 {
-		t.Errorf("PowerOn %+v", e[0])
+		t.Errorf("start %+v", e[0])
 	}
 	want := []balancer.Endpoint{
 		{ID: 0x0a124a072bc3, Phase: balancer.PhaseReady, Weight: 1},
 		{ID: 0x0a9011f22bec, Phase: balancer.PhaseDraining, Weight: 1.5, Cell: 4, Zone: 1, StartedAt: 0x5d1420},
 	}
-	if e[1].List != balancer.ListCached || len(e[1].Hosts) != 2 || e[1].Hosts[0] != want[0] || e[1].Hosts[1] != want[1] {
-		t.Errorf("Members %+v", e[1])
+	if e[1].ListKind != balancer.ListCached || !slices.Equal(e[1].Endpoints, want) {
+		t.Errorf("endpoints %+v", e[1])
 	}
-	if e[2].List != balancer.ListFailed || e[2].Hosts != nil {
-		t.Errorf("failed Members %+v", e[2])
+	if e[2].ListKind != balancer.ListFailed || e[2].Endpoints != nil {
+		t.Errorf("failed list %+v", e[2])
 	}
-	if got := e[3].Arrival; got != (balancer.Request{ID: 0x5d3a91c4, Class: 1, Tenant: 2, Deadline: 0x8405da, AffinityKey: 0x91f03b7c55d20a64, IsRetry: true, CostHint: 12000}) {
-		t.Errorf("Request %+v", got)
+	wantRequest := balancer.Request{ID: 0x5d3a91c4, Class: 1, Tenant: 2, Deadline: 0x8405da,
+		AffinityKey: 0x91f03b7c55d20a64, IsRetry: true, CostHint: 12000}
+	if got := e[3].Request; got != wantRequest {
+		t.Errorf("request %+v", got)
 	}
-	if e[4].Token != 0x4d {
-		t.Errorf("Elapsed %+v", e[4])
+	if e[4].Timer != 0x4d {
+		t.Errorf("timer %+v", e[4])
 	}
-	if s := e[5].Settled; s.ID != 0x5d3a91c4 || s.Latency != 0x2422 || s.Endpoint != want[0].ID {
-		t.Errorf("Streaming %+v", s)
+	if s := e[5].Result; s.ID != 0x5d3a91c4 || s.Latency != 0x2422 || s.Endpoint != want[0].ID {
+		t.Errorf("response start %+v", s)
 	}
-	s := e[6].Settled
+	s := e[6].Result
 	if s.ID != 0x5d3a91c4 || s.Attempt != 1 || s.Outcome != balancer.OutcomeOK || s.Latency != 0x4844 || !s.RequestDone ||
 		s.Endpoint != want[0].ID || *s.Load != (balancer.LoadReport{Outstanding: -1, Backlog: 3, Utilization: 0.5}) {
-		t.Errorf("Settled %+v %+v", s, s.Load)
+		t.Errorf("attempt result %+v %+v", s, s.Load)
 	}
-	if s := e[7].Settled; s.Outcome != balancer.OutcomeConnectFailed || s.Endpoint != want[1].ID || s.Latency != 0x578 || s.Load != nil {
-		t.Errorf("CheckResult %+v", s)
+	if s := e[7].Result; s.Outcome != balancer.OutcomeConnectFailed || s.Endpoint != want[1].ID || s.Latency != 0x578 || s.Load != nil {
+		t.Errorf("health check %+v", s)
 	}
-	if e[8].From != 2 || string(e[8].Data) != "hi 7" {
-		t.Errorf("PeerData %+v", e[8])
+	if e[8].Peer != 2 || string(e[8].Data) != "hi 7" {
+		t.Errorf("peer message %+v", e[8])
 	}
-	if e[9].Settled.ID != 0x0e6f2b19 {
-		t.Errorf("Gone %+v", e[9])
+	if e[9].Result.ID != 0x0e6f2b19 {
+		t.Errorf("cancellation %+v", e[9])
 	}
 }
 
-func TestEveryAction(t *testing.T) {
+func TestWriterEncodesEveryCommand(t *testing.T) {
 	w := &Writer{}
-	a := Instance{W: w, ID: 3}
-	host := balancer.EndpointID(0x0a124a072bc3)
-	a.SendAttempt(0x5d3a91c4, host, 80000)
-	a.SetTimer(0x4d, 500000)
-	Instance{W: w, ID: 5}.Log("two servers known")
-	a.CancelAttempt(0x5d3a91c4, 1)
-	a.WatchEndpoints(true)
-	a.WatchEndpoints(false)
-	a.CheckHealth(0x0a9011f22bec)
-	a.Fail(0x0e6f2b19)
-	a.Reject(0x0e6f2b19, 250000)
-	a.PollEndpoints()
+	commands := Instance{Writer: w, ID: 3}
+	endpoint := balancer.EndpointID(0x0a124a072bc3)
+	commands.SendAttempt(0x5d3a91c4, endpoint, 80000)
+	commands.SetTimer(0x4d, 500000)
+	Instance{Writer: w, ID: 5}.Log("two servers known")
+	commands.CancelAttempt(0x5d3a91c4, 1)
+	commands.WatchEndpoints(true)
+	commands.WatchEndpoints(false)
+	commands.CheckHealth(0x0a9011f22bec)
+	commands.Fail(0x0e6f2b19)
+	commands.Reject(0x0e6f2b19, 250000)
+	commands.PollEndpoints()
 	w.Fault(3, "index out of range")
 	var out bytes.Buffer
 	if err := w.Flush(&out); err != nil {
 		t.Fatal(err)
 	}
-	want := hexes(t, `0000000b 0000012b
+	want := hexBytes(t, `0000000b 0000012b
 		53 00000003 5d3a91c4 0a124a07 2bc3 00013880 +5
 		50 00000003 000000000000004d 0007a120 +7
 		55 00000005 00000000 00000011 +11
@@ -171,13 +179,13 @@
 		t.Errorf("got  %x\nwant %x", out.Bytes(), want)
 	}
 	out.Reset()
-	if w.Flush(&out); !bytes.Equal(out.Bytes(), make([]byte, 8)) {
+	if err := w.Flush(&out); err != nil || !bytes.Equal(out.Bytes(), make([]byte, 8)) {
 		t.Errorf("empty reply %x", out.Bytes())
 	}
 }
 
 func TestEmptyBatchAndEnd(t *testing.T) {
-	r := NewReader(bytes.NewReader(hexes(t, "00000000 0000000000805c5a 00000000")))
+	r := NewReader(bytes.NewReader(hexBytes(t, "00000000 0000000000805c5a 00000000")))
 	if b, err := r.Next(); err != nil || b.Now != 0x805c5a || len(b.Events) != 0 {
 		t.Errorf("%+v, %v", b, err)
 	}
@@ -186,8 +194,8 @@
 	}
 }
 
-func TestInventoryNumbersAreReused(t *testing.T) {
-	tail := hexes(t, `01 3f800000 0000 0000 0000000000000000 00000001 0001 0000
+func TestListNumbersAreReused(t *testing.T) {
+	tail := hexBytes(t, `01 3f800000 0000 0000 0000000000000000 00000001 0001 0000
 		01 3f800000 0000 0000 0000000000000000 00000002 0002 0000`)
 	members := "11 00000003 00 000f 0000000000000029 +32"
 	r := NewReader(io.MultiReader(
@@ -202,21 +210,21 @@
 		t.Fatal(err)
 	}
 	for i, want := range []balancer.EndpointID{1<<16 | 1, 2<<16 | 2, 2<<16 | 2} {
-		if got := append(b.Events, later.Events...)[i].Hosts[0].ID; got != want {
-			t.Errorf("event %d names host %x, want %x", i, got, want)
+		if got := append(b.Events, later.Events...)[i].Endpoints[0].ID; got != want {
+			t.Errorf("event %d names endpoint %x, want %x", i, got, want)
 		}
 	}
 }
 
-func TestDamageIsNamed(t *testing.T) {
+func TestDamagedFramesAreNamed(t *testing.T) {
 	for name, c := range map[string]struct {
-		in   []byte
-		says string
+		in      []byte
+		message string
 	}{
-		"short header":    {hexes(t, "00000000 00"), "frame header: 5 of 16 bytes"},
-		"short body":      {hexes(t, "00000030 0000000000000000 00000001 12"), "frame body: 1 of 48 bytes"},
-		"count too large": {hexes(t, "00000000 0000000000000000 ffffffff"), "4294967295 records"},
-		"length absurd":   {hexes(t, "ffffffff 0000000000000000 00000000"), "length 4294967295"},
+		"short header":    {hexBytes(t, "00000000 00"), "frame header: 5 of 16 bytes"},
+		"short body":      {hexBytes(t, "00000030 0000000000000000 00000001 12"), "frame body: 1 of 48 bytes"},
+		"count too large": {hexBytes(t, "00000000 0000000000000000 ffffffff"), "4294967295 records"},
+		"length absurd":   {hexBytes(t, "ffffffff 0000000000000000 00000000"), "length 4294967295"},
 		"unknown code":    {frame(t, nil, "63 +47"), "record 0 at byte 16: unknown record code 99"},
 		"offset past":     {frame(t, nil, "1a 0000 00000001 00000000 +37"), "Inventory: offset 1"},
 		"count past":      {frame(t, nil, "1a 0000 00000000 ffffffff +37"), "count 4294967295"},
@@ -226,21 +234,21 @@
 		"unknown outcome": {frame(t, nil, "14 00000003 00000001 0000 000b +35"), "unknown outcome 11"},
 		"long report":     {frame(t, nil, "17 00000003 000a 00000000 0000 00000000 05 +30"), "report of 5 values"},
 		"bad settings":    {frame(t, []byte("{]"), "10 00000003 +8 00000000 00000002 +27"), "boot_info"},
-		"unknown phase":   {frame(t, hexes(t, "07 +24"), "1a 0000 00000000 00000001 +37"), "unknown phase 7"},
+		"unknown phase":   {frame(t, hexBytes(t, "07 +24"), "1a 0000 00000000 00000001 +37"), "unknown phase 7"},
 	} {
 		_, err := NewReader(bytes.NewReader(c.in)).Next()
-		if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %q in it", name, err, c.says)
+		if err == nil || !strings.Contains(err.Error(), c.message) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: %v, want %q in it", name, err, c.message)
 		}
 	}
 }
 
 func FuzzReader(f *testing.F) {
-	on, tail := powerOn(f)
-	f.Add(frame(f, tail, on, "15 00000003 0e6f2b19 +39"))
-	f.Add(hexes(f, "00000000 0000000000805c5a 00000000"))
-	f.Add(frame(f, hexes(f, "01 3f800000 +20"), "1a 0000 00000000 00000001 +37", "11 00000003 01 0000 +40"))
-	f.Add(hexes(f, "ffffffff 0000000000000000 ffffffff"))
+	start, tail := startRecord()
+	f.Add(frame(f, tail, start, "15 00000003 0e6f2b19 +39"))
+	f.Add(hexBytes(f, "00000000 0000000000805c5a 00000000"))
+	f.Add(frame(f, hexBytes(f, "01 3f800000 +20"), "1a 0000 00000000 00000001 +37", "11 00000003 01 0000 +40"))
+	f.Add(hexBytes(f, "ffffffff 0000000000000000 ffffffff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := NewReader(bytes.NewReader(in))
 		for range len(in) + 1 { // each frame takes at least a header
@@ -248,7 +256,7 @@
 			if err != nil {
 				return
 			}
-			if len(b.Events)*eventSize > len(in) {
+			if len(b.Events)*recordSize > len(in) {
 				t.Fatal("more events than bytes")
 			}
 		}
