--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback refuses addresses off the loopback: stand-ins and agents prove nothing about who asks, and must never be reached, nor
-// reach out, over a network.
+// Package loopback rejects addresses off the loopback interface: fakes and agents do not authenticate their callers, and
+// must never be reached, nor connect, over a network.
 package loopback
 
 import (
@@ -8,17 +8,17 @@
 	"net"
 )
 
-// ErrNot is an address that is not of the loopback.
+// ErrNot is an address off the loopback interface.
 var ErrNot = errors.New("not a loopback address")
 
-// Check tells whether host:port is one.
-func Check(addr string) error {
-	host, _, err := net.SplitHostPort(addr)
+// Check returns an error, ErrNot or one of the form, unless address is host:port on the loopback interface.
+func Check(address string) error {
+	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return fmt.Errorf("%q: %w", addr, err)
+		return fmt.Errorf("%q: %w", address, err)
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("%q: %w", addr, ErrNot)
+		return fmt.Errorf("%q: %w", address, ErrNot)
 	}
 	return nil
 }
