--- a/cmd/tulipglade/golden_test.go
+++ b/cmd/tulipglade/golden_test.go
@@ -7,9 +7,7 @@
 	"fmt"
 	"io"
 	"net"
-	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"regexp"
 	"strconv"
@@ -21,15 +19,15 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// goldenWire is what a process of commit f2517d9 wrote to each of its neighbors; TULIPGLADE_WRITE_GOLDEN=1 writes it anew.
+// goldenWire is what a process of commit f2517d9 sent to each of its peers; TULIPGLADE_WRITE_GOLDEN=1 writes it anew.
 const goldenWire = "testdata/wire.golden"
 
-// recordedPeer is a server on raw TCP that records each request as its bytes came and sends a fixed response.
+// recordedPeer is a server on raw TCP that records each request byte for byte and sends a fixed response.
 type recordedPeer struct {
 	listener net.Listener
 	respond  func(request string) string
 
-	mu       sync.Mutex
+	mutex    sync.Mutex
 	requests []string
 }
 
@@ -54,16 +52,16 @@
 }
 
 func (p *recordedPeer) serve(conn net.Conn) {
-	defer conn.Close()
-	in := bufio.NewReader(conn)
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
 	for {
-		request, err := readMessage(in)
+		request, err := readMessage(reader)
 		if err != nil {
 			return
 		}
-		p.mu.Lock()
+		p.mutex.Lock()
 		p.requests = append(p.requests, request)
-		p.mu.Unlock()
+		p.mutex.Unlock()
 		response := p.respond(request)
 		if response == "" {
 			continue // a watch without a change
@@ -74,27 +72,28 @@
 	}
 }
 
-// recorded returns the distinct requests so far, normalized, in the order in which they first came.
+// recorded returns the distinct requests so far, normalized, in the order of their first arrival.
 func (p *recordedPeer) recorded(normalize func(string) string) []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	var distinct []string
 	seen := map[string]bool{}
-	for _, r := range p.requests {
-		if r = normalize(r); !seen[r] {
-			seen[r] = true
-			distinct = append(distinct, r)
+	for _, request := range p.requests {
+		request = normalize(request)
+		if !seen[request] {
+			seen[request] = true
+			distinct = append(distinct, request)
 		}
 	}
 	return distinct
 }
 
 // readMessage reads an HTTP/1.1 message with a Content-Length or without a body, byte for byte.
-func readMessage(in *bufio.Reader) (string, error) {
+func readMessage(reader *bufio.Reader) (string, error) {
 	var text strings.Builder
 	length := 0
 	for {
-		line, err := in.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		text.WriteString(line)
 		if err != nil {
 			return text.String(), err
@@ -109,7 +108,7 @@
 		}
 	}
 	body := make([]byte, length)
-	n, err := io.ReadFull(in, body)
+	n, err := io.ReadFull(reader, body)
 	text.Write(body[:n])
 	return text.String(), err
 }
@@ -145,44 +144,47 @@
 	case strings.Contains(request, "/full"):
 		return "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	}
-	return "HTTP/1.1 200 OK\r\nX-Backend: b\r\nendpoint-load-metrics: TEXT named_metrics.utilization=0.5, named_metrics.backlog=1\r\nContent-Length: 2\r\n\r\nok"
+	return "HTTP/1.1 200 OK\r\nX-Backend: b\r\n" +
+		"endpoint-load-metrics: TEXT named_metrics.utilization=0.5, named_metrics.backlog=1\r\n" +
+		"Content-Length: 2\r\n\r\nok"
 }
 
-// wireRecord builds the text that is compared, with what differs between two runs replaced.
+// wireRecord builds the text that is compared, with placeholders for what differs between two runs.
 type wireRecord struct {
-	text     strings.Builder
-	replaced *strings.Replacer
+	text      strings.Builder
+	addresses *strings.Replacer
 }
 
-var variable = []struct {
-	pattern *regexp.Regexp
-	with    string
+// varyingFields are the fields whose values differ between two runs.
+var varyingFields = []struct {
+	pattern     *regexp.Regexp
+	placeholder string
 }{
 	{regexp.MustCompile(`X-Expires-In-Ms: \d+`), "X-Expires-In-Ms: N"},
 	{regexp.MustCompile(`timeout_ms=[1-9]\d*`), "timeout_ms=N"},
 }
 
 func (w *wireRecord) normalize(text string) string {
-	text = w.replaced.Replace(text)
-	for _, v := range variable {
-		text = v.pattern.ReplaceAllString(text, v.with)
+	text = w.addresses.Replace(text)
+	for _, field := range varyingFields {
+		text = field.pattern.ReplaceAllString(text, field.placeholder)
 	}
 	return text
 }
 
 func (w *wireRecord) add(title, text string) {
 	text = strings.ReplaceAll(w.normalize(text), "\r", `\r`)
-	fmt.Fprintf(&w.text, "== %s\n%s\n", title, text)
+	_, _ = fmt.Fprintf(&w.text, "== %s\n%s\n", title, text) // never fails
 }
 
-// exchange sends a request on a connection of its own and returns the response as it came.
+// exchange sends a request on a connection of its own and returns the response byte for byte.
 func exchange(t *testing.T, address, request string) string {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", address, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := io.WriteString(conn, request); err != nil {
 		t.Fatal(err)
@@ -194,10 +196,10 @@
 	return response
 }
 
-// numbers of a hot restart's state differ from run to run, its keys do not.
+// numbers match the values of a hot restart's state that differ from run to run; its keys do not.
 var numbers = regexp.MustCompile(`-?\d+(\.\d+)?(e[-+]?\d+)?`)
 
-// hotRestartState connects as a successor would and returns the state that the process hands over.
+// hotRestartState connects as a successor would and returns the state that the process sends.
 func hotRestartState(t *testing.T, dir string) string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.sock"))
@@ -208,7 +210,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := io.WriteString(conn, "tulipglade hand-over 1\n"); err != nil {
 		t.Fatal(err)
@@ -224,78 +226,83 @@
 	return string(head[:4]) + numbers.ReplaceAllString(string(body), "N")
 }
 
-var servingLine = regexp.MustCompile(`msg=serving.*`)
+// goldenConfig is the configuration of the process that the golden file is about.
+const goldenConfig = `{"name":"n0","listen":"127.0.0.1:0","operator":"127.0.0.1:0","discovery":%q,"seed":"1",
+	"limits":{"cores":1,"memory_mb":192,"sockets":96},
+	"known":{"rev":0,"all":true,"targets":[]},
+	"settings":{"discovery":"ask","me":0,"peers_total":1,"zones":["z"],"orgs":[{"name":"o","share":1}],"tick_us":5000,
+	"profiles":[{"name":"read","aim_us":600000,"deadline_us":1500000,"effect":"repeatable"},
+	{"name":"pay","aim_us":600000,"deadline_us":1500000,"effect":"once"},
+	{"name":"settle","aim_us":600000,"deadline_us":1500000,"effect":"by_key","key_scope":"cell","window_us":6000000}],
+	"limits":{"connect_timeout_us":250000,"keepalive_us":30000000,"max_attempts":1,"max_open":20000,
+	"retry_after":true,"max_retry_after_us":2000000},
+	"report":{"fields":["utilization","backlog"],"how":"piggyback"},
+	"rules":{"ask_every_us":10000000,"grace_to_answer_us":20000,"drain_grace_us":500000}}}`
 
-// listenAddresses returns the addresses of clients and of administrators, by the line that a process logs as it serves.
-func listenAddresses(t *testing.T, out *said) (clients, admin string) {
-	t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		line := servingLine.FindString(out.all())
-		found := regexp.MustCompile(`127\.0\.0\.1:\d+`).FindAllString(line, -1)
-		if len(found) >= 2 {
-			return found[0], found[len(found)-1]
-		}
-	}
-	t.Fatalf("it does not serve: %s", out.all())
-	return "", ""
-}
+// goldenList is the endpoint list with one backend.
+const goldenList = `{"rev":4,"all":true,"targets":[` +
+	`{"uid":"a","endpoint":%q,"az":"z","pod_group":3,"state":"in_service","capacity_hint":2,"boot_ms":5}]}`
 
 // TestWireFormsAreUnchanged compares every message that a process sends with what commit f2517d9 sent: polls and watches, requests to
-// backends, answers to clients and administrators, and the state that goes to a successor at a hot restart.
+// backends, answers to clients and operators, and the state that goes to a successor at a hot restart.
 func TestWireFormsAreUnchanged(t *testing.T) {
 	backend := newRecordedPeer(t, backendResponse)
-	list := fmt.Sprintf(`{"rev":4,"all":true,"targets":[{"uid":"a","endpoint":%q,"az":"z","pod_group":3,"state":"in_service","capacity_hint":2,"boot_ms":5}]}`,
-		backend.listener.Addr())
+	list := fmt.Sprintf(goldenList, backend.listener.Addr())
 	discovery := newRecordedPeer(t, func(request string) string {
 		if strings.Contains(request, "since=4") && !strings.Contains(request, "timeout_ms=0") {
 			return ""
 		}
 		return withLength(list)
 	})
-	dir := t.TempDir()
-	path := filepath.Join(dir, "config.json")
-	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","operator":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":96},
-		"known":{"rev":0,"all":true,"targets":[]},"settings":{"discovery":"ask","me":0,"peers_total":1,"zones":["z"],"orgs":[{"name":"o","share":1}],"tick_us":5000,
-		"profiles":[{"name":"read","aim_us":600000,"deadline_us":1500000,"effect":"repeatable"},{"name":"pay","aim_us":600000,"deadline_us":1500000,"effect":"once"},
-		{"name":"settle","aim_us":600000,"deadline_us":1500000,"effect":"by_key","key_scope":"cell","window_us":6000000}],
-		"limits":{"connect_timeout_us":250000,"keepalive_us":30000000,"max_attempts":1,"max_open":20000,"retry_after":true,"max_retry_after_us":2000000},
-		"report":{"fields":["utilization","backlog"],"how":"piggyback"},
-		"rules":{"ask_every_us":10000000,"grace_to_answer_us":20000,"drain_grace_us":500000}}}`, discovery.listener.Addr().String())
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	out := &said{}
-	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "TULIPGLADE_TEST_RUN="+path, "TMPDIR="+dir)
-	cmd.Stderr = out
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	defer func() {
-		_ = cmd.Process.Kill()
-		_ = cmd.Wait()
-	}()
-	clients, admin := listenAddresses(t, out)
-	record := &wireRecord{replaced: strings.NewReplacer(discovery.listener.Addr().String(), "DISCOVERY", backend.listener.Addr().String(), "BACKEND",
-		clients, "CLIENTS", admin, "ADMIN")}
-	awaitReady(t, clients, out)
-	for _, call := range goldenCalls {
-		record.add("client: "+call.name, exchange(t, clients, call.request))
+	handoffDir := t.TempDir()
+	p := newProcess(t, fmt.Sprintf(goldenConfig, discovery.listener.Addr().String()))
+	p.start(t, "TMPDIR="+handoffDir)
+	defer p.kill()
+	clients, admin, ok := p.awaitServing(startupTimeout)
+	if !ok {
+		t.Fatalf("it does not serve: %s", p.output)
 	}
-	for i, request := range backend.recorded(record.normalize) {
-		record.add(fmt.Sprintf("backend: request %d", i), request)
+	record := &wireRecord{addresses: strings.NewReplacer(discovery.listener.Addr().String(), "DISCOVERY",
+		backend.listener.Addr().String(), "BACKEND", clients, "CLIENTS", admin, "ADMIN")}
+	if !awaitReady(clients, startupTimeout) {
+		t.Fatalf("not ready: %s", p.output)
 	}
-	for end := time.Now().Add(30 * time.Second); len(discovery.recorded(record.normalize)) < 2 && time.Now().Before(end); {
+	record.addClients(t, clients)
+	record.addPeer("backend: request", backend)
+	for end := time.Now().Add(startupTimeout); len(discovery.recorded(record.normalize)) < 2 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond) // the watch follows the first poll
 	}
-	for i, request := range discovery.recorded(record.normalize) {
-		record.add(fmt.Sprintf("discovery: call %d", i), request)
+	record.addPeer("discovery: call", discovery)
+	record.addAdmin(t, admin)
+	record.add("hot restart", hotRestartState(t, handoffDir))
+	compareWithGolden(t, record.text.String())
+}
+
+// addClients records the answer to each of goldenCalls.
+func (w *wireRecord) addClients(t *testing.T, address string) {
+	t.Helper()
+	for _, call := range goldenCalls {
+		w.add("client: "+call.name, exchange(t, address, call.request))
 	}
+}
+
+// addAdmin records the answers to operators.
+func (w *wireRecord) addAdmin(t *testing.T, address string) {
+	t.Helper()
 	for _, call := range []string{"GET /status", "PUT /none", "GET /status?lease=x&token=1", "PUT /standby", "PUT /active"} {
-		record.add("admin: "+call, exchange(t, admin, call+" HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"))
+		w.add("admin: "+call, exchange(t, address, call+" HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"))
+	}
+}
+
+// addPeer records what a peer has received.
+func (w *wireRecord) addPeer(title string, peer *recordedPeer) {
+	for i, request := range peer.recorded(w.normalize) {
+		w.add(fmt.Sprintf("%s %d", title, i), request)
 	}
-	record.add("hot restart", hotRestartState(t, dir))
-	got := record.text.String()
+}
+
+func compareWithGolden(t *testing.T, got string) {
+	t.Helper()
 	if os.Getenv("TULIPGLADE_WRITE_GOLDEN") != "" {
 		if err := os.WriteFile(goldenWire, []byte(got), 0o600); err != nil {
 			t.Fatal(err)
@@ -309,19 +316,3 @@
 		t.Error(diff)
 	}
 }
-
-// awaitReady waits until the process says that it is ready.
-func awaitReady(t *testing.T, address string, out *said) {
-	t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		resp, err := http.Get("http://" + address + "/ready")
-		if err != nil {
-			continue
-		}
-		_ = resp.Body.Close()
-		if resp.StatusCode == http.StatusOK {
-			return
-		}
-	}
-	t.Fatalf("not ready: %s", out.all())
-}
--- a/cmd/tulipglade/main.go
+++ b/cmd/tulipglade/main.go
@@ -15,9 +15,15 @@
 	"tulipglade/internal/daemon"
 )
 
-// hangups is there from the first moment that a program has: a platform that changes the configuration sends SIGHUP to all processes,
-// also to one that it has just started.
-var hangups = daemon.NotifyReload()
+// logLevelVariable names the level of the log, such as "debug", which has a line written for each step of each request.
+const logLevelVariable = "TULIPGLADE_LOG"
+
+// logFlushTimeout bounds the wait for the last lines of the log.
+const logFlushTimeout = time.Second
+
+// reloadSignals is set before main runs: a platform that changes the configuration sends SIGHUP to all processes, also to
+// one that it has just started.
+var reloadSignals = daemon.NotifyReload()
 
 func main() {
 	if err := command().Run(context.Background(), os.Args); err != nil {
@@ -42,43 +48,44 @@
 
 func serve(ctx context.Context, cmd *cli.Command) error {
 	load := func() (*daemon.Config, error) { return daemon.Load(cmd.String("config"), os.Getenv) }
-	c, err := load()
+	config, err := load()
 	if err != nil {
 		return err
 	}
-	out := daemon.NewLogWriter(os.Stderr)
-	defer out.Flush(time.Second)
-	return daemon.Serve(ctx, c, load, hangups, slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: logLevel()})))
+	writer := daemon.NewLogWriter(os.Stderr)
+	defer writer.Flush(logFlushTimeout)
+	log := slog.New(slog.NewTextHandler(writer, &slog.HandlerOptions{Level: logLevel()}))
+	return daemon.Serve(ctx, config, load, reloadSignals, log)
 }
 
 func check(_ context.Context, cmd *cli.Command) error {
-	c, err := daemon.Load(cmd.String("config"), os.Getenv)
+	config, err := daemon.Load(cmd.String("config"), os.Getenv)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(cmd.Root().Writer, "ok: %d classes, %d tenants, %d backends known\n",
-		len(c.Node.Classes), len(c.Node.Tenants), len(c.Endpoints.Targets))
-	return nil
+	_, err = fmt.Fprintf(cmd.Root().Writer, "ok: %d classes, %d tenants, %d backends known\n",
+		len(config.Node.Classes), len(config.Node.Tenants), len(config.Endpoints.Targets))
+	return err
 }
 
 func version(_ context.Context, cmd *cli.Command) error {
-	v, revision := "(devel)", ""
+	number, revision := "(devel)", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
-		v = info.Main.Version
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" {
-				revision = " " + s.Value
+		number = info.Main.Version
+		for _, setting := range info.Settings {
+			if setting.Key == "vcs.revision" {
+				revision = " " + setting.Value
 			}
 		}
 	}
-	fmt.Fprintf(cmd.Root().Writer, "tulipglade %s%s\n", v, revision)
-	return nil
+	_, err := fmt.Fprintf(cmd.Root().Writer, "tulipglade %s%s\n", number, revision)
+	return err
 }
 
-// logLevel is that of TULIPGLADE_LOG, such as "debug", which has a line written for each step of each request; "info" without it.
+// logLevel returns the level in the environment, or "info" where there is none.
 func logLevel() slog.Level {
 	var level slog.Level
-	if level.UnmarshalText([]byte(os.Getenv("TULIPGLADE_LOG"))) != nil {
+	if level.UnmarshalText([]byte(os.Getenv(logLevelVariable))) != nil {
 		return slog.LevelInfo
 	}
 	return level
--- a/cmd/tulipglade/main_test.go
+++ b/cmd/tulipglade/main_test.go
@@ -9,29 +9,29 @@
 	"testing"
 )
 
-// What a person at the command line sees: one plain line, and an error that ends the program with status 1.
-func TestCommands(t *testing.T) {
-	bad := filepath.Join(t.TempDir(), "bad.json")
-	if err := os.WriteFile(bad, []byte(`{"listen":"here"}`), 0o600); err != nil {
+// Each command prints one plain line, or returns an error of one line.
+func TestCommandsPrintOneLine(t *testing.T) {
+	invalid := filepath.Join(t.TempDir(), "invalid.json")
+	if err := os.WriteFile(invalid, []byte(`{"listen":"here"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		args        string
-		prints, err string
+		args             string
+		wantOut, wantErr string
 	}{
 		{"version", "tulipglade ", ""},
 		{"check --config ../../example/config.json", "ok: 3 classes, 3 tenants", ""},
-		{"check --config " + bad, "", "listen: "},
-		{"serve --config " + bad, "", "listen: "},
-		{"check --config " + bad + ".none", "", "configuration: "},
+		{"check --config " + invalid, "", "listen: "},
+		{"serve --config " + invalid, "", "listen: "},
+		{"check --config " + invalid + ".none", "", "configuration: "},
 	} {
-		var out bytes.Buffer
+		var output bytes.Buffer
 		cmd := command()
-		cmd.Writer = &out
+		cmd.Writer = &output
 		err := cmd.Run(context.Background(), append([]string{"tulipglade"}, strings.Fields(c.args)...))
-		if !strings.HasPrefix(out.String(), c.prints) || (err == nil) != (c.err == "") ||
-			err != nil && !strings.HasPrefix(err.Error(), c.err) || strings.Count(out.String(), "\n") > 1 {
-			t.Errorf("%s: %q, %v, want %q, %q", c.args, out.String(), err, c.prints, c.err)
+		if !strings.HasPrefix(output.String(), c.wantOut) || (err == nil) != (c.wantErr == "") ||
+			err != nil && !strings.HasPrefix(err.Error(), c.wantErr) || strings.Count(output.String(), "\n") > 1 {
+			t.Errorf("%s: %q, %v, want %q, %q", c.args, output.String(), err, c.wantOut, c.wantErr)
 		}
 	}
 }
--- a/cmd/tulipglade/outage_test.go
+++ b/cmd/tulipglade/outage_test.go
@@ -1,264 +1,239 @@
 package main
 
 import (
-	"bufio"
-	"context"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"os/exec"
-	"path/filepath"
-	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 )
 
-// descriptors is what each process of a test may hold.
-const descriptors = 96
+// drainingChange is the change of the endpoint list that discovery has for every process.
+const drainingChange = `{"rev":9,"all":false,"targets":[
+	{"uid":"b","endpoint":"127.0.0.1:1","az":"z","state":"terminating","capacity_hint":1}]}`
 
-// TestMain is the program itself where a test has started it as one.
-func TestMain(m *testing.M) {
-	if os.Getenv("TULIPGLADE_TEST_RUN") != "" {
-		most := uint64(number("TULIPGLADE_TEST_FILES", descriptors))
-		files := syscall.Rlimit{Cur: most, Max: most} // as the platform does
-		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			os.Exit(1)
-		}
-		if err := command().Run(context.Background(), []string{"tulipglade", "serve", "--config", os.Getenv("TULIPGLADE_TEST_RUN")}); err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			os.Exit(1)
-		}
-		os.Exit(0)
-	}
-	os.Exit(m.Run())
+// isUpToDate reports whether a call asks for changes after the only one that there is.
+func isUpToDate(r *http.Request) bool { return r.URL.Query().Get("since") == "9" }
+
+// discoveryState is what a discovery does with calls.
+type discoveryState uint8
+
+const (
+	discoveryUp           discoveryState = iota // answers
+	discoveryDown                               // resets connections
+	discoveryRejecting                          // rejects at once, with 503
+	discoverySlowRejected                       // rejects with 503 after queueingTime
+)
+
+// queueingTime is how long an overloaded discovery queues a call before it rejects it.
+const queueingTime = 2 * time.Second
+
+// rejectionsEach is how often each process is rejected: so often that a doubling backoff would have grown beyond any bound.
+const rejectionsEach = 5
+
+// notificationTimeout is how long a change may take to count as notified.
+const notificationTimeout = 6 * time.Second
+
+// faultyDiscovery is discovery as the processes of a test reach it, each at an address of its own.
+type faultyDiscovery struct {
+	processes int
+
+	mutex       sync.Mutex
+	state       discoveryState
+	rejections  map[int]int   // by process
+	allRejected chan struct{} // closed when each process has been rejected rejectionsEach times
+	notified    map[int]bool  // processes that have received the change
+	allNotified chan struct{} // closed when all have
+}
+
+func newFaultyDiscovery(processes int, state discoveryState) *faultyDiscovery {
+	d := &faultyDiscovery{processes: processes}
+	d.set(state)
+	return d
 }
 
-// service is discovery as the processes of a test reach it, each at an address of its own. It can be down, slow to refuse, or up.
-type service struct {
-	mu      sync.Mutex
-	refuses time.Duration // a call is refused after so long, below 0 at once; 0: it is answered
-	refused map[int]int   // calls, by process
-	tired   chan struct{} // closed as each has been refused failures times
-	heard   map[int]bool  // processes that have been told of the change
-	all     chan struct{} // closed as all have
-	n       int
+// set changes what becomes of calls from here on, and starts to count anew.
+func (d *faultyDiscovery) set(state discoveryState) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.state = state
+	d.rejections, d.allRejected = map[int]int{}, make(chan struct{})
+	d.notified, d.allNotified = map[int]bool{}, make(chan struct{})
 }
 
-// drained is the change that discovery has.
-const drained = `{"rev":9,"all":false,"targets":[{"uid":"b","endpoint":"127.0.0.1:1","az":"z","state":"terminating","capacity_hint":1}]}`
+func (d *faultyDiscovery) current() discoveryState {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.state
+}
 
-func (s *service) handler(i int) http.HandlerFunc {
+func (d *faultyDiscovery) handler(process int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		s.mu.Lock()
-		refuses := s.refuses
-		s.mu.Unlock()
-		if refuses == down {
-			if conn, _, err := w.(http.Hijacker).Hijack(); err == nil {
-				_ = conn.(*net.TCPConn).SetLinger(0)
-				_ = conn.Close()
-			}
-			return
-		}
-		if refuses != 0 {
+		switch d.current() {
+		case discoveryDown:
+			resetConnection(w)
+		case discoveryRejecting:
+			w.WriteHeader(http.StatusServiceUnavailable)
+			d.countRejection(process)
+		case discoverySlowRejected:
 			select {
-			case <-time.After(refuses):
+			case <-time.After(queueingTime):
 			case <-r.Context().Done():
 			}
-			w.WriteHeader(503)
-			s.count(i)
-			return
-		}
-		if r.URL.Query().Get("since") == "9" {
-			<-r.Context().Done() // a watch, and nothing changes
-			return
-		}
-		_, _ = io.WriteString(w, drained)
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.heard[i] {
-			return
-		}
-		if s.heard[i] = true; len(s.heard) == s.n {
-			close(s.all)
+			w.WriteHeader(http.StatusServiceUnavailable)
+			d.countRejection(process)
+		case discoveryUp:
+			if isUpToDate(r) {
+				<-r.Context().Done() // a watch, and nothing changes
+				return
+			}
+			_, _ = io.WriteString(w, drainingChange) // a process that has ended calls again
+			d.countNotification(process)
 		}
 	}
 }
 
-// failures is how often each process is refused: so often that a pause which doubles would have grown beyond any bound.
-const failures = 5
+// resetConnection ends a call with a reset.
+func resetConnection(w http.ResponseWriter) {
+	conn, _, err := w.(http.Hijacker).Hijack()
+	if err != nil {
+		return
+	}
+	_ = conn.(*net.TCPConn).SetLinger(0)
+	_ = conn.Close()
+}
 
-func (s *service) count(i int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.refused[i]++; s.refused[i] != failures {
+func (d *faultyDiscovery) countRejection(process int) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.rejections[process]++
+	if d.rejections[process] != rejectionsEach {
 		return
 	}
-	for k := range s.n {
-		if s.refused[k] < failures {
+	for i := range d.processes {
+		if d.rejections[i] < rejectionsEach {
 			return
 		}
 	}
-	close(s.tired)
-}
-
-// is says what becomes of calls from here on.
-func (s *service) is(how time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.refuses, s.heard, s.all, s.refused, s.tired = how, map[int]bool{}, make(chan struct{}), map[int]int{}, make(chan struct{})
+	close(d.allRejected)
 }
 
-// tellsAll waits until all have heard, as long as a change may take to count as told.
-func (s *service) tellsAll(t *testing.T, since string) {
-	t.Helper()
-	select {
-	case <-s.all:
-	case <-time.After(6 * time.Second):
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		t.Errorf("%d of %d have heard 6 s after discovery %s", len(s.heard), s.n, since)
+func (d *faultyDiscovery) countNotification(process int) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if d.notified[process] {
+		return
+	}
+	d.notified[process] = true
+	if len(d.notified) == d.processes {
+		close(d.allNotified)
 	}
 }
 
-// down has each call reset at once.
-const down = time.Duration(-1 << 62)
-
-// process is the program, started by a test.
-type process struct {
-	cmd    *exec.Cmd
-	config string
-	addr   chan string
-}
-
-func (p *process) start(t *testing.T) {
+// checkAllNotified checks that all processes receive the change in time.
+func (d *faultyDiscovery) checkAllNotified(t *testing.T, since string) {
 	t.Helper()
-	p.cmd = exec.Command(os.Args[0])
-	p.cmd.Env = append(os.Environ(), "TULIPGLADE_TEST_RUN="+p.config)
-	log, err := p.cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := p.cmd.Start(); err != nil {
-		t.Fatal(err)
+	select {
+	case <-d.allNotified:
+	case <-time.After(notificationTimeout):
+		d.mutex.Lock()
+		defer d.mutex.Unlock()
+		t.Errorf("%d of %d notified %v after discovery %s", len(d.notified), d.processes, notificationTimeout, since)
 	}
-	addr := make(chan string, 1)
-	p.addr = addr
-	go func() { // to the end, or the process would wait for a reader
-		for lines := bufio.NewScanner(log); lines.Scan(); {
-			if _, rest, ok := strings.Cut(lines.Text(), "msg=serving"); ok {
-				_, rest, _ = strings.Cut(rest, " listen=")
-				rest, _, _ = strings.Cut(rest, " ")
-				addr <- rest
-			}
-		}
-	}()
-}
-
-// at is where the process listens, once it does.
-func (p *process) at() string {
-	at := <-p.addr
-	p.addr <- at
-	return at
-}
-
-func (p *process) kill() {
-	_ = p.cmd.Process.Signal(syscall.SIGKILL)
-	_ = p.cmd.Wait()
 }
 
-// readyWithin counts the processes that are ready by then.
-func readyWithin(all []*process, within time.Duration) int {
-	end := time.Now().Add(within)
+// countReady counts the processes that are ready within the timeout.
+func countReady(processes []*process, timeout time.Duration) int {
+	end := time.Now().Add(timeout)
 	var ready atomic.Int32
-	var wg sync.WaitGroup
-	for _, p := range all {
-		wg.Go(func() {
-			at, c := "", http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-			select {
-			case at = <-p.addr:
-				p.addr <- at
-			case <-time.After(within):
-			}
-			for time.Now().Before(end) {
-				if resp, err := c.Get("http://" + at + "/ready"); err == nil {
-					_ = resp.Body.Close()
-					if resp.StatusCode == 200 {
-						ready.Add(1)
-						return
-					}
-				}
+	var checks sync.WaitGroup
+	for _, p := range processes {
+		checks.Go(func() {
+			address, _, ok := p.awaitServing(timeout)
+			if ok && awaitReady(address, time.Until(end)) {
+				ready.Add(1)
 			}
 		})
 	}
-	wg.Wait()
+	checks.Wait()
 	return int(ready.Load())
 }
 
-// Twenty processes of the program and a discovery that fails them. Started while it is down, nine in ten are ready within 10 s; with idle clients
-// on every descriptor that a process gives away, all have heard of a change 6 s after discovery is back; killed and started together while it has
-// too many callers, nine in ten are ready within 10 s again.
-func TestProcessesWithoutDiscovery(t *testing.T) {
-	const n = 20
-	s := &service{n: n}
-	s.is(down)
-	app := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	defer app.Close()
-	var all []*process
-	for i := range n {
-		srv := httptest.NewServer(s.handler(i))
-		defer srv.Close()
-		defer srv.CloseClientConnections()
-		p := &process{config: filepath.Join(t.TempDir(), "config.json")}
-		text := fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":%q,"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":{"rev":4,"all":true,"targets":[
-			{"uid":"a","endpoint":%q,"az":"z","state":"in_service","capacity_hint":1},{"uid":"b","endpoint":"127.0.0.1:1","az":"z","state":"in_service","capacity_hint":1}]},
-			"settings":{"discovery":"ask","me":%d,"peers_total":%d,"zones":["z"],"orgs":[{"name":"t","share":1}],"tick_us":5000,
-			"profiles":[{"name":"read","aim_us":600000,"deadline_us":1500000,"effect":"repeatable"}],
-			"limits":{"connect_timeout_us":250000,"keepalive_us":30000000,"max_attempts":3,"max_open":20000},
-			"rules":{"ask_every_us":9000000,"grace_to_answer_us":20000,"drain_grace_us":500000}}}`, i, "127.0.0.1:0", srv.Listener.Addr().String(), descriptors, app.Listener.Addr().String(), i, n)
-		if err := os.WriteFile(p.config, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
+// awaitReady reports whether a process is ready within the timeout.
+func awaitReady(address string, timeout time.Duration) bool {
+	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		response, err := client.Get("http://" + address + "/ready")
+		if err != nil {
+			continue
+		}
+		_ = response.Body.Close() // the status is all that counts
+		if response.StatusCode == http.StatusOK {
+			return true
 		}
-		all = append(all, p)
+	}
+	return false
+}
+
+// Twenty processes of the program and a discovery with faults. Started while it is down, nine in ten are ready within 10 s;
+// with idle clients on every descriptor that a process gives to them, all are notified of a change 6 s after discovery is
+// back; killed and started together while it is overloaded, nine in ten are ready within 10 s again.
+func TestFleetServesThroughDiscoveryOutage(t *testing.T) {
+	const fleetSize, wantReady, readyTimeout = 20, 18, 10 * time.Second
+	discovery := newFaultyDiscovery(fleetSize, discoveryDown)
+	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	defer backend.Close()
+	var processes []*process
+	for i := range fleetSize {
+		server := httptest.NewServer(discovery.handler(i))
+		defer server.Close()
+		defer server.CloseClientConnections()
+		p := newProcess(t, fleetNode{
+			index:          i,
+			fleetSize:      fleetSize,
+			discovery:      server.Listener.Addr().String(),
+			endpoints:      map[string]string{"a": backend.Listener.Addr().String(), "b": "127.0.0.1:1"},
+			class:          readClass,
+			connectTimeout: 250 * time.Millisecond,
+			pollInterval:   9 * time.Second,
+		}.config())
+		processes = append(processes, p)
 		p.start(t)
 		defer p.kill()
 	}
-	if k := readyWithin(all, 10*time.Second); k < n*9/10 {
-		t.Fatalf("%d of %d ready without discovery", k, n)
+	if n := countReady(processes, readyTimeout); n < wantReady {
+		t.Fatalf("%d of %d ready without discovery", n, fleetSize)
 	}
-	s.is(-1)
+	discovery.set(discoveryRejecting)
 	select {
-	case <-s.tired:
+	case <-discovery.allRejected:
 	case <-time.After(time.Minute):
 		t.Fatal("not every process calls again and again")
 	}
-	for _, p := range all { // more idle clients than there are descriptors
-		for range descriptors * 5 / 4 {
-			conn, err := net.DialTimeout("tcp", p.at(), 5*time.Second)
+	for _, p := range processes { // more idle clients than there are descriptors
+		for range maxDescriptors * 5 / 4 {
+			conn, err := net.DialTimeout("tcp", p.clientAddress(t), 5*time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer func() { _ = conn.Close() }()
 		}
 	}
-	s.is(0)
-	s.tellsAll(t, "was back")
-	s.is(2 * time.Second)
-	for _, p := range all {
+	discovery.set(discoveryUp)
+	discovery.checkAllNotified(t, "was back")
+	discovery.set(discoverySlowRejected)
+	for _, p := range processes {
 		p.kill()
 	}
-	for _, p := range all {
+	for _, p := range processes {
 		p.start(t)
 	}
-	if k := readyWithin(all, 10*time.Second); k < n*9/10 {
-		t.Errorf("%d of %d ready again before a discovery with too many callers", k, n)
+	if n := countReady(processes, readyTimeout); n < wantReady {
+		t.Errorf("%d of %d ready again before an overloaded discovery", n, fleetSize)
 	}
-	s.is(0) // and it has room again
-	s.tellsAll(t, "had room")
+	discovery.set(discoveryUp)
+	discovery.checkAllNotified(t, "had capacity again")
 }
--- a/cmd/tulipglade/shutdown_test.go
+++ b/cmd/tulipglade/shutdown_test.go
@@ -9,7 +9,6 @@
 	"net/http"
 	"net/http/httptest"
 	"os"
-	"path/filepath"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -17,143 +16,187 @@
 	"time"
 )
 
-// caller is a client that asks again and again, on a connection that it keeps as long as that stays open, until nobody hears it any more.
-type caller struct {
-	addr, name string
-	holdAt     int // the number of the request that its host holds, below 0: of none
-	answered   int
-	crossed    []string // ids of requests that met the end of their connection, with not a byte of an answer
-	fault      string
-	turnedAway func() // called as it meets a process that is about to end
+// payClass is a class of non-idempotent requests.
+const payClass = `{"name":"pay","aim_us":9000000,"deadline_us":10000000,"effect":"once"}`
+
+// payRequest is a request of that class; its verbs are the ID and a line of the head.
+const payRequest = "POST /pay HTTP/1.1\r\nHost: h\r\nX-Trace-Id: %s\r\nX-Customer: t\r\n%sContent-Length: 0\r\n\r\n"
+
+// persistentClient sends one request after the other, on a connection that it reuses as long as that stays open, until the
+// process does not answer any more.
+type persistentClient struct {
+	address, name  string
+	blockedRequest int      // the number of the request that its backend blocks; below 0: none
+	onRejected     func()   // called when a request is rejected by a process that shuts down
+	answered       int      // requests
+	unanswered     []string // IDs of requests that met the end of their connection, without a byte of an answer
+	violation      string   // what must not happen
 }
 
-func (c *caller) run() {
-	for n := 0; c.fault == ""; {
-		conn, err := net.DialTimeout("tcp", c.addr, 10*time.Second)
+func (c *persistentClient) run() {
+	for number := 0; c.violation == ""; {
+		conn, err := net.DialTimeout("tcp", c.address, 10*time.Second)
 		if err != nil {
 			return // the process has ended
 		}
-		_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
-		unheard := len(c.crossed)
-		for in, open, first := bufio.NewReader(conn), true, n; open && c.fault == ""; n++ {
-			id, hold := fmt.Sprintf("%s-%d", c.name, n), ""
-			if n == c.holdAt {
-				hold = "X-Hold: 1\r\n"
-			}
-			_, sent := fmt.Fprintf(conn, "POST /pay HTTP/1.1\r\nHost: h\r\nX-Trace-Id: %s\r\nX-Customer: t\r\n%sContent-Length: 0\r\n\r\n", id, hold)
-			if open = c.read(in, id, sent); n == first && len(c.crossed) > unheard {
-				_ = conn.Close()
-				c.turnedAway()
-				return // a new connection, and it is shut: whoever deals them out goes elsewhere by now
-			}
+		next, ok := c.useConnection(conn, number)
+		_ = conn.Close() // after its last answer
+		if !ok {
+			return
+		}
+		number = next
+	}
+}
+
+// useConnection sends requests from a number on until the connection ends, and returns the next number. It returns false
+// where a new connection has ended without any answer: a load balancer in front of the process would use another by now.
+func (c *persistentClient) useConnection(conn net.Conn, first int) (next int, ok bool) {
+	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
+	reader := bufio.NewReader(conn)
+	unanswered := len(c.unanswered)
+	for number := first; ; number++ {
+		id := fmt.Sprintf("%s-%d", c.name, number)
+		extraField := ""
+		if number == c.blockedRequest {
+			extraField = "X-Block: 1\r\n"
+		}
+		_, sendErr := fmt.Fprintf(conn, payRequest, id, extraField)
+		open := c.readResponse(reader, id, sendErr)
+		if number == first && len(c.unanswered) > unanswered {
+			c.onRejected()
+			return number + 1, false
+		}
+		if !open || c.violation != "" {
+			return number + 1, true
 		}
-		_ = conn.Close()
 	}
 }
 
-// read takes the answer to a request, and tells whether its connection stays open.
-func (c *caller) read(in *bufio.Reader, id string, sent error) bool {
-	if _, err := in.Peek(1); err != nil {
+// readResponse reads the response to a request and reports whether the connection stays open.
+func (c *persistentClient) readResponse(reader *bufio.Reader, id string, sendErr error) bool {
+	if _, err := reader.Peek(1); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.fault = fmt.Sprintf("%s: no answer and no end: %v, %v", id, sent, err)
+			c.violation = fmt.Sprintf("%s: no answer and no end: %v, %v", id, sendErr, err)
 		}
-		c.crossed = append(c.crossed, id)
+		c.unanswered = append(c.unanswered, id)
 		return false
 	}
-	resp, err := http.ReadResponse(in, nil)
+	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		c.fault = fmt.Sprintf("%s: %v", id, err)
+		c.violation = fmt.Sprintf("%s: %v", id, err)
 		return false
 	}
-	body, err := io.ReadAll(resp.Body)
-	if err != nil || resp.StatusCode == 200 && string(body) != id || resp.StatusCode != 200 && resp.StatusCode != 503 {
-		c.fault = fmt.Sprintf("%s: status %d, %q, %v", id, resp.StatusCode, body, err)
+	defer func() { _ = response.Body.Close() }() // it has been read
+	body, err := io.ReadAll(response.Body)
+	served := response.StatusCode == http.StatusOK && string(body) == id
+	rejected := response.StatusCode == http.StatusServiceUnavailable
+	if err != nil || !served && !rejected {
+		c.violation = fmt.Sprintf("%s: status %d, %q, %v", id, response.StatusCode, body, err)
 	}
-	if c.answered++; resp.StatusCode == 503 {
-		c.turnedAway()
+	c.answered++
+	if rejected {
+		c.onRejected()
 	}
-	return !resp.Close
+	return !response.Close
+}
+
+// blockingBackend answers with the request's ID. It blocks requests with X-Block until released is closed.
+type blockingBackend struct {
+	executed    sync.Map // request IDs
+	wantBlocked int32
+	blocked     atomic.Int32
+	allBlocked  chan struct{} // closed when wantBlocked requests are blocked
+	released    chan struct{}
+}
+
+func newBlockingBackend(wantBlocked int32) *blockingBackend {
+	return &blockingBackend{wantBlocked: wantBlocked, allBlocked: make(chan struct{}), released: make(chan struct{})}
 }
 
-// Three processes are told to end under load, each with a request at its host that this holds until the process turns others away, while clients
-// go on to ask on every connection
-// that stays open, and open others. Each process ends by itself, in order; each request has its whole answer, or has met the end of its
-// connection and never ran.
-func TestProcessesStopUnderLoad(t *testing.T) {
-	const processes, callers = 3, 6
-	var ran sync.Map
-	var held atomic.Int32
-	all, leaving := make(chan struct{}), make(chan struct{})
-	release := sync.OnceFunc(func() { close(leaving) })
-	app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		id := r.Header.Get("X-Trace-Id")
-		ran.Store(id, true)
-		if r.Header.Get("X-Hold") != "" {
-			if held.Add(1) == processes {
-				close(all)
+func (b *blockingBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	id := r.Header.Get("X-Trace-Id")
+	b.executed.Store(id, true)
+	if r.Header.Get("X-Block") != "" {
+		if b.blocked.Add(1) == b.wantBlocked {
+			close(b.allBlocked)
+		}
+		<-b.released
+	}
+	_, _ = io.WriteString(w, id) // a client without an answer is noticed there
+}
+
+// checkClients checks that each request of the clients has its complete answer, or has not been executed.
+func (b *blockingBackend) checkClients(t *testing.T, clients []*persistentClient) {
+	t.Helper()
+	answered, unanswered := 0, 0
+	for _, client := range clients {
+		if client.violation != "" {
+			t.Error(client.violation)
+		}
+		answered += client.answered
+		unanswered += len(client.unanswered)
+		for _, id := range client.unanswered {
+			if _, executed := b.executed.Load(id); executed {
+				t.Errorf("%s was executed, and has no answer", id)
 			}
-			<-leaving
 		}
-		_, _ = io.WriteString(w, id)
-	}))
-	defer app.Close()
+	}
+	t.Logf("%d requests answered, %d met the end of their connection", answered, unanswered)
+}
+
+// Three processes are told to shut down under load, each with a request that its backend blocks until the process rejects
+// others, while clients go on to send requests on every connection that stays open, and open others. Each process ends by
+// itself, without an error; each request has its complete answer, or has met the end of its connection and was never
+// executed.
+func TestProcessesShutDownGracefullyUnderLoad(t *testing.T) {
+	const fleetSize, clientsEach, blockedRequest = 3, 6, 20
+	backend := newBlockingBackend(fleetSize)
+	release := sync.OnceFunc(func() { close(backend.released) })
+	backendServer := httptest.NewServer(backend)
+	defer backendServer.Close()
 	defer release()
-	nobody := httptest.NewServer(http.NotFoundHandler()) // discovery, which says nothing of use
-	defer nobody.Close()
-	var nodes []*process
-	var wg sync.WaitGroup
-	var clients []*caller
-	for i := range processes {
-		p := &process{config: filepath.Join(t.TempDir(), "config.json")}
-		text := fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":{"rev":4,"all":true,"targets":[
-			{"uid":"a","endpoint":%q,"az":"z","state":"in_service","capacity_hint":1}]},
-			"settings":{"discovery":"ask","me":%d,"peers_total":%d,"zones":["z"],"orgs":[{"name":"t","share":1}],"tick_us":5000,
-			"profiles":[{"name":"pay","aim_us":9000000,"deadline_us":10000000,"effect":"once"}],
-			"limits":{"connect_timeout_us":5000000,"keepalive_us":30000000,"max_attempts":3,"max_open":20000},
-			"rules":{"ask_every_us":9000000,"grace_to_answer_us":20000,"drain_grace_us":500000}}}`,
-			i, nobody.Listener.Addr().String(), descriptors, app.Listener.Addr().String(), i, processes)
-		if err := os.WriteFile(p.config, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
+	discovery := httptest.NewServer(http.NotFoundHandler()) // without any list
+	defer discovery.Close()
+	var processes []*process
+	var clients []*persistentClient
+	var running sync.WaitGroup
+	for i := range fleetSize {
+		p := newProcess(t, fleetNode{
+			index:          i,
+			fleetSize:      fleetSize,
+			discovery:      discovery.Listener.Addr().String(),
+			endpoints:      map[string]string{"a": backendServer.Listener.Addr().String()},
+			class:          payClass,
+			connectTimeout: 5 * time.Second,
+			pollInterval:   9 * time.Second,
+		}.config())
 		p.start(t)
 		defer p.kill()
-		nodes = append(nodes, p)
-		for k := range callers {
-			c := &caller{addr: p.at(), name: fmt.Sprintf("n%d-c%d", i, k), holdAt: -1, turnedAway: release}
+		processes = append(processes, p)
+		for k := range clientsEach {
+			client := &persistentClient{address: p.clientAddress(t), name: fmt.Sprintf("n%d-c%d", i, k), blockedRequest: -1, onRejected: release}
 			if k == 0 {
-				c.holdAt = 20
+				client.blockedRequest = blockedRequest
 			}
-			clients = append(clients, c)
-			wg.Go(c.run)
+			clients = append(clients, client)
+			running.Go(client.run)
 		}
 	}
 	select {
-	case <-all:
+	case <-backend.allBlocked:
 	case <-time.After(30 * time.Second):
-		t.Errorf("%d requests are held, want %d", held.Load(), processes)
+		t.Errorf("%d requests are blocked, want %d", backend.blocked.Load(), fleetSize)
 	}
-	for _, p := range nodes {
+	for _, p := range processes {
 		if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Error(err)
 		}
 	}
-	for i, p := range nodes {
-		if err := p.cmd.Wait(); err != nil {
+	for i, p := range processes {
+		if err := p.wait(); err != nil {
 			t.Errorf("process %d: %v", i, err)
 		}
 	}
-	wg.Wait()
-	answered, crossed := 0, 0
-	for _, c := range clients {
-		if c.fault != "" {
-			t.Error(c.fault)
-		}
-		answered, crossed = answered+c.answered, crossed+len(c.crossed)
-		for _, id := range c.crossed {
-			if _, did := ran.Load(id); did {
-				t.Errorf("%s ran, and has no answer", id)
-			}
-		}
-	}
-	t.Logf("%d requests answered, %d met the end of their connection", answered, crossed)
+	running.Wait()
+	backend.checkClients(t, clients)
 }
--- a/cmd/tulipglade/stale_list_test.go
+++ b/cmd/tulipglade/stale_list_test.go
@@ -5,27 +5,26 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 )
 
-// removal is the change that discovery has had since before any process of the test started: backend b is gone.
-const removal = `{"rev":9,"all":false,"targets":[{"uid":"b","endpoint":"127.0.0.1:1","az":"z","state":"terminated"}]}`
+// removalChange is the change that discovery has had since before any process of the test started: backend b is removed.
+const removalChange = `{"rev":9,"all":false,"targets":[{"uid":"b","endpoint":"127.0.0.1:1","az":"z","state":"terminated"}]}`
 
-// lateDiscovery knows of the removal all along. Calls wait for their answers until it is released.
+// lateDiscovery has the removal from the start. Calls wait for their answers until release is closed.
 type lateDiscovery struct {
 	release chan struct{}
-	mu      sync.Mutex
-	told    map[int]bool
+
+	mutex    sync.Mutex
+	notified map[int]bool // processes
 }
 
 func (d *lateDiscovery) handler(process int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Query().Get("since") == "9" {
+		if isUpToDate(r) {
 			<-r.Context().Done() // a watch, and nothing changes
 			return
 		}
@@ -34,111 +33,123 @@
 		case <-r.Context().Done():
 			return
 		}
-		_, _ = io.WriteString(w, removal)
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.told[process] = true
+		_, _ = io.WriteString(w, removalChange) // a process that has ended calls again
+		d.mutex.Lock()
+		defer d.mutex.Unlock()
+		d.notified[process] = true
 	}
 }
 
-func (d *lateDiscovery) toldAll(processes int) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.told) == processes
+func (d *lateDiscovery) notifiedProcesses() int {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return len(d.notified)
+}
+
+// steadyClient sends one request after the other to a process.
+type steadyClient struct {
+	address            string
+	process            int
+	answered, rejected *atomic.Int32
 }
 
-// restarted is a process that begins with the list of before it was down: a and b are in service.
-func restarted(t *testing.T, number int, discovery, a, b string) *process {
+// run sends requests until stop is closed.
+func (c steadyClient) run(t *testing.T, stop <-chan struct{}) {
 	t.Helper()
-	p := &process{config: filepath.Join(t.TempDir(), "config.json")}
-	text := fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":{"rev":4,"all":true,"targets":[
-		{"uid":"a","endpoint":%q,"az":"z","state":"in_service","capacity_hint":1},{"uid":"b","endpoint":%q,"az":"z","state":"in_service","capacity_hint":1}]},
-		"settings":{"discovery":"ask","me":%d,"peers_total":10,"zones":["z"],"orgs":[{"name":"t","share":1}],"tick_us":5000,
-		"profiles":[{"name":"read","aim_us":600000,"deadline_us":1500000,"effect":"repeatable"}],
-		"limits":{"connect_timeout_us":250000,"keepalive_us":30000000,"max_attempts":3,"max_open":20000},
-		"rules":{"ask_every_us":10000000,"grace_to_answer_us":20000,"drain_grace_us":500000}}}`,
-		number, discovery, descriptors, a, b, number)
-	if err := os.WriteFile(p.config, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
+	client := http.Client{Transport: &http.Transport{}, Timeout: 10 * time.Second}
+	for i := 0; ; i++ {
+		select {
+		case <-stop:
+			return
+		default:
+		}
+		status, err := c.send(&client, i)
+		if err != nil {
+			t.Errorf("process %d: %v", c.process, err)
+			return
+		}
+		switch status {
+		case http.StatusOK:
+			c.answered.Add(1)
+		case http.StatusServiceUnavailable:
+			c.rejected.Add(1)
+			time.Sleep(5 * time.Millisecond)
+		default:
+			t.Errorf("process %d: status %d", c.process, status)
+			return
+		}
+	}
+}
+
+func (c steadyClient) send(client *http.Client, number int) (status int, err error) {
+	request, err := http.NewRequest(http.MethodGet, "http://"+c.address+"/read", nil)
+	if err != nil {
+		return 0, err
+	}
+	request.Header = http.Header{"X-Trace-Id": {fmt.Sprintf("n%d-%d", c.process, number)}, "X-Customer": {"t"}}
+	response, err := client.Do(request)
+	if err != nil {
+		return 0, err
 	}
-	p.start(t)
-	return p
+	defer func() { _ = response.Body.Close() }() // it has been read
+	_, _ = io.Copy(io.Discard, response.Body)    // the status is all that counts
+	return response.StatusCode, nil
 }
 
-// A process that comes back with the list of before it was down does not know how old that is: a backend that went meanwhile counts as gone
-// from the first moment. Nothing may go to it, however busy discovery is, and requests are served as soon as the process has heard.
-func TestRestartedProcessesDoNotTrustAnOldList(t *testing.T) {
-	const processes = 10
-	var toRemoved atomic.Int32
-	serving := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	defer serving.Close()
-	removed := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { toRemoved.Add(1) }))
+// A process that is restarted with the endpoint list of its predecessor does not know how stale that is: a backend that was
+// removed meanwhile counts as removed from the first moment. Nothing may be sent to it, however busy discovery is, and
+// requests are served as soon as the process has an answer of discovery.
+func TestRestartedProcessesDoNotTrustStaleList(t *testing.T) {
+	const fleetSize, pollTimeout = 10, 5 * time.Second
+	var atRemoved atomic.Int32
+	inService := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	defer inService.Close()
+	removed := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { atRemoved.Add(1) }))
 	defer removed.Close()
-	d := &lateDiscovery{release: make(chan struct{}), told: map[int]bool{}}
-	var answered, refused atomic.Int32
+	discovery := &lateDiscovery{release: make(chan struct{}), notified: map[int]bool{}}
+	var answered, rejected atomic.Int32
 	var clients sync.WaitGroup
 	stop := make(chan struct{})
-	for i := range processes {
-		srv := httptest.NewServer(d.handler(i))
-		defer srv.Close()
-		defer srv.CloseClientConnections()
-		p := restarted(t, i, srv.Listener.Addr().String(), serving.Listener.Addr().String(), removed.Listener.Addr().String())
+	for i := range fleetSize {
+		server := httptest.NewServer(discovery.handler(i))
+		defer server.Close()
+		defer server.CloseClientConnections()
+		p := newProcess(t, fleetNode{
+			index:          i,
+			fleetSize:      fleetSize,
+			discovery:      server.Listener.Addr().String(),
+			endpoints:      map[string]string{"a": inService.Listener.Addr().String(), "b": removed.Listener.Addr().String()},
+			class:          readClass,
+			connectTimeout: 250 * time.Millisecond,
+			pollInterval:   10 * time.Second,
+		}.config())
+		p.start(t)
 		defer p.kill()
-		clients.Go(func() { askUntil(t, stop, p.at(), i, &answered, &refused) })
+		client := steadyClient{address: p.clientAddress(t), process: i, answered: &answered, rejected: &rejected}
+		clients.Go(func() { client.run(t, stop) })
 	}
-	time.Sleep(time.Second) // a process that trusts its list has long sent by it
-	if k := toRemoved.Load(); k > 0 {
-		t.Errorf("%d requests at the backend that is gone while no process had heard from discovery", k)
+	time.Sleep(time.Second) // a process that trusted its list would long have used it
+	if n := atRemoved.Load(); n > 0 {
+		t.Errorf("%d requests at the removed backend before any process had an answer of discovery", n)
 	}
-	close(d.release)
-	for end := time.Now().Add(5 * time.Second); !d.toldAll(processes); time.Sleep(10 * time.Millisecond) {
+	close(discovery.release)
+	for end := time.Now().Add(pollTimeout); discovery.notifiedProcesses() < fleetSize; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Errorf("only %d of %d processes have asked within 6 s", len(d.told), processes)
+			t.Errorf("only %d of %d processes have polled within 6 s", discovery.notifiedProcesses(), fleetSize)
 			break
 		}
 	}
 	before := answered.Load()
-	for end := time.Now().Add(5 * time.Second); answered.Load() < before+10*processes && time.Now().Before(end); {
+	for end := time.Now().Add(pollTimeout); answered.Load() < before+10*fleetSize && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	close(stop)
 	clients.Wait()
-	if k := toRemoved.Load(); k > 0 {
-		t.Errorf("%d requests at the backend that is gone", k)
-	}
-	if k := answered.Load() - before; k < 10*processes {
-		t.Errorf("%d requests answered once all had heard", k)
+	if n := atRemoved.Load(); n > 0 {
+		t.Errorf("%d requests at the removed backend", n)
 	}
-	t.Logf("%d answered, %d refused", answered.Load(), refused.Load())
-}
-
-// askUntil sends one request after the other to a process.
-func askUntil(t *testing.T, stop <-chan struct{}, addr string, name int, answered, refused *atomic.Int32) {
-	client := http.Client{Transport: &http.Transport{}, Timeout: 10 * time.Second}
-	for k := 0; ; k++ {
-		select {
-		case <-stop:
-			return
-		default:
-		}
-		req, _ := http.NewRequest(http.MethodGet, "http://"+addr+"/read", nil)
-		req.Header = http.Header{"X-Trace-Id": {fmt.Sprintf("n%d-%d", name, k)}, "X-Customer": {"t"}}
-		resp, err := client.Do(req)
-		if err != nil {
-			t.Errorf("process %d: %v", name, err)
-			return
-		}
-		_, _ = io.Copy(io.Discard, resp.Body)
-		_ = resp.Body.Close()
-		switch resp.StatusCode {
-		case http.StatusOK:
-			answered.Add(1)
-		case http.StatusServiceUnavailable:
-			refused.Add(1)
-			time.Sleep(5 * time.Millisecond)
-		default:
-			t.Errorf("process %d: status %d", name, resp.StatusCode)
-			return
-		}
+	if n := answered.Load() - before; n < 10*fleetSize {
+		t.Errorf("%d requests answered after all processes were notified", n)
 	}
+	t.Logf("%d answered, %d rejected", answered.Load(), rejected.Load())
 }
