--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -92,7 +92,7 @@
 			return
 		}
 		if err != nil {
-			s.log.Warn("operator's connection not accepted", "err", err)
+			s.log.Warn("admin connection not accepted", "err", err)
 			time.Sleep(acceptBackoff)
 			continue
 		}
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -43,23 +44,36 @@
 // Parse is Load on the file's text.
 func Parse(raw []byte, getenv func(string) string) (*Config, error) {
 	if len(bytes.TrimSpace(bytes.Trim(raw, "\x00"))) == 0 {
-		return nil, errors.New("configuration: empty")
+		return nil, errEmptyConfig
 	}
 	config, err := parse(raw, getenv)
-	if err != nil { // a JSON error quotes the text around it, line breaks and all
-		return nil, errors.New(strings.Join(strings.Fields(err.Error()), " "))
+	if err != nil {
+		return nil, &oneLineError{err}
 	}
 	return config, nil
 }
 
+// errEmptyConfig is a configuration of nothing but white space or zero bytes, as a crash may leave one.
+var errEmptyConfig = errors.New("configuration: empty")
+
+// oneLineError puts an error's text on one line: a JSON error quotes the text around it, line breaks and all.
+type oneLineError struct {
+	err error
+}
+
+// Error returns the text with each run of white space replaced by a blank.
+func (e *oneLineError) Error() string { return strings.Join(strings.Fields(e.err.Error()), " ") }
+
+// Unwrap returns the error itself.
+func (e *oneLineError) Unwrap() error { return e.err }
+
 func parse(raw []byte, getenv func(string) string) (*Config, error) {
-	json := jsoniter.ConfigCompatibleWithStandardLibrary
 	var file configFile
-	if err := json.Unmarshal(raw, &file); err != nil {
+	if err := decodeJSON(raw, &file); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	var document any
-	if err := json.Unmarshal(raw, &document); err != nil {
+	if err := decodeJSON(raw, &document); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	file.applyEnvironment(getenv)
@@ -75,7 +89,7 @@
 		return nil, err
 	}
 	var nodeFile nodeSettingsFile
-	if err := json.Unmarshal(file.Settings, &nodeFile); err != nil {
+	if err := decodeJSON(file.Settings, &nodeFile); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	deployment, err := settings.Parse(file.Settings)
@@ -106,6 +120,19 @@
 	}, nil
 }
 
+// decodeJSON decodes raw into target. A value of the wrong type is an error that names the field by its path in the file.
+func decodeJSON(raw []byte, target any) error {
+	err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, target)
+	if err == nil {
+		return nil
+	}
+	var fieldError *settings.FieldError
+	if errors.As(settings.NameField(json.Unmarshal(raw, target)), &fieldError) {
+		return fieldError
+	}
+	return err
+}
+
 // settings returns the settings of the node; the file has been checked.
 func (f *nodeSettingsFile) settings(deployment settings.Deployment) (node.Settings, error) {
 	module := deployment.Balancer
@@ -117,7 +144,7 @@
 		return node.Settings{}, err
 	}
 	if len(classes) == 0 {
-		return node.Settings{}, &fieldError{"settings.profiles", "no classes of request"}
+		return node.Settings{}, settings.FieldErrorf("settings.profiles", "no classes of request")
 	}
 	tenants, err := uniqueNames("settings.orgs", f.Tenants)
 	if err != nil {
--- a/internal/daemon/configfile.go
+++ b/internal/daemon/configfile.go
@@ -9,20 +9,12 @@
 
 	"tulipglade/internal/balancer"
 	"tulipglade/internal/protocol"
+	"tulipglade/internal/settings"
 )
 
 // minDescriptors is the least limit of descriptors with which a node can serve at all.
 const minDescriptors = 64
 
-// fieldError is a field of the configuration, by its name in the file, that cannot be used.
-type fieldError struct {
-	field   string
-	problem string
-}
-
-// Error names the field first.
-func (e *fieldError) Error() string { return e.field + ": " + e.problem }
-
 // configFile is the JSON form of the configuration.
 type configFile struct {
 	Name      string              `json:"name"`
@@ -90,7 +82,7 @@
 		return err
 	}
 	if len(f.Settings) == 0 {
-		return &fieldError{"settings", "missing"}
+		return settings.FieldErrorf("settings", "missing")
 	}
 	return nil
 }
@@ -105,11 +97,11 @@
 func (l processLimitsFile) check() error {
 	switch {
 	case l.Cores < 0:
-		return &fieldError{"limits.cores", fmt.Sprintf("%v is below 0", l.Cores)}
+		return settings.FieldErrorf("limits.cores", "%v is below 0", l.Cores)
 	case l.MemoryMB < 0:
-		return &fieldError{"limits.memory_mb", fmt.Sprintf("%d is below 0", l.MemoryMB)}
+		return settings.FieldErrorf("limits.memory_mb", "%d is below 0", l.MemoryMB)
 	case l.MaxDescriptors != 0 && l.MaxDescriptors < minDescriptors:
-		return &fieldError{"limits.sockets", fmt.Sprintf("%d is below %d", l.MaxDescriptors, minDescriptors)}
+		return settings.FieldErrorf("limits.sockets", "%d is below %d", l.MaxDescriptors, minDescriptors)
 	}
 	return nil
 }
@@ -156,18 +148,18 @@
 		}
 	}
 	if f.Limits.MaxOpen < 0 {
-		return &fieldError{"settings.limits.max_open", fmt.Sprintf("%d is below 0", f.Limits.MaxOpen)}
+		return settings.FieldErrorf("settings.limits.max_open", "%d is below 0", f.Limits.MaxOpen)
 	}
 	if module.PollDiscovery && module.PollInterval <= 0 {
-		problem := fmt.Sprintf("%d is not above 0, and discovery must be polled", module.PollInterval)
-		return &fieldError{"settings.rules.ask_every_us", problem}
+		return settings.FieldErrorf("settings.rules.ask_every_us",
+			"%d is not above 0, and discovery must be polled", module.PollInterval)
 	}
 	return nil
 }
 
 func checkPositive(field string, value int64) error {
 	if value <= 0 {
-		return &fieldError{field, fmt.Sprintf("%d is not above 0", value)}
+		return settings.FieldErrorf(field, "%d is not above 0", value)
 	}
 	return nil
 }
@@ -178,7 +170,7 @@
 	seen := map[string]bool{}
 	for i, entry := range entries {
 		if entry.Name == "" || seen[entry.Name] {
-			return nil, &fieldError{fmt.Sprintf("%s[%d].name", field, i), fmt.Sprintf("%q is empty or a duplicate", entry.Name)}
+			return nil, settings.FieldErrorf(fmt.Sprintf("%s[%d].name", field, i), "%q is empty or a duplicate", entry.Name)
 		}
 		seen[entry.Name] = true
 		names = append(names, entry.Name)
--- a/internal/daemon/configshape.go
+++ b/internal/daemon/configshape.go
@@ -5,6 +5,8 @@
 	"maps"
 	"slices"
 	"strings"
+
+	"tulipglade/internal/settings"
 )
 
 // optionalKeys may be present or absent, as the description of the settings says. All others that the running
@@ -20,7 +22,7 @@
 var dataKeys = []string{"known"}
 
 func kindChanged(field string, was, is any) error {
-	return &fieldError{field, fmt.Sprintf("is %s, was %s", jsonKind(is), jsonKind(was))}
+	return settings.FieldErrorf(field, "is %s, was %s", jsonKind(is), jsonKind(was))
 }
 
 // checkShape checks that a new configuration has all that the running one has: each key, with a value of the same kind,
@@ -29,7 +31,7 @@
 func checkShape(running, loaded any, path string) error {
 	if jsonKind(running) != jsonKind(loaded) {
 		if loaded == nil {
-			return &fieldError{path, "missing"}
+			return settings.FieldErrorf(path, "missing")
 		}
 		return kindChanged(path, running, loaded)
 	}
@@ -65,7 +67,7 @@
 		return nil
 	}
 	if len(loaded) == 0 {
-		return &fieldError{path, "empty"}
+		return settings.FieldErrorf(path, "empty")
 	}
 	if _, ok := running[0].(map[string]any); !ok {
 		return checkElementKinds(running[0], loaded, path)
--- a/internal/daemon/hotrestart.go
+++ b/internal/daemon/hotrestart.go
@@ -44,7 +44,7 @@
 	}
 	path, err := hotrestart.Path(os.Getenv("TMPDIR"), config.Name, config.Listen)
 	if err != nil {
-		log.Warn("no hand-over", "err", err)
+		log.Warn("handoff unavailable", "err", err)
 	}
 	return path
 }
@@ -54,7 +54,7 @@
 func receiveHandoff(path string, log *slog.Logger) *inheritedState {
 	handoff, err := hotrestart.Receive(path)
 	if err != nil {
-		log.Info("nothing taken over", "err", err)
+		log.Info("no handoff received", "err", err)
 		return nil
 	}
 	inherited := &inheritedState{Handoff: handoff}
@@ -64,12 +64,12 @@
 		inherited.listener, err = node.InheritListener(handoff.Listener)
 	}
 	if err != nil {
-		log.Warn("nothing taken over", "err", err)
+		log.Warn("no handoff received", "err", err)
 		_ = syscall.Close(handoff.Listener) // the error above is the one that counts
 		_ = handoff.Close()
 		return nil
 	}
-	log.Info("taken over",
+	log.Info("handoff received",
 		"rev", inherited.EndpointList.Rev,
 		"backends", len(inherited.EndpointList.Targets),
 		"open", len(inherited.RequestIDs))
@@ -84,7 +84,7 @@
 	s.group.addProcess()
 	s.inherited.ReportServing(func() {
 		s.group.removeProcess()
-		s.log.Info("the older process has ended")
+		s.log.Info("predecessor exited")
 	})
 }
 
@@ -96,7 +96,7 @@
 	}
 	offer, err := hotrestart.NewOffer(s.handoffPath, s.predecessor)
 	if err != nil {
-		s.log.Warn("no hand-over", "err", fmt.Errorf("%s: %w", s.handoffPath, err))
+		s.log.Warn("handoff unavailable", "err", fmt.Errorf("%s: %w", s.handoffPath, err))
 		return
 	}
 	s.onClose(func() { _ = offer.Close() }) // the process ends with it
@@ -127,11 +127,11 @@
 		descriptor, err = syscall.Dup(p.listener.Fd())
 	}
 	if err != nil {
-		p.log.Warn("not handed over", "err", err)
+		p.log.Warn("handoff failed", "err", err)
 		return nil, noDescriptor, err
 	}
 	p.group.addProcess()
-	p.log.Info("handed over",
+	p.log.Info("handoff sent",
 		"rev", state.EndpointList.Rev,
 		"backends", len(state.EndpointList.Targets),
 		"open", len(state.RequestIDs),
@@ -171,7 +171,7 @@
 	}
 	p.successorServing = false
 	p.group.removeProcess()
-	p.log.Info("the newer process has ended")
+	p.log.Info("successor exited")
 }
 
 // startShutdown stops accepting clients if a successor accepts them.
--- a/internal/daemon/hotrestart_test.go
+++ b/internal/daemon/hotrestart_test.go
@@ -155,11 +155,11 @@
 	if err := Serve(context.Background(), config, nil, nil, log.logger()); err == nil {
 		t.Error("it has started")
 	}
-	if line := log.await(t, "taken over"); !strings.Contains(line, "rev=41 backends=1") {
+	if line := log.await(t, "handoff received"); !strings.Contains(line, "rev=41 backends=1") {
 		t.Error(line)
 	}
-	process.log.await(t, "handed over")
-	process.log.await(t, "the newer process has ended")
+	process.log.await(t, "handoff sent")
+	process.log.await(t, "successor exited")
 	transport := &http.Transport{DisableKeepAlives: true} // each request is on a new connection
 	for i := range 20 {
 		status, err := send(transport, http.MethodGet, "http://"+address+"/read", fmt.Sprint("f", i))
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -41,10 +41,10 @@
 		err = checkShape(running.document, loaded.document, "")
 	}
 	if err != nil {
-		log.Error("configuration not taken up", "err", err)
+		log.Error("configuration rejected", "err", err)
 		return running
 	}
-	log.Info("configuration taken up", "discovery", loaded.Discovery)
+	log.Info("configuration reloaded", "discovery", loaded.Discovery)
 	if fields := restartOnlyChanges(running, loaded); len(fields) > 0 {
 		log.Warn("changes need a restart", "fields", strings.Join(fields, ","))
 	}
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -68,7 +68,7 @@
 		{strings.Replace(withoutEndpoints, `"n3"`, `"n4"`, 1), "fields=name\n"},
 		{strings.Replace(withoutEndpoints, `"max_attempts":6`, `"max_attempts":2`, 1), "settings taken up"},
 		{"", "configuration: empty"},
-		{withoutEndpoints, "configuration taken up"},
+		{withoutEndpoints, "configuration reloaded"},
 	} {
 		files <- step.file
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
@@ -91,7 +91,7 @@
 	log.await(t, "msg=draining")
 	files <- text // a reload during the shutdown is safe, too
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	log.await(t, "configuration taken up")
+	log.await(t, "configuration reloaded")
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -177,7 +177,7 @@
 	s.node.UpdateEndpoints(s.endpoints, true)
 	if !s.config.Node.Balancer.PollDiscovery {
 		s.watch.startPushed(s.config.DrainGrace, func(err error) {
-			s.log.Warn("the agent that pushes lists does not answer", "err", err)
+			s.log.Warn("agent does not answer", "err", err)
 		})
 	}
 	if s.inherited != nil {
--- a/internal/daemon/watch_errors.go
+++ b/internal/daemon/watch_errors.go
@@ -14,14 +14,14 @@
 	// errOverloaded is a call that was queued by discovery, and then rejected or reset.
 	errOverloaded = errors.New("too many callers")
 	// errInvalidList is an answer that is not a valid list, whenever it came.
-	errInvalidList = errors.New("bad list")
+	errInvalidList = errors.New("invalid list")
 	// errEmptyList is a full list without a live endpoint. A discovery that has only just started may answer so; to
 	// accept it would empty the fleet.
-	errEmptyList = errors.New("no backends on a whole list")
+	errEmptyList = errors.New("no live backends on a full list")
 	// errAddressChanged ends a call to an address of discovery that is no longer configured.
-	errAddressChanged = errors.New("discovery has moved")
+	errAddressChanged = errors.New("address of discovery changed")
 	// errConnectionEnded is a connection that discovery closed before its answer was complete.
-	errConnectionEnded = errors.New("connection ended within an answer")
+	errConnectionEnded = errors.New("connection closed before the answer was complete")
 )
 
 // statusError is an answer of discovery with a status other than 200.
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -49,14 +49,15 @@
 // maxBootMs bounds a time that discovery sends, so that it does not overflow in microseconds.
 const maxBootMs = 1 << 50
 
-// listJSON is the form of a list on the wire.
-type listJSON struct {
+// listJSON is the form of a list on the wire. It is an alias, as is targetJSON, so that errors of the decoder name fields
+// without a type of ours.
+type listJSON = struct {
 	Rev     int64        `json:"rev"`
 	All     bool         `json:"all"`
 	Targets []targetJSON `json:"targets"`
 }
 
-type targetJSON struct {
+type targetJSON = struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
 	Zone     string  `json:"az"`
@@ -78,7 +79,7 @@
 	list := List{Rev: document.Rev, All: document.All, Targets: make([]Target, 0, len(document.Targets))}
 	byUID := make(map[string]Target, len(document.Targets))
 	for i, entry := range document.Targets {
-		target, err := entry.target(i)
+		target, err := convertTarget(entry, i)
 		if err != nil {
 			return List{}, err
 		}
@@ -92,26 +93,26 @@
 	return list, nil
 }
 
-// target checks the entry at an index and converts it.
-func (t targetJSON) target(index int) (Target, error) {
-	state, ok := statesByName[t.State]
+// convertTarget checks the entry at an index and converts it.
+func convertTarget(entry targetJSON, index int) (Target, error) {
+	state, ok := statesByName[entry.State]
 	if !ok {
-		return Target{}, fmt.Errorf("targets[%d].state: unknown state %q", index, t.State)
+		return Target{}, fmt.Errorf("targets[%d].state: unknown state %q", index, entry.State)
 	}
-	if t.UID == "" {
+	if entry.UID == "" {
 		return Target{}, fmt.Errorf("targets[%d].uid: empty", index)
 	}
-	if _, err := netip.ParseAddrPort(t.Endpoint); err != nil && state != Terminated {
+	if _, err := netip.ParseAddrPort(entry.Endpoint); err != nil && state != Terminated {
 		return Target{}, fmt.Errorf("targets[%d].endpoint: %w", index, err)
 	}
 	return Target{
-		UID:      t.UID,
-		Endpoint: t.Endpoint,
-		Zone:     t.Zone,
-		Cell:     t.Cell,
+		UID:      entry.UID,
+		Endpoint: entry.Endpoint,
+		Zone:     entry.Zone,
+		Cell:     entry.Cell,
 		State:    state,
-		Weight:   t.Weight,
-		BootMs:   min(max(t.BootMs, 0), maxBootMs),
+		Weight:   entry.Weight,
+		BootMs:   min(max(entry.BootMs, 0), maxBootMs),
 	}, nil
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -3,6 +3,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 
 	"tulipglade/internal/balancer"
@@ -47,12 +48,17 @@
 	return e.Field + ": " + e.Problem
 }
 
+// FieldErrorf returns a *FieldError.
+func FieldErrorf(field, format string, args ...any) error {
+	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
+}
+
 // Parse reads settings from their JSON form. Unknown keys are skipped; a missing optional key leaves its zero value, of
 // which balancer.Config says what it means.
 func Parse(raw []byte) (Deployment, error) {
 	var document settingsJSON
 	if err := json.Unmarshal(raw, &document); err != nil {
-		return Deployment{}, err
+		return Deployment{}, NameField(err)
 	}
 	if err := document.check(); err != nil {
 		return Deployment{}, err
@@ -71,12 +77,22 @@
 	return Deployment{Balancer: config, LoadReportFields: document.Report.Fields}, nil
 }
 
+// NameField returns an error of encoding/json as a FieldError where it is a value of the wrong type, so that it names the
+// field by its path in the file and not by a type of ours. It returns any other error as it is.
+func NameField(err error) error {
+	var wrongType *json.UnmarshalTypeError
+	if !errors.As(err, &wrongType) || wrongType.Field == "" {
+		return err
+	}
+	return FieldErrorf(wrongType.Field, "%s is not of type %s", wrongType.Value, wrongType.Type)
+}
+
 func (s *settingsJSON) check() error {
 	if s.Discovery != discoveryPush && s.Discovery != discoveryPoll {
-		return &FieldError{Problem: fmt.Sprintf("discovery %q is neither %s nor %s", s.Discovery, discoveryPush, discoveryPoll)}
+		return FieldErrorf("", "discovery %q is neither %s nor %s", s.Discovery, discoveryPush, discoveryPoll)
 	}
 	if s.PeerIndex < 0 {
-		return &FieldError{Field: "me", Problem: fmt.Sprintf("%d is below 0", s.PeerIndex)}
+		return FieldErrorf("me", "%d is below 0", s.PeerIndex)
 	}
 	return nil
 }
@@ -116,11 +132,11 @@
 func (c classJSON) class(field string) (balancer.Class, error) {
 	idempotency, ok := idempotencies[c.Idempotency]
 	if !ok {
-		return balancer.Class{}, &FieldError{Field: field, Problem: fmt.Sprintf("unknown effect %q", c.Idempotency)}
+		return balancer.Class{}, FieldErrorf(field, "unknown effect %q", c.Idempotency)
 	}
 	scope, ok := keyScopes[c.KeyScope]
 	if !ok {
-		return balancer.Class{}, &FieldError{Field: field, Problem: fmt.Sprintf("unknown key_scope %q", c.KeyScope)}
+		return balancer.Class{}, FieldErrorf(field, "unknown key_scope %q", c.KeyScope)
 	}
 	return balancer.Class{
 		LatencyObjective:  c.LatencyObjective,
