--- /dev/null
+++ b/cmd/tulipglade/stale_list_test.go
@@ -0,0 +1,155 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// removalChange is the change that discovery has had since before any process of the test started: backend b is removed.
+const removalChange = `{"rev":9,"all":false,"targets":[{"uid":"b","endpoint":"127.0.0.1:1","az":"z","state":"terminated"}]}`
+
+// lateDiscovery has the removal from the start. Calls wait for their answers until release is closed.
+type lateDiscovery struct {
+	release chan struct{}
+
+	mutex    sync.Mutex
+	notified map[int]bool // processes
+}
+
+func (d *lateDiscovery) handler(process int) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		if isUpToDate(r) {
+			<-r.Context().Done() // a watch, and nothing changes
+			return
+		}
+		select {
+		case <-d.release:
+		case <-r.Context().Done():
+			return
+		}
+		_, _ = io.WriteString(w, removalChange) // a process that has ended calls again
+		d.mutex.Lock()
+		defer d.mutex.Unlock()
+		d.notified[process] = true
+	}
+}
+
+func (d *lateDiscovery) notifiedProcesses() int {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return len(d.notified)
+}
+
+// steadyClient sends one request after the other to a process.
+type steadyClient struct {
+	address            string
+	process            int
+	answered, rejected *atomic.Int32
+}
+
+// run sends requests until stop is closed.
+func (c steadyClient) run(t *testing.T, stop <-chan struct{}) {
+	t.Helper()
+	client := http.Client{Transport: &http.Transport{}, Timeout: 10 * time.Second}
+	for i := 0; ; i++ {
+		select {
+		case <-stop:
+			return
+		default:
+		}
+		status, err := c.send(&client, i)
+		if err != nil {
+			t.Errorf("process %d: %v", c.process, err)
+			return
+		}
+		switch status {
+		case http.StatusOK:
+			c.answered.Add(1)
+		case http.StatusServiceUnavailable:
+			c.rejected.Add(1)
+			time.Sleep(5 * time.Millisecond)
+		default:
+			t.Errorf("process %d: status %d", c.process, status)
+			return
+		}
+	}
+}
+
+func (c steadyClient) send(client *http.Client, number int) (status int, err error) {
+	request, err := http.NewRequest(http.MethodGet, "http://"+c.address+"/read", nil)
+	if err != nil {
+		return 0, err
+	}
+	request.Header = http.Header{"X-Trace-Id": {fmt.Sprintf("n%d-%d", c.process, number)}, "X-Customer": {"t"}}
+	response, err := client.Do(request)
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = response.Body.Close() }() // it has been read
+	_, _ = io.Copy(io.Discard, response.Body)    // the status is all that counts
+	return response.StatusCode, nil
+}
+
+// A process that is restarted with the endpoint list of its predecessor does not know how stale that is: a backend that was
+// removed meanwhile counts as removed from the first moment. Nothing may be sent to it, however busy discovery is, and
+// requests are served as soon as the process has an answer of discovery.
+func TestRestartedProcessesDoNotTrustStaleList(t *testing.T) {
+	const fleetSize, pollTimeout = 10, 5 * time.Second
+	var atRemoved atomic.Int32
+	inService := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	defer inService.Close()
+	removed := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { atRemoved.Add(1) }))
+	defer removed.Close()
+	discovery := &lateDiscovery{release: make(chan struct{}), notified: map[int]bool{}}
+	var answered, rejected atomic.Int32
+	var clients sync.WaitGroup
+	stop := make(chan struct{})
+	for i := range fleetSize {
+		server := httptest.NewServer(discovery.handler(i))
+		defer server.Close()
+		defer server.CloseClientConnections()
+		p := newProcess(t, fleetNode{
+			index:          i,
+			fleetSize:      fleetSize,
+			discovery:      server.Listener.Addr().String(),
+			endpoints:      map[string]string{"a": inService.Listener.Addr().String(), "b": removed.Listener.Addr().String()},
+			class:          readClass,
+			connectTimeout: 250 * time.Millisecond,
+			pollInterval:   10 * time.Second,
+		}.config())
+		p.start(t)
+		defer p.kill()
+		client := steadyClient{address: p.clientAddress(t), process: i, answered: &answered, rejected: &rejected}
+		clients.Go(func() { client.run(t, stop) })
+	}
+	time.Sleep(time.Second) // a process that trusted its list would long have used it
+	if n := atRemoved.Load(); n > 0 {
+		t.Errorf("%d requests at the removed backend before any process had an answer of discovery", n)
+	}
+	close(discovery.release)
+	for end := time.Now().Add(pollTimeout); discovery.notifiedProcesses() < fleetSize; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Errorf("only %d of %d processes have polled within 6 s", discovery.notifiedProcesses(), fleetSize)
+			break
+		}
+	}
+	before := answered.Load()
+	for end := time.Now().Add(pollTimeout); answered.Load() < before+10*fleetSize && time.Now().Before(end); {
+		time.Sleep(10 * time.Millisecond)
+	}
+	close(stop)
+	clients.Wait()
+	if n := atRemoved.Load(); n > 0 {
+		t.Errorf("%d requests at the removed backend", n)
+	}
+	if n := answered.Load() - before; n < 10*fleetSize {
+		t.Errorf("%d requests answered after all processes were notified", n)
+	}
+	t.Logf("%d answered, %d rejected", answered.Load(), rejected.Load())
+}
