--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -17,194 +17,244 @@
 )
 
 const (
-	askWithin = 400 * time.Millisecond // one member: it answers in some ms, or is stopped, cut off, or has a disk that stalls
-	askPause  = 100 * time.Millisecond // between two
-	hopsMost  = 4                      // by which members send one on, until it waits
+	// attemptTimeout is for one request to one member: it answers within milliseconds, or is stopped, cut off, or has a stalled disk.
+	attemptTimeout = 400 * time.Millisecond
+	retryInterval  = 100 * time.Millisecond
+	maxRedirects   = 4 // by which members point to the leader before the client waits
 )
 
-// ErrNoMembers is what a request ends with that no member has answered in its time.
-var ErrNoMembers = errors.New("no member of the group has answered")
+var (
+	// ErrNoMembers is the error of a request that no member has answered in time.
+	ErrNoMembers = errors.New("no member of the group has answered")
 
-// Client asks a group: the member that it believes to lead, and, where that does not answer, the others in turn. Its methods may be
-// called from any goroutine.
+	errInvalidResponse = errors.New("not a response of an agent: the status is missing or incomplete")
+)
+
+// Client sends requests to a group: to the member that answered last and, if that does not answer, to the others in turn. It is safe for
+// concurrent use.
 type Client struct {
 	members []string
 	http    *http.Client
 
-	mu sync.Mutex
-	to string // who has answered last
+	mu            sync.Mutex
+	lastResponder string // address; empty: unknown
 }
 
-// NewClient returns one that knows these addresses; nil for the usual transport.
+// NewClient returns a Client of a group with members at these addresses. A nil transport stands for the default.
 func NewClient(members []string, transport http.RoundTripper) *Client {
 	if transport == nil {
-		transport = &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: idlePost, DisableCompression: true}
+		transport = &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: idleTimeout, DisableCompression: true}
 	}
 	return &Client{members: members, http: &http.Client{Transport: transport}}
 }
 
-// one asks one member once.
-func (c *Client) one(ctx context.Context, to, method, path string, body any, within time.Duration) (a Response, err error) {
+// call is a request to the group.
+type call struct {
+	method  string
+	path    string
+	body    any           // nil: none
+	timeout time.Duration // of one attempt; 0: none
+	onSend  func()        // called before each attempt; may be nil
+}
+
+// attempt sends a request to one member once.
+func (c *Client) attempt(ctx context.Context, member string, call call) (response Response, err error) {
 	raw := []byte{}
-	if body != nil {
-		if raw, err = json.Marshal(body); err != nil {
-			return a, err
+	if call.body != nil {
+		if raw, err = json.Marshal(call.body); err != nil {
+			return Response{}, err
 		}
 	}
-	if within > 0 {
-		var stop func()
-		ctx, stop = context.WithTimeout(ctx, within)
+	if call.timeout > 0 {
+		var stop context.CancelFunc
+		ctx, stop = context.WithTimeout(ctx, call.timeout)
 		defer stop()
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+to+path, bytes.NewReader(raw))
+	request, err := http.NewRequestWithContext(ctx, call.method, "http://"+member+call.path, bytes.NewReader(raw))
 	if err != nil {
-		return a, err
+		return Response{}, err
 	}
-	resp, err := c.http.Do(req)
+	httpResponse, err := c.http.Do(request)
 	if err != nil {
-		return a, err
+		return Response{}, err
+	}
+	defer closeBody(httpResponse)
+	if err := json.NewDecoder(io.LimitReader(httpResponse.Body, maxMessageBytes)).Decode(&response); err != nil {
+		return response, fmt.Errorf("%s: status %d: %w", member, httpResponse.StatusCode, err)
 	}
-	defer resp.Body.Close()
-	if err := json.NewDecoder(io.LimitReader(resp.Body, messageMost)).Decode(&a); err != nil {
-		return a, fmt.Errorf("%s: status %d: %w", to, resp.StatusCode, err)
+	if httpResponse.StatusCode == http.StatusOK {
+		return response, nil
 	}
-	switch known, ok := codes[a.Code]; {
-	case resp.StatusCode == 200:
-		return a, nil
-	case ok && known.err.Error() == a.Error:
-		return a, known.err
+	return response, responseError(member, httpResponse.StatusCode, response)
+}
+
+// responseError returns the typed error of a response.
+func responseError(member string, status int, response Response) error {
+	known, ok := errorCodes[response.Code]
+	switch {
+	case ok && known.err.Error() == response.Error:
+		return known.err
 	case ok:
-		return a, fmt.Errorf("%w (%s)", known.err, a.Error)
-	case a.Code == codeLeader:
-		return a, consensus.NotLeaderError{Address: a.Leader}
+		return fmt.Errorf("%w (%s)", known.err, response.Error)
+	case response.Code == codeNotLeader:
+		return consensus.NotLeaderError{Address: response.Leader}
 	}
-	return a, fmt.Errorf("%s: status %d: %s", to, resp.StatusCode, a.Error)
+	return fmt.Errorf("%s: status %d: %s", member, status, response.Error)
 }
 
-// ask asks until somebody who can has answered, or ctx ends. Sent is called before each attempt goes out. An attempt that was lost
-// may have been carried out: only what may be asked twice may be asked here.
-func (c *Client) ask(ctx context.Context, method, path string, body any, within time.Duration, sent func()) (Response, error) {
-	last := ErrNoMembers
-	next, silent := rand.IntN(len(c.members)), ""
-	c.mu.Lock()
-	to := c.to
-	c.mu.Unlock()
-	for hops := 0; ; {
-		if to == "" {
-			to = c.members[next%len(c.members)]
-			next++
+// isFinal reports whether the result of an attempt is the group's answer. Any other result may change with a retry.
+func isFinal(response Response, err error) bool {
+	if err == nil {
+		return true
+	}
+	var notLeader consensus.NotLeaderError
+	isTransient := errors.As(err, &notLeader) || errors.Is(err, consensus.ErrOutcomeUnknown) || errors.Is(err, consensus.ErrBusy)
+	return response.Code != "" && !isTransient
+}
+
+// send retries a request until the group has answered or ctx ends. An attempt that was lost may have been carried out, so the request must
+// be idempotent.
+func (c *Client) send(ctx context.Context, call call) (Response, error) {
+	lastErr := ErrNoMembers
+	nextMember := rand.IntN(len(c.members))
+	unresponsive := "" // the others may still believe that it leads: to be redirected there would take up the remaining time
+	member := c.responder()
+	for redirects := 0; ; {
+		if member == "" {
+			member = c.members[nextMember%len(c.members)]
+			nextMember++
 		}
-		if sent != nil {
-			sent()
+		if call.onSend != nil {
+			call.onSend()
 		}
-		a, err := c.one(ctx, to, method, path, body, within)
-		var not consensus.NotLeaderError
-		switch {
-		case errors.As(err, &not) && not.Address != "" && not.Address != silent && hops < hopsMost:
-			hops++
-			to = not.Address
+		response, err := c.attempt(ctx, member, call)
+		var notLeader consensus.NotLeaderError
+		if errors.As(err, &notLeader) && notLeader.Address != "" && notLeader.Address != unresponsive && redirects < maxRedirects {
+			redirects++
+			member = notLeader.Address
 			continue
-		case err == nil, a.Code != "" && !errors.As(err, &not) && !errors.Is(err, consensus.ErrOutcomeUnknown) && !errors.Is(err, consensus.ErrBusy):
-			c.mu.Lock()
-			c.to = to
-			c.mu.Unlock()
-			return a, err
-		case ctx.Err() == nil:
-			if last = err; a.Code == "" {
-				silent = to // others may still believe that it leads: to be sent back there costs the time that is left
+		}
+		if isFinal(response, err) {
+			c.setResponder(member)
+			return response, err
+		}
+		if ctx.Err() == nil {
+			lastErr = err
+			if response.Code == "" {
+				unresponsive = member
 			}
 		}
-		to, hops = "", 0
-		select {
-		case <-ctx.Done():
-			return Response{}, fmt.Errorf("%w: %w", ErrNoMembers, last)
-		case <-time.After(askPause):
+		member, redirects = "", 0
+		if sleep(ctx, retryInterval) != nil {
+			return Response{}, fmt.Errorf("%w: %w", ErrNoMembers, lastErr)
 		}
 	}
 }
 
-// ReadStatus is what the group has agreed on by now.
-func (c *Client) ReadStatus(ctx context.Context) (consensus.Status, error) {
-	return viewOf(c.ask(ctx, "GET", "/leases", nil, askWithin, nil))
+func (c *Client) responder() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.lastResponder
 }
 
-// viewOf is what an answer shows. One without a view, or in which time does not go on, is none of an agent's.
-func viewOf(a Response, err error) (consensus.Status, error) {
-	if err == nil && (a.Status == nil || a.Status.Terms.Interval <= 0 && len(a.Status.Members) > 0) {
-		err = errors.New("an answer that makes no sense")
-	}
-	if err != nil {
-		return consensus.Status{}, err
+func (c *Client) setResponder(member string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastResponder = member
+}
+
+// Do has the group carry out a command, with retries. An Acquire must have a RequestID of its own, so that it is idempotent.
+func (c *Client) Do(ctx context.Context, verb string, command lease.Command) (lease.Grant, error) {
+	response, err := c.send(ctx, call{method: http.MethodPost, path: pathLease + verb, body: command, timeout: attemptTimeout})
+	if err != nil || response.Grant == nil {
+		return lease.Grant{}, err
 	}
-	return *a.Status, nil
+	return *response.Grant, nil
+}
+
+// ReadStatus returns what the group has agreed on by now.
+func (c *Client) ReadStatus(ctx context.Context) (consensus.Status, error) {
+	return statusOf(c.send(ctx, call{method: http.MethodGet, path: pathLeases, timeout: attemptTimeout}))
 }
 
-// Status is what one member knows, whatever that is worth.
+// Status returns what one member knows, which may be stale.
 func (c *Client) Status(ctx context.Context, member string) (consensus.Status, error) {
-	return viewOf(c.one(ctx, member, "GET", "/status", nil, askWithin))
+	return statusOf(c.attempt(ctx, member, call{method: http.MethodGet, path: pathStatus, timeout: attemptTimeout}))
+}
+
+// statusOf returns the status in a response, and checks that an agent can have sent it.
+func statusOf(response Response, err error) (consensus.Status, error) {
+	if err != nil {
+		return consensus.Status{}, err
+	}
+	status := response.Status
+	if status == nil || status.Terms.Interval <= 0 && len(status.Members) > 0 {
+		return consensus.Status{}, errInvalidResponse
+	}
+	return *status, nil
 }
 
-// ChangeMembers changes the members, and returns once that is done. It is asked again only where nothing was done; where that is not known, as
-// another has come to lead, the members show it.
+// ChangeMembers changes the members, and returns once that is done. A change is sent again only if it was certainly not made; if that is
+// not known, since the leader has changed, the list of members shows it.
 func (c *Client) ChangeMembers(ctx context.Context, change MembershipChange) error {
 	for {
-		v, err := c.ReadStatus(ctx)
+		status, err := c.ReadStatus(ctx)
 		if err != nil {
 			return err
 		}
-		_, err = c.one(ctx, v.Members[v.Leader], "POST", "/members", change, 0)
-		var not consensus.NotLeaderError
+		leader := status.Members[status.Leader]
+		_, err = c.attempt(ctx, leader, call{method: http.MethodPost, path: pathMembers, body: change})
+		var notLeader consensus.NotLeaderError
 		switch {
-		case errors.As(err, &not):
+		case errors.As(err, &notLeader):
 		case errors.Is(err, consensus.ErrOutcomeUnknown):
-			return c.changed(ctx, change)
+			return c.awaitChange(ctx, change)
 		default:
 			return err
 		}
-		if err := pause(ctx, askPause); err != nil {
+		if err := sleep(ctx, retryInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// changed waits until the members are as a change has them.
-func (c *Client) changed(ctx context.Context, change MembershipChange) error {
+// awaitChange waits until the members are as a change has them.
+func (c *Client) awaitChange(ctx context.Context, change MembershipChange) error {
 	for {
-		v, err := c.ReadStatus(ctx)
+		status, err := c.ReadStatus(ctx)
 		if err != nil {
 			return err
 		}
-		as := true
-		for id := range change.Add {
-			as = as && v.Members[id] != ""
-		}
-		for _, id := range change.Remove {
-			as = as && v.Members[id] == ""
-		}
-		if as {
+		if change.isDone(status.Members) {
 			return nil
 		}
-		if err := pause(ctx, askPause); err != nil {
+		if err := sleep(ctx, retryInterval); err != nil {
 			return fmt.Errorf("%w: %w", consensus.ErrOutcomeUnknown, err)
 		}
 	}
 }
 
-// pause waits, or tells that ctx has ended.
-func pause(ctx context.Context, d time.Duration) error {
+// isDone reports whether the members are as the change has them.
+func (m MembershipChange) isDone(members map[uint64]string) bool {
+	for id := range m.Add {
+		if members[id] == "" {
+			return false
+		}
+	}
+	for _, id := range m.Remove {
+		if members[id] != "" {
+			return false
+		}
+	}
+	return true
+}
+
+// sleep waits, or returns why ctx has ended.
+func sleep(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(d):
+	case <-time.After(duration):
 		return nil
 	}
 }
-
-// Do has the group carry out a command that may be asked twice: anything but Acquire without an Ask of its own.
-func (c *Client) Do(ctx context.Context, verb string, command lease.Command) (lease.Grant, error) {
-	a, err := c.ask(ctx, "POST", "/lease/"+verb, command, askWithin, nil)
-	if err != nil || a.Grant == nil {
-		return lease.Grant{}, err
-	}
-	return *a.Grant, nil
-}
--- /dev/null
+++ b/internal/agent/failover_leader.go
@@ -0,0 +1,343 @@
+package agent
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"sync"
+	"time"
+
+	"tulipglade/internal/failover"
+	"tulipglade/internal/lease"
+)
+
+// FailoverOptions have an agent take part in failover: it accepts digests of its machine's nodes, and makes plans while it holds the
+// failover leader's lease.
+type FailoverOptions struct {
+	Topology        failover.Topology
+	PriorityWeights []float64 // by class, of a core-second
+	Rules           failover.Rules
+}
+
+const (
+	// failoverLease is the name of the failover leader's lease. The plan is its note, so only the holder can replace it.
+	failoverLease         = "director"
+	failoverLeaseDuration = 2 * time.Second
+	// failoverInterval is how often nodes send digests, agents forward them, and the failover leader makes a plan.
+	failoverInterval = 500 * time.Millisecond
+	// collectionTime is for how long a new failover leader only collects digests, so that it has one of each node.
+	collectionTime = 3 * failoverInterval
+	// maxDigestsBytes bounds the digests of one agent: 4 KB for each node that a Collector remembers.
+	maxDigestsBytes = failover.MaxNodes << 12
+)
+
+var (
+	errAgentBusy    = errors.New("this agent is too busy")
+	errAgentStopped = errors.New("this agent ends")
+)
+
+// failoverLeader is an agent's part in failover, whether or not it is the leader.
+type failoverLeader struct {
+	agent   *Agent
+	options FailoverOptions
+	client  *Client
+
+	mu        sync.Mutex
+	collector *failover.Collector        // of all digests, while this agent is the leader
+	digests   map[string]failover.Digest // of this agent's nodes, since they were last forwarded
+}
+
+// startFailover adds failover to an agent's interface, and starts its goroutines.
+func (a *Agent) startFailover(ctx context.Context, mux *http.ServeMux) error {
+	leader, err := newFailoverLeader(a, *a.options.Failover)
+	if err != nil {
+		return err
+	}
+	leader.registerRoutes(ctx, mux)
+	a.background.Go(func() { leader.forwardDigests(ctx) })
+	a.background.Go(func() { leader.campaign(ctx) })
+	return nil
+}
+
+func newFailoverLeader(agent *Agent, options FailoverOptions) (*failoverLeader, error) {
+	if _, err := failover.NewPlanner(options.Topology, options.PriorityWeights, options.Rules); err != nil {
+		return nil, err
+	}
+	zones, classes := len(options.Topology.Zones), len(options.PriorityWeights)
+	if size := failover.PlanSize(zones, classes); size > lease.MaxNoteBytes {
+		return nil, fmt.Errorf("topology: a plan of %d zones and %d classes may have %d bytes, and a note %d",
+			zones, classes, size, lease.MaxNoteBytes)
+	}
+	var members []string
+	for _, address := range agent.member.Status().Members {
+		members = append(members, address)
+	}
+	if len(members) == 0 { // a joining member knows only itself yet, and learns the leader from its own answer
+		members = []string{agent.identity.Address}
+	}
+	return &failoverLeader{
+		agent:     agent,
+		options:   options,
+		client:    NewClient(members, agent.httpClient.Transport),
+		collector: failover.NewCollector(zones, classes),
+		digests:   map[string]failover.Digest{},
+	}, nil
+}
+
+// registerRoutes adds the requests of nodes and of other agents.
+func (f *failoverLeader) registerRoutes(ctx context.Context, mux *http.ServeMux) {
+	mux.HandleFunc("POST /digest", f.handleDigest)
+	mux.HandleFunc("POST "+pathDigests, f.handleDigests)
+	mux.HandleFunc("GET /plan", func(w http.ResponseWriter, _ *http.Request) { f.handlePlan(ctx, w) })
+}
+
+// handleDigest accepts the digest of a node. The failover leader validates it.
+func (f *failoverLeader) handleDigest(w http.ResponseWriter, r *http.Request) {
+	var digest failover.Digest
+	if !readRequest(w, r, &digest) {
+		return
+	}
+	f.mu.Lock()
+	if _, known := f.digests[digest.Node]; known || len(f.digests) < failover.MaxNodes {
+		f.digests[digest.Node] = digest
+	}
+	f.mu.Unlock()
+	w.WriteHeader(http.StatusNoContent)
+}
+
+// handleDigests accepts the digests of another agent's nodes.
+func (f *failoverLeader) handleDigests(w http.ResponseWriter, r *http.Request) {
+	var digests []failover.Digest
+	if r.Header.Get(groupHeader) != f.agent.identity.Group {
+		http.Error(w, "not of this group", http.StatusForbidden)
+		return
+	}
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxDigestsBytes)).Decode(&digests); err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	f.collect(digests)
+	w.WriteHeader(http.StatusNoContent)
+}
+
+// handlePlan answers with the current plan, as far as this agent knows.
+func (f *failoverLeader) handlePlan(ctx context.Context, w http.ResponseWriter) {
+	current, err := f.current(ctx)
+	switch {
+	case err != nil:
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+	case current.plan == "":
+		http.Error(w, "there is no plan", http.StatusNotFound)
+	default:
+		w.Header().Set("Content-Type", "application/json")
+		_, _ = io.WriteString(w, current.plan) // fails if the client has disconnected
+	}
+}
+
+func (f *failoverLeader) collect(digests []failover.Digest) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, digest := range digests {
+		f.collector.Add(digest, f.agent.options.Clock())
+	}
+}
+
+// leadership is the plan and the address of the failover leader; both are empty where there is none.
+type leadership struct{ plan, leader string }
+
+// current returns the leadership, as far as this agent knows.
+func (f *failoverLeader) current(ctx context.Context) (leadership, error) {
+	results := make(chan leadership, 1)
+	task := func() {
+		var current leadership
+		for _, l := range f.agent.member.Status().Leases {
+			if l.Name != failoverLease {
+				continue
+			}
+			current.plan = l.Note
+			if len(l.Grants) > 0 {
+				current.leader = l.Grants[0].Holder
+			}
+		}
+		results <- current
+	}
+	if !f.agent.post(task) {
+		return leadership{}, errAgentBusy
+	}
+	select {
+	case current := <-results:
+		return current, nil
+	case <-f.agent.stopped:
+	case <-ctx.Done():
+	}
+	return leadership{}, errAgentStopped
+}
+
+// forwardDigests sends the digests of this agent's nodes to the failover leader.
+func (f *failoverLeader) forwardDigests(ctx context.Context) {
+	ticker := time.NewTicker(failoverInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		current, err := f.current(ctx)
+		if err != nil || current.leader == "" {
+			continue // newer digests meanwhile replace the older ones of the same nodes
+		}
+		digests := f.takeDigests()
+		if current.leader == f.agent.identity.Address {
+			f.collect(digests)
+		} else if len(digests) > 0 {
+			f.sendDigests(ctx, current.leader, digests)
+		}
+	}
+}
+
+// takeDigests returns the digests that have not been forwarded, and forgets them.
+func (f *failoverLeader) takeDigests() []failover.Digest {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	var digests []failover.Digest
+	for _, digest := range f.digests {
+		digests = append(digests, digest)
+	}
+	clear(f.digests)
+	return digests
+}
+
+// sendDigests sends digests to another agent, once: nodes send newer ones soon.
+func (f *failoverLeader) sendDigests(ctx context.Context, address string, digests []failover.Digest) {
+	raw, err := json.Marshal(digests)
+	if err != nil {
+		return // impossible: the numbers were read from JSON
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+pathDigests, bytes.NewReader(raw))
+	if err != nil {
+		return
+	}
+	request.Header.Set(groupHeader, f.agent.identity.Group)
+	if response, err := f.agent.httpClient.Do(request); err == nil {
+		closeBody(response)
+	}
+}
+
+// campaign makes plans whenever this agent holds the failover leader's lease.
+func (f *failoverLeader) campaign(ctx context.Context) {
+	for ctx.Err() == nil {
+		leaderLease, err := Acquire(ctx, f.client, LeaseOptions{
+			Name:          failoverLease,
+			Duration:      failoverLeaseDuration,
+			Margin:        failoverInterval / 2,
+			Holder:        f.agent.identity.Address,
+			Clock:         f.agent.options.Clock,
+			RetryInterval: failoverInterval,
+		})
+		if err == nil {
+			f.agent.log.Info("director", "directs", true)
+			err = f.lead(ctx, leaderLease)
+			f.agent.log.Info("director", "directs", false, "err", err)
+			f.release(ctx, leaderLease)
+		}
+		_ = sleep(ctx, failoverInterval) // the loop ends with ctx
+	}
+}
+
+// release releases the lease, if it is certain, so that another agent need not wait until it expires.
+func (f *failoverLeader) release(ctx context.Context, leaderLease *Lease) {
+	if leaderLease.Reason() != nil {
+		return
+	}
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), failoverInterval)
+	defer stop()
+	_ = leaderLease.Release(ctx) // otherwise it expires
+}
+
+// lead publishes plans until the lease is uncertain.
+func (f *failoverLeader) lead(ctx context.Context, leaderLease *Lease) error {
+	planner, err := failover.NewPlanner(f.options.Topology, f.options.PriorityWeights, f.options.Rules)
+	if err != nil {
+		return err
+	}
+	last, err := f.lastPlan(ctx)
+	if err != nil {
+		return err
+	}
+	start := f.agent.options.Clock()
+	if last != nil && last.Check(len(f.options.Topology.Zones), len(f.options.PriorityWeights)) == nil {
+		planner.Adopt(last, start)
+	}
+	ticker := time.NewTicker(failoverInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-leaderLease.Uncertain():
+			return leaderLease.Reason()
+		case <-ticker.C:
+		}
+		now := f.agent.options.Clock()
+		if now-start < collectionTime {
+			continue
+		}
+		err := f.publish(ctx, leaderLease, planner, now, f.totals(now))
+		if err != nil && !errors.Is(err, failover.ErrNoCapacity) { // without capacity the last plan stays until it is too old
+			return err
+		}
+	}
+}
+
+func (f *failoverLeader) totals(now time.Duration) failover.Totals {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.collector.Totals(now)
+}
+
+// publish makes the next plan, and writes it into the note of the lease.
+func (f *failoverLeader) publish(
+	ctx context.Context, leaderLease *Lease, planner *failover.Planner, now time.Duration, totals failover.Totals,
+) error {
+	grant, err := leaderLease.BeginAction(failoverInterval)
+	if err != nil {
+		return err
+	}
+	plan, err := planner.Step(now, grant.Token, totals)
+	if err != nil {
+		return err
+	}
+	raw, err := json.Marshal(plan)
+	if err != nil {
+		return err
+	}
+	ctx, stop := context.WithTimeout(ctx, failoverLeaseDuration)
+	defer stop()
+	if err := leaderLease.Note(ctx, string(raw)); err != nil {
+		return fmt.Errorf("plan %d/%d: %w", plan.Token, plan.Revision, err)
+	}
+	return nil
+}
+
+// lastPlan returns the plan that was published last, or nil if there is none that this version can read.
+func (f *failoverLeader) lastPlan(ctx context.Context) (*failover.Plan, error) {
+	status, err := f.client.ReadStatus(ctx)
+	if err != nil {
+		return nil, err
+	}
+	for _, l := range status.Leases {
+		if l.Name == failoverLease && l.Note != "" {
+			var plan failover.Plan
+			if json.Unmarshal([]byte(l.Note), &plan) != nil {
+				return nil, nil
+			}
+			return &plan, nil
+		}
+	}
+	return nil, nil
+}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -64,30 +64,32 @@
 	if status.ID != 1 || status.Members[1] != "127.0.0.1:17101" || status.Terms.Interval != 200*time.Millisecond || len(status.Leases) != 1 {
 		t.Fatalf("%+v", status)
 	}
-	held := status.Leases[0]
-	if held.Name != "rollout" || held.MaxHolders != 2 || held.Note != "a note" || len(held.Grants) != 1 || held.Grants[0].Token != 1 {
-		t.Errorf("%+v", held)
+	rollout := status.Leases[0]
+	hasGrant := len(rollout.Grants) == 1 && rollout.Grants[0].Token == 1
+	if rollout.Name != "rollout" || rollout.MaxHolders != 2 || rollout.Note != "a note" || !hasGrant {
+		t.Errorf("%+v", rollout)
 	}
-	if grant, err := client.Do(ctx, "acquire", lease.Command{Name: "rollout", Holder: "second", RequestID: 2, Ticks: 50}); err != nil || grant.Token != 3 || grant.Slot != 1 {
+	grant, err := client.Do(ctx, "acquire", lease.Command{Name: "rollout", Holder: "second", RequestID: 2, Ticks: 50})
+	if err != nil || grant.Token != 3 || grant.Slot != 1 {
 		t.Errorf("%+v, %v", grant, err)
 	}
 }
 
-// counted differ from run to run, as time goes on.
-var counted = regexp.MustCompile(`"(tick|applied|till|term)":\d+`)
+// changingNumbers differ between runs, as time goes on.
+var changingNumbers = regexp.MustCompile(`"(tick|applied|till|term)":\d+`)
 
-// TestMessagesAreUnchanged compares what clients ask of an agent, and what an agent answers, with what commit f2517d9 sent.
+// TestMessagesAreUnchanged compares the requests of clients and the answers of an agent with those of commit f2517d9.
 func TestMessagesAreUnchanged(t *testing.T) {
 	var text strings.Builder
 	for _, request := range clientRequests(t) {
 		fmt.Fprintf(&text, "client: %s\n", request)
 	}
-	kept, err := consensus.Bootstrap(map[uint64]string{1: "127.0.0.1:17101"}, lease.Terms{Interval: 200 * time.Millisecond, Drift: 0.01})
+	durable, err := consensus.Bootstrap(map[uint64]string{1: "127.0.0.1:17101"}, lease.Terms{Interval: 200 * time.Millisecond, Drift: 0.01})
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := filepath.Join(t.TempDir(), "member")
-	if err := Create(dir, Identity{Group: "golden", ID: 1, Address: "127.0.0.1:17101"}, kept); err != nil {
+	if err := Create(dir, Identity{Group: "golden", ID: 1, Address: "127.0.0.1:17101"}, durable); err != nil {
 		t.Fatal(err)
 	}
 	address := serveCopy(t, dir)
@@ -112,7 +114,7 @@
 	} {
 		fmt.Fprintf(&text, "agent: %s %s %s\n%s\n", call.method, call.path, call.body, exchange(t, call.method, address, call.path, call.body))
 	}
-	got := counted.ReplaceAllString(text.String(), `"$1":N`)
+	got := changingNumbers.ReplaceAllString(text.String(), `"$1":N`)
 	if os.Getenv("TULIPGLADE_WRITE_GOLDEN") != "" {
 		if err := os.WriteFile(goldenMessages, []byte(got), 0o600); err != nil {
 			t.Fatal(err)
@@ -186,7 +188,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer closeBody(resp)
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
