--- /dev/null
+++ b/internal/failover/target.go
@@ -0,0 +1,110 @@
+package failover
+
+import "slices"
+
+// flows are work by zone where it enters, class, and zone where it goes.
+type flows [][][]float64
+
+func (p *Planner) newFlows() flows {
+	f := make(flows, len(p.topology.Zones))
+	for zone := range f {
+		f[zone] = make([][]float64, len(p.weights))
+		for class := range f[zone] {
+			f[zone][class] = make([]float64, len(p.topology.Zones))
+		}
+	}
+	return f
+}
+
+// usableCapacity returns a zone's capacity without the headroom.
+func (p *Planner) usableCapacity(totals Totals, zone int) float64 {
+	return totals.Capacity[zone] * (1 - p.rules.Headroom)
+}
+
+// placement is work that is being distributed over zones.
+type placement struct {
+	placed   flows
+	unplaced [][]float64 // by zone where it enters, and class
+	free     []float64   // capacity by zone
+}
+
+// Target returns where work goes if there is no earlier plan, by zone where it enters, class, and zone where it goes, and the work that no
+// zone has capacity for.
+func (p *Planner) Target(totals Totals) (placed [][][]float64, unplaced [][]float64) {
+	return p.target(totals)
+}
+
+// target distributes work by falling weight of its class: first all classes that the capacity of all zones together is enough for, then the
+// next one, of which each zone keeps what it has capacity for.
+func (p *Planner) target(totals Totals) (flows, [][]float64) {
+	zones := len(p.topology.Zones)
+	work := &placement{placed: p.newFlows(), unplaced: make([][]float64, zones), free: make([]float64, zones)}
+	remaining := 0.0
+	for zone := range work.free {
+		work.free[zone] = p.usableCapacity(totals, zone)
+		remaining += work.free[zone]
+		work.unplaced[zone] = slices.Clone(totals.Demand[zone])
+	}
+	fitting := 0 // classes that fit as a whole
+	for _, class := range p.classOrder {
+		for zone := range work.free {
+			remaining -= totals.Demand[zone][class]
+		}
+		if remaining < 0 {
+			break
+		}
+		fitting++
+	}
+	p.place(p.classOrder[:fitting], work)
+	p.place(p.classOrder[fitting:min(fitting+1, len(p.classOrder))], work)
+	return work.placed, work.unplaced
+}
+
+// place keeps work of these classes in its own zone as far as possible, and offers the rest to other zones, the nearest first.
+func (p *Planner) place(classes []int, work *placement) {
+	for zone := range work.free {
+		for _, class := range classes {
+			work.assign(edge{zone, zone}, class, min(work.unplaced[zone][class], work.free[zone]))
+		}
+	}
+	for _, ring := range p.rings {
+		for _, class := range classes {
+			for work.offer(ring, class) > negligible { // what one zone could not take is offered to the others of the ring
+			}
+		}
+	}
+}
+
+// assign places work of a class.
+func (w *placement) assign(e edge, class int, amount float64) {
+	w.placed[e.from][class][e.to] += amount
+	w.unplaced[e.from][class] = max(w.unplaced[e.from][class]-amount, 0)
+	w.free[e.to] = max(w.free[e.to]-amount, 0)
+}
+
+// offer offers unplaced work of a class to the zones at the other ends of a ring's edges, in proportion to their free capacity, and returns
+// how much of it was placed.
+func (w *placement) offer(ring []edge, class int) (moved float64) {
+	zones := len(w.free)
+	reachable := make([]float64, zones) // free capacity by zone where work enters
+	offers := make([]float64, len(ring))
+	offered := make([]float64, zones) // sum of offers by zone where work goes
+	for _, e := range ring {
+		reachable[e.from] += w.free[e.to]
+	}
+	for i, e := range ring {
+		if reachable[e.from] > negligible && w.unplaced[e.from][class] > negligible {
+			offers[i] = w.unplaced[e.from][class] * w.free[e.to] / reachable[e.from]
+			offered[e.to] += offers[i]
+		}
+	}
+	free := slices.Clone(w.free)
+	for i, e := range ring {
+		if offers[i] > 0 {
+			amount := offers[i] * min(1, free[e.to]/offered[e.to])
+			w.assign(e, class, amount)
+			moved += amount
+		}
+	}
+	return moved
+}
