--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,169 +1,171 @@
-// Package rollout is a rolling change of a fleet's nodes: site by site, so many of one at a time, and what has to be written down before
-// each step, so that another process can go on from there. It has no I/O. docs/lease-design.md says why.
+// Package rollout plans a rolling change of a fleet's nodes: site by site, with a limit of nodes at a time. It has no I/O. Its progress is
+// recorded in a note before each step, so that another process can continue from there. docs/lease-design.md explains the design.
 package rollout
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
-	"maps"
 	"slices"
 )
 
-// Node is one of the fleet.
+// Node is a node of the fleet.
 type Node struct {
 	Name   string `toml:"name"`
 	Site   string `toml:"site"`
-	Admin  string `toml:"operator"` // address of its operator's calls
-	Listen string `toml:"listen"`   // address of its clients
+	Admin  string `toml:"operator"` // admin address
+	Listen string `toml:"listen"`   // address for clients
 }
 
 // Step is what is being done with a node.
 type Step string
 
-// The steps, in order.
+// The steps, in order. Their values are stored.
 const (
-	Standby Step = "standby" // it sends its clients away
+	Standby Step = "standby" // the node sends its clients to others
 	Change  Step = "change"  // the command runs
-	Resume  Step = "back"    // it is up, and is to take clients again
+	Resume  Step = "back"    // the node runs again, and is to take clients
 )
 
-// record is what is written down.
-type record struct {
-	Change     string          `json:"change"` // what is being rolled
-	Done       []string        `json:"done,omitempty"`
-	InProgress map[string]Step `json:"doing,omitempty"`
-	Complete   bool            `json:"over,omitempty"`
-}
-
-// Rollout is a rolling change. Its methods are called from one goroutine.
-type Rollout struct {
-	nodes  []Node
-	atOnce int
-	is     record
-	run    map[string]bool // what this process is at
-	failed bool
-}
-
-// Task is a node and where to go on with it. Again: somebody was at that step before.
+// Task is a node and the step to continue with. Retry says that an earlier process has been at that step.
 type Task struct {
 	Node
 	Step  Step
 	Retry bool
 }
 
-// ErrInProgress is that another change is under way.
+// ErrInProgress is returned while another change is not complete.
 var ErrInProgress = errors.New("another change is under way")
 
-// New begins a change, or goes on with it where the note says that it has begun. A change that is over is not begun again.
-func New(nodes []Node, atOnce int, change, note string) (*Rollout, error) {
-	r := &Rollout{nodes: nodes, atOnce: atOnce, is: record{Change: change, InProgress: map[string]Step{}}, run: map[string]bool{}}
-	names := map[string]bool{}
-	for _, n := range nodes {
-		if n.Name == "" || names[n.Name] {
-			return nil, fmt.Errorf("node %q: it has no name of its own", n.Name)
-		}
-		names[n.Name] = true
+// Rollout is a rolling change. It is not safe for concurrent use.
+type Rollout struct {
+	nodes          []Node
+	maxUnavailable int
+	progress       progress
+	running        map[string]bool // nodes that this process has a task for
+	failed         bool
+}
+
+// New starts a change, or continues it if the note says that it was started. A change that is complete is not started again.
+func New(nodes []Node, maxUnavailable int, change, note string) (*Rollout, error) {
+	names, err := namesOf(nodes)
+	if err != nil {
+		return nil, err
+	}
+	r := &Rollout{
+		nodes:          nodes,
+		maxUnavailable: maxUnavailable,
+		progress:       progress{Change: change, InProgress: map[string]Step{}},
+		running:        map[string]bool{},
 	}
 	if note == "" {
 		return r, nil
 	}
-	var was record
-	if err := json.Unmarshal([]byte(note), &was); err != nil {
-		return nil, fmt.Errorf("the note of the one before: %w", err)
+	last, err := parseNote(note)
+	if err != nil {
+		return nil, err
 	}
-	switch {
-	case was.Change != change && !was.Complete:
-		return nil, fmt.Errorf("%w: %q, with %d nodes done and %d begun", ErrInProgress, was.Change, len(was.Done), len(was.InProgress))
-	case was.Change != change:
+	if last.Change == change {
+		last.keepOnly(names)
+		r.progress = last
 		return r, nil
 	}
-	if was.InProgress == nil {
-		was.InProgress = map[string]Step{}
+	if !last.Complete {
+		return nil, fmt.Errorf("%w: %q, with %d nodes done and %d in progress",
+			ErrInProgress, last.Change, len(last.Done), len(last.InProgress))
 	}
-	// A node that is no longer listed is nobody's any more.
-	was.Done = slices.DeleteFunc(was.Done, func(name string) bool { return !names[name] })
-	maps.DeleteFunc(was.InProgress, func(name string, _ Step) bool { return !names[name] })
-	r.is = was
 	return r, nil
 }
 
-// Next are the tasks to begin now, if any. They are written down first, as Note says.
+// namesOf returns the nodes' names, which must be unique.
+func namesOf(nodes []Node) (map[string]bool, error) {
+	names := map[string]bool{}
+	for _, node := range nodes {
+		if node.Name == "" || names[node.Name] {
+			return nil, fmt.Errorf("node %q: it has no name of its own", node.Name)
+		}
+		names[node.Name] = true
+	}
+	return names, nil
+}
+
+// Next returns the tasks to start now, if any. Note must be saved before they are started.
 func (r *Rollout) Next() (tasks []Task) {
-	if r.failed || r.is.Complete {
+	if r.failed || r.progress.Complete {
 		return nil
 	}
-	site, away := "", 0
-	for _, n := range r.nodes {
-		if _, ok := r.is.InProgress[n.Name]; ok {
-			site = n.Site
-			away++
+	for _, node := range r.nodes { // what an earlier process has started
+		if r.isInProgress(node) && !r.running[node.Name] {
+			tasks = append(tasks, r.start(node, true))
 		}
 	}
-	add := func(n Node, again bool) {
-		r.run[n.Name] = true
-		tasks = append(tasks, Task{n, r.is.InProgress[n.Name], again})
-	}
-	for _, n := range r.nodes { // what the one before has begun
-		if _, ok := r.is.InProgress[n.Name]; ok && !r.run[n.Name] {
-			add(n, true)
+	site, unavailable := r.currentSite()
+	for _, node := range r.nodes {
+		if r.isInProgress(node) || slices.Contains(r.progress.Done, node.Name) {
+			continue
 		}
-	}
-	for _, n := range r.nodes {
-		_, doing := r.is.InProgress[n.Name]
-		switch {
-		case doing || slices.Contains(r.is.Done, n.Name):
-		case site == "":
-			site = n.Site
-			fallthrough
-		case site == n.Site && away < r.atOnce:
-			away++
-			r.is.InProgress[n.Name] = Standby
-			add(n, false)
+		if site == "" { // no node is in progress
+			site = node.Site
+		} else if node.Site != site || unavailable >= r.maxUnavailable {
+			continue
 		}
+		unavailable++
+		r.progress.InProgress[node.Name] = Standby
+		tasks = append(tasks, r.start(node, false))
 	}
-	r.is.Complete = len(r.is.InProgress) == 0
+	r.progress.Complete = len(r.progress.InProgress) == 0
 	return tasks
 }
 
-// Reached tells that a node is about to be at a step. It is written down before it is.
-func (r *Rollout) Reached(node string, s Step) {
-	if _, ok := r.is.InProgress[node]; ok {
-		r.is.InProgress[node] = s
+// currentSite returns the site of the nodes that are in progress, and how many they are.
+func (r *Rollout) currentSite() (site string, unavailable int) {
+	for _, node := range r.nodes {
+		if r.isInProgress(node) {
+			site = node.Site
+			unavailable++
+		}
+	}
+	return site, unavailable
+}
+
+func (r *Rollout) isInProgress(node Node) bool {
+	_, ok := r.progress.InProgress[node.Name]
+	return ok
+}
+
+// start returns the task for a node.
+func (r *Rollout) start(node Node, retry bool) Task {
+	r.running[node.Name] = true
+	return Task{Node: node, Step: r.progress.InProgress[node.Name], Retry: retry}
+}
+
+// Reached records that a node is about to be at a step. Note must be saved before it is.
+func (r *Rollout) Reached(node string, step Step) {
+	if _, ok := r.progress.InProgress[node]; ok {
+		r.progress.InProgress[node] = step
 	}
 }
 
-// Done tells that a node takes clients again.
+// Done records that a node takes clients again.
 func (r *Rollout) Done(node string) {
-	delete(r.is.InProgress, node)
-	delete(r.run, node)
-	r.is.Done = append(r.is.Done, node)
+	delete(r.progress.InProgress, node)
+	delete(r.running, node)
+	r.progress.Done = append(r.progress.Done, node)
 }
 
-// Failed tells that a node's task has ended without. Nothing is begun any more; what was is written down for the next one.
+// Failed records that a node's task has failed. No more tasks are started; the note keeps those in progress for the next process.
 func (r *Rollout) Failed(node string) {
-	delete(r.run, node)
+	delete(r.running, node)
 	r.failed = true
 }
 
-// Running is how many tasks this process is at.
-func (r *Rollout) Running() int { return len(r.run) }
+// Running returns how many tasks this process has.
+func (r *Rollout) Running() int { return len(r.running) }
 
-// Complete tells that all nodes are done.
-func (r *Rollout) Complete() bool { return r.is.Complete }
+// Complete reports whether all nodes are done.
+func (r *Rollout) Complete() bool { return r.progress.Complete }
 
-// Finished are the nodes that are done.
-func (r *Rollout) Finished() []string { return r.is.Done }
+// Finished returns the names of the nodes that are done.
+func (r *Rollout) Finished() []string { return r.progress.Done }
 
-// Note is what is to be written down. Of a change that is over it names no nodes.
-func (r *Rollout) Note() string {
-	is := r.is
-	if is.Complete {
-		is.Done = nil
-	}
-	raw, err := json.Marshal(is)
-	if err != nil {
-		panic(err) // strings only
-	}
-	return string(raw)
-}
+// Note returns the progress in the form that New reads. That of a complete change names no nodes.
+func (r *Rollout) Note() string { return r.progress.note() }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -11,88 +11,118 @@
 	"tulipglade/internal/lease"
 )
 
-// Whoever is at it dies at any point, and another goes on from the last note: never two sites, never more than so many of one, each
-// node's steps in order, and all are done in the end.
-func TestTakenOverAtAnyPoint(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var nodes []Node
-		for i := range rapid.IntRange(1, 9).Draw(t, "nodes") {
-			nodes = append(nodes, Node{Name: fmt.Sprint("n", i), Site: fmt.Sprint("s", rapid.IntRange(0, 2).Draw(t, "site"))})
+// drawnRollout runs a rollout of drawn nodes with processes that crash.
+type drawnRollout struct {
+	nodes          []Node
+	sites          map[string]string // by node
+	maxUnavailable int
+	note           string // as it was saved last
+	unavailable    map[string]bool
+	changed        map[string]int
+}
+
+func newDrawnRollout(t *rapid.T) *drawnRollout {
+	t.Helper()
+	d := &drawnRollout{sites: map[string]string{}, unavailable: map[string]bool{}, changed: map[string]int{}}
+	for i := range rapid.IntRange(1, 9).Draw(t, "nodes") {
+		node := Node{Name: fmt.Sprint("n", i), Site: fmt.Sprint("s", rapid.IntRange(0, 2).Draw(t, "site"))}
+		d.nodes = append(d.nodes, node)
+		d.sites[node.Name] = node.Site
+	}
+	d.maxUnavailable = rapid.IntRange(1, 3).Draw(t, "max unavailable")
+	return d
+}
+
+// runProcess runs one process until the rollout is complete, or it crashes: after this many steps (below 0: never), or before it saves the
+// note of a step. It reports whether the rollout is complete.
+func (d *drawnRollout) runProcess(t *rapid.T, crashAfter int) bool {
+	t.Helper()
+	r, err := New(d.nodes, d.maxUnavailable, "v2", d.note)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var open []Task
+	for step := 0; step != crashAfter; step++ {
+		open = append(open, r.Next()...)
+		d.note = r.Note()
+		if len(open) == 0 {
+			if !r.Complete() {
+				t.Fatal("no task is left, and the rollout is not complete")
+			}
+			return true
 		}
-		atOnce := rapid.IntRange(1, 3).Draw(t, "at once")
-		site := map[string]string{}
-		for _, n := range nodes {
-			site[n.Name] = n.Site
+		i := rapid.IntRange(0, len(open)-1).Draw(t, "task")
+		if d.advance(r, &open[i]) {
+			open = append(open[:i], open[i+1:]...)
 		}
-		note, away, changed := "", map[string]bool{}, map[string]int{}
-		for lives := 0; ; lives++ {
-			r, err := New(nodes, atOnce, "v2", note)
-			if err != nil {
-				t.Fatal(err)
-			}
-			var open []Task
-			dies := -1
-			if lives < 5 {
-				dies = rapid.IntRange(0, 20).Draw(t, "dies after")
-			}
-			for act := 0; act != dies; act++ {
-				open = append(open, r.Next()...)
-				note = r.Note()
-				if len(open) == 0 {
-					if !r.Complete() {
-						t.Fatal("nothing to do, and not over")
-					}
-					break
-				}
-				at := rapid.IntRange(0, len(open)-1).Draw(t, "whose turn")
-				task := &open[at]
-				switch task.Step {
-				case Standby:
-					away[task.Name] = true
-					task.Step = Change
-					r.Reached(task.Name, Change)
-				case Change:
-					if away[task.Name] && changed[task.Name] == 0 { // as the one who does it finds out
-						changed[task.Name]++
-					}
-					task.Step = Resume
-					r.Reached(task.Name, Resume)
-				case Resume:
-					delete(away, task.Name)
-					r.Done(task.Name)
-					open = append(open[:at], open[at+1:]...)
-				}
-				sites := map[string]int{}
-				for name := range away {
-					sites[site[name]]++
-				}
-				for s, n := range sites {
-					if len(sites) > 1 || n > atOnce {
-						t.Fatalf("away: %v, site %s", away, s)
-					}
-				}
-				if rapid.Bool().Draw(t, "noted") {
-					note = r.Note()
-				} else {
-					act = dies - 1 // it dies before that is written down
-					if dies < 0 {
-						note = r.Note()
-						act = 0
-					}
-				}
+		d.checkUnavailable(t)
+		isSaved := rapid.Bool().Draw(t, "note saved")
+		if !isSaved && crashAfter >= 0 {
+			break
+		}
+		d.note = r.Note()
+	}
+	return r.Complete() && len(open) == 0
+}
+
+// advance does the step of a task, and reports whether the task is done.
+func (d *drawnRollout) advance(r *Rollout, task *Task) bool {
+	switch task.Step {
+	case Standby:
+		d.unavailable[task.Name] = true
+		task.Step = Change
+		r.Reached(task.Name, Change)
+	case Change:
+		if d.unavailable[task.Name] && d.changed[task.Name] == 0 { // the command finds out whether the node has changed
+			d.changed[task.Name]++
+		}
+		task.Step = Resume
+		r.Reached(task.Name, Resume)
+	case Resume:
+		delete(d.unavailable, task.Name)
+		r.Done(task.Name)
+		return true
+	}
+	return false
+}
+
+// checkUnavailable checks that the unavailable nodes are of one site, and not too many.
+func (d *drawnRollout) checkUnavailable(t *rapid.T) {
+	t.Helper()
+	sites := map[string]int{}
+	for name := range d.unavailable {
+		sites[d.sites[name]]++
+	}
+	for site, count := range sites {
+		if len(sites) > 1 || count > d.maxUnavailable {
+			t.Fatalf("unavailable: %v, site %s", d.unavailable, site)
+		}
+	}
+}
+
+// A process crashes at any point, and another continues from the last saved note: nodes of two sites are never unavailable at a time, nor
+// too many of one; each node's steps come in order; and in the end all nodes are done.
+func TestRolloutContinuesAfterCrashAtAnyPoint(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		d := newDrawnRollout(t)
+		for process := 0; ; process++ {
+			crashAfter := -1
+			if process < 5 {
+				crashAfter = rapid.IntRange(0, 20).Draw(t, "crash after")
 			}
-			if r.Complete() && len(open) == 0 {
+			if d.runProcess(t, crashAfter) {
 				break
 			}
 		}
-		if len(away) > 0 || len(changed) != len(nodes) {
-			t.Fatalf("away %v, changed %v of %d", away, changed, len(nodes))
+		if len(d.unavailable) > 0 || len(d.changed) != len(d.nodes) {
+			t.Fatalf("unavailable %v, changed %v of %d", d.unavailable, d.changed, len(d.nodes))
 		}
 	})
 }
 
-// A note of another change stops this one, unless that is over; one that is over is not begun again; a failure begins nothing more.
-func TestNotes(t *testing.T) {
+// The note of another change stops this one unless that is complete; a complete change is not started again; after a failure nothing more
+// is started.
+func TestNewReadsNoteOfEarlierRollout(t *testing.T) {
 	nodes := []Node{{Name: "a", Site: "x"}, {Name: "b", Site: "x"}}
 	r, err := New(nodes, 1, "v1", "")
 	if err != nil || len(r.Next()) != 1 {
@@ -116,22 +146,22 @@
 		r.Done(want)
 	}
 	if r.Next(); !r.Complete() {
-		t.Error("not over")
+		t.Error("not complete")
 	}
-	if again, err := New(nodes, 1, "v1", r.Note()); err != nil || len(again.Next()) > 0 || !again.Complete() {
-		t.Error("it begins again:", err)
+	if repeated, err := New(nodes, 1, "v1", r.Note()); err != nil || len(repeated.Next()) > 0 || !repeated.Complete() {
+		t.Error("a complete change starts again:", err)
 	}
 	if next, err := New(nodes, 1, "v2", r.Note()); err != nil || len(next.Next()) != 1 {
 		t.Error("the next change:", err)
 	}
 	if _, err := New([]Node{{Name: "a"}, {Name: "a"}}, 1, "v1", ""); err == nil {
-		t.Error("two of one name")
+		t.Error("two nodes of one name are accepted")
 	}
 }
 
-// A roll over 1,024 nodes, with names as long as may be, can be written down at every step. Guards: notes had 32 KB, which is full
-// after 250 such names or 900 of 35 bytes, and the roll ended there.
-func TestManyNodesCanBeWrittenDown(t *testing.T) {
+// The note of a rollout of 1,024 nodes with names of the greatest length fits into a lease at every step. Regression: notes were limited to
+// 32 KB, enough for 250 such names or 900 of 35 bytes, and the rollout stopped there.
+func TestNoteOfManyNodesFitsIntoLease(t *testing.T) {
 	var nodes []Node
 	for i := range 1024 {
 		nodes = append(nodes, Node{Name: fmt.Sprintf("n%0127d", i), Site: fmt.Sprint("s", i%3)})
