--- a/internal/deadlineexec/deadlineexec.go
+++ b/internal/deadlineexec/deadlineexec.go
@@ -1,81 +1,83 @@
-// Package deadlineexec runs a command that must be over by a time that is put off again and again, whatever becomes of who does that. The
-// command runs below a process of its own, which ends it, with its process group, when the time is up or its parent is gone:
-// a parent that is stopped could not. What leaves the process group, as a daemon does, is not on the leash.
+// Package deadlineexec runs a command that is ended at a deadline, which can be extended, whatever becomes of the process that started it.
+// The command runs below a supervisor process, which ends it with its process group when the deadline has come or the parent has exited: a
+// parent that is stopped could not. Processes that leave the process group, as daemons do, are not ended.
 package deadlineexec
 
 import (
-	"bufio"
 	"errors"
 	"fmt"
 	"io"
 	"os"
 	"os/exec"
-	"os/signal"
 	"strconv"
 	"sync"
 	"syscall"
 	"time"
 )
 
-// TerminationNotice is how long before its time a command is asked to end, by SIGTERM.
+// TerminationNotice is how long before the deadline a command gets SIGTERM. At the deadline it gets SIGKILL.
 const TerminationNotice = time.Second
 
 // Killed is the exit status of a command that was ended.
 const Killed = 124
 
-const roleEnv = "TULIP_LEASH"
+// deadlineEnv has the first deadline of a supervisor process.
+const deadlineEnv = "TULIP_LEASH"
 
-// Cmd is a command on a leash.
+// ErrKilled is returned by Wait for a command that was ended.
+var ErrKilled = errors.New("the command was ended")
+
+// Cmd is a command with a deadline.
 type Cmd struct {
-	cmd *exec.Cmd
-	mu  sync.Mutex
-	to  io.WriteCloser
+	supervisor *exec.Cmd
+
+	mu        sync.Mutex
+	deadlines io.WriteCloser // a line for each extension; closed: end now
 }
 
-// Start starts a command that must be over at a time of clock's, which must be one that all processes have. The program that
-// calls it must call Role first thing in main.
-func Start(till time.Duration, env []string, out, errs io.Writer, args ...string) (*Cmd, error) {
-	self, err := os.Executable()
+// Start starts a command that is ended at a time of a clock that all processes of the machine share. The calling program must call Role
+// first in main, with the same clock.
+func Start(deadline time.Duration, env []string, stdout, stderr io.Writer, args ...string) (*Cmd, error) {
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	r, w, err := os.Pipe()
+	reader, writer, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	c := &Cmd{cmd: exec.Command(self, args...), to: w}
-	c.cmd.Env = append(env, roleEnv+"="+strconv.FormatInt(int64(till), 10))
-	c.cmd.Stdin, c.cmd.Stdout, c.cmd.Stderr = os.Stdin, out, errs
-	c.cmd.ExtraFiles = []*os.File{r}
-	// A group of its own: what stops or interrupts the parent from a terminal does not reach it.
-	c.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	if err := c.cmd.Start(); err != nil {
-		return nil, errors.Join(err, w.Close())
+	defer func() { _ = reader.Close() }() // the supervisor has its own
+	c := &Cmd{supervisor: exec.Command(executable, args...), deadlines: writer}
+	c.supervisor.Env = append(env, deadlineEnv+"="+formatTime(deadline))
+	c.supervisor.Stdin = os.Stdin
+	c.supervisor.Stdout = stdout
+	c.supervisor.Stderr = stderr
+	c.supervisor.ExtraFiles = []*os.File{reader}
+	// In a group of its own, it does not get signals that a terminal sends to the parent's group.
+	c.supervisor.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	if err := c.supervisor.Start(); err != nil {
+		return nil, errors.Join(err, writer.Close())
 	}
 	return c, nil
 }
 
-// Until puts the end off to a later time.
-func (c *Cmd) Until(till time.Duration) {
+// Until extends the deadline. An earlier deadline than the current one changes nothing.
+func (c *Cmd) Until(deadline time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, _ = fmt.Fprintln(c.to, int64(till)) // it may be over
+	_, _ = fmt.Fprintln(c.deadlines, formatTime(deadline)) // fails if the supervisor has exited
 }
 
-// End has the command ended now.
+// End ends the command, with SIGTERM first.
 func (c *Cmd) End() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.to.Close()
+	_ = c.deadlines.Close()
 }
 
-// ErrKilled is what Wait returns of a command that was ended.
-var ErrKilled = errors.New("the command was ended")
-
-// Wait waits until it is over, with all that is on the leash.
+// Wait waits until the command and its process group have ended.
 func (c *Cmd) Wait() error {
-	err := c.cmd.Wait()
+	err := c.supervisor.Wait()
 	c.End()
 	var exit *exec.ExitError
 	if errors.As(err, &exit) && exit.ExitCode() == Killed {
@@ -84,78 +86,11 @@
 	return err
 }
 
-// Role is to be called first thing in main: a process that was started to hold a leash does so, and does not return.
-func Role(clock func() time.Duration) {
-	raw := os.Getenv(roleEnv)
-	if raw == "" {
-		return
-	}
-	till, err := strconv.ParseInt(raw, 10, 64)
-	if err == nil {
-		err = os.Unsetenv(roleEnv)
-	}
-	if err != nil || len(os.Args) < 2 {
-		fmt.Fprintln(os.Stderr, roleEnv, err)
-		os.Exit(2)
-	}
-	os.Exit(hold(clock, time.Duration(till), os.Args[1:]))
-}
+// formatTime returns the form of a time in the environment and in the pipe to a supervisor.
+func formatTime(t time.Duration) string { return strconv.FormatInt(int64(t), 10) }
 
-func hold(clock func() time.Duration, till time.Duration, args []string) int {
-	signal.Notify(make(chan os.Signal, 1), syscall.SIGTERM, syscall.SIGINT) // only the time and the parent end it; ignored, the command would inherit it
-	later, gone := make(chan time.Duration), make(chan struct{})
-	go func() {
-		defer close(gone)
-		for lines := bufio.NewScanner(os.NewFile(3, "leash")); lines.Scan(); {
-			if t, err := strconv.ParseInt(lines.Text(), 10, 64); err == nil {
-				later <- time.Duration(t)
-			}
-		}
-	}()
-	cmd := exec.Command(args[0], args[1:]...)
-	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, os.Stdout, os.Stderr
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if err := cmd.Start(); err != nil {
-		fmt.Fprintln(os.Stderr, err)
-		return 127
-	}
-	done := make(chan struct{})
-	go func() {
-		_ = cmd.Wait() // its state tells
-		close(done)
-	}()
-	tell := func(s syscall.Signal) { _ = syscall.Kill(-cmd.Process.Pid, s) }
-	asked := false
-	for {
-		now := clock()
-		if now >= till {
-			tell(syscall.SIGKILL)
-			<-done
-			return Killed
-		}
-		wait := till - now
-		if !asked && wait <= TerminationNotice {
-			asked = true
-			tell(syscall.SIGTERM)
-		} else if !asked {
-			wait -= TerminationNotice
-		}
-		select {
-		case <-done:
-			if asked {
-				tell(syscall.SIGKILL) // what it has left in its group
-				return Killed
-			}
-			if s, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); ok && s.Signaled() {
-				return 128 + int(s.Signal())
-			}
-			return cmd.ProcessState.ExitCode()
-		case t := <-later:
-			till = max(till, t)
-		case <-gone:
-			gone = nil
-			till = min(till, now+TerminationNotice)
-		case <-time.After(min(wait, 50*time.Millisecond)): // clock may not be the one that timers go by
-		}
-	}
+// parseTime parses the form that formatTime returns.
+func parseTime(text string) (time.Duration, error) {
+	nanoseconds, err := strconv.ParseInt(text, 10, 64)
+	return time.Duration(nanoseconds), err
 }
--- a/internal/deadlineexec/deadlineexec_test.go
+++ b/internal/deadlineexec/deadlineexec_test.go
@@ -14,7 +14,7 @@
 
 func clock() time.Duration {
 	var ts unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) // always there
+	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) // the clock always exists
 	return time.Duration(ts.Nano())
 }
 
@@ -23,6 +23,7 @@
 	os.Exit(m.Run())
 }
 
+// start starts a command with a deadline from now on.
 func start(t *testing.T, within time.Duration, out *bytes.Buffer, args ...string) *Cmd {
 	t.Helper()
 	c, err := Start(clock()+within, os.Environ(), out, out, args...)
@@ -32,10 +33,10 @@
 	return c
 }
 
-// A command that ends by itself ends with its own status; the leash is not in its way.
-func TestAnEndOfItsOwn(t *testing.T) {
+// A command that ends by itself has its own exit status, and does not inherit the supervisor's environment.
+func TestCommandExitsWithItsOwnStatus(t *testing.T) {
 	var out bytes.Buffer
-	if err := start(t, time.Hour, &out, "sh", "-c", "echo hello $"+roleEnv).Wait(); err != nil || out.String() != "hello\n" {
+	if err := start(t, time.Hour, &out, "sh", "-c", "echo hello $"+deadlineEnv).Wait(); err != nil || out.String() != "hello\n" {
 		t.Errorf("%v %q", err, out.String())
 	}
 	var exit *exec.ExitError
@@ -46,37 +47,38 @@
 		t.Error(err)
 	}
 	if err := start(t, time.Hour, &out, "/no/such/program").Wait(); err == nil {
-		t.Error("no such program")
+		t.Error("a missing program has no error")
 	}
 }
 
-// Nobody puts the end off, as when the parent is stopped: the command is asked to end a second before, and is over in time, with what it
-// has started, though it will not hear. The pipe that its output goes through closes only when all who could write are gone.
-func TestTheTimeIsUp(t *testing.T) {
+// The deadline is not extended, as when the parent is stopped: the command gets SIGTERM a second before, and is killed at the deadline with
+// the processes that it has started, though they ignore SIGTERM. Wait returns only when all of them have closed the pipe of the output.
+func TestCommandIsKilledAtDeadline(t *testing.T) {
 	var out bytes.Buffer
-	began := clock()
-	err := start(t, TerminationNotice+300*time.Millisecond, &out, "sh", "-c", "trap 'echo asked' TERM; (trap '' TERM; sleep 100) & while :; do sleep 0.05; done").Wait()
-	took := clock() - began
-	if !errors.Is(err, ErrKilled) || !strings.Contains(out.String(), "asked") {
+	started := clock()
+	script := "trap 'echo got SIGTERM' TERM; (trap '' TERM; sleep 100) & while :; do sleep 0.05; done"
+	err := start(t, TerminationNotice+300*time.Millisecond, &out, "sh", "-c", script).Wait()
+	took := clock() - started
+	if !errors.Is(err, ErrKilled) || !strings.Contains(out.String(), "got SIGTERM") {
 		t.Errorf("%v %q", err, out.String())
 	}
 	if took < TerminationNotice+300*time.Millisecond {
-		t.Errorf("over after %v: it had longer", took)
+		t.Errorf("killed after %v, before its deadline", took)
 	}
 }
 
-// The end is put off, and then the parent is gone.
-func TestPutOffAndEnded(t *testing.T) {
+// The deadline is extended, and then the parent ends the command.
+func TestDeadlineIsExtendedUntilEnd(t *testing.T) {
 	var out bytes.Buffer
 	c := start(t, 2*TerminationNotice, &out, "sh", "-c", "sleep 0.3; echo there; sleep 100")
 	c.Until(clock() + time.Hour)
-	c.Until(clock()) // never sooner
+	c.Until(clock()) // an earlier deadline changes nothing
 	time.AfterFunc(2*TerminationNotice+300*time.Millisecond, c.End)
-	began := clock()
+	started := clock()
 	if err := c.Wait(); !errors.Is(err, ErrKilled) || out.String() != "there\n" {
 		t.Errorf("%v %q", err, out.String())
 	}
-	if took := clock() - began; took < 2*TerminationNotice+300*time.Millisecond {
-		t.Errorf("over after %v: the end was put off", took)
+	if took := clock() - started; took < 2*TerminationNotice+300*time.Millisecond {
+		t.Errorf("killed after %v, in spite of the extension", took)
 	}
 }
