--- a/internal/workload/retry.go
+++ b/internal/workload/retry.go
@@ -8,10 +8,10 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// Answer is what a client makes of one try.
+// Answer is what a client makes of one attempt.
 type Answer uint8
 
-// The answers. Unreachable is a node that could not be reached, which proves that the try never ran.
+// The answers. Unreachable is a node that could not be reached, which proves that the attempt never ran.
 const (
 	Served Answer = iota
 	Rejected
@@ -20,45 +20,68 @@
 	Unreachable
 )
 
+// String returns the name that results have for it.
 func (a Answer) String() string {
 	return [...]string{"served", "refused", "failed", "timed-out", "unreachable"}[a]
 }
 
-// Retry decides on repeats, as the platform's clients do.
+// Retry is the retry policy of the platform's clients.
 type Retry struct {
-	sc      *scenario.Scenario
+	clients *scenario.Clients
 	seed    uint64
 	classes []balancer.Class
 }
 
-// NewRetry returns what clients of the scenario do.
+// NewRetry returns the retry policy of a scenario's clients.
 func NewRetry(sc *scenario.Scenario, seed uint64) *Retry {
-	return &Retry{sc: sc, seed: seed, classes: sc.Config(0, make([]float64, len(sc.Tenants))).Classes}
+	classes := sc.Config(0, make([]float64, len(sc.Tenants))).Classes
+	return &Retry{clients: &sc.Clients, seed: seed, classes: classes}
 }
 
-// Timeout is how long a client waits for a try that begins so long after its call was due, in µs.
-func (r *Retry) Timeout(c *Call, since eventqueue.Span) eventqueue.Span {
-	whole := r.classes[c.Class].Deadline
-	return min(eventqueue.Span(r.sc.Clients.TimeoutShare*float64(whole)), whole-since)
+// Timeout is how long a client waits for an attempt that begins so long after its call was due, in µs.
+func (r *Retry) Timeout(call *Call, since eventqueue.Span) eventqueue.Span {
+	deadline := r.classes[call.Class].Deadline
+	return min(eventqueue.Span(r.clients.TimeoutShare*float64(deadline)), deadline-since)
 }
 
-// Next tells whether a client repeats its call, and after how long. Tries are those made by now, since is the time from
-// when the call was due, and retryIn what the answer advised; all times are in µs.
-//
-// What is safe to repeat is repeated after any failure, and so is what all boxes drop by key, within its window; the rest
-// only after a refusal, or where no node was reached.
-func (r *Retry) Next(c *Call, how Answer, tries int, since, retryIn eventqueue.Span) (wait eventqueue.Span, again bool) {
-	s, class := &r.sc.Clients, &r.classes[c.Class]
-	harmless := how == Rejected || how == Unreachable || s.RetryFailed || class.Idempotency == balancer.Idempotent ||
-		class.Idempotency == balancer.IdempotentByKey && class.KeyScope == balancer.ScopeAll && since < class.IdempotencyWindow
-	if !harmless || how == Served || tries > s.Retries {
+// Next reports whether a client retries its call, and after how long. Attempts are those made so far, since is the time
+// since the call was due, and retryAfter what the answer advised; all times are in µs.
+func (r *Retry) Next(
+	call *Call, answer Answer, attempts int, since, retryAfter eventqueue.Span,
+) (wait eventqueue.Span, retry bool) {
+	class := &r.classes[call.Class]
+	if answer == Served || attempts > r.clients.Retries || !r.mayRetry(class, answer, since) {
 		return 0, false
 	}
-	d := eventqueue.NewDraws(r.seed, c.Number<<8|uint64(tries-1), drawRetry)
-	ms := s.Backoff * math.Pow(s.Growth, float64(tries-1))
-	wait = eventqueue.Span(1000 * ms * (1 - s.Jitter + s.Jitter*d.Exp()))
-	if d.Float64() < s.Heed {
-		wait = max(wait, min(retryIn, eventqueue.Span(1000*s.MaxRetryAfter)))
-	}
+	wait = r.backoff(call, attempts, retryAfter)
 	return wait, since+wait < class.Deadline
 }
+
+// mayRetry reports whether a retry does no harm. Idempotent requests are retried after any failure, and so are those whose
+// key all backends know, within the idempotency window; others only after a rejection, or where no node was reached.
+func (r *Retry) mayRetry(class *balancer.Class, answer Answer, since eventqueue.Span) bool {
+	if answer == Rejected || answer == Unreachable || r.clients.RetryFailed {
+		return true
+	}
+	switch class.Idempotency {
+	case balancer.Idempotent:
+		return true
+	case balancer.IdempotentByKey:
+		return class.KeyScope == balancer.ScopeAll && since < class.IdempotencyWindow
+	default:
+		return false
+	}
+}
+
+// backoff draws the wait before the next attempt. Some clients wait for at least as long as Retry-After says, up to a
+// limit of theirs.
+func (r *Retry) backoff(call *Call, attempts int, retryAfter eventqueue.Span) eventqueue.Span {
+	clients := r.clients
+	draws := eventqueue.NewDraws(r.seed, call.Number<<8|uint64(attempts-1), drawRetry)
+	millis := clients.Backoff * math.Pow(clients.Growth, float64(attempts-1))
+	wait := eventqueue.Span(microsPerMilli * millis * (1 - clients.Jitter + clients.Jitter*draws.Exp()))
+	if draws.Float64() < clients.Heed {
+		wait = max(wait, min(retryAfter, eventqueue.Span(microsPerMilli*clients.MaxRetryAfter)))
+	}
+	return wait
+}
--- /dev/null
+++ b/internal/workload/schedule.go
@@ -0,0 +1,202 @@
+// Package workload defines how clients behave: when they call and for what, and when they retry. It does no I/O but to
+// read traces, and has no clock: the emulator plays it in virtual time and the load generator on sockets, so both send the
+// same calls.
+package workload
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"sort"
+
+	"tulipglade/internal/faultinject"
+	"tulipglade/internal/simulation/eventqueue"
+	"tulipglade/internal/simulation/scenario"
+)
+
+const (
+	microsPerMilli  = 1000
+	microsPerSecond = 1e6
+)
+
+// Call is what a client wants: a first attempt, and its retries.
+type Call struct {
+	Number uint64          // its number in the schedule, from 0
+	At     eventqueue.Time // when it is due, µs since the start
+	Class  int
+	Tenant int
+	Site   int
+	Key    uint64  // the object that it is about; 0: none
+	Work   float64 // µs on one core of speed 1
+}
+
+// Schedule is all calls of a run, in order. It is fixed by scenario, seed and capacity before the first is made and
+// does not wait for answers; it holds no more of them than the next.
+type Schedule struct {
+	scenario     *scenario.Scenario
+	seed         uint64
+	random       eventqueue.Stream
+	ratePerMicro float64 // calls at level 1
+	now          float64 // µs
+	count        uint64  // calls returned by Next
+	surges       []faultinject.Fault
+	trace        *Trace // nil: arrivals are drawn
+
+	// Cumulative shares, up to 1.
+	classes []float64
+	tenants []float64
+	sites   []float64
+	keys    []float64
+}
+
+// NewSchedule returns the schedule of a scenario over a fleet that can do so many µs of work in each µs, with the
+// surges among the faults, whose defaults have been filled in.
+func NewSchedule(sc *scenario.Scenario, seed uint64, capacity float64, faults []faultinject.Fault) (*Schedule, error) {
+	s := &Schedule{
+		scenario: sc,
+		seed:     seed,
+		random:   eventqueue.NewStream(seed, "arrivals"),
+		classes:  cumulate(classWeights(sc)),
+		tenants:  cumulate(tenantWeights(sc)),
+		sites:    cumulate(siteWeights(sc)),
+		keys:     cumulate(keyWeights(sc)),
+	}
+	for _, fault := range faults {
+		if fault.Kind == faultinject.Surge {
+			s.surges = append(s.surges, fault)
+		}
+	}
+	s.ratePerMicro = sc.Load.PerS / microsPerSecond
+	if sc.Load.PerS == 0 {
+		s.ratePerMicro = sc.Load.Level * capacity / MeanWork(sc)
+	}
+	if sc.Load.Shape != shapeTrace {
+		return s, nil
+	}
+	var err error
+	s.trace, err = OpenTrace(sc.Load.Trace, len(sc.Classes), len(sc.Tenants), len(sc.Fleet.Sites))
+	if err != nil {
+		return nil, fmt.Errorf("load.trace: %w", err)
+	}
+	return s, nil
+}
+
+func classWeights(sc *scenario.Scenario) []float64 {
+	var weights []float64
+	for i := range sc.Classes {
+		weights = append(weights, sc.Classes[i].Share)
+	}
+	return weights
+}
+
+func tenantWeights(sc *scenario.Scenario) []float64 {
+	var weights []float64
+	for _, tenant := range sc.Tenants {
+		weights = append(weights, tenant.Share*tenant.Usage)
+	}
+	return weights
+}
+
+// siteWeights fall evenly from the first site to the last one, by the skew.
+func siteWeights(sc *scenario.Scenario) []float64 {
+	var weights []float64
+	last := len(sc.Fleet.Sites) - 1
+	for i := range sc.Fleet.Sites {
+		tilt := 0.0
+		if last > 0 {
+			tilt = sc.Load.SiteSkew * (1 - 2*float64(i)/float64(last))
+		}
+		weights = append(weights, 1+tilt)
+	}
+	return weights
+}
+
+// keyWeights are Zipf's.
+func keyWeights(sc *scenario.Scenario) []float64 {
+	var weights []float64
+	for i := range sc.Load.Keys {
+		weights = append(weights, math.Pow(float64(i+1), -sc.Load.Zipf))
+	}
+	return weights
+}
+
+// cumulate returns the cumulative shares of weights.
+func cumulate(weights []float64) []float64 {
+	sum := 0.0
+	cumulative := make([]float64, len(weights))
+	for i, weight := range weights {
+		sum += weight
+		cumulative[i] = sum
+	}
+	for i := range cumulative {
+		cumulative[i] /= sum
+	}
+	return cumulative
+}
+
+// pick returns the index whose part of the cumulative shares holds x, which is within 0 and 1.
+func pick(cumulative []float64, x float64) int {
+	return min(sort.SearchFloat64s(cumulative, x), len(cumulative)-1)
+}
+
+// Next returns the next call, or io.EOF after the last.
+func (s *Schedule) Next() (Call, error) {
+	if s.trace != nil {
+		return s.nextOfTrace()
+	}
+	if !s.advance() {
+		return Call{}, io.EOF
+	}
+	call := Call{Number: s.count, At: eventqueue.Time(s.now)}
+	s.count++
+	_, tenants := s.levelWithSurges(s.now)
+	call.Class = pick(s.classes, s.random.Float64())
+	call.Tenant = pick(tenants, s.random.Float64())
+	call.Site = pick(s.sites, s.random.Float64())
+	if s.scenario.Load.Keys > 0 {
+		call.Key = uint64(pick(s.keys, s.random.Float64())) + 1
+	}
+	call.Work = DrawWork(s.scenario, s.seed, call.Number, call.Class)
+	return call, nil
+}
+
+// nextOfTrace returns the next call of the trace at the scenario's speed, with work drawn as for any other.
+func (s *Schedule) nextOfTrace() (Call, error) {
+	call, err := s.trace.Next()
+	if err != nil {
+		return Call{}, err
+	}
+	call.At = eventqueue.Time(float64(call.At) / s.scenario.Load.Speed)
+	if float64(call.At) >= s.scenario.Seconds*microsPerSecond {
+		return Call{}, errors.Join(io.EOF, s.trace.Close())
+	}
+	call.Number = s.count
+	s.count++
+	call.Work = DrawWork(s.scenario, s.seed, call.Number, call.Class)
+	return call, nil
+}
+
+// advance moves now to the next arrival. It returns false where the run ends before that.
+func (s *Schedule) advance() bool {
+	// As many expected arrivals as one call stands for must pass: 1 for even gaps, exponential for a Poisson process.
+	needed := 1.0
+	if s.scenario.Load.Shape != shapeConstant {
+		needed = s.random.ExpFloat64()
+	}
+	end := s.scenario.Seconds * microsPerSecond
+	for {
+		level, _ := s.levelWithSurges(s.now)
+		step := min(rateInterval-math.Mod(s.now, rateInterval), end-s.now)
+		rate := s.ratePerMicro * level
+		if rate*step >= needed {
+			s.now += needed / rate
+			return true
+		}
+		needed -= rate * step
+		s.now += step
+		if s.now >= end {
+			return false
+		}
+	}
+}
