--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -3,10 +3,7 @@
 import (
 	"context"
 	"fmt"
-	"os"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 )
 
@@ -38,110 +35,144 @@
 	Max    float64 `json:"max"`
 }
 
-func spreadOf(x []float64) Spread {
-	if len(x) == 0 {
+func newSpread(values []float64) Spread {
+	if len(values) == 0 {
 		return Spread{}
 	}
-	s := slices.Clone(x)
-	slices.Sort(s)
-	mid := s[len(s)/2]
-	if len(s)%2 == 0 {
-		mid = (mid + s[len(s)/2-1]) / 2
+	sorted := slices.Sorted(slices.Values(values))
+	middle := len(sorted) / 2
+	median := sorted[middle]
+	if len(sorted)%2 == 0 {
+		median = (median + sorted[middle-1]) / 2
 	}
-	return Spread{mid, s[0], s[len(s)-1]}
+	return Spread{Median: median, Min: sorted[0], Max: sorted[len(sorted)-1]}
 }
 
+// sample is what one contender did in one round.
+type sample struct {
+	valid     bool
+	cpu       float64 // µs a call
+	p50       float64
+	p99       float64
+	notServed float64
+}
+
+// samples are what one contender did in its valid rounds.
+type samples struct {
+	cpu       []float64
+	p50       []float64
+	p99       []float64
+	notServed []float64
+	cpuRatio  []float64
+	p99Ratio  []float64
+	invalid   int
+}
+
+func (s *samples) add(round sample) {
+	if !round.valid {
+		s.invalid++
+		return
+	}
+	s.cpu = append(s.cpu, round.cpu)
+	s.p50 = append(s.p50, round.p50)
+	s.p99 = append(s.p99, round.p99)
+	s.notServed = append(s.notServed, round.notServed)
+}
+
+func (s *samples) addRatio(round, first sample) {
+	s.cpuRatio = append(s.cpuRatio, round.cpu/first.cpu)
+	s.p99Ratio = append(s.p99Ratio, round.p99/first.p99)
+}
+
+func (s *samples) standing(name string, peakMB float64) Standing {
+	return Standing{
+		Name:      name,
+		CPU:       newSpread(s.cpu),
+		P50:       newSpread(s.p50),
+		P99:       newSpread(s.p99),
+		NotServed: newSpread(s.notServed),
+		PeakMB:    peakMB,
+		CPURatio:  newSpread(s.cpuRatio),
+		P99Ratio:  newSpread(s.p99Ratio),
+		Invalid:   s.invalid,
+	}
+}
+
+// runTarget runs the schedule against one target.
+type runTarget func(ctx context.Context, addr string) (*Result, error)
+
 // Compare runs the same schedule against each contender in turn, round after round, so that what the machine does
 // meanwhile hits all alike.
-func Compare(ctx context.Context, who []Contender, rounds int, run func(ctx context.Context, addr string) (*Result, error)) ([]Standing, error) {
-	type figures struct{ cpu, p50, p99, lost, cpuRatio, p99Ratio []float64 }
-	all := make([]figures, len(who))
-	out := make([]Standing, len(who))
+func Compare(
+	ctx context.Context, contenders []Contender, rounds int, run func(ctx context.Context, addr string) (*Result, error),
+) ([]Standing, error) {
+	all := make([]samples, len(contenders))
 	for range rounds {
-		var cpu, p99 []float64
-		valid := true
-		for i, c := range who {
-			before, err := processCPU(c.Pid)
-			if err != nil {
-				return nil, fmt.Errorf("%s: %w", c.Name, err)
-			}
-			r, err := run(ctx, c.Addr)
-			if err != nil {
-				return nil, fmt.Errorf("%s: %w", c.Name, err)
-			}
-			after, err := processCPU(c.Pid)
-			if err != nil {
-				return nil, fmt.Errorf("%s: %w", c.Name, err)
-			}
-			if !r.Valid || r.Calls == 0 {
-				out[i].Invalid++
-				valid = false
-				cpu, p99 = append(cpu, 0), append(p99, 0)
-				continue
-			}
-			cpu = append(cpu, float64((after-before).Microseconds())/float64(r.Calls))
-			p99 = append(p99, r.Latency.P99)
-			f := &all[i]
-			f.cpu, f.p50, f.p99 = append(f.cpu, cpu[i]), append(f.p50, r.Latency.P50), append(f.p99, p99[i])
-			f.lost = append(f.lost, 1-float64(r.Outcomes["served"]+r.Outcomes["late"])/float64(r.Calls))
+		round, err := compareRound(ctx, contenders, run)
+		if err != nil {
+			return nil, err
 		}
-		for i := range who {
-			if valid && cpu[0] > 0 && p99[0] > 0 {
-				all[i].cpuRatio, all[i].p99Ratio = append(all[i].cpuRatio, cpu[i]/cpu[0]), append(all[i].p99Ratio, p99[i]/p99[0])
+		for i := range contenders {
+			all[i].add(round[i])
+			if allValid(round) && round[0].cpu > 0 && round[0].p99 > 0 {
+				all[i].addRatio(round[i], round[0])
 			}
 		}
 	}
-	for i, c := range who {
-		f := &all[i]
-		peak, err := processPeak(c.Pid)
+	standings := make([]Standing, 0, len(contenders))
+	for i, contender := range contenders {
+		peakMB, err := processPeakMemory(contender.Pid)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", c.Name, err)
+			return nil, fmt.Errorf("%s: %w", contender.Name, err)
 		}
-		out[i] = Standing{Name: c.Name, CPU: spreadOf(f.cpu), P50: spreadOf(f.p50), P99: spreadOf(f.p99), NotServed: spreadOf(f.lost),
-			PeakMB: peak, CPURatio: spreadOf(f.cpuRatio), P99Ratio: spreadOf(f.p99Ratio), Invalid: out[i].Invalid}
+		standings = append(standings, all[i].standing(contender.Name, peakMB))
 	}
-	return out, nil
+	return standings, nil
 }
 
-// clockTicks is the unit of processor time in /proc, which Linux tells programs in 1/100 s on all machines.
-const clockTicks = 100
+func allValid(round []sample) bool {
+	return !slices.ContainsFunc(round, func(s sample) bool { return !s.valid })
+}
 
-// processCPU is the processor time that a process has used, with all its threads (proc(5), stat, fields 14 and 15).
-func processCPU(pid int) (time.Duration, error) {
-	if pid == 0 {
-		return 0, nil
-	}
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	if err != nil {
-		return 0, err
-	}
-	// The command's name, in brackets, may hold spaces.
-	fields := strings.Fields(string(raw[strings.LastIndexByte(string(raw), ')')+1:]))
-	if len(fields) < 13 {
-		return 0, fmt.Errorf("/proc/%d/stat: %d fields", pid, len(fields))
-	}
-	user, errU := strconv.ParseInt(fields[11], 10, 64)
-	system, errS := strconv.ParseInt(fields[12], 10, 64)
-	if errU != nil || errS != nil {
-		return 0, fmt.Errorf("/proc/%d/stat: %q, %q", pid, fields[11], fields[12])
+// compareRound runs each contender once.
+func compareRound(ctx context.Context, contenders []Contender, run runTarget) ([]sample, error) {
+	var round []sample
+	for _, contender := range contenders {
+		measured, err := measure(ctx, contender, run)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", contender.Name, err)
+		}
+		round = append(round, measured)
 	}
-	return time.Duration(user+system) * time.Second / clockTicks, nil
+	return round, nil
 }
 
-// processPeak is the most memory that a process has held, in MB.
-func processPeak(pid int) (float64, error) {
-	if pid == 0 {
-		return 0, nil
+// measure runs a contender once and takes the processor time of its process.
+func measure(ctx context.Context, contender Contender, run runTarget) (sample, error) {
+	before, err := processCPU(contender.Pid)
+	if err != nil {
+		return sample{}, err
 	}
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	result, err := run(ctx, contender.Addr)
 	if err != nil {
-		return 0, err
+		return sample{}, err
 	}
-	for line := range strings.SplitSeq(string(raw), "\n") {
-		if text, ok := strings.CutPrefix(line, "VmHWM:"); ok {
-			kb, err := strconv.ParseFloat(strings.TrimSuffix(strings.TrimSpace(text), " kB"), 64)
-			return kb / 1024, err
-		}
+	after, err := processCPU(contender.Pid)
+	if err != nil {
+		return sample{}, err
 	}
-	return 0, fmt.Errorf("/proc/%d/status: no VmHWM", pid)
+	if !result.Valid || result.Calls == 0 {
+		return sample{}, nil
+	}
+	return sample{
+		valid:     true,
+		cpu:       microsPerCall(after-before, result.Calls),
+		p50:       result.Latency.P50,
+		p99:       result.Latency.P99,
+		notServed: result.notServed(),
+	}, nil
+}
+
+func microsPerCall(cpu time.Duration, calls int64) float64 {
+	return float64(cpu.Microseconds()) / float64(calls)
 }
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -1,19 +1,17 @@
 package load
 
 import (
-	"fmt"
 	"io"
-	"runtime"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what a run has shown. Times are ms, and latencies count from the moment at which a call was due, its
-// repeats included.
+// Result is what a run has measured. Times are ms, and latencies count from the moment at which a call was due, its
+// retries included.
 type Result struct {
 	Valid    bool     `json:"valid"`
-	Invalid  []string `json:"invalid,omitempty"` // why the figures do not count
+	Invalid  []string `json:"invalid,omitempty"` // why the figures are invalid
 	Scenario string   `json:"scenario"`
 	Seed     uint64   `json:"seed"`
 	Targets  []string `json:"targets"`
@@ -21,12 +19,12 @@
 	Seconds     float64            `json:"seconds"`
 	Calls       int64              `json:"calls"` // due after the warm-up
 	PerS        float64            `json:"calls_per_s"`
-	Sent        int64              `json:"sent"`    // tries, the warm-up's included
-	Repeats     int64              `json:"repeats"` // of them, by the client
+	Sent        int64              `json:"sent"`    // attempts, the warm-up's included
+	Repeats     int64              `json:"repeats"` // of them, by the clients
 	Outcomes    map[string]int64   `json:"outcomes"`
-	ServedValue float64            `json:"worth"`      // served in time, of that asked for
+	ServedValue float64            `json:"worth"`      // share of the possible value
 	Latency     Latency            `json:"latency_ms"` // of served and late calls
-	Until       map[string]Latency `json:"until_ms"`   // from when calls were due to their end, by outcome
+	Until       map[string]Latency `json:"until_ms"`   // from when calls were due to their ends, by outcome
 	Classes     []Part             `json:"classes"`
 	Tenants     []Part             `json:"tenants"`
 	Lag         LagReport          `json:"lag"`
@@ -34,10 +32,10 @@
 	CPU         float64            `json:"cpu_us_per_try"` // of the generator
 	Series      []Second           `json:"series"`
 
-	all *hdrhistogram.Histogram
+	latency *hdrhistogram.Histogram // of served and late calls
 }
 
-// Latency is a distribution.
+// Latency summarizes a distribution, in ms.
 type Latency struct {
 	Mean float64 `json:"mean"`
 	P50  float64 `json:"p50"`
@@ -54,13 +52,13 @@
 	Latency  Latency          `json:"latency_ms"`
 }
 
-// LagReport is how late the generator itself was.
+// LagReport is how late the generator sent what was due.
 type LagReport struct {
 	BoundMs      float64 `json:"bound_ms"`
 	P50          float64 `json:"p50_ms"`
 	P99          float64 `json:"p99_ms"`
 	Max          float64 `json:"max_ms"`
-	SecondsShort int     `json:"seconds_short"` // in which over 0.1% of the schedule was sent far too late
+	SecondsShort int     `json:"seconds_short"` // in which over 0.1% of the schedule was sent late
 }
 
 // Second is what was due in one second.
@@ -73,134 +71,116 @@
 	Max      float64          `json:"max_ms"`
 }
 
-func ms(us int64) float64 { return float64(us) / 1000 }
+func millis(micros int64) float64 { return float64(micros) / microsPerMilli }
 
-func latencyOf(h *hdrhistogram.Histogram) Latency {
-	if h.TotalCount() == 0 {
+func newLatency(histogram *hdrhistogram.Histogram) Latency {
+	if histogram.TotalCount() == 0 {
 		return Latency{}
 	}
-	at := func(q float64) float64 { return ms(h.ValueAtQuantile(q)) }
-	return Latency{Mean: h.Mean() / 1000, P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: ms(h.Max())}
+	quantile := func(q float64) float64 { return millis(histogram.ValueAtQuantile(q)) }
+	return Latency{
+		Mean: histogram.Mean() / microsPerMilli,
+		P50:  quantile(50),
+		P90:  quantile(90),
+		P99:  quantile(99),
+		P999: quantile(99.9),
+		Max:  millis(histogram.Max()),
+	}
+}
+
+// byName returns the counts with the outcomes' names.
+func (c outcomeCounts) byName() map[string]int64 {
+	named := map[string]int64{}
+	for outcome, count := range c {
+		named[OutcomeNames[outcome]] = count
+	}
+	return named
 }
 
-func namesOf(by [outcomes]int64) map[string]int64 {
-	m := map[string]int64{}
-	for i, n := range by {
-		m[OutcomeNames[i]] = n
+func newResult(p *Plan) *Result {
+	return &Result{
+		Scenario: p.Scenario.Name,
+		Seed:     p.Seed,
+		Targets:  p.Targets,
+		Lag:      LagReport{BoundMs: millis(p.Lag.Microseconds())},
 	}
-	return m
 }
 
-// second takes the account of one second.
-func (res *Result) second(s *second, p *Plan) error {
-	l := latencyOf(s.latency)
-	out := Second{At: s.start, Due: s.due, Outcomes: namesOf(s.by), P50: l.P50, P99: l.P99, Max: l.Max}
-	res.Series = append(res.Series, out)
+// addInterval adds one second of the run to the series, and passes it on as the plan says.
+func (res *Result) addInterval(i *interval, p *Plan) error {
+	latency := newLatency(i.latency)
+	second := Second{
+		At:       i.start,
+		Due:      i.due,
+		Outcomes: i.outcomes.byName(),
+		P50:      latency.P50,
+		P99:      latency.P99,
+		Max:      latency.Max,
+	}
+	res.Series = append(res.Series, second)
 	if p.Each != nil {
-		p.Each(out)
+		p.Each(second)
 	}
 	if p.Intervals != nil {
-		return p.Intervals.interval(s)
+		return p.Intervals.write(i)
 	}
 	return nil
 }
 
-// fill works out the figures, and whether they count.
-func (res *Result) fill(r *runner, cpu, took time.Duration) {
-	b := r.book
-	res.Calls, res.Sent, res.Repeats, res.Outcomes = b.counted, b.sent, b.repeats, namesOf(b.by)
-	res.Seconds = r.plan.Scenario.Seconds - r.plan.Scenario.WarmUp
+// fill works out the figures from what was recorded, and whether they are valid.
+func (res *Result) fill(r *runner, cpu, elapsed time.Duration) {
+	rec, sc := r.recorder, r.plan.Scenario
+	res.Calls = rec.counted
+	res.Sent = rec.sent
+	res.Repeats = rec.retries
+	res.Outcomes = rec.outcomes.byName()
+	res.Seconds = sc.Seconds - sc.WarmUp
 	if res.Seconds > 0 {
 		res.PerS = float64(res.Calls) / res.Seconds
 	}
-	if b.asked > 0 {
-		res.ServedValue = b.worth / b.asked
+	if rec.possibleValue > 0 {
+		res.ServedValue = rec.servedValue / rec.possibleValue
 	}
-	res.all, res.Until = b.all, map[string]Latency{}
-	for i, h := range b.byOutcome {
-		res.Until[OutcomeNames[i]] = latencyOf(h)
+	res.latency = rec.latency
+	res.Latency = newLatency(rec.latency)
+	res.Until = map[string]Latency{}
+	for outcome, histogram := range rec.byOutcome {
+		res.Until[OutcomeNames[outcome]] = newLatency(histogram)
 	}
-	res.Latency = latencyOf(b.all)
-	for i := range b.classes {
-		res.Classes = append(res.Classes, Part{r.plan.Scenario.Classes[i].Name, namesOf(b.classes[i].by), latencyOf(b.classes[i].latency)})
+	for i := range rec.classes {
+		res.Classes = append(res.Classes, rec.classes[i].part(sc.Classes[i].Name))
 	}
-	for i := range b.tenants {
-		res.Tenants = append(res.Tenants, Part{r.plan.Scenario.Tenants[i].Name, namesOf(b.tenants[i].by), latencyOf(b.tenants[i].latency)})
+	for i := range rec.tenants {
+		res.Tenants = append(res.Tenants, rec.tenants[i].part(sc.Tenants[i].Name))
 	}
-	lag := latencyOf(b.lag)
-	res.Lag.P50, res.Lag.P99, res.Lag.Max, res.Lag.SecondsShort = lag.P50, lag.P99, lag.Max, b.shortest
-	res.Conns = r.peak
-	if b.sent > 0 {
-		res.CPU = float64(cpu.Microseconds()) / float64(b.sent)
+	lag := newLatency(rec.lag)
+	res.Lag.P50 = lag.P50
+	res.Lag.P99 = lag.P99
+	res.Lag.Max = lag.Max
+	res.Lag.SecondsShort = rec.shortIntervals
+	res.Conns = r.peakConns
+	if rec.sent > 0 {
+		res.CPU = float64(cpu.Microseconds()) / float64(rec.sent)
 	}
-	res.judge(b, r, cpu, took)
-}
-
-// judge decides whether the generator kept its schedule, and if not, what it lacked.
-func (res *Result) judge(b *book, r *runner, cpu, took time.Duration) {
-	var why []string
-	if res.Lag.P99 > res.Lag.BoundMs {
-		why = append(why, fmt.Sprintf("tries went out %.3f ms late at p99, over the bound of %.3f ms", res.Lag.P99, res.Lag.BoundMs))
-	}
-	if b.shortest > 0 {
-		why = append(why, fmt.Sprintf("in %d seconds, the first at %d s, over 0.1%% of the schedule went out more than %.0f ms late",
-			b.shortest, b.firstShort, ms(b.late)))
-	}
-	if len(why) > 0 {
-		cause := false
-		if busy := float64(cpu) / float64(took) / float64(runtime.NumCPU()); busy > 0.7 {
-			why, cause = append(why, fmt.Sprintf("CPU: the generator used %.0f%% of its %d cores", 100*busy, runtime.NumCPU())), true
-		}
-		if r.atBound > 0 {
-			why, cause = append(why, fmt.Sprintf("connections: %d tries waited at the bound of %d", r.atBound, r.plan.Conns)), true
-		}
-		if r.noFiles > 0 {
-			why, cause = append(why, fmt.Sprintf("descriptors: %d connections could not be opened", r.noFiles)), true
-		}
-		if !cause {
-			why = append(why, "cause not seen from here: other processes may have had the cores")
-		}
-	} else if r.noFiles > 0 {
-		why = append(why, fmt.Sprintf("descriptors: %d connections could not be opened", r.noFiles))
-	}
-	res.Invalid, res.Valid = why, len(why) == 0
-}
-
-// WriteHgrm writes the percentiles of all served calls in the .hgrm form that HdrHistogram's plotters read, in ms.
-func (res *Result) WriteHgrm(w io.Writer) error {
-	_, err := res.all.PercentilesPrint(w, 5, 1000)
-	return err
+	res.Invalid = invalidReasons(res.Lag, r, cpu, elapsed)
+	res.Valid = len(res.Invalid) == 0
 }
 
-// IntervalLog writes one histogram a second in HdrHistogram's log form (version 1.3), by the second in which calls were
-// due, of calls that were served.
-type IntervalLog struct {
-	w     *hdrhistogram.HistogramLogWriter
-	start time.Time
+func (g *group) part(name string) Part {
+	return Part{Name: name, Outcomes: g.outcomes.byName(), Latency: newLatency(g.latency)}
 }
 
-// NewIntervalLog returns a log that writes to w.
-func NewIntervalLog(w io.Writer) *IntervalLog {
-	return &IntervalLog{w: hdrhistogram.NewHistogramLogWriter(w)}
+// notServed is the share of calls that were rejected, failed or timed out. There must be calls.
+func (res *Result) notServed() float64 {
+	served := res.Outcomes[OutcomeNames[Served]] + res.Outcomes[OutcomeNames[Late]]
+	return 1 - float64(served)/float64(res.Calls)
 }
 
-func (l *IntervalLog) begin(start time.Time) error {
-	l.start = start
-	if err := l.w.OutputLogFormatVersion(); err != nil {
-		return fmt.Errorf("histogram log: %w", err)
-	}
-	if err := l.w.OutputStartTime(start.UnixMilli()); err != nil {
-		return fmt.Errorf("histogram log: %w", err)
-	}
-	return l.w.OutputLegend()
-}
+// hgrmTicks is the number of percentiles that an .hgrm file has for each halving of the distance to 100%.
+const hgrmTicks = 5
 
-func (l *IntervalLog) interval(s *second) error {
-	from := l.start.UnixMilli() + s.start*1000
-	s.latency.SetStartTimeMs(from)
-	s.latency.SetEndTimeMs(from + 1000)
-	if err := l.w.OutputIntervalHistogram(s.latency); err != nil {
-		return fmt.Errorf("histogram log: %w", err)
-	}
-	return nil
+// WriteHgrm writes the percentiles of all served calls in the .hgrm form that HdrHistogram's plotters read, in ms.
+func (res *Result) WriteHgrm(w io.Writer) error {
+	_, err := res.latency.PercentilesPrint(w, hgrmTicks, microsPerMilli)
+	return err
 }
--- a/internal/load/run_test.go
+++ b/internal/load/runner_test.go
@@ -18,12 +18,23 @@
 	"tulipglade/internal/fake"
 )
 
-// On sockets, with bounds that a busy machine keeps: `tulipctl load verify` measures the narrow ones.
+// The bounds are such that a busy machine keeps them: `tulipctl load verify` measures the narrow ones.
 
-const quick = "seconds = 1.0\nwarm_up_s = 0.0\n[load]\nper_s = 200.0\n[clients]\nretries = 0\ntry_share = 0.3\nimpatient = 0.0\n"
+// closeQuietly closes what a test has no more use for.
+func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// script answers each connection by a function of its own.
-func script(t *testing.T, serve func(c net.Conn)) string {
+const quick = `seconds = 1.0
+warm_up_s = 0.0
+[load]
+per_s = 200.0
+[clients]
+retries = 0
+try_share = 0.3
+impatient = 0.0
+`
+
+// startTarget serves each connection by a function, and returns the address.
+func startTarget(t *testing.T, serve func(c net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -42,16 +53,16 @@
 			conns[c] = true
 			mu.Unlock()
 			wg.Go(func() {
-				defer c.Close()
+				defer closeQuietly(c)
 				serve(c)
 			})
 		}
 	})
 	t.Cleanup(func() {
-		ln.Close()
+		closeQuietly(ln)
 		mu.Lock()
 		for c := range conns {
-			c.Close()
+			closeQuietly(c)
 		}
 		mu.Unlock()
 		wg.Wait()
@@ -59,30 +70,33 @@
 	return ln.Addr().String()
 }
 
-// each reads requests and answers every one of them.
-func each(c net.Conn, answer func(r *http.Request, n int) string) {
-	in := bufio.NewReader(c)
+// answerAll reads requests and answers every one of them; an empty answer closes the connection.
+func answerAll(conn net.Conn, answer func(r *http.Request, n int) string) {
+	reader := bufio.NewReader(conn)
 	for n := 0; ; n++ {
-		r, err := http.ReadRequest(in)
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		io.Copy(io.Discard, r.Body)
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			return
+		}
 		text := answer(r, n)
 		if text == "" {
 			return
 		}
-		if _, err := io.WriteString(c, text); err != nil {
+		if _, err := io.WriteString(conn, text); err != nil {
 			return
 		}
 	}
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-func run(t *testing.T, text string, addr string, change func(*Plan)) *Result {
+// run plays a scenario against a target, and checks that each call has one outcome.
+func run(t *testing.T, text, addr string, change func(*Plan)) *Result {
 	t.Helper()
-	p := Plan{Scenario: scene(t, text), Seed: 1, Targets: []string{addr}, Lag: time.Minute}
+	p := Plan{Scenario: parse(t, text), Seed: 1, Targets: []string{addr}, Lag: time.Minute}
 	if change != nil {
 		change(&p)
 	}
@@ -100,7 +114,7 @@
 	return r
 }
 
-func only(t *testing.T, r *Result, outcome string) {
+func wantAll(t *testing.T, r *Result, outcome string) {
 	t.Helper()
 	if r.Outcomes[outcome] != r.Calls {
 		t.Errorf("want all %s: %v", outcome, r.Outcomes)
@@ -108,78 +122,80 @@
 }
 
 // Whatever a target does, every call that was due ends with one outcome, and nothing is left behind.
-func TestBadTargets(t *testing.T) {
+func TestEveryCallEndsWhateverTheTargetDoes(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("answers", func(t *testing.T) {
-		only(t, run(t, quick, script(t, func(c net.Conn) { each(c, func(*http.Request, int) string { return ok }) }), nil), "served")
+		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) { answerAll(c, func(*http.Request, int) string { return okResponse }) }), nil), "served")
 	})
-	t.Run("accepts and says nothing", func(t *testing.T) {
-		only(t, run(t, quick, script(t, func(c net.Conn) { io.Copy(io.Discard, c) }), nil), "timed-out")
+	t.Run("accepts and never answers", func(t *testing.T) {
+		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }), nil), "timed-out")
 	})
 	t.Run("is not there", func(t *testing.T) {
 		addrs, err := fake.FreeAddrs(1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		only(t, run(t, quick, addrs[0], nil), "unreachable")
+		wantAll(t, run(t, quick, addrs[0], nil), "unreachable")
 	})
 	t.Run("closes at once", func(t *testing.T) {
-		only(t, run(t, quick, script(t, func(net.Conn) {}), nil), "failed")
+		wantAll(t, run(t, quick, startTarget(t, func(net.Conn) {}), nil), "failed")
 	})
-	t.Run("answers noise", func(t *testing.T) {
-		only(t, run(t, quick, script(t, func(c net.Conn) { each(c, func(*http.Request, int) string { return "\x16\x03garbage\r\n\r\n" }) }), nil), "failed")
+	t.Run("answers what is not HTTP", func(t *testing.T) {
+		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) {
+			answerAll(c, func(*http.Request, int) string { return "\x16\x03garbage\r\n\r\n" })
+		}), nil), "failed")
 	})
-	t.Run("answers half", func(t *testing.T) {
-		half := strings.Replace(ok, "Length: 2", "Length: 20", 1)
-		only(t, run(t, quick, script(t, func(c net.Conn) { each(c, func(*http.Request, int) string { return half }) }), nil), "timed-out")
+	t.Run("answers in part", func(t *testing.T) {
+		half := strings.Replace(okResponse, "Length: 2", "Length: 20", 1)
+		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) { answerAll(c, func(*http.Request, int) string { return half }) }), nil), "timed-out")
 	})
 	t.Run("answers byte by byte", func(t *testing.T) {
-		only(t, run(t, quick, script(t, func(c net.Conn) {
-			each(c, func(*http.Request, int) string {
-				for i := range len(ok) - 1 {
-					if _, err := io.WriteString(c, ok[i:i+1]); err != nil {
+		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) {
+			answerAll(c, func(*http.Request, int) string {
+				for i := range len(okResponse) - 1 {
+					if _, err := io.WriteString(c, okResponse[i:i+1]); err != nil {
 						return ""
 					}
 				}
-				return ok[len(ok)-1:]
+				return okResponse[len(okResponse)-1:]
 			})
 		}), nil), "served")
 	})
-	t.Run("refuses, with advice", func(t *testing.T) {
-		only(t, run(t, quick, script(t, func(c net.Conn) {
-			each(c, func(*http.Request, int) string {
+	t.Run("rejects, with Retry-After", func(t *testing.T) {
+		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) {
+			answerAll(c, func(*http.Request, int) string {
 				return "HTTP/1.1 503 Busy\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n"
 			})
 		}), nil), "refused")
 	})
-	t.Run("dies half-way", func(t *testing.T) {
+	t.Run("stops answering during the run", func(t *testing.T) {
 		var dead atomic.Bool
 		time.AfterFunc(500*time.Millisecond, func() { dead.Store(true) })
-		r := run(t, quick, script(t, func(c net.Conn) {
-			each(c, func(*http.Request, int) string {
+		r := run(t, quick, startTarget(t, func(c net.Conn) {
+			answerAll(c, func(*http.Request, int) string {
 				if dead.Load() {
 					return ""
 				}
-				return ok
+				return okResponse
 			})
 		}), nil)
 		if r.Outcomes["served"] < 50 || r.Outcomes["failed"] < 50 || r.Outcomes["served"]+r.Outcomes["failed"] != r.Calls {
 			t.Errorf("%v", r.Outcomes)
 		}
 	})
-	t.Run("closes between requests", func(t *testing.T) { // the client sends once more, as PROTOCOL says
-		only(t, run(t, quick, script(t, func(c net.Conn) {
-			each(c, func(_ *http.Request, n int) string { return []string{ok, ""}[n] })
+	t.Run("closes between requests", func(t *testing.T) { // the client sends the request once more, as PROTOCOL says
+		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) {
+			answerAll(c, func(_ *http.Request, n int) string { return []string{okResponse, ""}[n] })
 		}), nil), "served")
 	})
 }
 
-// What goes out is what PROTOCOL says, with a new id for each try.
-func TestRequests(t *testing.T) {
+// Requests have the form that PROTOCOL gives them, with a new ID for each attempt.
+func TestRequestsHaveTheProtocolsForm(t *testing.T) {
 	var mu sync.Mutex
-	ids, keys, bad := map[string]int{}, map[string]int{}, ""
-	addr := script(t, func(c net.Conn) {
-		each(c, func(r *http.Request, _ int) string {
+	ids, keys, invalid := map[string]int{}, map[string]int{}, ""
+	addr := startTarget(t, func(c net.Conn) {
+		answerAll(c, func(r *http.Request, _ int) string {
 			mu.Lock()
 			defer mu.Unlock()
 			ids[r.Header.Get("X-Trace-Id")]++
@@ -187,38 +203,38 @@
 			if key != "" {
 				keys[key]++
 			}
-			if r.URL.Path != "/"+class || (r.Method == "GET") != (class == "read") || (key != "") != (class == "settle") ||
+			if r.URL.Path != "/"+class || (r.Method == http.MethodGet) != (class == "read") || (key != "") != (class == "settle") ||
 				r.Header.Get("X-Customer") == "" || r.URL.Query().Get("obj") == "" || r.Header.Get("X-Expires-In-Ms") == "" {
-				bad = r.Method + " " + r.URL.String()
+				invalid = r.Method + " " + r.URL.String()
 			}
 			return "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 		})
 	})
 	r := run(t, strings.Replace(quick, "retries = 0", "retries = 1\nbackoff_ms = 10.0", 1), addr, nil)
-	if bad != "" {
-		t.Error("unlike PROTOCOL: ", bad)
+	if invalid != "" {
+		t.Error("unlike PROTOCOL: ", invalid)
 	}
 	if len(ids) != int(r.Sent) || r.Repeats < r.Calls/2 {
-		t.Errorf("%d ids for %d tries, of which %d repeats", len(ids), r.Sent, r.Repeats)
+		t.Errorf("%d IDs for %d attempts, of which %d retries", len(ids), r.Sent, r.Repeats)
 	}
 	for k, n := range keys {
 		if n > 2 {
-			t.Errorf("key %s of %d tries: one for each call, its repeats included", k, n)
+			t.Errorf("key %s of %d attempts: want one for each call, its retries included", k, n)
 		}
 	}
 }
 
-// A stall must show in every call that was due while it lasted, and not only in those that were under way.
-func TestAStallShowsInAllThatWasDue(t *testing.T) {
-	began := time.Now()
+// A stall must show in every call that was due while it lasted, and not only in those that were in flight.
+func TestStallShowsInAllCallsThatWereDue(t *testing.T) {
+	startedAt := time.Now()
 	waker := newWaker()
 	defer waker.close()
 	null, err := fake.StartNull("127.0.0.1:0", func(now time.Time) time.Time {
-		if in := now.Sub(began) % time.Second; in < 300*time.Millisecond {
+		if in := now.Sub(startedAt) % time.Second; in < 300*time.Millisecond {
 			return now.Add(300*time.Millisecond - in)
 		}
 		return now
-	}, waker.until)
+	}, waker.waitUntil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,10 +246,10 @@
 	}
 }
 
-// A generator that cannot keep its schedule never sends less in silence.
-func TestItSaysThatItCannotKeepUp(t *testing.T) {
-	slow := script(t, func(c net.Conn) {
-		each(c, func(*http.Request, int) string { time.Sleep(50 * time.Millisecond); return ok })
+// A generator that cannot keep its schedule never sends less without saying so.
+func TestRunIsInvalidWithTooFewConnections(t *testing.T) {
+	slow := startTarget(t, func(c net.Conn) {
+		answerAll(c, func(*http.Request, int) string { time.Sleep(50 * time.Millisecond); return okResponse })
 	})
 	r := run(t, quick, slow, func(p *Plan) { p.Conns, p.Lag = 1, time.Millisecond })
 	if r.Valid || !strings.Contains(strings.Join(r.Invalid, "\n"), "connections:") || r.Lag.P99 < 10 {
@@ -241,8 +257,8 @@
 	}
 }
 
-// Ten times and more what any core can send: every call is accounted for, and the run does not count.
-func TestStarvedOfProcessor(t *testing.T) {
+// Ten times and more what any core can send: every call is accounted for, and the run is invalid.
+func TestRunIsInvalidBeyondTheProcessor(t *testing.T) {
 	null, err := fake.StartNull("127.0.0.1:0", nil, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -259,9 +275,10 @@
 	}
 }
 
-func TestOnlyLoopback(t *testing.T) {
+func TestRunRejectsTargetsOffLoopback(t *testing.T) {
 	for _, addr := range []string{"10.0.0.1:80", "192.168.1.1:80", "example.org:80", "127.0.0.1", "0.0.0.0:80", ":80"} {
-		if _, err := Run(t.Context(), Plan{Scenario: scene(t, quick), Targets: []string{addr}}); err == nil || !strings.HasPrefix(err.Error(), "target ") {
+		_, err := Run(t.Context(), Plan{Scenario: parse(t, quick), Targets: []string{addr}})
+		if err == nil || !strings.HasPrefix(err.Error(), "target ") {
 			t.Errorf("%s: %v", addr, err)
 		}
 	}
@@ -273,27 +290,27 @@
 		t.Fatal(err)
 	}
 	defer null.Close()
-	var first, again bytes.Buffer
-	a := run(t, quick, null.Addr(), func(p *Plan) { p.Record = &first })
-	file := t.TempDir() + "/trace"
-	if err := os.WriteFile(file, first.Bytes(), 0o644); err != nil {
+	var recorded, replayed bytes.Buffer
+	original := run(t, quick, null.Addr(), func(p *Plan) { p.Record = &recorded })
+	path := t.TempDir() + "/trace"
+	if err := os.WriteFile(path, recorded.Bytes(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	text := strings.Replace(quick, "per_s = 200.0", "shape = 'trace'\ntrace = '"+file+"'", 1)
-	b := run(t, text, null.Addr(), func(p *Plan) { p.Record = &again })
-	if a.Calls != b.Calls || first.String() != again.String() {
-		t.Errorf("%d calls, %d when replayed; the same lines: %v", a.Calls, b.Calls, first.String() == again.String())
+	text := strings.Replace(quick, "per_s = 200.0", "shape = 'trace'\ntrace = '"+path+"'", 1)
+	replay := run(t, text, null.Addr(), func(p *Plan) { p.Record = &replayed })
+	if original.Calls != replay.Calls || recorded.String() != replayed.String() {
+		t.Errorf("%d calls, %d when replayed; the same lines: %v", original.Calls, replay.Calls, recorded.String() == replayed.String())
 	}
 }
 
-// BenchmarkGenerator is the processor time of the whole process for a call, the box that answers at once included.
+// BenchmarkGenerator measures the processor time of the whole process for a call, the server included.
 func BenchmarkGenerator(b *testing.B) {
 	null, err := fake.StartNull("127.0.0.1:0", nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer null.Close()
-	sc := scene(b, "seconds = 5.0\nwarm_up_s = 0.0\nload.per_s = 20000.0\nclients.retries = 0")
+	sc := parse(b, "seconds = 5.0\nwarm_up_s = 0.0\nload.per_s = 20000.0\nclients.retries = 0")
 	for b.Loop() {
 		r, err := Run(b.Context(), Plan{Scenario: sc, Seed: 1, Targets: []string{null.Addr()}})
 		if err != nil {
--- /dev/null
+++ b/internal/load/validity.go
@@ -0,0 +1,56 @@
+package load
+
+import (
+	"fmt"
+	"runtime"
+	"time"
+)
+
+// busyShare is the share of all cores beyond which the generator is short of processor time.
+const busyShare = 0.7
+
+// invalidReasons returns why the generator did not keep its schedule, and what it lacked; none: it kept it.
+func invalidReasons(lag LagReport, r *runner, cpu, elapsed time.Duration) []string {
+	reasons := missedSchedule(lag, r.recorder)
+	if len(reasons) == 0 {
+		return descriptorReasons(r)
+	}
+	causes := processorReasons(cpu, elapsed)
+	if r.waitedAtBound > 0 {
+		causes = append(causes, fmt.Sprintf("connections: %d tries waited at the bound of %d", r.waitedAtBound, r.plan.Conns))
+	}
+	causes = append(causes, descriptorReasons(r)...)
+	if len(causes) == 0 {
+		causes = []string{"cause not seen from here: other processes may have had the cores"}
+	}
+	return append(reasons, causes...)
+}
+
+// missedSchedule returns by how much the schedule was missed.
+func missedSchedule(lag LagReport, rec *recorder) []string {
+	var reasons []string
+	if lag.P99 > lag.BoundMs {
+		reasons = append(reasons, fmt.Sprintf("tries went out %.3f ms late at p99, over the bound of %.3f ms", lag.P99, lag.BoundMs))
+	}
+	if rec.shortIntervals > 0 {
+		reasons = append(reasons, fmt.Sprintf("in %d seconds, the first at %d s, over 0.1%% of the schedule went out more than %.0f ms late",
+			rec.shortIntervals, rec.firstShort, millis(rec.lateSend)))
+	}
+	return reasons
+}
+
+func processorReasons(cpu, elapsed time.Duration) []string {
+	cores := runtime.NumCPU()
+	busy := float64(cpu) / float64(elapsed) / float64(cores)
+	if busy <= busyShare {
+		return nil
+	}
+	return []string{fmt.Sprintf("CPU: the generator used %.0f%% of its %d cores", 100*busy, cores)}
+}
+
+func descriptorReasons(r *runner) []string {
+	if r.descriptorErrors == 0 {
+		return nil
+	}
+	return []string{fmt.Sprintf("descriptors: %d connections could not be opened", r.descriptorErrors)}
+}
