--- a/internal/fake/control_test.go
+++ b/internal/fake/control_test.go
@@ -12,24 +12,47 @@
 	"tulipglade/internal/loopback"
 )
 
-func TestControlPort(t *testing.T) {
-	cl := start(t, Options{})
+// startControl serves a cluster's control port.
+func startControl(t *testing.T) (cl *Cluster, addr string) {
+	t.Helper()
+	cl = start(t, Options{})
 	addr, err := cl.Control("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	post := func(text string) (int, string) {
-		r, err := http.Post("http://"+addr+"/faults", "application/json", strings.NewReader(text))
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer closeQuietly(r.Body)
-		raw, err := io.ReadAll(r.Body)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return r.StatusCode, string(raw)
+	return cl, addr
+}
+
+func postFault(t *testing.T, addr, fault string) (status int, body string) {
+	t.Helper()
+	r, err := http.Post("http://"+addr+"/faults", "application/json", strings.NewReader(fault))
+	if err != nil {
+		t.Fatal(err)
 	}
+	raw, err := io.ReadAll(r.Body)
+	_ = r.Body.Close() // it has been read to its end
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r.StatusCode, string(raw)
+}
+
+func deleteFault(t *testing.T, addr string, id int) (status int) {
+	t.Helper()
+	request, err := http.NewRequest(http.MethodDelete, fmt.Sprintf("http://%s/faults/%d", addr, id), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, err := http.DefaultClient.Do(request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = r.Body.Close() // the status is all that is looked at
+	return r.StatusCode
+}
+
+func TestControlRejectsInvalidFaults(t *testing.T) {
+	_, addr := startControl(t)
 	for text, want := range map[string]string{
 		`{"kind":"earthquake"}`:                     "none of",
 		`{"kind":"kill","boxes":[9]}`:               "no number 9",
@@ -39,13 +62,17 @@
 		`{"kind":"site-cut","site":"north"}`:        "north",
 		`{"kind":"fast-errors","size":2,"share":1}`: "not within",
 	} {
-		if code, body := post(text); code != 400 || !strings.Contains(body, want) {
-			t.Errorf("%s: %d %q, want %q", text, code, body, want)
+		if status, body := postFault(t, addr, text); status != 400 || !strings.Contains(body, want) {
+			t.Errorf("%s: %d %q, want %q", text, status, body, want)
 		}
 	}
-	code, body := post(`{"kind":"fast-errors","boxes":[0],"size":1}`)
-	if code != 200 || !strings.Contains(body, `"boxes":[0]`) {
-		t.Fatalf("%d %s", code, body)
+}
+
+func TestControlInjectsAndLiftsFaults(t *testing.T) {
+	cl, addr := startControl(t)
+	status, body := postFault(t, addr, `{"kind":"fast-errors","boxes":[0],"size":1}`)
+	if status != 200 || !strings.Contains(body, `"boxes":[0]`) {
+		t.Fatalf("%d %s", status, body)
 	}
 	var injected struct{ ID int }
 	if err := json.Unmarshal([]byte(body), &injected); err != nil {
@@ -55,22 +82,16 @@
 	conn.sendRequest("/read", "a", "")
 	conn.wantStatus(500)
 	for _, want := range []int{204, 404} {
-		req, err := http.NewRequest(http.MethodDelete, fmt.Sprintf("http://%s/faults/%d", addr, injected.ID), nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		r, err := http.DefaultClient.Do(req)
-		if err != nil {
-			t.Fatal(err)
-		}
-		_ = r.Body.Close() // nothing more is read
-		if r.StatusCode != want {
-			t.Errorf("status %d, want %d", r.StatusCode, want)
+		if status := deleteFault(t, addr, injected.ID); status != want {
+			t.Errorf("status %d, want %d", status, want)
 		}
 	}
 	conn.sendRequest("/read", "b", "")
 	conn.wantStatus(200)
-	if _, err := cl.Control("0.0.0.0:0"); !errors.Is(err, loopback.ErrNot) {
+}
+
+func TestControlListensOnLoopbackOnly(t *testing.T) {
+	if _, err := start(t, Options{}).Control("0.0.0.0:0"); !errors.Is(err, loopback.ErrNot) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/load/runner_test.go
+++ b/internal/load/runner_test.go
@@ -1,28 +1,19 @@
 package load
 
 import (
-	"bufio"
 	"bytes"
-	"io"
 	"net"
 	"net/http"
 	"os"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
-	"go.uber.org/goleak"
-
 	"tulipglade/internal/fake"
 )
 
-// The bounds are such that a busy machine keeps them: `tulipctl load verify` measures the narrow ones.
-
-// closeQuietly closes what a test has no more use for.
-func closeQuietly(c io.Closer) { _ = c.Close() }
-
+// quick is a run whose bounds a busy machine keeps: `tulipctl load verify` measures the narrow ones.
 const quick = `seconds = 1.0
 warm_up_s = 0.0
 [load]
@@ -33,66 +24,6 @@
 impatient = 0.0
 `
 
-// startTarget serves each connection by a function, and returns the address.
-func startTarget(t *testing.T, serve func(c net.Conn)) string {
-	t.Helper()
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	conns := map[net.Conn]bool{}
-	wg.Go(func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			mu.Lock()
-			conns[c] = true
-			mu.Unlock()
-			wg.Go(func() {
-				defer closeQuietly(c)
-				serve(c)
-			})
-		}
-	})
-	t.Cleanup(func() {
-		closeQuietly(ln)
-		mu.Lock()
-		for c := range conns {
-			closeQuietly(c)
-		}
-		mu.Unlock()
-		wg.Wait()
-	})
-	return ln.Addr().String()
-}
-
-// answerAll reads requests and answers every one of them; an empty answer closes the connection.
-func answerAll(conn net.Conn, answer func(r *http.Request, n int) string) {
-	reader := bufio.NewReader(conn)
-	for n := 0; ; n++ {
-		r, err := http.ReadRequest(reader)
-		if err != nil {
-			return
-		}
-		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			return
-		}
-		text := answer(r, n)
-		if text == "" {
-			return
-		}
-		if _, err := io.WriteString(conn, text); err != nil {
-			return
-		}
-	}
-}
-
-const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-
 // run plays a scenario against a target, and checks that each call has one outcome.
 func run(t *testing.T, text, addr string, change func(*Plan)) *Result {
 	t.Helper()
@@ -114,82 +45,6 @@
 	return r
 }
 
-func wantAll(t *testing.T, r *Result, outcome string) {
-	t.Helper()
-	if r.Outcomes[outcome] != r.Calls {
-		t.Errorf("want all %s: %v", outcome, r.Outcomes)
-	}
-}
-
-// Whatever a target does, every call that was due ends with one outcome, and nothing is left behind.
-func TestEveryCallEndsWhateverTheTargetDoes(t *testing.T) {
-	defer goleak.VerifyNone(t)
-	t.Run("answers", func(t *testing.T) {
-		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) { answerAll(c, func(*http.Request, int) string { return okResponse }) }), nil), "served")
-	})
-	t.Run("accepts and never answers", func(t *testing.T) {
-		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }), nil), "timed-out")
-	})
-	t.Run("is not there", func(t *testing.T) {
-		addrs, err := fake.FreeAddrs(1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		wantAll(t, run(t, quick, addrs[0], nil), "unreachable")
-	})
-	t.Run("closes at once", func(t *testing.T) {
-		wantAll(t, run(t, quick, startTarget(t, func(net.Conn) {}), nil), "failed")
-	})
-	t.Run("answers what is not HTTP", func(t *testing.T) {
-		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) {
-			answerAll(c, func(*http.Request, int) string { return "\x16\x03garbage\r\n\r\n" })
-		}), nil), "failed")
-	})
-	t.Run("answers in part", func(t *testing.T) {
-		half := strings.Replace(okResponse, "Length: 2", "Length: 20", 1)
-		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) { answerAll(c, func(*http.Request, int) string { return half }) }), nil), "timed-out")
-	})
-	t.Run("answers byte by byte", func(t *testing.T) {
-		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) {
-			answerAll(c, func(*http.Request, int) string {
-				for i := range len(okResponse) - 1 {
-					if _, err := io.WriteString(c, okResponse[i:i+1]); err != nil {
-						return ""
-					}
-				}
-				return okResponse[len(okResponse)-1:]
-			})
-		}), nil), "served")
-	})
-	t.Run("rejects, with Retry-After", func(t *testing.T) {
-		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) {
-			answerAll(c, func(*http.Request, int) string {
-				return "HTTP/1.1 503 Busy\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n"
-			})
-		}), nil), "refused")
-	})
-	t.Run("stops answering during the run", func(t *testing.T) {
-		var dead atomic.Bool
-		time.AfterFunc(500*time.Millisecond, func() { dead.Store(true) })
-		r := run(t, quick, startTarget(t, func(c net.Conn) {
-			answerAll(c, func(*http.Request, int) string {
-				if dead.Load() {
-					return ""
-				}
-				return okResponse
-			})
-		}), nil)
-		if r.Outcomes["served"] < 50 || r.Outcomes["failed"] < 50 || r.Outcomes["served"]+r.Outcomes["failed"] != r.Calls {
-			t.Errorf("%v", r.Outcomes)
-		}
-	})
-	t.Run("closes between requests", func(t *testing.T) { // the client sends the request once more, as PROTOCOL says
-		wantAll(t, run(t, quick, startTarget(t, func(c net.Conn) {
-			answerAll(c, func(_ *http.Request, n int) string { return []string{okResponse, ""}[n] })
-		}), nil), "served")
-	})
-}
-
 // Requests have the form that PROTOCOL gives them, with a new ID for each attempt.
 func TestRequestsHaveTheProtocolsForm(t *testing.T) {
 	var mu sync.Mutex
