--- /dev/null
+++ b/internal/load/runner_test.go
@@ -0,0 +1,178 @@
+package load
+
+import (
+	"bytes"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"tulipglade/internal/fake"
+)
+
+// quick is a run whose bounds a busy machine keeps: `tulipctl load verify` measures the narrow ones.
+const quick = `seconds = 1.0
+warm_up_s = 0.0
+[load]
+per_s = 200.0
+[clients]
+retries = 0
+try_share = 0.3
+impatient = 0.0
+`
+
+// run plays a scenario against a target, and checks that each call has one outcome.
+func run(t *testing.T, text, addr string, change func(*Plan)) *Result {
+	t.Helper()
+	p := Plan{Scenario: parse(t, text), Seed: 1, Targets: []string{addr}, Lag: time.Minute}
+	if change != nil {
+		change(&p)
+	}
+	r, err := Run(t.Context(), p)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sum := int64(0)
+	for _, n := range r.Outcomes {
+		sum += n
+	}
+	if sum != r.Calls || r.Calls < 100 {
+		t.Errorf("%d calls, %d outcomes: %v", r.Calls, sum, r.Outcomes)
+	}
+	return r
+}
+
+// Requests have the form that PROTOCOL gives them, with a new ID for each attempt.
+func TestRequestsHaveTheProtocolsForm(t *testing.T) {
+	var mu sync.Mutex
+	ids, keys, invalid := map[string]int{}, map[string]int{}, ""
+	addr := startTarget(t, func(c net.Conn) {
+		answerAll(c, func(r *http.Request, _ int) string {
+			mu.Lock()
+			defer mu.Unlock()
+			ids[r.Header.Get("X-Trace-Id")]++
+			class, key := r.Header.Get("X-Qos"), r.Header.Get("Idempotency-Key")
+			if key != "" {
+				keys[key]++
+			}
+			if r.URL.Path != "/"+class || (r.Method == http.MethodGet) != (class == "read") || (key != "") != (class == "settle") ||
+				r.Header.Get("X-Customer") == "" || r.URL.Query().Get("obj") == "" || r.Header.Get("X-Expires-In-Ms") == "" {
+				invalid = r.Method + " " + r.URL.String()
+			}
+			return "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+		})
+	})
+	r := run(t, strings.Replace(quick, "retries = 0", "retries = 1\nbackoff_ms = 10.0", 1), addr, nil)
+	if invalid != "" {
+		t.Error("unlike PROTOCOL: ", invalid)
+	}
+	if len(ids) != int(r.Sent) || r.Repeats < r.Calls/2 {
+		t.Errorf("%d IDs for %d attempts, of which %d retries", len(ids), r.Sent, r.Repeats)
+	}
+	for k, n := range keys {
+		if n > 2 {
+			t.Errorf("key %s of %d attempts: want one for each call, its retries included", k, n)
+		}
+	}
+}
+
+// A stall must show in every call that was due while it lasted, and not only in those that were in flight.
+func TestStallShowsInAllCallsThatWereDue(t *testing.T) {
+	startedAt := time.Now()
+	waker := newWaker()
+	defer waker.close()
+	null, err := fake.StartNull("127.0.0.1:0", func(now time.Time) time.Time {
+		if in := now.Sub(startedAt) % time.Second; in < 300*time.Millisecond {
+			return now.Add(300*time.Millisecond - in)
+		}
+		return now
+	}, waker.waitUntil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer null.Close()
+	r := run(t, strings.Replace(quick, "seconds = 1.0", "seconds = 4.0", 1), null.Addr(), nil)
+	// 30% of calls are due in the stall and wait from 0 to 300 ms: by chance and by a busy machine a few more or less.
+	if r.Latency.P50 > 100 || r.Latency.P90 < 120 || r.Latency.P99 < 240 || r.Latency.P99 > 600 {
+		t.Errorf("%+v", r.Latency)
+	}
+}
+
+// A generator that cannot keep its schedule never sends less without saying so.
+func TestRunIsInvalidWithTooFewConnections(t *testing.T) {
+	slow := startTarget(t, func(c net.Conn) {
+		answerAll(c, func(*http.Request, int) string { time.Sleep(50 * time.Millisecond); return okResponse })
+	})
+	r := run(t, quick, slow, func(p *Plan) { p.Conns, p.Lag = 1, time.Millisecond })
+	if r.Valid || !strings.Contains(strings.Join(r.Invalid, "\n"), "connections:") || r.Lag.P99 < 10 {
+		t.Errorf("one connection for 5 times what it can carry: valid %v, %v, lag %+v", r.Valid, r.Invalid, r.Lag)
+	}
+}
+
+// Ten times and more what any core can send: every call is accounted for, and the run is invalid.
+func TestRunIsInvalidBeyondTheProcessor(t *testing.T) {
+	null, err := fake.StartNull("127.0.0.1:0", nil, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer null.Close()
+	text := strings.Replace(strings.Replace(quick, "per_s = 200.0", "per_s = 500000.0", 1), "seconds = 1.0", "seconds = 0.3", 1)
+	r := run(t, text, null.Addr(), func(p *Plan) { p.Conns, p.Lag = 256, time.Millisecond })
+	if r.Valid || r.Calls < 145_000 || r.Sent != r.Calls {
+		t.Errorf("valid %v: %v; %d calls, %d sent", r.Valid, r.Invalid, r.Calls, r.Sent)
+	}
+	// How far behind it falls depends on the machine, and with that whether calls end served, late or timed out.
+	if r.Until["served"].P50 <= 0 && r.Until["late"].P50 <= 0 && r.Until["timed-out"].P50 < 100 {
+		t.Errorf("%+v", r.Until)
+	}
+}
+
+func TestRunRejectsTargetsOffLoopback(t *testing.T) {
+	for _, addr := range []string{"10.0.0.1:80", "192.168.1.1:80", "example.org:80", "127.0.0.1", "0.0.0.0:80", ":80"} {
+		_, err := Run(t.Context(), Plan{Scenario: parse(t, quick), Targets: []string{addr}})
+		if err == nil || !strings.HasPrefix(err.Error(), "target ") {
+			t.Errorf("%s: %v", addr, err)
+		}
+	}
+}
+
+func TestRecordedTraceReplays(t *testing.T) {
+	null, err := fake.StartNull("127.0.0.1:0", nil, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer null.Close()
+	var recorded, replayed bytes.Buffer
+	original := run(t, quick, null.Addr(), func(p *Plan) { p.Record = &recorded })
+	path := t.TempDir() + "/trace"
+	if err := os.WriteFile(path, recorded.Bytes(), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	text := strings.Replace(quick, "per_s = 200.0", "shape = 'trace'\ntrace = '"+path+"'", 1)
+	replay := run(t, text, null.Addr(), func(p *Plan) { p.Record = &replayed })
+	if original.Calls != replay.Calls || recorded.String() != replayed.String() {
+		t.Errorf("%d calls, %d when replayed; the same lines: %v", original.Calls, replay.Calls, recorded.String() == replayed.String())
+	}
+}
+
+// BenchmarkGenerator measures the processor time of the whole process for a call, the server included.
+func BenchmarkGenerator(b *testing.B) {
+	null, err := fake.StartNull("127.0.0.1:0", nil, nil)
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer null.Close()
+	sc := parse(b, "seconds = 5.0\nwarm_up_s = 0.0\nload.per_s = 20000.0\nclients.retries = 0")
+	for b.Loop() {
+		r, err := Run(b.Context(), Plan{Scenario: sc, Seed: 1, Targets: []string{null.Addr()}})
+		if err != nil {
+			b.Fatal(err)
+		}
+		b.ReportMetric(r.CPU, "us-cpu/call")
+		b.ReportMetric(r.Lag.P99, "ms-lag-p99")
+		b.ReportMetric(float64(r.Outcomes["served"])/r.Seconds, "served/s")
+	}
+}
