--- a/internal/processtest/check.go
+++ b/internal/processtest/check.go
@@ -2,163 +2,164 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"time"
 
-	"github.com/anishathalye/porcupine"
-
+	"tulipglade/internal/faultinject"
 	"tulipglade/internal/lease"
 )
 
-// Findings is what a log shows.
+// Findings is what a log of events shows.
 type Findings struct {
-	Acts     int            `json:"acts"`    // that were let in
-	Rejected int            `json:"refused"` // by their token, or while an earlier one went on
+	Acts     int            `json:"acts"`    // actions that the target admitted
+	Rejected int            `json:"refused"` // actions that the target rejected for their token, or while an earlier one was in progress
 	Grants   int            `json:"grants"`
 	Leaders  int            `json:"leaders"`
 	Faults   map[string]int `json:"faults"` // by kind
 	Broken   []string       `json:"broken,omitempty"`
-	// Gaps are times from when the holder was killed, stopped or cut off to the next one's first act.
+	// Gaps are the times from a holder's kill, stop or cut to the first action of the next holder.
 	Gaps []time.Duration `json:"-"`
-	// LeaderTimes are times from when the leader was killed, stopped or cut off to when another led.
+	// LeaderTimes are the times from a leader's kill, stop or cut to the next leader.
 	LeaderTimes []time.Duration `json:"-"`
 }
 
-// Add adds what another log shows.
-func (f *Findings) Add(g Findings) {
-	f.Acts, f.Rejected, f.Grants, f.Leaders = f.Acts+g.Acts, f.Rejected+g.Rejected, f.Grants+g.Grants, f.Leaders+g.Leaders
-	f.Broken, f.Gaps, f.LeaderTimes = append(f.Broken, g.Broken...), append(f.Gaps, g.Gaps...), append(f.LeaderTimes, g.LeaderTimes...)
+// Add adds the findings of another log.
+func (f *Findings) Add(other Findings) {
+	f.Acts += other.Acts
+	f.Rejected += other.Rejected
+	f.Grants += other.Grants
+	f.Leaders += other.Leaders
+	f.Broken = append(f.Broken, other.Broken...)
+	f.Gaps = append(f.Gaps, other.Gaps...)
+	f.LeaderTimes = append(f.LeaderTimes, other.LeaderTimes...)
 	if f.Faults == nil {
 		f.Faults = map[string]int{}
 	}
-	for kind, n := range g.Faults {
+	for kind, n := range other.Faults {
 		f.Faults[kind] += n
 	}
 }
 
-// away are the faults by which a process is out of the group's reach.
-var away = []string{"process-kill", "process-stop", "link-cut"}
+// isolatingFaults are the faults that put a process out of the group's reach.
+var isolatingFaults = []faultinject.Kind{faultinject.ProcessKill, faultinject.ProcessStop, faultinject.LinkCut}
+
+// checker goes through a log. Times of 0 mean that there is none.
+type checker struct {
+	findings     Findings
+	openActions  map[lease.Token]int
+	newestToken  lease.Token // of the actions that were admitted
+	grantedTo    map[lease.Token]string
+	holder       string // of the last action that was admitted
+	holderToken  lease.Token
+	holderLostAt time.Duration
+	leader       string
+	leaderLostAt time.Duration
+}
 
-// Check reads a log, in order. It knows nothing of how leases work, only what must hold.
+// Check checks a log, sorted by time, against what must hold. It knows nothing of how leases are implemented.
 func Check(log []Event) Findings {
-	f := Findings{Faults: map[string]int{}}
-	var (
-		open    = map[lease.Token]int{} // acts that go on
-		newest  lease.Token
-		given   = map[lease.Token]string{}
-		holder  string
-		held    lease.Token
-		lost    time.Duration
-		leader  string
-		missing time.Duration
-	)
-	broken := func(e Event, format string, args ...any) {
-		f.Broken = append(f.Broken, fmt.Sprintf("%.3f s: ", e.At.Seconds())+fmt.Sprintf(format, args...))
+	c := &checker{
+		findings:    Findings{Faults: map[string]int{}},
+		openActions: map[lease.Token]int{},
+		grantedTo:   map[lease.Token]string{},
 	}
-	for _, e := range log {
-		switch {
-		case e.Kind == "begins":
-			f.Acts++
-			for token, n := range open {
-				if n > 0 && token != e.Token {
-					broken(e, "an act of token %d begins while one of %d goes on", e.Token, token)
-				}
-			}
-			if e.Token < newest {
-				broken(e, "an act of token %d begins after one of %d", e.Token, newest)
-			}
-			if lost > 0 && e.Token > held {
-				f.Gaps = append(f.Gaps, e.At-lost)
-				lost = 0
-			}
-			newest = max(newest, e.Token)
-			holder, held = e.Text, e.Token
-			open[e.Token]++
-		case e.Kind == "ends":
-			open[e.Token]--
-		case e.Kind == "refused":
-			f.Rejected++
-		case e.Kind == "acquire" && e.Text == "":
-			whom := fmt.Sprint(e.Process, " ", e.RequestID)
-			if was, ok := given[e.Token]; ok && was != whom {
-				broken(e, "token %d is given to %s, and was given to %s", e.Token, whom, was)
-			} else if !ok {
-				f.Grants++
-			}
-			given[e.Token] = whom
-		case e.Kind == "lead" && strings.Contains(e.Text, "leads=true"):
-			f.Leaders++
-			if missing > 0 && e.Process != leader {
-				f.LeaderTimes = append(f.LeaderTimes, e.At-missing)
-			}
-			leader, missing = e.Process, 0
-		case e.Kind == "ended" && strings.Contains(e.Text, "snapshot"):
-			broken(e, "%s could not start: %s", e.Process, e.Text)
-		case e.Kind == "fault":
-			kind, _, _ := strings.Cut(e.Text, " ")
-			f.Faults[kind]++
-			for _, k := range away {
-				if kind == k && e.Process == holder && lost == 0 {
-					lost = e.At
-				}
-				if kind == k && e.Process == leader && missing == 0 {
-					missing = e.At
-				}
-			}
-		}
+	for _, event := range log {
+		c.check(event)
 	}
 	if !linearizable(log) {
-		f.Broken = append(f.Broken, "the history of acquisitions, renewals and releases fits no order")
+		c.findings.Broken = append(c.findings.Broken, "the history of acquisitions, renewals and releases fits no order")
 	}
-	return f
+	return c.findings
 }
 
-// asked is one request to the group.
-type asked struct {
-	what, whom string
-	token      lease.Token
-	refused    string
+func (c *checker) check(event Event) {
+	switch event.Kind {
+	case EventActionStarted:
+		c.actionStarted(event)
+	case EventActionEnded:
+		c.openActions[event.Token]--
+	case EventActionRejected:
+		c.findings.Rejected++
+	case EventAcquire:
+		if event.Text == "" {
+			c.leaseGranted(event)
+		}
+	case EventLeadership:
+		if event.becomesLeader() {
+			c.leaderElected(event)
+		}
+	case EventProcessFailed:
+		if strings.Contains(event.Text, "snapshot") {
+			c.violation(event, "%s could not start: %s", event.Process, event.Text)
+		}
+	case EventFault:
+		c.faultStarted(event)
+	}
 }
 
-// agreed is what a lease that one may hold must look like to all who ask: tokens grow, and what has ended or was overtaken is never
-// renewed. A grant that its asker has not heard of, or an end by time, may come at any moment.
-type agreed struct {
-	token lease.Token
-	whom  string
-	ended bool
+func (c *checker) violation(event Event, format string, args ...any) {
+	text := fmt.Sprintf("%.3f s: ", event.At.Seconds()) + fmt.Sprintf(format, args...)
+	c.findings.Broken = append(c.findings.Broken, text)
 }
 
-var model = porcupine.Model{
-	Init: func() any { return agreed{} },
-	Step: func(state, input, _ any) (bool, any) {
-		s, in := state.(agreed), input.(asked)
-		switch {
-		case in.what == "acquire" && in.refused != "":
-			return true, s
-		case in.what == "acquire" && in.token == s.token:
-			return in.whom == s.whom, s
-		case in.what == "acquire":
-			return in.token > s.token, agreed{in.token, in.whom, false}
-		case in.refused != "": // for good
-			return true, agreed{s.token, s.whom, s.ended || in.token == s.token}
+// actionStarted checks that actions under different tokens never overlap, and that tokens never go back.
+func (c *checker) actionStarted(event Event) {
+	c.findings.Acts++
+	for token, open := range c.openActions {
+		if open > 0 && token != event.Token {
+			c.violation(event, "an act of token %d begins while one of %d goes on", event.Token, token)
 		}
-		return in.token == s.token && !s.ended, agreed{s.token, s.whom, in.what == "release"}
-	},
-	Equal: func(a, b any) bool { return a == b },
+	}
+	if event.Token < c.newestToken {
+		c.violation(event, "an act of token %d begins after one of %d", event.Token, c.newestToken)
+	}
+	if c.holderLostAt > 0 && event.Token > c.holderToken {
+		c.findings.Gaps = append(c.findings.Gaps, event.At-c.holderLostAt)
+		c.holderLostAt = 0
+	}
+	c.newestToken = max(c.newestToken, event.Token)
+	c.holder, c.holderToken = event.Text, event.Token
+	c.openActions[event.Token]++
 }
 
-func linearizable(log []Event) bool {
-	var ops []porcupine.Operation
-	clients := map[string]int{}
-	for _, e := range log {
-		if e.Kind != "acquire" && e.Kind != "renew" && e.Kind != "release" {
-			continue
-		}
-		if _, ok := clients[e.Process]; !ok {
-			clients[e.Process] = len(clients)
-		}
-		ops = append(ops, porcupine.Operation{ClientId: clients[e.Process], Input: asked{e.Kind, fmt.Sprint(e.Process, " ", e.RequestID), e.Token, e.Text}, Call: int64(e.From),
-			Return: int64(e.At)})
+// leaseGranted checks that a token is granted to one request only.
+func (c *checker) leaseGranted(event Event) {
+	request := requestName(event)
+	previous, granted := c.grantedTo[event.Token]
+	switch {
+	case !granted:
+		c.findings.Grants++
+	case previous != request:
+		c.violation(event, "token %d is given to %s, and was given to %s", event.Token, request, previous)
+	}
+	c.grantedTo[event.Token] = request
+}
+
+func (c *checker) leaderElected(event Event) {
+	c.findings.Leaders++
+	if c.leaderLostAt > 0 && event.Process != c.leader {
+		c.findings.LeaderTimes = append(c.findings.LeaderTimes, event.At-c.leaderLostAt)
 	}
-	return porcupine.CheckOperations(model, ops)
+	c.leader, c.leaderLostAt = event.Process, 0
+}
+
+// faultStarted counts a fault, and notes when it puts the holder or the leader out of reach.
+func (c *checker) faultStarted(event Event) {
+	kind, _, _ := strings.Cut(event.Text, " ")
+	c.findings.Faults[kind]++
+	if !slices.Contains(isolatingFaults, faultinject.Kind(kind)) {
+		return
+	}
+	if event.Process == c.holder && c.holderLostAt == 0 {
+		c.holderLostAt = event.At
+	}
+	if event.Process == c.leader && c.leaderLostAt == 0 {
+		c.leaderLostAt = event.At
+	}
+}
+
+// requestName identifies a request of a process over all its attempts.
+func requestName(event Event) string {
+	return fmt.Sprint(event.Process, " ", event.RequestID)
 }
--- /dev/null
+++ b/internal/processtest/check_test.go
@@ -0,0 +1,30 @@
+package processtest
+
+import (
+	"errors"
+	"testing"
+	"time"
+)
+
+// A history without a possible order is a violation, and a schedule after which nobody acts is an error.
+func TestChecksReportViolations(t *testing.T) {
+	log := []Event{
+		{At: 10, From: 1, Process: "a", Kind: EventAcquire, Token: 1, RequestID: 1},
+		{At: 30, From: 20, Process: "b", Kind: EventAcquire, Token: 2, RequestID: 1},
+	}
+	if findings := Check(log); len(findings.Broken) > 0 {
+		t.Error(findings.Broken)
+	}
+	renewal := Event{At: 50, From: 40, Process: "a", Kind: EventRenew, Token: 1}
+	if findings := Check(append(log, renewal)); len(findings.Broken) != 1 {
+		t.Error("a renewal after the next grant:", findings.Broken)
+	}
+	harness := startHarness(t, Options{Agents: 1, Holders: 1})
+	harness.awaitEvent(t, 0, actionStarted(0))
+	target := harness.Index(roleTarget)
+	harness.kill(target)
+	harness.processes[target].Listen = "127.0.0.1:1" // it cannot listen there
+	if err := harness.Play(t.Context(), nil, 3*time.Second); !errors.Is(err, ErrIdle) {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/processtest/faults.go
@@ -0,0 +1,158 @@
+package processtest
+
+import (
+	"fmt"
+	"syscall"
+	"time"
+
+	"tulipglade/internal/agent"
+	"tulipglade/internal/faultinject"
+)
+
+// linkFault returns what a fault does to the link of a route; affected is false where it does nothing.
+type linkFault func(r route) (state linkState, affected bool)
+
+// Fault starts a fault; end ends it. A fault of the leader hits the process that leads when the fault starts.
+func (h *Harness) Fault(fault faultinject.Fault) (end func()) {
+	var ends []func()
+	for _, index := range fault.Processes {
+		if index < 0 {
+			index = max(h.Leader(), 0)
+		}
+		h.log.add(Event{At: agent.Clock(), Process: h.processes[index].Name, Kind: EventFault, Text: fault.String()})
+		ends = append(ends, h.startFault(fault, index))
+	}
+	return func() {
+		for _, end := range ends {
+			end()
+		}
+		h.log.add(Event{At: agent.Clock(), Process: harnessName, Kind: EventFaultEnded, Text: fault.String()})
+	}
+}
+
+// startFault starts a fault of one process.
+func (h *Harness) startFault(fault faultinject.Fault, index int) (end func()) {
+	restart := func() { _ = h.start(index) } // that a process does not come up shows in the log
+	switch fault.Kind {
+	case faultinject.ProcessKill:
+		h.kill(index)
+		return restart
+	case faultinject.ProcessStop:
+		h.signalProcess(index, syscall.SIGSTOP)
+		return func() { h.signalProcess(index, syscall.SIGCONT) }
+	case faultinject.ClockRate:
+		h.sendOrder(index, fmt.Sprint(orderClockRate, " ", fault.Size))
+		return func() { h.sendOrder(index, orderClockRate+" 1") }
+	case faultinject.ClockJump:
+		h.sendOrder(index, fmt.Sprint(orderClockJump, " ", fault.Size))
+		return func() {}
+	case faultinject.DiskStall:
+		h.sendOrder(index, fmt.Sprint(orderDiskStall, " ", fault.Size))
+		return func() { h.sendOrder(index, orderDiskStall+" 0") }
+	case faultinject.DiskFull:
+		return h.failDisk(index, orderDiskFull)
+	case faultinject.DiskSync:
+		return h.failDisk(index, orderDiskSync)
+	case faultinject.LinkFlap:
+		return h.flapLinks(fault, index)
+	}
+	return h.disturbLinks(fault, index)
+}
+
+// failDisk makes writes of an agent fail. The agent exits at its next write, so the end of the fault starts it again.
+func (h *Harness) failDisk(index int, order string) (end func()) {
+	h.sendOrder(index, order)
+	return func() {
+		h.kill(index)
+		_ = h.start(index) // that a process does not come up shows in the log
+	}
+}
+
+// disturbLinks applies a link fault of one process until its end.
+func (h *Harness) disturbLinks(fault faultinject.Fault, index int) (end func()) {
+	id := h.newLinkFaultID()
+	h.setLinkFault(id, h.linkFaultOf(fault, index))
+	return func() { h.setLinkFault(id, nil) }
+}
+
+// flapLinks cuts and restores the links of one process in turn, each for the fault's size in ms.
+func (h *Harness) flapLinks(fault faultinject.Fault, index int) (end func()) {
+	id := h.newLinkFaultID()
+	cut := h.linkFaultOf(fault, index)
+	h.setLinkFault(id, cut)
+	stop, stopped := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(stopped)
+		for next := linkFault(nil); ; {
+			select {
+			case <-stop:
+				h.setLinkFault(id, nil)
+				return
+			case <-time.After(time.Duration(fault.Size) * time.Millisecond):
+			}
+			h.setLinkFault(id, next)
+			if next == nil {
+				next = cut
+			} else {
+				next = nil
+			}
+		}
+	}()
+	return func() {
+		close(stop)
+		<-stopped
+	}
+}
+
+// linkFaultOf returns which links a fault of one process changes, and how.
+func (h *Harness) linkFaultOf(fault faultinject.Fault, index int) linkFault {
+	touches := func(r route) bool { return r.from == index || r.to == index }
+	switch fault.Kind {
+	case faultinject.LinkCut, faultinject.LinkFlap:
+		return func(r route) (linkState, bool) { return linkState{cut: true}, touches(r) }
+	case faultinject.LinkSendCut:
+		return func(r route) (linkState, bool) { return linkState{cut: true}, r.from == index }
+	case faultinject.LinkReceiveCut:
+		return func(r route) (linkState, bool) { return linkState{cut: true}, r.to == index }
+	case faultinject.LinkBridge:
+		return func(r route) (linkState, bool) {
+			acrossHalves := r.from%2 != r.to%2 && r.to < h.options.Agents
+			return linkState{cut: true}, !touches(r) && acrossHalves
+		}
+	case faultinject.LinkSilent:
+		return func(r route) (linkState, bool) { return linkState{silent: true}, touches(r) }
+	case faultinject.LinkDelay:
+		delay := time.Duration(fault.Size) * time.Millisecond
+		return func(r route) (linkState, bool) { return linkState{delay: delay}, touches(r) }
+	case faultinject.LinkReset:
+		return func(r route) (linkState, bool) { return linkState{resetFraction: fault.Size}, r.from == index }
+	}
+	panic(fmt.Sprintf("processtest: fault %q does not apply to processes", fault.Kind))
+}
+
+func (h *Harness) newLinkFaultID() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.nextFault++
+	return h.nextFault
+}
+
+// setLinkFault makes a link fault active, or ends it if fault is nil.
+func (h *Harness) setLinkFault(id int, fault linkFault) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if fault == nil {
+		delete(h.linkFaults, id)
+	} else {
+		h.linkFaults[id] = fault
+	}
+	for r, relay := range h.relays {
+		var state linkState
+		for _, active := range h.linkFaults {
+			if change, affected := active(r); affected {
+				state = state.worst(change)
+			}
+		}
+		relay.set(state)
+	}
+}
--- /dev/null
+++ b/internal/processtest/harness.go
@@ -0,0 +1,216 @@
+// Package processtest injects faults between real processes: agents, lease holders, and the target that the holders act on, with a relay
+// for each direction between each pair. The program that uses it starts itself again as each of these processes (see Role). That lets
+// the harness disturb disk and clock by settings that the real programs do not have, around the same code that they run.
+package processtest
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+
+	"tulipglade/internal/agent"
+	"tulipglade/internal/consensus"
+	"tulipglade/internal/lease"
+)
+
+// Options configure a Harness.
+type Options struct {
+	Agents, Holders int
+	SpareAgents     int // agents that are not members yet; their indexes follow the members'
+	Terms           lease.Terms
+	LeaseDuration   time.Duration
+	Without         Without
+	Failover        *agent.FailoverOptions // of the agents; nil: they plan no failover
+	ActionsPerLease int                    // after which a holder releases its lease; 0: a random number
+	Seed            uint64
+}
+
+// Terms are the lease terms of schedules: short, so that much happens within seconds.
+var Terms = lease.Terms{Interval: 100 * time.Millisecond, Drift: 0.01}
+
+const (
+	scheduledLeaseDuration = 1500 * time.Millisecond
+	agentGroup             = "rig"
+)
+
+// Harness runs processes with relays between them and collects their events.
+type Harness struct {
+	options   Options
+	directory string
+	processes []*managedProcess // agents, then holders, then the target
+	relays    map[route]*relay
+	readers   sync.WaitGroup // of the processes' events
+	log       *eventLog
+
+	mu         sync.Mutex
+	linkFaults map[int]linkFault // active faults by an identifier of their own
+	nextFault  int
+	stopped    bool
+}
+
+// route is the direction from one process to another, by their indexes.
+type route struct{ from, to int }
+
+// Start starts the processes and the relays between them.
+func Start(options Options) (h *Harness, err error) {
+	if options.Terms.Interval == 0 {
+		options.Terms, options.LeaseDuration = Terms, scheduledLeaseDuration
+	}
+	directory, err := os.MkdirTemp("", "rig")
+	if err != nil {
+		return nil, err
+	}
+	h = &Harness{
+		options:    options,
+		directory:  directory,
+		relays:     map[route]*relay{},
+		log:        newEventLog(),
+		linkFaults: map[int]linkFault{},
+	}
+	defer func() {
+		if err != nil {
+			h.Stop()
+		}
+	}()
+	agentCount := options.Agents + options.SpareAgents
+	addresses, err := freeAddresses(nextLoopbackHost(), agentCount+1)
+	if err != nil {
+		return nil, err
+	}
+	if err := h.addAgents(addresses[:agentCount]); err != nil {
+		return nil, err
+	}
+	h.addHolders(addresses[:options.Agents], addresses[agentCount])
+	h.addTarget(addresses[agentCount])
+	if err := h.addRelays(); err != nil {
+		return nil, err
+	}
+	for i := range h.processes {
+		if err := h.start(i); err != nil {
+			return nil, err
+		}
+	}
+	return h, nil
+}
+
+// addAgents creates the state directories of the agents, members first and spare agents after them.
+func (h *Harness) addAgents(addresses []string) error {
+	members := map[uint64]string{}
+	for i := range h.options.Agents {
+		members[uint64(i+1)] = addresses[i]
+	}
+	memberState, err := consensus.Bootstrap(members, h.options.Terms)
+	if err != nil {
+		return err
+	}
+	for i, address := range addresses {
+		state := memberState
+		if i >= h.options.Agents {
+			state = consensus.EmptyState()
+		}
+		name := fmt.Sprint("agent", i+1)
+		directory := filepath.Join(h.directory, name)
+		identity := agent.Identity{Group: agentGroup, ID: uint64(i + 1), Address: address}
+		if err := agent.Create(directory, identity, state); err != nil {
+			return err
+		}
+		h.processes = append(h.processes, &managedProcess{processSettings: processSettings{
+			Role:     roleAgent,
+			Name:     name,
+			Dir:      directory,
+			Listen:   address,
+			Failover: h.options.Failover,
+			Without:  h.options.Without,
+		}})
+	}
+	return nil
+}
+
+func (h *Harness) addHolders(agents []string, target string) {
+	for i := range h.options.Holders {
+		h.processes = append(h.processes, &managedProcess{processSettings: processSettings{
+			Role:            roleHolder,
+			Name:            fmt.Sprint("holder", i+1),
+			Agents:          agents,
+			Target:          target,
+			LeaseDuration:   h.options.LeaseDuration,
+			ActionsPerLease: h.options.ActionsPerLease,
+			Without:         h.options.Without,
+		}})
+	}
+}
+
+func (h *Harness) addTarget(address string) {
+	h.processes = append(h.processes, &managedProcess{processSettings: processSettings{
+		Role:    roleTarget,
+		Name:    roleTarget,
+		Listen:  address,
+		Without: h.options.Without,
+	}})
+}
+
+// addRelays puts a relay on each route that is used: from agents to agents, and from holders to agents and the target.
+func (h *Harness) addRelays() error {
+	for i, from := range h.processes {
+		if from.Role == roleTarget {
+			continue
+		}
+		from.Dial = map[string]string{}
+		for j, to := range h.processes {
+			if i == j || to.Role == roleHolder || from.Role == roleAgent && to.Role == roleTarget {
+				continue
+			}
+			relay, err := newRelay(to.Listen, h.options.Seed)
+			if err != nil {
+				return err
+			}
+			h.relays[route{i, j}] = relay
+			from.Dial[to.Listen] = relay.address()
+		}
+	}
+	return nil
+}
+
+// Index returns the index of the process with a name; -1 if there is none.
+func (h *Harness) Index(name string) int {
+	return slices.IndexFunc(h.processes, func(p *managedProcess) bool { return p.Name == name })
+}
+
+// agentAddresses returns the addresses at which the first members of the group listen.
+func (h *Harness) agentAddresses() []string {
+	var addresses []string
+	for _, process := range h.processes[:h.options.Agents] {
+		addresses = append(addresses, process.Listen)
+	}
+	return addresses
+}
+
+// Heal continues all processes that are stopped and starts those that are down.
+func (h *Harness) Heal() error {
+	for i := range h.processes {
+		h.signalProcess(i, syscall.SIGCONT)
+		if err := h.start(i); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Stop ends all processes and relays, and returns once they have ended.
+func (h *Harness) Stop() {
+	h.mu.Lock()
+	h.stopped = true
+	h.mu.Unlock()
+	for i := range h.processes {
+		h.kill(i)
+	}
+	for _, relay := range h.relays {
+		relay.close()
+	}
+	h.readers.Wait()
+	_ = os.RemoveAll(h.directory) // a temporary directory that is left behind does no harm
+}
--- a/internal/processtest/measure.go
+++ b/internal/processtest/measure.go
@@ -4,9 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"os"
-	"strconv"
-	"strings"
 	"sync/atomic"
 	"time"
 
@@ -18,188 +15,180 @@
 	"tulipglade/internal/lease"
 )
 
-// Measured is what a group of agents costs and does, with relays between its members.
+// Measured is the performance and cost of a group of agents with relays between its members.
 type Measured struct {
 	Agents    int                     `json:"agents"`
-	Elections *hdrhistogram.Histogram `json:"-"` // ms from the leader's kill until another led
+	Elections *hdrhistogram.Histogram `json:"-"` // ms from the leader's kill to the next leader
 	Idle      Cost                    `json:"idle"`
-	Holding   Cost                    `json:"holding"` // while so many hold a lease each
+	Holding   Cost                    `json:"holding"` // while each of the holders has a lease of its own
 	Holders   int                     `json:"holders"`
-	GrantsPS  float64                 `json:"grants_per_s"` // acquisitions and as many releases, each synced by a majority
-	Latency   *hdrhistogram.Histogram `json:"-"`            // of these, us
-	Rush      time.Duration           `json:"rush"`         // until each of Holders that asked at once has had its turn at one lease
+	GrantsPS  float64                 `json:"grants_per_s"` // acquisitions, with as many releases, each synced by a majority
+	Latency   *hdrhistogram.Histogram `json:"-"`            // of the acquisitions, in µs
+	Rush      time.Duration           `json:"rush"`         // until each of the holders, which start together, has had the same lease
 }
 
-// Cost is that of one agent, the mean of all.
-type Cost struct {
-	CPU    float64 `json:"cpu_share"` // of one core
-	Memory float64 `json:"memory_mb"`
-	Pieces float64 `json:"pieces_per_s"` // that it sends to other agents: messages, and answers to none of them
-}
+// Parameters of the measurements.
+const (
+	measuredInterval      = 200 * time.Millisecond
+	measuredDrift         = 0.01
+	measuredLeaseDuration = 5 * time.Second
+	measuredGrantTicks    = 1000
+	grantClients          = 64
+	latencySamples        = 1 << 20
+	rushRetryInterval     = 100 * time.Millisecond
+
+	longestElectionMs = 60_000
+	longestLatencyUs  = 60_000_000
+	histogramDigits   = 3
+)
 
-// Measure starts so many agents and measures them.
+// Measure starts a group of agents and measures it.
 func Measure(ctx context.Context, agents, elections, holders int, length time.Duration) (m Measured, err error) {
-	m = Measured{Agents: agents, Holders: holders, Elections: hdrhistogram.New(1, 60_000, 3), Latency: hdrhistogram.New(1, 60_000_000, 3)}
-	r, err := Start(Options{Agents: agents, Terms: lease.Terms{Interval: 200 * time.Millisecond, Drift: 0.01}, LeaseDuration: 5 * time.Second})
+	m = Measured{
+		Agents:    agents,
+		Holders:   holders,
+		Elections: hdrhistogram.New(1, longestElectionMs, histogramDigits),
+		Latency:   hdrhistogram.New(1, longestLatencyUs, histogramDigits),
+	}
+	h, err := Start(Options{
+		Agents:        agents,
+		Terms:         lease.Terms{Interval: measuredInterval, Drift: measuredDrift},
+		LeaseDuration: measuredLeaseDuration,
+	})
 	if err != nil {
 		return m, err
 	}
-	defer r.Stop()
-	leads := func(e Event) bool { return e.Kind == "lead" && strings.Contains(e.Text, "leads=true") }
-	_, at, err := r.Await(ctx, 0, leads)
+	defer h.Stop()
+	_, position, err := h.Await(ctx, 0, Event.becomesLeader)
 	if err != nil {
 		return m, err
 	}
-	if m.Idle, err = r.cost(ctx, length); err != nil {
+	if m.Idle, err = h.cost(ctx, length); err != nil {
 		return m, err
 	}
-	var addrs []string
-	for _, p := range r.parts[:agents] {
-		addrs = append(addrs, p.Listen)
-	}
-	if err := m.grants(ctx, addrs, length); err != nil {
+	if err := m.measureGrants(ctx, h.agentAddresses(), length); err != nil {
 		return m, err
 	}
-	if err := m.hold(ctx, r, addrs, length); err != nil {
+	if err := m.measureHolders(ctx, h, length); err != nil {
 		return m, err
 	}
-	for range elections {
-		was := r.parts[max(r.Leader(), 0)].Name
-		end := r.Fault(faultinject.Fault{Kind: faultinject.ProcessKill, Processes: []int{-1}})
-		killed := agent.Clock()
-		e, next, err := r.Await(ctx, at, func(e Event) bool { return leads(e) && e.At > killed })
-		if err != nil {
-			return m, err
-		}
-		at = next
-		if err := m.Elections.RecordValue(max((e.At - killed).Milliseconds(), 1)); err != nil {
-			return m, err
-		}
-		end()
-		if _, _, err := r.Await(ctx, at, func(e Event) bool { return e.Process == was && e.Kind == "leader" && e.Text != "" }); err != nil { // it is there again
-			return m, err
-		}
-	}
-	return m, nil
+	err = m.measureElections(ctx, h, position, elections)
+	return m, err
 }
 
-// grants has 64 clients take and release a lease each as fast as they can.
-func (m *Measured) grants(ctx context.Context, addrs []string, length time.Duration) error {
-	ctx, stop := context.WithTimeout(ctx, length)
-	defer stop()
-	c := agent.NewClient(addrs, nil)
-	var done atomic.Int64
-	took := make(chan time.Duration, 1<<20)
-	var g errgroup.Group
-	began := time.Now()
-	for i := range 64 {
-		g.Go(func() error {
-			name := fmt.Sprint("grants", i)
-			for ask := uint64(1); ctx.Err() == nil; ask++ {
-				from := time.Now()
-				grant, err := c.Do(ctx, "acquire", lease.Command{Name: name, Holder: name, RequestID: ask, Ticks: 1000})
-				if err == nil {
-					took <- time.Since(from)
-					done.Add(1)
-					_, err = c.Do(ctx, "release", lease.Command{Name: name, Token: grant.Token})
-				}
-				if err != nil && !errors.Is(err, agent.ErrNoMembers) {
-					return err
-				}
-			}
-			return nil
+// measureGrants has clients take and release a lease each as fast as they can.
+func (m *Measured) measureGrants(ctx context.Context, addresses []string, length time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, length)
+	defer cancel()
+	client := agent.NewClient(addresses, nil)
+	var grants atomic.Int64
+	latencies := make(chan time.Duration, latencySamples)
+	var group errgroup.Group
+	start := time.Now()
+	for i := range grantClients {
+		group.Go(func() error {
+			return takeAndRelease(ctx, client, fmt.Sprint("grants", i), func(latency time.Duration) {
+				latencies <- latency
+				grants.Add(1)
+			})
 		})
 	}
-	err := g.Wait()
-	m.GrantsPS = float64(done.Load()) / time.Since(began).Seconds()
-	close(took)
-	for d := range took {
-		err = errors.Join(err, m.Latency.RecordValue(d.Microseconds()))
+	err := group.Wait()
+	m.GrantsPS = float64(grants.Load()) / time.Since(start).Seconds()
+	close(latencies)
+	for latency := range latencies {
+		err = errors.Join(err, m.Latency.RecordValue(latency.Microseconds()))
 	}
 	return err
 }
 
-// hold has so many clients hold a lease each, and then all want the same one.
-func (m *Measured) hold(ctx context.Context, r *Harness, addrs []string, length time.Duration) error {
-	clients, held := make([]*agent.Client, m.Holders), make([]*agent.Lease, m.Holders)
-	var g errgroup.Group
+// takeAndRelease takes and releases a lease until ctx ends.
+func takeAndRelease(ctx context.Context, client *agent.Client, name string, granted func(latency time.Duration)) error {
+	for requestID := uint64(1); ctx.Err() == nil; requestID++ {
+		start := time.Now()
+		acquire := lease.Command{Name: name, Holder: name, RequestID: requestID, Ticks: measuredGrantTicks}
+		grant, err := client.Do(ctx, "acquire", acquire)
+		if err == nil {
+			granted(time.Since(start))
+			_, err = client.Do(ctx, "release", lease.Command{Name: name, Token: grant.Token})
+		}
+		if err != nil && !errors.Is(err, agent.ErrNoMembers) { // that is what a request at the end of ctx meets
+			return err
+		}
+	}
+	return nil
+}
+
+// measureHolders has clients hold a lease each, and has all of them take the same one after that.
+func (m *Measured) measureHolders(ctx context.Context, h *Harness, length time.Duration) error {
+	clients := make([]*agent.Client, m.Holders)
+	leases := make([]*agent.Lease, m.Holders)
+	var holding errgroup.Group
 	for i := range clients {
-		clients[i] = agent.NewClient(addrs, nil)
-		g.Go(func() (err error) {
-			held[i], err = agent.Acquire(ctx, clients[i], agent.LeaseOptions{Name: fmt.Sprint("node", i), Duration: 5 * time.Second})
+		clients[i] = agent.NewClient(h.agentAddresses(), nil)
+		holding.Go(func() (err error) {
+			options := agent.LeaseOptions{Name: fmt.Sprint("node", i), Duration: measuredLeaseDuration}
+			leases[i], err = agent.Acquire(ctx, clients[i], options)
 			return err
 		})
 	}
-	if err := g.Wait(); err != nil {
+	if err := holding.Wait(); err != nil {
 		return err
 	}
 	var err error
-	if m.Holding, err = r.cost(ctx, length); err != nil {
+	if m.Holding, err = h.cost(ctx, length); err != nil {
 		return err
 	}
 	var rush errgroup.Group
-	began := time.Now()
-	for i, l := range held {
-		rush.Go(func() error {
-			if why := l.Reason(); why != nil {
-				return fmt.Errorf("a lease was lost with nothing wrong: %w", why)
-			}
-			if err := l.Release(ctx); err != nil {
-				return err
-			}
-			one, err := agent.Acquire(ctx, clients[i], agent.LeaseOptions{Name: "rush", Duration: 5 * time.Second, RetryInterval: 100 * time.Millisecond})
-			if err != nil {
-				return err
-			}
-			return one.Release(ctx)
-		})
+	start := time.Now()
+	for i, held := range leases {
+		rush.Go(func() error { return joinRush(ctx, clients[i], held) })
 	}
 	err = rush.Wait()
-	m.Rush = time.Since(began)
+	m.Rush = time.Since(start)
 	return err
 }
 
-// cost is what an agent costs over a time, the mean of all.
-func (r *Harness) cost(ctx context.Context, length time.Duration) (c Cost, err error) {
-	look := func() (ticks, kb, pieces float64, err error) {
-		for i := range r.o.Agents {
-			r.mu.Lock()
-			pid := r.parts[i].cmd.Process.Pid
-			r.mu.Unlock()
-			raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-			if err != nil {
-				return 0, 0, 0, err
-			}
-			_, rest, _ := strings.Cut(string(raw), ") ")
-			fields := strings.Fields(rest) // from the third of proc_pid_stat(5) on
-			for _, f := range fields[11:13] {
-				n, err := strconv.ParseFloat(f, 64)
-				if err != nil {
-					return 0, 0, 0, err
-				}
-				ticks += n
-			}
-			pages, err := strconv.ParseFloat(fields[21], 64)
-			if err != nil {
-				return 0, 0, 0, err
-			}
-			kb += pages * float64(os.Getpagesize()) / 1024
-		}
-		for _, way := range r.relays {
-			pieces += float64(way.pieces.Load())
-		}
-		return ticks, kb, pieces, nil
+// joinRush releases a client's own lease, and takes and releases the one that all clients want.
+func joinRush(ctx context.Context, client *agent.Client, held *agent.Lease) error {
+	if reason := held.Reason(); reason != nil {
+		return fmt.Errorf("a lease was lost without a fault: %w", reason)
 	}
-	ticks, _, pieces, err := look()
+	if err := held.Release(ctx); err != nil {
+		return err
+	}
+	contended, err := agent.Acquire(ctx, client, agent.LeaseOptions{
+		Name:          "rush",
+		Duration:      measuredLeaseDuration,
+		RetryInterval: rushRetryInterval,
+	})
 	if err != nil {
-		return c, err
+		return err
 	}
-	began := time.Now()
-	if err := sleep(ctx, length, length); err != nil {
-		return c, err
+	return contended.Release(ctx)
+}
+
+// measureElections kills the leader again and again.
+func (m *Measured) measureElections(ctx context.Context, h *Harness, position, elections int) error {
+	for range elections {
+		leader := h.processes[max(h.Leader(), 0)].Name
+		restart := h.Fault(faultinject.Fault{Kind: faultinject.ProcessKill, Processes: []int{-1}})
+		killed := agent.Clock()
+		elected, next, err := h.Await(ctx, position, func(event Event) bool { return event.becomesLeader() && event.At > killed })
+		if err != nil {
+			return err
+		}
+		position = next
+		if err := m.Elections.RecordValue(max((elected.At - killed).Milliseconds(), 1)); err != nil {
+			return err
+		}
+		restart()
+		follows := func(event Event) bool {
+			return event.Process == leader && event.Kind == EventLeaderKnown && event.Text != ""
+		}
+		if _, _, err := h.Await(ctx, position, follows); err != nil {
+			return err
+		}
 	}
-	after, kb, sent, err := look()
-	n, s := float64(r.o.Agents), time.Since(began).Seconds()
-	const ticksPerS = 100 // of Linux, for all that is told to processes
-	return Cost{CPU: (after - ticks) / ticksPerS / s / n, Memory: kb / 1024 / n, Pieces: (sent - pieces) / s / n}, err
+	return nil
 }
--- a/internal/processtest/relay.go
+++ b/internal/processtest/relay.go
@@ -8,163 +8,190 @@
 	"time"
 )
 
-// link is what a relay does to what passes it, in both directions: an answer goes the way of its request.
-type link struct {
-	cut    bool
-	silent bool
-	delay  time.Duration
-	reset  float64 // share of pieces that end in a reset
+// linkState is what a relay does to the data that passes it, in both directions: a response takes the route of its request.
+type linkState struct {
+	cut           bool // connections are reset
+	silent        bool // connections stay open, and nothing passes
+	delay         time.Duration
+	resetFraction float64 // of chunks of data that end in a reset
 }
 
-// relay stands between one process and another, for what the first asks the second.
+// worst combines the effects of two faults on one link.
+func (s linkState) worst(other linkState) linkState {
+	return linkState{
+		cut:           s.cut || other.cut,
+		silent:        s.silent || other.silent,
+		delay:         max(s.delay, other.delay),
+		resetFraction: max(s.resetFraction, other.resetFraction),
+	}
+}
+
+// relayBuffer is the most that a relay forwards as one chunk.
+const relayBuffer = 32 << 10
+
+// relay forwards the connections that one process opens to another.
 type relay struct {
-	ln   net.Listener
-	to   string
-	wait sync.WaitGroup
-	// pieces that came from who asks.
-	pieces atomic.Int64
-
-	mu      sync.Mutex
-	rand    *rand.Rand
-	is      link
-	changed chan struct{} // closed when is changes
-	conns   map[net.Conn]bool
-	closed  bool
+	listener   net.Listener
+	target     string
+	goroutines sync.WaitGroup
+	chunks     atomic.Int64 // forwarded to the target
+
+	mu          sync.Mutex
+	random      *rand.Rand
+	state       linkState
+	changed     chan struct{} // closed when state changes, and replaced
+	connections map[net.Conn]bool
+	closed      bool
 }
 
-func newRelay(to string, seed uint64) (*relay, error) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+func newRelay(target string, seed uint64) (*relay, error) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{ln: ln, to: to, rand: rand.New(rand.NewPCG(seed, 0)), changed: make(chan struct{}), conns: map[net.Conn]bool{}}
-	r.wait.Go(r.accept)
+	r := &relay{
+		listener:    listener,
+		target:      target,
+		random:      rand.New(rand.NewPCG(seed, 0)),
+		changed:     make(chan struct{}),
+		connections: map[net.Conn]bool{},
+	}
+	r.goroutines.Go(r.accept)
 	return r, nil
 }
 
-func (r *relay) addr() string { return r.ln.Addr().String() }
+func (r *relay) address() string { return r.listener.Addr().String() }
 
-// set makes the link so from now on.
-func (r *relay) set(is link) {
+// set changes the state of the link from now on.
+func (r *relay) set(state linkState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.is = is
+	r.state = state
+	r.notify()
+	if state.cut {
+		r.resetAll()
+	}
+}
+
+// notify wakes the goroutines that wait for a change. The caller holds the mutex.
+func (r *relay) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
-	if is.cut {
-		r.drop()
-	}
 }
 
-func (r *relay) drop() {
-	for c := range r.conns {
-		reset(c)
+// resetAll resets all connections. The caller holds the mutex.
+func (r *relay) resetAll() {
+	for connection := range r.connections {
+		reset(connection)
 	}
 }
 
-func reset(c net.Conn) {
-	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0)
+// reset closes a connection so that the other side sees a reset.
+func reset(connection net.Conn) {
+	if tcp, ok := connection.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // without it the connection ends, too, in another way
 	}
-	_ = c.Close()
+	_ = connection.Close()
 }
 
 func (r *relay) close() {
-	_ = r.ln.Close()
+	_ = r.listener.Close()
 	r.mu.Lock()
 	r.closed = true
-	close(r.changed)
-	r.changed = make(chan struct{})
-	r.drop()
+	r.notify()
+	r.resetAll()
 	r.mu.Unlock()
-	r.wait.Wait()
+	r.goroutines.Wait()
 }
 
-// add takes a connection in, unless the link is cut.
-func (r *relay) add(c net.Conn) bool {
+// add registers a connection; where the link is cut it resets the connection and returns false.
+func (r *relay) add(connection net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.is.cut || r.closed {
-		reset(c)
+	if r.state.cut || r.closed {
+		reset(connection)
 		return false
 	}
-	r.conns[c] = true
+	r.connections[connection] = true
 	return true
 }
 
-func (r *relay) remove(c net.Conn) {
+func (r *relay) remove(connection net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.conns, c)
-	_ = c.Close()
+	delete(r.connections, connection)
+	_ = connection.Close()
 }
 
 func (r *relay) accept() {
 	for {
-		c, err := r.ln.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !r.add(c) {
-			continue
+		if r.add(client) {
+			r.goroutines.Go(func() { r.forward(client) })
 		}
-		r.wait.Go(func() {
-			defer r.remove(c)
-			if !r.pass() {
-				return
-			}
-			far, err := net.Dial("tcp4", r.to)
-			if err != nil {
-				reset(c)
-				return
-			}
-			defer r.remove(far)
-			if !r.add(far) {
-				return
-			}
-			back := make(chan struct{})
-			go func() {
-				defer close(back)
-				r.copy(c, far, nil)
-				reset(c)
-			}()
-			r.copy(far, c, &r.pieces)
-			reset(far)
-			<-back
-		})
 	}
 }
 
-// pass waits while the link is silent; it is false where there is nothing to wait for any more.
-func (r *relay) pass() bool {
+// forward connects a client with the target until one of them closes its connection.
+func (r *relay) forward(client net.Conn) {
+	defer r.remove(client)
+	if !r.awaitPassage() {
+		return
+	}
+	server, err := net.Dial("tcp4", r.target)
+	if err != nil {
+		reset(client)
+		return
+	}
+	defer r.remove(server)
+	if !r.add(server) {
+		return
+	}
+	responsesDone := make(chan struct{})
+	go func() {
+		defer close(responsesDone)
+		r.copy(client, server, nil)
+		reset(client)
+	}()
+	r.copy(server, client, &r.chunks)
+	reset(server)
+	<-responsesDone
+}
+
+// awaitPassage waits while the link is silent, and for the link's delay. It is false where the connection is to be reset.
+func (r *relay) awaitPassage() bool {
 	for {
 		r.mu.Lock()
-		is, changed, closed := r.is, r.changed, r.closed
-		lost := is.reset > 0 && r.rand.Float64() < is.reset
+		state, changed, closed := r.state, r.changed, r.closed
+		lost := state.resetFraction > 0 && r.random.Float64() < state.resetFraction
 		r.mu.Unlock()
 		switch {
-		case closed || is.cut || lost:
+		case closed || state.cut || lost:
 			return false
-		case !is.silent:
-			time.Sleep(is.delay)
+		case !state.silent:
+			time.Sleep(state.delay)
 			return true
 		}
 		<-changed
 	}
 }
 
-func (r *relay) copy(to, from net.Conn, count *atomic.Int64) {
-	buf := make([]byte, 32<<10)
+// copy forwards data until either connection ends or the link resets it. It counts the chunks where there is a counter.
+func (r *relay) copy(destination, source net.Conn, chunks *atomic.Int64) {
+	buffer := make([]byte, relayBuffer)
 	for {
-		n, err := from.Read(buf)
-		if err != nil || !r.pass() {
+		n, err := source.Read(buffer)
+		if err != nil || !r.awaitPassage() {
 			return
 		}
-		if _, err := to.Write(buf[:n]); err != nil {
+		if _, err := destination.Write(buffer[:n]); err != nil {
 			return
 		}
-		if count != nil {
-			count.Add(1)
+		if chunks != nil {
+			chunks.Add(1)
 		}
 	}
 }
--- /dev/null
+++ b/internal/processtest/role_holder.go
@@ -0,0 +1,176 @@
+package processtest
+
+import (
+	"bytes"
+	"cmp"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"os"
+	"os/signal"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+
+	"tulipglade/internal/agent"
+	"tulipglade/internal/lease"
+)
+
+const (
+	leaseName          = "task"
+	longestAction      = 300 * time.Millisecond // with the time that its request takes
+	mostRandomActions  = 40                     // under one lease
+	leaseCallTimeout   = 2 * time.Second
+	leaseMargin        = 50 * time.Millisecond
+	targetCallTimeout  = 10 * time.Second
+	longestPause       = 200 * time.Millisecond // between two leases
+	longestActionPause = 100 * time.Millisecond
+)
+
+// holder is a process that takes the lease whenever it can, acts under it, and releases it from time to time.
+type holder struct {
+	*process
+	target *http.Client
+}
+
+func (p *process) runHolder(ctx context.Context) error {
+	h := &holder{process: p, target: &http.Client{Transport: p.transport(), Timeout: targetCallTimeout}}
+	client := agent.NewClient(p.Agents, leaseRecorder{p, p.transport()})
+	p.report(Event{Kind: EventProcessReady})
+	for ctx.Err() == nil {
+		from := agent.Clock()
+		held, err := h.acquire(ctx, client)
+		if err != nil {
+			_ = sleep(ctx, 50*time.Millisecond, longestPause) // the loop ends with ctx
+			continue
+		}
+		grant, _ := held.Grant()
+		p.report(Event{Kind: EventLeaseHeld, Slot: grant.Slot, Token: grant.Token, From: from})
+		h.act(ctx, held, grant)
+		if held.Reason() == nil {
+			h.release(ctx, held)
+		}
+		p.report(Event{Kind: EventLeaseDone, Slot: grant.Slot, Token: grant.Token})
+		_ = sleep(ctx, 0, longestPause) // the loop ends with ctx
+	}
+	return nil
+}
+
+func (h *holder) acquire(ctx context.Context, client *agent.Client) (*agent.Lease, error) {
+	ctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
+	defer cancel()
+	return agent.Acquire(ctx, client, agent.LeaseOptions{
+		Name:     leaseName,
+		Duration: h.LeaseDuration,
+		Holder:   h.Name + "/" + strconv.Itoa(os.Getpid()),
+		Clock:    h.clock,
+		Margin:   leaseMargin,
+	})
+}
+
+func (h *holder) release(ctx context.Context, held *agent.Lease) {
+	ctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
+	defer cancel()
+	_ = held.Release(ctx) // a lease that is not released expires
+}
+
+// act sends actions until the lease is uncertain or the holder has done enough.
+func (h *holder) act(ctx context.Context, held *agent.Lease, grant lease.Grant) {
+	for actions := cmp.Or(h.ActionsPerLease, 1+rand.IntN(mostRandomActions)); actions > 0 && ctx.Err() == nil; actions-- {
+		if _, err := held.BeginAction(longestAction); err != nil && !h.Without.Guard {
+			h.report(Event{Kind: EventActionWithheld, Slot: grant.Slot, Token: grant.Token, Text: err.Error()})
+			return
+		}
+		if h.takeHalt() {
+			h.stopItself(grant)
+		}
+		h.sendAction(grant)
+		_ = sleep(ctx, 0, longestActionPause) // the loop ends with ctx
+	}
+	for h.Without.Guard && ctx.Err() == nil { // it never stops by itself
+		h.sendAction(grant)
+		_ = sleep(ctx, 50*time.Millisecond, longestActionPause) // the loop ends with ctx
+	}
+}
+
+// takeHalt reports whether the holder was ordered to halt, and clears the order.
+func (p *process) takeHalt() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	halt := p.halt
+	p.halt = false
+	return halt
+}
+
+// stopItself stops the process until the harness continues it.
+func (h *holder) stopItself(grant lease.Grant) {
+	h.report(Event{Kind: EventHolderHalted, Slot: grant.Slot, Token: grant.Token})
+	continued := make(chan os.Signal, 1)
+	signal.Notify(continued, syscall.SIGCONT)
+	_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP) // it cannot fail for the process itself
+	<-continued                                    // the stop takes effect a little later: the action must not start before
+}
+
+// sendAction sends one action. The target's events show what became of it.
+func (h *holder) sendAction(grant lease.Grant) {
+	url := fmt.Sprintf("http://%s/act?seat=%d&token=%d&who=%s", h.Target, grant.Slot, grant.Token, h.Name)
+	response, err := h.target.Post(url, "", nil)
+	if err == nil {
+		_ = response.Body.Close()
+	}
+}
+
+// leaseRecorder is an http.RoundTripper that reports the requests for leases that were answered.
+type leaseRecorder struct {
+	process   *process
+	transport http.RoundTripper
+}
+
+// RoundTrip sends a request and reports its outcome.
+func (r leaseRecorder) RoundTrip(request *http.Request) (*http.Response, error) {
+	verb, ok := strings.CutPrefix(request.URL.Path, "/lease/")
+	if !ok {
+		return r.transport.RoundTrip(request)
+	}
+	command, err := leaseCommand(request)
+	if err != nil {
+		return nil, err
+	}
+	from := agent.Clock()
+	response, err := r.transport.RoundTrip(request)
+	if err != nil {
+		return nil, err
+	}
+	body, err := io.ReadAll(response.Body)
+	_ = response.Body.Close() // all of it was read, or reading has failed
+	if err != nil {
+		return nil, err
+	}
+	response.Body = io.NopCloser(bytes.NewReader(body))
+	var answer agent.Response
+	if err := json.Unmarshal(body, &answer); err != nil {
+		return nil, err
+	}
+	if response.StatusCode == http.StatusOK || answer.Code == "taken" || answer.Code == "not-held" {
+		event := Event{Kind: EventKind(verb), Token: command.Token, From: from, RequestID: command.RequestID, Text: answer.Code}
+		if event.Kind == EventAcquire && answer.Grant != nil {
+			event.Token = answer.Grant.Token
+		}
+		r.process.report(event)
+	}
+	return response, nil
+}
+
+// leaseCommand reads the command in a request, without consuming the request's body.
+func leaseCommand(request *http.Request) (command lease.Command, err error) {
+	body, err := request.GetBody()
+	if err != nil {
+		return command, err
+	}
+	err = json.NewDecoder(body).Decode(&command)
+	return command, err
+}
--- /dev/null
+++ b/internal/processtest/schedule.go
@@ -0,0 +1,152 @@
+package processtest
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"tulipglade/internal/agent"
+	"tulipglade/internal/faultinject"
+)
+
+// A schedule's faults start within scheduledFaultTime. The group then has recoveryTimeout to act again: elections, the duration of a
+// lease and a holder's pauses take 4 s on an idle machine.
+const (
+	scheduledFaultTime = 6 * time.Second
+	scheduledFaults    = 8
+	recoveryTimeout    = 30 * time.Second
+
+	shortestFaultMs = 300
+	longestFaultMs  = 2500
+	faultStream     = 0x419 // of the random source of a seed
+)
+
+// ErrIdle is the error of a schedule after whose faults no holder acts.
+var ErrIdle = errors.New("nobody acts after the faults")
+
+// Plan draws faults and their times from the seed of the options.
+func Plan(options Options, length time.Duration, count int) []faultinject.Fault {
+	random := rand.New(rand.NewPCG(options.Seed, faultStream))
+	faults := faultinject.RandomFaults{Count: count, MinMs: shortestFaultMs, MaxMs: longestFaultMs}
+	scope := faultinject.Scope{Processes: options.Agents + options.Holders}
+	return faults.Draw(scope, length.Milliseconds(), random)
+}
+
+// scheduleStep is the start or the end of a fault.
+type scheduleStep struct {
+	at time.Duration
+	do func()
+}
+
+// steps returns the starts and ends of faults, by time.
+func (h *Harness) steps(plan []faultinject.Fault) []scheduleStep {
+	var steps []scheduleStep
+	for _, fault := range plan {
+		var end func()
+		start := scheduleStep{time.Duration(fault.Start) * time.Millisecond, func() { end = h.Fault(fault) }}
+		finish := scheduleStep{time.Duration(fault.End()) * time.Millisecond, func() { end() }}
+		steps = append(steps, start, finish)
+	}
+	slices.SortStableFunc(steps, func(a, b scheduleStep) int { return int(a.at - b.at) })
+	return steps
+}
+
+// Play starts and ends the faults of a plan at their times and heals all processes. It returns ErrIdle if no holder acts within the
+// recovery timeout after that.
+func (h *Harness) Play(ctx context.Context, plan []faultinject.Fault, recovery time.Duration) error {
+	start := time.Now()
+	for _, step := range h.steps(plan) {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(time.Until(start.Add(step.at))):
+		}
+		step.do()
+	}
+	if err := h.Heal(); err != nil {
+		return err
+	}
+	h.log.add(Event{At: agent.Clock(), Process: harnessName, Kind: EventHealed})
+	ctx, cancel := context.WithTimeout(ctx, recovery)
+	defer cancel()
+	_, _, err := h.Await(ctx, h.Here(), func(event Event) bool { return event.Kind == EventActionStarted })
+	if err != nil {
+		return errors.Join(ErrIdle, err)
+	}
+	return nil
+}
+
+// Schedules plays the schedules of consecutive seeds, some in parallel. It calls report after each of them, one call at a time.
+func Schedules(
+	ctx context.Context,
+	firstSeed uint64,
+	count, parallel int,
+	without Without,
+	report func(seed uint64, findings Findings, err error),
+) error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(parallel)
+	var mu sync.Mutex
+	for i := range count {
+		seed := firstSeed + uint64(i)
+		group.Go(func() error {
+			findings, err := Schedule(ctx, seed, without)
+			if ctx.Err() != nil {
+				return ctx.Err()
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			report(seed, findings, err)
+			return nil
+		})
+	}
+	return group.Wait()
+}
+
+// Schedule plays the schedule of a seed: 3 agents, or 5 for every third seed, and 3 holders.
+func Schedule(ctx context.Context, seed uint64, without Without) (Findings, error) {
+	return playSchedule(ctx, seed, without, Faults(seed))
+}
+
+// Faults returns the faults of a seed's schedule.
+func Faults(seed uint64) []faultinject.Fault {
+	return Plan(scheduleOptions(seed, Without{}), scheduledFaultTime, scheduledFaults)
+}
+
+// Fails reports whether a plan breaks something in one of several attempts. They differ, as the timing of processes is not drawn from
+// the seed.
+func Fails(ctx context.Context, seed uint64, without Without, plan []faultinject.Fault, attempts int) (bool, error) {
+	for range attempts {
+		findings, err := playSchedule(ctx, seed, without, plan)
+		if err != nil && !errors.Is(err, ErrIdle) {
+			return false, err
+		}
+		if err != nil || len(findings.Broken) > 0 {
+			return true, nil
+		}
+	}
+	return false, nil
+}
+
+func scheduleOptions(seed uint64, without Without) Options {
+	options := Options{Agents: 3, Holders: 3, Seed: seed, Without: without}
+	if seed%3 == 0 {
+		options.Agents = 5
+	}
+	return options
+}
+
+func playSchedule(ctx context.Context, seed uint64, without Without, plan []faultinject.Fault) (Findings, error) {
+	h, err := Start(scheduleOptions(seed, without))
+	if err != nil {
+		return Findings{}, err
+	}
+	defer h.Stop()
+	err = h.Play(ctx, plan, recoveryTimeout)
+	return Check(h.Log()), err
+}
--- /dev/null
+++ b/internal/processtest/schedule_test.go
@@ -0,0 +1,18 @@
+package processtest
+
+import "testing"
+
+// Schedules of faults between real processes break no invariant, and holders act again after each.
+func TestScheduledFaultsKeepInvariants(t *testing.T) {
+	var sum Findings
+	err := Schedules(t.Context(), 1, 12, 4, Without{}, func(seed uint64, findings Findings, err error) {
+		if err != nil || len(findings.Broken) > 0 {
+			t.Errorf("schedule %d: %v %v", seed, err, findings.Broken)
+		}
+		sum.Add(findings)
+	})
+	t.Logf("%+v", sum)
+	if err != nil || len(sum.Faults) < 10 || sum.Acts < 12 {
+		t.Errorf("%v; the schedules are too mild to show anything: %+v", err, sum)
+	}
+}
