--- /dev/null
+++ b/internal/soak/client.go
@@ -0,0 +1,175 @@
+package soak
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"time"
+)
+
+// How clients behave.
+const (
+	answerGrace     = 500 * time.Millisecond // after a request's deadline its answer may still come, and has no value
+	disconnectOneIn = 20                     // requests whose client disconnects before the answer
+	restOneIn       = 40
+	longestRest     = 3 * time.Second
+	shortestPauseMs = 5
+	pauseSpreadMs   = 50
+	reconnectPause  = 50 * time.Millisecond
+	connectTimeout  = time.Second
+	requestBody     = "work"
+	tenantName      = "t"
+)
+
+// client sends requests to one node, one after the other.
+type client struct {
+	run    *run
+	node   *node
+	name   string
+	random *rand.Rand
+
+	conn         net.Conn // nil: there is no connection
+	reader       *bufio.Reader
+	sentOnConn   int
+	requestsSent int
+}
+
+// loop sends requests until the end of the run.
+func (c *client) loop() {
+	defer c.disconnect()
+	for !c.run.ended() {
+		c.run.sleep(time.Duration(shortestPauseMs+c.random.IntN(pauseSpreadMs)) * time.Millisecond)
+		if c.random.IntN(restOneIn) == 0 {
+			c.run.sleep(time.Duration(c.random.Int64N(int64(longestRest))))
+		}
+		if c.conn == nil && !c.connect() {
+			c.run.sleep(reconnectPause)
+			continue
+		}
+		c.call()
+	}
+}
+
+func (c *client) connect() bool {
+	conn, err := net.DialTimeout("tcp", c.node.listen, connectTimeout)
+	if err != nil {
+		return false
+	}
+	c.conn, c.reader, c.sentOnConn = conn, bufio.NewReader(conn), 0
+	return true
+}
+
+func (c *client) disconnect() {
+	if c.conn != nil {
+		_ = c.conn.Close() // whatever it has not sent is of no use
+		c.conn = nil
+	}
+}
+
+// call sends one request and reads its answer.
+func (c *client) call() {
+	class := classes[c.random.IntN(len(classes))]
+	q := &request{
+		id:          fmt.Sprintf("%s-%d", c.name, c.requestsSent),
+		node:        c.node.index,
+		class:       class,
+		firstOnConn: c.sentOnConn == 0,
+	}
+	c.requestsSent++
+	c.sentOnConn++
+	c.run.record.start(q, c.run.now())
+	if _, err := io.WriteString(c.conn, encode(q)); err != nil {
+		c.disconnect()
+		c.finish(q, outcomeNotSent)
+		return
+	}
+	if c.random.IntN(disconnectOneIn) == 0 {
+		c.run.sleep(time.Duration(c.random.Int64N(int64(class.deadline / 4))))
+		if c.reader.Buffered() == 0 {
+			c.disconnect()
+			c.finish(q, outcomeDisconnected)
+			return
+		}
+	}
+	_ = c.conn.SetReadDeadline(time.Now().Add(class.deadline + answerGrace + 2*schedulingDelay)) // it fails on closed connections only
+	c.receive(q)
+}
+
+// encode returns a request as it is sent.
+func encode(q *request) string {
+	method, body := http.MethodGet, ""
+	if q.class.effect != effectRepeatable {
+		method, body = http.MethodPost, requestBody
+	}
+	lines := []string{
+		fmt.Sprintf("%s /%s HTTP/1.1", method, q.class.name),
+		"Host: h",
+		"X-Trace-Id: " + q.id,
+		"X-Customer: " + tenantName,
+		fmt.Sprintf("X-Expires-In-Ms: %d", q.class.deadline.Milliseconds()),
+	}
+	if q.class.effect == effectByKey {
+		lines = append(lines, "Idempotency-Key: k"+q.id)
+	}
+	lines = append(lines, fmt.Sprintf("Content-Length: %d", len(body)), "", body)
+	return strings.Join(lines, "\r\n")
+}
+
+func (c *client) finish(q *request, result outcome) {
+	c.run.record.finish(q, result, c.run.now())
+}
+
+// receive reads the answer to a request and records its outcome.
+func (c *client) receive(q *request) {
+	received, err := readAnswer(c.reader)
+	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		c.disconnect()
+		c.finish(q, outcomeLate)
+		return
+	case err != nil:
+		c.disconnect()
+		c.finish(q, outcomeIncomplete)
+		return
+	}
+	c.finish(q, received.outcome(q))
+	if received.closesConnection {
+		c.disconnect()
+	}
+}
+
+// answer is a complete answer of a node.
+type answer struct {
+	status           int
+	body             string
+	closesConnection bool
+}
+
+func readAnswer(reader *bufio.Reader) (answer, error) {
+	response, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		return answer{}, err
+	}
+	defer func() { _ = response.Body.Close() }() // the client closes the connection after an error
+	body, err := io.ReadAll(response.Body)
+	return answer{status: response.StatusCode, body: string(body), closesConnection: response.Close}, err
+}
+
+// outcome returns what the answer means for its request.
+func (a answer) outcome(q *request) outcome {
+	switch {
+	case a.status == http.StatusOK && a.body == answerTo(q.id):
+		return outcomeServed
+	case a.status == http.StatusOK:
+		return outcomeWrongAnswer
+	case a.status == http.StatusServiceUnavailable, a.status == http.StatusTooManyRequests:
+		return outcomeRejected
+	}
+	return outcomeFailed
+}
--- /dev/null
+++ b/internal/soak/logwatch.go
@@ -0,0 +1,63 @@
+package soak
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+	"sync"
+)
+
+// discoveryTexts are in log records on the endpoint list, its age, and calls to discovery.
+var discoveryTexts = [][]byte{
+	[]byte("msg=backends"),
+	[]byte("discovery failed"),
+	[]byte("list of backends"),
+	[]byte("msg=serving"),
+	[]byte("taken up"),
+	[]byte("msg=draining"),
+}
+
+// forbiddenTexts are in log records and other output of a process that has broken a rule of its own.
+var forbiddenTexts = [][]byte{
+	[]byte("invariant violated"),
+	[]byte("panic:"),
+	[]byte("request overdue"),
+	[]byte("DATA RACE"),
+	[]byte("attempt without"),
+	[]byte("requests unanswered"),
+	[]byte("within a request"),
+}
+
+// logWatch is an io.Writer that keeps certain lines of a node's log.
+type logWatch struct {
+	run *run
+
+	mu         sync.Mutex
+	incomplete []byte   // the last line, so far
+	forbidden  []string // lines with a forbidden text
+	discovery  []string // lines on discovery, each with the time when it was written
+}
+
+// Write reads the lines that are complete.
+func (l *logWatch) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.incomplete = append(l.incomplete, p...)
+	for {
+		line, rest, complete := bytes.Cut(l.incomplete, []byte("\n"))
+		if !complete {
+			return len(p), nil
+		}
+		if containsAny(line, forbiddenTexts) {
+			l.forbidden = append(l.forbidden, string(line))
+		}
+		if containsAny(line, discoveryTexts) {
+			l.discovery = append(l.discovery, fmt.Sprintf("%.3f %s", l.run.now().Seconds(), line))
+		}
+		l.incomplete = rest
+	}
+}
+
+func containsAny(line []byte, texts [][]byte) bool {
+	return slices.ContainsFunc(texts, func(text []byte) bool { return bytes.Contains(line, text) })
+}
