--- a/internal/simulation/leasesim/group.go
+++ b/internal/simulation/leasesim/group.go
@@ -3,353 +3,146 @@
 import (
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"time"
 
-	"go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
-
-	membership "tulipglade/internal/consensus"
+	"tulipglade/internal/consensus"
 	"tulipglade/internal/lease"
-	"tulipglade/internal/simulation/eventqueue"
 )
 
 const (
-	beat   = 50 * time.Millisecond
-	linger = 5 * time.Second // of a member that was removed
+	setupTime   = 5 * time.Second // for which the first command is repeated
+	setupPause  = time.Second
+	mostForward = 3 // members to which a request is forwarded
 )
 
-// group is members with a network and disks between and below them.
-type group struct {
-	p     *play
-	nodes []*node // by id, from 1; also those that are no members any more
-	cut   map[[2]uint64]time.Duration
-	sums  map[uint64]uint64 // what was agreed on, by index
-	led   time.Duration     // when a member that led died; 0: another leads already
-	busy  bool              // a change of members is on its way
-}
-
-// node is a member's process, its disk and its clock.
-type node struct {
-	g    *group
-	id   uint64
-	rate float64
-	stop time.Duration
-	life int
-	m    *membership.Member // nil: it is down
-	disk membership.DurableState
-	lazy []membership.StorageUpdate // without Sync: what the disk has not got yet
-	gone bool                       // it will not come back
-}
-
-var errDown = errors.New("the process died")
-
-// Save is the disk. The process may die before it has anything, or when it has all.
-func (n *node) Save(w membership.StorageUpdate) error {
-	p := n.g.p
-	dies := p.faults.Down && p.wild() && p.chance(0.002)
-	if dies && p.chance(0.5) {
-		return errDown
-	}
-	if n.lazy = append(n.lazy, w); !p.without.Sync {
-		n.sync(0)
-	}
-	n.sync(20)
-	if dies {
-		return errDown
-	}
-	return nil
-}
+// route is the direction from one member to another, by their IDs.
+type route struct{ from, to uint64 }
 
-// sync has the disk take all but the last few writes.
-func (n *node) sync(but int) {
-	for len(n.lazy) > but {
-		n.disk = n.disk.EntriesAfter(n.lazy[0])
-		n.lazy = n.lazy[1:]
-	}
+// group is members of a consensus group, with the network between them and their disks.
+type group struct {
+	schedule  *schedule
+	members   []*member // by ID, from 1, with those that were removed
+	cutUntil  map[route]time.Duration
+	checksums map[uint64]uint64 // of the state that was agreed on, by log index
+	leaderAt  time.Duration     // when a leading member died; 0: another leads since
+	changing  bool              // a change of members is in progress
 }
 
-func address(id uint64) string { return fmt.Sprint("m", id) }
-
-func newGroup(p *play, members int, first lease.Command) *group {
-	g := &group{p: p, cut: map[[2]uint64]time.Duration{}, sums: map[uint64]uint64{}}
-	who := map[uint64]string{}
+func newGroup(s *schedule, members int, first lease.Command) *group {
+	g := &group{schedule: s, cutUntil: map[route]time.Duration{}, checksums: map[uint64]uint64{}}
+	addresses := map[uint64]string{}
 	for i := range members {
-		who[uint64(i+1)] = address(uint64(i + 1))
+		id := uint64(i + 1)
+		addresses[id] = address(id)
 	}
-	kept, err := membership.Bootstrap(who, lease.Terms{Interval: interval, Drift: drift})
+	state, err := consensus.Bootstrap(addresses, lease.Terms{Interval: tickInterval, Drift: drift})
 	if err != nil {
 		panic(err)
 	}
 	for range members {
-		g.add(kept)
-	}
-	var ask func()
-	ask = func() {
-		g.ask(&holder{p: p, name: "setup"}, first, func(lease.Grant, error) {})
-		if p.now < 5*time.Second {
-			p.after(time.Second, ask)
-		}
+		g.add(state)
 	}
-	ask()
-	p.after(p.between(0, time.Second), g.fault)
+	g.setUp(first)
+	s.after(s.between(0, time.Second), g.injectFault)
 	return g
 }
 
-func (g *group) add(kept membership.DurableState) *node {
-	n := &node{g: g, id: uint64(len(g.nodes) + 1), disk: kept, rate: 1 + drift*(2*g.p.r.Float64()-1)}
-	if g.p.faults.Clocks && g.p.chance(0.3) {
-		n.rate = 1.2 + g.p.r.Float64() // its ticks are short
-	}
-	g.nodes = append(g.nodes, n)
-	n.start()
-	return n
-}
-
-func (n *node) clock() time.Duration { return time.Duration(float64(n.g.p.now) * n.rate) }
-
-func (n *node) start() {
-	if n.gone || n.m != nil {
-		return
-	}
-	p := n.g.p
-	n.life++
-	m, err := membership.New(membership.Options{ID: n.id, Clock: n.clock, Rand: rand.New(rand.NewPCG(p.r.Uint64(), p.r.Uint64())), Storage: n,
-		Send: n.send, ElectionTicks: 10, SnapshotEntries: 40, RequestTimeoutTicks: 60}, n.disk)
-	if err != nil {
-		panic(err)
+// setUp repeats the first command, which a group without a leader does not answer.
+func (g *group) setUp(first lease.Command) {
+	s := g.schedule
+	g.request(&holder{schedule: s, name: "setup"}, first, func(lease.Grant, error) {})
+	if s.now < setupTime {
+		s.after(setupPause, func() { g.setUp(first) })
 	}
-	n.m = m
-	life := n.life
-	var next func()
-	next = func() {
-		n.run(life, (*membership.Member).Tick)
-		if n.life == life {
-			p.after(time.Duration(float64(beat)/n.rate), next)
-		}
-	}
-	p.after(p.between(0, beat), next)
 }
 
-// run does something in the process, which may be stopped, and may have ended by then; then it writes and sends.
-func (n *node) run(life int, f func(*membership.Member)) {
-	p := n.g.p
-	switch {
-	case n.m == nil || life != n.life:
-		return
-	case p.now < n.stop:
-		p.after(n.stop-p.now, func() { n.run(life, f) })
-		return
-	}
-	led := n.m.IsLeader()
-	f(n.m)
-	if err := n.m.Flush(); err != nil {
-		if !errors.Is(err, errDown) {
-			panic(err)
-		}
-		n.down(p.between(100*time.Millisecond, 3*time.Second))
-		return
-	}
-	if !led && n.m.IsLeader() {
-		p.out.Leaders++
-		if n.g.led > 0 {
-			p.gaps.Lead = append(p.gaps.Lead, p.now-n.g.led)
-			n.g.led = 0
-		}
-	}
-	index, sum := n.m.Checksum()
-	if was, ok := n.g.sums[index]; ok && was != sum {
-		p.out.Split++
-	}
-	n.g.sums[index] = sum
-	if n.m.Removed() && !n.gone {
-		n.gone = true
-		p.out.Changes++
-		p.after(linger, func() { n.m, n.life = nil, n.life+1 })
+// add starts a member with a state on its disk.
+func (g *group) add(state consensus.DurableState) *member {
+	s := g.schedule
+	m := &member{group: g, id: uint64(len(g.members) + 1), disk: state, clockRate: s.allowedClockRate()}
+	if s.faults.Clocks && s.chance(0.3) {
+		m.clockRate = 1.2 + s.random.Float64() // its ticks are too short
 	}
+	g.members = append(g.members, m)
+	m.start()
+	return m
 }
 
-// down ends the process; it starts anew from its disk after a time.
-func (n *node) down(again time.Duration) {
-	if n.m == nil {
-		return
-	}
-	if n.m.IsLeader() {
-		n.g.led = n.g.p.now
-	}
-	n.m, n.stop = nil, 0
-	n.life++
-	n.sync(n.g.p.r.IntN(21))
-	n.lazy = nil
-	n.g.p.after(again, n.start)
-}
+func address(id uint64) string { return fmt.Sprint("m", id) }
 
-func (n *node) send(to string, msg *raftpb.Message) {
-	g, p := n.g, n.g.p
-	raw, err := proto.Marshal(msg) // what is sent does not change afterwards
-	if err != nil {
-		panic(err)
-	}
-	var other *node
-	for _, o := range g.nodes {
-		if address(o.id) == to {
-			other = o
-		}
-	}
-	life, way := n.life, [2]uint64{n.id, other.id}
-	arrive := func() {
-		if p.now < g.cut[way] {
-			return
-		}
-		other.run(other.life, func(m *membership.Member) {
-			var in raftpb.Message
-			if err := proto.Unmarshal(raw, &in); err != nil {
-				panic(err)
-			}
-			_ = m.Step(address(n.id), &in) // what it refuses is lost
-		})
-	}
-	if p.faults.Lossy && p.wild() { // bad, but raft can still elect over it
-		for _, d := range eventqueue.DelayPath(p.r, time.Millisecond, wire/2, 400*time.Millisecond) {
-			p.after(d, arrive)
-		}
-	} else {
-		p.after(p.between(time.Millisecond, wire/2), arrive)
-	}
-	if msg.GetType() == raftpb.MsgSnap {
-		p.after(2*wire, func() { n.run(life, func(m *membership.Member) { m.Delivered(msg.GetTo(), p.now >= g.cut[way]) }) })
+// at returns the member with an address; nil if there is none.
+func (g *group) at(memberAddress string) *member {
+	i := slices.IndexFunc(g.members, func(m *member) bool { return address(m.id) == memberAddress })
+	if i < 0 {
+		return nil
 	}
+	return g.members[i]
 }
 
-// ask has a holder ask the member that it believes to lead, any other if it believes nothing, and go on to whom that names.
-func (g *group) ask(h *holder, c lease.Command, answer func(lease.Grant, error)) {
-	p := g.p
-	var try func(to *node, hops int)
-	try = func(to *node, hops int) {
-		p.send(p.faults.Network, func() {
-			to.run(to.life, func(m *membership.Member) {
-				m.Propose(c, func(grant lease.Grant, err error) {
-					if c.Kind == lease.Acquire && err == nil {
-						g.count(grant, h.name, c.RequestID)
-					}
-					p.send(p.faults.Network, func() {
-						var other membership.NotLeaderError
-						switch {
-						case errors.As(err, &other) && other.Address != "" && hops < 3:
-							at := slices.IndexFunc(g.nodes, func(o *node) bool { return address(o.id) == other.Address })
-							try(g.nodes[at], hops+1)
-						case errors.As(err, &other), errors.Is(err, membership.ErrOutcomeUnknown), errors.Is(err, membership.ErrBusy):
-						default:
-							h.to = to
-							answer(grant, err)
-						}
-					})
-				})
-			})
-		})
-	}
-	to := h.to
-	if to == nil || to.gone {
-		there := slices.DeleteFunc(slices.Clone(g.nodes), func(n *node) bool { return n.gone })
-		to = there[p.r.IntN(len(there))]
-	}
-	h.to = nil // until it answers
-	try(to, 0)
+// present returns the members that were not removed.
+func (g *group) present() []*member {
+	return slices.DeleteFunc(slices.Clone(g.members), func(m *member) bool { return m.removed })
 }
 
-// count sees to it that a token is one request's.
-func (g *group) count(grant lease.Grant, who string, ask uint64) {
-	whom := fmt.Sprint(who, " ", ask)
-	switch was, ok := g.p.given[grant.Token]; {
-	case !ok:
-		g.p.given[grant.Token] = whom
-		g.p.out.Grants++
-	case was != whom:
-		g.p.out.DuplicateGrants++
+// request sends a command to the member that the holder believes to lead, or to any other if it believes nothing. It follows the members'
+// hints to the leader.
+func (g *group) request(h *holder, command lease.Command, respond func(lease.Grant, error)) {
+	recipient := h.leader
+	if recipient == nil || recipient.removed {
+		present := g.present()
+		recipient = present[g.schedule.random.IntN(len(present))]
 	}
+	h.leader = nil // until it responds
+	g.requestFrom(recipient, mostForward, h, command, respond)
 }
 
-// fault is the next thing that goes wrong among the members.
-func (g *group) fault() {
-	p := g.p
-	if !p.wild() {
-		return
-	}
-	p.after(p.between(300*time.Millisecond, 2500*time.Millisecond), g.fault)
-	there := slices.DeleteFunc(slices.Clone(g.nodes), func(n *node) bool { return n.gone })
-	n := there[p.r.IntN(len(there))]
-	if lead := slices.IndexFunc(there, func(n *node) bool { return n.m != nil && n.m.IsLeader() }); lead >= 0 && p.chance(0.5) {
-		n = there[lead]
-	}
-	till := p.now + p.between(300*time.Millisecond, 3*time.Second)
-	cut := func(from, to *node, till time.Duration) { g.cut[[2]uint64{from.id, to.id}] = till }
-	kind := p.r.IntN(8)
-	p.out.Faults++
-	switch {
-	case kind < 2 && p.faults.Down:
-		n.down(till - p.now)
-	case kind == 2 && p.faults.Down && p.chance(0.3): // all at once, and up in any order
-		for _, o := range there {
-			o.down(p.between(100*time.Millisecond, 3*time.Second))
-		}
-	case kind == 3 && p.faults.Paused:
-		n.stop = max(n.stop, till)
-	case kind == 4 && p.faults.Changes:
-		g.replace(n)
-	case kind >= 5 && p.faults.Cuts:
-		way := p.r.IntN(5)
-		for i, o := range there {
-			switch {
-			case o == n:
-			case way == 0: // cut off
-				cut(n, o, till)
-				cut(o, n, till)
-			case way == 1: // it is not heard
-				cut(n, o, till)
-			case way == 2: // it hears nothing
-				cut(o, n, till)
-			case way == 3: // all but n see only their half
-				for j, q := range there {
-					if q != n && i%2 != j%2 {
-						cut(o, q, till)
-					}
-				}
-			case way == 4: // again and again
-				for at := p.now; at < till; at += 300 * time.Millisecond {
-					p.after(at-p.now, func() {
-						cut(n, o, p.now+150*time.Millisecond)
-						cut(o, n, p.now+150*time.Millisecond)
-					})
-				}
-			}
+func (g *group) requestFrom(m *member, forwards int, h *holder, command lease.Command, respond func(lease.Grant, error)) {
+	s := g.schedule
+	handle := func(grant lease.Grant, err error) {
+		var notLeader consensus.NotLeaderError
+		switch {
+		case errors.As(err, &notLeader) && notLeader.Address != "" && forwards > 0:
+			g.requestFrom(g.at(notLeader.Address), forwards-1, h, command, respond)
+		case errors.As(err, &notLeader), errors.Is(err, consensus.ErrOutcomeUnknown), errors.Is(err, consensus.ErrBusy):
+		default:
+			h.leader = m
+			respond(grant, err)
 		}
-	default:
-		p.out.Faults--
 	}
+	s.send(s.faults.Network, func() {
+		m.run(m.incarnation, func(process *consensus.Member) {
+			process.Propose(command, func(grant lease.Grant, err error) {
+				if command.Kind == lease.Acquire && err == nil {
+					g.noteGrant(grant, fmt.Sprint(h.name, " ", command.RequestID))
+				}
+				s.send(s.faults.Network, func() { handle(grant, err) })
+			})
+		})
+	})
 }
 
-// replace has a new member take one's place.
-func (g *group) replace(old *node) {
-	lead := slices.IndexFunc(g.nodes, func(n *node) bool { return n.m != nil && n.m.IsLeader() && g.p.now >= n.stop })
-	if g.busy || lead < 0 {
-		return
+// noteGrant checks that a token is granted to one request only.
+func (g *group) noteGrant(grant lease.Grant, request string) {
+	s := g.schedule
+	owner, granted := s.owners[grant.Token]
+	switch {
+	case !granted:
+		s.owners[grant.Token] = request
+		s.outcome.Grants++
+	case owner != request:
+		s.outcome.DuplicateGrants++
 	}
-	g.busy = true
-	fresh := g.add(membership.EmptyState())
-	l := g.nodes[lead]
-	l.run(l.life, func(m *membership.Member) {
-		m.ChangeMembers(map[uint64]string{fresh.id: address(fresh.id)}, []uint64{old.id}, func(error) { g.busy = false })
-	})
 }
 
-// tally compares what the members have agreed on in the end.
-func (g *group) tally() {
-	for _, n := range g.nodes {
-		if n.m != nil {
-			if index, sum := n.m.Checksum(); g.sums[index] != sum {
-				g.p.out.Split++
-			}
+// compareMembers checks at the end that all members agree.
+func (g *group) compareMembers() {
+	for _, m := range g.members {
+		if m.process == nil {
+			continue
+		}
+		if index, checksum := m.process.Checksum(); g.checksums[index] != checksum {
+			g.schedule.outcome.Split++
 		}
 	}
 }
--- a/internal/simulation/leasesim/group_test.go
+++ b/internal/simulation/leasesim/group_test.go
@@ -2,43 +2,45 @@
 
 import "testing"
 
-// The same with members of a group, each with a disk, and faults among them: any number of members.
-func TestSchedulesOfAGroup(t *testing.T) {
+// Schedules of a group of any number of members, each with a disk, and with faults among them, break no invariant.
+func TestGroupSchedulesKeepInvariants(t *testing.T) {
 	for _, members := range []int{1, 3, 5} {
-		o, took, err := Many(t.Context(), 1, 40, Without{}, members)
+		outcome, took, err := Many(t.Context(), 1, 40, Without{}, members)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%d members: %+v", members, o)
-		if o.Broken() > 0 {
-			t.Errorf("%d members: broken %d times, first by schedule %d", members, o.Broken(), o.First)
+		t.Logf("%d members: %+v", members, outcome)
+		if outcome.Broken() > 0 {
+			t.Errorf("%d members: broken %d times, first by schedule %d", members, outcome.Broken(), outcome.First)
 		}
-		if o.Old == 0 || o.Withheld == 0 || o.Acts < 10*o.Schedules || o.Changes < 5 || o.Faults < 2*o.Schedules || took.Lead.TotalCount() < 20 {
+		withActions := outcome.Old > 0 && outcome.Withheld > 0 && outcome.Acts >= 10*outcome.Schedules
+		withFaults := outcome.Changes >= 5 && outcome.Faults >= 2*outcome.Schedules && took.Lead.TotalCount() >= 20
+		if !withActions || !withFaults {
 			t.Error("the schedules are too mild to show anything")
 		}
 	}
 }
 
-// A disk that has not got what it said it has is found, and so is a fence that is out, with a group as without one.
-func TestSyncIsNeeded(t *testing.T) {
-	for name, c := range map[string]struct {
+// A disk that does not have what it has promised is found, and so is a missing fence, with a group as without one.
+func TestGroupChecksFindMissingMechanism(t *testing.T) {
+	for name, test := range map[string]struct {
 		without Without
 		found   func(Outcome) int
 	}{
 		"sync":  {Without{Sync: true}, func(o Outcome) int { return o.Split + o.DuplicateGrants }},
 		"fence": {Without{Fence: true}, func(o Outcome) int { return o.Overlaps + o.Backwards }},
 	} {
-		if o, _, err := Many(t.Context(), 1, 30, c.without, 3); err != nil || c.found(o) == 0 {
-			t.Errorf("without the %s nothing is found: %v %+v", name, err, o)
+		if outcome, _, err := Many(t.Context(), 1, 30, test.without, 3); err != nil || test.found(outcome) == 0 {
+			t.Errorf("without the %s nothing is found: %v %+v", name, err, outcome)
 		}
 	}
 }
 
-func TestSchedulesOfAGroupAreDeterministic(t *testing.T) {
+func TestGroupSchedulesAreDeterministic(t *testing.T) {
 	for seed := range uint64(5) {
-		a, _ := Play(seed, Without{}, 3)
-		if b, _ := Play(seed, Without{}, 3); a != b {
-			t.Fatalf("schedule %d: %+v, then %+v", seed, a, b)
+		first, _ := Play(seed, Without{}, 3)
+		if second, _ := Play(seed, Without{}, 3); first != second {
+			t.Fatalf("schedule %d: %+v, then %+v", seed, first, second)
 		}
 	}
 }
--- /dev/null
+++ b/internal/simulation/leasesim/holder.go
@@ -0,0 +1,129 @@
+package leasesim
+
+import (
+	"time"
+
+	"tulipglade/internal/lease"
+)
+
+const (
+	// requestIDsPerProcess keeps the request IDs of a process apart from those of the processes before it.
+	requestIDsPerProcess = 1000
+	longestStartDelay    = time.Second
+)
+
+// holder takes the lease whenever it can, renews it, acts under it, and releases it from time to time.
+type holder struct {
+	schedule     *schedule
+	name         string
+	clockRate    float64
+	stoppedUntil time.Duration
+	guard        lease.Guard
+	requestID    uint64
+	incarnation  int     // counts its processes
+	leader       *member // of a group: the one that it believes to lead; nil: it does not know
+}
+
+func (h *holder) clock() time.Duration {
+	return time.Duration(float64(h.schedule.now) * h.clockRate)
+}
+
+// run calls a function in a process of the holder: once the process is not stopped any more, and never if it has ended.
+func (h *holder) run(incarnation int, f func()) {
+	s := h.schedule
+	switch {
+	case incarnation != h.incarnation:
+	case s.now < h.stoppedUntil:
+		s.after(h.stoppedUntil-s.now, func() { h.run(incarnation, f) })
+	default:
+		f()
+	}
+}
+
+// start starts a process without any state. Its request IDs differ from all before.
+func (h *holder) start() {
+	s := h.schedule
+	h.incarnation++
+	h.requestID += requestIDsPerProcess
+	h.guard = lease.Guard{Terms: lease.Terms{Interval: tickInterval, Drift: drift}}
+	incarnation := h.incarnation
+	s.after(s.between(0, longestStartDelay), func() { h.run(incarnation, h.keepLease) })
+	s.after(s.between(0, longestStartDelay), func() { h.run(incarnation, h.act) })
+}
+
+// die ends the process. What it has sent is still delivered.
+func (h *holder) die() {
+	s := h.schedule
+	if grant, ok := h.guard.Grant(); ok {
+		s.outcome.Kills++
+		s.lostHolders[grant.Slot] = lostHolder{grant.Token, s.now}
+	}
+	h.incarnation++
+	h.stoppedUntil = 0
+	s.after(s.between(500*time.Millisecond, 4*time.Second), h.start)
+}
+
+// keepLease acquires or renews the lease, and sometimes releases it.
+func (h *holder) keepLease() {
+	s, incarnation := h.schedule, h.incarnation
+	if s.faults.Kills && s.faultsActive() && s.chance(0.05) {
+		h.die()
+		return
+	}
+	grant, granted := h.guard.Grant()
+	command := lease.Command{Kind: lease.Renew, Name: leaseName, Token: grant.Token, Ticks: grantTicks}
+	if !granted {
+		h.requestID++
+		command = lease.Command{Kind: lease.Acquire, Name: leaseName, Holder: h.name, RequestID: h.requestID, Ticks: grantTicks}
+	}
+	requestedAt := h.clock()
+	s.request(h, command, func(response lease.Grant, err error) {
+		h.run(incarnation, func() {
+			if s.without.Clock {
+				requestedAt = h.clock()
+			}
+			h.handleResponse(command, response, err, requestedAt)
+		})
+	})
+	if granted && s.chance(0.1) && (h.guard.Expired(h.clock()) || s.without.Free) { // all its actions are over
+		h.guard.Drop()
+		release := lease.Command{Kind: lease.Release, Name: leaseName, Token: grant.Token}
+		s.request(h, release, func(lease.Grant, error) {})
+	}
+	s.after(s.between(300*time.Millisecond, 600*time.Millisecond), func() { h.run(incarnation, h.keepLease) })
+}
+
+// handleResponse takes up a grant, or gives up the lease whose renewal was rejected.
+func (h *holder) handleResponse(command lease.Command, response lease.Grant, err error, requestedAt time.Duration) {
+	if err == nil {
+		h.guard.Granted(response, grantTicks, requestedAt)
+		return
+	}
+	current, granted := h.guard.Grant()
+	if command.Kind == lease.Renew && granted && current.Token == command.Token {
+		h.guard.Drop()
+	}
+}
+
+// act checks the lease and sends an action. The time that an action may take includes its delivery.
+func (h *holder) act() {
+	s, incarnation := h.schedule, h.incarnation
+	s.after(s.between(100*time.Millisecond, 400*time.Millisecond), func() { h.run(incarnation, h.act) })
+	believed, granted := h.guard.Grant()
+	if !granted {
+		return
+	}
+	grant, certain := h.guard.BeginAction(h.clock(), longestAction)
+	if s.without.Guard {
+		grant = believed
+	} else if !certain {
+		s.outcome.Withheld++
+		return
+	}
+	if s.faults.Stops && s.faultsActive() && s.chance(0.1) {
+		h.stoppedUntil = s.now + s.between(time.Second, 6*time.Second)
+	}
+	h.run(incarnation, func() {
+		s.send(s.faults.Late, func() { s.handleAction(grant) })
+	})
+}
--- /dev/null
+++ b/internal/simulation/leasesim/schedule.go
@@ -0,0 +1,213 @@
+package leasesim
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"tulipglade/internal/fencing"
+	"tulipglade/internal/lease"
+	"tulipglade/internal/simulation/eventqueue"
+)
+
+// The terms of the leases, and the times of every schedule.
+const (
+	leaseName       = "task"
+	tickInterval    = 100 * time.Millisecond
+	drift           = 0.05
+	grantTicks      = 20
+	longestAction   = 300 * time.Millisecond
+	longestDelay    = 20 * time.Millisecond // of one message without faults
+	faultTime       = 20 * time.Second      // of a schedule; after that there are no faults
+	scheduleLength  = 30 * time.Second
+	recoveryTime    = 5 * time.Second // after the faults, until holders must act again
+	longestLateness = 3 * time.Second // of a message of a network with faults
+
+	mostEvents = 200_000 // of one schedule; it has about 20,000
+)
+
+// Streams of the random source of a seed, and of the event queue.
+const (
+	randomStream = 0x1ea5e
+	eventSource  = 1
+)
+
+// lostHolder is a slot whose holder has died.
+type lostHolder struct {
+	token lease.Token
+	at    time.Duration
+}
+
+// schedule is the state of one schedule. The order of its random draws is part of what a seed means.
+type schedule struct {
+	outcome Outcome
+	gaps    Gaps
+	faults  Faults
+	without Without
+
+	random *rand.Rand
+	queue  eventqueue.Sim
+	source eventqueue.Source
+	now    time.Duration
+
+	single *singleState           // nil: there is a group of members
+	group  *group                 // nil: there is a single state
+	owners map[lease.Token]string // the request that was granted each token
+
+	// The target.
+	fence       fencing.Fence
+	actions     []*action
+	lastAction  time.Duration
+	newest      map[int]lease.Token // admitted, by slot
+	lostHolders map[int]lostHolder  // by slot
+}
+
+func newSchedule(seed uint64, without Without) *schedule {
+	return &schedule{
+		outcome:     Outcome{Schedules: 1},
+		without:     without,
+		random:      rand.New(rand.NewPCG(seed, randomStream)),
+		source:      eventqueue.NewSource(eventSource),
+		owners:      map[lease.Token]string{},
+		newest:      map[int]lease.Token{},
+		lostHolders: map[int]lostHolder{},
+	}
+}
+
+// Play plays one schedule: with a group of so many members, or, where that is 0, with a single state that one leader after the other
+// changes.
+func Play(seed uint64, without Without, members int) (outcome Outcome, gaps Gaps) {
+	s := newSchedule(seed, without)
+	defer func() {
+		if broken := recover(); broken != nil { // raft panics where an invariant of its own is broken
+			s.outcome.Split++
+			outcome, gaps = s.outcome, s.gaps
+		}
+	}()
+	s.drawFaults()
+	maxHolders := 1 + s.random.IntN(2)*s.random.IntN(3)
+	s.startGroup(members, lease.Command{Kind: lease.SetMaxHolders, Name: leaseName, MaxHolders: maxHolders})
+	s.startHolders()
+	for s.queue.Step(eventqueue.Time(scheduleLength / time.Microsecond)) {
+		if s.queue.Done() > mostEvents { // members whose disks lost what they had promised may send messages without end
+			s.outcome.Split++
+		}
+		if s.outcome.Split+s.outcome.DuplicateGrants > 0 { // what follows has no meaning
+			return s.outcome, s.gaps
+		}
+	}
+	s.finish(maxHolders)
+	return s.outcome, s.gaps
+}
+
+func (s *schedule) drawFaults() {
+	s.faults.Stops = s.chance(0.5)
+	s.faults.Clocks = s.chance(0.3)
+	s.faults.Network = s.chance(0.6)
+	s.faults.Late = s.chance(0.3)
+	s.faults.Leaders = s.chance(0.6)
+	s.faults.Kills = s.chance(0.5)
+}
+
+func (s *schedule) drawMemberFaults() {
+	s.faults.Leaders = false
+	s.faults.Down = s.chance(0.6)
+	s.faults.Cuts = s.chance(0.5)
+	s.faults.Lossy = s.chance(0.4)
+	s.faults.Paused = s.chance(0.3)
+	s.faults.Changes = s.chance(0.3)
+}
+
+// startGroup starts what grants leases, with a first command.
+func (s *schedule) startGroup(members int, first lease.Command) {
+	if members > 0 {
+		s.drawMemberFaults()
+		s.group = newGroup(s, members, first)
+		return
+	}
+	s.single = &singleState{schedule: s, state: lease.New()}
+	if _, err := s.single.state.Apply(first); err != nil {
+		panic(err)
+	}
+	s.single.elect()
+}
+
+func (s *schedule) startHolders() {
+	for i := range 2 + s.random.IntN(4) {
+		h := &holder{schedule: s, name: fmt.Sprint("h", i), clockRate: s.allowedClockRate()}
+		if s.faults.Clocks && s.chance(0.5) {
+			h.clockRate = 0.3 + 0.5*s.random.Float64()
+		}
+		h.start()
+	}
+}
+
+// finish checks what can be checked at the end only.
+func (s *schedule) finish(maxHolders int) {
+	if s.lastAction < faultTime+recoveryTime {
+		s.outcome.Idle++
+	}
+	if s.group != nil {
+		s.group.compareMembers()
+	}
+	// With processes that are not stopped, clocks within the terms and actions that arrive in the time that holders allow for, the fence has
+	// nothing to reject, however bad the network to the group is.
+	if f := s.faults; !f.Stops && !f.Clocks && !f.Late {
+		s.outcome.Unneeded = s.outcome.Old + s.outcome.Busy
+	}
+	if s.faults == (Faults{Kills: true}) && maxHolders == 1 {
+		s.gaps.Well = s.gaps.All
+	}
+}
+
+// after calls a function after a time, rounded up to the queue's resolution: an event before it is due would be repeated for ever.
+func (s *schedule) after(delay time.Duration, f func()) {
+	const resolution = time.Microsecond
+	s.queue.After(&s.source, eventqueue.Span((delay+resolution-1)/resolution), eventqueue.Event{To: s, P: f})
+}
+
+// Handle runs the function of an event.
+func (s *schedule) Handle(now eventqueue.Time, event eventqueue.Event) {
+	s.now = time.Duration(now) * time.Microsecond
+	event.P.(func())()
+}
+
+func (s *schedule) between(least, most time.Duration) time.Duration {
+	return eventqueue.Between(s.random, least, most)
+}
+
+func (s *schedule) chance(probability float64) bool { return s.random.Float64() < probability }
+
+// allowedClockRate draws the rate of a clock within the terms.
+func (s *schedule) allowedClockRate() float64 { return 1 + drift*(2*s.random.Float64()-1) }
+
+// faultsActive reports whether faults happen now.
+func (s *schedule) faultsActive() bool { return s.now < faultTime }
+
+// send delivers a message: once, or, in a faulty network, never, late, or twice.
+func (s *schedule) send(faulty bool, deliver func()) {
+	copies, longest := 1, longestDelay
+	if faulty && s.faultsActive() {
+		switch {
+		case s.chance(0.15):
+			return
+		case s.chance(0.15):
+			copies = 2
+		}
+		if s.chance(0.2) {
+			longest = longestLateness
+		}
+	}
+	for range copies {
+		s.after(s.between(longestDelay/10, longest), deliver)
+	}
+}
+
+// request has the group carry out a command of a holder, and its response come back. Without a leader there is no response.
+func (s *schedule) request(h *holder, command lease.Command, respond func(lease.Grant, error)) {
+	if s.group != nil {
+		s.group.request(h, command, respond)
+		return
+	}
+	s.single.request(command, respond)
+}
