--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -11,142 +11,197 @@
 	"time"
 )
 
-// trouble is what is wrong with a backend.
-type trouble uint8
+// backendCondition is what is wrong with a backend.
+type backendCondition uint8
 
 const (
-	healthy  trouble = iota
-	hangs            // takes requests, and answers nothing until it is healthy again
-	resets           // breaks the connection once a request has run
-	refuses          // turns requests away, marked as never run
-	crashed          // accepts nothing, and has reset what was open
-	garbles          // answers noise
-	troubles         // how many there are
+	backendHealthy      backendCondition = iota
+	backendHangs                         // accepts requests, and answers nothing until it is healthy again
+	backendResets                        // resets the connection after a request has run
+	backendRejects                       // rejects requests, marked as never run
+	backendCrashed                       // accepts no connections, and has reset those that were open
+	backendSendsGarbage                  // answers are not HTTP
 )
 
-// backend is one server, at an address for each node.
+const (
+	headerTimeout  = 5 * time.Second
+	shortestWorkMs = 2
+	workSpreadMs   = 15
+	garbage        = "HTTP/1.1 2OO noise\r\n\x00\xff: \r\n\r\n"
+	garbageDelay   = 10 * time.Millisecond // between the garbage and the end of the connection
+)
+
+// backend is one backend, with an address for each node.
 type backend struct {
-	run   *run
-	index int
-	busy  sync.Mutex // held by the fault that is played on it
+	run     *run
+	index   int
+	faulted sync.Mutex // held by the fault that is played on it
 
 	mu        sync.Mutex
-	is        trouble
-	wasHealed chan struct{} // closed as it becomes healthy
-	doors     []*door
+	condition backendCondition
+	healed    chan struct{} // closed when the backend becomes healthy, and replaced
+	listeners []*backendListener
 }
 
-// door is the backend as one node reaches it.
-type door struct {
+// backendListener is a backend as one node reaches it.
+type backendListener struct {
 	address string
-	server  *http.Server
+	server  *http.Server // nil: it does not listen
 }
 
 func newBackend(r *run, index, nodes int) (*backend, error) {
-	b := &backend{run: r, index: index, wasHealed: make(chan struct{})}
+	b := &backend{run: r, index: index, healed: make(chan struct{})}
 	for node := range nodes {
-		ln, err := r.listen(node)
+		listener, err := r.listen(node)
 		if err != nil {
 			return nil, fmt.Errorf("backend %d: %w", index, err)
 		}
-		d := &door{address: ln.Addr().String()}
-		b.doors = append(b.doors, d)
-		b.open(node, ln)
+		b.listeners = append(b.listeners, &backendListener{address: listener.Addr().String()})
+		b.serve(node, listener)
 	}
 	return b, nil
 }
 
-func (b *backend) address(node int) string { return b.doors[node].address }
+// address returns the address at which a node reaches the backend.
+func (b *backend) address(node int) string { return b.listeners[node].address }
 
-func (b *backend) open(node int, ln net.Listener) {
-	server := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.handle(node, w, r)
-	})}
-	b.doors[node].server = server
-	go func() { _ = server.Serve(ln) }()
+func (b *backend) serve(node int, listener net.Listener) {
+	handler := func(w http.ResponseWriter, r *http.Request) { b.handle(node, w, r) }
+	server := &http.Server{ReadHeaderTimeout: headerTimeout, Handler: http.HandlerFunc(handler)}
+	b.listeners[node].server = server
+	go func() { _ = server.Serve(listener) }() // it returns when the backend crashes or closes
 }
 
 func (b *backend) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, d := range b.doors {
-		if d.server != nil {
-			_ = d.server.Close()
-			d.server = nil
+	b.stopListening()
+}
+
+// stopListening resets all connections. The caller holds the mutex.
+func (b *backend) stopListening() {
+	for _, l := range b.listeners {
+		if l.server != nil {
+			_ = l.server.Close() // whatever is open is to end
+			l.server = nil
+		}
+	}
+}
+
+// startListening listens at the addresses of before. The caller holds the mutex.
+func (b *backend) startListening() {
+	for node, l := range b.listeners {
+		if l.server != nil {
+			continue
+		}
+		if listener, err := net.Listen("tcp", l.address); err == nil { // else it stays unreachable for this node
+			b.serve(node, listener)
 		}
 	}
 }
 
-// become changes what is wrong with it from here on.
-func (b *backend) become(is trouble) {
+// setCondition changes what is wrong with the backend.
+func (b *backend) setCondition(condition backendCondition) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	was := b.is
-	if b.is = is; is == healthy {
-		close(b.wasHealed)
-		b.wasHealed = make(chan struct{})
+	previous := b.condition
+	b.condition = condition
+	if condition == backendHealthy {
+		close(b.healed)
+		b.healed = make(chan struct{})
 	}
-	for node, d := range b.doors {
-		switch {
-		case is == crashed && d.server != nil:
-			_ = d.server.Close()
-			d.server = nil
-		case was == crashed && is != crashed && d.server == nil:
-			if ln, err := net.Listen("tcp", d.address); err == nil {
-				b.open(node, ln)
-			}
-		}
+	switch {
+	case condition == backendCrashed:
+		b.stopListening()
+	case previous == backendCrashed:
+		b.startListening()
 	}
 }
 
-// work is how long a request takes.
-func work() time.Duration { return time.Duration(2+rand.IntN(15)) * time.Millisecond }
-
 func (b *backend) handle(node int, w http.ResponseWriter, r *http.Request) {
-	at := b.run.now()
 	id := r.Header.Get("X-Trace-Id")
-	told, err := strconv.Atoi(r.Header.Get("X-Expires-In-Ms"))
-	if err != nil {
-		told = -1
-	}
+	a := &arrival{at: b.run.now(), node: node, backend: b.index, announced: announcedTimeout(r)}
 	b.mu.Lock()
-	is, wasHealed := b.is, b.wasHealed
+	condition, healed := b.condition, b.healed
 	b.mu.Unlock()
-	x := b.run.record.arrived(id, arrival{at: at, node: node, backend: b.index, told: time.Duration(told) * time.Millisecond})
+	b.run.record.arrived(id, a)
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
-	switch is {
-	case refuses:
+	switch condition {
+	case backendRejects:
 		w.Header().Set("X-Never-Ran", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case hangs:
-		b.run.record.ran(id, x)
+	case backendHangs:
+		b.run.record.ran(a)
 		select {
-		case <-wasHealed:
-			_, _ = io.WriteString(w, answerTo(id))
+		case <-healed:
+			writeAnswer(w, id)
 		case <-r.Context().Done():
 		}
 		return
 	}
-	b.run.record.ran(id, x)
-	time.Sleep(work())
-	switch is {
-	case resets:
-		hangUp(w)
-	case garbles:
-		if h, ok := w.(http.Hijacker); ok {
-			if conn, _, err := h.Hijack(); err == nil {
-				_, _ = io.WriteString(conn, "HTTP/1.1 2OO noise\r\n\x00\xff: \r\n\r\n")
-				time.Sleep(10 * time.Millisecond)
-				_ = conn.Close()
-			}
-		}
+	b.run.record.ran(a)
+	time.Sleep(time.Duration(shortestWorkMs+rand.IntN(workSpreadMs)) * time.Millisecond)
+	switch condition {
+	case backendResets:
+		resetConnection(w)
+	case backendSendsGarbage:
+		writeGarbage(w)
 	default:
-		_, _ = io.WriteString(w, answerTo(id))
+		writeAnswer(w, id)
 	}
 }
 
-// answerTo is the body of the answer that a backend makes for a request.
+// announcedTimeout returns for how long a node says that it waits for the answer; it is negative where the node does not say.
+func announcedTimeout(r *http.Request) time.Duration {
+	ms, err := strconv.Atoi(r.Header.Get("X-Expires-In-Ms"))
+	if err != nil {
+		ms = -1
+	}
+	return time.Duration(ms) * time.Millisecond
+}
+
+// answerTo returns the body of the answer to a request.
 func answerTo(id string) string { return "answer to " + id }
+
+func writeAnswer(w http.ResponseWriter, id string) {
+	_, _ = io.WriteString(w, answerTo(id)) // the client's record shows what became of it
+}
+
+// writeGarbage answers with something that is not HTTP, and closes the connection.
+func writeGarbage(w http.ResponseWriter) {
+	conn := hijack(w)
+	if conn == nil {
+		return
+	}
+	_, _ = io.WriteString(conn, garbage) // the node may have closed the connection
+	time.Sleep(garbageDelay)
+	_ = conn.Close()
+}
+
+// resetConnection resets the connection of a call.
+func resetConnection(w http.ResponseWriter) {
+	conn := hijack(w)
+	if conn == nil {
+		return
+	}
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // without it the connection ends, too, in another way
+	}
+	_ = conn.Close()
+}
+
+// hijack takes over the connection of a call; it is nil where that is not possible any more.
+func hijack(w http.ResponseWriter) net.Conn {
+	hijacker, ok := w.(http.Hijacker)
+	if !ok {
+		return nil
+	}
+	conn, _, err := hijacker.Hijack()
+	if err != nil {
+		return nil
+	}
+	return conn
+}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -1,85 +1,28 @@
 package soak
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
-	"sync"
 	"time"
 )
 
-// Limits of the rules, and what this process's own scheduling may add to any of them.
+// Limits of the rules.
 const (
-	notifiedWithin = 6 * time.Second
-	slack          = 50 * time.Millisecond
-	scheduling     = 250 * time.Millisecond
-	goneMost       = 100 * time.Millisecond
-	deadlineOver   = 150 * time.Millisecond
-	stopWithin     = longestDeadline + 700*time.Millisecond
-	readyWithin    = 10 * time.Second
-)
-
-// arrival is a request's head at a backend.
-type arrival struct {
-	at            time.Duration
-	node, backend int
-	told          time.Duration // the time that the node says it waits; negative: not told
-	ran           bool
-}
-
-// request is one of a client's.
-type request struct {
-	id       string
-	node     int
-	class    class
-	fresh    bool // the first on its connection
-	sent     time.Duration
-	over     time.Duration
-	how      outcome
-	arrivals []*arrival
-}
-
-// record is what clients and backends saw.
-type record struct {
-	mu       sync.Mutex
-	requests map[string]*request
-	unknown  []string // ids that no client sent
-}
-
-func (r *record) begin(q *request, at time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	q.sent = at
-	r.requests[q.id] = q
-}
-
-func (r *record) end(q *request, how outcome, at time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	q.how, q.over = how, at
-}
+	notificationLimit = 6 * time.Second
+	drainSlack        = 50 * time.Millisecond
+	disconnectLimit   = 100 * time.Millisecond // from a client's disconnection until no attempt starts
+	deadlineSlack     = 150 * time.Millisecond
+	shutdownLimit     = longestDeadline + 700*time.Millisecond
+	readyLimit        = 10 * time.Second
 
-func (r *record) arrived(id string, a arrival) *arrival {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	q := r.requests[id]
-	if q == nil {
-		r.unknown = append(r.unknown, id)
-		return &a
-	}
-	q.arrivals = append(q.arrivals, &a)
-	return &a
-}
+	// schedulingDelay is what the scheduling of this process may add to any of them.
+	schedulingDelay = 250 * time.Millisecond
 
-func (r *record) ran(_ string, a *arrival) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	a.ran = true
-}
+	mostExplained = 3 // violations, after which no logs are added
+)
 
-// Result is what a play has shown.
+// Result is what a run has shown.
 type Result struct {
-	Broken   []string // what broke the rules, one line each
+	Broken   []string // violations of the rules, one line each
 	Faults   map[Kind]int
 	Served   int
 	Rejected int
@@ -88,51 +31,50 @@
 	Plan     []Fault
 }
 
-// check holds the records against the rules.
+// check checks the records against the rules.
 func (r *run) check(plan []Fault) Result {
-	res := Result{Faults: map[Kind]int{}, Plan: plan}
-	for _, f := range plan {
-		res.Faults[f.Kind]++
+	result := Result{Faults: map[Kind]int{}, Plan: plan}
+	for _, fault := range plan {
+		result.Faults[fault.Kind]++
 	}
 	r.record.mu.Lock()
 	defer r.record.mu.Unlock()
-	all := make([]*request, 0, len(r.record.requests))
-	for _, q := range r.record.requests {
-		all = append(all, q)
-	}
-	slices.SortFunc(all, func(a, b *request) int { return cmp.Compare(a.sent, b.sent) })
-	for _, q := range all {
-		res.count(q)
-		r.checkAnswer(&res, q)
-		r.checkRuns(&res, q)
+	for _, q := range r.record.sorted() {
+		result.count(q)
+		r.checkAnswer(&result, q)
+		r.checkRuns(&result, q)
 		for _, a := range q.arrivals {
-			r.checkArrival(&res, q, a)
+			r.checkArrival(&result, q, a)
 		}
 	}
 	for _, id := range r.record.unknown {
-		res.broke("a backend got %q, which no client sent", id)
+		result.violation("a backend got %q, which no client sent", id)
 	}
 	for _, n := range r.nodes {
-		n.check(&res)
+		n.check(&result)
 	}
-	return res
+	return result
 }
 
 func (res *Result) count(q *request) {
 	res.Total++
-	switch q.how {
-	case served:
+	switch q.outcome {
+	case outcomeServed:
 		res.Served++
-	case refused:
+	case outcomeRejected:
 		res.Rejected++
-	case failed:
+	case outcomeFailed:
 		res.Failed++
 	}
 }
 
-// explain adds what a node has logged of discovery to the first breaks.
+func (res *Result) violation(format string, args ...any) {
+	res.Broken = append(res.Broken, fmt.Sprintf(format, args...))
+}
+
+// explain adds what a node has logged on discovery to the first violations.
 func (res *Result) explain(n *node) {
-	if len(res.Broken) > 3 {
+	if len(res.Broken) > mostExplained {
 		return
 	}
 	n.log.mu.Lock()
@@ -142,116 +84,109 @@
 	}
 }
 
-func (res *Result) broke(format string, args ...any) {
-	res.Broken = append(res.Broken, fmt.Sprintf(format, args...))
-}
-
-func (q *request) ran() (times int) {
-	for _, a := range q.arrivals {
-		if a.ran {
-			times++
-		}
-	}
-	return times
-}
-
-// checkAnswer: each request taken has one whole final answer in time.
+// checkAnswer checks that each request that a node has accepted has one complete final answer in time.
 func (r *run) checkAnswer(res *Result, q *request) {
 	n := r.nodes[q.node]
-	switch q.how {
-	case wrong:
-		res.broke("lost: %s at %.3f was answered with what was made for another", q.id, q.sent.Seconds())
-	case late:
-		if n.served(q.sent, q.over) {
-			res.broke("lost: %s at %.3f to node %d has no answer after %.3f s", q.id, q.sent.Seconds(), q.node, (q.over - q.sent).Seconds())
+	sent, took := q.sent.Seconds(), (q.finished - q.sent).Seconds()
+	switch q.outcome {
+	case outcomeWrongAnswer:
+		res.violation("lost: %s at %.3f was answered with the answer to another request", q.id, sent)
+	case outcomeLate:
+		if n.served(q.sent, q.finished) {
+			res.violation("lost: %s at %.3f to node %d has no answer after %.3f s", q.id, sent, q.node, took)
 		}
-	case ended:
-		// An end between two requests may cross the next one, which never runs then. A new connection has no request before.
-		if n.served(q.sent, q.over) && (q.fresh || len(q.arrivals) > 0) {
-			res.broke("lost: %s at %.3f to node %d met the end of its connection after %.3f s, %d arrivals, new %v", q.id, q.sent.Seconds(), q.node,
-				(q.over - q.sent).Seconds(), len(q.arrivals), q.fresh)
+	case outcomeIncomplete:
+		// The end of a connection between two requests may cross the second, which then never runs. A new connection has no request before.
+		if n.served(q.sent, q.finished) && (q.firstOnConn || len(q.arrivals) > 0) {
+			res.violation("lost: %s at %.3f to node %d met the end of its connection after %.3f s, %d arrivals, new %v",
+				q.id, sent, q.node, took, len(q.arrivals), q.firstOnConn)
 		}
-	case refused:
-		if q.class.effect == "once" && q.ran() > 0 {
-			res.broke("duplicate: %s at %.3f was refused, which promises that it never ran, and ran", q.id, q.sent.Seconds())
+	case outcomeRejected:
+		if q.class.effect == effectOnce && q.runs() > 0 {
+			res.violation("duplicate: %s at %.3f was rejected, which promises that it never ran, and ran", q.id, sent)
 		}
 	}
 }
 
-// checkRuns: what must run once does not run twice, and keys are not repeated beyond their window.
+// checkRuns checks that non-idempotent requests run once at most, and that keys are not repeated after their window.
 func (r *run) checkRuns(res *Result, q *request) {
-	first := time.Duration(-1)
+	var first *arrival
 	for _, a := range q.arrivals {
 		switch {
 		case !a.ran:
-		case first < 0:
-			first = a.at
-		case q.class.effect == "once":
-			res.broke("duplicate: %s ran at %.3f and at %.3f", q.id, first.Seconds(), a.at.Seconds())
-		case q.class.effect == "by_key" && a.at-first > keyWindow+scheduling:
-			res.broke("duplicate: %s ran again %.3f s later, beyond its window", q.id, (a.at - first).Seconds())
+		case first == nil:
+			first = a
+		case q.class.effect == effectOnce:
+			res.violation("duplicate: %s ran at %.3f and at %.3f", q.id, first.at.Seconds(), a.at.Seconds())
+		case q.class.effect == effectByKey && a.at-first.at > idempotencyWindow+schedulingDelay:
+			res.violation("duplicate: %s ran again %.3f s later, beyond its window", q.id, (a.at - first.at).Seconds())
 		}
 	}
 }
 
-// checkArrival: no attempt begins at a backend that drains or is gone, for a client that has gone, or with more time than is left.
+// checkArrival checks that no attempt starts at a backend that drains or was removed, for a client that has disconnected, or with more time
+// than is left until the deadline.
 func (r *run) checkArrival(res *Result, q *request, a *arrival) {
-	if over, c := r.members.sentTooLate(r.nodes[a.node], a); over > 0 {
-		res.broke("drain: %s, sent at %.3f, went from node %d to backend %d at %.3f, %.3f s after the node counted as notified of version %d (%s at %.3f)", q.id,
-			q.sent.Seconds(), a.node, a.backend, a.at.Seconds(), over.Seconds(), c.rev, c.state, c.at.Seconds())
-		res.explain(r.nodes[a.node])
-	}
-	if q.how == left && a.at > q.over+goneMost+scheduling {
-		res.broke("lost: %s began at backend %d %.3f s after its client had gone", q.id, a.backend, (a.at - q.over).Seconds())
-	}
-	leftOver := q.sent + q.class.deadline - a.at
-	if a.told >= 0 && a.told-leftOver > deadlineOver+scheduling {
-		res.broke("deadline: %s was told to have %.3f s with %.3f s left", q.id, a.told.Seconds(), leftOver.Seconds())
-	}
-}
-
-// sentTooLate tells by how much an arrival is later than the rules allow after its node counted as notified that the backend drains or is gone; 0: it is not.
-func (m *membership) sentTooLate(n *node, a *arrival) (worst time.Duration, broken change) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, c := range m.changes {
-		if c.backend != a.backend || c.state == inService || c.rev == 1 {
+	n := r.nodes[a.node]
+	if lateness, change := r.list.attemptAfterNotification(n, a); lateness > 0 {
+		res.violation("drain: %s, sent at %.3f, went from node %d to backend %d at %.3f, "+
+			"%.3f s after the node counted as notified of version %d (%s at %.3f)",
+			q.id, q.sent.Seconds(), a.node, a.backend, a.at.Seconds(),
+			lateness.Seconds(), change.revision, change.state, change.at.Seconds())
+		res.explain(n)
+	}
+	if q.outcome == outcomeDisconnected && a.at > q.finished+disconnectLimit+schedulingDelay {
+		res.violation("lost: %s started at backend %d %.3f s after its client had disconnected", q.id, a.backend, (a.at - q.finished).Seconds())
+	}
+	remaining := q.sent + q.class.deadline - a.at
+	if a.announced >= 0 && a.announced-remaining > deadlineSlack+schedulingDelay {
+		res.violation("deadline: %s was announced with %.3f s, and had %.3f s left", q.id, a.announced.Seconds(), remaining.Seconds())
+	}
+}
+
+// attemptAfterNotification returns how long before an arrival its node counted as notified that the backend drains or was removed, where
+// that is longer than the rules allow, and the change; 0 where it is not. Of several changes it returns the one with the longest time.
+func (l *endpointList) attemptAfterNotification(n *node, a *arrival) (worst time.Duration, violated listChange) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, change := range l.changes {
+		if change.backend != a.backend || change.state == stateInService || change.revision == firstRevision {
 			continue
 		}
-		notified, ok := m.notified(n, c)
-		if !ok || a.at <= notified+drainGrace+slack+scheduling {
+		notified, ok := l.notifiedAt(n, change)
+		if !ok || a.at <= notified+drainGrace+drainSlack+schedulingDelay {
 			continue
 		}
-		if over := a.at - notified; over > worst && !m.revived(n, c, a.at) {
-			worst, broken = over, c
+		if lateness := a.at - notified; lateness > worst && !l.returnedToService(n, change, a.at) {
+			worst, violated = lateness, change
 		}
 	}
-	return worst, broken
+	return worst, violated
 }
 
-// notified is when a node counts as notified of a change: when an answer with it was written, or at the latest so long after discovery had it and
-// could be reached.
-func (m *membership) notified(n *node, c change) (time.Duration, bool) {
-	at, ok := time.Duration(0), false
-	for _, t := range m.told[n.index] {
-		if t.rev >= c.rev && (!ok || t.at < at) {
-			at, ok = t.at, true
+// notifiedAt returns when a node counts as notified of a change: when an answer with it was written, or, at the latest, a limited time
+// after the change, in which discovery could be reached. The caller holds the mutex.
+func (l *endpointList) notifiedAt(n *node, change listChange) (at time.Duration, ok bool) {
+	for _, notification := range l.notifications[n.index] {
+		if notification.revision >= change.revision && (!ok || notification.completed < at) {
+			at, ok = notification.completed, true
 		}
 	}
-	if latest, reached := n.reachedFor(notifiedWithin, c.at); reached && (!ok || latest < at) {
+	if latest, reachable := n.reachableFor(notificationLimit, change.at); reachable && (!ok || latest < at) {
 		at, ok = latest, true
 	}
 	return at, ok
 }
 
-// revived tells whether a later change has put the backend back in service, as the node had been told by then.
-func (m *membership) revived(n *node, c change, by time.Duration) bool {
-	for _, later := range m.changes {
-		if later.backend != c.backend || later.rev <= c.rev || later.state != inService {
+// returnedToService reports whether a later change has put the backend back in service, and the node could know of it by a time. The caller
+// holds the mutex.
+func (l *endpointList) returnedToService(n *node, change listChange, by time.Duration) bool {
+	for _, later := range l.changes {
+		if later.backend != change.backend || later.revision <= change.revision || later.state != stateInService {
 			continue
 		}
-		for _, t := range m.told[n.index] {
-			if t.rev >= later.rev && t.begun <= by {
+		for _, notification := range l.notifications[n.index] {
+			if notification.revision >= later.revision && notification.started <= by {
 				return true
 			}
 		}
@@ -259,25 +194,27 @@
 	return false
 }
 
-// check: processes end in time, come back in time, and log nothing that must not be.
+// check checks that the node's processes became ready and exited in time, and logged nothing that is forbidden.
 func (n *node) check(res *Result) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for i, l := range n.lives {
-		if l.toldToEnd > 0 && (l.killed > 0 || l.ended-l.toldToEnd > stopWithin+scheduling) {
-			res.broke("stop: process %d of node %d was told to end at %.3f and had not %.3f s later", i, n.index, l.toldToEnd.Seconds(), (stopWithin + scheduling).Seconds())
+	for i, p := range n.incarnations {
+		if p.terminatedAt > 0 && (p.killedAt > 0 || p.exitedAt-p.terminatedAt > shutdownLimit+schedulingDelay) {
+			res.violation("stop: process %d of node %d was told to end at %.3f and had not %.3f s later",
+				i, n.index, p.terminatedAt.Seconds(), (shutdownLimit + schedulingDelay).Seconds())
 		}
-		if l.killed == 0 && l.toldToEnd == 0 && l.ended > 0 {
-			res.broke("crash: process %d of node %d ended by itself at %.3f", i, n.index, l.ended.Seconds())
+		if p.killedAt == 0 && p.terminatedAt == 0 && p.exitedAt > 0 {
+			res.violation("crash: process %d of node %d ended by itself at %.3f", i, n.index, p.exitedAt.Seconds())
 		}
-		end := max(l.killed, l.toldToEnd)
-		if l.ready == 0 && end-l.began > readyWithin {
-			res.broke("ready: process %d of node %d, started at %.3f, was not ready within %.0f s", i, n.index, l.began.Seconds(), readyWithin.Seconds())
+		end := max(p.killedAt, p.terminatedAt)
+		if p.ready == 0 && end-p.started > readyLimit {
+			res.violation("ready: process %d of node %d, started at %.3f, was not ready within %.0f s",
+				i, n.index, p.started.Seconds(), readyLimit.Seconds())
 		}
 	}
 	n.log.mu.Lock()
 	defer n.log.mu.Unlock()
-	for _, line := range n.log.bad {
-		res.broke("log of node %d: %s", n.index, line)
+	for _, line := range n.log.forbidden {
+		res.violation("log of node %d: %s", n.index, line)
 	}
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -9,152 +9,167 @@
 	"net"
 	"net/http"
 	"os"
+	"strings"
 	"time"
 )
 
-// outcome is what a client got for a request.
-type outcome uint8
-
-const (
-	open    outcome = iota
-	served          // 200 with the answer that was made for it
-	wrong           // 200 with something else
-	refused         // 429 or 503
-	failed          // any other whole answer
-	ended           // the connection ended without a whole answer
-	late            // nothing came in time
-	left            // the client closed its connection first
-	unsent          // there was no connection, or it broke before all was sent
-)
-
 // How clients behave.
 const (
-	patience    = 500 * time.Millisecond // after a request's time its answer may still come, and earns nothing
-	leavesOneIn = 20
-	restsOneIn  = 40
-	longestRest = 3 * time.Second
+	answerGrace     = 500 * time.Millisecond // after a request's deadline its answer may still come, and has no value
+	disconnectOneIn = 20                     // requests whose client disconnects before the answer
+	restOneIn       = 40
+	longestRest     = 3 * time.Second
+	shortestPauseMs = 5
+	pauseSpreadMs   = 50
+	reconnectPause  = 50 * time.Millisecond
+	connectTimeout  = time.Second
+	requestBody     = "work"
+	tenantName      = "t"
 )
 
-// client asks one node again and again.
+// client sends requests to one node, one after the other.
 type client struct {
 	run    *run
 	node   *node
 	name   string
 	random *rand.Rand
-	conn   net.Conn
-	in     *bufio.Reader
-	asked  int // requests on this connection
-	next   int
+
+	conn         net.Conn // nil: there is no connection
+	reader       *bufio.Reader
+	sentOnConn   int
+	requestsSent int
 }
 
+// loop sends requests until the end of the run.
 func (c *client) loop() {
-	defer c.hangUp()
-	for c.run.stop.Err() == nil {
-		c.pause(time.Duration(5+c.random.IntN(50)) * time.Millisecond)
-		if c.random.IntN(restsOneIn) == 0 {
-			c.pause(time.Duration(c.random.Int64N(int64(longestRest))))
+	defer c.disconnect()
+	for !c.run.ended() {
+		c.run.sleep(time.Duration(shortestPauseMs+c.random.IntN(pauseSpreadMs)) * time.Millisecond)
+		if c.random.IntN(restOneIn) == 0 {
+			c.run.sleep(time.Duration(c.random.Int64N(int64(longestRest))))
 		}
-		if c.conn == nil && !c.dial() {
-			c.pause(50 * time.Millisecond)
+		if c.conn == nil && !c.connect() {
+			c.run.sleep(reconnectPause)
 			continue
 		}
-		c.ask()
-	}
-}
-
-func (c *client) pause(d time.Duration) {
-	select {
-	case <-time.After(d):
-	case <-c.run.stop.Done():
+		c.call()
 	}
 }
 
-func (c *client) dial() bool {
-	conn, err := net.DialTimeout("tcp", c.node.listen, time.Second)
+func (c *client) connect() bool {
+	conn, err := net.DialTimeout("tcp", c.node.listen, connectTimeout)
 	if err != nil {
 		return false
 	}
-	c.conn, c.in, c.asked = conn, bufio.NewReader(conn), 0
+	c.conn, c.reader, c.sentOnConn = conn, bufio.NewReader(conn), 0
 	return true
 }
 
-func (c *client) hangUp() {
+func (c *client) disconnect() {
 	if c.conn != nil {
-		_ = c.conn.Close()
+		_ = c.conn.Close() // whatever it has not sent is of no use
 		c.conn = nil
 	}
 }
 
-// ask sends one request and takes its answer.
-func (c *client) ask() {
+// call sends one request and reads its answer.
+func (c *client) call() {
 	class := classes[c.random.IntN(len(classes))]
-	id := fmt.Sprintf("%s-%d", c.name, c.next)
-	c.next++
-	body := ""
-	method, key := "GET", ""
-	if class.effect != "repeatable" {
-		method, body = "POST", "work"
-	}
-	if class.effect == "by_key" {
-		key = "Idempotency-Key: k" + id + "\r\n"
+	q := &request{
+		id:          fmt.Sprintf("%s-%d", c.name, c.requestsSent),
+		node:        c.node.index,
+		class:       class,
+		firstOnConn: c.sentOnConn == 0,
 	}
-	q := &request{id: id, node: c.node.index, class: class, fresh: c.asked == 0}
-	text := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nX-Trace-Id: %s\r\nX-Customer: t\r\nX-Expires-In-Ms: %d\r\n%sContent-Length: %d\r\n\r\n%s",
-		method, class.name, id, class.deadline.Milliseconds(), key, len(body), body)
-	c.asked++
-	c.run.record.begin(q, c.run.now())
-	if _, err := io.WriteString(c.conn, text); err != nil {
-		c.over(q, unsent)
+	c.requestsSent++
+	c.sentOnConn++
+	c.run.record.start(q, c.run.now())
+	if _, err := io.WriteString(c.conn, encode(q)); err != nil {
+		c.disconnect()
+		c.finish(q, outcomeNotSent)
 		return
 	}
-	if c.random.IntN(leavesOneIn) == 0 {
-		c.pause(time.Duration(c.random.Int64N(int64(class.deadline / 4))))
-		if c.in.Buffered() == 0 {
-			c.leave(q)
+	if c.random.IntN(disconnectOneIn) == 0 {
+		c.run.sleep(time.Duration(c.random.Int64N(int64(class.deadline / 4))))
+		if c.reader.Buffered() == 0 {
+			c.disconnect()
+			c.finish(q, outcomeDisconnected)
 			return
 		}
 	}
-	_ = c.conn.SetReadDeadline(time.Now().Add(class.deadline + patience + 2*scheduling))
-	c.take(q)
+	_ = c.conn.SetReadDeadline(time.Now().Add(class.deadline + answerGrace + 2*schedulingDelay)) // it fails on closed connections only
+	c.receive(q)
 }
 
-// leave closes the connection under its request.
-func (c *client) leave(q *request) {
-	c.hangUp()
-	c.run.record.end(q, left, c.run.now())
+// encode returns a request as it is sent.
+func encode(q *request) string {
+	method, body := http.MethodGet, ""
+	if q.class.effect != effectRepeatable {
+		method, body = http.MethodPost, requestBody
+	}
+	lines := []string{
+		fmt.Sprintf("%s /%s HTTP/1.1", method, q.class.name),
+		"Host: h",
+		"X-Trace-Id: " + q.id,
+		"X-Customer: " + tenantName,
+		fmt.Sprintf("X-Expires-In-Ms: %d", q.class.deadline.Milliseconds()),
+	}
+	if q.class.effect == effectByKey {
+		lines = append(lines, "Idempotency-Key: k"+q.id)
+	}
+	lines = append(lines, fmt.Sprintf("Content-Length: %d", len(body)), "", body)
+	return strings.Join(lines, "\r\n")
 }
 
-func (c *client) over(q *request, how outcome) {
-	c.hangUp()
-	c.run.record.end(q, how, c.run.now())
+func (c *client) finish(q *request, result outcome) {
+	c.run.record.finish(q, result, c.run.now())
 }
 
-// take reads the answer to a request.
-func (c *client) take(q *request) {
-	resp, err := http.ReadResponse(c.in, nil)
-	var body []byte
-	if err == nil {
-		body, err = io.ReadAll(resp.Body)
-	}
+// receive reads the answer to a request and records its outcome.
+func (c *client) receive(q *request) {
+	received, err := readAnswer(c.reader)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.over(q, late)
+		c.disconnect()
+		c.finish(q, outcomeLate)
 		return
 	case err != nil:
-		c.over(q, ended)
+		c.disconnect()
+		c.finish(q, outcomeIncomplete)
 		return
 	}
-	how := failed
-	switch {
-	case resp.StatusCode == http.StatusOK && string(body) == answerTo(q.id):
-		how = served
-	case resp.StatusCode == http.StatusOK:
-		how = wrong
-	case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode == http.StatusTooManyRequests:
-		how = refused
+	c.finish(q, received.outcome(q))
+	if received.closesConnection {
+		c.disconnect()
 	}
-	c.run.record.end(q, how, c.run.now())
-	if resp.Close {
-		c.hangUp()
+}
+
+// answer is a complete answer of a node.
+type answer struct {
+	status           int
+	body             string
+	closesConnection bool
+}
+
+func readAnswer(reader *bufio.Reader) (answer, error) {
+	response, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		return answer{}, err
+	}
+	defer func() { _ = response.Body.Close() }() // the client closes the connection after an error
+	body, err := io.ReadAll(response.Body)
+	return answer{status: response.StatusCode, body: string(body), closesConnection: response.Close}, err
+}
+
+// outcome returns what the answer means for its request.
+func (a answer) outcome(q *request) outcome {
+	switch {
+	case a.status == http.StatusOK && a.body == answerTo(q.id):
+		return outcomeServed
+	case a.status == http.StatusOK:
+		return outcomeWrongAnswer
+	case a.status == http.StatusServiceUnavailable, a.status == http.StatusTooManyRequests:
+		return outcomeRejected
 	}
+	return outcomeFailed
 }
