--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -10,25 +10,25 @@
 	"tulipglade/internal/workload"
 )
 
-// What the clients' events mean.
+// Kinds of the clients' events. The kind of an answer is clientAnswered plus its invariant.Final.
 const (
 	clientCallDue          = iota // the next call is due
-	clientAnswered                // P: the request; A: when to come back, µs. This and the next two are in judge's order
-	clientRejected                //
-	clientFailed                  //
-	clientTimedOut                // P: the request, whose try is given up
-	clientNodeUnreachable         // P: the request: its node does not run, so it never ran
-	clientConnectionBroken        // P: the request: its node died with it
-	clientRetryDue                // P: the call, whose next try is due
-	clientCancels                 // P: the request, whose client does not wait to the end
+	clientAnswered                // P: the request; A: Retry-After, µs. This and the next two are in the order of invariant.Final
+	clientRejected                // as above
+	clientFailed                  // as above
+	clientTimedOut                // P: the request, which the client gives up
+	clientNodeUnreachable         // P: the request, which never ran because its node does not run
+	clientConnectionBroken        // P: the request, whose node stopped while it had it
+	clientRetryDue                // P: the call, whose next request is due
+	clientCancels                 // P: the request, which the client cancels
 )
 
-// call is a call in the lab: what the client wants, and how far it has got.
+// call is what a client wants answered; it may take several requests.
 type call struct {
 	workload.Call
 	idempotency    balancer.Idempotency
-	overQuota      bool // beyond its tenant's share
-	measured       bool // after the warm-up
+	overQuota      bool // beyond its tenant's quota
+	measured       bool // due after the warm-up
 	finished       bool
 	dueAt          eventqueue.Time
 	deadline       eventqueue.Time
@@ -47,53 +47,65 @@
 	arrivals        *workload.Schedule
 	retryPolicy     *workload.Retry
 	nextCall        workload.Call
-	onlyCalls       map[int]bool
-	quotaSecond     int64     // in which left holds
-	remainingQuotas []float64 // of each tenant's quota in that second
+	onlyCalls       map[int]bool // numbers of the calls that are sent; nil: all
+	quotaSecond     int64        // the second that remainingQuotas belongs to
+	remainingQuotas []float64    // calls of each tenant that are within its quota
 }
 
 func (s *Simulation) newClients() (*clientPopulation, error) {
-	c := &clientPopulation{simulation: s, source: eventqueue.NewSource(sourceClients), random: eventqueue.NewStream(s.seed, "clients"), quotaSecond: -1,
-		retryPolicy: workload.NewRetry(s.scenario, s.seed)}
+	p := &clientPopulation{
+		simulation:  s,
+		source:      eventqueue.NewSource(sourceClients),
+		random:      eventqueue.NewStream(s.seed, "clients"),
+		quotaSecond: -1,
+		retryPolicy: workload.NewRetry(s.scenario, s.seed),
+	}
 	if len(s.scenario.OnlyCalls) > 0 {
-		c.onlyCalls = map[int]bool{}
-		for _, n := range s.scenario.OnlyCalls {
-			c.onlyCalls[n] = true
+		p.onlyCalls = map[int]bool{}
+		for _, number := range s.scenario.OnlyCalls {
+			p.onlyCalls[number] = true
 		}
 	}
 	var err error
-	if c.arrivals, err = workload.NewSchedule(s.scenario, s.seed, s.capacity, s.faults); err != nil {
+	if p.arrivals, err = workload.NewSchedule(s.scenario, s.seed, s.capacity, s.faults); err != nil {
 		return nil, err
 	}
-	return c, c.scheduleNextCall()
+	return p, p.scheduleNextCall()
+}
+
+func (p *clientPopulation) schedule(delay eventqueue.Span, event eventqueue.Event) {
+	p.simulation.events.After(&p.source, delay, event)
 }
 
-// scheduleNextCall sets the next call.
+// scheduleNextCall sets the event of the next call, if there is one.
 func (p *clientPopulation) scheduleNextCall() error {
 	var err error
-	if p.nextCall, err = p.arrivals.Next(); errors.Is(err, io.EOF) {
+	p.nextCall, err = p.arrivals.Next()
+	if errors.Is(err, io.EOF) {
 		return nil
-	} else if err != nil {
+	}
+	if err != nil {
 		return err
 	}
 	p.simulation.events.At(&p.source, origin+p.nextCall.At, eventqueue.Event{To: p, Kind: clientCallDue})
 	return nil
 }
 
-// Handle takes the clients' events.
+// Handle processes the clients' events.
 func (p *clientPopulation) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
 	case clientCallDue:
 		c := &call{Call: p.nextCall, dueAt: now}
 		if err := p.scheduleNextCall(); err != nil {
-			panic(err) // a trace whose later lines are wrong
+			panic(err) // a line of a trace file is wrong; Run returns it as an error
 		}
 		p.startCall(now, c)
 	case clientRetryDue:
 		p.sendRequest(now, e.P.(*call))
 	case clientCancels:
 		if r := e.P.(*request); r.call.currentRequest == r && !r.call.finished {
-			p.simulation.events.After(&p.source, p.simulation.clientDelay(&p.random, r.call.Site, r.node.site), eventqueue.Event{To: r.node, Kind: nodeClientCanceled, P: r})
+			delay := p.simulation.clientDelay(&p.random, r.call.Site, r.node.site)
+			p.schedule(delay, eventqueue.Event{To: r.node, Kind: nodeClientCanceled, P: r})
 			p.finishCall(now, r.call, outcomeCanceled)
 		}
 	default:
@@ -104,17 +116,17 @@
 }
 
 func (p *clientPopulation) startCall(now eventqueue.Time, c *call) {
-	s := p.simulation.scenario
+	sc := p.simulation.scenario
 	p.callCount++
 	if p.onlyCalls != nil && !p.onlyCalls[int(c.Number)] {
 		return
 	}
-	class := &s.Classes[c.Class]
+	class := &sc.Classes[c.Class]
 	c.idempotency = p.simulation.classes[c.Class].Idempotency
 	c.deadline = now + fromMilliseconds(class.Deadline)
-	c.measured = now >= origin+eventqueue.Span(s.WarmUp*1e6)
-	if sec := now / eventqueue.Second; sec != p.quotaSecond {
-		p.quotaSecond = sec
+	c.measured = now >= origin+eventqueue.Span(sc.WarmUp*1e6)
+	if second := now / eventqueue.Second; second != p.quotaSecond {
+		p.quotaSecond = second
 		p.remainingQuotas = append(p.remainingQuotas[:0], p.simulation.quotas...)
 	}
 	p.remainingQuotas[c.Tenant]--
@@ -123,65 +135,55 @@
 	p.sendRequest(now, c)
 }
 
-// sendRequest makes the next try, through the front of the client's site.
+// sendRequest sends the call's next request, through the frontend of the client's site.
 func (p *clientPopulation) sendRequest(now eventqueue.Time, c *call) {
 	p.lastRequestID++
 	r := &request{id: p.lastRequestID, call: c, number: c.requestCount}
 	c.requestCount++
 	c.currentRequest = r
-	d := eventqueue.NewDraws(p.simulation.seed, c.Number<<8|uint64(r.number), drawRequest)
+	draws := eventqueue.NewDraws(p.simulation.seed, c.Number<<8|uint64(r.number), drawRequest)
 	r.deadline = now + p.retryPolicy.Timeout(&c.Call, now-c.dueAt)
-	r.node = p.simulation.selectNode(c.Site, d.Float64(), d.Float64())
+	r.node = p.simulation.selectNode(c.Site, draws.Float64(), draws.Float64())
 	r.replyTo = r.node
-	p.simulation.events.After(&p.source, p.simulation.clientDelay(&p.random, c.Site, r.node.site), eventqueue.Event{To: r.node, Kind: nodeRequest, P: r})
+	delay := p.simulation.clientDelay(&p.random, c.Site, r.node.site)
+	p.schedule(delay, eventqueue.Event{To: r.node, Kind: nodeRequest, P: r})
 	p.simulation.events.At(&p.source, r.deadline, eventqueue.Event{To: p, Kind: clientTimedOut, P: r})
-	if d.Float64() < p.simulation.scenario.Clients.Impatient {
-		cancelAt := now + eventqueue.Span(d.Float64()*float64(r.deadline-now))
+	if draws.Float64() < p.simulation.scenario.Clients.Impatient {
+		cancelAt := now + eventqueue.Span(draws.Float64()*float64(r.deadline-now))
 		p.simulation.events.At(&p.source, cancelAt, eventqueue.Event{To: p, Kind: clientCancels, P: r})
 	}
 }
 
-// How a call ended.
-const (
-	outcomeServed = iota
-	outcomeLate   // served after the aim
-	outcomeRejected
-	outcomeFailed
-	outcomeTimedOut
-	outcomeCanceled
-	outcomeCount
-)
-
-var outcomeNames = [outcomeCount]string{"served", "late", "refused", "failed", "timed-out", "left"}
-
+// handleRequestEnd ends the call with the outcome of its request, or schedules a retry.
 func (p *clientPopulation) handleRequestEnd(now eventqueue.Time, r *request, kind uint8, retryIn eventqueue.Span) {
-	c, s := r.call, p.simulation.scenario
-	clientOutcome, callOutcome := workload.Failed, outcomeFailed
-	switch kind {
-	case clientAnswered + uint8(invariant.Served):
-		callOutcome = outcomeLate
-		if now-c.dueAt <= fromMilliseconds(s.Classes[c.Class].LatencyObjective) {
-			callOutcome = outcomeServed
+	c := r.call
+	if kind == clientAnswered+uint8(invariant.Served) {
+		outcome := outcomeLate
+		if now-c.dueAt <= fromMilliseconds(p.simulation.scenario.Classes[c.Class].LatencyObjective) {
+			outcome = outcomeServed
 		}
-		p.finishCall(now, c, callOutcome)
+		p.finishCall(now, c, outcome)
 		return
+	}
+	requestOutcome, outcome := workload.Failed, outcomeFailed
+	switch kind {
 	case clientRejected:
-		clientOutcome, callOutcome = workload.Rejected, outcomeRejected
+		requestOutcome, outcome = workload.Rejected, outcomeRejected
 	case clientNodeUnreachable:
-		clientOutcome, callOutcome = workload.Unreachable, outcomeRejected
+		requestOutcome, outcome = workload.Unreachable, outcomeRejected
 	case clientTimedOut:
-		clientOutcome, callOutcome = workload.Timeout, outcomeTimedOut
+		requestOutcome, outcome = workload.Timeout, outcomeTimedOut
 	}
-	wait, shouldRetry := p.retryPolicy.Next(&c.Call, clientOutcome, c.requestCount, now-c.dueAt, retryIn)
+	wait, shouldRetry := p.retryPolicy.Next(&c.Call, requestOutcome, c.requestCount, now-c.dueAt, retryIn)
 	if !shouldRetry {
-		p.finishCall(now, c, callOutcome)
+		p.finishCall(now, c, outcome)
 		return
 	}
 	c.currentRequest = nil
-	p.simulation.events.After(&p.source, wait, eventqueue.Event{To: p, Kind: clientRetryDue, P: c})
+	p.schedule(wait, eventqueue.Event{To: p, Kind: clientRetryDue, P: c})
 }
 
-func (p *clientPopulation) finishCall(now eventqueue.Time, c *call, how int) {
+func (p *clientPopulation) finishCall(now eventqueue.Time, c *call, outcome callOutcome) {
 	c.finished, c.currentRequest = true, nil
-	p.simulation.recorder.recordCallEnd(c, how, now)
+	p.simulation.recorder.recordCallEnd(c, outcome, now)
 }
