--- a/internal/simulation/emulator/invariants_test.go
+++ b/internal/simulation/emulator/invariants_test.go
@@ -25,8 +25,8 @@
 
 func brokenPolicy(violation string) policy.Maker {
 	return func(e policy.Env) (policy.Policy, error) {
-		b := &broken{Commands: e.Actions, env: e, violation: violation, classes: map[balancer.RequestID]int{}}
-		e.Actions = b
+		b := &broken{Commands: e.Commands, env: e, violation: violation, classes: map[balancer.RequestID]int{}}
+		e.Commands = b
 		m, err := policy.Find("least-outstanding")
 		if err != nil {
 			return nil, err
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -86,12 +86,12 @@
 	config := n.simulation.scenario.Config(n.site, n.simulation.quotas)
 	config.PeerIndex = n.index
 	p, err := n.simulation.newPolicy(policy.Env{
-		Config:  config,
-		Seed:    seed,
-		Node:    n.index,
-		Actions: n,
-		Publish: n.publishDatagram,
-		Truth:   n.oracleLatency,
+		Config:        config,
+		Seed:          seed,
+		Node:          n.index,
+		Commands:      n,
+		Publish:       n.publishDatagram,
+		OracleLatency: n.oracleLatency,
 	})
 	if err != nil {
 		return err
--- a/internal/simulation/experiment/cost.go
+++ b/internal/simulation/experiment/cost.go
@@ -65,8 +65,8 @@
 	n.cfg = sc.Config(0, make([]float64, len(sc.Tenants)))
 	n.cfg.PollDiscovery = false
 	n.sim.Run(1000 * eventqueue.Second)
-	n.p, err = maker(policy.Env{Config: n.cfg, Seed: 1, Actions: n, Publish: func(int, []byte) {},
-		Truth: func(balancer.EndpointID) float64 { return 1 }})
+	n.p, err = maker(policy.Env{Config: n.cfg, Seed: 1, Commands: n, Publish: func(int, []byte) {},
+		OracleLatency: func(balancer.EndpointID) float64 { return 1 }})
 	if err != nil {
 		return Cost{}, err
 	}
