--- a/internal/simulation/eventqueue/eventqueue_test.go
+++ b/internal/simulation/eventqueue/eventqueue_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same verdict on every run: cases are drawn from one seed. Others: go test -args -rapid.seed N.
+// TestMain draws the cases of every run from one seed. For others: go test -args -rapid.seed N.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -18,12 +18,12 @@
 	m.Run()
 }
 
-type recorder struct{ got []int64 }
+type recorder struct{ received []int64 }
 
-func (r *recorder) Handle(_ Time, e Event) { r.got = append(r.got, e.A) }
+func (r *recorder) Handle(_ Time, e Event) { r.received = append(r.received, e.A) }
 
-// What order the events are set in, over all sources, must not matter: only instant, source and place in the source.
-func TestOrderIsDefined(t *testing.T) {
+// The order in which different sources set their events must not matter: only time, source and order within the source do.
+func TestOrderDependsOnlyOnTimeAndSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type ev struct {
 			at       Time
@@ -55,8 +55,8 @@
 		for i := range srcs {
 			srcs[i] = NewSource(uint32(i))
 		}
-		left := len(all)
-		for left > 0 { // the sources take turns by chance
+		remaining := len(all)
+		for remaining > 0 { // the sources set their events in random order
 			s := rapid.IntRange(0, sources-1).Draw(t, "turn")
 			if len(queues[s]) == 0 {
 				for s = 0; len(queues[s]) == 0; s++ {
@@ -65,12 +65,12 @@
 			e := queues[s][0]
 			queues[s] = queues[s][1:]
 			sim.At(&srcs[s], e.at, Event{To: rec, A: int64(e.src*100 + e.pos)})
-			left--
+			remaining--
 		}
 		sim.Run(10)
 		for i, e := range all {
-			if rec.got[i] != int64(e.src*100+e.pos) {
-				t.Fatalf("place %d: %d, want source %d's %d", i, rec.got[i], e.src, e.pos)
+			if rec.received[i] != int64(e.src*100+e.pos) {
+				t.Fatalf("position %d: %d, want source %d's %d", i, rec.received[i], e.src, e.pos)
 			}
 		}
 		if sim.Now() != 10 || sim.Pending() != 0 || sim.Done() != uint64(len(all)) {
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestPastIsNow(t *testing.T) {
+func TestEventInThePastIsHandledNow(t *testing.T) {
 	var sim Sim
 	src, rec := NewSource(1), &recorder{}
 	sim.Run(100)
@@ -89,12 +89,12 @@
 	}
 }
 
-func TestStreamsOfOthersStayAsTheyAre(t *testing.T) {
+func TestStreamDependsOnlyOnSeedAndName(t *testing.T) {
 	a, b := NewStream(1, "box 1"), NewStream(1, "box 2")
-	again := NewStream(1, "box 1")
+	same := NewStream(1, "box 1")
 	for range 10 {
 		b.Uint64()
-		if a.Uint64() != again.Uint64() {
+		if a.Uint64() != same.Uint64() {
 			t.Fatal("a stream depends on more than seed and name")
 		}
 	}
@@ -103,10 +103,10 @@
 	}
 }
 
-func TestDrawsHaveTheirMeans(t *testing.T) {
+func TestDrawsHaveExpectedMoments(t *testing.T) {
 	exp, norm, sq := 0.0, 0.0, 0.0
 	const n = 200000
-	for i := range uint64(n) { // one draw from each of many streams: neighbours must not be alike
+	for i := range uint64(n) { // one draw from each of many streams: neighbours must not correlate
 		d := NewDraws(7, i, 0)
 		exp += d.Exp() / n
 		x := d.Norm()
@@ -118,18 +118,18 @@
 	}
 }
 
-// ticker keeps itself going, as timers and messages of a model do.
+// ticker sets a next event with each event, as timers and messages of a simulation do.
 type ticker struct {
-	sim *Sim
-	src Source
-	r   *rand.PCG
+	sim    *Sim
+	src    Source
+	random *rand.PCG
 }
 
 func (t *ticker) Handle(Time, Event) {
-	t.sim.After(&t.src, Span(t.r.Uint64()>>44), Event{To: t})
+	t.sim.After(&t.src, Span(t.random.Uint64()>>44), Event{To: t})
 }
 
-// BenchmarkEvents is the core alone, with so many events pending; one op is one event.
+// BenchmarkEvents measures one event with so many pending.
 func BenchmarkEvents(b *testing.B) {
 	for name, pending := range map[string]int{"pending=1000": 1000, "pending=100000": 100000} {
 		b.Run(name, func(b *testing.B) {
@@ -146,14 +146,14 @@
 	}
 }
 
-// The standard library's heap on the same load, for the design note.
-type binary []entry
+// binaryHeap is the standard library's heap, for comparison.
+type binaryHeap []entry
 
-func (h binary) Len() int           { return len(h) }
-func (h binary) Less(i, j int) bool { return h[i].before(h[j]) }
-func (h binary) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *binary) Push(x any)        { *h = append(*h, x.(entry)) }
-func (h *binary) Pop() any {
+func (h binaryHeap) Len() int           { return len(h) }
+func (h binaryHeap) Less(i, j int) bool { return h[i].before(h[j]) }
+func (h binaryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *binaryHeap) Push(x any)        { *h = append(*h, x.(entry)) }
+func (h *binaryHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -164,14 +164,14 @@
 	for name, pending := range map[string]int{"pending=1000": 1000, "pending=100000": 100000} {
 		b.Run(name, func(b *testing.B) {
 			r := rand.NewPCG(1, 1)
-			var h binary
+			var h binaryHeap
 			for i := range pending {
-				heap.Push(&h, entry{at: Time(r.Uint64() >> 44), key: uint64(i)})
+				heap.Push(&h, entry{dueAt: Time(r.Uint64() >> 44), key: uint64(i)})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				x := heap.Pop(&h).(entry)
-				x.at += Time(r.Uint64() >> 44)
+				x.dueAt += Time(r.Uint64() >> 44)
 				heap.Push(&h, x)
 			}
 		})
