--- a/cmd/tulipctl/simulate.go
+++ b/cmd/tulipctl/simulate.go
@@ -119,7 +119,7 @@
 		About string `json:"about"`
 	}
 	var all []line
-	for _, n := range scenario.Shipped() {
+	for _, n := range scenario.BuiltIn() {
 		sc, err := scenario.Read(n)
 		if err != nil {
 			return err
--- a/cmd/tulipctl/survey_test.go
+++ b/cmd/tulipctl/survey_test.go
@@ -17,7 +17,7 @@
 	node := buildNode(t)
 	played := 0
 	for seed := uint64(1); played < 12; seed++ {
-		d := scenario.Draw(seed)
+		d := scenario.DrawDeployment(seed)
 		sc := d.Scenario()
 		if sc.Classes[0].Work < 40 || sc.Classes[0].Deadline > 2500 { // sockets have delays of their own, and tests no time
 			continue
@@ -29,7 +29,7 @@
 		}
 		live := emulator.NewLive(sc, seed, discardEffects{})
 		sc.Seconds, sc.WarmUp, sc.Load.PerS = 2, 0, min(60, sc.Load.Level*live.Capacity()*1e6/workload.MeanWork(sc))
-		t.Run(strings.Join(d.RaisedSettings(), "; "), func(t *testing.T) {
+		t.Run(strings.Join(d.NonDefaultSettings(), "; "), func(t *testing.T) {
 			f, err := startCluster(t.Context(), sc, seed, nil, node, t.TempDir(), nil)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/simulation/experiment/survey.go
+++ b/internal/simulation/experiment/survey.go
@@ -27,7 +27,7 @@
 }
 
 // try plays a deployment under both policies.
-func try(d scenario.DrawnScenario, seed uint64, margin float64) (Surveyed, error) {
+func try(d scenario.Deployment, seed uint64, margin float64) (Surveyed, error) {
 	out := Surveyed{Seed: seed, Broken: map[invariant.Rule]int{}}
 	sc := d.Scenario()
 	if err := sc.Check(); err != nil {
@@ -68,13 +68,13 @@
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			d := scenario.Draw(seed)
+			d := scenario.DrawDeployment(seed)
 			got, err := try(d, seed, margin)
 			if err != nil {
 				return err
 			}
 			if got.Fault != "" {
-				if got.RaisedSettings, err = blame(d, func(d scenario.DrawnScenario) (bool, error) {
+				if got.RaisedSettings, err = blame(d, func(d scenario.Deployment) (bool, error) {
 					again, err := try(d, seed, margin)
 					return again.Fault == got.Fault, err
 				}); err != nil {
@@ -95,15 +95,15 @@
 }
 
 // blame turns knobs back while the deployment still fails alike, and names those that are left.
-func blame(d scenario.DrawnScenario, fails func(scenario.DrawnScenario) (bool, error)) ([]string, error) {
+func blame(d scenario.Deployment, fails func(scenario.Deployment) (bool, error)) ([]string, error) {
 	var turned []int
 	for i, at := range d {
 		if at > 0 {
 			turned = append(turned, i)
 		}
 	}
-	with := func(keep []int) scenario.DrawnScenario {
-		out := make(scenario.DrawnScenario, len(d))
+	with := func(keep []int) scenario.Deployment {
+		out := make(scenario.Deployment, len(d))
 		for _, i := range keep {
 			out[i] = d[i]
 		}
@@ -118,5 +118,5 @@
 		yes, failed = fails(with(keep))
 		return yes && failed == nil
 	})
-	return with(keep).RaisedSettings(), failed
+	return with(keep).NonDefaultSettings(), failed
 }
--- a/internal/simulation/experiment/survey_test.go
+++ b/internal/simulation/experiment/survey_test.go
@@ -47,11 +47,11 @@
 		return 0
 	}
 	report, probes := knob("report"), knob("probes")
-	d := make(scenario.DrawnScenario, len(scenario.Knobs))
+	d := make(scenario.Deployment, len(scenario.Knobs))
 	for i, k := range scenario.Knobs {
 		d[i] = len(k.Settings) - 1
 	}
-	got, err := blame(d, func(d scenario.DrawnScenario) (bool, error) { return d[report] > 0 && d[probes] > 0, nil })
+	got, err := blame(d, func(d scenario.Deployment) (bool, error) { return d[report] > 0 && d[probes] > 0, nil })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/experiment/sweep.go
+++ b/internal/simulation/experiment/sweep.go
@@ -105,7 +105,7 @@
 // Cells reads the sweep's scenario, checks every point of the grid, and lists the runs in order.
 func (s *Sweep) Cells(dir string) ([]Cell, string, error) {
 	name := s.Scenario
-	if !slices.Contains(scenario.Shipped(), name) && !filepath.IsAbs(name) {
+	if !slices.Contains(scenario.BuiltIn(), name) && !filepath.IsAbs(name) {
 		name = filepath.Join(dir, name)
 	}
 	file, raw, err := scenario.Source(name)
--- /dev/null
+++ b/internal/simulation/scenario/check.go
@@ -0,0 +1,329 @@
+package scenario
+
+import (
+	"fmt"
+	"math"
+	"slices"
+
+	"tulipglade/internal/tomlfile"
+)
+
+const (
+	secondsPerDay = 86400
+	maxSites      = 100
+)
+
+var (
+	loadShapes = []string{"steady", "constant", "wave", "ramp", "steps", "surge", "trace"}
+	hintKinds  = []string{"none", "rough", "exact"}
+	workDists  = []string{"exp", "lognormal", "constant"}
+)
+
+// Check fills in the lists that the file omits, and returns an error that names the first impossible value.
+func (s *Scenario) Check() error {
+	s.fillLists()
+	for _, check := range []func() error{
+		s.checkBounds,
+		s.checkSites,
+		s.checkReport,
+		s.checkHints,
+		s.checkLoad,
+		s.checkKinds,
+		s.checkClasses,
+		s.checkTenants,
+		s.checkShares,
+		s.checkFaults,
+	} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// within checks the bounds of a number.
+func within(path string, x, least, most float64) error {
+	if math.IsNaN(x) || x < least || x > most {
+		return tomlfile.Invalidf(path, "%g is not within %g and %g", x, least, most)
+	}
+	return nil
+}
+
+// ordered checks the order and the bounds of a range.
+func ordered(path string, r Range, least, most float64) error {
+	if len(r) != 2 {
+		return tomlfile.Invalidf(path, "a range has two ends, not %d", len(r))
+	}
+	if !(r[0] >= least && r[0] <= r[1] && r[1] <= most) {
+		return tomlfile.Invalidf(path, "%g to %g is no range within %g and %g", r[0], r[1], least, most)
+	}
+	return nil
+}
+
+// firstError returns the first error of a list that is not nil.
+func firstError(errs ...error) error {
+	for _, err := range errs {
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkBounds checks all numbers outside of lists.
+func (s *Scenario) checkBounds() error {
+	return firstError(
+		within("seconds", s.Seconds, 0.1, secondsPerDay),
+		within("warm_up_s", s.WarmUp, 0, s.Seconds),
+		s.Fleet.checkBounds(),
+		within("nodes.count", float64(s.Nodes.Count), 1, 1e4),
+		within("nodes.tick_ms", s.Nodes.Tick, 0, 1000),
+		within("nodes.front_notices_ms", s.Nodes.Notice, 0, 1e6),
+		s.Load.checkBounds(),
+		s.Clients.checkBounds(),
+		s.Net.checkBounds(),
+		s.Discovery.checkBounds(),
+		s.Rules.checkBounds(),
+		within("goal.over_share_worth", s.Goal.OverShare, 0, 1),
+		within("goal.quota_of_capacity", s.Goal.Quota, 0, 100),
+	)
+}
+
+func (f *Fleet) checkBounds() error {
+	return firstError(
+		within("fleet.boxes", float64(f.Backends), 1, 1e5),
+		within("fleet.rack", float64(f.Rack), 1, 1e5),
+		within("fleet.overdrive.waiting_per_core", f.Overdrive.PerCore, 0, 1e6),
+		within("fleet.overdrive.slower", f.Overdrive.Slower, 1, 1000),
+		within("fleet.affinity.gain", f.Affinity.Gain, 0, 1),
+		within("fleet.report.every_ms", f.Report.Every, 0, 1e6),
+		within("fleet.report.noise", f.Report.Noise, 0, 10),
+		within("fleet.connections.per_core", f.Conns.PerCore, 0, 1e6),
+		within("fleet.connections.idle_ms", f.Conns.Idle, 0, 1e9),
+		within("fleet.connections.timeout_ms", f.Conns.Timeout, 1, 1e6),
+	)
+}
+
+func (l *Load) checkBounds() error {
+	return firstError(
+		within("load.level", l.Level, 0, 100),
+		within("load.per_s", l.PerS, 0, 1e7),
+		within("load.swing", l.Swing, 0, 1),
+		within("load.wave_s", l.Period, 0.1, secondsPerDay),
+		within("load.peak", l.Peak, 0, 1000),
+		within("load.trace_speed", l.Speed, 1e-3, 1e3),
+		within("load.site_skew", l.SiteSkew, 0, 1),
+		within("load.keys", float64(l.Keys), 0, 1e7),
+		within("load.key_zipf", l.Zipf, 0, 10),
+	)
+}
+
+func (c *Clients) checkBounds() error {
+	return firstError(
+		within("clients.retries", float64(c.Retries), 0, 100),
+		within("clients.try_share", c.TimeoutShare, 0.01, 1),
+		within("clients.backoff_ms", c.Backoff, 0, 1e6),
+		within("clients.backoff_growth", c.Growth, 1, 100),
+		within("clients.backoff_jitter", c.Jitter, 0, 1),
+		within("clients.heed", c.Heed, 0, 1),
+		within("clients.max_retry_after_ms", c.MaxRetryAfter, 0, 1e6),
+		within("clients.impatient", c.Impatient, 0, 1),
+	)
+}
+
+func (n *Net) checkBounds() error {
+	return firstError(
+		within("net.same_ms", n.Same, 0, 1e4),
+		within("net.cross_ms", n.Cross, 0, 1e4),
+		within("net.client_ms", n.Client, 0, 1e4),
+		within("net.jitter", n.Jitter, 0, 10),
+		within("net.peer_loss", n.Loss, 0, 1),
+		within("net.reset_rate", n.Reset, 0, 1),
+		within("net.stale_idle", n.Stale, 0, 1),
+		ordered("net.peer_ms", n.Peer, 0, 1e5),
+	)
+}
+
+func (d *Discovery) checkBounds() error {
+	return firstError(
+		ordered("discovery.notice_ms", d.Notice, 0, 1e6),
+		ordered("discovery.silent_notice_ms", d.Silent, 0, 1e6),
+		ordered("discovery.spread_ms", d.Spread, 0, 1e6),
+		within("discovery.calls_per_s", d.PerS, 1e-3, 1e9),
+		within("discovery.lines_per_s", d.LinesPerS, 1, 1e12),
+		within("discovery.timeout_ms", d.Timeout, 1, 1e6),
+		within("discovery.ask_every_ms", d.PollInterval, 0, 1e9),
+	)
+}
+
+func (r *Rules) checkBounds() error {
+	return firstError(
+		within("rules.price_probe", r.HealthCheckCost, 0, 100),
+		within("rules.answer_grace_ms", r.AnswerGrace, 0, 1e5),
+		within("rules.drain_grace_ms", r.DrainGrace, 0, 1e6),
+		within("rules.cold_from", r.SlowStartInitial, 0, 1),
+		within("rules.cold_multiple", r.OverloadFactor, 0, 1000),
+		within("rules.cold_ramp_ms", r.SlowStartDuration, 0, 1e7),
+		within("rules.cold_window_ms", r.OverloadWindow, 0, 1e6),
+		within("rules.max_attempts", float64(r.MaxAttempts), 1, 100),
+	)
+}
+
+func (s *Scenario) checkSites() error {
+	sites := s.Fleet.Sites
+	if len(sites) == 0 || len(sites) > maxSites {
+		return tomlfile.Invalidf("fleet.sites", "%d sites are not within 1 and %d", len(sites), maxSites)
+	}
+	for i, name := range sites {
+		if name == "" || slices.Index(sites, name) != i {
+			return tomlfile.Invalidf("fleet.sites", "%q at place %d is empty or there twice", name, i)
+		}
+	}
+	return nil
+}
+
+func (s *Scenario) checkReport() error {
+	report := &s.Fleet.Report
+	for i, field := range report.Fields {
+		if !slices.Contains(reportFields, field) {
+			return tomlfile.Invalidf(fmt.Sprintf("fleet.report.fields[%d]", i), "%q is none of %v", field, reportFields)
+		}
+	}
+	if report.By != "answers" && report.By != "probes" {
+		return tomlfile.Invalidf("fleet.report.by", "%q is neither answers nor probes", report.By)
+	}
+	return nil
+}
+
+func (s *Scenario) checkHints() error {
+	if !slices.Contains(hintKinds, s.Clients.Hints) {
+		return tomlfile.Invalidf("clients.hints", "%q is none of none, rough, exact", s.Clients.Hints)
+	}
+	return nil
+}
+
+func (s *Scenario) checkLoad() error {
+	load := &s.Load
+	switch {
+	case !slices.Contains(loadShapes, load.Shape):
+		return tomlfile.Invalidf("load.shape", "%q is none of %v", load.Shape, loadShapes)
+	case load.Shape == "trace" && load.Trace == "":
+		return tomlfile.Invalidf("load.trace", "the shape trace needs a file")
+	case load.Shape == "surge" && !(load.From >= 0 && load.From < load.Until):
+		return tomlfile.Invalidf("load.till_s", "a surge from %g to %g s has no length", load.From, load.Until)
+	case load.Level == 0 && load.PerS == 0 && load.Shape != "trace":
+		return tomlfile.Invalidf("load.level", "neither level nor per_s is above 0")
+	}
+	return nil
+}
+
+func (s *Scenario) checkKinds() error {
+	for i, kind := range s.Fleet.Kinds {
+		path := fmt.Sprintf("fleet.kind[%d].", i)
+		if err := firstError(
+			within(path+"share", kind.Share, 0, 1e6),
+			within(path+"cores", float64(kind.Cores), 1, 1e4),
+			ordered(path+"speed", kind.Speed, 1e-3, 1e3),
+			within(path+"slots_per_core", kind.Slots, 1e-3, 1e4),
+			within(path+"queue_per_core", kind.Queue, 0, 1e9),
+			within(path+"crowd_penalty", kind.Crowd, 0, 100),
+			ordered(path+"cold_from", kind.SlowStartInitial, 0, 1),
+			ordered(path+"cold_ms", kind.SlowStartDuration, 0, 1e7),
+			within(path+"error_rate", kind.Errors, 0, 1),
+		); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Scenario) checkClasses() error {
+	for i := range s.Classes {
+		if err := s.Classes[i].check(fmt.Sprintf("class[%d].", i)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// check checks a class, whose keys have that path.
+func (c *Class) check(path string) error {
+	if err := firstError(
+		within(path+"share", c.Share, 0, 1e6),
+		within(path+"work_ms", c.Work, 1e-3, 1e6),
+		within(path+"cv", c.CV, 0, 100),
+		within(path+"attempt_noise", c.Noise, 0, 10),
+		within(path+"deadline_ms", c.Deadline, 1, 1e7),
+		within(path+"aim_ms", c.LatencyObjective, 0, c.Deadline),
+		within(path+"worth", c.PriorityWeight, 0, 1e9),
+		within(path+"late_share", c.LateValue, 0, 1),
+		within(path+"window_ms", c.IdempotencyWindow, 0, 1e7),
+	); err != nil {
+		return err
+	}
+	if !slices.Contains(workDists, c.Dist) {
+		return tomlfile.Invalidf(path+"dist", "%q is none of exp, lognormal, constant", c.Dist)
+	}
+	if c.Dist == "lognormal" && c.CV == 0 {
+		return tomlfile.Invalidf(path+"cv", "a lognormal needs one above 0")
+	}
+	if _, ok := idempotencies[c.Idempotency]; !ok {
+		return tomlfile.Invalidf(path+"effect", "%q is none of repeatable, by_key, once", c.Idempotency)
+	}
+	if _, ok := scopes[c.KeyScope]; !ok && (c.KeyScope != "" || c.Idempotency == "by_key") {
+		return tomlfile.Invalidf(path+"scope", "%q is none of all, site, rack", c.KeyScope)
+	}
+	return nil
+}
+
+func (s *Scenario) checkTenants() error {
+	for i, tenant := range s.Tenants {
+		path := fmt.Sprintf("tenant[%d].", i)
+		if err := firstError(
+			within(path+"share", tenant.Share, 0, 1e6),
+			within(path+"usage", tenant.Usage, 0, 1e6),
+		); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkShares checks that shares can be normalized: those of each list must not sum to 0.
+func (s *Scenario) checkShares() error {
+	kinds, classes, tenants := 0.0, 0.0, 0.0
+	for i := range s.Fleet.Kinds {
+		kinds += s.Fleet.Kinds[i].Share
+	}
+	for i := range s.Classes {
+		classes += s.Classes[i].Share
+	}
+	for i := range s.Tenants {
+		tenants += s.Tenants[i].Share
+	}
+	return firstError(
+		positiveSum("fleet.kind", kinds),
+		positiveSum("class", classes),
+		positiveSum("tenant", tenants),
+	)
+}
+
+func positiveSum(path string, sum float64) error {
+	if sum <= 0 {
+		return tomlfile.Invalidf(path, "the shares sum to %g", sum)
+	}
+	return nil
+}
+
+func (s *Scenario) checkFaults() error {
+	if err := s.RandomFaults.Check("random_faults"); err != nil {
+		return err
+	}
+	scope := s.Scope(nil, nil)
+	for i, f := range s.Faults {
+		if err := f.Check(fmt.Sprintf("fault[%d]", i), scope); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/simulation/scenario/draw.go
+++ b/internal/simulation/scenario/deployment.go
@@ -4,36 +4,47 @@
 	"math/rand/v2"
 )
 
-// Knob is one thing in which deployments differ, and its settings; the first is the plain one.
+// Knob is one parameter in which deployments differ, with its settings. The first one is the default.
 type Knob struct {
 	Name     string
 	Settings []Setting
 }
 
-// Setting is one position of a knob.
+// Setting is one value of a knob.
 type Setting struct {
 	Name string
 	set  func(*Scenario)
 }
 
-// DrawnScenario is a deployment: a position for each of the knobs, by their order.
-type DrawnScenario []int
+// Deployment holds the index of the setting of each of the Knobs.
+type Deployment []int
 
-// Knobs are what a survey turns. They are set in this order, so later ones may build on earlier ones.
+// Knobs are the parameters that a survey varies. They are applied in this order, so later ones may build on earlier ones.
 var Knobs = []Knob{
-	{"cores", []Setting{{"4", cores(4, 4)}, {"1", cores(1, 1)}, {"2 and 1", cores(2, 1)}, {"16", cores(16, 16)}, {"8 and 3", cores(8, 3)}}},
+	{"cores", []Setting{
+		{"4", cores(4, 4)},
+		{"1", cores(1, 1)},
+		{"2 and 1", cores(2, 1)},
+		{"16", cores(16, 16)},
+		{"8 and 3", cores(8, 3)},
+	}},
 	{"speed", []Setting{{"alike", func(*Scenario) {}}, {"apart", func(s *Scenario) {
 		for i := range s.Fleet.Kinds {
 			s.Fleet.Kinds[i].Speed = Range{0.6, 1.4}
 		}
 	}}}},
-	{"boxes", []Setting{{"12", boxes(12)}, {"5", boxes(5)}, {"9", boxes(9)}, {"30", boxes(30)}}},
+	{"boxes", []Setting{{"12", backends(12)}, {"5", backends(5)}, {"9", backends(9)}, {"30", backends(30)}}},
 	{"nodes", []Setting{{"2", nodes(2)}, {"1", nodes(1)}, {"4", nodes(4)}, {"9", nodes(9)}}},
-	{"sites", []Setting{{"1", sites("a")}, {"2", sites("a", "b")}, {"3", sites("a", "b", "c")}, {"4", sites("a", "b", "c", "d")}}},
+	{"sites", []Setting{
+		{"1", sites("a")},
+		{"2", sites("a", "b")},
+		{"3", sites("a", "b", "c")},
+		{"4", sites("a", "b", "c", "d")},
+	}},
 	{"skew", []Setting{{"none", func(*Scenario) {}}, {"0.5", func(s *Scenario) { s.Load.SiteSkew = 0.5 }}}},
 	{"work", []Setting{{"40 ms", scale(1)}, {"4 ms", scale(0.1)}, {"400 ms", scale(10)}, {"10 ms", scale(0.25)}}},
 	{"spread", []Setting{{"exp", func(*Scenario) {}}, {"constant", dist("constant", 0)}, {"lognormal of cv 1.5", dist("lognormal", 1.5)}}},
-	{"aim", []Setting{{"10 times the work", aim(10)}, {"4 times", aim(4)}, {"50 times", aim(50)}}},
+	{"aim", []Setting{{"10 times the work", latencyObjective(10)}, {"4 times", latencyObjective(4)}, {"50 times", latencyObjective(50)}}},
 	{"deadline", []Setting{{"2.5 times the aim", deadline(2.5)}, {"the aim", deadline(1)}, {"10 times", deadline(10)}}},
 	{"late", []Setting{{"worth nothing", func(*Scenario) {}}, {"worth 0.3", func(s *Scenario) {
 		for i := range s.Classes {
@@ -42,8 +53,15 @@
 	}}}},
 	{"keys", []Setting{{"all", scope("all")}, {"rack", scope("rack")}, {"site", scope("site")}}},
 	{"window", []Setting{{"5 deadlines", window(5)}, {"a deadline", window(1)}, {"a tenth", window(0.1)}}},
-	{"tenants", []Setting{{"1", tenants(1)}, {"3", tenants(0.5, 0.3, 0.2)}, {"9", tenants(0.28, 0.17, 0.16, 0.1, 0.1, 0.05, 0.05, 0.05, 0.04)}}},
-	{"list", []Setting{{"pushed", func(s *Scenario) { s.Discovery.Poll = false }}, {"asked", func(s *Scenario) { s.Discovery.Poll = true }}}},
+	{"tenants", []Setting{
+		{"1", tenants(1)},
+		{"3", tenants(0.5, 0.3, 0.2)},
+		{"9", tenants(0.28, 0.17, 0.16, 0.1, 0.1, 0.05, 0.05, 0.05, 0.04)},
+	}},
+	{"list", []Setting{
+		{"pushed", func(s *Scenario) { s.Discovery.Poll = false }},
+		{"asked", func(s *Scenario) { s.Discovery.Poll = true }},
+	}},
 	{"report", []Setting{{"queue and util", fields("queue", "util")}, {"none", func(s *Scenario) { s.Fleet.Report.Every = 0 }},
 		{"all", fields("held", "queue", "util")}, {"held", fields("held")}, {"queue", fields("queue")}, {"util", fields("util")},
 		{"held and queue", fields("held", "queue")}, {"held and util", fields("held", "util")}}},
@@ -57,11 +75,14 @@
 	{"hints", []Setting{{"none", hints("none")}, {"rough", hints("rough")}, {"exact", hints("exact")}}},
 	{"marks", []Setting{{"none", func(*Scenario) {}}, {"repeats", func(s *Scenario) { s.Clients.Marks = true }}}},
 	{"retries", []Setting{{"none", retries(0)}, {"1", retries(1)}, {"3", retries(3)}}},
-	{"patience", []Setting{{"the deadline", patience(1)}, {"half", patience(0.5)}}},
+	{"patience", []Setting{{"the deadline", timeoutShare(1)}, {"half", timeoutShare(0.5)}}},
 	{"back-off", []Setting{{"as long as the aim", backoff(1)}, {"none", backoff(0)}}},
 	{"advice", []Setting{{"none", func(s *Scenario) { s.Clients.Heed = 0 }}, {"heeded", func(s *Scenario) { s.Clients.Heed = 0.9 }}}},
 	{"second copies", []Setting{{"no", func(*Scenario) {}}, {"allowed", func(s *Scenario) { s.Rules.AllowHedging = true }}}},
-	{"cancelling", []Setting{{"allowed", func(s *Scenario) { s.Rules.AllowCancel = true }}, {"no", func(s *Scenario) { s.Rules.AllowCancel = false }}}},
+	{"cancelling", []Setting{
+		{"allowed", func(s *Scenario) { s.Rules.AllowCancel = true }},
+		{"no", func(s *Scenario) { s.Rules.AllowCancel = false }},
+	}},
 	{"attempts", []Setting{{"4", attempts(4)}, {"1", attempts(1)}}},
 	{"warm keys", []Setting{{"no", func(s *Scenario) { s.Fleet.Affinity.Gain, s.Load.Keys = 0, 0 }}, {"yes", func(s *Scenario) {
 		s.Fleet.Affinity, s.Load.Keys, s.Load.Zipf = Affinity{Gain: 0.45, Millis: 6000, KeysPerCore: 6}, 300, 0.8
@@ -70,7 +91,9 @@
 		s.Fleet.Overdrive = Overdrive{PerCore: 5, Over: 2000, Slower: 3, Below: 0.3, Rest: 3000, Most: 20000}
 	}}}},
 	{"load", []Setting{{"0.4", load(0.4)}, {"0.2", load(0.2)}, {"0.55", load(0.55)}}},
-	{"shape", []Setting{{"steady", func(*Scenario) {}}, {"wave", func(s *Scenario) { s.Load.Shape, s.Load.Swing, s.Load.Period = "wave", 0.3, 5 }}}},
+	{"shape", []Setting{{"steady", func(*Scenario) {}}, {"wave", func(s *Scenario) {
+		s.Load.Shape, s.Load.Swing, s.Load.Period = "wave", 0.3, 5
+	}}}},
 }
 
 func cores(of ...int) func(*Scenario) {
@@ -81,13 +104,13 @@
 	}
 }
 
-func boxes(n int) func(*Scenario) { return func(s *Scenario) { s.Fleet.Backends = n } }
-func nodes(n int) func(*Scenario) { return func(s *Scenario) { s.Nodes.Count = n } }
+func backends(n int) func(*Scenario) { return func(s *Scenario) { s.Fleet.Backends = n } }
+func nodes(n int) func(*Scenario)    { return func(s *Scenario) { s.Nodes.Count = n } }
 func sites(names ...string) func(*Scenario) {
 	return func(s *Scenario) { s.Fleet.Sites = names }
 }
 
-// scale sets the work of classes, in times of 40 ms, and with it what else is of its order.
+// scale multiplies the work of all classes.
 func scale(by float64) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Classes {
@@ -104,7 +127,7 @@
 	}
 }
 
-func aim(by float64) func(*Scenario) {
+func latencyObjective(by float64) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Classes {
 			s.Classes[i].LatencyObjective = by * s.Classes[i].Work
@@ -150,7 +173,7 @@
 
 func hints(how string) func(*Scenario) { return func(s *Scenario) { s.Clients.Hints = how } }
 func retries(n int) func(*Scenario)    { return func(s *Scenario) { s.Clients.Retries = n } }
-func patience(x float64) func(*Scenario) {
+func timeoutShare(x float64) func(*Scenario) {
 	return func(s *Scenario) { s.Clients.TimeoutShare = x }
 }
 
@@ -161,58 +184,63 @@
 func attempts(n int) func(*Scenario)     { return func(s *Scenario) { s.Rules.MaxAttempts = n } }
 func load(level float64) func(*Scenario) { return func(s *Scenario) { s.Load.Level = level } }
 
-// Draw picks a position for each knob, the plain one a third of the time.
-func Draw(seed uint64) DrawnScenario {
-	r := rand.New(rand.NewPCG(seed, 0x5eed))
-	d := make(DrawnScenario, len(Knobs))
-	for i, k := range Knobs {
-		if r.IntN(3) > 0 {
-			d[i] = r.IntN(len(k.Settings))
+// DrawDeployment draws a setting for each knob: in a third of the cases the default, else any.
+func DrawDeployment(seed uint64) Deployment {
+	random := rand.New(rand.NewPCG(seed, 0x5eed))
+	d := make(Deployment, len(Knobs))
+	for i, knob := range Knobs {
+		if random.IntN(3) > 0 {
+			d[i] = random.IntN(len(knob.Settings))
 		}
 	}
 	return d
 }
 
-// drawnCalls is about how many calls a deployment's spell has, whatever its size and the work of a call.
-const drawnCalls = 3000
+// deploymentCalls is about how many calls the scenario of a deployment has, whatever its size and the work of a call.
+const deploymentCalls = 3000
 
-// leastSpell is the shortest spell, in seconds: nodes have to learn, and lists to come.
-const leastSpell = 8
+// minSeconds is the shortest scenario: nodes have to learn, and endpoint lists to arrive.
+const minSeconds = 8
 
-// Scenario is a calm spell of the deployment.
-func (d DrawnScenario) Scenario() *Scenario {
+// Scenario returns a scenario of the deployment without faults.
+func (d Deployment) Scenario() *Scenario {
 	s := Default()
-	s.Name, s.WarmUp, s.Load.SiteSkew, s.Load.Swing, s.Clients.Impatient = "survey", 0, 0, 0, 0
+	s.Name, s.WarmUp = "survey", 0
+	s.Load.SiteSkew, s.Load.Swing = 0, 0
+	s.Clients.Impatient = 0
 	s.Fleet.Kinds = []Kind{
-		{Name: "x", Share: 0.6, Speed: Range{1, 1}, Slots: 1, Queue: 12, SlowStartInitial: Range{0.2, 0.3}, SlowStartDuration: Range{11000, 24000}, KeyedDrop: true},
-		{Name: "y", Share: 0.4, Speed: Range{0.9, 1}, Slots: 1, Queue: 8, SlowStartInitial: Range{0.2, 0.3}, SlowStartDuration: Range{10000, 24000}, KeyedDrop: true}}
+		{Name: "x", Share: 0.6, Speed: Range{1, 1}, Slots: 1, Queue: 12,
+			SlowStartInitial: Range{0.2, 0.3}, SlowStartDuration: Range{11000, 24000}, KeyedDrop: true},
+		{Name: "y", Share: 0.4, Speed: Range{0.9, 1}, Slots: 1, Queue: 8,
+			SlowStartInitial: Range{0.2, 0.3}, SlowStartDuration: Range{10000, 24000}, KeyedDrop: true}}
 	s.Classes = []Class{
 		{Name: "read", Share: 0.6, Work: 40, Dist: "exp", Noise: 0.2, PriorityWeight: 1, Idempotency: "repeatable"},
 		{Name: "once", Share: 0.2, Work: 50, Dist: "exp", Noise: 0.2, PriorityWeight: 5, Idempotency: "once"},
 		{Name: "keyed", Share: 0.2, Work: 60, Dist: "exp", Noise: 0.2, PriorityWeight: 3, Idempotency: "by_key", KeyScope: "all"}}
-	for i, k := range Knobs {
-		k.Settings[d[i]].set(&s)
+	for i, knob := range Knobs {
+		knob.Settings[d[i]].set(&s)
 	}
 	cores, work, shares := 0.0, 0.0, 0.0
-	for _, k := range s.Fleet.Kinds {
-		cores += k.Share * float64(k.Cores) * float64(s.Fleet.Backends)
+	for _, kind := range s.Fleet.Kinds {
+		cores += kind.Share * float64(kind.Cores) * float64(s.Fleet.Backends)
 	}
-	for _, c := range s.Classes {
-		work, shares = work+c.Share*c.Work, shares+c.Share
+	for _, class := range s.Classes {
+		work += class.Share * class.Work
+		shares += class.Share
 	}
-	s.Seconds = max(drawnCalls*work/shares/1000/(s.Load.Level*cores), leastSpell)
-	s.WarmUp = s.Seconds / 5 // a module that learns may
+	s.Seconds = max(deploymentCalls*work/shares/1000/(s.Load.Level*cores), minSeconds)
+	s.WarmUp = s.Seconds / 5 // the decision module learns meanwhile
 	s.Load.Period = max(s.Seconds/3, 0.1)
 	return &s
 }
 
-// RaisedSettings names the knobs that are not in their plain position, with where they are.
-func (d DrawnScenario) RaisedSettings() []string {
-	var out []string
-	for i, k := range Knobs {
+// NonDefaultSettings names the knobs that are not at their default, with their settings.
+func (d Deployment) NonDefaultSettings() []string {
+	var names []string
+	for i, knob := range Knobs {
 		if d[i] > 0 {
-			out = append(out, k.Name+": "+k.Settings[d[i]].Name)
+			names = append(names, knob.Name+": "+knob.Settings[d[i]].Name)
 		}
 	}
-	return out
+	return names
 }
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -9,36 +9,36 @@
 	"tulipglade/internal/faultinject"
 )
 
-func TestShippedScenariosAreSound(t *testing.T) {
-	if len(Shipped()) < 9 {
-		t.Fatalf("%v", Shipped())
+func TestBuiltInScenariosAreValid(t *testing.T) {
+	if len(BuiltIn()) < 9 {
+		t.Fatalf("%v", BuiltIn())
 	}
-	for _, name := range Shipped() {
+	for _, name := range BuiltIn() {
 		sc, err := Read(name)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
 		if sc.Name != name || sc.About == "" {
-			t.Errorf("%s calls itself %q and says %q", name, sc.Name, sc.About)
+			t.Errorf("%s has the name %q and the description %q", name, sc.Name, sc.About)
 		}
 		text, err := sc.Text()
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := Parse(name, text)
+		parsed, err := Parse(name, text)
 		if err != nil {
-			t.Errorf("%s, printed whole: %v", name, err)
+			t.Errorf("%s, encoded with defaults: %v", name, err)
 			continue
 		}
-		if twice, err := again.Text(); err != nil || string(twice) != string(text) {
-			t.Errorf("%s changes when it is printed and read (%v)", name, err)
+		if encoded, err := parsed.Text(); err != nil || string(encoded) != string(text) {
+			t.Errorf("%s changes when it is encoded and parsed (%v)", name, err)
 		}
 	}
 }
 
-// Every impossible value names file, line, field and reason.
-func TestImpossibleScenarios(t *testing.T) {
+// The error for an invalid value names file, line, field and reason.
+func TestCheckRejectsInvalidScenarios(t *testing.T) {
 	for in, says := range map[string]string{
 		"seconds = -1.0":                                    "f:1: seconds: -1 is not within 0.1 and 86400",
 		"warm_up_s = 40.0":                                  "f:1: warm_up_s: 40 is not within 0 and 30",
@@ -75,8 +75,8 @@
 	}
 }
 
-// Whoever is left open in a file is chosen by the seed, and no fault is left with nobody to hit.
-func TestFaultsAreSettled(t *testing.T) {
+// Targets that a file omits are drawn from the seed, and every fault has a target.
+func TestFaultDefaultsAreComplete(t *testing.T) {
 	sc, err := Parse("f", []byte(`
 [[fault]]
 kind = "fast-errors"
@@ -102,7 +102,7 @@
 	}
 	all := sc.ApplyDefaults(rand.New(rand.NewPCG(1, 1)))
 	if !slices.IsSortedFunc(all, func(a, b faultinject.Fault) int { return int(a.Start - b.Start) }) {
-		t.Error("not in the order of time")
+		t.Error("not sorted by start")
 	}
 	count := map[faultinject.Kind][]faultinject.Fault{}
 	scope := sc.Scope(nil, nil)
@@ -119,10 +119,10 @@
 		t.Errorf("%d faults", len(all))
 	}
 	if n := len(count[faultinject.FastErrors][0].Backends); n != 3 {
-		t.Errorf("a quarter of 12 boxes are %d", n)
+		t.Errorf("a quarter of 12 backends is %d", n)
 	}
 	if b := count[faultinject.Slow][0].Backends; !slices.Equal(b, []int{1, 4, 7, 10}) {
-		t.Errorf("the boxes of west are %v", b)
+		t.Errorf("the backends of west are %v", b)
 	}
 	if f := count[faultinject.NodeKill][0]; len(f.Nodes) != 1 {
 		t.Errorf("%v", f)
--- a/internal/simulation/stats/stats.go
+++ b/internal/simulation/stats/stats.go
@@ -1,4 +1,4 @@
-// Package stats plays many schedules and adds up what they show.
+// Package stats runs many simulations in parallel and adds up their results.
 package stats
 
 import (
@@ -9,32 +9,34 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Play plays so many, on all cores, and returns what each has shown.
-func Play[T any](ctx context.Context, n int, play func(i int) T) ([]T, error) {
-	all := make([]T, n)
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(runtime.GOMAXPROCS(0))
-	for i := range all {
-		g.Go(func() error {
+// Play calls play for the indexes below count, on all cores, and returns the results by index.
+func Play[T any](ctx context.Context, count int, play func(index int) T) ([]T, error) {
+	results := make([]T, count)
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(runtime.GOMAXPROCS(0))
+	for i := range results {
+		group.Go(func() error {
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			all[i] = play(i)
+			results[i] = play(i)
 			return nil
 		})
 	}
-	return all, g.Wait()
+	return results, group.Wait()
 }
 
-// Add adds a struct's fields to those of a sum: counts as they are, other numbers by the weight. Fields of type int are counts.
-func Add[T any](sum *T, of T, weight float64) {
-	into, from := reflect.ValueOf(sum).Elem(), reflect.ValueOf(of)
+// Add adds the numeric fields of a struct to those of a sum: fields of type int, which are counts, as they are, fields of
+// type float64 times the weight.
+func Add[T any](sum *T, added T, weight float64) {
+	into, from := reflect.ValueOf(sum).Elem(), reflect.ValueOf(added)
 	for i := range from.NumField() {
-		switch from.Type().Field(i).Type.Kind() {
+		field := into.Field(i)
+		switch field.Kind() {
 		case reflect.Int:
-			into.Field(i).SetInt(into.Field(i).Int() + from.Field(i).Int())
+			field.SetInt(field.Int() + from.Field(i).Int())
 		case reflect.Float64:
-			into.Field(i).SetFloat(into.Field(i).Float() + weight*from.Field(i).Float())
+			field.SetFloat(field.Float() + weight*from.Field(i).Float())
 		}
 	}
 }
