--- a/internal/simulation/emulator/invariants_test.go
+++ b/internal/simulation/emulator/invariants_test.go
@@ -144,7 +144,7 @@
 				t.Errorf("score %.3f despite a violation", r.Score)
 			}
 			for _, v := range r.Violations {
-				if v.Rule == rule && rule != invariant.NoSlowStartOverload && (len(v.History) == 0 || !strings.Contains(v.History[0], "taken")) {
+				if v.Rule == rule && rule != invariant.NoSlowStartOverload && (len(v.History) == 0 || !strings.Contains(v.History[0], "accepted")) {
 					t.Errorf("violation without history: %v", v)
 				}
 			}
