--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -57,7 +57,7 @@
 	}
 	response := rejection
 	if response == nil {
-		s.markReceived(c)
+		s.setReceived(c)
 		response = s.perform(message)
 	}
 	_ = c.SetDeadline(time.Now().Add(nodeTimeout))
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -137,7 +137,7 @@
 	}
 }
 
-func (s *Server) markReceived(c *connection) {
+func (s *Server) setReceived(c *connection) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	c.received = true
--- a/internal/daemon/hotrestart_test.go
+++ b/internal/daemon/hotrestart_test.go
@@ -56,17 +56,65 @@
 	}
 }
 
+// executionCounter is a backend that counts how often each request is executed.
+type executionCounter struct {
+	mutex sync.Mutex
+	byID  map[string]int
+}
+
+func (c *executionCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	c.mutex.Lock()
+	c.byID[r.Header.Get("X-Trace-Id")]++
+	c.mutex.Unlock()
+	respond(w, "served")
+}
+
+// duplicates counts the requests that were executed more than once.
+func (c *executionCounter) duplicates() int {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	duplicates := 0
+	for _, executions := range c.byID {
+		if executions > 1 {
+			duplicates++
+		}
+	}
+	return duplicates
+}
+
+// freeAddress returns an address that nobody listens at.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }()
+	return listener.Addr().String()
+}
+
+// activate calls /active under a lease, and checks the status of the answer.
+func activate(t *testing.T, admin string, token, want int) {
+	t.Helper()
+	url := fmt.Sprintf("http://%s/active?lease=roll&token=%d", admin, token)
+	request, err := http.NewRequest(http.MethodPut, url, http.NoBody)
+	if err != nil {
+		t.Fatal(err)
+	}
+	status, err := roundTrip(http.DefaultTransport, request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if status != want {
+		t.Errorf("token %d: %d, want %d", token, status, want)
+	}
+}
+
 // Hot restarts under load: a new process takes the place of the old one, again and again. No request is lost or rejected,
 // and none runs twice. Without a handoff, as where no directory is set, that holds but for connections that the system resets.
 func TestHotRestartsUnderLoadLoseNoRequest(t *testing.T) {
-	var mutex sync.Mutex
-	runs := map[string]int{}
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		mutex.Lock()
-		runs[r.Header.Get("X-Trace-Id")]++
-		mutex.Unlock()
-		respond(w, "served")
-	}))
+	executions := &executionCounter{byID: map[string]int{}}
+	backend := httptest.NewServer(executions)
 	defer backend.Close()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !strings.Contains(r.RequestURI, "timeout_ms=0") {
@@ -77,41 +125,20 @@
 	}))
 	defer discovery.Close()
 	defer discovery.CloseClientConnections()
-	free, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listen := free.Addr().String()
-	_ = free.Close()
 	text := strings.NewReplacer("127.0.0.1:1\"", backend.Listener.Addr().String()+"\"", `"listen":"127.0.0.1:0"`,
-		`"operator":"127.0.0.1:0","listen":"`+listen+`"`, "127.0.0.1:8500", discovery.Listener.Addr().String(),
+		`"operator":"127.0.0.1:0","listen":"`+freeAddress(t)+`"`, "127.0.0.1:8500", discovery.Listener.Addr().String(),
 		`"effect":"repeatable"`, `"effect":"once"`, "600000", "60000000", "1500000", "60000000").Replace(validConfig)
 	t.Setenv("TMPDIR", t.TempDir())
 	process, address, admin := startTestProcess(t, text)
 	load := startRestartLoad(t, address, 6)
 	const restarts = 20 // each takes the 0.75 s of a shutdown
 	var longestStart time.Duration
-	activate := func(admin string, token, want int) {
-		t.Helper()
-		url := fmt.Sprintf("http://%s/active?lease=roll&token=%d", admin, token)
-		request, err := http.NewRequest(http.MethodPut, url, http.NoBody)
-		if err != nil {
-			t.Fatal(err)
-		}
-		status, err := roundTrip(http.DefaultTransport, request)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if status != want {
-			t.Errorf("token %d: %d, want %d", token, status, want)
-		}
-	}
-	activate(admin, 10, http.StatusOK)
+	activate(t, admin, 10, http.StatusOK)
 	for i := range restarts {
 		start := time.Now()
 		successor, _, admin := startTestProcess(t, text)
-		activate(admin, 9+i, http.StatusConflict) // a token that was stale before the restart is rejected after it, too
-		activate(admin, 11+i, http.StatusOK)
+		activate(t, admin, 9+i, http.StatusConflict) // a token that was stale before the restart is rejected after it, too
+		activate(t, admin, 11+i, http.StatusOK)
 		status, err := send(http.DefaultTransport, http.MethodGet, "http://"+admin+"/status", "status")
 		if err != nil || status != http.StatusOK {
 			t.Fatal(status, err)
@@ -125,14 +152,7 @@
 	close(load.stop)
 	load.workers.Wait()
 	process.stop(t)
-	duplicates := 0
-	mutex.Lock()
-	for _, n := range runs {
-		if n > 1 {
-			duplicates++
-		}
-	}
-	mutex.Unlock()
+	duplicates := executions.duplicates()
 	t.Logf("%d restarts, %d requests: %d rejected, %d failed, %d run twice; at most %v from start to acceptance",
 		restarts, load.sent.Load(), load.rejected.Load(), load.failed.Load(), duplicates, longestStart.Round(time.Millisecond))
 	if load.rejected.Load()+load.failed.Load() > 0 || duplicates > 0 {
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -29,6 +29,18 @@
 	return server
 }
 
+// startBlockingBackend starts a backend that sends to arrived for each request, and answers once release is closed.
+func startBlockingBackend(t *testing.T, arrived chan<- struct{}, release <-chan struct{}) (address string) {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		arrived <- struct{}{}
+		<-release
+		respond(w, "served")
+	}))
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String()
+}
+
 // SIGHUP, several in a row: a valid file changes the address of discovery, an invalid one is a line that names the field
 // and changes nothing, other differences are named, and a list in the file does not count. The node serves all along,
 // also a request that was in flight.
@@ -37,13 +49,8 @@
 	first := startRecordingDiscovery(t, "first", calls)
 	second := startRecordingDiscovery(t, "second", calls)
 	arrived, release := make(chan struct{}), make(chan struct{})
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		arrived <- struct{}{}
-		<-release
-		respond(w, "served")
-	}))
-	defer backend.Close()
-	text := strings.NewReplacer("127.0.0.1:1\"", backend.Listener.Addr().String()+"\"", "127.0.0.1:8500",
+	backendAddress := startBlockingBackend(t, arrived, release)
+	text := strings.NewReplacer("127.0.0.1:1\"", backendAddress+"\"", "127.0.0.1:8500",
 		first.Listener.Addr().String(), "600000", "60000000", "1500000", "60000000").Replace(validConfig)
 	config := parseConfig(t, text)
 	files := make(chan string, 3)
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -114,13 +114,14 @@
 // Poll fetches the full list once.
 func (w *watch) Poll() {
 	go func() {
-		for !w.pollOnce() {
-			continue // the address has changed meanwhile
+		for done := false; !done; {
+			done = w.pollOnce()
 		}
 	}()
 }
 
-// pollOnce makes one call for the full list. It returns false where the address changed during the call.
+// pollOnce makes one call for the full list. It returns false where the address changed during the call, which then must be
+// repeated.
 func (w *watch) pollOnce() bool {
 	w.mutex.Lock()
 	connection, timeout := newDiscoveryConn(w.address, w.addressChanged), w.callTimeout
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -8,25 +8,28 @@
 )
 
 func TestParseList(t *testing.T) {
-	const one = `{"uid":"s-1","endpoint":"127.0.0.1:3000","az":"a","model":"m2","pod_group":3,"state":"in_service","capacity_hint":1.5,"boot_ms":7}`
+	const one = `{"uid":"s-1","endpoint":"127.0.0.1:3000","az":"a","model":"m2","pod_group":3,"state":"in_service",` +
+		`"capacity_hint":1.5,"boot_ms":7}`
+	target := Target{"s-1", "127.0.0.1:3000", "a", 3, InService, 1.5, 7}
 	for _, c := range []struct {
 		name, in string
 		want     List
 		err      string
 	}{
 		{"full", `{"rev":41,"all":true,"targets":[` + one + `]}`,
-			List{41, true, []Target{{"s-1", "127.0.0.1:3000", "a", 3, InService, 1.5, 7}}}, ""},
+			List{41, true, []Target{target}}, ""},
 		{"changes, none", `{"rev":42,"all":false,"targets":[],"new":{"x":1}}`, List{42, false, []Target{}}, ""},
 		{"states", `{"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"terminating"},{"uid":"b","state":"terminated"}]}`,
 			List{0, false, []Target{{UID: "a", Endpoint: "127.0.0.1:1", State: Terminating}, {UID: "b", State: Terminated}}}, ""},
 		{"indented", "{\n  \"rev\": 41,\n  \"all\": true,\r\n\t\"targets\": [\n" + strings.ReplaceAll(one, ",", ",\n\t ") + "\n ]\n}\n",
-			List{41, true, []Target{{"s-1", "127.0.0.1:3000", "a", 3, InService, 1.5, 7}}}, ""},
+			List{41, true, []Target{target}}, ""},
 		{"full, with an equal duplicate", `{"rev":41,"all":true,"targets":[` + one + "," + one + `]}`,
-			List{41, true, []Target{{"s-1", "127.0.0.1:3000", "a", 3, InService, 1.5, 7}, {"s-1", "127.0.0.1:3000", "a", 3, InService, 1.5, 7}}}, ""},
-		{"full, with a contradictory duplicate", `{"rev":41,"all":true,"targets":[` + one + "," + strings.Replace(one, "in_service", "terminating", 1) + `]}`,
+			List{41, true, []Target{target, target}}, ""},
+		{"full, with a contradictory duplicate",
+			`{"rev":41,"all":true,"targets":[` + one + "," + strings.Replace(one, "in_service", "terminating", 1) + `]}`,
 			List{}, `targets[1].uid: "s-1" is there twice`},
 		{"changes, one after the other", `{"rev":41,"targets":[` + one + `,{"uid":"s-1","state":"terminated"}]}`,
-			List{41, false, []Target{{"s-1", "127.0.0.1:3000", "a", 3, InService, 1.5, 7}, {UID: "s-1", State: Terminated}}}, ""},
+			List{41, false, []Target{target, {UID: "s-1", State: Terminated}}}, ""},
 		{"cut", `{"rev":41,"all":true,"targets":[` + one + `,{"uid":"s-2"`, List{}, "list of backends"},
 		{"not JSON", `{"rev":`, List{}, "list of backends"},
 		{"other type", `{"rev":"x"}`, List{}, "list of backends"},
--- a/internal/protocol/head.go
+++ b/internal/protocol/head.go
@@ -177,25 +177,25 @@
 	}
 }
 
-// isToken reports whether b is a token (RFC 9110, 5.6.2).
-func isToken(b []byte) bool {
-	for _, c := range b {
+// isToken reports whether text is a token (RFC 9110, 5.6.2).
+func isToken(text []byte) bool {
+	for _, c := range text {
 		if c <= ' ' || c >= 0x7f || bytes.IndexByte([]byte(`"(),/:;<=>?@[\]{}`), c) >= 0 {
 			return false
 		}
 	}
-	return len(b) > 0
+	return len(text) > 0
 }
 
 // isControl reports whether c is a control character other than a tab.
 func isControl(c byte) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
 // equalFold compares a name with one in lower case.
-func equalFold(b []byte, lower string) bool {
-	if len(b) != len(lower) {
+func equalFold(name []byte, lower string) bool {
+	if len(name) != len(lower) {
 		return false
 	}
-	for i, c := range b {
+	for i, c := range name {
 		if c >= 'A' && c <= 'Z' {
 			c |= 0x20
 		}
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -46,9 +46,9 @@
 	return m.parseVersion(version)
 }
 
-// isTarget reports whether b holds no blank or control character.
-func isTarget(b []byte) bool {
-	for _, c := range b {
+// isTarget reports whether text holds no blank or control character.
+func isTarget(text []byte) bool {
+	for _, c := range text {
 		if c <= ' ' || c == 0x7f {
 			return false
 		}
--- a/internal/protocol/writer.go
+++ b/internal/protocol/writer.go
@@ -58,16 +58,16 @@
 
 // AppendRequest appends the head with which a client's request is forwarded to a backend: method, target and
 // end-to-end fields unchanged, with the time for which this node will wait.
-func AppendRequest(dst []byte, h *Head, body int, expiresMs int64) []byte {
-	dst = append(dst, h.Method...)
+func AppendRequest(dst []byte, head *Head, body int, expiresMs int64) []byte {
+	dst = append(dst, head.Method...)
 	dst = append(dst, ' ')
-	dst = append(dst, h.Target...)
+	dst = append(dst, head.Target...)
 	dst = append(dst, " HTTP/1.1\r\n"...)
-	dst = appendFields(dst, h.Fields, "x-expires-in-ms")
+	dst = appendFields(dst, head.Fields, "x-expires-in-ms")
 	dst = append(dst, "X-Expires-In-Ms: "...)
 	dst = strconv.AppendInt(dst, expiresMs, 10)
 	dst = append(dst, "\r\n"...)
-	if body != 0 || string(h.Method) != "GET" && string(h.Method) != "HEAD" {
+	if body != 0 || string(head.Method) != "GET" && string(head.Method) != "HEAD" {
 		dst = appendLength(dst, body)
 	}
 	return append(dst, "\r\n"...)
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -59,7 +59,7 @@
 }
 
 type clientsJSON struct {
-	MarkRetries bool `json:"marks_retry"`
+	AnnounceRetries bool `json:"marks_retry"`
 }
 
 type reportJSON struct {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -116,7 +116,7 @@
 		OverloadWindow:     s.Rules.OverloadWindow,
 		CrossZoneCost:      s.Prices.CrossZone,
 		KeyAffinity:        s.Specifics.KeyAffinity,
-		ClientsMarkRetries: s.Clients.MarkRetries,
+		ClientsMarkRetries: s.Clients.AnnounceRetries,
 		HealthCheckCost:    s.Prices.HealthCheck,
 	}
 	if s.Limits.SendRetryAfter {
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -67,13 +67,15 @@
 	return "10 00000003 0102030405060708 00000000 0000" + hex.EncodeToString([]byte{byte(n >> 8), byte(n)}) + " +27", []byte(bootInfo)
 }
 
-func TestReaderDecodesEveryEvent(t *testing.T) {
+// everyEvent returns a frame with an Inventory record and one record of each event.
+func everyEvent(t *testing.T) []byte {
+	t.Helper()
 	start, tail := startRecord()
 	at := hex.EncodeToString([]byte{0, 0, byte(len(tail) >> 8), byte(len(tail))})
 	tail = append(tail, hexBytes(t, `01 3f800000 0000 0000 0000000000000000 0a124a07 2bc3 0000
 		02 3fc00000 0004 0001 00000000005d1420 0a9011f2 2bec 0000 68692037`)...)
 	peerAt := hex.EncodeToString([]byte{0, 0, byte((len(tail) - 4) >> 8), byte(len(tail) - 4)})
-	in := frame(t, tail,
+	return frame(t, tail,
 		start,
 		"1a 0000 "+at+" 00000002 +37",
 		"11 00000003 02 0000 0000000000000029 +32",
@@ -87,7 +89,10 @@
 		"15 00000003 0e6f2b19 +39",
 		"19 00000003 +43",
 	)
-	b, err := NewReader(bytes.NewReader(in)).Next()
+}
+
+func TestReaderDecodesEveryEvent(t *testing.T) {
+	b, err := NewReader(bytes.NewReader(everyEvent(t))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
