--- a/internal/daemon/hotrestart.go
+++ b/internal/daemon/hotrestart.go
@@ -37,7 +37,8 @@
 	listener netpoll.Listener
 }
 
-// handoffPath is where processes of this node meet, or nothing: only those with an admin address are restarted hot.
+// handoffPath is the path of the Unix socket for handoffs between processes of this node, or nothing: only processes with an
+// admin address are restarted hot.
 func handoffPath(config *Config, log *slog.Logger) string {
 	if config.Admin == "" {
 		return ""
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -58,7 +58,7 @@
 	settings  node.Settings
 	endpoints protocol.List // known before discovery has answered
 
-	handoffPath string          // where processes of this node meet; empty: no hot restart
+	handoffPath string          // of the Unix socket for handoffs; empty: no hot restart
 	inherited   *inheritedState // of the predecessor; nil: none
 	watch       *watch
 	node        *node.Node
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -83,7 +83,7 @@
 		if err != nil {
 			return List{}, err
 		}
-		// Among changes the last one counts. In a full list, nobody can tell which of two different entries is valid.
+		// Among changes the last one counts. In a full list, nothing tells which of two different entries is valid.
 		if earlier, duplicate := byUID[target.UID]; list.All && duplicate && earlier != target {
 			return List{}, fmt.Errorf("targets[%d].uid: %q is there twice, and not alike", i, target.UID)
 		}
