--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -137,7 +137,7 @@
 	b.requests[request.id] = request
 	b.tenants[request.tenant].quota.arrivals++
 	b.setDeadlineTimer(request)
-	b.enqueue(request, false)
+	b.enqueue(request)
 	if b.wouldBeLate(request) {
 		b.rejectOrFail(request)
 	}
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -7,13 +7,23 @@
 	"fmt"
 )
 
+// ErrNoClasses is the error of a configuration without a class of requests.
+var ErrNoClasses = errors.New("settings: no classes of request")
+
+// MissingDeadlineError is the error of a configuration in which a class has no deadline.
+type MissingDeadlineError struct{ Class int }
+
+func (e *MissingDeadlineError) Error() string {
+	return fmt.Sprintf("settings: class %d has no deadline", e.Class)
+}
+
 // minSlowStartInitial keeps the warm-up fraction away from 0, by which latencies are divided.
 const minSlowStartInitial = 0.05
 
 // applyConfig takes a configuration up, with the defaults that api.go and the README state.
 func (b *Balancer) applyConfig(config Config) error {
 	if len(config.Classes) == 0 {
-		return errors.New("settings: no classes of request")
+		return ErrNoClasses
 	}
 	config.Classes = append([]Class(nil), config.Classes...)
 	for i := range config.Classes {
@@ -33,7 +43,7 @@
 // setDefaults replaces values that make no sense; without a deadline nothing does.
 func (c *Class) setDefaults(number int) error {
 	if c.Deadline <= 0 {
-		return fmt.Errorf("settings: class %d has no deadline", number)
+		return &MissingDeadlineError{Class: number}
 	}
 	if !(c.PriorityWeight > 0) {
 		c.PriorityWeight = 1
--- a/internal/balancer/config_test.go
+++ b/internal/balancer/config_test.go
@@ -1,16 +1,19 @@
 package balancer
 
 import (
+	"errors"
 	"math"
 	"testing"
 )
 
 func TestInvalidConfigIsRejected(t *testing.T) {
-	if _, err := New(Config{}, 1, nil); err == nil {
-		t.Error("no classes: no error")
+	if _, err := New(Config{}, 1, nil); !errors.Is(err, ErrNoClasses) {
+		t.Errorf("no classes: error %v", err)
 	}
-	if _, err := New(Config{Classes: []Class{{LatencyObjective: 5}}}, 1, nil); err == nil {
-		t.Error("no deadline: no error")
+	_, err := New(Config{Classes: []Class{{Deadline: 5}, {LatencyObjective: 5}}}, 1, nil)
+	var missing *MissingDeadlineError
+	if !errors.As(err, &missing) || missing.Class != 1 {
+		t.Errorf("no deadline of class 1: error %v", err)
 	}
 }
 
--- a/internal/balancer/learned.go
+++ b/internal/balancer/learned.go
@@ -146,8 +146,10 @@
 		return
 	}
 	for i, class := range classes {
-		if sound(class.BaselineLatency, class.MeanLatency) && class.BaselineLatency > 0 && class.MeanLatency > 0 {
-			b.classes[i].latency.baseline, b.classes[i].latency.mean = class.BaselineLatency, class.MeanLatency
+		positive := class.BaselineLatency > 0 && class.MeanLatency > 0
+		if positive && sound(class.BaselineLatency, class.MeanLatency) {
+			latency := &b.classes[i].latency
+			latency.baseline, latency.mean = class.BaselineLatency, class.MeanLatency
 		}
 	}
 }
@@ -159,7 +161,8 @@
 	for i, tenant := range tenants {
 		if sound(tenant.Demand, tenant.PredictedQuota, tenant.Utilization[0], tenant.Utilization[1]) {
 			quota := &b.tenants[i].quota
-			quota.demand, quota.predicted, quota.utilization = tenant.Demand, tenant.PredictedQuota, tenant.Utilization
+			quota.demand, quota.predicted = tenant.Demand, tenant.PredictedQuota
+			quota.utilization = tenant.Utilization
 		}
 	}
 }
--- a/internal/balancer/overload.go
+++ b/internal/balancer/overload.go
@@ -1,6 +1,7 @@
 package balancer
 
-// Overload detection: the mode that decides whether quotas are lent and which requests are sent first.
+// Overload detection: the mode, on which the targets of quotas, the order of dispatch and the time until a
+// rejection depend.
 
 const (
 	overloadEnterUtilization = 0.92 // mean reported utilization at which overload begins
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -19,15 +19,19 @@
 	return len(t.queue) > 0
 }
 
-// enqueue puts a request into its tenant's queue, at the front or at the end.
-func (b *Balancer) enqueue(request *openRequest, atFront bool) {
+// enqueue puts a new request at the end of its tenant's queue.
+func (b *Balancer) enqueue(request *openRequest) {
 	tenant := &b.tenants[request.tenant]
+	tenant.queue = append(tenant.queue, request)
+	request.queued = true
+	b.setQueueTimer(request)
+}
+
+// requeue puts a request that needs a retry at the start of its tenant's queue: it has waited longest.
+func (b *Balancer) requeue(request *openRequest) {
+	tenant := &b.tenants[request.tenant]
+	tenant.queue = slices.Insert(tenant.queue, 0, request)
 	request.queued = true
-	if atFront {
-		tenant.queue = slices.Insert(tenant.queue, 0, request)
-	} else {
-		tenant.queue = append(tenant.queue, request)
-	}
 	b.setQueueTimer(request)
 }
 
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -112,5 +112,5 @@
 		b.rejectOrFail(request)
 		return
 	}
-	b.enqueue(request, true)
+	b.requeue(request)
 }
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -10,7 +10,7 @@
 const (
 	latencyMargin         = 1.2 // times the predicted latency an answer may take, by which it must be in time
 	healthCheckCandidates = 3   // candidates for a request if health checks tell their load
-	drawnCandidates       = 2   // otherwise: the power of two choices
+	randomCandidates      = 2   // otherwise: the power of two choices
 )
 
 // selectCandidates draws endpoints in proportion to the tenant's slots on them, or to the capacity lent. If
@@ -59,7 +59,7 @@
 	if b.checksHealth() {
 		return healthCheckCandidates
 	}
-	return drawnCandidates
+	return randomCandidates
 }
 
 // drawEndpoint draws an index by endpointWeights: at random, or by weighted rendezvous hashing of a key if
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -8,7 +8,7 @@
 const (
 	slowStartBudgetFraction = 0.5  // of the budget is used; the rest is for chance and for uneven nodes
 	slowStartBurstFraction  = 0.25 // of the window: a token that is not used within this time is lost
-	unknownRateAnswers      = 2    // answers per control period, of all nodes, assumed before any has come
+	minAnswersPerPeriod     = 2    // to all nodes: the least that a warm endpoint is assumed to give
 )
 
 // slowStartTokens are the attempts that this node may send to a warming endpoint: the whole ones now, and the
@@ -51,7 +51,7 @@
 // slowStartRate is how many attempts per microsecond a warming endpoint may get of this process: a part of
 // the stated multiple of its capacity, measured by what a warm endpoint answers to this node.
 func (b *Balancer) slowStartRate(endpoint *endpointState, warmUp float64) float64 {
-	warmRate := max(b.answerRate, unknownRateAnswers/float64(b.controlPeriod)/b.nodesPerEndpoint)
+	warmRate := max(b.answerRate, minAnswersPerPeriod/float64(b.controlPeriod)/b.nodesPerEndpoint)
 	weight := min(b.relativeWeight(endpoint), 1)
 	return warmRate * warmUp * b.config.OverloadFactor * slowStartBudgetFraction * weight / b.processCount
 }
