--- a/internal/balancer/concurrency_test.go
+++ b/internal/balancer/concurrency_test.go
@@ -87,7 +87,8 @@
 	balancer := startNode(t, cfg, list...).balancer
 	sum := func() (sum float64) { // of all nodes, at an average endpoint
 		for _, endpoint := range balancer.subset {
-			sum += balancer.effectiveLimit(endpoint) / balancer.relativeWeight(endpoint) * balancer.nodesPerEndpoint / float64(len(balancer.subset))
+			limit := balancer.effectiveLimit(endpoint) / balancer.relativeWeight(endpoint) * balancer.nodesPerEndpoint
+			sum += limit / float64(len(balancer.subset))
 		}
 		return sum
 	}
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -13,6 +13,7 @@
 // MissingDeadlineError is the error of a configuration in which a class has no deadline.
 type MissingDeadlineError struct{ Class int }
 
+// Error names the class by its number.
 func (e *MissingDeadlineError) Error() string {
 	return fmt.Sprintf("settings: class %d has no deadline", e.Class)
 }
--- a/internal/balancer/fakenode_test.go
+++ b/internal/balancer/fakenode_test.go
@@ -94,7 +94,8 @@
 }
 
 func (f *fakeNode) request(id RequestID, class, tenant int) {
-	f.balancer.HandleRequest(f.now, Request{ID: id, Class: class, Tenant: tenant, Deadline: f.now + f.balancer.config.Classes[class].Deadline})
+	deadline := f.now + f.balancer.config.Classes[class].Deadline
+	f.balancer.HandleRequest(f.now, Request{ID: id, Class: class, Tenant: tenant, Deadline: deadline})
 }
 
 func (f *fakeNode) complete(id RequestID, n int, outcome Outcome) {
--- a/internal/balancer/healthcheck_test.go
+++ b/internal/balancer/healthcheck_test.go
@@ -9,6 +9,11 @@
 	return cfg
 }
 
+// outstanding is the report of an endpoint that tells only how many requests it holds.
+func outstanding(requests float64) *LoadReport {
+	return &LoadReport{Outstanding: requests, Backlog: -1, Utilization: -1}
+}
+
 // TestLeastLoadedCheckedEndpointIsSelected guards against a choice by the node's own requests in flight
 // alone: of single-core endpoints that hold less than one of them, it chose no better than chance.
 func TestLeastLoadedCheckedEndpointIsSelected(t *testing.T) {
@@ -19,7 +24,7 @@
 			len(node.healthChecks), node.attempts[1], healthCheckCandidates)
 	}
 	for i, endpoint := range node.healthChecks {
-		node.balancer.HandleHealthCheck(node.now, endpoint, OutcomeOK, ms, &LoadReport{Outstanding: float64(3 - i), Backlog: -1, Utilization: -1})
+		node.balancer.HandleHealthCheck(node.now, endpoint, OutcomeOK, ms, outstanding(float64(3 - i)))
 	}
 	if len(node.attempts[1]) != 1 || node.attempts[1][0] != node.healthChecks[2] {
 		t.Errorf("checked %v, attempts %v; want the last, it holds least", node.healthChecks, node.attempts[1])
@@ -29,7 +34,7 @@
 func TestSlowHealthCheckIsNotAwaited(t *testing.T) {
 	node := startNode(t, healthCheckConfig(), testEndpoints(6)...)
 	node.request(1, 0, 0)
-	node.balancer.HandleHealthCheck(node.now, node.healthChecks[0], OutcomeOK, ms, &LoadReport{Outstanding: 1, Backlog: -1, Utilization: -1})
+	node.balancer.HandleHealthCheck(node.now, node.healthChecks[0], OutcomeOK, ms, outstanding(1))
 	node.advance(3 * ms)
 	if len(node.attempts[1]) != 1 || node.attempts[1][0] != node.healthChecks[0] {
 		t.Errorf("checked %v, attempts %v; want the one that answered", node.healthChecks, node.attempts[1])
@@ -40,7 +45,7 @@
 	node := startNode(t, healthCheckConfig(), testEndpoints(6)...)
 	node.request(1, 0, 0)
 	for _, endpoint := range node.healthChecks {
-		node.balancer.HandleHealthCheck(node.now, endpoint, OutcomeOK, ms, &LoadReport{Outstanding: initialLimit, Backlog: -1, Utilization: -1})
+		node.balancer.HandleHealthCheck(node.now, endpoint, OutcomeOK, ms, outstanding(initialLimit))
 	}
 	if len(node.attempts[1]) != 0 {
 		t.Errorf("sent %v though all were full", node.attempts[1])
@@ -53,11 +58,11 @@
 }
 
 func TestNoHealthChecksWhenExpensiveForbiddenOrWithoutLoad(t *testing.T) {
-	dear := healthCheckConfig()
-	dear.HealthCheckCost = 0.01
+	expensive := healthCheckConfig()
+	expensive.HealthCheckCost = 0.01
 	forbidden := healthCheckConfig()
 	forbidden.AllowHealthChecks = false
-	for _, cfg := range []Config{dear, forbidden} {
+	for _, cfg := range []Config{expensive, forbidden} {
 		node := startNode(t, cfg, testEndpoints(6)...)
 		node.request(1, 0, 0)
 		if len(node.healthChecks) != 0 || len(node.attempts[1]) != 1 {
@@ -66,7 +71,8 @@
 	}
 	node := startNode(t, healthCheckConfig(), testEndpoints(6)...)
 	node.request(1, 0, 0)
-	node.balancer.HandleHealthCheck(node.now, node.healthChecks[0], OutcomeOK, ms, &LoadReport{Outstanding: -1, Backlog: 2, Utilization: 0.5})
+	withoutLoad := &LoadReport{Outstanding: -1, Backlog: 2, Utilization: 0.5}
+	node.balancer.HandleHealthCheck(node.now, node.healthChecks[0], OutcomeOK, ms, withoutLoad)
 	node.advance(20 * ms)
 	n := len(node.healthChecks)
 	node.request(2, 0, 0)
--- a/internal/balancer/hints.go
+++ b/internal/balancer/hints.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Cost hints: clients' guesses of the work of a request, and how much they turn out to be worth.
+// Cost hints: clients' guesses of the work of a request, and how accurate they turn out to be.
 
 import "math"
 
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -90,7 +90,8 @@
 			if i%5 < 2 {
 				outcome = OutcomeReset
 			}
-			if node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: outcome, Latency: ms}); i > 10 && !node.balancer.available(endpoint) {
+			node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: outcome, Latency: ms})
+			if i > 10 && !node.balancer.available(endpoint) {
 				t.Fatalf("endpoint %d is ejected at an error rate of %.2f, where %.2f is usual",
 					endpoint.ID, endpoint.outlier.errorRate, node.balancer.medianErrorRate)
 			}
