--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -102,7 +102,8 @@
 	node.balancer.HandleRequest(node.now, Request{ID: 1, Deadline: node.now + 300*ms}) // the usual wait of these clients
 	node.balancer.overloadMode = true
 	node.balancer.HandleRequest(node.now, Request{ID: 2, Deadline: node.now + 300*ms})
-	node.balancer.HandleRequest(node.now, Request{ID: 3, Deadline: node.now + 200*ms}) // 300 of 500 ms have passed, the objective was 200
+	// Of 500 ms 300 have passed, and the objective was 200.
+	node.balancer.HandleRequest(node.now, Request{ID: 3, Deadline: node.now + 200*ms})
 	if len(node.attempts[2]) != 1 {
 		t.Error("a first attempt was not sent")
 	}
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -39,7 +39,9 @@
 
 func TestSameEventsGiveSameCommands(t *testing.T) {
 	alone := playScript(t)
-	among := playScript(t, startNode(t, testConfig(), testEndpoints(3)...), startNode(t, configWithQuotas(0.2, 0.8), testEndpoints(7)...))
+	small := startNode(t, testConfig(), testEndpoints(3)...)
+	large := startNode(t, configWithQuotas(0.2, 0.8), testEndpoints(7)...)
+	among := playScript(t, small, large)
 	if len(alone) < 2500 || strings.Join(alone, "\n") != strings.Join(among, "\n") {
 		t.Errorf("%d actions alone, %d among others, or not the same", len(alone), len(among))
 	}
--- a/internal/balancer/fakenode_test.go
+++ b/internal/balancer/fakenode_test.go
@@ -114,15 +114,26 @@
 
 const ms = 1000
 
+// keyedClass is a class of requests with idempotency keys.
+func keyedClass(scope KeyScope) Class {
+	return Class{
+		LatencyObjective:  400 * ms,
+		Deadline:          900 * ms,
+		Idempotency:       IdempotentByKey,
+		KeyScope:          scope,
+		IdempotencyWindow: 100 * ms,
+	}
+}
+
 // testConfig has a class for each kind of idempotency.
 func testConfig() Config {
 	return Config{PeerCount: 1, MaxAttempts: 4, AllowCancel: true, TickInterval: ms, PollInterval: 10000 * ms,
 		Classes: []Class{
 			{LatencyObjective: 200 * ms, Deadline: 500 * ms, Idempotency: Idempotent},
 			{LatencyObjective: 200 * ms, Deadline: 500 * ms, Idempotency: NonIdempotent, IdempotencyWindow: 5000 * ms},
-			{LatencyObjective: 400 * ms, Deadline: 900 * ms, Idempotency: IdempotentByKey, KeyScope: ScopeAll, IdempotencyWindow: 100 * ms},
-			{LatencyObjective: 400 * ms, Deadline: 900 * ms, Idempotency: IdempotentByKey, KeyScope: ScopeZone, IdempotencyWindow: 100 * ms},
-			{LatencyObjective: 400 * ms, Deadline: 900 * ms, Idempotency: IdempotentByKey, KeyScope: ScopeCell, IdempotencyWindow: 100 * ms},
+			keyedClass(ScopeAll),
+			keyedClass(ScopeZone),
+			keyedClass(ScopeCell),
 			{LatencyObjective: 200 * ms, Deadline: 500 * ms, Idempotency: NonIdempotent, LateValue: 0.3},
 		},
 		SlowStartInitial: 0.1, SlowStartDuration: 20000 * ms, OverloadFactor: 3, OverloadWindow: 2000 * ms}
--- a/internal/balancer/healthcheck_test.go
+++ b/internal/balancer/healthcheck_test.go
@@ -24,7 +24,7 @@
 			len(node.healthChecks), node.attempts[1], healthCheckCandidates)
 	}
 	for i, endpoint := range node.healthChecks {
-		node.balancer.HandleHealthCheck(node.now, endpoint, OutcomeOK, ms, outstanding(float64(3 - i)))
+		node.balancer.HandleHealthCheck(node.now, endpoint, OutcomeOK, ms, outstanding(float64(3-i)))
 	}
 	if len(node.attempts[1]) != 1 || node.attempts[1][0] != node.healthChecks[2] {
 		t.Errorf("checked %v, attempts %v; want the last, it holds least", node.healthChecks, node.attempts[1])
--- a/internal/balancer/learned_test.go
+++ b/internal/balancer/learned_test.go
@@ -51,8 +51,8 @@
 	third := startNodeWithSeed(t, 10, cfg, list...)
 	limit := third.balancer.endpointsByID[1].limit
 	third.balancer.ImportState(third.now, odd)
-	if third.balancer.endpointsByID[1].limit != limit || third.balancer.endpointsByID[2].limit <= 0 || third.balancer.answerRate != 0 {
-		t.Errorf("limits %v and %v, rate %v",
-			third.balancer.endpointsByID[1].limit, third.balancer.endpointsByID[2].limit, third.balancer.answerRate)
+	first, second := third.balancer.endpointsByID[1].limit, third.balancer.endpointsByID[2].limit
+	if first != limit || second <= 0 || third.balancer.answerRate != 0 {
+		t.Errorf("limits %v and %v, rate %v", first, second, third.balancer.answerRate)
 	}
 }
--- a/internal/balancer/listlease_test.go
+++ b/internal/balancer/listlease_test.go
@@ -16,8 +16,12 @@
 // TestNothingIsSentByListOfUnknownAge has nodes that know nothing of the list but that it was current once.
 // A request waits for evidence, and is sent as that comes.
 func TestNothingIsSentByListOfUnknownAge(t *testing.T) {
-	for name, evidence := range map[string]ListKind{"an answer": ListDelta, "a failed call": ListFailed, "overloaded": ListOverloaded,
-		"no answer to the first call": ListTimeout} {
+	for name, evidence := range map[string]ListKind{
+		"an answer":                   ListDelta,
+		"a failed call":               ListFailed,
+		"overloaded":                  ListOverloaded,
+		"no answer to the first call": ListTimeout,
+	} {
 		node := startNode(t, leasedConfig(), testEndpoints(4)...)
 		node.request(1, 0, 0)
 		node.advance(20 * ms)
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -64,7 +64,8 @@
 	}
 	first := endpoint.outlier.ejectedUntil - node.now
 	node.advance(2 * first)
-	if node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeReset}); endpoint.outlier.ejectedUntil-node.now < first {
+	node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeReset})
+	if endpoint.outlier.ejectedUntil-node.now < first {
 		t.Error("the second ejection is not longer than the first")
 	}
 	odd := node.balancer.endpoints[1]
@@ -95,7 +96,8 @@
 				t.Fatalf("endpoint %d is ejected at an error rate of %.2f, where %.2f is usual",
 					endpoint.ID, endpoint.outlier.errorRate, node.balancer.medianErrorRate)
 			}
-			endpoint.outlier.ejectedUntil = min(endpoint.outlier.ejectedUntil, node.now) // the time before the first control does not count
+			// The time before the first control does not count.
+			endpoint.outlier.ejectedUntil = min(endpoint.outlier.ejectedUntil, node.now)
 		}
 		node.balancer.updateSubset()
 	}
--- a/internal/balancer/selection_test.go
+++ b/internal/balancer/selection_test.go
@@ -22,7 +22,8 @@
 			}
 		}
 		for key := uint64(1); key <= keys; key++ {
-			candidates := node.balancer.selectCandidates(&openRequest{affinityKey: key, deadline: node.now + 900*ms, maxAttempts: 1}, false)
+			request := &openRequest{affinityKey: key, deadline: node.now + 900*ms, maxAttempts: 1}
+			candidates := node.balancer.selectCandidates(request, false)
 			if len(candidates) != 2 || candidates[0] == candidates[1] {
 				t.Fatalf("key %d: %d drawn", key, len(candidates))
 			}
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -22,7 +22,9 @@
 		"first call timed out":                {[]note{{NoAnswer, 300}}, 300 + length},
 		"a watch timed out":                   {[]note{{Answered, 200}, {NoAnswer, 300}}, 200 + length},
 		"a watch and the next call timed out": {[]note{{Answered, 200}, {NoAnswer, 300}, {NoAnswer, 400}}, 400 + length},
-		"a rejection between two timeouts":    {[]note{{Answered, 200}, {NoAnswer, 300}, {Rejected, 350}, {NoAnswer, 400}}, 350 + length},
+		"a rejection between two timeouts": {
+			[]note{{Answered, 200}, {NoAnswer, 300}, {Rejected, 350}, {NoAnswer, 400}}, 350 + length,
+		},
 	} {
 		l := New(100, length)
 		for _, n := range test.notes {
