--- a/internal/node/accounting_test.go
+++ b/internal/node/accounting_test.go
@@ -113,7 +113,7 @@
 			write(complete)
 		case "rejects":
 			write("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
-		case "unmarked 503": // unmarked: it may have run
+		case "unmarked 503": // the request may have run
 			write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 		case "500":
 			write("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno")
--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -75,7 +75,7 @@
 			t.Fatal(err)
 		}
 		waitUntil(n, func() bool {
-			n.closeStalledClients() // its time is not over
+			n.closeStalledClients() // its timeout has not passed
 			for c := range n.clients {
 				if c.input != nil && c.input.length == len(half) && !c.writingAnswer {
 					c.requestStartedAt -= headTimeout
@@ -133,7 +133,7 @@
 	waitUntil(n, func() bool {
 		for c := range n.clients {
 			size, err := syscall.GetsockoptInt(c.conn.(interface{ Fd() int }).Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF)
-			if err != nil || size > 2*receiveBufferSize { // the system doubles it for its own needs
+			if err != nil || size > 2*receiveBufferSize { // the kernel doubles it for its own needs
 				t.Errorf("a buffer of %d bytes, %v", size, err)
 			}
 			return true
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -44,8 +44,14 @@
 	}
 	n.traceRequest(att.request, "attempt completed", "attempt", att.number, "endpoint", att.endpoint.address,
 		"outcome", int(outcome), "duration_us", n.now()-att.startedAt)
-	result := balancer.AttemptResult{ID: att.request.id, Attempt: att.number, Endpoint: att.endpoint.id, Outcome: outcome,
-		Latency: n.now() - att.startedAt, Load: report}
+	result := balancer.AttemptResult{
+		ID:       att.request.id,
+		Attempt:  att.number,
+		Endpoint: att.endpoint.id,
+		Outcome:  outcome,
+		Latency:  n.now() - att.startedAt,
+		Load:     report,
+	}
 	if att.deadline == noDeadline { // not fully sent: the time was the client's, not the backend's
 		result.Latency = 0
 	}
@@ -69,7 +75,8 @@
 	if conn := att.conn; conn != nil {
 		n.closeBackend(conn, closeAttemptAbandoned)
 	} else {
-		att.endpoint.waitingAttempts = slices.DeleteFunc(att.endpoint.waitingAttempts, func(waiting *attempt) bool { return waiting == att })
+		isThis := func(waiting *attempt) bool { return waiting == att }
+		att.endpoint.waitingAttempts = slices.DeleteFunc(att.endpoint.waitingAttempts, isThis)
 		if outcome == balancer.OutcomeTimeout {
 			outcome = balancer.OutcomeConnectFailed
 		}
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -25,7 +25,7 @@
 	for _, c := range []struct {
 		name, class string
 		ms          int
-		first       http.HandlerFunc // what the first request meets; later ones are served
+		first       http.HandlerFunc // handles the first request; later ones are served
 		code, sends int
 	}{
 		{"served", "once", 9000, serve, 200, 1},
@@ -70,7 +70,7 @@
 			if code == 200 && body != "body of /"+c.class {
 				t.Errorf("body %q", body)
 			}
-			if code, _, _ := conn.exchange(readyRequest); code != 200 { // a second answer would stand here instead
+			if code, _, _ := conn.exchange(readyRequest); code != 200 { // a second answer would be read here instead
 				t.Errorf("next on the connection: %d", code)
 			}
 		})
@@ -101,7 +101,8 @@
 	got := make(chan string, 1)
 	a := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
-		got <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Header.Get("X-Trace-Id"), " ", r.Header.Get("Idempotency-Key"), " ", string(b))
+		got <- fmt.Sprint(r.Method, " ", r.RequestURI, " ",
+			r.Header.Get("X-Trace-Id"), " ", r.Header.Get("Idempotency-Key"), " ", string(b))
 		w.Header().Set(protocol.LoadHeader, "TEXT util=0.5")
 		serve(w, r)
 	})
@@ -132,7 +133,7 @@
 		n.SendAttempt(r.id, 1, 0)
 		n.settings.Balancer.AllowHedging = true
 		n.SendAttempt(r.id, 1, -1)
-		n.SendAttempt(r.id, 1, 0) // the fourth of three
+		n.SendAttempt(r.id, 1, 0) // one more than MaxAttempts
 		for _, a := range r.attempts[1:] {
 			if !a.isCompleted() || a.conn != nil {
 				t.Errorf("attempt %d went out", a.number)
@@ -167,7 +168,7 @@
 	w := &queuedRequest{n, a, dialNode(t, addr), dialNode(t, addr), arrived, release}
 	_, _ = io.WriteString(w.first, requestText("once", 9000))
 	<-arrived
-	n.post(func() { n.endpoints[1].address, n.endpoints[1].pendingDials = "127.0.0.1:1", 1 }) // a dial on its way that never ends
+	n.post(func() { n.endpoints[1].address, n.endpoints[1].pendingDials = "127.0.0.1:1", 1 }) // a pending dial that never ends
 	_, _ = io.WriteString(w.second, requestText("once", 9000))
 	waitUntil(n, func() bool { return len(n.endpoints[1].waitingAttempts) == 1 })
 	return w
@@ -178,7 +179,7 @@
 func (w *queuedRequest) releaseFirst() {
 	t := w.first.t
 	t.Helper()
-	go func() { // should the second come all the same
+	go func() { // in case the second request is sent nevertheless
 		select {
 		case <-w.arrived:
 		case <-t.Context().Done():
@@ -200,8 +201,8 @@
 	first, second := dialNode(t, addr), dialNode(t, addr)
 	_, _ = io.WriteString(first, requestText("once", 9000))
 	<-arrived
-	// A dial to nowhere, whose failure is put down to another that is still on its way: only the freed
-	// connection can serve.
+	// The dial fails, and its failure is attributed to another that is still pending: only the released connection
+	// can serve.
 	n.post(func() { n.endpoints[1].address, n.endpoints[1].pendingDials = "127.0.0.1:1", 1 })
 	_, _ = io.WriteString(second, requestText("once", 9000))
 	waitUntil(n, func() bool { return len(n.endpoints[1].waitingAttempts) == 1 })
@@ -258,7 +259,7 @@
 		_, _ = io.WriteString(caller, strings.Replace(requestText("once", 9000), "Content-Length: 2\r\n\r\nhi",
 			fmt.Sprintf("Content-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size)), 1))
 	}()
-	if _, err := in.Peek(1); err != nil { // it is on its way
+	if _, err := in.Peek(1); err != nil { // it is being written
 		t.Fatal(err)
 	}
 	runOnLoop(n, func() {
@@ -294,9 +295,9 @@
 			})
 			_, _ = io.WriteString(conn, requestText("once", 9000))
 			waitUntil(n, func() bool { return len(n.endpoints[1].waitingAttempts) == 1 })
-			told := app.targets()[0]
-			told.State = state
-			n.UpdateEndpoints(protocol.List{Rev: 1, Targets: []protocol.Target{told, targetOf("b", other)}}, false)
+			notified := app.targets()[0]
+			notified.State = state
+			n.UpdateEndpoints(protocol.List{Rev: 1, Targets: []protocol.Target{notified, targetOf("b", other)}}, false)
 			waitUntil(n, func() bool { return len(n.endpoints) == 2 })
 			runOnLoop(n, func() {
 				for _, b := range n.endpoints[1].idleConns { // it is reusable
@@ -325,7 +326,8 @@
 			n, addr := startNode(t, app.targets(), nil)
 			conn := dialNode(t, addr)
 			conn.exchange(requestText("read", 9000))
-			waitUntil(n, func() bool { return n.idleBackends.Len() == 1 && len(n.requests) == 0 }) // so that no connection is waited for
+			// so that the next request needs no dial
+			waitUntil(n, func() bool { return n.idleBackends.Len() == 1 && len(n.requests) == 0 })
 			ends := &outcomeRecorder{decisionModule: n.balancer}
 			runOnLoop(n, func() { n.balancer, n.testWriteDelay = ends, 2*maxWriteDelay })
 			_, _ = io.WriteString(conn, requestText("once", 9000))
@@ -363,9 +365,13 @@
 			want   safety.Reason
 		}{
 			{"as it should be", func(*firstByte) {}, safety.Allowed},
-			{"backend left", func(*firstByte) { h.outOfServiceSince = now - n.settings.DrainGrace - auditSlack - 1 }, safety.BackendDraining},
+			{"endpoint drains", func(*firstByte) {
+				h.outOfServiceSince = now - n.settings.DrainGrace - auditSlack - 1
+			}, safety.BackendDraining},
 			{"list too old", func(f *firstByte) { f.listExpiresAt = now - n.settings.DrainGrace - auditSlack - 1 }, safety.ListStale},
-			{"client gone", func(*firstByte) { r.clientConn.disconnectedAt.Store(now - maxDisconnectDelay - 1) }, safety.ClientDisconnected},
+			{"client disconnected", func(*firstByte) {
+				r.clientConn.disconnectedAt.Store(now - maxDisconnectDelay - 1)
+			}, safety.ClientDisconnected},
 			{"more time than is left", func(f *firstByte) { f.statedTimeout += deadlineSlack + 1 }, safety.DeadlinePassed},
 		} {
 			clear(n.violations)
@@ -374,7 +380,9 @@
 			f := fine
 			c.change(&f)
 			n.audit(a, f)
-			if want := map[safety.Reason]int{c.want: 1}; c.want == safety.Allowed && len(n.violations) > 0 || c.want != safety.Allowed && n.violations[c.want] != want[c.want] {
+			unexpected := c.want == safety.Allowed && len(n.violations) > 0
+			missing := c.want != safety.Allowed && n.violations[c.want] != 1
+			if unexpected || missing {
 				t.Errorf("%s: counted %v", c.name, n.violations)
 			}
 		}
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -11,7 +11,7 @@
 const maxWriteDelay = 10_000
 
 // errWriteDelayed reports a write that was not started because too much time had passed since its check.
-var errWriteDelayed = errors.New("held up before the first byte")
+var errWriteDelayed = errors.New("delayed before the first byte")
 
 // Limits of the audit, in microseconds.
 const (
@@ -38,7 +38,8 @@
 		n.recordViolation(att, safety.ListStale, first.writtenAt-first.listExpiresAt)
 	}
 	if req.clientConn != nil {
-		if disconnectedAt := req.clientConn.disconnectedAt.Load(); disconnectedAt > 0 && first.writtenAt > disconnectedAt+maxDisconnectDelay {
+		disconnectedAt := req.clientConn.disconnectedAt.Load()
+		if disconnectedAt > 0 && first.writtenAt > disconnectedAt+maxDisconnectDelay {
 			n.recordViolation(att, safety.ClientDisconnected, first.writtenAt-disconnectedAt)
 		}
 	}
@@ -50,6 +51,7 @@
 // recordViolation counts and logs an attempt that should not have started.
 func (n *Node) recordViolation(att *attempt, reason safety.Reason, excess int64) {
 	n.violations[reason]++
-	n.log.Error("invariant violated", "rule", reason.String(), "by_us", excess, "trace_id", att.request.loggedTraceID(), "attempt", att.number,
+	n.log.Error("invariant violated", "rule", reason.String(), "by_us", excess,
+		"trace_id", att.request.loggedTraceID(), "attempt", att.number,
 		"endpoint", att.endpoint.address, "rev", n.listRevision, "count", n.violations[reason])
 }
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -76,7 +76,8 @@
 			}
 		}
 	}
-	_, _ = io.WriteString(client, requestText("once", 9000)+requestText("read", 9000)+requestText("once", 9000)[:40]) // the third is incomplete
+	// The third is incomplete.
+	_, _ = io.WriteString(client, requestText("once", 9000)+requestText("read", 9000)+requestText("once", 9000)[:40])
 	<-arrived
 	runOnLoop(n, func() { began[0] = n.now(); took(0) })
 	later(began[0])
@@ -100,7 +101,8 @@
 			t.Fatalf("request %d: %d", k, code)
 		}
 	}
-	if deadlines[1] != deadlines[0] || deadlines[2] != deadlines[3] || deadlines[2] < deadlines[1]+arrivalMergeInterval || deadlines[3] > began[2]+9_000_000 {
+	if deadlines[1] != deadlines[0] || deadlines[2] != deadlines[3] ||
+		deadlines[2] < deadlines[1]+arrivalMergeInterval || deadlines[3] > began[2]+9_000_000 {
 		t.Errorf("deadlines %v, two pieces came by %d and %d", deadlines, began[0], began[2])
 	}
 }
@@ -115,7 +117,8 @@
 	_, _ = io.WriteString(conn, strings.Replace(requestText("read", 9000), "\r\n", "\r\nConnection: close\r\n", 1))
 	host, _ := app.acceptRequest()
 	writeOK(host, body)
-	waitUntil(n, func() bool { return n.lingeringClients.Len() == 1 || len(n.clients) == 0 }) // its last byte is with the system
+	// its last byte has reached the kernel
+	waitUntil(n, func() bool { return n.lingeringClients.Len() == 1 || len(n.clients) == 0 })
 	_, _ = io.WriteString(conn, requestText("read", 9000))
 	waitUntil(n, func() bool {
 		for c := range n.clients {
@@ -136,7 +139,8 @@
 		"a stop":    func(n *Node, _ *clientConn) { n.closeIdleClients() },
 		"long idle": func(n *Node, c *clientConn) { c.idleSince = n.now() - maxClientIdleTime; n.closeStalledClients() },
 		"too many": func(n *Node, c *clientConn) {
-			for k := range (reservedDescriptors + minServingDescriptors) / idleClientFraction { // one more than may be idle, each used later
+			// one more than may be idle, each used later than the one before
+			for k := range (reservedDescriptors + minServingDescriptors) / idleClientFraction {
 				other := &clientConn{node: n, hasSentRequest: true}
 				other.conn, other.idleSince = c.conn, n.now()+int64(k)
 				n.clients[other] = struct{}{}
--- a/internal/node/clientidle.go
+++ b/internal/node/clientidle.go
@@ -74,7 +74,7 @@
 			case client.input != nil:
 			case !client.hasSentRequest && now-client.requestStartedAt >= headTimeout, idleTime >= maxClientIdleTime:
 				client.closeGracefully(closeNoRequest)
-			case client.hasSentRequest && idleTime >= minClientIdleTime && n.descriptorLimit() > 0 && len(n.clients) > n.descriptorLimit()/3:
+			case client.hasSentRequest && idleTime >= minClientIdleTime && n.hasManyClients():
 				// more connections than clients need for their requests, idle ones included
 				client.closeGracefully(closeTooManyIdle)
 			}
@@ -82,6 +82,12 @@
 	}
 }
 
+// hasManyClients reports whether clients have more than a third of the descriptors.
+func (n *Node) hasManyClients() bool {
+	limit := n.descriptorLimit()
+	return limit > 0 && len(n.clients) > limit/3
+}
+
 // maxBodyTime is how long the body of a buffered request may take of which so many bytes have come, in microseconds.
 func maxBodyTime(received int) int64 {
 	return bodyTimeout + int64(float64(received)*1e6/(minBodyRate*bodyRateTolerance))
--- a/internal/node/closereason.go
+++ b/internal/node/closereason.go
@@ -33,16 +33,16 @@
 // is worth a warning whoever is at fault; others are logged only if tracing is on.
 func (c *clientConn) logClose(reason closeReason) {
 	unanswered := c.request != nil || c.input != nil && c.input.length > 0 || c.upload != nil && !c.upload.complete
-	if !unanswered || reason == closedByPeer || reason == closeLastAnswer { // input behind the last answer was never admitted
+	if !unanswered || reason == closedByPeer || reason == closeLastAnswer { // input behind the last answer is never admitted
 		c.node.traceClient(c, "client connection closed", "reason", string(reason), "unanswered", unanswered)
 		return
 	}
-	trace := ""
+	traceID := ""
 	if c.request != nil {
-		trace = c.request.loggedTraceID()
+		traceID = c.request.loggedTraceID()
 	}
 	c.node.warnLimited("client connection closed within a request", "reason", string(reason),
-		"trace_id", trace, "received_bytes", c.receivedBytes, "has_sent_request", c.hasSentRequest)
+		"trace_id", traceID, "received_bytes", c.receivedBytes, "has_sent_request", c.hasSentRequest)
 }
 
 // logClose traces why the node closes a connection to a backend.
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -20,7 +20,7 @@
 		if n.newClients.Len() != 1 || n.idleClients.Len() != 1 {
 			return false
 		}
-		n.closeStalledClients() // nobody's time is over
+		n.closeStalledClients() // no timeout has passed
 		for c := range n.clients {
 			c.requestStartedAt, c.idleSince = c.requestStartedAt-headTimeout, c.idleSince-headTimeout
 		}
@@ -50,7 +50,8 @@
 // Clients that send one request and keep their connection do not keep others out: of the connections between two
 // requests, those idle for longest close once there are many.
 func TestIdleConnectionsAreLimited(t *testing.T) {
-	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve))}, func(s *Settings) { s.MaxDescriptors = 10 * idleClientFraction })
+	targets := newTestBackend(t, serve).targets()
+	n, addr := startNode(t, targets, func(s *Settings) { s.MaxDescriptors = 10 * idleClientFraction })
 	callers := make([]*testClient, 15)
 	for i := range callers {
 		callers[i] = dialNode(t, addr)
@@ -69,7 +70,8 @@
 
 // If descriptors are short, unused client connections close before backend connections that the next requests need.
 func TestUnusedConnectionsReleaseDescriptors(t *testing.T) {
-	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve))}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 3 })
+	targets := newTestBackend(t, serve).targets()
+	n, addr := startNode(t, targets, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 3 })
 	used, silent := dialNode(t, addr), dialNode(t, addr)
 	used.exchange(requestText("once", 9000))
 	waitUntil(n, func() bool {
@@ -126,7 +128,8 @@
 
 // Lingering connections are closed like others if descriptors are short, last of all.
 func TestLingeringConnectionsReleaseDescriptors(t *testing.T) {
-	n, addr := startNode(t, newTestBackend(t, serve).targets(), func(s *Settings) { s.MaxDescriptors = reservedDescriptors + minServingDescriptors })
+	targets := newTestBackend(t, serve).targets()
+	n, addr := startNode(t, targets, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + minServingDescriptors })
 	var all []*testClient
 	for range minServingDescriptors {
 		c := dialNode(t, addr)
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -38,7 +38,10 @@
 // cancellation or not, and however it disconnects.
 func TestClientDisconnectBeforeFirstByte(t *testing.T) {
 	for name, c := range map[string]struct{ cancel, reset bool }{
-		"closes": {true, false}, "resets": {true, true}, "closes, nothing is cancelled": {false, false}, "resets, nothing is cancelled": {false, true},
+		"closes":                       {true, false},
+		"resets":                       {true, true},
+		"closes, nothing is cancelled": {false, false},
+		"resets, nothing is cancelled": {false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newQueuedRequest(t, func(s *Settings) { s.Balancer.AllowCancel = c.cancel })
@@ -63,7 +66,7 @@
 		n, addr := startNode(t, app.targets(), nil)
 		conn := dialNode(t, addr)
 		conn.exchange(requestText("read", 9000))
-		waitUntil(n, func() bool { return n.idleBackends.Len() == 1 }) // so that nothing is waited for
+		waitUntil(n, func() bool { return n.idleBackends.Len() == 1 }) // so that the next request needs no dial
 		ends := &outcomeRecorder{}
 		runOnLoop(n, func() { ends.decisionModule, n.balancer = n.balancer, ends })
 		busy, free := make(chan struct{}), make(chan struct{})
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -7,8 +7,7 @@
 	"tulipglade/internal/protocol"
 )
 
-// UpdateEndpoints applies changes of the endpoint list. Cached says that the list comes from disk and may be out of
-// date.
+// UpdateEndpoints applies changes of the endpoint list. Cached says that the list may be out of date.
 func (n *Node) UpdateEndpoints(update protocol.List, cached bool) {
 	n.handleEndpointList(update, cached, time.Now())
 }
@@ -46,7 +45,7 @@
 }
 
 // DiscoveryCallFailed reports a failed call to discovery and the kind of failure: ListFailed, ListSilent or ListBusy.
-// The call would have shown the list as of the given time.
+// No newer list was available as of the given time.
 func (n *Node) DiscoveryCallFailed(err error, how balancer.ListKind, asOf time.Time) {
 	n.post(func() {
 		n.log.Warn("discovery failed", "err", err)
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -18,7 +18,7 @@
 func (n *Node) postPriority(callback func()) {
 	n.mu.Lock()
 	n.priorityPosted = append(n.priorityPosted, callback)
-	// set before the caller can observe the call: the loop checks the flag before its next callback
+	// Set before the caller can observe the call: the loop checks the flag before its next callback.
 	n.priorityPending.Store(true)
 	n.mu.Unlock()
 	select {
--- a/internal/node/eventloop_test.go
+++ b/internal/node/eventloop_test.go
@@ -37,7 +37,8 @@
 		n.warnLimited("malformed answer", "endpoint", "h")
 		n.log = slog.New(slog.DiscardHandler)
 	})
-	if got := strings.Count(out.String(), "msg=\"malformed answer\""); got != maxWarningsPerInterval+1 || !strings.Contains(out.String(), "count=995") {
+	got := strings.Count(out.String(), "msg=\"malformed answer\"")
+	if got != maxWarningsPerInterval+1 || !strings.Contains(out.String(), "count=995") {
 		t.Errorf("%d lines, and %.300s", got, out.String())
 	}
 }
@@ -45,29 +46,29 @@
 // Operators' calls run before everything that clients have caused, however much that is.
 func TestOperatorCallsHavePriority(t *testing.T) {
 	n, _ := startNode(t, nil, nil)
-	begun, all := make(chan struct{}), make(chan struct{})
+	started, answered := make(chan struct{}), make(chan struct{})
 	var ran atomic.Int64
 	go func() {
-		<-begun
+		<-started
 		n.Standby(func(error) {
 			if k := ran.Load(); k > 0 {
 				t.Errorf("answered after %d other things", k)
 			}
-			close(all)
+			close(answered)
 		})
 	}()
 	n.post(func() {
-		close(begun)
-		for asked := false; !asked; { // until the call is visible
+		close(started)
+		for visible := false; !visible; { // until the call is visible
 			n.mu.Lock()
-			asked = len(n.priorityPosted) > 0
+			visible = len(n.priorityPosted) > 0
 			n.mu.Unlock()
 		}
 	})
 	for range 10_000 {
 		n.post(func() { ran.Add(1) })
 	}
-	<-all
+	<-answered
 }
 
 // Once an operator's call is visible, so is the flag that tells the event loop: in between, it would go on with
--- a/internal/node/forwarder.go
+++ b/internal/node/forwarder.go
@@ -37,7 +37,7 @@
 type source struct {
 	buffered     [][]byte
 	descriptor   *os.File // nil: the connection has ended
-	endedInOrder bool     // … without a reset
+	endedInOrder bool     // without a descriptor: it has ended without a reset
 }
 
 // Read implements io.Reader.
--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -58,7 +58,7 @@
 			t.Errorf("%s: the request after: %d", c.name, code)
 		}
 	}
-	if k := a.connectionCount(); k > 8 { // of 16 requests: one that comes before its connection is back takes another
+	if k := a.connectionCount(); k > 8 { // of 16 requests: one that comes before a connection is reattached uses another
 		t.Errorf("%d connections to the backend: they did not come back", k)
 	}
 }
@@ -233,7 +233,8 @@
 				t.Error("the backend was given an end in order")
 			}
 			waitUntil(n, func() bool {
-				return len(n.requests) == 0 && n.activeForwarders == 0 && n.openRequests == 0 && len(n.clients) == 0 && n.openDescriptors <= 1
+				return len(n.requests) == 0 && n.activeForwarders == 0 && n.openRequests == 0 &&
+					len(n.clients) == 0 && n.openDescriptors <= 1
 			})
 		})
 	}
@@ -318,7 +319,7 @@
 		}
 	}
 	waitUntil(n, func() bool { return n.activeForwarders >= count })
-	time.Sleep(200 * time.Millisecond) // what would grow, grows
+	time.Sleep(200 * time.Millisecond) // time for memory to grow
 	runtime.GC()
 	runtime.ReadMemStats(&peak)
 	// All messages are 384 MB. 175 MB were seen before the poller waited, 13 to 33 MB since, the most on a busy machine.
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -44,13 +44,14 @@
 			AllowCancel: true, TickInterval: 1000, Tenants: []balancer.Tenant{{QuotaFraction: 1}}, Classes: []balancer.Class{
 				{LatencyObjective: 10 * second, Deadline: 10 * second},
 				{LatencyObjective: 10 * second, Deadline: 10 * second, Idempotency: balancer.NonIdempotent},
-				{LatencyObjective: 10 * second, Deadline: 10 * second, Idempotency: balancer.IdempotentByKey, KeyScope: balancer.ScopeCell, IdempotencyWindow: 5 * second},
+				{LatencyObjective: 10 * second, Deadline: 10 * second, Idempotency: balancer.IdempotentByKey,
+					KeyScope: balancer.ScopeCell, IdempotencyWindow: 5 * second},
 			}}}
 	if change != nil {
 		change(&set)
 	}
 	level := &slog.HandlerOptions{Level: slog.LevelInfo}
-	if os.Getenv("TULIPGLADE_LOG") == "debug" { // a line for each step, where a failure is being traced
+	if os.Getenv("TULIPGLADE_LOG") == "debug" { // a line for each step, to trace a failure
 		level.Level = slog.LevelDebug
 	}
 	n, err := New(set, noDiscovery{}, slog.New(slog.NewTextHandler(t.Output(), level)))
@@ -127,8 +128,13 @@
 func reconfigureNode(n *Node, change func(*Settings)) {
 	done := make(chan struct{})
 	n.post(func() {
-		set := Settings{ConnectTimeout: n.settings.ConnectTimeout, Keepalive: n.settings.Keepalive, OverdueGrace: n.settings.OverdueGrace, Zones: n.settings.Zones,
-			Balancer: n.settings.Balancer}
+		set := Settings{
+			ConnectTimeout: n.settings.ConnectTimeout,
+			Keepalive:      n.settings.Keepalive,
+			OverdueGrace:   n.settings.OverdueGrace,
+			Zones:          n.settings.Zones,
+			Balancer:       n.settings.Balancer,
+		}
 		set.Balancer.Classes, set.Balancer.Tenants = nil, nil
 		for _, name := range []string{"read", "once", "keyed"} {
 			if i, ok := n.classIndex[name]; ok {
--- a/internal/node/healthcheck_test.go
+++ b/internal/node/healthcheck_test.go
@@ -59,7 +59,8 @@
 			}
 			runOnLoop(n, func() {
 				if h := n.endpointsByUID["a"]; h.pendingHealthChecks != 0 || len(h.waitingAttempts) != 0 || len(m.healthChecks) != 0 {
-					t.Errorf("left: %d health checks, %d waiting, %d outcomes", h.pendingHealthChecks, len(h.waitingAttempts), len(m.healthChecks))
+					t.Errorf("left: %d health checks, %d waiting, %d outcomes",
+						h.pendingHealthChecks, len(h.waitingAttempts), len(m.healthChecks))
 				}
 			})
 		})
--- a/internal/node/manualbackend_test.go
+++ b/internal/node/manualbackend_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second)) // no longer than callers wait
+	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second)) // no longer than clients wait
 	t.Cleanup(func() { _ = ln.Close() })
 	return &manualBackend{t, ln}
 }
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -113,7 +113,7 @@
 				default:
 				}
 				ok := false
-				for try := 0; try < 2 && !ok; try++ {
+				for sendings := 0; sendings < 2 && !ok; sendings++ {
 					req, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/once", http.NoBody)
 					req.Header = http.Header{"X-Trace-Id": {fmt.Sprint("turn", lastTraceID.Add(1))}, "X-Customer": {"t"}}
 					if resp, err := one.RoundTrip(req); err == nil {
--- a/internal/node/peerstate_test.go
+++ b/internal/node/peerstate_test.go
@@ -63,7 +63,7 @@
 				t.Errorf("before the end: %v", got)
 			}
 			c.end(other.(*net.TCPConn))
-			for conn.IsActive() { // until the poller has seen the end
+			for conn.IsActive() { // until the poller has noticed the end
 				_, _ = conn.Reader().Peek(1)
 			}
 			_ = conn.Close()
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -16,7 +16,7 @@
 func TestDuplicateAnswerIsDiscarded(t *testing.T) {
 	app := newManualBackend(t, 0)
 	n, addr := startNode(t, app.targets(), func(s *Settings) {
-		s.ConnectTimeout *= 60 // to give up and try anew is no way round
+		s.ConnectTimeout *= 60 // a timeout and a retry must not hide the failure
 	})
 	conn := dialNode(t, addr)
 	_, _ = io.WriteString(conn, requestText("read", 9000))
@@ -27,7 +27,7 @@
 	}
 	waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
 	runOnLoop(n, func() {
-		n.endpoints[1].duplicatesUntil = noDeadline               // it has done so before
+		n.endpoints[1].duplicatesUntil = noDeadline               // it has sent duplicates before
 		n.endpoints[1].idleConns[0].lastAnswerAt += 3_600_000_000 // not reusable for as long as this test takes
 	})
 	_, _ = io.WriteString(conn, requestText("once", 9000))
@@ -40,7 +40,7 @@
 	}
 	runOnLoop(n, func() { n.endpoints[1].duplicatesUntil = 0 })
 	writeOK(second, "two again")
-	waitUntil(n, func() bool { return n.endpoints[1].duplicatesUntil > n.now() }) // it is known from now on
+	waitUntil(n, func() bool { return n.endpoints[1].duplicatesUntil > n.now() }) // the duplicate has been noticed
 	runOnLoop(n, func() { n.endpoints[1].duplicatesUntil = 0 })
 	_, _ = io.WriteString(conn, requestText("read", 9000))
 	third, _ := app.acceptRequest()
@@ -48,7 +48,7 @@
 	if code, body, _ := conn.readAnswer(); code != 200 || body != "three" {
 		t.Error(code, body)
 	}
-	waitUntil(n, func() bool { return n.endpoints[1].duplicatesUntil > n.now() }) // both at once tell the same
+	waitUntil(n, func() bool { return n.endpoints[1].duplicatesUntil > n.now() }) // two answers in one read are noticed too
 }
 
 // Input that a backend sends without a request is not taken for the answer to the next one, also while it is on its
@@ -66,7 +66,7 @@
 	n.post(func() { close(busy); <-free })
 	<-busy
 	_, _ = io.WriteString(conn, requestText("once", 9000))
-	waitForPosted(n, 1) // the request, then the bytes
+	waitForPosted(n, 1) // the request is posted before the backend's bytes
 	writeOK(first, "one again")
 	waitForPosted(n, 2)
 	close(free)
@@ -89,7 +89,7 @@
 	writeOK(peer, "")
 	conn.readAnswer()
 	waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // so the poller does not run beside this
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // so that the poller does not run meanwhile
 	runOnLoop(n, func() {
 		b := n.endpoints[1].idleConns[0]
 		if !b.isOpenAndDrained() {
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -5,8 +5,8 @@
 // Reconfigure puts new settings in force. They must be valid: balancer.New accepts their Balancer part. Open requests
 // and what follows from them keep the settings under which they were admitted. What was learned of a class or tenant
 // is kept under its name.
-func (n *Node) Reconfigure(set Settings) {
-	n.post(func() { n.applySettings(set) })
+func (n *Node) Reconfigure(settings Settings) {
+	n.post(func() { n.applySettings(settings) })
 }
 
 // applySettings gives each class and tenant a number. A class that stays the same keeps its number; one that changes
--- a/internal/node/reconfigure_test.go
+++ b/internal/node/reconfigure_test.go
@@ -50,7 +50,7 @@
 	if code, _, _ := old.readAnswer(); code != 502 || seen.Load() != 1 {
 		t.Errorf("under the old rules: %d after %d attempts", code, seen.Load())
 	}
-	seen.Store(0) // the next one meets a reset as well
+	seen.Store(0) // the next request is reset as well
 	go func() { <-arrived }()
 	if code, _, _ := dialNode(t, addr).exchange(requestText("once", 9000)); code != 200 || seen.Load() != 2 {
 		t.Errorf("under the new rules: %d after %d attempts", code, seen.Load())
@@ -89,7 +89,11 @@
 			respondWith(500)(w, r)
 		}
 	}
-	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, h)), targetOf("b", newTestBackend(t, h)), targetOf("c", newTestBackend(t, h))}, nil)
+	var targets []protocol.Target
+	for _, uid := range []string{"a", "b", "c"} {
+		targets = append(targets, targetOf(uid, newTestBackend(t, h)))
+	}
+	n, addr := startNode(t, targets, nil)
 	old := dialNode(t, addr)
 	_, _ = io.WriteString(old, requestText("read", 9000))
 	<-arrived
@@ -161,7 +165,8 @@
 		if k > 0 {
 			reconfigureNode(n, change)
 		}
-		_, _ = io.WriteString(conns[k], strings.Replace(requestText("read", 9000), "X-Customer: t", "X-Customer: "+[]string{"any", "t", "any"}[k], 1))
+		tenant := []string{"any", "t", "any"}[k]
+		_, _ = io.WriteString(conns[k], strings.Replace(requestText("read", 9000), "X-Customer: t", "X-Customer: "+tenant, 1))
 		<-arrived
 	}
 	of(0, nil)
@@ -183,7 +188,8 @@
 		}
 	}
 	reconfigureNode(n, func(*Settings) {})
-	if code, _, _ := dialNode(t, addr).exchange(strings.Replace(requestText("read", 9000), "X-Customer: t", "X-Customer: any", 1)); code != 400 {
+	unknownTenant := strings.Replace(requestText("read", 9000), "X-Customer: t", "X-Customer: any", 1)
+	if code, _, _ := dialNode(t, addr).exchange(unknownTenant); code != 400 {
 		t.Errorf("an unknown tenant got %d", code)
 	}
 }
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -38,7 +38,15 @@
 
 // target returns the endpoint as discovery described it.
 func (e *endpoint) target(uid string) protocol.Target {
-	return protocol.Target{UID: uid, Endpoint: e.address, Zone: e.zone, Cell: e.cell, State: e.state, Weight: e.weight, BootMs: e.bootMillis}
+	return protocol.Target{
+		UID:      uid,
+		Endpoint: e.address,
+		Zone:     e.zone,
+		Cell:     e.cell,
+		State:    e.state,
+		Weight:   e.weight,
+		BootMs:   e.bootMillis,
+	}
 }
 
 // applyEndpointList merges a list into the registry and converts it for the balancer. A list that is older than the
--- a/internal/node/registry_test.go
+++ b/internal/node/registry_test.go
@@ -25,9 +25,9 @@
 		t.Fatalf("%d and %d requests: one endpoint is not used", a.requestCount.Load(), b.requestCount.Load())
 	}
 	for _, state := range []protocol.State{protocol.Terminating, protocol.Terminated} {
-		gone := targetOf("a", a)
-		gone.State = state
-		n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{gone}}, false)
+		changed := targetOf("a", a)
+		changed.State = state
+		n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{changed}}, false)
 		before := a.requestCount.Load()
 		for range 20 {
 			if code, _, _ := conn.exchange(requestText("read", 9000)); code != 200 {
@@ -42,11 +42,12 @@
 
 // Rule 4: the start time of a backend reaches the balancer, so a warming endpoint gets less than a warm one.
 func TestWarmingEndpointGetsReducedLoad(t *testing.T) {
-	warm, cold := newTestBackend(t, serve), newTestBackend(t, serve)
-	c := targetOf("cold", cold)
+	warm, warming := newTestBackend(t, serve), newTestBackend(t, serve)
+	c := targetOf("cold", warming)
 	c.BootMs = time.Now().UnixMilli()
 	_, addr := startNode(t, []protocol.Target{targetOf("warm", warm), c}, func(s *Settings) {
-		s.Balancer.SlowStartInitial, s.Balancer.SlowStartDuration, s.Balancer.OverloadFactor, s.Balancer.OverloadWindow = 0.1, 60_000_000, 3, 3_000_000
+		s.Balancer.SlowStartInitial, s.Balancer.SlowStartDuration = 0.1, 60_000_000
+		s.Balancer.OverloadFactor, s.Balancer.OverloadWindow = 3, 3_000_000
 	})
 	conn := dialNode(t, addr)
 	for range 100 {
@@ -54,8 +55,8 @@
 			t.Fatal(code)
 		}
 	}
-	if cold.requestCount.Load() > 20 || warm.requestCount.Load()+cold.requestCount.Load() != 100 {
-		t.Errorf("warming endpoint got %d, warm one %d of 100", cold.requestCount.Load(), warm.requestCount.Load())
+	if warming.requestCount.Load() > 20 || warm.requestCount.Load()+warming.requestCount.Load() != 100 {
+		t.Errorf("warming endpoint got %d, warm one %d of 100", warming.requestCount.Load(), warm.requestCount.Load())
 	}
 }
 
@@ -67,9 +68,9 @@
 	conn := dialNode(t, addr)
 	for i := range 200 {
 		fresh := targetOf(fmt.Sprint("s-", i), a)
-		gone := targetOf(fmt.Sprint("s-", i-1), a)
-		gone.State = protocol.Terminated
-		n.UpdateEndpoints(protocol.List{Rev: int64(i + 1), Targets: []protocol.Target{fresh, gone}}, false)
+		removed := targetOf(fmt.Sprint("s-", i-1), a)
+		removed.State = protocol.Terminated
+		n.UpdateEndpoints(protocol.List{Rev: int64(i + 1), Targets: []protocol.Target{fresh, removed}}, false)
 		if code, _, _ := conn.exchange(requestText("once", 9000)); code != 200 {
 			t.Fatal(code)
 		}
@@ -117,10 +118,11 @@
 		if n.deleteExpiredEndpoints(); n.endpointsByUID["gone"] != nil {
 			t.Error("not deleted")
 		}
-		if got, _ = n.applyEndpointList(protocol.List{Rev: 9, Targets: []protocol.Target{entry("gone", 0, 5)}}, balancer.ListDelta); len(got) != 0 {
+		restored := []protocol.Target{entry("gone", 0, 5)}
+		if got, _ = n.applyEndpointList(protocol.List{Rev: 9, Targets: restored}, balancer.ListDelta); len(got) != 0 {
 			t.Errorf("restored after it was deleted: %v", got)
 		}
-		if got, kind = n.applyEndpointList(protocol.List{Rev: 12, All: true, Targets: []protocol.Target{entry("gone", 0, 5)}}, balancer.ListFull); len(got) != 1 ||
+		if got, kind = n.applyEndpointList(protocol.List{Rev: 12, All: true, Targets: restored}, balancer.ListFull); len(got) != 1 ||
 			got[0].Phase != balancer.PhaseReady || kind != balancer.ListFull {
 			t.Errorf("a new list: %v, kind %d", got, kind)
 		}
@@ -170,17 +172,19 @@
 func TestManyEndpoints(t *testing.T) {
 	const many = 1024
 	a := newTestBackend(t, serve)
-	list := func(of string, state protocol.State) (l []protocol.Target) {
+	list := func(prefix string, state protocol.State) (l []protocol.Target) {
 		for i := range many {
-			one := targetOf(fmt.Sprint(of, i), a)
+			one := targetOf(fmt.Sprint(prefix, i), a)
 			one.State = state
 			l = append(l, one)
 		}
 		return l
 	}
-	n, addr := startNode(t, list("old", protocol.InService), func(s *Settings) { s.MaxDescriptors, s.Balancer.PeerCount, s.Balancer.PeerIndex = 512, many, many-1 })
+	n, addr := startNode(t, list("old", protocol.InService), func(s *Settings) {
+		s.MaxDescriptors, s.Balancer.PeerCount, s.Balancer.PeerIndex = 512, many, many-1
+	})
 	conn := dialNode(t, addr)
-	ask := func() {
+	sendRequests := func() {
 		t.Helper()
 		for range 100 {
 			if code, _, _ := conn.exchange(requestText("read", 9000)); code != 200 {
@@ -188,26 +192,26 @@
 			}
 		}
 	}
-	ask()
+	sendRequests()
 	n.UpdateEndpoints(protocol.List{Rev: 2, Targets: append(list("new", protocol.InService), list("old", protocol.Terminating)...)}, false)
 	n.UpdateEndpoints(protocol.List{Rev: 3, Targets: list("old", protocol.Terminated)}, false)
-	ask()
+	sendRequests()
 	runOnLoop(n, func() {
-		left := 0
+		listed := 0
 		for _, h := range n.endpoints {
 			if h.removedAt == 0 {
-				left++
+				listed++
 			}
 			if h.removedAt > 0 && len(h.idleConns)+len(h.waitingAttempts)+h.pendingDials > 0 {
 				t.Errorf("endpoint %d is removed and has connections", h.id)
 			}
 		}
-		if left != many {
-			t.Errorf("%d endpoints listed", left)
+		if listed != many {
+			t.Errorf("%d endpoints listed", listed)
 		}
 	})
-	again := *n.settings
-	again.Balancer.MaxAttempts = 2
-	n.Reconfigure(again)
-	ask()
+	changed := *n.settings
+	changed.Balancer.MaxAttempts = 2
+	n.Reconfigure(changed)
+	sendRequests()
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -164,13 +164,13 @@
 	n.Drain(0, func() { close(ended) })
 	advanceDrain(n, idleCloseDelay)
 	runOnLoop(n, func() {
-		for c := range n.clients { // they have come long ago
+		for c := range n.clients { // they were accepted long ago
 			c.requestStartedAt -= idleCloseDelay
 		}
 		n.drain.partialRequestsUntil, n.drain.answersDueBy = 0, n.now()+3_600_000_000
 	})
 	waitUntil(n, func() bool { return n.drain.closingAll })
-	runOnLoop(n, func() { n.drain.generation++ }) // nothing that is looked at now and then comes to the help
+	runOnLoop(n, func() { n.drain.generation++ }) // periodic checks must not hide a failure
 	late := dialNode(t, addr)
 	for name, conn := range map[string]*testClient{"silent": silent, "part of a request": part, "late": late} {
 		if b, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
@@ -213,7 +213,9 @@
 			ended := make(chan struct{})
 			n.Drain(0, func() { close(ended) })
 			runOnLoop(n, func() {
-				if end, partly := n.drain.answersDueBy-n.drain.stopRequestedAt, n.drain.partialRequestsUntil-n.drain.stopRequestedAt; end != test.killed-finalAnswerMargin || partly > test.killed-partialRequestMargin {
+				end := n.drain.answersDueBy - n.drain.stopRequestedAt
+				partly := n.drain.partialRequestsUntil - n.drain.stopRequestedAt
+				if end != test.killed-finalAnswerMargin || partly > test.killed-partialRequestMargin {
 					t.Errorf("ends %d us after its start, waits %d us for incomplete requests", end, partly)
 				}
 			})
@@ -266,7 +268,8 @@
 	waitUntil(n, func() bool { return len(n.requests) == 1 })
 	ended := make(chan struct{})
 	n.Drain(0, func() { close(ended) })
-	reconfigureNode(n, func(s *Settings) { s.Classes, s.Balancer.Classes = s.Classes[:1], s.Balancer.Classes[:1] }) // its class is no more
+	// its class is removed
+	reconfigureNode(n, func(s *Settings) { s.Classes, s.Balancer.Classes = s.Classes[:1], s.Balancer.Classes[:1] })
 	n.UpdateEndpoints(protocol.List{Rev: 1, All: true, Targets: app.targets()}, false)
 	if code, body, closing := conn.readAnswer(); code != 200 || body != "body of /once" || !closing {
 		t.Errorf("%d %q, closing %v", code, body, closing)
@@ -281,7 +284,7 @@
 	conn := dialNode(t, addr)
 	waitUntil(n, func() bool {
 		for c := range n.clients {
-			c.requestStartedAt = n.now() + 3_600_000_000 // it stays one that has just come
+			c.requestStartedAt = n.now() + 3_600_000_000 // it stays a new connection
 		}
 		return len(n.clients) == 1
 	})
@@ -307,7 +310,7 @@
 	ended := make(chan struct{})
 	var conn *testClient
 	ending := false
-	runOnLoop(n, func() { // the loop is at work as the client comes and asks
+	runOnLoop(n, func() { // the loop is busy as the client connects and sends its request
 		n.startDraining("draining")
 		n.drain.stopping, n.drain.closingAll = true, true
 		n.drain.onDrained, n.drain.answersDueBy = func() { close(ended) }, n.now()+3_600_000_000
@@ -318,7 +321,7 @@
 			t.Error(err)
 			return
 		}
-		for unsent := 1; unsent > 0; { // until the node's system has it
+		for unsent := 1; unsent > 0; { // until the kernel on the node's side has it
 			_ = raw.Control(func(fd uintptr) { unsent, _ = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
 		}
 		ending = true
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -19,7 +19,7 @@
 type testBackend struct {
 	*httptest.Server
 	requestCount    atomic.Int32
-	remoteAddresses sync.Map // remote addresses
+	remoteAddresses sync.Map // of its connections
 }
 
 // newTestBackend starts a backend.
@@ -76,7 +76,8 @@
 		for unread := 1; unread > 0; {
 			_ = raw.Control(func(fd uintptr) { unread, _ = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
 		}
-		time.Sleep(10 * time.Millisecond) // acknowledged is not read; but a node that misses it has no answer either
+		// an acknowledgement does not mean that the node has read it; but a node that misses it has no answer either
+		time.Sleep(10 * time.Millisecond)
 		_ = conn.(*net.TCPConn).SetLinger(0)
 		_ = conn.Close()
 	}
--- a/internal/node/testclient_test.go
+++ b/internal/node/testclient_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(20 * time.Second)) // no test waits so long; a hang must not last
+	_ = conn.SetDeadline(time.Now().Add(20 * time.Second)) // longer than any test waits
 	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
