--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -60,7 +60,7 @@
 		t.Error(err)
 	}
 	if b, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the refusal: %q, %v", b, err)
+		t.Errorf("after the rejection: %q, %v", b, err)
 	}
 }
 
@@ -147,7 +147,7 @@
 			return
 		}
 	}
-	t.Errorf("%d bytes were read after the refusal", sent)
+	t.Errorf("%d bytes were read after the rejection", sent)
 }
 
 func TestOpenRequestsAreBounded(t *testing.T) {
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -29,25 +29,25 @@
 		code, sends int
 	}{
 		{"served", "once", 9000, serve, 200, 1},
-		{"error, may run again", "read", 9000, respondWith(500), 200, 2},
-		{"error, must not run again", "once", 9000, respondWith(500), 502, 1},
+		{"error, idempotent", "read", 9000, respondWith(500), 200, 2},
+		{"error, non-idempotent", "once", 9000, respondWith(500), 502, 1},
 		{"error, other cell", "keyed", 400, respondWith(500), 502, 1},
-		{"turned away", "once", 9000, respondWith(503, never...), 200, 2},
-		{"turned away late", "keyed", 9000, respondWith(504, never...), 200, 2},
-		{"503 without the mark", "once", 9000, respondWith(503), 502, 1},
+		{"rejected", "once", 9000, respondWith(503, never...), 200, 2},
+		{"rejected late", "keyed", 9000, respondWith(504, never...), 200, 2},
+		{"unmarked 503", "once", 9000, respondWith(503), 502, 1},
 		{"503 with another mark", "once", 9000, respondWith(503, "X-Never-Ran", "0"), 502, 1},
-		{"500 with the mark", "once", 9000, respondWith(500, never...), 502, 1},
+		{"marked 500", "once", 9000, respondWith(500, never...), 502, 1},
 		{"reset", "once", 9000, resetAfter(""), 502, 1},
-		{"reset, may run again", "read", 9000, resetAfter(""), 200, 2},
+		{"reset, idempotent", "read", 9000, resetAfter(""), 200, 2},
 		{"ends within the body", "once", 9000, resetAfter("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), 502, 1},
 		{"ends within a chunk", "once", 9000, resetAfter("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody"), 502, 1},
 		{"not HTTP", "once", 9000, resetAfter("what?\r\n\r\n"), 502, 1},
-		{"body until the end", "once", 9000, resetAfter("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody of /once"), 200, 1},
-		{"body until a break", "once", 9000, resetOnceRead("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody of /once"), 502, 1},
-		{"noise, and open", "once", 9000, sendGarbage("\x01\x02\x03"), 502, 1},
-		{"noise, may run again", "read", 9000, sendGarbage("HTTP/1.1 200 OK\r\nwhat?\r\n"), 200, 2},
-		{"silent", "once", 150, neverAnswer(nil), 504, 1},
-		{"silent, refused", "read", 150, neverAnswer(nil), 503, 1},
+		{"body until close", "once", 9000, resetAfter("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody of /once"), 200, 1},
+		{"body until a reset", "once", 9000, resetOnceRead("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody of /once"), 502, 1},
+		{"garbage, left open", "once", 9000, sendGarbage("\x01\x02\x03"), 502, 1},
+		{"garbage, idempotent", "read", 9000, sendGarbage("HTTP/1.1 200 OK\r\nwhat?\r\n"), 200, 2},
+		{"never answers", "once", 150, neverAnswer(nil), 504, 1},
+		{"never answers, rejected", "read", 150, neverAnswer(nil), 503, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var sends atomic.Int32
@@ -136,7 +136,7 @@
 		n.SendAttempt(r.id, 1, 0) // one more than MaxAttempts
 		for _, a := range r.attempts[1:] {
 			if !a.isCompleted() || a.conn != nil {
-				t.Errorf("attempt %d went out", a.number)
+				t.Errorf("attempt %d was sent", a.number)
 			}
 		}
 		n.SendAttempt(r.id+1, 1, 0)
@@ -234,7 +234,7 @@
 		}
 	})
 	if a.requestCount.Load() != 1 {
-		t.Errorf("%d requests sent on", a.requestCount.Load())
+		t.Errorf("%d requests forwarded", a.requestCount.Load())
 	}
 }
 
@@ -279,7 +279,7 @@
 // An attempt that waits for its connection is checked again when that comes up: nothing is sent to an endpoint that
 // drains by then, and the request goes elsewhere.
 func TestEndpointDrainingBeforeFirstByteGetsNothing(t *testing.T) {
-	for name, state := range map[string]protocol.State{"drains": protocol.Terminating, "is gone": protocol.Terminated} {
+	for name, state := range map[string]protocol.State{"drains": protocol.Terminating, "is removed": protocol.Terminated} {
 		t.Run(name, func(t *testing.T) {
 			app, other := newManualBackend(t, 0), newTestBackend(t, serve)
 			n, addr := startNode(t, app.targets(), func(s *Settings) { s.ConnectTimeout *= 60 })
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -136,9 +136,9 @@
 // the end without an answer and can retry elsewhere.
 func TestRequestCrossingCloseIsNotForwarded(t *testing.T) {
 	for name, end := range map[string]func(*Node, *clientConn){
-		"a stop":    func(n *Node, _ *clientConn) { n.closeIdleClients() },
-		"long idle": func(n *Node, c *clientConn) { c.idleSince = n.now() - maxClientIdleTime; n.closeStalledClients() },
-		"too many": func(n *Node, c *clientConn) {
+		"shutdown":          func(n *Node, _ *clientConn) { n.closeIdleClients() },
+		"idle for too long": func(n *Node, c *clientConn) { c.idleSince = n.now() - maxClientIdleTime; n.closeStalledClients() },
+		"too many idle": func(n *Node, c *clientConn) {
 			// one more than may be idle, each used later than the one before
 			for k := range (reservedDescriptors + minServingDescriptors) / idleClientFraction {
 				other := &clientConn{node: n, hasSentRequest: true}
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -12,11 +12,17 @@
 // minServingDescriptors is what is left to serve with, however many processes share the descriptors.
 const minServingDescriptors = 16
 
+// exceedsDescriptorLimit reports whether so many more descriptors are not available.
+func (n *Node) exceedsDescriptorLimit(more int) bool {
+	limit := n.descriptorLimit()
+	return limit > 0 && n.openDescriptors+more > limit-reservedDescriptors
+}
+
 // reserveDescriptors closes idle connections until so many more descriptors are available, and reports whether they
 // are. Connections that clients do not use go first: a new connection to a backend costs it work, and the next
 // request time.
 func (n *Node) reserveDescriptors(more int) bool {
-	for limit := n.descriptorLimit(); limit > 0 && n.openDescriptors+more > limit-reservedDescriptors; {
+	for n.exceedsDescriptorLimit(more) {
 		if client := n.oldestIdleClient(&n.newClients, newConnGrace); client != nil {
 			client.close(closeForDescriptors)
 		} else if client := n.oldestIdleClient(&n.idleClients, minClientIdleTime); client != nil {
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -43,7 +43,7 @@
 		return true
 	})
 	if _, err := used.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the used one, now in the way: %v", err)
+		t.Errorf("the used one, whose descriptor is needed: %v", err)
 	}
 }
 
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -48,15 +48,23 @@
 		if conn.conn != nil {
 			_ = conn.conn.Close()
 		}
-		if len(ep.waitingAttempts) > ep.pendingDials+len(ep.idleConns) { // no connection is due for one of them
-			n.log.Debug("connect failed", "endpoint", ep.address, "err", err)
-			failed := ep.waitingAttempts[0]
-			if last := ep.waitingAttempts[len(ep.waitingAttempts)-1]; last.isHealthCheck {
-				failed = last
-			}
-			n.abandonAttempt(failed, balancer.OutcomeConnectFailed)
-		}
+		n.failWaiting(ep, err)
 		return
 	}
 	n.releaseConn(conn)
 }
+
+// failWaiting attributes a failed dial to a waiting attempt, a health check if there is one, unless a connection is due for
+// each of them.
+func (n *Node) failWaiting(ep *endpoint, err error) {
+	waiting := len(ep.waitingAttempts)
+	if waiting <= ep.pendingDials+len(ep.idleConns) {
+		return
+	}
+	n.log.Debug("connect failed", "endpoint", ep.address, "err", err)
+	failed := ep.waitingAttempts[0]
+	if last := ep.waitingAttempts[waiting-1]; last.isHealthCheck {
+		failed = last
+	}
+	n.abandonAttempt(failed, balancer.OutcomeConnectFailed)
+}
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -30,7 +30,7 @@
 	select {
 	case <-gone:
 	case <-time.After(5 * time.Second):
-		t.Error("the attempt went on")
+		t.Error("the attempt was not cancelled")
 	}
 }
 
@@ -52,7 +52,7 @@
 			waitUntil(w.node, func() bool { return w.node.openRequests == 1 })
 			w.releaseFirst()
 			if k := w.backend.requestCount.Load(); k != 1 {
-				t.Errorf("%d requests sent on", k)
+				t.Errorf("%d requests forwarded", k)
 			}
 		})
 	}
@@ -79,7 +79,7 @@
 		close(free)
 		waitUntil(n, func() bool { return n.lastRequestID == 2 && len(n.clients) == 0 && len(n.requests) == 0 })
 		if !slices.Equal(ends.outcomes, []balancer.Outcome{balancer.OutcomeNotSent}) {
-			t.Errorf("attempts that ended as %v, want one that never began", ends.outcomes)
+			t.Errorf("attempts that ended as %v, want one that never started", ends.outcomes)
 		}
 	})
 	t.Run("an attempt waits", func(t *testing.T) {
@@ -91,13 +91,13 @@
 					runtime.Gosched()
 				}
 				if why := w.node.mayStart(a); why != safety.ClientDisconnected {
-					t.Errorf("may begin: %v", why)
+					t.Errorf("may start: %v", why)
 				}
 			}
 		})
 		w.releaseFirst()
 		if k := w.backend.requestCount.Load(); k != 1 {
-			t.Errorf("%d requests sent on", k)
+			t.Errorf("%d requests forwarded", k)
 		}
 	})
 }
@@ -118,7 +118,7 @@
 	waitUntil(n, func() bool { return len(n.clients) == 0 && n.openRequests == 0 })
 	runOnLoop(n, func() {
 		if n.lastRequestID > 1 {
-			t.Errorf("%d requests begun", n.lastRequestID)
+			t.Errorf("%d requests started", n.lastRequestID)
 		}
 	})
 }
--- a/internal/node/eventloop_test.go
+++ b/internal/node/eventloop_test.go
@@ -20,7 +20,7 @@
 	select {
 	case <-seen:
 	case <-time.After(20 * time.Second):
-		t.Error("what was posted never ran")
+		t.Error("a posted callback never ran")
 	}
 }
 
@@ -52,7 +52,7 @@
 		<-started
 		n.Standby(func(error) {
 			if k := ran.Load(); k > 0 {
-				t.Errorf("answered after %d other things", k)
+				t.Errorf("answered after %d other callbacks", k)
 			}
 			close(answered)
 		})
--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -59,7 +59,7 @@
 		}
 	}
 	if k := a.connectionCount(); k > 8 { // of 16 requests: one that comes before a connection is reattached uses another
-		t.Errorf("%d connections to the backend: they did not come back", k)
+		t.Errorf("%d connections to the backend: they were not reattached", k)
 	}
 }
 
@@ -106,9 +106,9 @@
 	for _, c := range []struct{ name, head, version string }{
 		{"length", "Content-Length: 3000000\r\n", "1.1"},
 		{"chunks", "Transfer-Encoding: chunked\r\n", "1.1"},
-		{"chunks, old client", "Transfer-Encoding: chunked\r\n", "1.0"},
-		{"until the end", "Connection: close\r\n", "1.1"},
-		{"until the end, old client", "Connection: close\r\n", "1.0"},
+		{"chunks, HTTP/1.0 client", "Transfer-Encoding: chunked\r\n", "1.0"},
+		{"until close", "Connection: close\r\n", "1.1"},
+		{"until close, HTTP/1.0 client", "Connection: close\r\n", "1.0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -171,12 +171,12 @@
 		h    http.HandlerFunc
 		code int
 	}{
-		{"turned away early", func(w http.ResponseWriter, _ *http.Request) {
+		{"rejected early", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Never-Ran", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, 503},
 		{"breaks early", resetAfter(""), 503},
-		{"goes on unheard", func(w http.ResponseWriter, r *http.Request) {
+		{"answer not read", func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.CopyN(io.Discard, r.Body, 3<<20)
 			resetAfter("")(w, r)
 		}, 503},
@@ -205,8 +205,8 @@
 		name, framing, rest string
 		code                int // 0: none
 	}{
-		{"leaves", "Content-Length: 3000000", "", 0},
-		{"no chunk", "Transfer-Encoding: chunked", "zz\r\n", 400},
+		{"disconnects", "Content-Length: 3000000", "", 0},
+		{"malformed chunk", "Transfer-Encoding: chunked", "zz\r\n", 400},
 		{"too long", "Transfer-Encoding: chunked", "7fffffff\r\n", 413},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -230,7 +230,7 @@
 				t.Errorf("%d, closing %v, want %d", code, closing, c.code)
 			}
 			if err := <-ended; err == nil {
-				t.Error("the backend was given an end in order")
+				t.Error("the backend got an orderly end")
 			}
 			waitUntil(n, func() bool {
 				return len(n.requests) == 0 && n.activeForwarders == 0 && n.openRequests == 0 &&
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -41,7 +41,7 @@
 		n.completeAttempt(att, balancer.OutcomeNotSent, nil) // nothing may be sent there
 	case ep.pendingHealthChecks > maxHealthChecksPerEndpoint:
 		n.completeAttempt(att, balancer.OutcomeNotSent, nil)
-	case len(ep.idleConns) == 0 && n.descriptorLimit() > 0 && n.openDescriptors+1 > n.descriptorLimit()-reservedDescriptors:
+	case len(ep.idleConns) == 0 && n.exceedsDescriptorLimit(1):
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	default:
 		n.scheduleAt(att.deadline, func() { n.checkAttemptDeadline(att) })
--- a/internal/node/healthcheck_test.go
+++ b/internal/node/healthcheck_test.go
@@ -42,10 +42,10 @@
 		{"report in the body, bare", answers(200, "", "inflight=3"), "10 {3 -1 -1}"},
 		{"report in the head", answers(200, "TEXT queue=1", ""), "10 {-1 1 -1}"},
 		{"no report", answers(200, "", "ok"), "10"},
-		{"not well", answers(503, "", ""), "20"},
-		{"turned away", respondWith(503, "X-Never-Ran", "1"), "30"},
+		{"unhealthy", answers(503, "", ""), "20"},
+		{"rejected", respondWith(503, "X-Never-Ran", "1"), "30"},
 		{"no such path", answers(404, "", "inflight=3"), "20"},
-		{"noise", sendGarbage("\x00\x01 noise\r\n\r\n"), "60"},
+		{"garbage", sendGarbage("\x00\x01 noise\r\n\r\n"), "60"},
 		{"reset", resetAfter(""), "60"},
 		{"never answers", neverAnswer(make(chan struct{}, 1)), "40"},
 	} {
--- a/internal/node/listfreshness_test.go
+++ b/internal/node/listfreshness_test.go
@@ -13,9 +13,9 @@
 func TestReadyOnceListIsConfirmed(t *testing.T) {
 	app := newTestBackend(t, serve)
 	for name, word := range map[string]func(*Node){
-		"an answer": func(n *Node) { n.UpdateEndpoints(protocol.List{Rev: 1}, false) },
-		"a refusal": func(n *Node) { n.DiscoveryCallFailed(errors.New("refused"), balancer.ListFailed, n.startedAt) },
-		"no word": func(n *Node) {
+		"an answer":   func(n *Node) { n.UpdateEndpoints(protocol.List{Rev: 1}, false) },
+		"a rejection": func(n *Node) { n.DiscoveryCallFailed(errors.New("refused"), balancer.ListFailed, n.startedAt) },
+		"no answer": func(n *Node) {
 			runOnLoop(n, func() { n.listFreshness.processStartedAt -= readyTimeout })
 		},
 	} {
@@ -32,7 +32,7 @@
 			}
 			runOnLoop(n, func() { n.balancer.ExpireListAt(n.now(), n.now()) })
 			if code, _, _ := conn.exchange(readyRequest); code != 200 {
-				t.Errorf("with a list that has become too old: %d", code)
+				t.Errorf("with a stale list: %d", code)
 			}
 		})
 	}
@@ -76,13 +76,13 @@
 	})
 	runOnLoop(n, func() {
 		if n.CheckHealth(1); n.endpoints[1].pendingDials > 0 {
-			t.Error("probed")
+			t.Error("checked")
 		}
 	})
 	n.UpdateEndpoints(protocol.List{Rev: 1}, false)
 	runOnLoop(n, func() {
 		if n.CheckHealth(1); n.endpoints[1].pendingDials != 1 {
-			t.Error("not probed by a list that is current")
+			t.Error("not checked by a current list")
 		}
 	})
 }
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -46,7 +46,7 @@
 	}
 	silent := dialNode(t, addr)
 	if _, err := silent.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("a connection that says nothing: %v", err)
+		t.Errorf("a silent connection: %v", err)
 	}
 	for range 2 {
 		if err := operatorCall(n.Active); err != nil {
@@ -78,7 +78,7 @@
 		t.Errorf("status with a list: %v", err)
 	}
 	if code, _, _ := dialNode(t, addr).exchange(readyRequest); code != 503 {
-		t.Errorf("a standby from before the list: ready says %d", code)
+		t.Errorf("a standby from before the list: ready %d", code)
 	}
 	done := make(chan struct{})
 	n.Drain(0, func() { close(done) })
@@ -87,7 +87,7 @@
 		want error
 	}{"status": {n.Status, errStopping}, "standby": {n.Standby, nil}, "active": {n.Active, errStopping}} {
 		if err := operatorCall(c.ask); !errors.Is(err, c.want) {
-			t.Errorf("%s during a stop: %v, want %v", name, err, c.want)
+			t.Errorf("%s during a shutdown: %v, want %v", name, err, c.want)
 		}
 	}
 	<-done
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -15,18 +15,14 @@
 		n.sendRequest(conn, att)
 		return
 	}
-	resting := len(ep.idleConns)+ep.pendingDials > len(ep.waitingAttempts) && len(ep.idleConns) > 0
-	if !resting && !att.isHealthCheck && !n.reserveDescriptors(1) {
+	reusableSoon := ep.hasConnReusableSoon()
+	if !reusableSoon && !att.isHealthCheck && !n.reserveDescriptors(1) {
 		n.warnLimited("no descriptor for backend connection", "descriptors", n.openDescriptors)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 		return
 	}
-	position := len(ep.waitingAttempts)
-	for !att.isHealthCheck && position > 0 && ep.waitingAttempts[position-1].isHealthCheck {
-		position--
-	}
-	ep.waitingAttempts = slices.Insert(ep.waitingAttempts, position, att)
-	if resting {
+	ep.addWaiting(att)
+	if reusableSoon {
 		n.scheduleServeWaiting(ep)
 	} else {
 		n.dial(ep)
@@ -38,6 +34,20 @@
 	})
 }
 
+// hasConnReusableSoon reports whether an idle connection that is spared for now will be left for one more waiting attempt.
+func (e *endpoint) hasConnReusableSoon() bool {
+	return len(e.idleConns) > 0 && len(e.idleConns)+e.pendingDials > len(e.waitingAttempts)
+}
+
+// addWaiting adds an attempt to those that wait for a connection. Health checks wait behind requests.
+func (e *endpoint) addWaiting(att *attempt) {
+	position := len(e.waitingAttempts)
+	for !att.isHealthCheck && position > 0 && e.waitingAttempts[position-1].isHealthCheck {
+		position--
+	}
+	e.waitingAttempts = slices.Insert(e.waitingAttempts, position, att)
+}
+
 // takeIdleConn takes the most recently used idle connection of an endpoint that is old enough to be reused, else the
 // oldest of the younger ones; nil if there is none. It skips connections on which a duplicate answer may follow, and
 // closes those that can't be used any more.
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -140,7 +140,7 @@
 			n.recordIdleOutcome(2*reuseDelay, i%10 == 9)
 		}
 		if n.idleLimit() != n.settings.Keepalive/2 {
-			t.Errorf("limit %d after an odd break", n.idleLimit())
+			t.Errorf("limit %d after a single break", n.idleLimit())
 		}
 		for range minIdleSamples {
 			n.recordIdleOutcome(150_000, true)
@@ -155,7 +155,7 @@
 	}
 	runOnLoop(n, func() {
 		if n.learnedIdleLimitUntil -= observationLifetime; n.idleLimit() != n.settings.Keepalive/2 {
-			t.Error("never tried again")
+			t.Error("never used again")
 		}
 	})
 }
@@ -188,7 +188,7 @@
 	waitUntil(n, func() bool { return b.state == backendClosed })
 	runOnLoop(n, func() {
 		if n.dialFinished(b, nil); n.openDescriptors != 0 || b.endpoint.pendingDials != 0 {
-			t.Errorf("%d descriptors, %d connections on their way", n.openDescriptors, b.endpoint.pendingDials)
+			t.Errorf("%d descriptors, %d pending dials", n.openDescriptors, b.endpoint.pendingDials)
 		}
 	})
 	client := dialNode(t, addr)
--- a/internal/node/reconfigure_test.go
+++ b/internal/node/reconfigure_test.go
@@ -33,7 +33,7 @@
 	}
 	reconfigureNode(n, drop)
 	if code, _, closing := dialNode(t, addr).exchange(requestText("once", 9000)); code != 400 || !closing {
-		t.Errorf("a class that was dropped: %d, closing %v", code, closing)
+		t.Errorf("a class that was removed: %d, closing %v", code, closing)
 	}
 	add := func(s *Settings) {
 		s.Classes = append(s.Classes, "once")
--- a/internal/node/registry_test.go
+++ b/internal/node/registry_test.go
@@ -104,21 +104,35 @@
 	}
 	n, _ := startNode(t, nil, nil)
 	runOnLoop(n, func() {
-		n.applyEndpointList(protocol.List{Rev: 10, All: true, Targets: []protocol.Target{entry("kept", 0, 5), entry("gone", 0, 5),
-			entry("drains", protocol.Terminating, 5), entry("leaves", 0, 5), entry("unknown", 0, 5)}}, balancer.ListFull)
-		n.applyEndpointList(protocol.List{Rev: 11, Targets: []protocol.Target{entry("gone", protocol.Terminated, 5)}}, balancer.ListDelta)
-		got, kind := n.applyEndpointList(protocol.List{Rev: 9, All: true, Targets: []protocol.Target{entry("kept", protocol.Terminated, 4),
-			entry("gone", 0, 5), entry("drains", 0, 5), entry("leaves", protocol.Terminating, 5), entry("new", 0, 6)}}, balancer.ListFull)
-		want := []balancer.Endpoint{{ID: 4, StableKey: xxhash.Sum64String("leaves"), Phase: balancer.PhaseDraining, Weight: 1, StartedAt: 5000},
-			{ID: 6, StableKey: xxhash.Sum64String("new"), Phase: balancer.PhaseReady, Weight: 1, StartedAt: 6000}}
+		n.applyEndpointList(protocol.List{Rev: 10, All: true, Targets: []protocol.Target{
+			entry("newer", 0, 5),
+			entry("removed", 0, 5),
+			entry("draining", protocol.Terminating, 5),
+			entry("starts draining", 0, 5),
+			entry("unknown", 0, 5),
+		}}, balancer.ListFull)
+		removal := []protocol.Target{entry("removed", protocol.Terminated, 5)}
+		n.applyEndpointList(protocol.List{Rev: 11, Targets: removal}, balancer.ListDelta)
+		got, kind := n.applyEndpointList(protocol.List{Rev: 9, All: true, Targets: []protocol.Target{
+			entry("newer", protocol.Terminated, 4),
+			entry("removed", 0, 5),
+			entry("draining", 0, 5),
+			entry("starts draining", protocol.Terminating, 5),
+			entry("new", 0, 6),
+		}}, balancer.ListFull)
+		draining, added := xxhash.Sum64String("starts draining"), xxhash.Sum64String("new")
+		want := []balancer.Endpoint{
+			{ID: 4, StableKey: draining, Phase: balancer.PhaseDraining, Weight: 1, StartedAt: 5000},
+			{ID: 6, StableKey: added, Phase: balancer.PhaseReady, Weight: 1, StartedAt: 6000},
+		}
 		if diff := cmp.Diff(want, got); diff != "" || kind != balancer.ListDelta {
 			t.Errorf("kind %d\n%s", kind, diff)
 		}
-		n.endpointsByUID["gone"].removedAt = n.now() - endpointRetention // long ago
-		if n.deleteExpiredEndpoints(); n.endpointsByUID["gone"] != nil {
+		n.endpointsByUID["removed"].removedAt = n.now() - endpointRetention // long ago
+		if n.deleteExpiredEndpoints(); n.endpointsByUID["removed"] != nil {
 			t.Error("not deleted")
 		}
-		restored := []protocol.Target{entry("gone", 0, 5)}
+		restored := []protocol.Target{entry("removed", 0, 5)}
 		if got, _ = n.applyEndpointList(protocol.List{Rev: 9, Targets: restored}, balancer.ListDelta); len(got) != 0 {
 			t.Errorf("restored after it was deleted: %v", got)
 		}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -64,7 +64,7 @@
 	}
 	select {
 	case <-done:
-		t.Error("done with requests unanswered")
+		t.Error("done with unanswered requests")
 	default:
 	}
 	close(release)
@@ -145,7 +145,7 @@
 		return dropped > 0 || len(n.clients) == 0
 	})
 	if dropped == 0 {
-		t.Error("closed in one step")
+		t.Error("closed without lingering")
 	}
 	if b, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("read %q, %v, want the end", b, err)
@@ -172,7 +172,7 @@
 	waitUntil(n, func() bool { return n.drain.closingAll })
 	runOnLoop(n, func() { n.drain.generation++ }) // periodic checks must not hide a failure
 	late := dialNode(t, addr)
-	for name, conn := range map[string]*testClient{"silent": silent, "part of a request": part, "late": late} {
+	for name, conn := range map[string]*testClient{"without a request": silent, "part of a request": part, "late": late} {
 		if b, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Fatalf("%s: read %q, %v, want the end", name, b, err)
 		}
