--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -30,7 +30,7 @@
 	select {
 	case <-gone:
 	case <-time.After(5 * time.Second):
-		t.Error("the attempt went on")
+		t.Error("the attempt was not cancelled")
 	}
 }
 
@@ -38,7 +38,10 @@
 // cancellation or not, and however it disconnects.
 func TestClientDisconnectBeforeFirstByte(t *testing.T) {
 	for name, c := range map[string]struct{ cancel, reset bool }{
-		"closes": {true, false}, "resets": {true, true}, "closes, nothing is cancelled": {false, false}, "resets, nothing is cancelled": {false, true},
+		"closes":                       {true, false},
+		"resets":                       {true, true},
+		"closes, nothing is cancelled": {false, false},
+		"resets, nothing is cancelled": {false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newQueuedRequest(t, func(s *Settings) { s.Balancer.AllowCancel = c.cancel })
@@ -49,7 +52,7 @@
 			waitUntil(w.node, func() bool { return w.node.openRequests == 1 })
 			w.releaseFirst()
 			if k := w.backend.requestCount.Load(); k != 1 {
-				t.Errorf("%d requests sent on", k)
+				t.Errorf("%d requests forwarded", k)
 			}
 		})
 	}
@@ -63,7 +66,7 @@
 		n, addr := startNode(t, app.targets(), nil)
 		conn := dialNode(t, addr)
 		conn.exchange(requestText("read", 9000))
-		waitUntil(n, func() bool { return n.idleBackends.Len() == 1 }) // so that nothing is waited for
+		waitUntil(n, func() bool { return n.idleBackends.Len() == 1 }) // so that the next request needs no dial
 		ends := &outcomeRecorder{}
 		runOnLoop(n, func() { ends.decisionModule, n.balancer = n.balancer, ends })
 		busy, free := make(chan struct{}), make(chan struct{})
@@ -76,7 +79,7 @@
 		close(free)
 		waitUntil(n, func() bool { return n.lastRequestID == 2 && len(n.clients) == 0 && len(n.requests) == 0 })
 		if !slices.Equal(ends.outcomes, []balancer.Outcome{balancer.OutcomeNotSent}) {
-			t.Errorf("attempts that ended as %v, want one that never began", ends.outcomes)
+			t.Errorf("attempts that ended as %v, want one that never started", ends.outcomes)
 		}
 	})
 	t.Run("an attempt waits", func(t *testing.T) {
@@ -88,13 +91,13 @@
 					runtime.Gosched()
 				}
 				if why := w.node.mayStart(a); why != safety.ClientDisconnected {
-					t.Errorf("may begin: %v", why)
+					t.Errorf("may start: %v", why)
 				}
 			}
 		})
 		w.releaseFirst()
 		if k := w.backend.requestCount.Load(); k != 1 {
-			t.Errorf("%d requests sent on", k)
+			t.Errorf("%d requests forwarded", k)
 		}
 	})
 }
@@ -115,7 +118,7 @@
 	waitUntil(n, func() bool { return len(n.clients) == 0 && n.openRequests == 0 })
 	runOnLoop(n, func() {
 		if n.lastRequestID > 1 {
-			t.Errorf("%d requests begun", n.lastRequestID)
+			t.Errorf("%d requests started", n.lastRequestID)
 		}
 	})
 }
