--- a/cmd/tulipagent/main.go
+++ b/cmd/tulipagent/main.go
@@ -1,14 +1,12 @@
-// Command tulipagent is one member of the group that decides on leases for a fleet: 3, 5 or 7 of them, on as many machines.
+// Command tulipagent is a member of the group of 3, 5 or 7 agents that agrees on leases for a fleet.
 package main
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"os"
 	"os/signal"
-	"strconv"
 	"strings"
 	"syscall"
 	"time"
@@ -16,10 +14,6 @@
 	"github.com/urfave/cli/v3"
 
 	"tulipglade/internal/agent"
-	"tulipglade/internal/consensus"
-	"tulipglade/internal/failover"
-	"tulipglade/internal/lease"
-	"tulipglade/internal/tomlfile"
 )
 
 func main() {
@@ -31,113 +25,99 @@
 	}
 }
 
+// Names of the flags.
+const (
+	flagDir      = "dir"
+	flagGroup    = "group"
+	flagID       = "id"
+	flagMember   = "member"
+	flagInterval = "interval"
+	flagDrift    = "drift"
+	flagAddress  = "address"
+	flagTopology = "topology"
+)
+
+// command returns the command line.
 func command() *cli.Command {
-	dir := &cli.StringFlag{Name: "dir", Aliases: []string{"d"}, Usage: "the member's `FOLDER`", Required: true}
-	name := &cli.StringFlag{Name: "group", Value: "tulipglade", Usage: "`NAME` of the group"}
-	id := &cli.Uint64Flag{Name: "id", Usage: "the member's `NUMBER`, above those of all members there ever were", Required: true}
 	return &cli.Command{
-		Name:  "tulipagent",
-		Usage: "a member of the group that decides on leases for a fleet",
-		Commands: []*cli.Command{
-			{Name: "init", Usage: "make the folder of one of a new group's first members: the same members and terms for each of them",
-				Flags: []cli.Flag{dir, name, id,
-					&cli.StringSliceFlag{Name: "member", Usage: "`ID=ADDRESS` of each first member", Required: true},
-					&cli.DurationFlag{Name: "interval", Value: 200 * time.Millisecond, Usage: "`TIME` between two ticks, by which leases are counted"},
-					&cli.FloatFlag{Name: "drift", Value: 0.01, Usage: "`SHARE` by which clocks may be fast or slow"}}, Action: initialize},
-			{Name: "join", Usage: "make the folder of a member that is added to a group",
-				Flags: []cli.Flag{dir, name, id, &cli.StringFlag{Name: "address", Usage: "its `ADDRESS`", Required: true}}, Action: join},
-			{Name: "serve", Usage: "run the member until SIGTERM", Flags: []cli.Flag{dir,
-				&cli.StringFlag{Name: "topology", Usage: "take part in failover by plans, with the zones and classes of `FILE`"}}, Action: serve},
-			{Name: "check", Usage: "tell what a stopped member's folder holds, or what is wrong with it", Flags: []cli.Flag{dir}, Action: check},
-		},
+		Name:     "tulipagent",
+		Usage:    "a member of the group that agrees on leases for a fleet",
+		Commands: []*cli.Command{initCommand(), joinCommand(), serveCommand(), checkCommand()},
 	}
 }
 
-func initialize(_ context.Context, cmd *cli.Command) error {
-	members := map[uint64]string{}
-	for _, m := range cmd.StringSlice("member") {
-		number, address, ok := strings.Cut(m, "=")
-		id, err := strconv.ParseUint(number, 10, 64)
-		if !ok || err != nil || id == 0 || members[id] != "" {
-			return fmt.Errorf("--member: %q is not ID=ADDRESS with an id of its own", m)
-		}
-		if err := agent.CheckAddress(address); err != nil {
-			return fmt.Errorf("--member: %w", err)
-		}
-		members[id] = address
-	}
-	id, terms := cmd.Uint64("id"), lease.Terms{Interval: cmd.Duration("interval"), Drift: cmd.Float("drift")}
-	switch {
-	case members[id] == "":
-		return fmt.Errorf("--id: %d is none of the members", id)
-	case terms.Interval < agent.TickInterval:
-		return fmt.Errorf("--interval: %v is below %v", terms.Interval, agent.TickInterval)
-	case terms.Drift < 0 || terms.Drift > 0.2:
-		return fmt.Errorf("--drift: %g is not within 0 and 0.2", terms.Drift)
-	}
-	kept, err := consensus.Bootstrap(members, terms)
-	if err != nil {
-		return err
-	}
-	return agent.Create(cmd.String("dir"), agent.Identity{Group: cmd.String("group"), ID: id, Address: members[id]}, kept)
+func dirFlag() cli.Flag {
+	return &cli.StringFlag{Name: flagDir, Aliases: []string{"d"}, Usage: "the member's `FOLDER`", Required: true}
 }
 
-func join(_ context.Context, cmd *cli.Command) error {
-	address := cmd.String("address")
-	if err := agent.CheckAddress(address); err != nil {
-		return fmt.Errorf("--address: %w", err)
-	}
-	if cmd.Uint64("id") == 0 {
-		return errors.New("--id: it must be above 0")
-	}
-	return agent.Create(cmd.String("dir"), agent.Identity{Group: cmd.String("group"), ID: cmd.Uint64("id"), Address: address}, consensus.EmptyState())
+func groupFlag() cli.Flag {
+	return &cli.StringFlag{Name: flagGroup, Value: "tulipglade", Usage: "`NAME` of the group"}
 }
 
-func serve(ctx context.Context, cmd *cli.Command) error {
-	o := agent.Options{Log: slog.New(slog.NewTextHandler(os.Stderr, nil))}
-	if file := cmd.String("topology"); file != "" {
-		plans, err := topology(file)
-		if err != nil {
-			return err
-		}
-		o.Failover = plans
-	}
-	return agent.Serve(ctx, cmd.String("dir"), o)
+func idFlag() cli.Flag {
+	return &cli.Uint64Flag{Name: flagID, Usage: "the member's `NUMBER`, above those of all members there ever were", Required: true}
 }
 
-// topology reads the zones, the prices between them, and the classes.
-func topology(file string) (*agent.FailoverOptions, error) {
-	var in struct {
-		Zone  []failover.Zone `toml:"zone"`
-		Price [][]float64     `toml:"price"`
-		Class []struct {
-			Name  string  `toml:"name"`
-			Worth float64 `toml:"worth"` // of a core-second
-		} `toml:"class"`
-	}
-	if err := tomlfile.Load(file, &in); err != nil {
-		return nil, fmt.Errorf("--topology: %w", err)
+func initCommand() *cli.Command {
+	return &cli.Command{
+		Name:  "init",
+		Usage: "create the folder of a first member of a new group, with the same members and terms for each of them",
+		Flags: []cli.Flag{
+			dirFlag(),
+			groupFlag(),
+			idFlag(),
+			&cli.StringSliceFlag{Name: flagMember, Usage: "`ID=ADDRESS` of each first member", Required: true},
+			&cli.DurationFlag{Name: flagInterval, Value: 200 * time.Millisecond, Usage: "`TIME` between two ticks, in which leases are measured"},
+			&cli.FloatFlag{Name: flagDrift, Value: 0.01, Usage: "`FRACTION` by which clocks may be fast or slow"},
+		},
+		Action: initMember,
 	}
-	p := &agent.FailoverOptions{Topology: failover.Topology{Zones: in.Zone, Cost: in.Price}, Rules: failover.DefaultRules}
-	for _, c := range in.Class {
-		p.PriorityWeights = append(p.PriorityWeights, c.Worth)
+}
+
+func joinCommand() *cli.Command {
+	return &cli.Command{
+		Name:  "join",
+		Usage: "create the folder of a member that is added to a group",
+		Flags: []cli.Flag{
+			dirFlag(),
+			groupFlag(),
+			idFlag(),
+			&cli.StringFlag{Name: flagAddress, Usage: "its `ADDRESS`", Required: true},
+		},
+		Action: joinGroup,
 	}
-	if len(in.Zone) == 0 || len(in.Class) == 0 {
-		return nil, fmt.Errorf("--topology: %s: it has no zones, or no classes", file)
+}
+
+func serveCommand() *cli.Command {
+	return &cli.Command{
+		Name:  "serve",
+		Usage: "run the member until SIGTERM",
+		Flags: []cli.Flag{
+			dirFlag(),
+			&cli.StringFlag{Name: flagTopology, Usage: "take part in failover, with the zones and classes of `FILE`"},
+		},
+		Action: serve,
 	}
-	if err := p.Topology.Check(); err != nil {
-		return nil, fmt.Errorf("--topology: %s: price: %w", file, err)
+}
+
+func checkCommand() *cli.Command {
+	return &cli.Command{
+		Name:   "check",
+		Usage:  "print what a stopped member's folder contains, or what is wrong with it",
+		Flags:  []cli.Flag{dirFlag()},
+		Action: check,
 	}
-	return p, nil
 }
 
-func check(_ context.Context, cmd *cli.Command) error {
-	disk, kept, err := agent.Open(cmd.String("dir"))
-	if err != nil {
-		return err
+// serve runs the member.
+func serve(ctx context.Context, cmd *cli.Command) error {
+	options := agent.Options{Log: slog.New(slog.NewTextHandler(os.Stderr, nil))}
+	if file := cmd.String(flagTopology); file != "" {
+		failoverOptions, err := loadTopology(file)
+		if err != nil {
+			return err
+		}
+		options.Failover = failoverOptions
 	}
-	defer disk.Close()
-	fmt.Fprintf(cmd.Root().Writer, "ok: member %d of %s at %s, term %d, snapshot to %d, %d entries after it\n", disk.Identity.ID, disk.Identity.Group,
-		disk.Identity.Address, kept.HardState.GetTerm(), kept.Snapshot.GetMetadata().GetIndex(), len(kept.Entries))
-	return nil
+	return agent.Serve(ctx, cmd.String(flagDir), options)
 }
--- a/cmd/tulipagent/main_test.go
+++ b/cmd/tulipagent/main_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// What is wrong is said in one line that names the flag or the folder, and nothing is made; check tells what a folder holds.
-func TestCommandLine(t *testing.T) {
-	there := filepath.Join(t.TempDir(), "there")
+// An error is one line that names the flag or the folder, and nothing is created; check prints what a folder contains.
+func TestCommandLineErrorsNameTheFlag(t *testing.T) {
+	existing := filepath.Join(t.TempDir(), "existing")
 	run := func(args ...string) (string, error) {
 		var out bytes.Buffer
 		c := command()
@@ -17,10 +17,10 @@
 		err := c.Run(t.Context(), append([]string{"tulipagent"}, args...))
 		return out.String(), err
 	}
-	if _, err := run("init", "--dir", there, "--id", "1", "--member", "1=127.0.0.1:7101"); err != nil {
+	if _, err := run("init", "--dir", existing, "--id", "1", "--member", "1=127.0.0.1:7101"); err != nil {
 		t.Fatal(err)
 	}
-	if out, err := run("check", "--dir", there); err != nil || !strings.Contains(out, "member 1 of tulipglade at 127.0.0.1:7101") {
+	if out, err := run("check", "--dir", existing); err != nil || !strings.Contains(out, "member 1 of tulipglade at 127.0.0.1:7101") {
 		t.Errorf("%q %v", out, err)
 	}
 	empty := t.TempDir()
@@ -39,8 +39,8 @@
 		{"serve --dir D --topology none.toml", "--topology"},
 		{"serve --dir D --topology ../../deploy/topology.example.toml", "no member lives here"},
 		{"check --dir D", "no member lives here"},
-		{"init --dir " + there + " --id 1 --member 1=127.0.0.1:7101", "lives here already"},
-		{"join --dir " + there + " --id 4 --address 127.0.0.1:1", "lives here already"},
+		{"init --dir " + existing + " --id 1 --member 1=127.0.0.1:7101", "lives here already"},
+		{"join --dir " + existing + " --id 4 --address 127.0.0.1:1", "lives here already"},
 	} {
 		_, err := run(strings.Fields(strings.ReplaceAll(c.args, " D ", " "+empty+" "))...)
 		if strings.HasSuffix(c.args, " D") {
--- /dev/null
+++ b/cmd/tulipagent/topology.go
@@ -0,0 +1,43 @@
+package main
+
+import (
+	"fmt"
+
+	"tulipglade/internal/agent"
+	"tulipglade/internal/failover"
+	"tulipglade/internal/tomlfile"
+)
+
+// topologyFile is the form of the file that --topology names.
+type topologyFile struct {
+	Zones   []failover.Zone `toml:"zone"`
+	Costs   [][]float64     `toml:"price"` // from, to
+	Classes []topologyClass `toml:"class"`
+}
+
+type topologyClass struct {
+	Name           string  `toml:"name"`
+	PriorityWeight float64 `toml:"worth"` // of a core-second
+}
+
+// loadTopology reads the zones, the costs between them, and the classes.
+func loadTopology(file string) (*agent.FailoverOptions, error) {
+	var decoded topologyFile
+	if err := tomlfile.Load(file, &decoded); err != nil {
+		return nil, fmt.Errorf("--topology: %w", err)
+	}
+	if len(decoded.Zones) == 0 || len(decoded.Classes) == 0 {
+		return nil, fmt.Errorf("--topology: %s: it has no zones, or no classes", file)
+	}
+	options := &agent.FailoverOptions{
+		Topology: failover.Topology{Zones: decoded.Zones, Cost: decoded.Costs},
+		Rules:    failover.DefaultRules,
+	}
+	if err := options.Topology.Check(); err != nil {
+		return nil, fmt.Errorf("--topology: %s: price: %w", file, err)
+	}
+	for _, class := range decoded.Classes {
+		options.PriorityWeights = append(options.PriorityWeights, class.PriorityWeight)
+	}
+	return options, nil
+}
