--- a/cmd/tulipagent/member.go
+++ b/cmd/tulipagent/member.go
@@ -79,7 +79,8 @@
 	}
 	defer func() { _ = storage.Close() }() // nothing was written
 	identity := storage.Identity
-	fmt.Fprintf(cmd.Root().Writer, "ok: member %d of %s at %s, term %d, snapshot to %d, %d entries after it\n",
+	// A failure to print is dropped, as that of other output of this program.
+	_, _ = fmt.Fprintf(cmd.Root().Writer, "ok: member %d of %s at %s, term %d, snapshot to %d, %d entries after it\n",
 		identity.ID, identity.Group, identity.Address,
 		durable.HardState.GetTerm(), durable.Snapshot.GetMetadata().GetIndex(), len(durable.Entries))
 	return nil
