--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -40,7 +40,7 @@
 var errorCodes = map[string]errorCode{
 	"taken":     {lease.ErrNoFreeSlot, http.StatusConflict},
 	"not-held":  {lease.ErrNotGranted, http.StatusConflict},
-	"fewer":     {lease.ErrFewer, http.StatusConflict},
+	"fewer":     {lease.ErrSlotRemoved, http.StatusConflict},
 	codeInvalid: {lease.ErrInvalid, http.StatusBadRequest},
 	"full":      {lease.ErrFull, http.StatusInsufficientStorage},
 	"unsure":    {consensus.ErrOutcomeUnknown, http.StatusServiceUnavailable},
--- a/internal/agent/failover_leader.go
+++ b/internal/agent/failover_leader.go
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	zones, classes := len(options.Topology.Zones), len(options.PriorityWeights)
-	if size := failover.PlanSize(zones, classes); size > lease.MaxNoteBytes {
+	if size := failover.MaxPlanSize(zones, classes); size > lease.MaxNoteBytes {
 		return nil, fmt.Errorf("topology: a plan of %d zones and %d classes may have %d bytes, and a note %d",
 			zones, classes, size, lease.MaxNoteBytes)
 	}
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -161,7 +161,7 @@
 			return
 		}
 		err := l.renew(ctx)
-		if errors.Is(err, lease.ErrNotGranted) || errors.Is(err, lease.ErrFewer) {
+		if errors.Is(err, lease.ErrNotGranted) || errors.Is(err, lease.ErrSlotRemoved) {
 			l.end(err)
 			return
 		}
--- a/internal/agent/transport.go
+++ b/internal/agent/transport.go
@@ -71,7 +71,7 @@
 			case outbound.isSnapshot:
 				a.post(func() { a.member.Delivered(outbound.to, err == nil) })
 			case err != nil:
-				a.post(func() { a.member.Unreachable(outbound.to) })
+				a.post(func() { a.member.ReportUnreachable(outbound.to) })
 			}
 		}
 	}
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -95,7 +95,8 @@
 	tick := predecessor.Status().Tick
 	group.now += 2 * interval
 	predecessor.Tick()
-	group.deliver(func(m *pb.Message) bool { return len(m.GetEntries()) > 0 || m.GetType() == pb.MsgAppResp }) // but no commit index to the others
+	// The others get the entry, but not the commit index.
+	group.deliver(func(msg *pb.Message) bool { return len(msg.GetEntries()) > 0 || msg.GetType() == pb.MsgAppResp })
 	delete(group.members, predecessor.Status().ID)
 	group.inFlight = nil
 	var successor *Member
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -257,8 +257,8 @@
 	}
 }
 
-// Unreachable reports that a message to a member was lost.
-func (m *Member) Unreachable(id uint64) { m.node.ReportUnreachable(id) }
+// ReportUnreachable reports that a message to a member was lost.
+func (m *Member) ReportUnreachable(id uint64) { m.node.ReportUnreachable(id) }
 
 // Delivered reports whether a snapshot has reached a member.
 func (m *Member) Delivered(id uint64, ok bool) {
--- a/internal/consensus/proposal.go
+++ b/internal/consensus/proposal.go
@@ -56,7 +56,7 @@
 func (m *Member) proposeLeaseTick() {
 	hasOwnTerm := m.appliedTerm == m.node.BasicStatus().GetTerm()
 	due := m.options.Clock() >= m.lastLeaseTick+m.terms.Interval
-	if m.leaseTickInFlight || !hasOwnTerm || !m.leases.Granted() || !due {
+	if m.leaseTickInFlight || !hasOwnTerm || !m.leases.HasGrants() || !due {
 		return
 	}
 	m.leaseTickInFlight = m.propose(0, lease.Command{Kind: lease.Tick}) == nil
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -30,7 +30,7 @@
 		Tick:    m.leases.Now(),
 		Terms:   m.terms,
 		Members: maps.Clone(m.members),
-		Leases:  m.leases.All(),
+		Leases:  m.leases.List(),
 	}
 }
 
--- a/internal/failover/invariants_test.go
+++ b/internal/failover/invariants_test.go
@@ -58,8 +58,8 @@
 			if err := current.Update(plan, now); err != nil {
 				t.Fatal(err)
 			}
-			if raw, err := json.Marshal(plan); err != nil || len(raw) > PlanSize(zones, len(weights)) {
-				t.Fatalf("%v: a plan of %d bytes, want at most %d", err, len(raw), PlanSize(zones, len(weights)))
+			if raw, err := json.Marshal(plan); err != nil || len(raw) > MaxPlanSize(zones, len(weights)) {
+				t.Fatalf("%v: a plan of %d bytes, want at most %d", err, len(raw), MaxPlanSize(zones, len(weights)))
 			}
 			for zone := range zones {
 				checkZone(t, zone, totals, placed, plan, last, interval)
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -30,8 +30,8 @@
 	maxRowBytes        = 230 // the reason, of up to 200 bytes, and the keys
 )
 
-// PlanSize returns how many bytes a plan has in JSON at most.
-func PlanSize(zones, classes int) int {
+// MaxPlanSize returns how many bytes a plan has in JSON at most.
+func MaxPlanSize(zones, classes int) int {
 	return maxPlanHeaderBytes + zones*classes*(zones*maxShareBytes+maxRowBytes)
 }
 
--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -29,11 +29,11 @@
 
 // Reasons why a command is rejected. A rejected command changes nothing. Agents send the texts to their clients.
 var (
-	ErrNoFreeSlot = errors.New("all seats are held")
-	ErrNotGranted = errors.New("no such grant: it has ended, or never was")
-	ErrFewer      = errors.New("fewer may hold it now: this seat is not renewed")
-	ErrInvalid    = errors.New("a command that makes no sense")
-	ErrFull       = errors.New("too many leases")
+	ErrNoFreeSlot  = errors.New("all seats are held")
+	ErrNotGranted  = errors.New("no such grant: it has ended, or never was")
+	ErrSlotRemoved = errors.New("fewer may hold it now: this seat is not renewed")
+	ErrInvalid     = errors.New("a command that makes no sense")
+	ErrFull        = errors.New("too many leases")
 )
 
 // MaxNoteBytes bounds a note. That of a rollout names up to 1,024 nodes, each by up to maxNameBytes. Notes of maxNotes leases take 20 MB
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -37,7 +37,7 @@
 		{Command{Kind: Acquire, Name: "roll", Holder: "b", RequestID: 2, Ticks: 9}, nil, 4, 13},
 		{Command{Kind: SetMaxHolders, Name: "roll", MaxHolders: 1}, nil, 0, 0}, // while two hold
 		{Command{Kind: Renew, Name: "roll", Token: 3, Ticks: 10}, nil, 3, 14},
-		{Command{Kind: Renew, Name: "roll", Token: 4, Ticks: 10}, ErrFewer, 4, 13},
+		{Command{Kind: Renew, Name: "roll", Token: 4, Ticks: 10}, ErrSlotRemoved, 4, 13},
 		{Command{Kind: Release, Name: "roll", Token: 3}, nil, 3, 14},
 		{Command{Kind: Acquire, Name: "roll", Holder: "c", RequestID: 1, Ticks: 3}, ErrNoFreeSlot, 0, 0}, // the other slot is still held
 		{Command{Kind: Acquire, Name: "", Holder: "c", RequestID: 1, Ticks: 3}, ErrInvalid, 0, 0},
@@ -179,12 +179,12 @@
 	if s, err = Restore(raw); err != nil {
 		t.Fatal(err)
 	}
-	if all := s.All(); len(all) != 1 || all[0].Note != "half done" || s.Granted() {
+	if all := s.List(); len(all) != 1 || all[0].Note != "half done" || s.HasGrants() {
 		t.Errorf("%+v", all)
 	}
 	setNote("x", acquire("x"), "", nil)
 	_, _ = s.Apply(Command{Kind: Tick})
-	if all := s.All(); len(all) != 0 {
+	if all := s.List(); len(all) != 0 {
 		t.Errorf("unused leases are not forgotten: %+v", all)
 	}
 	for i := range maxNotes {
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -111,7 +111,7 @@
 		return Grant{}, ErrNotGranted
 	}
 	if r.Grants[i].Slot >= r.MaxHolders {
-		return r.Grants[i], ErrFewer
+		return r.Grants[i], ErrSlotRemoved
 	}
 	r.Grants[i].ExpiresAt = max(r.Grants[i].ExpiresAt, s.tick+command.Ticks)
 	return r.Grants[i], nil
@@ -181,8 +181,8 @@
 	return slot
 }
 
-// All returns all leases that have a grant, a note or a MaxHolders of their own, sorted by name.
-func (s *State) All() []Lease {
+// List returns all leases that have a grant, a note or a MaxHolders of their own, sorted by name.
+func (s *State) List() []Lease {
 	all := make([]Lease, 0, len(s.leases))
 	for name, r := range s.leases {
 		all = append(all, Lease{
@@ -196,8 +196,8 @@
 	return all
 }
 
-// Granted reports whether any grant exists. Ticks are needed only while one does.
-func (s *State) Granted() bool {
+// HasGrants reports whether any grant exists. Ticks are needed only while one does.
+func (s *State) HasGrants() bool {
 	for _, r := range s.leases {
 		if len(r.Grants) > 0 {
 			return true
