--- /dev/null
+++ b/internal/soak/check_test.go
@@ -0,0 +1,140 @@
+package soak
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+const (
+	testBackends = 2
+	testRequest  = "n0-c0-0"
+)
+
+// newCheckedRun returns a run without processes, whose one node has been ready since its first second.
+func newCheckedRun() *run {
+	r := &run{options: Options{Nodes: 1, Backends: testBackends}, started: time.Now(), record: newRecord()}
+	r.list = newEndpointList(r, testBackends)
+	n := &node{run: r, log: &logWatch{run: r}, incarnations: []incarnation{{started: 0, ready: time.Second}}}
+	n.reachability = []reachabilityChange{{at: 0, reachable: true}}
+	r.nodes = []*node{n}
+	return r
+}
+
+// addRequest records a request of a class that was sent after two seconds and finished one second later.
+func (r *run) addRequest(effect string, result outcome, arrivals ...*arrival) *request {
+	q := &request{id: testRequest, class: class{name: "test", effect: effect, deadline: 900 * time.Millisecond}}
+	r.record.start(q, 2*time.Second)
+	for _, a := range arrivals {
+		r.record.arrived(q.id, a)
+	}
+	r.record.finish(q, result, 3*time.Second)
+	return q
+}
+
+// arrivalAt returns an arrival at the first backend that ran, from a node that does not say for how long it waits.
+func arrivalAt(at time.Duration) *arrival { return &arrival{at: at, announced: -1, ran: true} }
+
+func TestCheckAcceptsServedRequest(t *testing.T) {
+	r := newCheckedRun()
+	r.addRequest(effectOnce, outcomeServed, arrivalAt(2100*time.Millisecond))
+	result := r.check([]Fault{{Kind: NodeKilled}})
+	if len(result.Broken) > 0 || result.Served != 1 || result.Total != 1 || result.Faults[NodeKilled] != 1 {
+		t.Errorf("%+v", result)
+	}
+}
+
+func TestCheckReportsViolations(t *testing.T) {
+	const sent = 2 * time.Second
+	for _, test := range []struct {
+		name     string
+		record   func(*run)
+		violated string
+	}{
+		{"answer to another request", func(r *run) {
+			r.addRequest(effectRepeatable, outcomeWrongAnswer)
+		}, "lost: "},
+		{"no answer in time", func(r *run) {
+			r.addRequest(effectRepeatable, outcomeLate)
+		}, "lost: "},
+		{"connection ended during a request", func(r *run) {
+			r.addRequest(effectRepeatable, outcomeIncomplete, arrivalAt(sent))
+		}, "lost: "},
+		{"rejected after it ran", func(r *run) {
+			r.addRequest(effectOnce, outcomeRejected, arrivalAt(sent))
+		}, "duplicate: "},
+		{"non-idempotent request ran twice", func(r *run) {
+			r.addRequest(effectOnce, outcomeServed, arrivalAt(sent), arrivalAt(sent+time.Millisecond))
+		}, "duplicate: "},
+		{"key repeated after its window", func(r *run) {
+			r.addRequest(effectByKey, outcomeServed, arrivalAt(sent), arrivalAt(sent+idempotencyWindow+time.Second))
+		}, "duplicate: "},
+		{"attempt after the client disconnected", func(r *run) {
+			r.addRequest(effectRepeatable, outcomeDisconnected, arrivalAt(4*time.Second))
+		}, "lost: "},
+		{"announced timeout beyond the deadline", func(r *run) {
+			r.addRequest(effectRepeatable, outcomeServed, &arrival{at: sent, announced: 5 * time.Second})
+		}, "deadline: "},
+		{"attempt at a removed backend", func(r *run) {
+			r.list.changes = append(r.list.changes, listChange{revision: 2, at: 100 * time.Millisecond, state: stateRemoved})
+			r.list.noteNotification(0, notification{started: 150 * time.Millisecond, completed: 200 * time.Millisecond, revision: 2})
+			r.addRequest(effectRepeatable, outcomeServed, arrivalAt(sent))
+		}, "drain: "},
+		{"request that no client sent", func(r *run) {
+			r.record.arrived("other", arrivalAt(sent))
+		}, "which no client sent"},
+		{"crash", func(r *run) {
+			r.nodes[0].incarnations[0].exitedAt = 5 * time.Second
+		}, "crash: "},
+		{"slow shutdown", func(r *run) {
+			p := &r.nodes[0].incarnations[0]
+			p.terminatedAt = 5 * time.Second
+			p.exitedAt = p.terminatedAt + shutdownLimit + 2*schedulingDelay
+		}, "stop: "},
+		{"never ready", func(r *run) {
+			r.nodes[0].incarnations[0] = incarnation{started: 0, killedAt: 2 * readyLimit}
+		}, "ready: "},
+		{"forbidden log record", func(r *run) {
+			for _, part := range []string{"level=ERROR msg=\"invariant ", "violated\"\n"} {
+				_, _ = r.nodes[0].log.Write([]byte(part)) // it never fails
+			}
+		}, "log of node 0"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			r := newCheckedRun()
+			test.record(r)
+			broken := r.check(nil).Broken
+			if len(broken) != 1 || !strings.Contains(broken[0], test.violated) {
+				t.Errorf("want one violation with %q, have %q", test.violated, broken)
+			}
+		})
+	}
+}
+
+// A backend that returned to service may get attempts again.
+func TestCheckAcceptsAttemptAfterReturnToService(t *testing.T) {
+	r := newCheckedRun()
+	r.list.changes = append(r.list.changes,
+		listChange{revision: 2, at: 100 * time.Millisecond, state: stateRemoved},
+		listChange{revision: 3, at: 500 * time.Millisecond, incarnation: 1, state: stateInService})
+	r.list.noteNotification(0, notification{started: 150 * time.Millisecond, completed: 200 * time.Millisecond, revision: 2})
+	r.list.noteNotification(0, notification{started: 600 * time.Millisecond, completed: 650 * time.Millisecond, revision: 3})
+	r.addRequest(effectRepeatable, outcomeServed, arrivalAt(2*time.Second))
+	if broken := r.check(nil).Broken; len(broken) > 0 {
+		t.Error(broken)
+	}
+}
+
+func TestReachableForIgnoresInterruptedTimes(t *testing.T) {
+	n := &node{reachability: []reachabilityChange{
+		{at: 0, reachable: true},
+		{at: 3 * time.Second, reachable: false},
+		{at: 5 * time.Second, reachable: true},
+	}}
+	if at, ok := n.reachableFor(2*time.Second, 0); !ok || at != 2*time.Second {
+		t.Errorf("before the interruption: %v, %v", at, ok)
+	}
+	if at, ok := n.reachableFor(4*time.Second, 0); !ok || at != 9*time.Second {
+		t.Errorf("after the interruption: %v, %v", at, ok)
+	}
+}
--- /dev/null
+++ b/internal/soak/faults_test.go
@@ -0,0 +1,38 @@
+package soak
+
+import (
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestSchedulesAreDrawnFromTheSeed(t *testing.T) {
+	options := Options{Seed: 1, Nodes: 10, Backends: 6, Length: 16 * time.Second}
+	plan := draw(options)
+	if again := draw(options); !reflect.DeepEqual(plan, again) {
+		t.Errorf("%v, then %v", plan, again)
+	}
+	options.Seed++
+	if other := draw(options); reflect.DeepEqual(plan, other) {
+		t.Error("another seed draws the same schedule")
+	}
+}
+
+func TestSchedulesCoverAllKindsWithinTheirTime(t *testing.T) {
+	options := Options{Nodes: 10, Backends: 6, Length: 16 * time.Second}
+	drawn := map[Kind]int{}
+	for options.Seed = range 30 {
+		for _, fault := range draw(options) {
+			drawn[fault.Kind]++
+			if fault.Start < firstFault || fault.Start >= options.Length-quietEnd || len(fault.Targets) == 0 {
+				t.Errorf("seed %d: %v", options.Seed, fault)
+			}
+		}
+	}
+	for _, kind := range slices.Concat(randomKinds, []Kind{SitePowerLost}) {
+		if drawn[kind] == 0 {
+			t.Errorf("no schedule has %q", kind)
+		}
+	}
+}
