--- a/cmd/tulipctl/simulate.go
+++ b/cmd/tulipctl/simulate.go
@@ -50,7 +50,7 @@
 					&cli.StringFlag{Name: "out", Usage: "write the reduced scenario to `FILE` instead of standard output"}}},
 			{Name: "survey", Usage: "play deployments drawn over all that the protocol allows; exit 1 if the module fails one", Action: surveyDeployments,
 				Flags: []cli.Flag{seed, &cli.IntFlag{Name: "draws", Value: 300, Usage: "`N` deployments, of seeds that count up from --seed"},
-					&cli.FloatFlag{Name: "margin", Value: 0.02, Usage: "of the worth by which the module may serve less than " + experiment.Plain},
+					&cli.FloatFlag{Name: "margin", Value: 0.02, Usage: "of the worth by which the module may serve less than " + experiment.Baseline},
 					jsonFlag}},
 			{Name: "leases", Usage: "play leases under faults between processes, in virtual time; exit 1 if what must hold does not",
 				Action: simulateLeases, Flags: []cli.Flag{seed, &cli.IntFlag{Name: "schedules", Value: 10000, Usage: "`N`, of seeds that count up from --seed"},
@@ -301,7 +301,7 @@
 		}
 		fmt.Fprint(t, rows[i].Policy)
 		for _, v := range rows[i].Set {
-			fmt.Fprint(t, "\t", v.To)
+			fmt.Fprint(t, "\t", v.Value)
 		}
 		fmt.Fprintf(t, "\t%d", same-i)
 		for _, x := range sums {
@@ -360,7 +360,7 @@
 	fmt.Fprintln(t, "metric\tpairs\tA\tB\tA - B\t95% interval\tA above\tA below\tdifference shown")
 	for _, c := range all {
 		shown := "no"
-		if c.Shown() {
+		if c.Significant() {
 			shown = "yes"
 		}
 		fmt.Fprintf(t, "%s\t%d\t%.4f\t%.4f\t%+.4f\t%+.4f to %+.4f\t%d\t%d\t%s\n", c.Metric, c.Pairs, c.A, c.B, c.Diff, c.Low, c.High,
@@ -386,7 +386,7 @@
 		return err
 	}
 	s, err := experiment.Shrink(sc, names[0], cmd.Uint64("seed"), cmd.Int("runs"))
-	if err == experiment.ErrNothingBroken {
+	if err == experiment.ErrNoViolation {
 		return negativeAnswer("%s, policy %s, seed %d: %w", sc.Name, names[0], cmd.Uint64("seed"), err)
 	}
 	if err != nil {
@@ -421,7 +421,7 @@
 	if err != nil {
 		return err
 	}
-	var failed []experiment.Surveyed
+	var failed []experiment.SurveyResult
 	for _, d := range all {
 		if d.Fault != "" {
 			failed = append(failed, d)
@@ -433,9 +433,9 @@
 		}
 	} else {
 		t := table(cmd)
-		fmt.Fprintf(t, "seed\tmodule\t%s\tfails by\tsettings that it takes\n", experiment.Plain)
+		fmt.Fprintf(t, "seed\tmodule\t%s\tfails by\tsettings that it takes\n", experiment.Baseline)
 		for _, d := range failed {
-			fmt.Fprintf(t, "%d\t%.3f\t%.3f\t%s %v\t%s\n", d.Seed, d.Module, d.Plain, d.Fault, d.Broken, strings.Join(d.RaisedSettings, "; "))
+			fmt.Fprintf(t, "%d\t%.3f\t%.3f\t%s %v\t%s\n", d.Seed, d.Module, d.Baseline, d.Fault, d.Broken, strings.Join(d.RaisedSettings, "; "))
 		}
 		if err := t.Flush(); err != nil {
 			return err
@@ -569,7 +569,7 @@
 	t := table(cmd)
 	fmt.Fprintln(t, "policy\thosts\tnodes\trequests/s of the node\tµs a request\tµs a whole list\tcores for it")
 	for _, c := range all {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.1f\t%.2f\t%.0f\t%.3f\n", c.Policy, c.Hosts, c.Nodes, c.PerS, c.Micros, c.PerList, c.PerS*c.Micros/1e6)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.1f\t%.2f\t%.0f\t%.3f\n", c.Policy, c.Endpoints, c.Nodes, c.RequestsPerSecond, c.MicrosPerRequest, c.MicrosPerList, c.RequestsPerSecond*c.MicrosPerRequest/1e6)
 	}
 	return t.Flush()
 }
--- a/internal/simulation/experiment/compare.go
+++ b/internal/simulation/experiment/compare.go
@@ -5,59 +5,58 @@
 	"errors"
 	"math"
 	"slices"
-	"sort"
 
 	"tulipglade/internal/simulation/eventqueue"
 )
 
-// Comparison is how A differs from B, over pairs of the same scenario, settings and seed.
+// Comparison is the difference of a metric between A and B, over pairs of runs of the same scenario, settings and seed.
 type Comparison struct {
 	Metric string  `json:"metric"`
 	Pairs  int     `json:"pairs"`
 	A      float64 `json:"a"` // means
 	B      float64 `json:"b"`
-	Diff   float64 `json:"diff"` // A less B
-	Low    float64 `json:"low"`  // 95% interval of the mean difference
+	Diff   float64 `json:"diff"` // A minus B
+	Low    float64 `json:"low"`  // 95% confidence interval of Diff
 	High   float64 `json:"high"`
 	Higher int     `json:"higher"` // pairs in which A is above B
 	Lower  int     `json:"lower"`
 }
 
-// Shown tells whether the interval leaves out zero.
-func (c Comparison) Shown() bool { return c.Low > 0 || c.High < 0 }
+// Significant reports whether the confidence interval excludes 0.
+func (c Comparison) Significant() bool { return c.Low > 0 || c.High < 0 }
 
-const resamples = 10000
+const (
+	resamples       = 10000
+	outsideInterval = resamples / 40 // on each side of a 95% interval
+)
 
-// ErrNoPairs is two sets of results that have no run in common.
+// ErrNoPairs means that two sets of results have no run in common.
 var ErrNoPairs = errors.New("no run of the one has the scenario, settings and seed of a run of the other")
 
-// Compare pairs the rows and works out the mean difference with a bootstrap interval: percentiles of the means of so
-// many samples drawn with replacement from the pairs (Efron and Tibshirani, An Introduction to the Bootstrap, 13.3).
+// Compare pairs the rows and returns the mean difference with a bootstrap interval: percentiles of the means of resamples
+// drawn with replacement from the pairs (Efron and Tibshirani, An Introduction to the Bootstrap, 13.3).
 func Compare(a, b []Row, metric string) (Comparison, error) {
-	of, c := Metrics[metric], Comparison{Metric: metric}
-	if of == nil {
+	metricOf, c := Metrics[metric], Comparison{Metric: metric}
+	if metricOf == nil {
 		return c, errors.New("metric " + metric + ": there is no such figure")
 	}
-	key := func(r Row) string {
-		k := Cell{Seed: r.Seed, Set: r.Set}
-		return r.Result.Scenario + " " + k.key()
-	}
-	other := map[string]Row{}
-	for _, r := range b {
-		other[key(r)] = r
+	partners := map[string]Row{}
+	for _, row := range b {
+		partners[pairKey(row)] = row
 	}
 	var diffs []float64
-	for _, r := range a {
-		o, ok := other[key(r)]
+	for _, row := range a {
+		partner, ok := partners[pairKey(row)]
 		if !ok {
 			continue
 		}
-		x, y := of(r.Result), of(o.Result)
+		x, y := metricOf(row.Result), metricOf(partner.Result)
 		if math.IsNaN(x) || math.IsNaN(y) {
 			continue
 		}
 		diffs = append(diffs, x-y)
-		c.A, c.B = c.A+x, c.B+y
+		c.A += x
+		c.B += y
 		switch cmp.Compare(x, y) {
 		case 1:
 			c.Higher++
@@ -65,24 +64,38 @@
 			c.Lower++
 		}
 	}
-	if c.Pairs = len(diffs); c.Pairs == 0 {
+	c.Pairs = len(diffs)
+	if c.Pairs == 0 {
 		return c, ErrNoPairs
 	}
-	n := float64(c.Pairs)
-	c.A, c.B = c.A/n, c.B/n
+	pairs := float64(c.Pairs)
+	c.A /= pairs
+	c.B /= pairs
 	c.Diff = c.A - c.B
-	r, means := eventqueue.NewStream(1, "bootstrap"), make([]float64, resamples)
+	c.Low, c.High = bootstrapInterval(diffs)
+	return c, nil
+}
+
+// pairKey identifies what the two runs of a pair have in common.
+func pairKey(row Row) string {
+	cell := Cell{Seed: row.Seed, Set: row.Set}
+	return row.Result.Scenario + " " + cell.key()
+}
+
+// bootstrapInterval returns the 95% interval of the mean.
+func bootstrapInterval(values []float64) (low, high float64) {
+	random := eventqueue.NewStream(1, "bootstrap")
+	means := make([]float64, resamples)
 	for i := range means {
-		for range diffs {
-			means[i] += diffs[r.IntN(len(diffs))] / n
+		for range values {
+			means[i] += values[random.IntN(len(values))] / float64(len(values))
 		}
 	}
-	sort.Float64s(means)
-	c.Low, c.High = means[resamples/40], means[resamples-1-resamples/40]
-	return c, nil
+	slices.Sort(means)
+	return means[outsideInterval], means[resamples-1-outsideInterval]
 }
 
-// OfPolicy are the rows of one policy.
+// OfPolicy returns the rows of one policy.
 func OfPolicy(rows []Row, policy string) []Row {
 	return slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Policy != policy })
 }
--- a/internal/simulation/experiment/cost.go
+++ b/internal/simulation/experiment/cost.go
@@ -1,6 +1,7 @@
 package experiment
 
 import (
+	"math"
 	"time"
 
 	"tulipglade/internal/balancer"
@@ -9,130 +10,197 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// Cost is what one node's decisions cost, with so many hosts and nodes in all.
+// Cost is the processor time of one node's decisions in a fleet of that size.
 type Cost struct {
-	Policy   string  `json:"policy"`
-	Hosts    int     `json:"hosts"`
-	Nodes    int     `json:"nodes"`
-	PerS     float64 `json:"requests_per_s"` // that the one node takes
-	Micros   float64 `json:"us_per_request"` // of processor time, with its outcomes and timers
-	PerList  float64 `json:"us_per_list"`    // for a whole list
-	Requests int64   `json:"requests"`
+	Policy            string  `json:"policy"`
+	Endpoints         int     `json:"hosts"`
+	Nodes             int     `json:"nodes"`
+	RequestsPerSecond float64 `json:"requests_per_s"` // of the one node
+	MicrosPerRequest  float64 `json:"us_per_request"` // including its attempts' results and timers
+	MicrosPerList     float64 `json:"us_per_list"`    // for a complete endpoint list
+	Requests          int64   `json:"requests"`
 }
 
-// What a decision is measured under.
+// Conditions of the measurement.
 const (
-	costWait  = 150 * eventqueue.Millisecond // until an attempt is answered
-	costPerS  = 14.0                         // requests a second for each host: 60% of what it can do
-	costWarm  = 3 * eventqueue.Second
-	costMost  = 200000 // requests
-	costLeast = 200
+	costAttemptLatency      = 150 * eventqueue.Millisecond
+	costRequestsPerEndpoint = 14.0 // per second: 60% of its capacity
+	costWarmUp              = 3 * eventqueue.Second
+	costStart               = 1000 * eventqueue.Second // well after 0, which as a start time means long ago
+	maxCostRequests         = 200000
+	minCostRequests         = 200
 )
 
-type costNode struct {
-	sim   eventqueue.Sim
-	src   eventqueue.Source
-	p     policy.Policy
-	rand  eventqueue.Stream
-	gap   float64
-	next  balancer.RequestID
-	spent time.Duration
-	asked int64
-	tries map[balancer.RequestID]int
-	cfg   balancer.Config
+// costMeter runs one node whose endpoints answer after a constant time, and adds up the processor time of its policy.
+type costMeter struct {
+	events           eventqueue.Sim
+	source           eventqueue.Source
+	policy           policy.Policy
+	random           eventqueue.Stream
+	meanInterarrival float64
+	lastRequestID    balancer.RequestID
+	spent            time.Duration
+	requestCount     int64
+	attemptCounts    map[balancer.RequestID]int
+	config           balancer.Config
 }
 
+// Kinds of a costMeter's events.
 const (
-	costRequest = iota
-	costSettled
-	costWake
+	costRequest    = iota // the next request arrives
+	costAttemptEnd        // A: the balancer.RequestID; P: the balancer.EndpointID
+	costTimer             // A: the balancer.TimerID
 )
 
-// Measure runs one node of a fleet alone, whose hosts answer after a constant time, and takes the processor time of
-// its policy. It ends after so much time on the clock on the wall at the latest.
-func Measure(name string, hosts, nodes int, budget time.Duration) (Cost, error) {
+// Measure runs one node of a fleet alone and measures the processor time of its policy. Warm-up and measurement each take
+// at most the budget of wall-clock time.
+func Measure(name string, endpoints, nodes int, budget time.Duration) (Cost, error) {
+	m, err := newCostMeter(name, endpoints, nodes)
+	if err != nil {
+		return Cost{}, err
+	}
+	cost := Cost{Policy: name, Endpoints: endpoints, Nodes: nodes, RequestsPerSecond: 1e6 / m.meanInterarrival}
+	list := costEndpoints(endpoints)
+	m.policy.HandleEndpoints(m.events.Now(), balancer.ListFull, list)
+	began := time.Now()
+	m.policy.HandleEndpoints(m.events.Now(), balancer.ListFull, list)
+	cost.MicrosPerList = float64(time.Since(began).Nanoseconds()) / 1000
+	m.schedule(0, eventqueue.Event{To: m, Kind: costRequest})
+	m.warmUp(budget)
+	m.measure(budget)
+	cost.Requests = m.requestCount
+	cost.MicrosPerRequest = float64(m.spent.Nanoseconds()) / 1000 / float64(m.requestCount)
+	return cost, nil
+}
+
+func newCostMeter(name string, endpoints, nodes int) (*costMeter, error) {
 	sc := scenario.Default()
-	sc.Nodes.Count, sc.Fleet.Backends = nodes, hosts
+	sc.Nodes.Count, sc.Fleet.Backends = nodes, endpoints
 	if err := sc.Check(); err != nil {
-		return Cost{}, err
+		return nil, err
 	}
 	maker, err := policy.Find(name)
 	if err != nil {
-		return Cost{}, err
+		return nil, err
 	}
-	n := &costNode{src: eventqueue.NewSource(1), rand: eventqueue.NewStream(1, "cost"), tries: map[balancer.RequestID]int{}}
-	n.gap = 1e6 * float64(nodes) / (costPerS * float64(hosts))
-	n.cfg = sc.Config(0, make([]float64, len(sc.Tenants)))
-	n.cfg.PollDiscovery = false
-	n.sim.Run(1000 * eventqueue.Second)
-	n.p, err = maker(policy.Env{Config: n.cfg, Seed: 1, Commands: n, Publish: func(int, []byte) {},
-		OracleLatency: func(balancer.EndpointID) float64 { return 1 }})
-	if err != nil {
-		return Cost{}, err
+	m := &costMeter{
+		source:           eventqueue.NewSource(1),
+		random:           eventqueue.NewStream(1, "cost"),
+		meanInterarrival: 1e6 * float64(nodes) / (costRequestsPerEndpoint * float64(endpoints)),
+		attemptCounts:    map[balancer.RequestID]int{},
+		config:           sc.Config(0, make([]float64, len(sc.Tenants))),
 	}
-	list := make([]balancer.Endpoint, hosts)
+	m.config.PollDiscovery = false
+	m.events.Run(costStart)
+	m.policy, err = maker(policy.Env{
+		Config:        m.config,
+		Seed:          1,
+		Commands:      m,
+		Publish:       func(int, []byte) {},
+		OracleLatency: func(balancer.EndpointID) float64 { return 1 },
+	})
+	return m, err
+}
+
+// costEndpoints returns a list of equal endpoints in three zones.
+func costEndpoints(count int) []balancer.Endpoint {
+	list := make([]balancer.Endpoint, count)
 	for i := range list {
-		list[i] = balancer.Endpoint{ID: balancer.EndpointID(i + 1), Phase: balancer.PhaseReady, Zone: i % 3, Cell: i / 8, Weight: 1}
+		list[i] = balancer.Endpoint{
+			ID:     balancer.EndpointID(i + 1),
+			Phase:  balancer.PhaseReady,
+			Zone:   i % 3,
+			Cell:   i / 8,
+			Weight: 1,
+		}
 	}
-	n.p.HandleEndpoints(n.sim.Now(), balancer.ListFull, list)
-	began := time.Now()
-	n.p.HandleEndpoints(n.sim.Now(), balancer.ListFull, list)
-	c := Cost{Policy: name, Hosts: hosts, Nodes: nodes, PerS: 1e6 / n.gap, PerList: float64(time.Since(began).Nanoseconds()) / 1000}
-	n.sim.After(&n.src, 0, eventqueue.Event{To: n, Kind: costRequest})
-	warm, began := n.sim.Now()+costWarm, time.Now()
-	for n.sim.Now() < warm && time.Since(began) < budget {
-		n.sim.Step(warm)
+	return list
+}
+
+func (m *costMeter) schedule(delay eventqueue.Span, event eventqueue.Event) {
+	m.events.After(&m.source, delay, event)
+}
+
+func (m *costMeter) warmUp(budget time.Duration) {
+	end, began := m.events.Now()+costWarmUp, time.Now()
+	for m.events.Now() < end && time.Since(began) < budget {
+		m.events.Step(end)
 	}
-	n.spent, n.asked = 0, 0
-	for began := time.Now(); n.asked < costMost && (n.asked < costLeast || time.Since(began) < budget); {
-		n.sim.Step(1 << 60)
+}
+
+func (m *costMeter) measure(budget time.Duration) {
+	m.spent, m.requestCount = 0, 0
+	began := time.Now()
+	for m.requestCount < maxCostRequests && (m.requestCount < minCostRequests || time.Since(began) < budget) {
+		m.events.Step(math.MaxInt64)
 	}
-	c.Requests, c.Micros = n.asked, float64(n.spent.Nanoseconds())/1000/float64(n.asked)
-	return c, nil
 }
 
-// Handle takes the node's events.
-func (n *costNode) Handle(now eventqueue.Time, e eventqueue.Event) {
+// Handle measures the policy's time for one event.
+func (m *costMeter) Handle(now eventqueue.Time, e eventqueue.Event) {
 	began := time.Now()
 	switch e.Kind {
 	case costRequest:
-		n.next++
-		n.asked++
-		class := int(n.next) % len(n.cfg.Classes)
-		n.p.HandleRequest(now, balancer.Request{ID: n.next, AffinityKey: uint64(n.next)%300 + 1, Class: class, Tenant: int(n.next) % len(n.cfg.Tenants),
-			Deadline: now + n.cfg.Classes[class].Deadline})
-	case costSettled:
+		m.lastRequestID++
+		m.requestCount++
+		class := int(m.lastRequestID) % len(m.config.Classes)
+		m.policy.HandleRequest(now, balancer.Request{
+			ID:          m.lastRequestID,
+			AffinityKey: uint64(m.lastRequestID)%300 + 1,
+			Class:       class,
+			Tenant:      int(m.lastRequestID) % len(m.config.Tenants),
+			Deadline:    now + m.config.Classes[class].Deadline,
+		})
+	case costAttemptEnd:
 		id := balancer.RequestID(e.A)
-		no := n.tries[id] - 1
-		delete(n.tries, id)
-		n.p.HandleAttemptResult(now, balancer.AttemptResult{ID: id, Attempt: no, Endpoint: e.P.(balancer.EndpointID), Outcome: balancer.OutcomeOK,
-			Latency: costWait, RequestDone: true})
-	case costWake:
-		n.p.HandleTimer(now, balancer.TimerID(e.A))
+		attempt := m.attemptCounts[id] - 1
+		delete(m.attemptCounts, id)
+		m.policy.HandleAttemptResult(now, balancer.AttemptResult{
+			ID:          id,
+			Attempt:     attempt,
+			Endpoint:    e.P.(balancer.EndpointID),
+			Outcome:     balancer.OutcomeOK,
+			Latency:     costAttemptLatency,
+			RequestDone: true,
+		})
+	case costTimer:
+		m.policy.HandleTimer(now, balancer.TimerID(e.A))
 	}
-	n.spent += time.Since(began)
+	m.spent += time.Since(began)
 	if e.Kind == costRequest {
-		n.sim.After(&n.src, eventqueue.Span(n.gap*n.rand.ExpFloat64()), eventqueue.Event{To: n, Kind: costRequest})
+		interarrival := eventqueue.Span(m.meanInterarrival * m.random.ExpFloat64())
+		m.schedule(interarrival, eventqueue.Event{To: m, Kind: costRequest})
 	}
 }
 
-// SendAttempt answers after a constant time.
-func (n *costNode) SendAttempt(id balancer.RequestID, h balancer.EndpointID, _ balancer.Span) {
-	n.tries[id]++
-	n.sim.After(&n.src, costWait, eventqueue.Event{To: n, Kind: costSettled, A: int64(id), P: h})
+// SendAttempt schedules an answer after a constant time.
+func (m *costMeter) SendAttempt(id balancer.RequestID, endpoint balancer.EndpointID, _ balancer.Span) {
+	m.attemptCounts[id]++
+	m.schedule(costAttemptLatency, eventqueue.Event{To: m, Kind: costAttemptEnd, A: int64(id), P: endpoint})
 }
 
-// SetTimer sets a timer.
-func (n *costNode) SetTimer(t balancer.TimerID, delay balancer.Span) {
-	n.sim.After(&n.src, delay, eventqueue.Event{To: n, Kind: costWake, A: int64(t)})
+// SetTimer schedules a timer.
+func (m *costMeter) SetTimer(timer balancer.TimerID, delay balancer.Span) {
+	m.schedule(delay, eventqueue.Event{To: m, Kind: costTimer, A: int64(timer)})
 }
 
-// The other actions have no consequence here.
+// CancelAttempt has no effect here, nor have the commands below.
+func (m *costMeter) CancelAttempt(balancer.RequestID, int) {}
+
+// Reject has no effect.
+func (m *costMeter) Reject(balancer.RequestID, balancer.Span) {}
+
+// Fail has no effect.
+func (m *costMeter) Fail(balancer.RequestID) {}
+
+// CheckHealth has no effect.
+func (m *costMeter) CheckHealth(balancer.EndpointID) {}
+
+// WatchEndpoints has no effect.
+func (m *costMeter) WatchEndpoints(bool) {}
+
+// PollEndpoints has no effect.
+func (m *costMeter) PollEndpoints() {}
 
-func (n *costNode) CancelAttempt(balancer.RequestID, int)    {}
-func (n *costNode) Reject(balancer.RequestID, balancer.Span) {}
-func (n *costNode) Fail(balancer.RequestID)                  {}
-func (n *costNode) CheckHealth(balancer.EndpointID)          {}
-func (n *costNode) WatchEndpoints(bool)                      {}
-func (n *costNode) PollEndpoints()                           {}
-func (n *costNode) Log(string)                               {}
+// Log has no effect.
+func (m *costMeter) Log(string) {}
--- /dev/null
+++ b/internal/simulation/experiment/csv.go
@@ -0,0 +1,37 @@
+package experiment
+
+import (
+	"encoding/csv"
+	"fmt"
+	"io"
+	"strconv"
+)
+
+// WriteCSV writes the rows as a table with a column for each field that a cell sets and each metric.
+func WriteCSV(out io.Writer, rows []Row) error {
+	w := csv.NewWriter(out)
+	names := MetricNames()
+	head := []string{"scenario", "policy", "seed"}
+	if len(rows) > 0 {
+		for _, v := range rows[0].Set {
+			head = append(head, v.Field)
+		}
+	}
+	if err := w.Write(append(head, names...)); err != nil {
+		return err
+	}
+	for _, r := range rows {
+		line := []string{r.Result.Scenario, r.Policy, strconv.FormatUint(r.Seed, 10)}
+		for _, v := range r.Set {
+			line = append(line, fmt.Sprint(v.Value))
+		}
+		for _, n := range names {
+			line = append(line, strconv.FormatFloat(Metrics[n](r.Result), 'g', 6, 64))
+		}
+		if err := w.Write(line); err != nil {
+			return err
+		}
+	}
+	w.Flush()
+	return w.Error()
+}
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -62,9 +62,9 @@
 	return raw
 }
 
-// A sweep cut short at any byte of its file goes on where it stopped, loses no finished cell, and ends with the very
-// bytes of one that was never cut.
-func TestSweepGoesOnWhereItStopped(t *testing.T) {
+// A sweep whose file was truncated at any byte resumes with the missing cells and ends with the same bytes as an
+// uninterrupted one.
+func TestSweepResumesAfterTruncation(t *testing.T) {
 	dir := t.TempDir()
 	cells, hash, err := sweep(t, dir, sweepText)
 	if err != nil {
@@ -78,44 +78,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a, b := rows[0].Result, rows[len(rows)-1].Result; rows[0].Set[1].To == rows[len(rows)-1].Set[1].To || a.ServedValue == b.ServedValue {
+	if a, b := rows[0].Result, rows[len(rows)-1].Result; rows[0].Set[1].Value == rows[len(rows)-1].Set[1].Value || a.ServedValue == b.ServedValue {
 		t.Errorf("the grid is not applied: %v %v", rows[0].Set, rows[len(rows)-1].Set)
 	}
-	whole := read(t, file)
-	lines := bytes.SplitAfter(whole, []byte("\n"))
-	for _, cut := range []int{0, 5, len(lines[0]), len(lines[0]) + 1, len(lines[0]) + len(lines[1]) + 40, len(whole) / 2, len(whole) - 1, len(whole)} {
-		t.Run(fmt.Sprint("cut at ", cut), func(t *testing.T) {
+	complete := read(t, file)
+	lines := bytes.SplitAfter(complete, []byte("\n"))
+	for _, cut := range []int{0, 5, len(lines[0]), len(lines[0]) + 1, len(lines[0]) + len(lines[1]) + 40, len(complete) / 2, len(complete) - 1, len(complete)} {
+		t.Run(fmt.Sprint("truncated at ", cut), func(t *testing.T) {
 			file := filepath.Join(dir, "cut.jsonl")
-			if err := os.WriteFile(file, whole[:cut], 0o644); err != nil {
+			if err := os.WriteFile(file, complete[:cut], 0o644); err != nil {
 				t.Fatal(err)
 			}
-			// Cut short a second time right after it has gone on: what was torn must not spoil what follows.
-			if ctx, stop := context.WithCancel(t.Context()); cut > len(lines[0])+len(lines[1]) && cut < len(whole) {
+			// Interrupted a second time right after it has resumed: a truncated line must not corrupt what follows.
+			if ctx, stop := context.WithCancel(t.Context()); cut > len(lines[0])+len(lines[1]) && cut < len(complete) {
 				if _, err := RunAll(ctx, cells, hash, file, func(int, int) { stop() }); err != nil && !errors.Is(err, context.Canceled) {
-					t.Fatalf("cut short again: %v", err)
+					t.Fatalf("interrupted again: %v", err)
 				}
 				if _, err := ReadRows(file); err != nil {
 					t.Fatal(err)
 				}
-				if err := os.WriteFile(file, whole[:cut], 0o644); err != nil {
+				if err := os.WriteFile(file, complete[:cut], 0o644); err != nil {
 					t.Fatal(err)
 				}
 			} else {
 				stop()
 			}
-			kept, played := max(bytes.Count(whole[:cut], []byte("\n"))-1, 0), 0
+			finished, played := max(bytes.Count(complete[:cut], []byte("\n"))-1, 0), 0
 			if _, err := RunAll(t.Context(), cells, hash, file, func(int, int) { played++ }); err != nil {
 				t.Fatal(err)
 			}
-			if played != len(cells)-kept {
-				t.Errorf("played %d of %d cells though %d were finished", played, len(cells), kept)
+			if played != len(cells)-finished {
+				t.Errorf("ran %d of %d cells although %d were finished", played, len(cells), finished)
 			}
-			if !bytes.Equal(read(t, file), whole) {
-				t.Error("the file differs from that of a sweep never cut")
+			if !bytes.Equal(read(t, file), complete) {
+				t.Error("the file differs from that of an uninterrupted sweep")
 			}
 		})
 	}
-	t.Run("cancelled half-way", func(t *testing.T) {
+	t.Run("canceled half-way", func(t *testing.T) {
 		file := filepath.Join(dir, "cancelled.jsonl")
 		ctx, stop := context.WithCancel(t.Context())
 		_, err := RunAll(ctx, cells, hash, file, func(done, _ int) {
@@ -124,21 +124,21 @@
 			}
 		})
 		if !errors.Is(err, context.Canceled) {
-			t.Fatalf("cancelled: %v", err)
+			t.Fatalf("canceled: %v", err)
 		}
 		if n := bytes.Count(read(t, file), []byte("\n")) - 1; n < 5 {
 			t.Errorf("%d cells on disk of 5 finished", n)
 		}
-		if _, err := RunAll(t.Context(), cells, hash, file, nil); err != nil || !bytes.Equal(read(t, file), whole) {
+		if _, err := RunAll(t.Context(), cells, hash, file, nil); err != nil || !bytes.Equal(read(t, file), complete) {
 			t.Errorf("resumed: %v, or other bytes", err)
 		}
 	})
 	t.Run("another sweep's file", func(t *testing.T) {
-		if _, err := RunAll(t.Context(), cells, "other", file, nil); !errors.Is(err, ErrOther) {
+		if _, err := RunAll(t.Context(), cells, "other", file, nil); !errors.Is(err, ErrOtherSweep) {
 			t.Errorf("%v", err)
 		}
-		if !bytes.Equal(read(t, file), whole) {
-			t.Error("it was changed")
+		if !bytes.Equal(read(t, file), complete) {
+			t.Error("the file was changed")
 		}
 	})
 	var csv bytes.Buffer
@@ -201,7 +201,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.Shown() != c.shown || got.Higher != c.higher || got.Pairs != c.pairs || got.Low > got.Diff || got.High < got.Diff {
+			if got.Significant() != c.shown || got.Higher != c.higher || got.Pairs != c.pairs || got.Low > got.Diff || got.High < got.Diff {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -214,9 +214,9 @@
 	}
 }
 
-// The interval must hold the true difference about 95 times in 100.
-func TestIntervalCovers(t *testing.T) {
-	held, n := 0, 200
+// The interval must cover the true difference about 95 times in 100.
+func TestBootstrapIntervalCoversTheDifference(t *testing.T) {
+	covered, n := 0, 200
 	for seed := range n {
 		var a, b []float64
 		r := rand.New(rand.NewPCG(uint64(seed), 1))
@@ -229,15 +229,15 @@
 			t.Fatal(err)
 		}
 		if c.Low <= 0.1 && 0.1 <= c.High {
-			held++
+			covered++
 		}
 	}
-	if held < n*88/100 || held == n {
-		t.Errorf("the interval held the true difference %d times in %d", held, n)
+	if covered < n*88/100 || covered == n {
+		t.Errorf("the interval covered the true difference %d times in %d", covered, n)
 	}
 }
 
-func TestDdminFindsTheFewest(t *testing.T) {
+func TestDDMinIsMinimal(t *testing.T) {
 	var items []int
 	for i := range 200 {
 		items = append(items, i)
@@ -259,7 +259,7 @@
 	}
 }
 
-// A case that breaks a rule shrinks to one that does so still, from its text alone, with hardly anything left in it.
+// A case that violates an invariant shrinks to a small one whose text alone still does.
 func TestShrink(t *testing.T) {
 	const file = `
 seconds = 12.0
@@ -286,7 +286,7 @@
 	var s *Shrunk
 	seed := uint64(1)
 	for ; seed < 30; seed++ {
-		if s, err = Shrink(sc, "random", seed, 1500); !errors.Is(err, ErrNothingBroken) {
+		if s, err = Shrink(sc, "random", seed, 1500); !errors.Is(err, ErrNoViolation) {
 			break
 		}
 	}
@@ -300,11 +300,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := scenario.Parse("shrunk.toml", text)
+	parsed, err := scenario.Parse("shrunk.toml", text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(again, "random", seed)
+	r, err := Run(parsed, "random", seed)
 	if err != nil || r.Broken[string(s.Rule)] == 0 {
 		t.Errorf("the text of the reduced case breaks %v, not %s: %v", r.Broken, s.Rule, err)
 	}
@@ -312,13 +312,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Shrink(calm, "random", 1, 10); !errors.Is(err, ErrNothingBroken) {
+	if _, err := Shrink(calm, "random", 1, 10); !errors.Is(err, ErrNoViolation) {
 		t.Errorf("a sound case: %v", err)
 	}
 }
 
-// The file of a sweep must not depend on how many cores played it.
-func TestOneCoreOrFour(t *testing.T) {
+// The file of a sweep must not depend on the number of cores.
+func TestSweepFileDoesNotDependOnCores(t *testing.T) {
 	dir := t.TempDir()
 	cells, hash, err := sweep(t, dir, sweepText)
 	if err != nil {
@@ -326,7 +326,7 @@
 	}
 	var one []Row
 	for _, c := range cells {
-		r, err := Run(c.sc, c.Policy, c.Seed)
+		r, err := Run(c.scenario, c.Policy, c.Seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -345,7 +345,7 @@
 
 func TestCostCountsRequests(t *testing.T) {
 	c, err := Measure("two-choices", 10, 3, 0)
-	if err != nil || c.Requests < costLeast || c.Micros <= 0 || c.PerS < 40 || c.PerS > 50 {
+	if err != nil || c.Requests < minCostRequests || c.MicrosPerRequest <= 0 || c.RequestsPerSecond < 40 || c.RequestsPerSecond > 50 {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -1,5 +1,5 @@
-// Package experiment runs worlds: one, or a grid of them over all cores; it compares what came out and reduces what
-// failed.
+// Package experiment runs simulations: single ones, sweeps and surveys over all cores. It compares their results, reduces
+// failing cases, and verifies the emulator against queueing theory.
 package experiment
 
 import (
@@ -16,14 +16,14 @@
 	if err != nil {
 		return nil, err
 	}
-	w, err := emulator.New(sc, seed, maker, opts...)
+	simulation, err := emulator.New(sc, seed, maker, opts...)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", sc.Name, err)
 	}
-	r, err := w.Run()
+	result, err := simulation.Run()
 	if err != nil {
 		return nil, fmt.Errorf("%s, policy %s, seed %d: %w", sc.Name, name, seed, err)
 	}
-	r.Policy = name
-	return r, nil
+	result.Policy = name
+	return result, nil
 }
--- a/internal/simulation/experiment/shrink.go
+++ b/internal/simulation/experiment/shrink.go
@@ -11,7 +11,7 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// Shrunk is a failing case reduced.
+// Shrunk is a reduced failing case.
 type Shrunk struct {
 	Scenario  *scenario.Scenario
 	Rule      invariant.Rule
@@ -22,88 +22,111 @@
 	Seconds       [2]float64
 }
 
-// ErrNothingBroken is a case that keeps the rules: there is nothing to reduce.
-var ErrNothingBroken = errors.New("no rule is broken, so there is nothing to reduce")
+// ErrNoViolation means that a case violates no invariant, so there is nothing to reduce.
+var ErrNoViolation = errors.New("no rule is broken, so there is nothing to reduce")
 
-// Shrink reduces a case that breaks a rule to the fewest faults and calls, and the shortest time, that still break the
-// same rule, within so many runs. Calls keep their number, moment and work when others are left out, as each draws
-// from a stream of its own.
-func Shrink(sc *scenario.Scenario, policy string, seed uint64, runs int) (*Shrunk, error) {
-	now := *sc
-	now.Faults, now.RandomFaults = emulator.Faults(sc, seed), faultinject.RandomFaults{}
-	first, err := Run(&now, policy, seed)
+// Shrink reduces a case that violates an invariant to the fewest faults and calls, and the shortest time, that still
+// violate the same one, within so many runs. Calls keep their number, time and work when others are left out, as each
+// draws from a stream of its own.
+func Shrink(sc *scenario.Scenario, policy string, seed uint64, maxRuns int) (*Shrunk, error) {
+	reduced := *sc
+	reduced.Faults, reduced.RandomFaults = emulator.Faults(sc, seed), faultinject.RandomFaults{}
+	first, err := Run(&reduced, policy, seed)
 	if err != nil {
 		return nil, err
 	}
 	if len(first.Violations) == 0 {
-		return nil, ErrNothingBroken
+		return nil, ErrNoViolation
 	}
-	out := &Shrunk{Rule: first.Violations[0].Rule, Violation: first.Violations[0], Runs: 1}
-	out.Faults[0], out.Calls[0], out.Seconds[0] = len(now.Faults), int(first.Arrivals), now.Seconds
-	var failed error
-	fails := func(try scenario.Scenario) bool {
-		if out.Runs >= runs || failed != nil {
-			return false
-		}
-		out.Runs++
-		r, err := Run(&try, policy, seed)
-		if err != nil {
-			failed = err
-			return false
-		}
-		for _, v := range r.Violations {
-			if v.Rule == out.Rule {
-				out.Violation = v
-				return true
-			}
-		}
+	s := &shrinker{policy: policy, seed: seed, maxRuns: maxRuns}
+	s.shrunk = &Shrunk{Rule: first.Violations[0].Rule, Violation: first.Violations[0], Runs: 1}
+	s.shrunk.Faults[0], s.shrunk.Calls[0], s.shrunk.Seconds[0] = len(reduced.Faults), int(first.Arrivals), reduced.Seconds
+	s.shrinkTime(&reduced)
+	s.shrinkFaults(&reduced)
+	if err := s.shrinkCalls(&reduced); err != nil {
+		return nil, err
+	}
+	// What is written must fail as it is, from the file alone.
+	if !s.fails(reduced) && s.shrunk.Runs < maxRuns {
+		return nil, fmt.Errorf("the reduced case no longer breaks %s", s.shrunk.Rule)
+	}
+	s.shrunk.Scenario = &reduced
+	s.shrunk.Faults[1], s.shrunk.Calls[1], s.shrunk.Seconds[1] = len(reduced.Faults), len(reduced.OnlyCalls), reduced.Seconds
+	return s.shrunk, nil
+}
+
+// shrinker runs the candidates of one Shrink.
+type shrinker struct {
+	policy  string
+	seed    uint64
+	maxRuns int
+	shrunk  *Shrunk
+	err     error // of the first run that could not be played
+}
+
+// fails reports whether a candidate violates the invariant. It is false once all runs are used up or one has failed.
+func (s *shrinker) fails(candidate scenario.Scenario) bool {
+	if s.shrunk.Runs >= s.maxRuns || s.err != nil {
 		return false
 	}
-	// The time first: it is one run, and spares the most.
-	short := now
-	short.Seconds = min(now.Seconds, math.Ceil(float64(out.Violation.At)/1e6)+0.1)
-	short.WarmUp = min(now.WarmUp, short.Seconds)
-	if fails(short) {
-		now = short
+	s.shrunk.Runs++
+	result, err := Run(&candidate, s.policy, s.seed)
+	if err != nil {
+		s.err = err
+		return false
+	}
+	for _, violation := range result.Violations {
+		if violation.Rule == s.shrunk.Rule {
+			s.shrunk.Violation = violation
+			return true
+		}
+	}
+	return false
+}
+
+// shrinkTime ends the scenario right after the violation. It comes first: it takes one run and shortens all others.
+func (s *shrinker) shrinkTime(reduced *scenario.Scenario) {
+	candidate := *reduced
+	candidate.Seconds = min(reduced.Seconds, math.Ceil(float64(s.shrunk.Violation.At)/1e6)+0.1)
+	candidate.WarmUp = min(reduced.WarmUp, candidate.Seconds)
+	if s.fails(candidate) {
+		*reduced = candidate
 	}
-	now.Faults = DDMin(now.Faults, func(list []faultinject.Fault) bool {
-		try := now
-		try.Faults = list
-		return fails(try)
+}
+
+func (s *shrinker) shrinkFaults(reduced *scenario.Scenario) {
+	reduced.Faults = DDMin(reduced.Faults, func(faults []faultinject.Fault) bool {
+		candidate := *reduced
+		candidate.Faults = faults
+		return s.fails(candidate)
 	})
-	all := now.OnlyCalls
-	if len(all) == 0 {
-		r, err := Run(&now, policy, seed)
+}
+
+func (s *shrinker) shrinkCalls(reduced *scenario.Scenario) error {
+	calls := reduced.OnlyCalls
+	if len(calls) == 0 {
+		result, err := Run(reduced, s.policy, s.seed)
 		if err != nil {
-			return nil, err
+			return err
 		}
-		out.Runs++
-		for i := range int(r.Arrivals) {
-			all = append(all, i)
+		s.shrunk.Runs++
+		for number := range int(result.Arrivals) {
+			calls = append(calls, number)
 		}
 	}
-	now.OnlyCalls = DDMin(all, func(list []int) bool {
-		if len(list) == 0 { // an empty list would mean all calls
+	reduced.OnlyCalls = DDMin(calls, func(calls []int) bool {
+		if len(calls) == 0 { // an empty list would mean all calls
 			return false
 		}
-		try := now
-		try.OnlyCalls = list
-		return fails(try)
+		candidate := *reduced
+		candidate.OnlyCalls = calls
+		return s.fails(candidate)
 	})
-	if failed != nil {
-		return nil, failed
-	}
-	// What is written must fail as it is, from the file alone.
-	if last := now; !fails(last) && out.Runs < runs {
-		return nil, fmt.Errorf("the reduced case no longer breaks %s", out.Rule)
-	}
-	out.Scenario = &now
-	out.Faults[1], out.Calls[1], out.Seconds[1] = len(now.Faults), len(now.OnlyCalls), now.Seconds
-	return out, nil
+	return s.err
 }
 
-// DDMin leaves out what it can while the rest still fails (Zeller and Hildebrandt, 2002): first half, then quarters,
-// down to single ones. The result fails, and no single one of it can be left out.
+// DDMin removes items while the rest still fails (delta debugging; Zeller and Hildebrandt, 2002): first halves, then
+// quarters, down to single items. The result fails, and no single item of it can be removed.
 func DDMin[T any](items []T, fails func([]T) bool) []T {
 	for parts := 2; len(items) > 0; {
 		parts = min(parts, len(items))
--- a/internal/simulation/experiment/survey.go
+++ b/internal/simulation/experiment/survey.go
@@ -12,111 +12,118 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// Plain is the policy that a survey holds the module against.
-const Plain = "least-outstanding"
+// Baseline is the policy that a survey compares the decision module with.
+const Baseline = "least-outstanding"
 
-// Surveyed is one deployment that a survey drew.
-type Surveyed struct {
-	Seed   uint64                 `json:"seed"`
-	Module float64                `json:"module"` // worth served in time, of that asked for
-	Plain  float64                `json:"plain"`
-	Broken map[invariant.Rule]int `json:"broken,omitempty"`
-	// Fault is why it failed, empty where it did not; Turned are then the settings that it takes to fail.
+// SurveyResult is the outcome of one deployment of a survey.
+type SurveyResult struct {
+	Seed     uint64                 `json:"seed"`
+	Module   float64                `json:"module"` // value of calls served in time, of all value offered
+	Baseline float64                `json:"plain"`
+	Broken   map[invariant.Rule]int `json:"broken,omitempty"`
+	// Fault is why the deployment failed: rule for a violation, less for less served value; empty if it passed.
+	// RaisedSettings are then the fewest non-default settings with which it fails alike.
 	Fault          string   `json:"fault,omitempty"`
 	RaisedSettings []string `json:"turned,omitempty"`
 }
 
-// try plays a deployment under both policies.
-func try(d scenario.Deployment, seed uint64, margin float64) (Surveyed, error) {
-	out := Surveyed{Seed: seed, Broken: map[invariant.Rule]int{}}
+// playDeployment runs a deployment with both policies.
+func playDeployment(d scenario.Deployment, seed uint64, margin float64) (SurveyResult, error) {
+	out := SurveyResult{Seed: seed, Broken: map[invariant.Rule]int{}}
 	sc := d.Scenario()
 	if err := sc.Check(); err != nil {
 		return out, err
 	}
-	m, err := Run(sc, policy.Module, seed)
+	module, err := Run(sc, policy.Module, seed)
 	if err != nil {
 		return out, err
 	}
-	p, err := Run(d.Scenario(), Plain, seed)
+	baseline, err := Run(d.Scenario(), Baseline, seed)
 	if err != nil {
 		return out, err
 	}
-	out.Module, out.Plain = m.ServedValue, p.ServedValue
-	for _, v := range m.Violations {
-		out.Broken[v.Rule]++
+	out.Module, out.Baseline = module.ServedValue, baseline.ServedValue
+	for _, violation := range module.Violations {
+		out.Broken[violation.Rule]++
 	}
 	switch {
 	case len(out.Broken) > 0:
 		out.Fault = "rule"
-	case out.Module < out.Plain-margin:
+	case out.Module < out.Baseline-margin:
 		out.Fault = "less"
 	}
 	return out, nil
 }
 
-// Survey plays a deployment drawn from each of the seeds. The module fails a deployment where it
-// breaks a rule, or serves less of the worth than Plain by more than the margin: a deployment's spell has a few thousand calls,
-// and chance moves either by about a hundredth. Those that fail are reduced to the settings that it takes.
-func Survey(ctx context.Context, seeds []uint64, margin float64, told func(done, all int)) ([]Surveyed, error) {
+// Survey runs a deployment drawn from each of the seeds. The decision module fails a deployment if it violates an invariant
+// or its served value is below the Baseline's by more than the margin: with a few thousand calls, chance moves either by
+// about 0.01. Failing deployments are reduced to the settings that it takes. The function progress, if set, is called
+// after each deployment.
+func Survey(ctx context.Context, seeds []uint64, margin float64, progress func(done, all int)) ([]SurveyResult, error) {
 	var mu sync.Mutex
 	done := 0
-	all := make([]Surveyed, len(seeds))
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(runtime.GOMAXPROCS(0))
+	all := make([]SurveyResult, len(seeds))
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(runtime.GOMAXPROCS(0))
 	for i, seed := range seeds {
-		g.Go(func() error {
+		group.Go(func() error {
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			d := scenario.DrawDeployment(seed)
-			got, err := try(d, seed, margin)
+			result, err := surveyOne(seed, margin)
 			if err != nil {
 				return err
 			}
-			if got.Fault != "" {
-				if got.RaisedSettings, err = blame(d, func(d scenario.Deployment) (bool, error) {
-					again, err := try(d, seed, margin)
-					return again.Fault == got.Fault, err
-				}); err != nil {
-					return err
-				}
-			}
-			all[i] = got
-			if told != nil {
+			all[i] = result
+			if progress != nil {
 				mu.Lock()
 				defer mu.Unlock()
 				done++
-				told(done, len(seeds))
+				progress(done, len(seeds))
 			}
 			return nil
 		})
 	}
-	return all, g.Wait()
+	return all, group.Wait()
+}
+
+// surveyOne runs the deployment drawn from a seed, and reduces it if it fails.
+func surveyOne(seed uint64, margin float64) (SurveyResult, error) {
+	deployment := scenario.DrawDeployment(seed)
+	result, err := playDeployment(deployment, seed, margin)
+	if err != nil || result.Fault == "" {
+		return result, err
+	}
+	result.RaisedSettings, err = reduceSettings(deployment, func(reduced scenario.Deployment) (bool, error) {
+		other, err := playDeployment(reduced, seed, margin)
+		return other.Fault == result.Fault, err
+	})
+	return result, err
 }
 
-// blame turns knobs back while the deployment still fails alike, and names those that are left.
-func blame(d scenario.Deployment, fails func(scenario.Deployment) (bool, error)) ([]string, error) {
-	var turned []int
-	for i, at := range d {
-		if at > 0 {
-			turned = append(turned, i)
+// reduceSettings resets knobs to their defaults while the deployment still fails, and names the settings that are left.
+func reduceSettings(deployment scenario.Deployment, fails func(scenario.Deployment) (bool, error)) ([]string, error) {
+	var nonDefault []int
+	for i, setting := range deployment {
+		if setting > 0 {
+			nonDefault = append(nonDefault, i)
 		}
 	}
 	with := func(keep []int) scenario.Deployment {
-		out := make(scenario.Deployment, len(d))
+		reduced := make(scenario.Deployment, len(deployment))
 		for _, i := range keep {
-			out[i] = d[i]
+			reduced[i] = deployment[i]
 		}
-		return out
+		return reduced
 	}
 	var failed error
-	keep := DDMin(turned, func(keep []int) bool {
+	keep := DDMin(nonDefault, func(keep []int) bool {
 		if failed != nil {
 			return false
 		}
-		var yes bool
-		yes, failed = fails(with(keep))
-		return yes && failed == nil
+		var stillFails bool
+		stillFails, failed = fails(with(keep))
+		return stillFails && failed == nil
 	})
 	return with(keep).NonDefaultSettings(), failed
 }
--- a/internal/simulation/experiment/survey_test.go
+++ b/internal/simulation/experiment/survey_test.go
@@ -12,8 +12,8 @@
 // found are draws on which the module once served far less than the plain policy, each for a fault that has been mended.
 var found = []uint64{110, 199, 219, 223, 272, 356, 418, 447}
 
-// The module holds on deployments that nobody has seen: no rule broken, and not less served than by the plainest policy. The
-// draws are the same each time; `tulipctl lab survey` plays others.
+// On drawn deployments the decision module violates no invariant and serves no less than the baseline. The draws are the same
+// each time; `tulipctl simulate survey` draws others.
 func TestSurvey(t *testing.T) {
 	seeds := slices.Clone(found)
 	for seed := range uint64(24) {
@@ -26,17 +26,17 @@
 	more := 0
 	for _, d := range all {
 		if d.Fault != "" {
-			t.Errorf("draw %d: %s, %.3f against %.3f, %v: it takes %v", d.Seed, d.Fault, d.Module, d.Plain, d.Broken, d.RaisedSettings)
+			t.Errorf("draw %d: %s, %.3f against %.3f, %v: fails with %v", d.Seed, d.Fault, d.Module, d.Baseline, d.Broken, d.RaisedSettings)
 		}
-		if d.Module > d.Plain {
+		if d.Module > d.Baseline {
 			more++
 		}
 	}
 	t.Logf("%d draws; on %d the module serves more", len(all), more)
 }
 
-// What a failing draw is blamed on is what it takes to fail, and nothing else.
-func TestBlame(t *testing.T) {
+// A failing deployment is reduced to the settings that it takes to fail, and no others.
+func TestReduceSettingsFindsTheCause(t *testing.T) {
 	knob := func(name string) int {
 		for i, k := range scenario.Knobs {
 			if k.Name == name {
@@ -51,7 +51,7 @@
 	for i, k := range scenario.Knobs {
 		d[i] = len(k.Settings) - 1
 	}
-	got, err := blame(d, func(d scenario.Deployment) (bool, error) { return d[report] > 0 && d[probes] > 0, nil })
+	got, err := reduceSettings(d, func(d scenario.Deployment) (bool, error) { return d[report] > 0 && d[probes] > 0, nil })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/experiment/verify.go
+++ b/internal/simulation/experiment/verify.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math"
 	"runtime"
+	"sync"
 
 	"golang.org/x/sync/errgroup"
 
@@ -12,7 +13,7 @@
 	"tulipglade/internal/simulation/theory"
 )
 
-// Check is one figure held against what is known exactly.
+// Check is one figure of the emulator beside its exact value.
 type Check struct {
 	Name   string  `json:"name"`
 	Model  float64 `json:"model"`
@@ -22,123 +23,162 @@
 	OK     bool    `json:"ok"`
 }
 
-type known struct {
-	name  string
-	st    emulator.Station
-	wants func(emulator.StationResult) []Check
+// verification is one system with its exact results.
+type verification struct {
+	name    string
+	station emulator.Station
+	checks  func(name string, result emulator.StationResult) []Check
 }
 
-// replications of each case: they run beside each other, and their mean is held against theory.
+// replications of each verification run in parallel; the mean of their results is compared with theory.
 const replications = 4
 
-func one(name string, model, theory float64) []Check {
-	return []Check{{Name: name, Model: model, Theory: theory}}
+// exact returns a function that compares one figure of a result with its exact value.
+func exact(figure func(emulator.StationResult) float64, value float64) func(string, emulator.StationResult) []Check {
+	return func(name string, result emulator.StationResult) []Check {
+		return []Check{{Name: name, Model: figure(result), Theory: value}}
+	}
 }
 
-// knowns are the cases. Effort scales how many jobs each plays; at 1 chance moves the hardest, a load of 0.95, by
-// about half a percent.
-func knowns(effort float64) []known {
-	var all []known
+func wait(result emulator.StationResult) float64    { return result.Wait }
+func sojourn(result emulator.StationResult) float64 { return result.Sojourn }
+func lost(result emulator.StationResult) float64    { return result.Lost }
+
+// verifications returns all cases. Effort scales how many jobs each plays; at 1, chance moves the hardest, a utilization
+// of 0.95, by about half a percent.
+func verifications(effort float64) []verification {
+	var all []verification
 	for _, rho := range []float64{0.5, 0.8, 0.95} {
-		jobs := int64(effort * 8e4 / math.Pow(1-rho, 2)) // of each replication: the closer to 1, the slower means settle
-		base := emulator.Station{Backends: 1, Cores: 1, Slots: 1, QueueCapacity: 1e6, Utilization: rho, WorkDistribution: "exp", Choices: 1, Jobs: jobs, WarmUpJobs: jobs / 20}
-		at := fmt.Sprintf(" at %.2f", rho)
-		add := func(name string, change func(*emulator.Station), wants func(string, emulator.StationResult) []Check) {
-			st := base
-			change(&st)
-			all = append(all, known{name + at, st, func(s emulator.StationResult) []Check { return wants(name+at, s) }})
-		}
-		add("M/M/1 wait", func(*emulator.Station) {}, func(n string, s emulator.StationResult) []Check {
-			return one(n, s.Wait, theory.WaitMMc(1, rho))
-		})
-		add("M/M/8 wait, Erlang C", func(s *emulator.Station) { s.Cores = 8 }, func(n string, s emulator.StationResult) []Check {
-			return one(n, s.Wait, theory.WaitMMc(8, rho))
-		})
-		add("M/M/8/8 loss, Erlang B", func(s *emulator.Station) { s.Cores, s.QueueCapacity, s.Jobs = 8, 0, max(jobs/4, int64(effort*2e6)) },
-			func(n string, s emulator.StationResult) []Check { return one(n, s.Lost, theory.ErlangB(8, 8*rho)) })
-		add("M/M/4/8 loss", func(s *emulator.Station) { s.Cores, s.QueueCapacity, s.Jobs = 4, 1, max(jobs/4, int64(effort*4e6)) },
-			func(n string, s emulator.StationResult) []Check { return one(n, s.Lost, theory.LossMMcK(4, 8, rho)) })
-		add("M/D/1 wait, Pollaczek-Khinchine", func(s *emulator.Station) { s.WorkDistribution = "constant" },
-			func(n string, s emulator.StationResult) []Check { return one(n, s.Wait, theory.WaitMG1(rho, 0)) })
-		add("M/G/1 wait, lognormal of cv 1.5", func(s *emulator.Station) {
-			s.WorkDistribution, s.VariationCoefficient, s.Jobs = "lognormal", 1.5, 2*jobs
-		},
-			func(n string, s emulator.StationResult) []Check { return one(n, s.Wait, theory.WaitMG1(rho, 1.5)) })
-		add("M/G/1 processor sharing, lognormal", func(s *emulator.Station) {
-			s.WorkDistribution, s.VariationCoefficient, s.Slots, s.QueueCapacity = "lognormal", 1.5, 1e4, 0
-		},
-			func(n string, s emulator.StationResult) []Check { return one(n, s.Sojourn, theory.SojournPS(rho)) })
-		add("two choices of 1,000", func(s *emulator.Station) {
-			s.Backends, s.Choices, s.Jobs, s.WarmUpJobs = 1000, 2, int64(effort*2e6), int64(4e4/(1-rho)*max(min(effort, 1), 0.25))
-		}, func(n string, s emulator.StationResult) (list []Check) {
-			for k := 1; k < len(s.Tail) && theory.TailChoices(rho, 2, k) >= 0.05; k++ {
-				list = append(list, Check{Name: fmt.Sprintf("%s, share with %d or more", n, k), Model: s.Tail[k],
-					Theory: theory.TailChoices(rho, 2, k)})
-			}
-			return list
-		})
+		all = append(all, verificationsAt(rho, effort)...)
 	}
 	return all
 }
 
-// Verify holds the lab against theory. Each finished case is told, if told is set.
-func Verify(ctx context.Context, effort, bound float64, told func(done, all int)) ([]Check, error) {
-	cases := knowns(effort)
-	results := make([][replications]emulator.StationResult, len(cases))
-	done := make(chan struct{}, len(cases)*replications)
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(runtime.GOMAXPROCS(0))
-	go func() {
-		for n := 1; n <= cap(done); n++ {
-			select {
-			case <-done:
-				if told != nil {
-					told(n, cap(done))
-				}
-			case <-ctx.Done():
-				return
+// verificationsAt returns the cases of one utilization.
+func verificationsAt(rho, effort float64) []verification {
+	const cv = 1.5                                        // of the lognormal distribution
+	jobs := int64(effort * 8e4 / ((1 - rho) * (1 - rho))) // of each replication: means converge more slowly near 1
+	base := emulator.Station{
+		Backends:         1,
+		Cores:            1,
+		Slots:            1,
+		QueueCapacity:    1e6,
+		Utilization:      rho,
+		WorkDistribution: "exp",
+		Choices:          1,
+		Jobs:             jobs,
+		WarmUpJobs:       jobs / 20,
+	}
+	eightCores, eightWithoutQueue, fourWithQueue := base, base, base
+	eightCores.Cores = 8
+	eightWithoutQueue.Cores, eightWithoutQueue.QueueCapacity = 8, 0
+	eightWithoutQueue.Jobs = max(jobs/4, int64(effort*2e6))
+	fourWithQueue.Cores, fourWithQueue.QueueCapacity = 4, 1
+	fourWithQueue.Jobs = max(jobs/4, int64(effort*4e6))
+	constant, lognormal := base, base
+	constant.WorkDistribution = "constant"
+	lognormal.WorkDistribution, lognormal.VariationCoefficient = "lognormal", cv
+	processorSharing := lognormal
+	processorSharing.Slots, processorSharing.QueueCapacity = 1e4, 0
+	lognormal.Jobs = 2 * jobs
+	twoChoices := base
+	twoChoices.Backends, twoChoices.Choices = 1000, 2
+	twoChoices.Jobs = int64(effort * 2e6)
+	twoChoices.WarmUpJobs = int64(4e4 / (1 - rho) * max(min(effort, 1), 0.25))
+	cases := []verification{
+		{"M/M/1 wait", base, exact(wait, theory.WaitMMc(1, rho))},
+		{"M/M/8 wait, Erlang C", eightCores, exact(wait, theory.WaitMMc(8, rho))},
+		{"M/M/8/8 loss, Erlang B", eightWithoutQueue, exact(lost, theory.ErlangB(8, 8*rho))},
+		{"M/M/4/8 loss", fourWithQueue, exact(lost, theory.LossMMcK(4, 8, rho))},
+		{"M/D/1 wait, Pollaczek-Khinchine", constant, exact(wait, theory.WaitMG1(rho, 0))},
+		{"M/G/1 wait, lognormal of cv 1.5", lognormal, exact(wait, theory.WaitMG1(rho, cv))},
+		{"M/G/1 processor sharing, lognormal", processorSharing, exact(sojourn, theory.SojournPS(rho))},
+		{"two choices of 1,000", twoChoices, tailOfTwoChoices(rho)},
+	}
+	for i := range cases {
+		cases[i].name += fmt.Sprintf(" at %.2f", rho)
+	}
+	return cases
+}
+
+// tailOfTwoChoices compares the fractions of backends with at least so many jobs, down to 5%.
+func tailOfTwoChoices(rho float64) func(string, emulator.StationResult) []Check {
+	return func(name string, result emulator.StationResult) []Check {
+		var checks []Check
+		for jobs := 1; jobs < len(result.Tail); jobs++ {
+			fraction := theory.TailChoices(rho, 2, jobs)
+			if fraction < 0.05 {
+				break
 			}
+			name := fmt.Sprintf("%s, share with %d or more", name, jobs)
+			checks = append(checks, Check{Name: name, Model: result.Tail[jobs], Theory: fraction})
 		}
-	}()
+		return checks
+	}
+}
+
+// Verify compares the emulator with queueing theory. The function progress, if set, is called after each replication.
+func Verify(ctx context.Context, effort, bound float64, progress func(done, all int)) ([]Check, error) {
+	cases := verifications(effort)
+	results, err := runReplications(ctx, cases, progress)
+	if err != nil {
+		return nil, err
+	}
+	var checks []Check
+	for i, verified := range cases {
+		for _, check := range verified.checks(verified.name, mean(results[i][:])) {
+			check.Error, check.Bound = (check.Model-check.Theory)/check.Theory, bound
+			check.OK = math.Abs(check.Error) <= bound
+			checks = append(checks, check)
+		}
+	}
+	return checks, nil
+}
+
+// runReplications runs all replications of the cases, on all cores.
+func runReplications(ctx context.Context, cases []verification, progress func(done, all int)) ([][replications]emulator.StationResult, error) {
+	results := make([][replications]emulator.StationResult, len(cases))
+	var mu sync.Mutex
+	done := 0
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(runtime.GOMAXPROCS(0))
 	for i := range cases {
-		for r := range replications {
-			g.Go(func() error {
+		for replication := range replications {
+			group.Go(func() error {
 				if err := ctx.Err(); err != nil {
 					return err
 				}
-				st := cases[i].st
-				st.Seed = uint64(i*replications + r + 1)
-				results[i][r] = st.Run()
-				done <- struct{}{}
+				station := cases[i].station
+				station.Seed = uint64(i*replications + replication + 1)
+				results[i][replication] = station.Run()
+				if progress != nil {
+					mu.Lock()
+					defer mu.Unlock()
+					done++
+					progress(done, len(cases)*replications)
+				}
 				return nil
 			})
 		}
 	}
-	if err := g.Wait(); err != nil {
-		return nil, err
-	}
-	var checks []Check
-	for i, c := range cases {
-		for _, ch := range c.wants(mean(results[i][:])) {
-			ch.Error, ch.Bound = (ch.Model-ch.Theory)/ch.Theory, bound
-			ch.OK = math.Abs(ch.Error) <= bound
-			checks = append(checks, ch)
-		}
-	}
-	return checks, nil
+	return results, group.Wait()
 }
 
-func mean(of []emulator.StationResult) emulator.StationResult {
-	var m emulator.StationResult
-	n := float64(len(of))
-	for _, s := range of {
-		m.Wait, m.Sojourn, m.Lost, m.Events = m.Wait+s.Wait/n, m.Sojourn+s.Sojourn/n, m.Lost+s.Lost/n, m.Events+s.Events
-		for k, x := range s.Tail {
-			if k == len(m.Tail) {
-				m.Tail = append(m.Tail, 0)
+// mean returns the mean of the figures, and the sum of the events.
+func mean(results []emulator.StationResult) emulator.StationResult {
+	var mean emulator.StationResult
+	count := float64(len(results))
+	for _, result := range results {
+		mean.Wait += result.Wait / count
+		mean.Sojourn += result.Sojourn / count
+		mean.Lost += result.Lost / count
+		mean.Events += result.Events
+		for jobs, fraction := range result.Tail {
+			if jobs == len(mean.Tail) {
+				mean.Tail = append(mean.Tail, 0)
 			}
-			m.Tail[k] += x / n
+			mean.Tail[jobs] += fraction / count
 		}
 	}
-	return m
+	return mean
 }
--- a/internal/simulation/experiment/verify_test.go
+++ b/internal/simulation/experiment/verify_test.go
@@ -7,9 +7,9 @@
 	"tulipglade/internal/simulation/emulator"
 )
 
-// A small part of `tulipctl lab verify`: few jobs, so a wide bound. A server that is a tenth too fast, a wait counted
-// from the wrong moment or a lost job moves these figures by more.
-func TestTheoryInSmall(t *testing.T) {
+// A small part of `tulipctl simulate verify`: few jobs, so a wide bound. A server that is 10% too fast, a wait measured from
+// the wrong time or a lost job moves these figures by more.
+func TestVerifyAgreesWithTheory(t *testing.T) {
 	if testing.Short() {
 		t.Skip("plays a few million events")
 	}
@@ -29,11 +29,22 @@
 	}
 }
 
-// The check has to be able to fail.
-func TestVerifySeesAWrongModel(t *testing.T) {
-	st := emulator.Station{Backends: 1, Cores: 1, Slots: 1, QueueCapacity: 1e6, Utilization: 0.8, WorkDistribution: "exp", Choices: 1, Jobs: 300000, WarmUpJobs: 10000, Seed: 1}
+// The comparison must be able to fail.
+func TestVerifyDetectsAWrongModel(t *testing.T) {
+	st := emulator.Station{
+		Backends:         1,
+		Cores:            1,
+		Slots:            1,
+		QueueCapacity:    1e6,
+		Utilization:      0.8,
+		WorkDistribution: "exp",
+		Choices:          1,
+		Jobs:             300000,
+		WarmUpJobs:       10000,
+		Seed:             1,
+	}
 	right := st.Run().Wait
-	st.Utilization = 0.82 // what a server 2.5% too slow would do
+	st.Utilization = 0.82 // like a backend that is 2.5% too slow
 	if wrong := st.Run().Wait; math.Abs(wrong-4) < math.Abs(right-4) || math.Abs(wrong-4)/4 < 0.1 {
 		t.Errorf("wait %.3f at 0.80 and %.3f at 0.82: the check could not tell them apart", right, wrong)
 	}
--- a/internal/simulation/plots/plots.go
+++ b/internal/simulation/plots/plots.go
@@ -1,4 +1,4 @@
-// Package plots draws what the lab found, as SVG or PNG by the file's ending.
+// Package plots draws results of simulations and load runs as SVG or PNG, by the file's extension.
 package plots
 
 import (
@@ -21,13 +21,17 @@
 	"tulipglade/internal/simulation/experiment"
 )
 
-const width, height = 9 * vg.Inch, 4.5 * vg.Inch
+const (
+	width          = 9 * vg.Inch
+	height         = 4.5 * vg.Inch
+	maxFaultLabels = 8 // further ones would overlap
+)
 
-// Formats are the endings of files that can be drawn.
+// Formats are the supported file extensions.
 var Formats = []string{"svg", "png"}
 
 func save(p *plot.Plot, file string) error {
-	if !slices.Contains(Formats, ext(file)) {
+	if !slices.Contains(Formats, extension(file)) {
 		return fmt.Errorf("%s: the ending is none of %v", file, Formats)
 	}
 	p.Add(plotter.NewGrid())
@@ -37,7 +41,7 @@
 	return nil
 }
 
-func ext(file string) string {
+func extension(file string) string {
 	if e := filepath.Ext(file); e != "" {
 		return e[1:]
 	}
@@ -69,11 +73,11 @@
 	return nil
 }
 
-// Service draws the share of worth served in each second, one line a result, with the faults of the first shaded.
+// Service draws the fraction of the value served in each second, one line per result, with the faults of the first shaded.
 func Service(file string, results []*emulator.Result) error {
-	p := newPlot("Service over time: "+results[0].Scenario, "s", "worth served in time, of that asked for")
+	p := newPlot("Service over time: "+results[0].Scenario, "s", "value served in time, of all value offered")
 	p.Y.Min, p.Y.Max = 0, 1.02
-	if err := shade(p, results[0].Faults, float64(len(results[0].Series.Offered)), 1.02); err != nil {
+	if err := shadeFaults(p, results[0].Faults, float64(len(results[0].Series.Offered)), 1.02); err != nil {
 		return err
 	}
 	for i, r := range results {
@@ -90,28 +94,30 @@
 	return save(p, file)
 }
 
-// nines puts percentiles on a scale on which each further nine is one step, as tails are read.
-type nines struct{}
+// ninesTicks marks percentiles on a scale on which each further nine has the same width.
+type ninesTicks struct{}
 
-func (nines) Ticks(_, _ float64) []plot.Tick {
+// Ticks returns the same marks for any range.
+func (ninesTicks) Ticks(_, _ float64) []plot.Tick {
 	var ticks []plot.Tick
 	for _, q := range []float64{50, 90, 99, 99.9, 99.99} {
-		ticks = append(ticks, plot.Tick{Value: step(q), Label: strconv.FormatFloat(q, 'g', -1, 64) + "%"})
+		ticks = append(ticks, plot.Tick{Value: ninesPosition(q), Label: strconv.FormatFloat(q, 'g', -1, 64) + "%"})
 	}
 	return ticks
 }
 
-func step(q float64) float64 { return -math.Log10(1 - min(q, 99.999)/100) }
+// ninesPosition is a percentile's place on that scale.
+func ninesPosition(q float64) float64 { return -math.Log10(1 - min(q, 99.999)/100) }
 
-// Latency draws the percentiles of the time to a served answer, one line a result.
+// Latency draws the percentiles of the latency of served calls, one line per result.
 func Latency(file string, results []*emulator.Result) error {
-	p := newPlot("Time to a served answer: "+results[0].Scenario, "percentile", "ms from when the call was due")
-	p.X.Tick.Marker, p.Legend.Top = nines{}, true
+	p := newPlot("Latency of served calls: "+results[0].Scenario, "percentile", "ms from when the call was due")
+	p.X.Tick.Marker, p.Legend.Top = ninesTicks{}, true
 	for i, r := range results {
 		var pts plotter.XYs
 		for _, l := range r.Latency {
 			if l.Percent < 100 {
-				pts = append(pts, plotter.XY{X: step(l.Percent), Y: l.Milliseconds})
+				pts = append(pts, plotter.XY{X: ninesPosition(l.Percent), Y: l.Milliseconds})
 			}
 		}
 		if err := addLine(p, r.Policy, i, pts, true); err != nil {
@@ -121,7 +127,7 @@
 	return save(p, file)
 }
 
-// Against draws a metric against a field that a sweep varies: the mean over all else, one line a policy.
+// Against draws a metric against a field that a sweep varies: the mean over all else, one line per policy.
 func Against(file string, rows []experiment.Row, field, metric string) error {
 	of := experiment.Metrics[metric]
 	if of == nil {
@@ -131,7 +137,7 @@
 	lines := map[string]map[float64]*sum{}
 	for _, r := range rows {
 		for _, v := range r.Set {
-			x, ok := v.To.(float64)
+			x, ok := v.Value.(float64)
 			if v.Field != field || !ok {
 				continue
 			}
@@ -167,10 +173,10 @@
 	return save(p, file)
 }
 
-// Costs draws the processor time of a decision against the number of hosts, one line for each policy and number of
+// Costs draws the processor time per request against the number of endpoints, one line for each policy and number of
 // nodes.
 func Costs(file string, costs []experiment.Cost) error {
-	p := newPlot("Processor time of a decision", "hosts", "µs for a request with its outcomes")
+	p := newPlot("Processor time of decisions", "endpoints", "µs per request")
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	lines, names := map[string]plotter.XYs{}, []string{}
@@ -179,7 +185,7 @@
 		if lines[n] == nil {
 			names = append(names, n)
 		}
-		lines[n] = append(lines[n], plotter.XY{X: float64(c.Hosts), Y: c.Micros})
+		lines[n] = append(lines[n], plotter.XY{X: float64(c.Endpoints), Y: c.MicrosPerRequest})
 	}
 	p.Legend.Top = true
 	for i, n := range names {
@@ -190,30 +196,33 @@
 	return save(p, file)
 }
 
-// Load draws a load run: p50, p99 and the longest time of each second's served calls, and the share that was not served.
+// Load draws a load run: p50, p99 and maximum latency of each second's served calls, and the fraction that was not served.
 func Load(file string, r *load.Result, list []faultinject.Fault) error {
 	p := newPlot("Load: "+r.Scenario, "s since the start, by when calls were due", "ms")
 	p.Legend.Top = true
-	var p50, p99, most, lost plotter.XYs
+	var p50, p99, maximum, unserved plotter.XYs
 	top := 1.0
 	for _, s := range r.Series {
 		x := float64(s.At) + 0.5
-		p50, p99, most = append(p50, plotter.XY{X: x, Y: s.P50}), append(p99, plotter.XY{X: x, Y: s.P99}), append(most, plotter.XY{X: x, Y: s.Max})
+		p50 = append(p50, plotter.XY{X: x, Y: s.P50})
+		p99 = append(p99, plotter.XY{X: x, Y: s.P99})
+		maximum = append(maximum, plotter.XY{X: x, Y: s.Max})
 		top = max(top, s.Max)
 		if s.Due > 0 {
-			lost = append(lost, plotter.XY{X: x, Y: 1 - float64(s.Outcomes["served"]+s.Outcomes["late"])/float64(s.Due)})
+			served := float64(s.Outcomes["served"] + s.Outcomes["late"])
+			unserved = append(unserved, plotter.XY{X: x, Y: 1 - served/float64(s.Due)})
 		}
 	}
-	for i := range lost { // on the same scale: the whole height is all of them
-		lost[i].Y *= top
+	for i := range unserved { // scaled so that the full height is 1
+		unserved[i].Y *= top
 	}
-	if err := shade(p, list, float64(len(r.Series)), top); err != nil {
+	if err := shadeFaults(p, list, float64(len(r.Series)), top); err != nil {
 		return err
 	}
 	for i, l := range []struct {
 		name string
 		pts  plotter.XYs
-	}{{"p50", p50}, {"p99", p99}, {"longest", most}, {"share not served (height: all)", lost}} {
+	}{{"p50", p50}, {"p99", p99}, {"maximum", maximum}, {"fraction not served (full height: 1)", unserved}} {
 		if err := addLine(p, l.name, i, l.pts, false); err != nil {
 			return err
 		}
@@ -221,19 +230,22 @@
 	return save(p, file)
 }
 
-// shade marks the time of each fault.
-func shade(p *plot.Plot, list []faultinject.Fault, length, top float64) error {
+// shadeFaults shades the duration of each fault, and labels the first ones.
+func shadeFaults(p *plot.Plot, list []faultinject.Fault, length, top float64) error {
 	for i, f := range list {
-		from, till := float64(f.Start)/1000, min(float64(f.End())/1000, length)
-		area, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: till, Y: 0}, {X: till, Y: top}, {X: from, Y: top}})
+		start, end := float64(f.Start)/1000, min(float64(f.End())/1000, length)
+		area, err := plotter.NewPolygon(plotter.XYs{{X: start, Y: 0}, {X: end, Y: 0}, {X: end, Y: top}, {X: start, Y: top}})
 		if err != nil {
 			return err
 		}
-		area.Color, area.LineStyle.Width = color.NRGBA{R: 200, G: 60, B: 60, A: 28}, 0
+		area.Color, area.Width = color.NRGBA{R: 200, G: 60, B: 60, A: 28}, 0
 		p.Add(area)
-		if i < 8 {
-			at := top * (0.02 + 0.05*float64(i))
-			label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: from, Y: at}}, Labels: []string{string(f.Kind)}})
+		if i < maxFaultLabels {
+			height := top * (0.02 + 0.05*float64(i))
+			label, err := plotter.NewLabels(plotter.XYLabels{
+				XYs:    plotter.XYs{{X: start, Y: height}},
+				Labels: []string{string(f.Kind)},
+			})
 			if err != nil {
 				return err
 			}
--- a/internal/simulation/theory/theory.go
+++ b/internal/simulation/theory/theory.go
@@ -1,10 +1,10 @@
-// Package theory holds what is known exactly of queues, to hold the lab against. Times are in units of the mean
-// service time; rho is the load of each server.
+// Package theory holds exact results of queueing theory, to verify the emulator. Times are in units of the mean service
+// time; rho is the utilization of each server.
 package theory
 
 import "math"
 
-// ErlangB is the share of arrivals lost at c servers without waiting room, offered a = c·rho (Erlang, 1917).
+// ErlangB is the fraction of arrivals lost at c servers without a queue, for offered load a = c·rho (Erlang, 1917).
 func ErlangB(c int, a float64) float64 {
 	b := 1.0
 	for n := 1; n <= c; n++ {
@@ -13,7 +13,7 @@
 	return b
 }
 
-// ErlangC is the share of arrivals that must wait at c servers, offered a < c.
+// ErlangC is the fraction of arrivals that wait at c servers, for offered load a < c.
 func ErlangC(c int, a float64) float64 {
 	b := ErlangB(c, a)
 	return b / (1 - a/float64(c)*(1-b))
@@ -24,7 +24,7 @@
 	return ErlangC(c, rho*float64(c)) / (float64(c) * (1 - rho))
 }
 
-// LossMMcK is the share of arrivals lost at c servers with room for k in all.
+// LossMMcK is the fraction of arrivals lost in M/M/c/K: c servers, and at most k jobs in the system.
 func LossMMcK(c, k int, rho float64) float64 {
 	p, sum := 1.0, 1.0
 	for n := 1; n <= k; n++ {
@@ -40,8 +40,8 @@
 // SojournPS is the mean time in M/G/1 with processor sharing, whatever the distribution (Kleinrock, 1967).
 func SojournPS(rho float64) float64 { return 1 / (1 - rho) }
 
-// TailChoices is the share of servers with at least k jobs where each job goes to the shortest of d queues drawn, as
-// the number of servers grows (Vvedenskaya, Dobrushin and Karpelevich, 1996; Mitzenmacher, 1996).
+// TailChoices is the fraction of servers with at least k jobs if each job joins the shortest of d random queues, in the
+// limit of many servers (Vvedenskaya, Dobrushin and Karpelevich, 1996; Mitzenmacher, 1996).
 func TailChoices(rho float64, d, k int) float64 {
 	if d == 1 {
 		return math.Pow(rho, float64(k))
--- a/internal/simulation/theory/theory_test.go
+++ b/internal/simulation/theory/theory_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Figures from tables and from sums done by hand, so that a slip in a formula does not pass for the lab's.
+// The values are from published tables or computed by hand, so that a wrong formula is not blamed on the emulator.
 func TestKnownValues(t *testing.T) {
 	for name, c := range map[string]struct{ got, want float64 }{
 		"Erlang B, 1 server at 0.5":       {ErlangB(1, 0.5), 1.0 / 3},
