--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -108,7 +108,7 @@
 		attempts: r.attempts[:0],
 		history:  r.history[:0],
 	}
-	r.note(now, "taken", noAttempt, 0) // the word that readers of histories look for
+	r.note(now, "accepted", noAttempt, 0)
 	c.requests[id] = r
 }
 
