--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -132,7 +132,7 @@
 	_, _ = io.WriteString(conn, "POST / HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
 	waitUntil(n, func() bool {
 		for c := range n.clients {
-			size, err := syscall.GetsockoptInt(c.conn.(interface{ Fd() int }).Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF)
+			size, err := syscall.GetsockoptInt(c.conn.(fdConn).Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF)
 			if err != nil || size > 2*receiveBufferSize { // the kernel doubles it for its own needs
 				t.Errorf("a buffer of %d bytes, %v", size, err)
 			}
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -251,7 +251,7 @@
 	}
 	waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
 	runOnLoop(n, func() {
-		fd := n.endpoints[1].idleConns[0].conn.(interface{ Fd() int }).Fd()
+		fd := n.endpoints[1].idleConns[0].conn.(fdConn).Fd()
 		_ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, 2048)
 	})
 	const size = 60_000
--- a/internal/node/detach.go
+++ b/internal/node/detach.go
@@ -29,7 +29,7 @@
 // takeDescriptor duplicates the descriptor of a connection that is being detached, whose own one closes after that. A
 // nil file means that the connection has ended, and that rest is all its input.
 func (s *socket) takeDescriptor(conn netpoll.Connection) (*os.File, []byte, error) {
-	c, ok := conn.(interface{ Fd() int })
+	c, ok := conn.(fdConn)
 	if !ok {
 		return nil, nil, errors.New("a connection without a descriptor")
 	}
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -28,7 +28,7 @@
 func (b *backendConn) attach(conn netpoll.Connection) error {
 	b.conn = conn
 	_ = conn.SetWriteTimeout(writeTimeout)
-	if c, ok := conn.(interface{ Fd() int }); ok {
+	if c, ok := conn.(fdConn); ok {
 		_ = limitReceiveBuffer(uintptr(c.Fd()))
 	}
 	b.onClose(func() { b.node.post(b.connectionEnded) })
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -172,7 +172,7 @@
 // abortAnswer closes a connection in the middle of an answer, so that its client can tell.
 func (c *clientConn) abortAnswer(untilClose bool) {
 	// an orderly end would look like that of the answer
-	if transport, ok := c.conn.(interface{ Fd() int }); ok && untilClose && c.descriptor == nil {
+	if transport, ok := c.conn.(fdConn); ok && untilClose && c.descriptor == nil {
 		_ = unix.SetsockoptLinger(transport.Fd(), unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 	c.close(closeAnswerTruncated)
--- a/internal/node/peerstate.go
+++ b/internal/node/peerstate.go
@@ -29,7 +29,7 @@
 
 // queryPeerState asks the kernel. The caller must keep the descriptor open.
 func queryPeerState(conn netpoll.Connection) peerState {
-	c, ok := conn.(interface{ Fd() int })
+	c, ok := conn.(fdConn)
 	if !ok {
 		return peerBroken
 	}
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -15,14 +15,14 @@
 		n.sendRequest(conn, att)
 		return
 	}
-	reusableSoon := ep.hasConnReusableSoon()
-	if !reusableSoon && !att.isHealthCheck && !n.reserveDescriptors(1) {
+	spared := ep.hasSparedConn()
+	if !spared && !att.isHealthCheck && !n.reserveDescriptors(1) {
 		n.warnLimited("no descriptor for backend connection", "descriptors", n.openDescriptors)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 		return
 	}
 	ep.addWaiting(att)
-	if reusableSoon {
+	if spared {
 		n.scheduleServeWaiting(ep)
 	} else {
 		n.dial(ep)
@@ -34,8 +34,8 @@
 	})
 }
 
-// hasConnReusableSoon reports whether an idle connection that is spared for now will be left for one more waiting attempt.
-func (e *endpoint) hasConnReusableSoon() bool {
+// hasSparedConn reports whether an idle connection that is spared for now will be left for one more waiting attempt.
+func (e *endpoint) hasSparedConn() bool {
 	return len(e.idleConns) > 0 && len(e.idleConns)+e.pendingDials > len(e.waitingAttempts)
 }
 
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -27,6 +27,9 @@
 	onDetached        func(*os.File, []byte, error)
 }
 
+// fdConn is a connection that has a file descriptor, as the poller's have.
+type fdConn interface{ Fd() int }
+
 // onClose registers the callback for the end of the connection.
 func (s *socket) onClose(onClosed func()) {
 	if c, ok := s.conn.(interface {
@@ -83,7 +86,7 @@
 	if s.descriptor != nil || s.transportClosed || !s.conn.IsActive() {
 		return false
 	}
-	c, ok := s.conn.(interface{ Fd() int })
+	c, ok := s.conn.(fdConn)
 	return ok && syscall.Shutdown(c.Fd(), syscall.SHUT_WR) == nil
 }
 
@@ -128,7 +131,7 @@
 	if s.transportClosed || !s.conn.IsActive() {
 		return false
 	}
-	if c, ok := s.conn.(interface{ Fd() int }); ok {
+	if c, ok := s.conn.(fdConn); ok {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(c.Fd(), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if err != syscall.EAGAIN && err != syscall.EINTR {
