--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -51,7 +51,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var sends atomic.Int32
-			h := func(w http.ResponseWriter, r *http.Request) {
+			handler := func(w http.ResponseWriter, r *http.Request) {
 				if sends.Add(1) == 1 {
 					_, _ = io.ReadAll(r.Body)
 					c.first(w, r)
@@ -59,7 +59,7 @@
 				}
 				serve(w, r)
 			}
-			a, b := targetOf("a", newTestBackend(t, h)), targetOf("b", newTestBackend(t, h))
+			a, b := targetOf("a", newTestBackend(t, handler)), targetOf("b", newTestBackend(t, handler))
 			b.Cell = 1
 			_, addr := startNode(t, []protocol.Target{a, b}, nil)
 			conn := dialNode(t, addr)
@@ -240,12 +240,12 @@
 
 // If a part of an answered request has been written, the rest is not, so that its backend never starts it.
 func TestRestOfAnsweredRequestIsNotForwarded(t *testing.T) {
-	app := newManualBackend(t, 2048)
-	n, addr := startNode(t, app.targets(), nil)
+	backend := newManualBackend(t, 2048)
+	n, addr := startNode(t, backend.targets(), nil)
 	caller := dialNode(t, addr)
 	_, _ = io.WriteString(caller, requestText("once", 9000))
-	host, in := app.acceptRequest()
-	writeOK(host, "ok")
+	peer, in := backend.acceptRequest()
+	writeOK(peer, "ok")
 	if code, _, _ := caller.readAnswer(); code != 200 {
 		t.Fatal(code)
 	}
@@ -281,11 +281,11 @@
 func TestEndpointDrainingBeforeFirstByteGetsNothing(t *testing.T) {
 	for name, state := range map[string]protocol.State{"drains": protocol.Terminating, "is removed": protocol.Terminated} {
 		t.Run(name, func(t *testing.T) {
-			app, other := newManualBackend(t, 0), newTestBackend(t, serve)
-			n, addr := startNode(t, app.targets(), func(s *Settings) { s.ConnectTimeout *= 60 })
+			backend, other := newManualBackend(t, 0), newTestBackend(t, serve)
+			n, addr := startNode(t, backend.targets(), func(s *Settings) { s.ConnectTimeout *= 60 })
 			conn := dialNode(t, addr)
 			_, _ = io.WriteString(conn, requestText("read", 9000))
-			first, in := app.acceptRequest()
+			first, in := backend.acceptRequest()
 			writeOK(first, "one")
 			conn.readAnswer()
 			waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
@@ -295,7 +295,7 @@
 			})
 			_, _ = io.WriteString(conn, requestText("once", 9000))
 			waitUntil(n, func() bool { return len(n.endpoints[1].waitingAttempts) == 1 })
-			notified := app.targets()[0]
+			notified := backend.targets()[0]
 			notified.State = state
 			n.UpdateEndpoints(protocol.List{Rev: 1, Targets: []protocol.Target{notified, targetOf("b", other)}}, false)
 			waitUntil(n, func() bool { return len(n.endpoints) == 2 })
@@ -322,8 +322,8 @@
 func TestDelayedAttemptIsRechecked(t *testing.T) {
 	for name, drains := range map[string]bool{"still allowed": false, "its backend drains": true} {
 		t.Run(name, func(t *testing.T) {
-			app := newTestBackend(t, serve)
-			n, addr := startNode(t, app.targets(), nil)
+			backend := newTestBackend(t, serve)
+			n, addr := startNode(t, backend.targets(), nil)
 			conn := dialNode(t, addr)
 			conn.exchange(requestText("read", 9000))
 			// so that the next request needs no dial
@@ -339,12 +339,12 @@
 				}
 				return
 			}
-			targets := app.targets()
+			targets := backend.targets()
 			targets[0].State = protocol.Terminating
 			n.UpdateEndpoints(protocol.List{Rev: 1, Targets: targets}, false)
 			waitUntil(n, func() bool { return len(ends.outcomes) > 0 })
-			if ends.outcomes[0] != balancer.OutcomeNotSent || app.requestCount.Load() > 1 {
-				t.Errorf("ended as %v, %d requests at the backend", ends.outcomes, app.requestCount.Load())
+			if ends.outcomes[0] != balancer.OutcomeNotSent || backend.requestCount.Load() > 1 {
+				t.Errorf("ended as %v, %d requests at the backend", ends.outcomes, backend.requestCount.Load())
 			}
 		})
 	}
@@ -355,9 +355,9 @@
 	n, _ := startNode(t, newTestBackend(t, serve).targets(), requireListLease)
 	runOnLoop(n, func() {
 		now := n.now()
-		h := &endpoint{address: "h"}
+		ep := &endpoint{address: "h"}
 		r := &request{settings: n.settings, clientConn: &clientConn{node: n}, deadline: now + 1_000_000}
-		a := &attempt{request: r, endpoint: h, deadline: r.deadline}
+		a := &attempt{request: r, endpoint: ep, deadline: r.deadline}
 		fine := firstByte{writtenAt: now, statedTimeout: 1_000_000, listExpiresAt: now}
 		for _, c := range []struct {
 			name   string
@@ -366,7 +366,7 @@
 		}{
 			{"as it should be", func(*firstByte) {}, safety.Allowed},
 			{"endpoint drains", func(*firstByte) {
-				h.outOfServiceSince = now - n.settings.DrainGrace - auditSlack - 1
+				ep.outOfServiceSince = now - n.settings.DrainGrace - auditSlack - 1
 			}, safety.BackendDraining},
 			{"list too old", func(f *firstByte) { f.listExpiresAt = now - n.settings.DrainGrace - auditSlack - 1 }, safety.ListStale},
 			{"client disconnected", func(*firstByte) {
@@ -375,7 +375,7 @@
 			{"more time than is left", func(f *firstByte) { f.statedTimeout += deadlineSlack + 1 }, safety.DeadlinePassed},
 		} {
 			clear(n.violations)
-			h.outOfServiceSince = 0
+			ep.outOfServiceSince = 0
 			r.clientConn.disconnectedAt.Store(0)
 			f := fine
 			c.change(&f)
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -60,12 +60,12 @@
 // the time stated to its backend and its deadline count from there. One that came later has longer.
 func TestDeadlineCountsFromLastByte(t *testing.T) {
 	arrived, next := make(chan struct{}), make(chan struct{})
-	app := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	backend := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
 		<-next
 		serve(w, r)
 	})
-	n, addr := startNode(t, app.targets(), nil)
+	n, addr := startNode(t, backend.targets(), nil)
 	client := dialNode(t, addr)
 	var began, deadlines [4]int64
 	later := func(since int64) { waitUntil(n, func() bool { return n.now() > since+2*arrivalMergeInterval }) }
@@ -111,12 +111,12 @@
 // reset it, as the rest of the answer would be lost.
 func TestLastAnswerSurvivesLaterInput(t *testing.T) {
 	body := strings.Repeat("x", 60<<10)
-	app := newManualBackend(t, 0)
-	n, addr := startNode(t, app.targets(), nil)
+	backend := newManualBackend(t, 0)
+	n, addr := startNode(t, backend.targets(), nil)
 	conn := dialWithSmallBuffer(t, addr)
 	_, _ = io.WriteString(conn, strings.Replace(requestText("read", 9000), "\r\n", "\r\nConnection: close\r\n", 1))
-	host, _ := app.acceptRequest()
-	writeOK(host, body)
+	peer, _ := backend.acceptRequest()
+	writeOK(peer, body)
 	// its last byte has reached the kernel
 	waitUntil(n, func() bool { return n.lingeringClients.Len() == 1 || len(n.clients) == 0 })
 	_, _ = io.WriteString(conn, requestText("read", 9000))
@@ -151,8 +151,8 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			app := newTestBackend(t, serve)
-			n, addr := startNode(t, app.targets(), func(s *Settings) { s.MaxDescriptors = reservedDescriptors + minServingDescriptors })
+			backend := newTestBackend(t, serve)
+			n, addr := startNode(t, backend.targets(), func(s *Settings) { s.MaxDescriptors = reservedDescriptors + minServingDescriptors })
 			conn := dialNode(t, addr)
 			if code, _, _ := conn.exchange(requestText("read", 9000)); code != 200 {
 				t.Fatal(code)
@@ -176,7 +176,7 @@
 			if b, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
 				t.Errorf("read %q, %v, want the end", b, err)
 			}
-			if k := app.requestCount.Load(); k != 1 {
+			if k := backend.requestCount.Load(); k != 1 {
 				t.Errorf("%d requests at the backend, want the first alone", k)
 			}
 		})
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -16,11 +16,11 @@
 
 // A client that disconnects cancels its attempt: the backend is notified at once by the end of its connection.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
-	gone := make(chan struct{}, 1)
+	disconnected := make(chan struct{}, 1)
 	arrived := make(chan struct{}, 1)
 	a := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
-		neverAnswer(gone)(w, r)
+		neverAnswer(disconnected)(w, r)
 	})
 	_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
 	conn := dialNode(t, addr)
@@ -28,7 +28,7 @@
 	<-arrived
 	_ = conn.Close()
 	select {
-	case <-gone:
+	case <-disconnected:
 	case <-time.After(5 * time.Second):
 		t.Error("the attempt was not cancelled")
 	}
@@ -62,8 +62,8 @@
 // notification queued behind them: no attempt starts.
 func TestClientDisconnectBeforeRequestIsProcessed(t *testing.T) {
 	t.Run("no attempt yet", func(t *testing.T) {
-		app := newTestBackend(t, serve)
-		n, addr := startNode(t, app.targets(), nil)
+		backend := newTestBackend(t, serve)
+		n, addr := startNode(t, backend.targets(), nil)
 		conn := dialNode(t, addr)
 		conn.exchange(requestText("read", 9000))
 		waitUntil(n, func() bool { return n.idleBackends.Len() == 1 }) // so that the next request needs no dial
--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -176,7 +176,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, 503},
 		{"breaks early", resetAfter(""), 503},
-		{"answer not read", func(w http.ResponseWriter, r *http.Request) {
+		{"breaks during the upload", func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.CopyN(io.Discard, r.Body, 3<<20)
 			resetAfter("")(w, r)
 		}, 503},
--- a/internal/node/healthcheck_test.go
+++ b/internal/node/healthcheck_test.go
@@ -34,9 +34,9 @@
 		}
 	}
 	for _, c := range []struct {
-		name string
-		host http.HandlerFunc
-		want string
+		name    string
+		handler http.HandlerFunc
+		want    string
 	}{
 		{"report in the body", answers(200, "", "TEXT inflight=7, queue=2, util=0.61\n"), "10 {7 2 0.61}"},
 		{"report in the body, bare", answers(200, "", "inflight=3"), "10 {3 -1 -1}"},
@@ -50,7 +50,7 @@
 		{"never answers", neverAnswer(make(chan struct{}, 1)), "40"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := newTestBackend(t, c.host)
+			a := newTestBackend(t, c.handler)
 			n, _ := startNode(t, []protocol.Target{targetOf("a", a)}, allowHealthChecks)
 			m := recordModule(n)
 			runOnLoop(n, func() { n.CheckHealth(n.endpointsByUID["a"].id) })
@@ -58,9 +58,9 @@
 				t.Errorf("%q, want %q", got, c.want)
 			}
 			runOnLoop(n, func() {
-				if h := n.endpointsByUID["a"]; h.pendingHealthChecks != 0 || len(h.waitingAttempts) != 0 || len(m.healthChecks) != 0 {
+				if ep := n.endpointsByUID["a"]; ep.pendingHealthChecks != 0 || len(ep.waitingAttempts) != 0 || len(m.healthChecks) != 0 {
 					t.Errorf("left: %d health checks, %d waiting, %d outcomes",
-						h.pendingHealthChecks, len(h.waitingAttempts), len(m.healthChecks))
+						ep.pendingHealthChecks, len(ep.waitingAttempts), len(m.healthChecks))
 				}
 			})
 		})
@@ -81,7 +81,7 @@
 		want   string
 	}{
 		{"draining", allowHealthChecks, func(n *Node) { n.endpointsByUID["a"].state = protocol.Terminating }, "80"},
-		{"gone", allowHealthChecks, func(n *Node) { n.endpointsByUID["a"].state = protocol.Terminated }, "80"},
+		{"removed", allowHealthChecks, func(n *Node) { n.endpointsByUID["a"].state = protocol.Terminated }, "80"},
 		{"forbidden", func(s *Settings) { allowHealthChecks(s); s.Balancer.AllowHealthChecks = false }, func(*Node) {}, "80"},
 		{"no descriptor left", allowHealthChecks, func(n *Node) {
 			n.settings.MaxDescriptors = reservedDescriptors + minServingDescriptors
@@ -146,15 +146,15 @@
 	n, _ := startNode(t, []protocol.Target{targetOf("a", a)}, allowHealthChecks)
 	m := recordModule(n)
 	runOnLoop(n, func() {
-		h := n.endpointsByUID["a"]
-		n.CheckHealth(h.id)
-		n.CheckHealth(h.id)
-		r := &attempt{request: &request{settings: n.settings}, endpoint: h, deadline: noDeadline}
+		ep := n.endpointsByUID["a"]
+		n.CheckHealth(ep.id)
+		n.CheckHealth(ep.id)
+		r := &attempt{request: &request{settings: n.settings}, endpoint: ep, deadline: noDeadline}
 		n.assignConn(r)
-		for _, w := range h.waitingAttempts {
+		for _, w := range ep.waitingAttempts {
 			order = append(order, fmt.Sprint(w.isHealthCheck))
 		}
-		h.waitingAttempts = h.waitingAttempts[1:]
+		ep.waitingAttempts = ep.waitingAttempts[1:]
 	})
 	if diff := cmp.Diff([]string{"false", "true", "true"}, order); diff != "" {
 		t.Error(diff)
@@ -171,7 +171,7 @@
 		name  string
 		state protocol.State
 		boot  int64
-	}{{"drains", protocol.Terminating, 0}, {"has gone", protocol.Terminated, 0}, {"is another process", protocol.InService, 7}} {
+	}{{"drains", protocol.Terminating, 0}, {"is removed", protocol.Terminated, 0}, {"is another process", protocol.InService, 7}} {
 		a, arrived, release := newGatedBackend(t)
 		n, _ := startNode(t, []protocol.Target{targetOf("a", a)}, func(s *Settings) { allowHealthChecks(s); s.ConnectTimeout = 10_000_000 })
 		m := recordModule(n)
@@ -182,7 +182,7 @@
 		n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{next}}, false)
 		runOnLoop(n, func() {
 			n.CheckHealth(n.endpointsByUID["a"].id)
-			if h := n.endpointsByUID["a"]; c.state != protocol.InService && h.pendingDials+len(h.waitingAttempts) > 0 {
+			if ep := n.endpointsByUID["a"]; c.state != protocol.InService && ep.pendingDials+len(ep.waitingAttempts) > 0 {
 				t.Errorf("%s: checked again", c.name)
 			}
 		})
--- a/internal/node/listfreshness_test.go
+++ b/internal/node/listfreshness_test.go
@@ -11,7 +11,7 @@
 // A process that has just started accepts clients once its list is confirmed, whatever it says, or could not be
 // confirmed for a while.
 func TestReadyOnceListIsConfirmed(t *testing.T) {
-	app := newTestBackend(t, serve)
+	backend := newTestBackend(t, serve)
 	for name, word := range map[string]func(*Node){
 		"an answer":   func(n *Node) { n.UpdateEndpoints(protocol.List{Rev: 1}, false) },
 		"a rejection": func(n *Node) { n.DiscoveryCallFailed(errors.New("refused"), balancer.ListFailed, n.startedAt) },
@@ -20,7 +20,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n, addr := startNode(t, app.targets(), requireListLease)
+			n, addr := startNode(t, backend.targets(), requireListLease)
 			conn := dialNode(t, addr)
 			if code, _, _ := conn.exchange(readyRequest); code != 503 {
 				t.Errorf("before: %d", code)
--- a/internal/node/peerstate_test.go
+++ b/internal/node/peerstate_test.go
@@ -80,11 +80,11 @@
 func TestResetDoesNotCompleteAnswer(t *testing.T) {
 	for name, reset := range map[string]bool{"in order": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
-			h := newManualBackend(t, 0)
-			n, addr := startNode(t, h.targets(), nil)
+			backend := newManualBackend(t, 0)
+			n, addr := startNode(t, backend.targets(), nil)
 			c := dialNode(t, addr)
 			_, _ = io.WriteString(c, requestText("once", 5000))
-			conn, _ := h.acceptRequest()
+			conn, _ := backend.acceptRequest()
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf")
 			waitUntil(n, func() bool { return hasReceived(n, "half") })
 			if reset {
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -14,13 +14,13 @@
 // Guards against this: a request that followed within milliseconds was given the second answer of a backend that
 // answers twice, as a connection was spared only while another would do.
 func TestDuplicateAnswerIsDiscarded(t *testing.T) {
-	app := newManualBackend(t, 0)
-	n, addr := startNode(t, app.targets(), func(s *Settings) {
+	backend := newManualBackend(t, 0)
+	n, addr := startNode(t, backend.targets(), func(s *Settings) {
 		s.ConnectTimeout *= 60 // a timeout and a retry must not hide the failure
 	})
 	conn := dialNode(t, addr)
 	_, _ = io.WriteString(conn, requestText("read", 9000))
-	first, _ := app.acceptRequest()
+	first, _ := backend.acceptRequest()
 	writeOK(first, "one")
 	if code, body, _ := conn.readAnswer(); code != 200 || body != "one" {
 		t.Fatal(code, body)
@@ -33,7 +33,7 @@
 	_, _ = io.WriteString(conn, requestText("once", 9000))
 	waitUntil(n, func() bool { return len(n.requests) == 1 })
 	writeOK(first, "one again")
-	second, _ := app.acceptRequest()
+	second, _ := backend.acceptRequest()
 	writeOK(second, "two")
 	if code, body, _ := conn.readAnswer(); code != 200 || body != "two" {
 		t.Error(code, body)
@@ -43,7 +43,7 @@
 	waitUntil(n, func() bool { return n.endpoints[1].duplicatesUntil > n.now() }) // the duplicate has been noticed
 	runOnLoop(n, func() { n.endpoints[1].duplicatesUntil = 0 })
 	_, _ = io.WriteString(conn, requestText("read", 9000))
-	third, _ := app.acceptRequest()
+	third, _ := backend.acceptRequest()
 	_, _ = io.WriteString(third, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nthreeHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	if code, body, _ := conn.readAnswer(); code != 200 || body != "three" {
 		t.Error(code, body)
@@ -54,11 +54,11 @@
 // Input that a backend sends without a request is not taken for the answer to the next one, also while it is on its
 // way from the poller and the request is on the connection before the event loop has processed those bytes.
 func TestUnsolicitedAnswerIsDiscarded(t *testing.T) {
-	app := newManualBackend(t, 0)
-	n, addr := startNode(t, app.targets(), nil)
+	backend := newManualBackend(t, 0)
+	n, addr := startNode(t, backend.targets(), nil)
 	conn := dialNode(t, addr)
 	_, _ = io.WriteString(conn, requestText("read", 9000))
-	first, _ := app.acceptRequest()
+	first, _ := backend.acceptRequest()
 	writeOK(first, "one")
 	conn.readAnswer()
 	waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
@@ -70,7 +70,7 @@
 	writeOK(first, "one again")
 	waitForPosted(n, 2)
 	close(free)
-	second, _ := app.acceptRequest()
+	second, _ := backend.acceptRequest()
 	writeOK(second, "two")
 	if code, body, _ := conn.readAnswer(); code != 200 || body != "two" {
 		t.Error(code, body)
@@ -81,11 +81,11 @@
 // has just been answered is spared while others will do. A request that crosses the close may have run, and a
 // non-idempotent one could not be retried.
 func TestClosingConnectionIsNotUsed(t *testing.T) {
-	app := newManualBackend(t, 0)
-	n, addr := startNode(t, app.targets(), nil)
+	backend := newManualBackend(t, 0)
+	n, addr := startNode(t, backend.targets(), nil)
 	conn := dialNode(t, addr)
 	_, _ = io.WriteString(conn, requestText("read", 9000))
-	peer, _ := app.acceptRequest()
+	peer, _ := backend.acceptRequest()
 	writeOK(peer, "")
 	conn.readAnswer()
 	waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
@@ -99,24 +99,24 @@
 		long := &backendConn{idleSince: now - 3*reuseDelay}
 		short := &backendConn{idleSince: now - 2*reuseDelay}
 		fresh := &backendConn{idleSince: now + reuseDelay}
-		h := &endpoint{}
+		ep := &endpoint{}
 		for _, one := range []*backendConn{long, short, fresh} {
 			since := one.idleSince
-			one.conn, one.node, one.endpoint, one.lastAnswerAt = b.conn, n, h, one.idleSince
-			h.duplicatesUntil = noDeadline
+			one.conn, one.node, one.endpoint, one.lastAnswerAt = b.conn, n, ep, one.idleSince
+			ep.duplicatesUntil = noDeadline
 			n.setIdle(one, true)
 			one.idleSince = since
 		}
-		if n.takeIdleConn(h) != short || n.takeIdleConn(h) != long || n.takeIdleConn(h) != nil {
+		if n.takeIdleConn(ep) != short || n.takeIdleConn(ep) != long || n.takeIdleConn(ep) != nil {
 			t.Error("the wrong connection is used")
 		}
-		h.waitingAttempts = []*attempt{{isHealthCheck: true, endpoint: h, request: &request{}}}
+		ep.waitingAttempts = []*attempt{{isHealthCheck: true, endpoint: ep, request: &request{}}}
 		timers := len(n.timers)
-		if n.serveWaiting(h); len(n.timers) != timers+1 || len(h.waitingAttempts) != 1 {
+		if n.serveWaiting(ep); len(n.timers) != timers+1 || len(ep.waitingAttempts) != 1 {
 			t.Error("no timer is set for the time when a connection becomes reusable")
 		}
-		h.waitingAttempts = nil
-		if fresh.lastAnswerAt, fresh.idleSince = 0, now; n.takeIdleConn(h) != fresh {
+		ep.waitingAttempts = nil
+		if fresh.lastAnswerAt, fresh.idleSince = 0, now; n.takeIdleConn(ep) != fresh {
 			t.Error("a new connection is not reusable")
 		}
 		_ = peer.Close()
@@ -164,27 +164,27 @@
 // closes, and its descriptor is counted back once. Counted back twice, the node would believe that it holds fewer
 // than it does, until the system gives it no more.
 func TestBackendThatSendsFirst(t *testing.T) {
-	app := newManualBackend(t, 0)
-	n, addr := startNode(t, app.targets(), nil)
+	backend := newManualBackend(t, 0)
+	n, addr := startNode(t, backend.targets(), nil)
 	b := &backendConn{node: n}
 	runOnLoop(n, func() { // as dial does
 		b.endpoint, b.incarnation = n.endpoints[1], n.endpoints[1].incarnation
 		b.endpoint.pendingDials++
 		n.openDescriptors++
 	})
-	conn, err := netpoll.DialConnection("tcp", app.Addr().String(), time.Second)
+	conn, err := netpoll.DialConnection("tcp", backend.Addr().String(), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := b.attach(conn); err != nil {
 		t.Fatal(err)
 	}
-	host, err := app.Accept()
+	peer, err := backend.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = host.Close() }()
-	_, _ = io.WriteString(host, "HTTP/1.1 2")
+	defer func() { _ = peer.Close() }()
+	_, _ = io.WriteString(peer, "HTTP/1.1 2")
 	waitUntil(n, func() bool { return b.state == backendClosed })
 	runOnLoop(n, func() {
 		if n.dialFinished(b, nil); n.openDescriptors != 0 || b.endpoint.pendingDials != 0 {
@@ -193,7 +193,7 @@
 	})
 	client := dialNode(t, addr)
 	_, _ = io.WriteString(client, requestText("read", 9000))
-	next, _ := app.acceptRequest()
+	next, _ := backend.acceptRequest()
 	writeOK(next, "served")
 	if code, body, _ := client.readAnswer(); code != 200 || body != "served" {
 		t.Errorf("the next request: %d %q", code, body)
--- a/internal/node/reconfigure_test.go
+++ b/internal/node/reconfigure_test.go
@@ -77,7 +77,7 @@
 func TestReducedMaxAttempts(t *testing.T) {
 	var seen atomic.Int32
 	arrived, release := make(chan struct{}), make(chan struct{})
-	h := func(w http.ResponseWriter, r *http.Request) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		switch seen.Add(1) {
 		case 2:
 			arrived <- struct{}{}
@@ -91,7 +91,7 @@
 	}
 	var targets []protocol.Target
 	for _, uid := range []string{"a", "b", "c"} {
-		targets = append(targets, targetOf(uid, newTestBackend(t, h)))
+		targets = append(targets, targetOf(uid, newTestBackend(t, handler)))
 	}
 	n, addr := startNode(t, targets, nil)
 	old := dialNode(t, addr)
@@ -158,8 +158,8 @@
 // Where tenants are introduced or removed while requests are open, no tenant inherits the number of those: quotas and
 // requests in flight are counted apart.
 func TestTenantsChangeWithOpenRequests(t *testing.T) {
-	app, arrived, release := newBlockedBackend(t)
-	n, addr := startNode(t, []protocol.Target{targetOf("a", app)}, func(s *Settings) { s.Tenants, s.Balancer.Tenants = nil, nil })
+	backend, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, func(s *Settings) { s.Tenants, s.Balancer.Tenants = nil, nil })
 	conns := []*testClient{dialNode(t, addr), dialNode(t, addr), dialNode(t, addr)}
 	of := func(k int, change func(*Settings)) {
 		if k > 0 {
--- a/internal/node/registry_test.go
+++ b/internal/node/registry_test.go
@@ -83,8 +83,8 @@
 		if len(n.endpoints) != 200 {
 			t.Errorf("%d endpoints: an outdated list may still have the removed ones", len(n.endpoints))
 		}
-		for _, h := range n.endpoints {
-			h.removedAt -= min(h.removedAt, endpointRetention)
+		for _, ep := range n.endpoints {
+			ep.removedAt -= min(ep.removedAt, endpointRetention)
 		}
 		n.deleteExpiredEndpoints()
 		if len(n.endpoints) != 1 || len(n.endpointsByUID) != 1 || n.idleBackends.Len() > 1 {
@@ -212,12 +212,12 @@
 	sendRequests()
 	runOnLoop(n, func() {
 		listed := 0
-		for _, h := range n.endpoints {
-			if h.removedAt == 0 {
+		for _, ep := range n.endpoints {
+			if ep.removedAt == 0 {
 				listed++
 			}
-			if h.removedAt > 0 && len(h.idleConns)+len(h.waitingAttempts)+h.pendingDials > 0 {
-				t.Errorf("endpoint %d is removed and has connections", h.id)
+			if ep.removedAt > 0 && len(ep.idleConns)+len(ep.waitingAttempts)+ep.pendingDials > 0 {
+				t.Errorf("endpoint %d is removed and has connections", ep.id)
 			}
 		}
 		if listed != many {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -155,8 +155,8 @@
 // Before the process ends, every client connection is closed in order: one without a request yet, one with a part of
 // a request, one that is being accepted. None is reset, and no request that crosses the close is forwarded.
 func TestDrainClosesEveryConnection(t *testing.T) {
-	app := newTestBackend(t, serve)
-	n, addr := startNode(t, app.targets(), nil)
+	backend := newTestBackend(t, serve)
+	n, addr := startNode(t, backend.targets(), nil)
 	silent, part := dialNode(t, addr), dialNode(t, addr)
 	_, _ = io.WriteString(part, requestText("once", 9000)[:30])
 	waitUntil(n, func() bool { return len(n.clients) == 2 && n.hasIncomingRequest() })
@@ -187,7 +187,7 @@
 		return len(n.clients) == 3 || n.drain.onDrained == nil
 	})
 	runOnLoop(n, func() {
-		if n.openRequests > 0 || app.requestCount.Load() > 0 || n.drain.onDrained == nil {
+		if n.openRequests > 0 || backend.requestCount.Load() > 0 || n.drain.onDrained == nil {
 			t.Errorf("%d requests admitted, ended %v, with %d connections", n.openRequests, n.drain.onDrained == nil, len(n.clients))
 		}
 	})
@@ -229,8 +229,8 @@
 func TestRequestLateInDrainIsAnsweredInTime(t *testing.T) {
 	for name, after := range map[string]int64{"late": killGrace, "in time": 0} {
 		t.Run(name, func(t *testing.T) {
-			app := newManualBackend(t, 0)
-			n, addr := startNode(t, app.targets(), nil)
+			backend := newManualBackend(t, 0)
+			n, addr := startNode(t, backend.targets(), nil)
 			conn := dialNode(t, addr)
 			request := requestText("read", 9000)
 			_, _ = io.WriteString(conn, request[:30])
@@ -239,7 +239,7 @@
 			n.Drain(0, func() { close(ended) })
 			runOnLoop(n, func() { n.drain.stopRequestedAt, n.drain.answersDueBy = n.now()-after, n.now()+2_000_000 })
 			_, _ = io.WriteString(conn, request[30:])
-			host, _ := app.acceptRequest()
+			peer, _ := backend.acceptRequest()
 			runOnLoop(n, func() {
 				for _, r := range n.requests {
 					if capped := r.deadline == n.drain.answersDueBy; capped != (after > 0) {
@@ -248,7 +248,7 @@
 				}
 			})
 			if after == 0 {
-				writeOK(host, "served")
+				writeOK(peer, "served")
 			} // else the backend never answers
 			if code, _, closing := conn.readAnswer(); (code == 200) != (after == 0) || !closing {
 				t.Errorf("%d, closing %v", code, closing)
@@ -261,7 +261,7 @@
 // Endpoint lists and settings that come during a shutdown are applied: a queued request is sent by a list that comes
 // later, under the settings with which it was admitted.
 func TestDrainAppliesUpdates(t *testing.T) {
-	app := newTestBackend(t, serve)
+	backend := newTestBackend(t, serve)
 	n, addr := startNode(t, nil, nil)
 	conn := dialNode(t, addr)
 	_, _ = io.WriteString(conn, requestText("once", 9000))
@@ -270,7 +270,7 @@
 	n.Drain(0, func() { close(ended) })
 	// its class is removed
 	reconfigureNode(n, func(s *Settings) { s.Classes, s.Balancer.Classes = s.Classes[:1], s.Balancer.Classes[:1] })
-	n.UpdateEndpoints(protocol.List{Rev: 1, All: true, Targets: app.targets()}, false)
+	n.UpdateEndpoints(protocol.List{Rev: 1, All: true, Targets: backend.targets()}, false)
 	if code, body, closing := conn.readAnswer(); code != 200 || body != "body of /once" || !closing {
 		t.Errorf("%d %q, closing %v", code, body, closing)
 	}
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// neverAnswer sends nothing until the node gives up, and then notifies gone.
+// neverAnswer sends nothing until the node gives up, and then notifies disconnected.
 func neverAnswer(disconnected chan<- struct{}) http.HandlerFunc {
 	return func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
