--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -52,6 +52,6 @@
 func (n *Node) recordViolation(att *attempt, reason safety.Reason, excess int64) {
 	n.violations[reason]++
 	n.log.Error("invariant violated", "rule", reason.String(), "by_us", excess,
-		"trace_id", att.request.loggedTraceID(), "attempt", att.number,
+		"trace_id", att.request.traceID, "attempt", att.number,
 		"endpoint", att.endpoint.address, "rev", n.listRevision, "count", n.violations[reason])
 }
--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -169,11 +169,11 @@
 	case b.download != nil && !b.download.awaitingRequestEnd:
 		n.startDownloadForwarding(b, nil, nil, nil)
 	case att == nil:
-		n.closeBackend(b, closedByPeer)
+		n.closeBackend(b, closePeerEnded)
 		n.dialForWaiting(b.endpoint)
 	case b.state == backendWriting && att.deadline == noDeadline && !b.uploadFullyRead():
 		// the request was still being uploaded and is never completed
-		n.closeBackend(b, closedByPeer)
+		n.closeBackend(b, closePeerEnded)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	case b.state == backendWriting:
 		b.peerEndedEarly = true // requestSent decides, once it is known how much was written
@@ -193,7 +193,7 @@
 		conn.finishAnswer(false)
 		return
 	}
-	n.closeBackend(conn, closedByPeer)
+	n.closeBackend(conn, closePeerEnded)
 	n.completeAttempt(att, balancer.OutcomeReset, nil)
 }
 
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -131,7 +131,7 @@
 		return
 	}
 	if !c.closeWrite() {
-		c.close(closedByPeer)
+		c.close(closePeerEnded)
 		return
 	}
 	c.setIdle(false)
@@ -150,7 +150,7 @@
 func (c *clientConn) onClosed(n *Node) func() {
 	return func() {
 		c.disconnectedAt.Store(n.now())
-		n.post(func() { c.disconnected(closedByPeer) })
+		n.post(func() { c.disconnected(closePeerEnded) })
 	}
 }
 
--- a/internal/node/clientinput.go
+++ b/internal/node/clientinput.go
@@ -171,12 +171,12 @@
 		c.reply(buf, 503, nil, []byte("not in service\n"), 0)
 		return
 	}
-	req, status, reason := c.node.admit(&msg, buf, arrivedAt)
-	if req == nil {
+	req, rejected := c.node.admit(&msg, buf, arrivedAt)
+	if rejected != nil {
 		// A client whose request is invalid loses its connection. An answer to HEAD has no body: the text of a
 		// rejection would be read as the next answer.
-		c.closeAfterAnswer = c.closeAfterAnswer || status != 503
-		c.reply(buf, status, nil, []byte(reason+"\n"), 0)
+		c.closeAfterAnswer = c.closeAfterAnswer || rejected.status != 503
+		c.reply(buf, rejected.status, nil, []byte(rejected.reason+"\n"), 0)
 		return
 	}
 	req.clientConn, c.request = c, req
--- a/internal/node/closereason.go
+++ b/internal/node/closereason.go
@@ -5,7 +5,7 @@
 
 // Reasons for closing connections of clients and backends.
 const (
-	closedByPeer           closeReason = "closed by the peer"
+	closePeerEnded         closeReason = "closed by the peer"
 	closeNoDescriptor      closeReason = "no descriptor"
 	closeForDescriptors    closeReason = "descriptor needed"
 	closeIdle              closeReason = "idle"
@@ -33,13 +33,13 @@
 // is worth a warning whoever is at fault; others are logged only if tracing is on.
 func (c *clientConn) logClose(reason closeReason) {
 	unanswered := c.request != nil || c.input != nil && c.input.length > 0 || c.upload != nil && !c.upload.complete
-	if !unanswered || reason == closedByPeer || reason == closeLastAnswer { // input behind the last answer is never admitted
+	if !unanswered || reason == closePeerEnded || reason == closeLastAnswer { // input behind the last answer is never admitted
 		c.node.traceClient(c, "client connection closed", "reason", string(reason), "unanswered", unanswered)
 		return
 	}
 	traceID := ""
 	if c.request != nil {
-		traceID = c.request.loggedTraceID()
+		traceID = c.request.traceID
 	}
 	c.node.warnLimited("client connection closed within a request", "reason", string(reason),
 		"trace_id", traceID, "received_bytes", c.receivedBytes, "has_sent_request", c.hasSentRequest)
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -129,9 +129,6 @@
 	if req.clientConn == nil || !req.clientConn.peerHasEnded() {
 		return false
 	}
-	n.deferred = append(n.deferred, func() { req.clientConn.disconnected(closedByPeer) })
+	n.deferred = append(n.deferred, func() { req.clientConn.disconnected(closePeerEnded) })
 	return true
 }
-
-// loggedTraceID returns the trace ID for log lines.
-func (r *request) loggedTraceID() string { return r.traceID }
--- a/internal/node/requesttrace.go
+++ b/internal/node/requesttrace.go
@@ -17,7 +17,7 @@
 	if !n.traceRequests || req == nil {
 		return
 	}
-	n.log.Debug(message, append([]any{"trace_id", req.loggedTraceID()}, args...)...)
+	n.log.Debug(message, append([]any{"trace_id", req.traceID}, args...)...)
 }
 
 // traceClient logs a step of a client's connection if tracing is on.
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -60,10 +60,10 @@
 		c.reply(buf, 503, nil, []byte("no room for a large request\n"), 0)
 		return
 	}
-	req, status, reason := n.admit(&msg, buf, n.now())
-	if req == nil {
-		c.closeAfterAnswer, up.rejected = true, status != 503
-		c.reply(buf, status, nil, []byte(reason+"\n"), 0)
+	req, rejected := n.admit(&msg, buf, n.now())
+	if rejected != nil {
+		c.closeAfterAnswer, up.rejected = true, rejected.status != 503
+		c.reply(buf, rejected.status, nil, []byte(rejected.reason+"\n"), 0)
 		return
 	}
 	req.upload, req.clientConn, c.request = up, c, req
@@ -167,7 +167,7 @@
 		n.answer(req, nil, status, nil, []byte(err.Error()+"\n"), 0)
 		n.balancer.HandleCancellation(n.now(), req.id)
 	default:
-		client.disconnected(closedByPeer)
+		client.disconnected(closePeerEnded)
 	}
 	if err != nil && att != nil && !att.isCompleted() {
 		n.abandonAttempt(att, balancer.OutcomeConnectFailed)
@@ -229,7 +229,7 @@
 	c.usePollerConn(conn)
 	c.onClose(c.onClosed(c.node))
 	if err := conn.SetOnRequest(c.onInput); err != nil || !conn.IsActive() {
-		c.node.post(func() { c.disconnected(closedByPeer) })
+		c.node.post(func() { c.disconnected(closePeerEnded) })
 	}
 	return true
 }
