--- a/internal/processtest/addresses_test.go
+++ b/internal/processtest/addresses_test.go
@@ -20,7 +20,7 @@
 					return
 				}
 				for range relays {
-					relay, err := newRelay("127.0.0.1:1", 1)
+					relay, err := newRelay(addresses[0], 1)
 					if err != nil {
 						t.Error(err)
 						return
--- a/internal/processtest/check_test.go
+++ b/internal/processtest/check_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"net"
 	"testing"
 	"time"
 )
@@ -23,8 +24,20 @@
 	harness.awaitEvent(t, 0, actionStarted(0))
 	target := harness.Index(roleTarget)
 	harness.kill(target)
-	harness.processes[target].Listen = "127.0.0.1:1" // it cannot listen there
+	harness.processes[target].Listen = occupiedAddress(t)
 	if err := harness.Play(t.Context(), nil, 3*time.Second); !errors.Is(err, ErrIdle) {
 		t.Error(err)
 	}
+	harness.awaitEvent(t, 0, func(event Event) bool { return event.Kind == EventProcessFailed && event.Process == roleTarget })
+}
+
+// occupiedAddress returns an address at which no process can listen until the end of the test.
+func occupiedAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", net.JoinHostPort(nextLoopbackHost(), "0"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // nobody has connected to it
+	return listener.Addr().String()
 }
