--- a/internal/processtest/check.go
+++ b/internal/processtest/check.go
@@ -68,7 +68,7 @@
 		c.check(event)
 	}
 	if !linearizable(log) {
-		c.findings.Broken = append(c.findings.Broken, "the history of acquisitions, renewals and releases fits no order")
+		c.findings.Broken = append(c.findings.Broken, "the history of lease requests is not linearizable")
 	}
 	return c.findings
 }
@@ -108,11 +108,11 @@
 	c.findings.Acts++
 	for token, open := range c.openActions {
 		if open > 0 && token != event.Token {
-			c.violation(event, "an act of token %d begins while one of %d goes on", event.Token, token)
+			c.violation(event, "an action under token %d starts while one under token %d is in progress", event.Token, token)
 		}
 	}
 	if event.Token < c.newestToken {
-		c.violation(event, "an act of token %d begins after one of %d", event.Token, c.newestToken)
+		c.violation(event, "an action under token %d starts after one under token %d", event.Token, c.newestToken)
 	}
 	if c.holderLostAt > 0 && event.Token > c.holderToken {
 		c.findings.Gaps = append(c.findings.Gaps, event.At-c.holderLostAt)
@@ -131,7 +131,7 @@
 	case !granted:
 		c.findings.Grants++
 	case previous != request:
-		c.violation(event, "token %d is given to %s, and was given to %s", event.Token, request, previous)
+		c.violation(event, "token %d is granted to %s, and was granted to %s", event.Token, request, previous)
 	}
 	c.grantedTo[event.Token] = request
 }
--- a/internal/processtest/events.go
+++ b/internal/processtest/events.go
@@ -36,7 +36,7 @@
 )
 
 // harnessName is the process name of events that the harness itself reports.
-const harnessName = "rig"
+const harnessName = "harness"
 
 // Event is a line of the log that all processes share. They stamp events with the machine's monotonic clock, which no fault changes.
 type Event struct {
--- a/internal/processtest/harness.go
+++ b/internal/processtest/harness.go
@@ -34,7 +34,7 @@
 
 const (
 	scheduledLeaseDuration = 1500 * time.Millisecond
-	agentGroup             = "rig"
+	agentGroup             = "processtest"
 )
 
 // Harness runs processes with relays between them and collects their events.
@@ -60,7 +60,7 @@
 	if options.Terms.Interval == 0 {
 		options.Terms, options.LeaseDuration = Terms, scheduledLeaseDuration
 	}
-	directory, err := os.MkdirTemp("", "rig")
+	directory, err := os.MkdirTemp("", "processtest")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/processtest/role.go
+++ b/internal/processtest/role.go
@@ -42,7 +42,7 @@
 )
 
 // errInjected is the error of a disk that was ordered to fail.
-var errInjected = errors.New("a fault that was ordered")
+var errInjected = errors.New("injected disk fault")
 
 // processSettings are what a process of the harness is started with.
 type processSettings struct {
--- a/internal/processtest/schedule.go
+++ b/internal/processtest/schedule.go
@@ -27,7 +27,7 @@
 )
 
 // ErrIdle is the error of a schedule after whose faults no holder acts.
-var ErrIdle = errors.New("nobody acts after the faults")
+var ErrIdle = errors.New("no holder acts after the faults")
 
 // Plan draws faults and their times from the seed of the options.
 func Plan(options Options, length time.Duration, count int) []faultinject.Fault {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -22,14 +22,13 @@
 }
 
 // addRequest records a request of a class that was sent after two seconds and finished one second later.
-func (r *run) addRequest(effect string, result outcome, arrivals ...*arrival) *request {
+func (r *run) addRequest(effect string, result outcome, arrivals ...*arrival) {
 	q := &request{id: testRequest, class: class{name: "test", effect: effect, deadline: 900 * time.Millisecond}}
 	r.record.start(q, 2*time.Second)
 	for _, a := range arrivals {
 		r.record.arrived(q.id, a)
 	}
 	r.record.finish(q, result, 3*time.Second)
-	return q
 }
 
 // arrivalAt returns an arrival at the first backend that ran, from a node that does not say for how long it waits.
