--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -83,56 +83,14 @@
 	}
 	complete := read(t, file)
 	lines := bytes.SplitAfter(complete, []byte("\n"))
-	for _, cut := range []int{0, 5, len(lines[0]), len(lines[0]) + 1, len(lines[0]) + len(lines[1]) + 40, len(complete) / 2, len(complete) - 1, len(complete)} {
+	header, firstRow := len(lines[0]), len(lines[1])
+	cuts := []int{0, 5, header, header + 1, header + firstRow + 40, len(complete) / 2, len(complete) - 1, len(complete)}
+	for _, cut := range cuts {
 		t.Run(fmt.Sprint("truncated at ", cut), func(t *testing.T) {
-			file := filepath.Join(dir, "cut.jsonl")
-			if err := os.WriteFile(file, complete[:cut], 0o644); err != nil {
-				t.Fatal(err)
-			}
-			// Interrupted a second time right after it has resumed: a truncated line must not corrupt what follows.
-			if ctx, stop := context.WithCancel(t.Context()); cut > len(lines[0])+len(lines[1]) && cut < len(complete) {
-				if _, err := RunAll(ctx, cells, hash, file, func(int, int) { stop() }); err != nil && !errors.Is(err, context.Canceled) {
-					t.Fatalf("interrupted again: %v", err)
-				}
-				if _, err := ReadRows(file); err != nil {
-					t.Fatal(err)
-				}
-				if err := os.WriteFile(file, complete[:cut], 0o644); err != nil {
-					t.Fatal(err)
-				}
-			} else {
-				stop()
-			}
-			finished, played := max(bytes.Count(complete[:cut], []byte("\n"))-1, 0), 0
-			if _, err := RunAll(t.Context(), cells, hash, file, func(int, int) { played++ }); err != nil {
-				t.Fatal(err)
-			}
-			if played != len(cells)-finished {
-				t.Errorf("ran %d of %d cells although %d were finished", played, len(cells), finished)
-			}
-			if !bytes.Equal(read(t, file), complete) {
-				t.Error("the file differs from that of an uninterrupted sweep")
-			}
+			testResumeOfTruncated(t, cells, hash, complete, cut)
 		})
 	}
-	t.Run("canceled half-way", func(t *testing.T) {
-		file := filepath.Join(dir, "cancelled.jsonl")
-		ctx, stop := context.WithCancel(t.Context())
-		_, err := RunAll(ctx, cells, hash, file, func(done, _ int) {
-			if done == 5 {
-				stop()
-			}
-		})
-		if !errors.Is(err, context.Canceled) {
-			t.Fatalf("canceled: %v", err)
-		}
-		if n := bytes.Count(read(t, file), []byte("\n")) - 1; n < 5 {
-			t.Errorf("%d cells on disk of 5 finished", n)
-		}
-		if _, err := RunAll(t.Context(), cells, hash, file, nil); err != nil || !bytes.Equal(read(t, file), complete) {
-			t.Errorf("resumed: %v, or other bytes", err)
-		}
-	})
+	t.Run("canceled half-way", func(t *testing.T) { testResumeOfCanceled(t, cells, hash, complete) })
 	t.Run("another sweep's file", func(t *testing.T) {
 		if _, err := RunAll(t.Context(), cells, "other", file, nil); !errors.Is(err, ErrOtherSweep) {
 			t.Errorf("%v", err)
@@ -148,6 +106,61 @@
 	}
 }
 
+// testResumeOfTruncated truncates a complete results file, resumes the sweep and expects the same file.
+func testResumeOfTruncated(t *testing.T, cells []Cell, hash string, complete []byte, cut int) {
+	t.Helper()
+	lines := bytes.SplitAfter(complete, []byte("\n"))
+	file := filepath.Join(t.TempDir(), "cut.jsonl")
+	if err := os.WriteFile(file, complete[:cut], 0o644); err != nil {
+		t.Fatal(err)
+	}
+	// Interrupted a second time right after it has resumed: a truncated line must not corrupt what follows.
+	if ctx, stop := context.WithCancel(t.Context()); cut > len(lines[0])+len(lines[1]) && cut < len(complete) {
+		if _, err := RunAll(ctx, cells, hash, file, func(int, int) { stop() }); err != nil && !errors.Is(err, context.Canceled) {
+			t.Fatalf("interrupted again: %v", err)
+		}
+		if _, err := ReadRows(file); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(file, complete[:cut], 0o644); err != nil {
+			t.Fatal(err)
+		}
+	} else {
+		stop()
+	}
+	finished, played := max(bytes.Count(complete[:cut], []byte("\n"))-1, 0), 0
+	if _, err := RunAll(t.Context(), cells, hash, file, func(int, int) { played++ }); err != nil {
+		t.Fatal(err)
+	}
+	if played != len(cells)-finished {
+		t.Errorf("ran %d of %d cells although %d were finished", played, len(cells), finished)
+	}
+	if !bytes.Equal(read(t, file), complete) {
+		t.Error("the file differs from that of an uninterrupted sweep")
+	}
+}
+
+// testResumeOfCanceled cancels a sweep after five cells, resumes it and expects the same file as of a complete one.
+func testResumeOfCanceled(t *testing.T, cells []Cell, hash string, complete []byte) {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), "canceled.jsonl")
+	ctx, stop := context.WithCancel(t.Context())
+	_, err := RunAll(ctx, cells, hash, file, func(done, _ int) {
+		if done == 5 {
+			stop()
+		}
+	})
+	if !errors.Is(err, context.Canceled) {
+		t.Fatalf("canceled: %v", err)
+	}
+	if n := bytes.Count(read(t, file), []byte("\n")) - 1; n < 5 {
+		t.Errorf("%d cells on disk of 5 finished", n)
+	}
+	if _, err := RunAll(t.Context(), cells, hash, file, nil); err != nil || !bytes.Equal(read(t, file), complete) {
+		t.Errorf("resumed: %v, or other bytes", err)
+	}
+}
+
 func TestSweepErrorsNameTheField(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, says string }{
 		"unknown field":    {`"load.level"`, `"load.levle"`, "load.levle: there is no such field"},
@@ -281,7 +294,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Random choice knows nothing of cold boxes: where most of the fleet is one, it pushes it over.
+	// The random policy ignores slow start: if most of the fleet is warming up, it overloads backends.
 	sc.Fleet.Backends = 3
 	var s *Shrunk
 	seed := uint64(1)
