--- a/cmd/tulipctl/lease.go
+++ b/cmd/tulipctl/lease.go
@@ -21,43 +21,97 @@
 )
 
 func agentsFlag() cli.Flag {
-	return &cli.StringSliceFlag{Name: "agents", Usage: "`ADDRESS` of each agent that may be asked", Sources: cli.EnvVars("TULIP_AGENTS"), Required: true}
+	return &cli.StringSliceFlag{
+		Name:     "agents",
+		Usage:    "`ADDRESS` of an agent, repeatable",
+		Sources:  cli.EnvVars("TULIP_AGENTS"),
+		Required: true,
+	}
 }
 
 func withinFlag() cli.Flag {
-	return &cli.DurationFlag{Name: "within", Value: 5 * time.Second, Usage: "`TIME` for the group to answer in"}
+	return &cli.DurationFlag{Name: "within", Value: 5 * time.Second, Usage: "timeout `TIME` of calls to the agents"}
+}
+
+// agentFlags returns the flags of a sub-command that calls the agents, and those of its own.
+func agentFlags(own ...cli.Flag) []cli.Flag {
+	return append([]cli.Flag{agentsFlag(), withinFlag()}, own...)
 }
 
 func leaseCommand() *cli.Command {
 	name := []cli.Argument{&cli.StringArg{Name: "name", UsageText: "NAME"}}
-	return &cli.Command{Name: "lease", Usage: "leases for tasks of which one, or some, may do one at a time", Commands: []*cli.Command{
-		{Name: "list", Usage: "who holds what", Action: listLeases, Flags: []cli.Flag{agentsFlag(), withinFlag(), jsonFlag}},
-		{Name: "show", Usage: "all that is known of one", ArgsUsage: "NAME", Arguments: name, Action: listLeases,
-			Flags: []cli.Flag{agentsFlag(), withinFlag(), jsonFlag}},
-		{Name: "run", Usage: "hold a lease while a command runs; it is killed when the lease is in doubt", ArgsUsage: "NAME -- COMMAND…", Action: runUnderLease,
-			Flags: []cli.Flag{agentsFlag(), withinFlag(),
-				&cli.DurationFlag{Name: "for", Value: 5 * time.Second, Usage: "`TIME` that the lease lasts without being renewed"},
-				&cli.DurationFlag{Name: "wait", Usage: "`TIME` to wait for it while others hold it"}}},
-		{Name: "release", Usage: "end one by its token; its holder may still be acting", ArgsUsage: "NAME TOKEN", Action: releaseLease,
-			Flags: []cli.Flag{agentsFlag(), withinFlag()}},
-		{Name: "note", Usage: "put another note in the place of the last holder's; empty: none", ArgsUsage: "NAME TEXT", Action: setLeaseNote,
-			Flags: []cli.Flag{agentsFlag(), withinFlag()}},
-		{Name: "slots", Usage: "set how many may hold it at a time", ArgsUsage: "NAME NUMBER", Action: setLeaseSlots,
-			Flags: []cli.Flag{agentsFlag(), withinFlag()}},
+	return &cli.Command{Name: "lease", Usage: "leases for tasks that a limited number of processes may do at a time", Commands: []*cli.Command{
+		{
+			Name:   "list",
+			Usage:  "list leases and their holders",
+			Action: listLeases,
+			Flags:  agentFlags(jsonFlag),
+		},
+		{
+			Name:      "show",
+			Usage:     "show one lease with its note",
+			ArgsUsage: "NAME",
+			Arguments: name,
+			Action:    listLeases,
+			Flags:     agentFlags(jsonFlag),
+		},
+		{
+			Name:      "run",
+			Usage:     "hold a lease while a command runs; the command is killed when the lease becomes uncertain",
+			ArgsUsage: "NAME -- COMMAND…",
+			Action:    runUnderLease,
+			Flags: agentFlags(
+				&cli.DurationFlag{Name: "for", Value: 5 * time.Second, Usage: "`TIME` that the lease lasts without renewal"},
+				&cli.DurationFlag{Name: "wait", Usage: "`TIME` to wait for the lease while others hold it"},
+			),
+		},
+		{
+			Name:      "release",
+			Usage:     "end a lease by its token; its holder may still be acting",
+			ArgsUsage: "NAME TOKEN",
+			Action:    releaseLease,
+			Flags:     agentFlags(),
+		},
+		{
+			Name:      "note",
+			Usage:     "replace the note of the last holder; an empty text removes it",
+			ArgsUsage: "NAME TEXT",
+			Action:    setLeaseNote,
+			Flags:     agentFlags(),
+		},
+		{
+			Name:      "slots",
+			Usage:     "set how many holders a lease may have at a time",
+			ArgsUsage: "NAME NUMBER",
+			Action:    setLeaseSlots,
+			Flags:     agentFlags(),
+		},
 	}}
 }
 
 func agentsCommand() *cli.Command {
-	return &cli.Command{Name: "agents", Usage: "the group that decides on leases", Commands: []*cli.Command{
-		{Name: "status", Usage: "what each agent knows", Action: printAgentStatus, Flags: []cli.Flag{agentsFlag(), withinFlag(), jsonFlag}},
-		{Name: "change", Usage: "add and remove members in one step", Action: changeAgents, Flags: []cli.Flag{agentsFlag(),
-			&cli.DurationFlag{Name: "within", Value: time.Minute, Usage: "`TIME` for who is added to catch up"},
-			&cli.StringSliceFlag{Name: "add", Usage: "`ID=ADDRESS` of a member that joins"},
-			&cli.StringSliceFlag{Name: "remove", Usage: "`ID` of a member that leaves"}}},
+	return &cli.Command{Name: "agents", Usage: "the group of agents that grants leases", Commands: []*cli.Command{
+		{
+			Name:   "status",
+			Usage:  "show the state of each agent",
+			Action: printAgentStatus,
+			Flags:  agentFlags(jsonFlag),
+		},
+		{
+			Name:   "change",
+			Usage:  "add and remove members in one step",
+			Action: changeAgents,
+			Flags: []cli.Flag{
+				agentsFlag(),
+				&cli.DurationFlag{Name: "within", Value: time.Minute, Usage: "`TIME` for new members to catch up"},
+				&cli.StringSliceFlag{Name: "add", Usage: "`ID=ADDRESS` of a new member, repeatable"},
+				&cli.StringSliceFlag{Name: "remove", Usage: "`ID` of a member to remove, repeatable"},
+			},
+		},
 	}}
 }
 
-// agentClient returns a client, and a time for what is asked.
+// agentClient returns a client of the agents, and a context that ends after --within.
 func agentClient(ctx context.Context, cmd *cli.Command) (*agent.Client, context.Context, context.CancelFunc) {
 	ctx, stop := context.WithTimeout(ctx, cmd.Duration("within"))
 	return agent.NewClient(cmd.StringSlice("agents"), nil), ctx, stop
@@ -81,14 +135,15 @@
 		return printJSON(cmd.Root().Writer, v.Leases)
 	}
 	t := table(cmd)
-	fmt.Fprintln(t, "name\tseat\tholder\ttoken\tends within\tseats")
+	writeln(t, "name\tslot\tholder\ttoken\texpires within\tslots")
 	for _, l := range v.Leases {
 		for _, g := range l.Grants {
-			// From one tick at once to all of them by a slow clock.
-			fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%v\t%d\n", l.Name, g.Slot, g.Holder, g.Token, time.Duration(g.ExpiresAt-v.Tick)*v.Terms.Interval, l.MaxHolders)
+			// An upper bound: this client does not know how much of the current tick has passed.
+			expiresWithin := time.Duration(g.ExpiresAt-v.Tick) * v.Terms.Interval
+			writef(t, "%s\t%d\t%s\t%d\t%v\t%d\n", l.Name, g.Slot, g.Holder, g.Token, expiresWithin, l.MaxHolders)
 		}
 		if len(l.Grants) == 0 {
-			fmt.Fprintf(t, "%s\t-\t-\t-\t-\t%d\n", l.Name, l.MaxHolders)
+			writef(t, "%s\t-\t-\t-\t-\t%d\n", l.Name, l.MaxHolders)
 		}
 	}
 	if err := t.Flush(); err != nil {
@@ -96,7 +151,7 @@
 	}
 	for _, l := range v.Leases {
 		if cmd.Name == "show" && l.Note != "" {
-			fmt.Fprintf(cmd.Root().Writer, "note: %s\n", l.Note)
+			writef(cmd.Root().Writer, "note: %s\n", l.Note)
 		}
 	}
 	if cmd.Name == "show" && len(v.Leases) == 0 {
@@ -105,9 +160,12 @@
 	return nil
 }
 
-// margin is how long before a lease may end nothing is begun, and nothing of what was begun is left.
+// margin is how long before the earliest end of a lease all actions under it must have ended.
 const margin = 200 * time.Millisecond
 
+// leaseRetryInterval is the time between two requests for a lease that others hold.
+const leaseRetryInterval = 200 * time.Millisecond
+
 func runUnderLease(ctx context.Context, cmd *cli.Command) error {
 	args := cmd.Args().Slice()
 	if len(args) > 1 && args[1] == "--" {
@@ -116,28 +174,22 @@
 	if len(args) < 2 {
 		return errors.New("lease run: NAME -- COMMAND, please")
 	}
-	if least := 2*deadlineexec.TerminationNotice + margin; cmd.Duration("for") < least {
-		return fmt.Errorf("--for: %v is below %v", cmd.Duration("for"), least)
-	}
-	within, again := cmd.Duration("within"), time.Duration(0)
-	if wait := cmd.Duration("wait"); wait > 0 {
-		within, again = max(within, wait), 200*time.Millisecond
+	if shortest := 2*deadlineexec.TerminationNotice + margin; cmd.Duration("for") < shortest {
+		return fmt.Errorf("--for: %v is below %v", cmd.Duration("for"), shortest)
 	}
 	c := agent.NewClient(cmd.StringSlice("agents"), nil)
-	asked, stop := context.WithTimeout(ctx, within)
-	l, err := agent.Acquire(asked, c, agent.LeaseOptions{Name: args[0], Duration: cmd.Duration("for"), Margin: margin, RetryInterval: again})
-	stop()
+	l, err := acquireLease(ctx, cmd, c, args[0], leaseRetryInterval)
 	if err != nil {
 		return negativeAnswer("lease %s: %v", args[0], err)
 	}
 	err = underLease(ctx, cmd, l, nil, args[1:])
-	releaseWithin(ctx, cmd, l, within)
+	releaseWithin(ctx, cmd, l, max(cmd.Duration("within"), cmd.Duration("wait")))
 	if errors.Is(err, deadlineexec.ErrKilled) {
-		why := l.Reason()
+		reason := l.Reason()
 		if ctx.Err() != nil {
-			why = errors.New("interrupted")
+			reason = errors.New("interrupted")
 		}
-		return negativeAnswer("lease %s: %v: the command was ended", args[0], why)
+		return negativeAnswer("lease %s: %v: the command was ended", args[0], reason)
 	}
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
@@ -146,7 +198,20 @@
 	return err
 }
 
-// releaseWithin lets a lease go, unless it ends by itself.
+// acquireLease acquires a lease by the flags --within, --wait and --for. With --wait it retries while others hold it.
+func acquireLease(ctx context.Context, cmd *cli.Command, c *agent.Client, name string, retryInterval time.Duration) (*agent.Lease, error) {
+	within, wait := cmd.Duration("within"), cmd.Duration("wait")
+	options := agent.LeaseOptions{Name: name, Duration: cmd.Duration("for"), Margin: margin}
+	if wait > 0 {
+		within = max(within, wait)
+		options.RetryInterval = retryInterval
+	}
+	ctx, stop := context.WithTimeout(ctx, within)
+	defer stop()
+	return agent.Acquire(ctx, c, options)
+}
+
+// releaseWithin releases a lease, unless it has ended.
 func releaseWithin(ctx context.Context, cmd *cli.Command, l *agent.Lease, within time.Duration) {
 	if l.Reason() != nil {
 		return
@@ -154,34 +219,39 @@
 	release, stop := context.WithTimeout(context.WithoutCancel(ctx), within)
 	defer stop()
 	if err := l.Release(release); err != nil {
-		fmt.Fprintln(cmd.Root().ErrWriter, "tulipctl: the lease was not released, and ends by itself:", err)
+		writeln(cmd.Root().ErrWriter, "tulipctl: the lease was not released, and ends by itself:", err)
 	}
 }
 
-// underLease runs a command that is over before the lease may end, whatever becomes of this process.
+// underLease runs a command that ends before the lease may end, even if this process is stopped.
 func underLease(ctx context.Context, cmd *cli.Command, l *agent.Lease, env, args []string) error {
-	g, _ := l.Grant()
-	till := func() time.Duration { return agent.Clock() + l.Remaining() - margin }
-	p, err := deadlineexec.Start(till(), append(append(os.Environ(), "TULIP_LEASE="+g.Name, fmt.Sprint("TULIP_LEASE_SEAT=", g.Slot),
-		fmt.Sprint("TULIP_LEASE_TOKEN=", g.Token)), env...), cmd.Root().Writer, cmd.Root().ErrWriter, args...)
+	grant, _ := l.Grant()
+	deadline := func() time.Duration { return agent.Clock() + l.Remaining() - margin }
+	leaseEnv := []string{
+		"TULIP_LEASE=" + grant.Name,
+		fmt.Sprint("TULIP_LEASE_SEAT=", grant.Slot),
+		fmt.Sprint("TULIP_LEASE_TOKEN=", grant.Token),
+	}
+	allEnv := slices.Concat(os.Environ(), leaseEnv, env)
+	p, err := deadlineexec.Start(deadline(), allEnv, cmd.Root().Writer, cmd.Root().ErrWriter, args...)
 	if err != nil {
 		return err
 	}
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
 		for {
 			select {
-			case <-over:
+			case <-ended:
 				return
 			case <-ctx.Done():
 				p.End()
 				return
 			case <-time.After(100 * time.Millisecond):
-				p.Until(till())
+				p.Until(deadline())
 			}
 		}
 	}()
-	defer close(over)
+	defer close(ended)
 	return p.Wait()
 }
 
@@ -215,14 +285,14 @@
 }
 
 func setLeaseSlots(ctx context.Context, cmd *cli.Command) error {
-	most, err := strconv.Atoi(cmd.Args().Get(1))
+	maxHolders, err := strconv.Atoi(cmd.Args().Get(1))
 	if err != nil {
-		return errors.New("lease seats: NAME NUMBER, please")
+		return errors.New("lease slots: NAME NUMBER, please")
 	}
 	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
-	if _, err := c.Do(ctx, "most", lease.Command{Name: cmd.Args().Get(0), MaxHolders: most}); err != nil {
-		return negativeAnswer("lease seats: %v", err)
+	if _, err := c.Do(ctx, "most", lease.Command{Name: cmd.Args().Get(0), MaxHolders: maxHolders}); err != nil {
+		return negativeAnswer("lease slots: %v", err)
 	}
 	return nil
 }
@@ -236,14 +306,17 @@
 		consensus.Status
 	}
 	var all []line
-	led, of := 0, 0
+	knowLeader, memberCount := 0, 0
 	for _, a := range cmd.StringSlice("agents") {
 		v, err := c.Status(ctx, a)
 		l := line{Address: a, Status: v}
 		if err != nil {
 			l.Error = err.Error()
-		} else if of = max(of, len(v.Members)); v.Leader != 0 {
-			led++
+		} else {
+			memberCount = max(memberCount, len(v.Members))
+			if v.Leader != 0 {
+				knowLeader++
+			}
 		}
 		all = append(all, l)
 	}
@@ -253,20 +326,20 @@
 		}
 	} else {
 		t := table(cmd)
-		fmt.Fprintln(t, "agent\tid\tleader\tterm\tapplied\tmembers\tproblem")
+		writeln(t, "agent\tid\tleader\tterm\tapplied\tmembers\tproblem")
 		for _, l := range all {
 			var members []string
 			for _, id := range slices.Sorted(maps.Keys(l.Members)) {
 				members = append(members, fmt.Sprintf("%d=%s", id, l.Members[id]))
 			}
-			fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\t%s\n", l.Address, l.ID, l.Leader, l.Term, l.Applied, strings.Join(members, " "), l.Error)
+			writef(t, "%s\t%d\t%d\t%d\t%d\t%s\t%s\n", l.Address, l.ID, l.Leader, l.Term, l.Applied, strings.Join(members, " "), l.Error)
 		}
 		if err := t.Flush(); err != nil {
 			return err
 		}
 	}
-	if 2*led <= of || of == 0 {
-		return negativeAnswer("%d agents that answer know a leader, of %d members: no majority is seen from here", led, of)
+	if 2*knowLeader <= memberCount || memberCount == 0 {
+		return negativeAnswer("%d agents that answer know a leader, of %d members: no majority is seen from here", knowLeader, memberCount)
 	}
 	return nil
 }
--- a/cmd/tulipctl/legacy.go
+++ b/cmd/tulipctl/legacy.go
@@ -26,10 +26,14 @@
 	{[]string{"load", "find"}, "--refused", "--rejected"},
 	{[]string{"load", "find"}, "--sure", "--confirmations"},
 	{[]string{"simulate", "cost"}, "--hosts", "--endpoints"},
+	{[]string{"simulate", "processes"}, "--at-once", "--parallel"},
+	{[]string{"rollout"}, "--at-once", "--max-unavailable"},
+	{[]string{"rollout"}, "--settle", "--drain-delay"},
+	{[]string{"rollout"}, "--up", "--ready-timeout"},
 }
 
-// translateLegacyNames replaces names of earlier versions in a command line by those in use. What follows "--" belongs to another program
-// and stays as it is.
+// translateLegacyNames replaces names of earlier versions in a command line by the current ones. Arguments after "--" belong
+// to another program and stay as they are.
 func translateLegacyNames(args []string) []string {
 	if len(args) < 2 {
 		return args
--- a/cmd/tulipctl/main.go
+++ b/cmd/tulipctl/main.go
@@ -3,7 +3,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -14,34 +13,36 @@
 	"strings"
 	"syscall"
 
-	"github.com/schollz/progressbar/v3"
 	"github.com/urfave/cli/v3"
-	"golang.org/x/term"
 
 	"tulipglade/internal/agent"
 	"tulipglade/internal/deadlineexec"
 	"tulipglade/internal/processtest"
 )
 
-// What the program exits with.
+// Exit statuses.
 const (
-	exitDone     = 0
-	exitNo       = 1 // it was done, and the answer is no
-	exitNotBegun = 2 // it could not start: an argument or a file is wrong
-	exitInvalid  = 3 // it was measured, but the measurement does not count
+	exitSuccess  = 0
+	exitNegative = 1 // the command ran, and the answer is no
+	exitUsage    = 2 // the command could not start: an argument or a file is wrong
+	exitInvalid  = 3 // the measurement is not valid
 )
 
-// exitError is an error that carries the exit status of what was found, not of what could not be started.
+// exitError is an error with the exit status of a command that ran. Other errors exit with exitUsage.
 type exitError struct {
 	code int
 	err  error
 }
 
-func (a *exitError) Error() string { return a.err.Error() }
-func (a *exitError) Unwrap() error { return a.err }
+// Error returns the text of the wrapped error.
+func (e *exitError) Error() string { return e.err.Error() }
 
+// Unwrap returns the wrapped error.
+func (e *exitError) Unwrap() error { return e.err }
+
+// negativeAnswer returns the error of a command whose answer is no.
 func negativeAnswer(format string, args ...any) error {
-	return &exitError{exitNo, fmt.Errorf(format, args...)}
+	return &exitError{exitNegative, fmt.Errorf(format, args...)}
 }
 
 func main() {
@@ -55,11 +56,19 @@
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	root := &cli.Command{
 		Name:           "tulipctl",
-		Usage:          "try, load and manage tulipglade nodes",
+		Usage:          "simulate, load-test and operate tulipglade nodes",
 		Writer:         stdout,
 		ErrWriter:      stderr,
-		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // the exit status is chosen below
-		Commands:       []*cli.Command{agentsCommand(), demoCommand(), simulateCommand(), leaseCommand(), loadCommand(), rolloutCommand(), clusterCommand()},
+		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // the exit status is returned below
+		Commands: []*cli.Command{
+			agentsCommand(),
+			demoCommand(),
+			simulateCommand(),
+			leaseCommand(),
+			loadCommand(),
+			rolloutCommand(),
+			clusterCommand(),
+		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if name := cmd.Args().First(); name != "" {
 				return fmt.Errorf("there is no command %q; see tulipctl --help", name)
@@ -69,41 +78,18 @@
 	}
 	err := root.Run(ctx, translateLegacyNames(args))
 	if err == nil {
-		return exitDone
-	}
-	fmt.Fprintln(stderr, "tulipctl:", strings.TrimSpace(err.Error()))
-	var a *exitError
-	if errors.As(err, &a) {
-		return a.code
-	}
-	return exitNotBegun
-}
-
-var jsonFlag = &cli.BoolFlag{Name: "json", Usage: "print JSON instead of a table"}
-
-func printJSON(w io.Writer, v any) error {
-	enc := json.NewEncoder(w)
-	enc.SetIndent("", "  ")
-	return enc.Encode(v)
-}
-
-// progress returns a function that shows how far a long command is: a bar on a terminal, else nothing.
-func progress(w io.Writer, what string) func(done, all int) {
-	f, ok := w.(*os.File)
-	if !ok || !term.IsTerminal(int(f.Fd())) {
-		return nil
+		return exitSuccess
 	}
-	var bar *progressbar.ProgressBar
-	return func(done, all int) {
-		if bar == nil {
-			bar = progressbar.NewOptions(all, progressbar.OptionSetWriter(w), progressbar.OptionSetDescription(what),
-				progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
-		}
-		_ = bar.Set(done) // a bar that cannot be drawn is no reason to stop
+	writeln(stderr, "tulipctl:", strings.TrimSpace(err.Error()))
+	var exit *exitError
+	if errors.As(err, &exit) {
+		return exit.code
 	}
+	return exitUsage
 }
 
-// scheduleFlags reads --schedules and --without of a command that plays schedules; parts are by name, and "" is none left out.
+// scheduleFlags reads --schedules and --without of a command that runs schedules. The parts that can be left out are given
+// by name; the empty name stands for none.
 func scheduleFlags[T any](cmd *cli.Command, parts map[string]T) (schedules int, without T, err error) {
 	schedules = cmd.Int("schedules")
 	if schedules < 1 {
--- a/cmd/tulipctl/main_test.go
+++ b/cmd/tulipctl/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -21,12 +22,12 @@
 		// status COMMAND... prints the exit status of tulipctl, so that a script can tell 1 from 2.
 		"status": func() {
 			code := run(context.Background(), append([]string{"tulipctl"}, os.Args[1:]...), os.Stdout, os.Stderr)
-			os.Stdout.WriteString("status " + string(rune('0'+code)) + "\n")
+			fmt.Printf("status %d\n", code)
 		},
 	})
 }
 
-// buildNode leaves the node's program in a folder of the test's.
+// buildNode builds the node's program in a temporary directory.
 func buildNode(t *testing.T) string {
 	t.Helper()
 	node := filepath.Join(t.TempDir(), "tulipglade")
--- a/cmd/tulipctl/rollout.go
+++ b/cmd/tulipctl/rollout.go
@@ -19,39 +19,54 @@
 )
 
 func rolloutCommand() *cli.Command {
-	return &cli.Command{Name: "rollout", Usage: "change nodes site by site, a few at a time; whoever holds the lease goes on where the one before died",
-		ArgsUsage: "-- COMMAND…", Action: runRollout, Flags: []cli.Flag{agentsFlag(),
+	return &cli.Command{
+		Name:      "rollout",
+		Usage:     "run a command for all nodes, site by site and a few at a time; a new lease holder resumes",
+		ArgsUsage: "-- COMMAND…",
+		Action:    runRollout,
+		Flags: []cli.Flag{
+			agentsFlag(),
 			&cli.StringFlag{Name: "nodes", Usage: "`FILE` of the fleet: [[node]] name, site, operator, listen", Required: true},
-			&cli.StringFlag{Name: "change", Usage: "`NAME` of this change: the same for whoever may take over", Required: true},
-			&cli.IntFlag{Name: "at-once", Value: 1, Usage: "`N` nodes of one site away at a time"},
+			&cli.StringFlag{Name: "change", Usage: "`NAME` of this change: the same for all who may resume it", Required: true},
+			&cli.IntFlag{Name: "max-unavailable", Value: 1, Usage: "at most `N` nodes of one site out of service at a time"},
 			&cli.StringFlag{Name: "lease", Value: "roll", Usage: "`NAME` of the lease"},
-			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "`TIME` that the lease lasts without being renewed"},
-			&cli.DurationFlag{Name: "wait", Usage: "`TIME` to wait for the lease while another holds it, to take over"},
-			&cli.DurationFlag{Name: "settle", Value: 5 * time.Second, Usage: "`TIME` from a node's standby to the command: for clients to go"},
-			&cli.DurationFlag{Name: "up", Value: time.Minute, Usage: "`TIME` for a node to serve after the command"},
-			withinFlag()}}
+			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "`TIME` that the lease lasts without renewal"},
+			&cli.DurationFlag{Name: "wait", Usage: "`TIME` to wait for the lease while another process holds it, to resume its rollout"},
+			&cli.DurationFlag{Name: "drain-delay", Value: 5 * time.Second, Usage: "`TIME` from a node's standby to the command, for clients to move"},
+			&cli.DurationFlag{Name: "ready-timeout", Value: time.Minute, Usage: "`TIME` within which a node must serve after the command"},
+			withinFlag(),
+		},
+	}
 }
 
-// callWithin is the longest that a call to a node may take, from its check to its end there.
+// callWithin is the longest time that a call to a node may take, from the check of the lease to its effect on the node.
 const callWithin = 1500 * time.Millisecond
 
-// roller carries out what a Roll says.
-type roller struct {
-	cmd  *cli.Command
-	l    *agent.Lease
-	args []string
-	http *http.Client
-	mu   sync.Mutex // of the notes, which are to arrive in order
-	roll *rollout.Rollout
+const (
+	rolloutRetryInterval = 300 * time.Millisecond // between two requests for the lease
+	pollInterval         = 50 * time.Millisecond  // between two polls of a node's state
+	maxReadyPolls        = 100
+	maxPutAttempts       = 5
+	putRetryInterval     = 200 * time.Millisecond
+)
+
+// rolloutRunner performs the tasks of a rollout under a lease.
+type rolloutRunner struct {
+	cmd     *cli.Command
+	lease   *agent.Lease
+	args    []string
+	http    *http.Client
+	mu      sync.Mutex // guards rollout, and keeps the notes of the lease in order
+	rollout *rollout.Rollout
 }
 
 func runRollout(ctx context.Context, cmd *cli.Command) error {
 	args := cmd.Args().Slice()
 	if len(args) == 0 {
-		return errors.New("roll: -- COMMAND, please")
+		return errors.New("rollout: -- COMMAND, please")
 	}
-	if cmd.Int("at-once") < 1 {
-		return fmt.Errorf("--at-once: %d is below 1", cmd.Int("at-once"))
+	if cmd.Int("max-unavailable") < 1 {
+		return fmt.Errorf("--max-unavailable: %d is below 1", cmd.Int("max-unavailable"))
 	}
 	var fleet struct {
 		Node []rollout.Node `toml:"node"`
@@ -62,35 +77,34 @@
 	if url.QueryEscape(cmd.String("lease")) != cmd.String("lease") {
 		return fmt.Errorf("--lease: %q does not go into a node's call as it is", cmd.String("lease"))
 	}
-	if _, err := rollout.New(fleet.Node, cmd.Int("at-once"), cmd.String("change"), ""); err != nil {
+	if _, err := rollout.New(fleet.Node, cmd.Int("max-unavailable"), cmd.String("change"), ""); err != nil {
 		return fmt.Errorf("%s: %w", cmd.String("nodes"), err)
 	}
 	c := agent.NewClient(cmd.StringSlice("agents"), nil)
-	within, again := cmd.Duration("within"), time.Duration(0)
-	if wait := cmd.Duration("wait"); wait > 0 {
-		within, again = max(within, wait), 300*time.Millisecond
-	}
-	asked, stop := context.WithTimeout(ctx, within)
-	l, err := agent.Acquire(asked, c, agent.LeaseOptions{Name: cmd.String("lease"), Duration: cmd.Duration("for"), Margin: margin, RetryInterval: again})
-	stop()
+	l, err := acquireLease(ctx, cmd, c, cmd.String("lease"), rolloutRetryInterval)
 	if err != nil {
-		return negativeAnswer("roll: lease %s: %v", cmd.String("lease"), err)
+		return negativeAnswer("rollout: lease %s: %v", cmd.String("lease"), err)
 	}
 	defer releaseWithin(ctx, cmd, l, cmd.Duration("within"))
 	note, err := readNote(ctx, c, l, cmd.Duration("within"))
 	if err != nil {
-		return negativeAnswer("roll: %v", err)
+		return negativeAnswer("rollout: %v", err)
 	}
-	r := &roller{cmd: cmd, l: l, args: args, http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}}
-	if r.roll, err = rollout.New(fleet.Node, cmd.Int("at-once"), cmd.String("change"), note); err != nil {
-		return negativeAnswer("roll: %v; finish that first, or end it: tulipctl lease note %s \"\"", err, cmd.String("lease"))
+	r := &rolloutRunner{
+		cmd:   cmd,
+		lease: l,
+		args:  args,
+		http:  &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second},
 	}
-	// Nodes that are done learn of this holder, so that they refuse the one before, should it go on.
+	if r.rollout, err = rollout.New(fleet.Node, cmd.Int("max-unavailable"), cmd.String("change"), note); err != nil {
+		return negativeAnswer("rollout: %v; finish that first, or end it: tulipctl lease note %s \"\"", err, cmd.String("lease"))
+	}
+	// Finished nodes learn the new token, so that they reject the former holder if it is still running.
 	for _, n := range fleet.Node {
-		for _, name := range r.roll.Finished() {
+		for _, name := range r.rollout.Finished() {
 			if n.Name == name && note != "" {
 				if err := r.put(ctx, n, "active"); err != nil {
-					return negativeAnswer("roll: %v", err)
+					return negativeAnswer("rollout: %v", err)
 				}
 			}
 		}
@@ -98,7 +112,7 @@
 	return r.runAll(ctx, len(fleet.Node))
 }
 
-// readNote is what the holder before has left.
+// readNote returns the note of the former holder.
 func readNote(ctx context.Context, c *agent.Client, l *agent.Lease, within time.Duration) (string, error) {
 	ctx, stop := context.WithTimeout(ctx, within)
 	defer stop()
@@ -115,117 +129,145 @@
 	return "", agent.ErrUncertain
 }
 
-// runAll goes on until there is nothing left to do, or something has failed.
-func (r *roller) runAll(ctx context.Context, of int) error {
-	type end struct {
+// runAll performs tasks until none is left or one has failed.
+func (r *rolloutRunner) runAll(ctx context.Context, nodeCount int) error {
+	type result struct {
 		rollout.Task
 		err error
 	}
-	ends := make(chan end)
+	results := make(chan result)
 	var failed error
 	for {
 		r.mu.Lock()
-		tasks := r.roll.Next()
+		tasks := r.rollout.Next()
 		r.mu.Unlock()
 		if err := r.note(ctx, func() {}); err != nil {
 			failed = errors.Join(failed, err)
 			r.mu.Lock()
 			for _, t := range tasks {
-				r.roll.Failed(t.Name)
+				r.rollout.Failed(t.Name)
 			}
 			r.mu.Unlock()
 			tasks = nil
 		}
 		for _, t := range tasks {
-			go func() { ends <- end{t, r.runNode(ctx, t)} }()
+			go func() { results <- result{t, r.runNode(ctx, t)} }()
 		}
 		if r.running() == 0 {
 			break
 		}
-		e := <-ends
+		finished := <-results
 		r.mu.Lock()
-		if e.err != nil {
-			failed = errors.Join(failed, fmt.Errorf("%s: %w", e.Name, e.err))
-			r.roll.Failed(e.Name)
+		if finished.err != nil {
+			failed = errors.Join(failed, fmt.Errorf("%s: %w", finished.Name, finished.err))
+			r.rollout.Failed(finished.Name)
 		} else {
-			r.roll.Done(e.Name)
-			fmt.Fprintf(r.cmd.Root().Writer, "%s: done, %d of %d\n", e.Name, len(r.roll.Finished()), of)
+			r.rollout.Done(finished.Name)
+			writef(r.cmd.Root().Writer, "%s: done, %d of %d\n", finished.Name, len(r.rollout.Finished()), nodeCount)
 		}
 		r.mu.Unlock()
 	}
 	if failed != nil {
-		return negativeAnswer("roll: %v; what was begun is written down: the same command goes on", failed)
+		return negativeAnswer("rollout: %v; what was begun is written down: the same command goes on", failed)
 	}
-	fmt.Fprintf(r.cmd.Root().Writer, "%s: all %d nodes are done\n", r.cmd.String("change"), of)
+	writef(r.cmd.Root().Writer, "%s: all %d nodes are done\n", r.cmd.String("change"), nodeCount)
 	return nil
 }
 
-func (r *roller) running() int {
+func (r *rolloutRunner) running() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.roll.Running()
+	return r.rollout.Running()
 }
 
-// note changes the roll, and writes it down before it returns.
-func (r *roller) note(ctx context.Context, change func()) error {
+// note changes the rollout's state, and stores it in the lease's note before it returns.
+func (r *rolloutRunner) note(ctx context.Context, change func()) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change()
-	if why := r.l.Reason(); why != nil {
-		return why
+	if reason := r.lease.Reason(); reason != nil {
+		return reason
 	}
 	ctx, stop := context.WithTimeout(ctx, r.cmd.Duration("within"))
 	defer stop()
-	return r.l.Note(ctx, r.roll.Note())
+	return r.lease.Note(ctx, r.rollout.Note())
 }
 
-// runNode takes one node through what is left of its steps.
-func (r *roller) runNode(ctx context.Context, t rollout.Task) error {
-	fmt.Fprintf(r.cmd.Root().Writer, "%s: %s%s\n", t.Name, t.Step, map[bool]string{true: ", taken over"}[t.Retry])
+// runNode performs what is left of one node's steps.
+func (r *rolloutRunner) runNode(ctx context.Context, t rollout.Task) error {
+	out := r.cmd.Root().Writer
+	writef(out, "%s: %s%s\n", t.Name, t.Step, map[bool]string{true: ", taken over"}[t.Retry])
 	step := t.Step
 	if t.Retry && step == rollout.Change {
-		if step = r.currentStep(ctx, t.Node); step == rollout.Resume {
-			fmt.Fprintf(r.cmd.Root().Writer, "%s: it has had the command\n", t.Name)
+		step = r.currentStep(ctx, t.Node)
+		if step == rollout.Resume {
+			writef(out, "%s: it has had the command\n", t.Name)
 		}
 	}
 	if step == rollout.Standby {
-		if err := r.put(ctx, t.Node, "standby"); err != nil && !t.Retry { // of one that died meanwhile the command makes a new one
-			return err
-		}
-		if err := pause(ctx, r.cmd.Duration("settle")); err != nil {
-			return err
-		}
-		if err := r.note(ctx, func() { r.roll.Reached(t.Name, rollout.Change) }); err != nil {
+		if err := r.standBy(ctx, t); err != nil {
 			return err
 		}
 		step = rollout.Change
 	}
 	if step == rollout.Change {
-		if _, err := r.l.BeginAction(0); err != nil {
-			return err
-		}
-		if err := underLease(ctx, r.cmd, r.l, []string{"TULIP_NODE=" + t.Name, "TULIP_SITE=" + t.Site, "TULIP_OPERATOR=" + t.Admin,
-			"TULIP_LISTEN=" + t.Listen}, r.args); err != nil {
-			return fmt.Errorf("command: %w", err)
-		}
-		if err := r.note(ctx, func() { r.roll.Reached(t.Name, rollout.Resume) }); err != nil {
+		if err := r.change(ctx, t); err != nil {
 			return err
 		}
 	}
-	for till := time.Now().Add(r.cmd.Duration("up")); !r.succeeds(ctx, "GET", "http://"+t.Admin+"/status"); {
-		if time.Now().After(till) {
-			return fmt.Errorf("it does not serve within %v after the command", r.cmd.Duration("up"))
+	if err := r.awaitServing(ctx, t); err != nil {
+		return err
+	}
+	return r.put(ctx, t.Node, "active")
+}
+
+// standBy takes a node out of service, and waits for its clients to move.
+func (r *rolloutRunner) standBy(ctx context.Context, t rollout.Task) error {
+	err := r.put(ctx, t.Node, "standby")
+	if err != nil && !t.Retry { // on a retry the process may have ended; the command replaces it
+		return err
+	}
+	if err := pause(ctx, r.cmd.Duration("drain-delay")); err != nil {
+		return err
+	}
+	return r.note(ctx, func() { r.rollout.Reached(t.Name, rollout.Change) })
+}
+
+// change runs the command for a node.
+func (r *rolloutRunner) change(ctx context.Context, t rollout.Task) error {
+	if _, err := r.lease.BeginAction(0); err != nil {
+		return err
+	}
+	env := []string{
+		"TULIP_NODE=" + t.Name,
+		"TULIP_SITE=" + t.Site,
+		"TULIP_OPERATOR=" + t.Admin,
+		"TULIP_LISTEN=" + t.Listen,
+	}
+	if err := underLease(ctx, r.cmd, r.lease, env, r.args); err != nil {
+		return fmt.Errorf("command: %w", err)
+	}
+	return r.note(ctx, func() { r.rollout.Reached(t.Name, rollout.Resume) })
+}
+
+// awaitServing waits until a node answers at its admin address.
+func (r *rolloutRunner) awaitServing(ctx context.Context, t rollout.Task) error {
+	timeout := r.cmd.Duration("ready-timeout")
+	deadline := time.Now().Add(timeout)
+	for !r.succeeds(ctx, "GET", "http://"+t.Admin+"/status") {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("it does not serve within %v after the command", timeout)
 		}
-		if err := pause(ctx, 50*time.Millisecond); err != nil {
+		if err := pause(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
-	return r.put(ctx, t.Node, "active")
+	return nil
 }
 
-// currentStep finds out whether a node has had the command whose caller died: a standby does not outlive the process.
-func (r *roller) currentStep(ctx context.Context, n rollout.Node) rollout.Step {
-	for range 100 { // what has just been started needs its list of backends first
+// currentStep finds out whether the command of a former holder has run on a node: standby ends with the node's process.
+func (r *rolloutRunner) currentStep(ctx context.Context, n rollout.Node) rollout.Step {
+	for range maxReadyPolls { // a new process needs its endpoint list before it is ready
 		switch {
 		case !r.succeeds(ctx, "GET", "http://"+n.Admin+"/status"):
 		case r.succeeds(ctx, "GET", "http://"+n.Listen+"/ready"):
@@ -233,7 +275,7 @@
 		default:
 			return rollout.Change
 		}
-		if pause(ctx, 50*time.Millisecond) != nil {
+		if pause(ctx, pollInterval) != nil {
 			break
 		}
 	}
@@ -249,12 +291,12 @@
 	}
 }
 
-func (r *roller) succeeds(ctx context.Context, method, url string) bool {
+func (r *rolloutRunner) succeeds(ctx context.Context, method, url string) bool {
 	status, _, err := r.call(ctx, method, url)
 	return err == nil && status == 200
 }
 
-func (r *roller) call(ctx context.Context, method, url string) (status int, text string, err error) {
+func (r *rolloutRunner) call(ctx context.Context, method, url string) (status int, text string, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, http.NoBody)
 	if err != nil {
 		return 0, "", err
@@ -263,16 +305,16 @@
 	if err != nil {
 		return 0, "", err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // the body has been read or the read's error is returned
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, 4096))
 	return resp.StatusCode, string(raw), err
 }
 
-// put makes an operator's call under the lease; it is repeated for a while where the node does not answer.
-func (r *roller) put(ctx context.Context, n rollout.Node, what string) error {
+// put calls a node's admin address under the lease, and retries for a while if the node does not answer.
+func (r *rolloutRunner) put(ctx context.Context, n rollout.Node, what string) error {
 	var last error
-	for range 5 {
-		g, err := r.l.BeginAction(callWithin)
+	for range maxPutAttempts {
+		g, err := r.lease.BeginAction(callWithin)
 		if err != nil {
 			return err
 		}
@@ -286,7 +328,7 @@
 			err = fmt.Errorf("status %d: %s", status, text)
 		}
 		last = fmt.Errorf("PUT /%s: %w", what, err)
-		if err := pause(ctx, 200*time.Millisecond); err != nil {
+		if err := pause(ctx, putRetryInterval); err != nil {
 			return err
 		}
 	}
--- /dev/null
+++ b/cmd/tulipctl/simulate_failover.go
@@ -0,0 +1,69 @@
+package main
+
+import (
+	"context"
+
+	"github.com/urfave/cli/v3"
+
+	"tulipglade/internal/simulation/failoversim"
+)
+
+func simulateFailoverCommand() *cli.Command {
+	return &cli.Command{
+		Name:   "failover",
+		Usage:  "simulate failover between zones; exit 1 if an invariant is violated",
+		Action: simulateFailover,
+		Flags: []cli.Flag{
+			seedFlag(),
+			schedulesFlag(5000),
+			&cli.StringFlag{Name: "without", Usage: "leave out a safeguard, `PART`: token, rate, fade or plans"},
+			jsonFlag,
+		},
+	}
+}
+
+func simulateFailover(ctx context.Context, cmd *cli.Command) error {
+	schedules, without, err := scheduleFlags(cmd, map[string]failoversim.Without{
+		"":      {},
+		"token": {Token: true},
+		"rate":  {Rate: true},
+		"fade":  {Fade: true},
+		"plans": {Plans: true},
+	})
+	if err != nil {
+		return err
+	}
+	outcome, err := failoversim.Many(ctx, cmd.Uint64("seed"), schedules, without)
+	if err != nil {
+		return err
+	}
+	if cmd.Bool("json") {
+		err = printJSON(cmd.Root().Writer, outcome)
+	} else {
+		t := table(cmd)
+		printCounters(t, []counter{
+			{"schedules", outcome.Schedules},
+			{"events", outcome.Events},
+			{"plans", outcome.Plans},
+			{"failover leaders", outcome.Directors},
+			{"schedules in which all failover leaders stop", outcome.Died},
+			{"plans rejected because a newer one was in effect", outcome.Rejected},
+			{"changes of direction", outcome.Turns},
+			{"PLANS APPLIED AFTER NEWER ONES", outcome.Backwards},
+			{"ZONES THAT GREW FASTER THAN ALLOWED", outcome.Jumps},
+			{"PLANS THAT EXPIRED WITHOUT A FADE", outcome.Cliffs},
+		})
+		writef(t, "value served, of the optimum's, from 10 s after each event\t%.4f\n", outcome.ServedValue)
+		writef(t, "the same over the whole time\t%.4f\n", outcome.Whole)
+		writef(t, "the same when all failover leaders have stopped\t%.4f\n", outcome.Alone)
+		writef(t, "traffic between zones from 10 s after each event, and the optimum's\t%.4f, %.4f\n", outcome.Crossing, outcome.Needed)
+		err = t.Flush()
+	}
+	if err != nil {
+		return err
+	}
+	if outcome.Broken() > 0 {
+		return negativeAnswer("invariants are violated %d times, first by schedule %d", outcome.Broken(), outcome.First)
+	}
+	return nil
+}
--- a/cmd/tulipctl/survey_test.go
+++ b/cmd/tulipctl/survey_test.go
@@ -10,47 +10,47 @@
 	"tulipglade/internal/workload"
 )
 
-// A dozen deployments that nobody has seen, as processes of the real program behind a front, on sockets: every call ends, most
-// are served in time, and no rule is broken. The lab plays hundreds of them (TestSurvey); here it counts that the node carries
-// out what the module asks for.
+// A dozen drawn deployments with processes of the real program behind a frontend, on sockets: every call ends, most are served
+// in time, and no rule is broken. The emulator runs hundreds of them (TestSurvey); this test is about the node, which has to
+// carry out the decision module's commands.
 func TestDeploymentsOnSockets(t *testing.T) {
 	node := buildNode(t)
 	played := 0
 	for seed := uint64(1); played < 12; seed++ {
 		d := scenario.DrawDeployment(seed)
 		sc := d.Scenario()
-		if sc.Classes[0].Work < 40 || sc.Classes[0].Deadline > 2500 { // sockets have delays of their own, and tests no time
+		if sc.Classes[0].Work < 40 || sc.Classes[0].Deadline > 2500 { // sockets have delays of their own, and the test must be short
 			continue
 		}
 		played++
-		// Few calls, whatever the fleet could do: that the machine is busy must not decide.
+		// Few calls, whatever the fleet's capacity, so that a busy machine does not decide the result.
 		if err := sc.Check(); err != nil {
 			t.Fatal(err)
 		}
 		live := emulator.NewLive(sc, seed, discardEffects{})
 		sc.Seconds, sc.WarmUp, sc.Load.PerS = 2, 0, min(60, sc.Load.Level*live.Capacity()*1e6/workload.MeanWork(sc))
 		t.Run(strings.Join(d.NonDefaultSettings(), "; "), func(t *testing.T) {
-			f, err := startCluster(t.Context(), sc, seed, nil, node, t.TempDir(), nil)
+			cluster, err := startCluster(t.Context(), sc, seed, nil, node, t.TempDir(), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer func() {
-				if err := f.done(); err != nil {
+				if err := cluster.close(); err != nil {
 					t.Error(err)
 				}
 			}()
-			if err := f.await(t.Context(), sc.Nodes.Count); err != nil {
+			if err := cluster.awaitReady(t.Context(), sc.Nodes.Count); err != nil {
 				t.Fatal(err)
 			}
 			var targets []string
 			for site := range min(len(sc.Fleet.Sites), sc.Nodes.Count) {
-				targets = append(targets, f.w.Frontend(site))
+				targets = append(targets, cluster.fake.Frontend(site))
 			}
 			r, err := load.Run(t.Context(), load.Plan{Scenario: sc, Seed: seed, Targets: targets, Capacity: live.Capacity()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			truth := f.w.Report()
+			truth := cluster.fake.Report()
 			if truth.DuplicateRuns+truth.AfterDrain+truth.Unreadable > 0 {
 				t.Errorf("rules broken: %d twice, %d after a drain, %d unreadable", truth.DuplicateRuns, truth.AfterDrain, truth.Unreadable)
 			}
@@ -58,9 +58,9 @@
 				t.Errorf("%d of %d calls served: %v", served, r.Calls, r.Outcomes)
 			}
 			if probing := sc.Rules.AllowHealthChecks && sc.Rules.HealthCheckCost < 0.003; !probing && truth.Probes > 0 {
-				t.Errorf("%d probes, though they are forbidden or dear", truth.Probes)
+				t.Errorf("%d probes, although they are forbidden or expensive", truth.Probes)
 			} else if probing && truth.Probes == 0 {
-				t.Error("no probes, though they are cheap")
+				t.Error("no probes, although they are cheap")
 			}
 		})
 	}
