--- a/cmd/tulipglade/reload_test.go
+++ b/cmd/tulipglade/reload_test.go
@@ -62,6 +62,6 @@
 	p.await(t, "it serves", timeout, func() bool { return p.output.contains("msg=serving") }) // it has read all of the first file
 	write(2, func() {})
 	p.await(t, "the newer file is applied", timeout, func() bool {
-		return p.output.contains("settings taken up") && p.output.contains("attempts=2")
+		return p.output.contains("settings applied") && p.output.contains("attempts=2")
 	})
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -73,7 +73,7 @@
 	for _, step := range []struct{ file, phrase string }{
 		{strings.Replace(text, `"cores":1`, `"cores":-1`, 1), "limits.cores"},
 		{strings.Replace(withoutEndpoints, `"n3"`, `"n4"`, 1), "fields=name\n"},
-		{strings.Replace(withoutEndpoints, `"max_attempts":6`, `"max_attempts":2`, 1), "settings taken up"},
+		{strings.Replace(withoutEndpoints, `"max_attempts":6`, `"max_attempts":2`, 1), "settings applied"},
 		{"", "configuration: empty"},
 		{withoutEndpoints, "configuration reloaded"},
 	} {
--- a/internal/daemon/watch_push_test.go
+++ b/internal/daemon/watch_push_test.go
@@ -88,7 +88,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	log, ended := make(logLines, 100), make(chan error, 1)
 	go func() { ended <- Serve(ctx, config, nil, nil, log.logger()) }()
-	log.await(t, "msg=backends rev=9000")
+	log.await(t, "msg=\"endpoint list updated\" rev=9000")
 	stop()
 	if err := <-ended; err != nil {
 		t.Error(err)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -33,7 +33,7 @@
 		}
 		endpoints, kind := n.applyEndpointList(update, kind)
 		if cached || len(endpoints) > 0 {
-			n.log.Info("backends", "rev", update.Rev, "all", update.All, "cached", cached, "entries", len(endpoints))
+			n.log.Info("endpoint list updated", "rev", update.Rev, "all", update.All, "cached", cached, "entries", len(endpoints))
 		}
 		n.endpointsKnown = n.endpointsKnown || len(endpoints) > 0
 		if len(endpoints) == 0 && kind == balancer.ListDelta && !n.settings.Balancer.PollDiscovery {
--- a/internal/node/listfreshness.go
+++ b/internal/node/listfreshness.go
@@ -35,10 +35,10 @@
 	current, _ := n.balancer.ListCurrent(now)
 	switch {
 	case current && n.listFreshness.stale:
-		n.log.Warn("list of backends current again", "stale_for_us", now-n.listFreshness.staleSince)
+		n.log.Warn("endpoint list current again", "stale_for_us", now-n.listFreshness.staleSince)
 		n.listFreshness.stale = false
 	case !current && n.listFreshness.everCurrent && !n.listFreshness.stale:
-		n.log.Warn("list of backends too old to send by", "rev", n.listRevision, "open", n.openRequests)
+		n.log.Warn("endpoint list stale", "rev", n.listRevision, "open", n.openRequests)
 		n.listFreshness.stale, n.listFreshness.staleSince = true, now
 	}
 	n.listFreshness.everCurrent = n.listFreshness.everCurrent || current
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -39,12 +39,12 @@
 	settings.Tenants = byNumber(tenants, tenantNames, func(number int) string { return previous.Tenants[number] })
 	settings.Balancer.Tenants = byNumber(tenants, tenantQuotas, func(int) balancer.Tenant { return balancer.Tenant{} })
 	if err := n.balancer.Reconfigure(n.now(), settings.Balancer, classesFrom, tenantsFrom); err != nil {
-		n.log.Error("settings not taken up", "err", err)
+		n.log.Error("settings rejected", "err", err)
 		return
 	}
 	n.settings = &settings
 	n.classIndex, n.tenantIndex = activeIndex(classes, classNames), activeIndex(tenants, tenantNames)
-	n.log.Info("settings taken up", "classes", classNames, "attempts", settings.Balancer.MaxAttempts, "tenants", tenantNames)
+	n.log.Info("settings applied", "classes", classNames, "attempts", settings.Balancer.MaxAttempts, "tenants", tenantNames)
 }
 
 // numbersInUse marks the numbers of classes and tenants that requests use.
--- a/internal/soak/logwatch.go
+++ b/internal/soak/logwatch.go
@@ -9,11 +9,11 @@
 
 // discoveryTexts are in log records on the endpoint list, its age, and calls to discovery.
 var discoveryTexts = [][]byte{
-	[]byte("msg=backends"),
+	[]byte("endpoint list"),
 	[]byte("discovery failed"),
-	[]byte("list of backends"),
 	[]byte("msg=serving"),
-	[]byte("taken up"),
+	[]byte("configuration reloaded"),
+	[]byte("settings applied"),
 	[]byte("msg=draining"),
 }
 
@@ -26,6 +26,7 @@
 	[]byte("attempt without"),
 	[]byte("requests unanswered"),
 	[]byte("within a request"),
+	[]byte("invalid state transition"),
 }
 
 // logWatch is an io.Writer that keeps certain lines of a node's log.
