--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -326,7 +326,7 @@
 			n, addr := startNode(t, backend.targets(), nil)
 			conn := dialNode(t, addr)
 			conn.exchange(requestText("read", 9000))
-			// so that the next request needs no dial
+			// The next request must not need a dial.
 			waitUntil(n, func() bool { return n.idleBackends.Len() == 1 && len(n.requests) == 0 })
 			ends := &outcomeRecorder{decisionModule: n.balancer}
 			runOnLoop(n, func() { n.balancer, n.testWriteDelay = ends, 2*maxWriteDelay })
--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -172,7 +172,7 @@
 		n.closeBackend(b, closePeerEnded)
 		n.dialForWaiting(b.endpoint)
 	case b.state == backendWriting && att.deadline == noDeadline && !b.uploadFullyRead():
-		// the request was still being uploaded and is never completed
+		// The request was still being uploaded and is never completed.
 		n.closeBackend(b, closePeerEnded)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	case b.state == backendWriting:
@@ -213,7 +213,7 @@
 		buf.release()
 	}
 	conn.deferredInput = nil
-	// a connection that is being detached from the poller closes when that is done
+	// A connection that is being detached from the poller closes when that is done.
 	if conn.download == nil || conn.download.awaitingRequestEnd || conn.descriptor != nil {
 		conn.closeTransport()
 	}
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -117,7 +117,7 @@
 	_, _ = io.WriteString(conn, strings.Replace(requestText("read", 9000), "\r\n", "\r\nConnection: close\r\n", 1))
 	peer, _ := backend.acceptRequest()
 	writeOK(peer, body)
-	// its last byte has reached the kernel
+	// The answer's last byte has reached the kernel.
 	waitUntil(n, func() bool { return n.lingeringClients.Len() == 1 || len(n.clients) == 0 })
 	_, _ = io.WriteString(conn, requestText("read", 9000))
 	waitUntil(n, func() bool {
@@ -139,7 +139,7 @@
 		"shutdown":          func(n *Node, _ *clientConn) { n.closeIdleClients() },
 		"idle for too long": func(n *Node, c *clientConn) { c.idleSince = n.now() - maxClientIdleTime; n.closeStalledClients() },
 		"too many idle": func(n *Node, c *clientConn) {
-			// one more than may be idle, each used later than the one before
+			// One more than may be idle, each used later than the one before.
 			for k := range (reservedDescriptors + minServingDescriptors) / idleClientFraction {
 				other := &clientConn{node: n, hasSentRequest: true}
 				other.conn, other.idleSince = c.conn, n.now()+int64(k)
--- a/internal/node/clientidle.go
+++ b/internal/node/clientidle.go
@@ -75,7 +75,7 @@
 			case !client.hasSentRequest && now-client.requestStartedAt >= headTimeout, idleTime >= maxClientIdleTime:
 				client.closeGracefully(closeNoRequest)
 			case client.hasSentRequest && idleTime >= minClientIdleTime && n.hasManyClients():
-				// more connections than clients need for their requests, idle ones included
+				// More connections than clients need for their requests, idle ones included.
 				client.closeGracefully(closeTooManyIdle)
 			}
 		}
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -21,7 +21,7 @@
 // startDownload detaches the connection from the poller. The input buffer has what has been read of the answer.
 func (b *backendConn) startDownload() {
 	n, att := b.node, b.attempt
-	// its body is not needed
+	// The body of such an answer is not needed.
 	if result := answerOutcome(&b.message); result != balancer.OutcomeOK || att.request.isDone() || att.isHealthCheck {
 		if att.isHealthCheck {
 			result = balancer.OutcomeReset // its load report could not be read
@@ -171,7 +171,7 @@
 
 // abortAnswer closes a connection in the middle of an answer, so that its client can tell.
 func (c *clientConn) abortAnswer(untilClose bool) {
-	// an orderly end would look like that of the answer
+	// An orderly end would look like that of the answer.
 	if transport, ok := c.conn.(fdConn); ok && untilClose && c.descriptor == nil {
 		_ = unix.SetsockoptLinger(transport.Fd(), unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -95,7 +95,7 @@
 // serveWaiting gives reusable connections to waiting attempts, the longest waiting first.
 func (n *Node) serveWaiting(ep *endpoint) {
 	for len(ep.waitingAttempts) > 0 {
-		// conditions have changed since the balancer decided
+		// Conditions may have changed since the balancer decided.
 		if att := ep.waitingAttempts[0]; n.mayStart(att) != safety.Allowed {
 			ep.waitingAttempts = ep.waitingAttempts[1:]
 			n.completeAttempt(att, balancer.OutcomeNotSent, nil)
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -18,7 +18,7 @@
 	classNames, classRules := settings.Classes, settings.Balancer.Classes
 	tenantNames, tenantQuotas := settings.Tenants, settings.Balancer.Tenants
 	usedClasses, usedTenants := n.numbersInUse()
-	classes, classesFrom := assignNumbers(usedClasses, classNames, func(class int) (keptNumber, learned int) {
+	classes, classesFrom := assignNumbers(usedClasses, classNames, func(class int) (ownNumber, learned int) {
 		number, ok := n.classIndex[classNames[class]]
 		switch {
 		case !ok:
@@ -28,7 +28,7 @@
 		}
 		return number, number
 	})
-	tenants, tenantsFrom := assignNumbers(usedTenants, tenantNames, func(tenant int) (keptNumber, learned int) {
+	tenants, tenantsFrom := assignNumbers(usedTenants, tenantNames, func(tenant int) (ownNumber, learned int) {
 		if number, ok := n.tenantIndex[tenantNames[tenant]]; ok {
 			return number, number
 		}
@@ -75,7 +75,7 @@
 // assignNumbers gives each of the new names a number: its own if origin says that it is kept, else an unused one,
 // else the next higher. For each number, nameAt has the index of the new name that has it, and learnedFrom the old
 // number whose learned state it continues, or noNumber.
-func assignNumbers(used []bool, names []string, origin func(name int) (keptNumber, learned int)) (nameAt, learnedFrom []int) {
+func assignNumbers(used []bool, names []string, origin func(name int) (ownNumber, learned int)) (nameAt, learnedFrom []int) {
 	nameAt, learnedFrom = make([]int, len(used)), make([]int, len(used))
 	for number := range nameAt {
 		nameAt[number], learnedFrom[number] = noNumber, number
@@ -86,8 +86,8 @@
 		}
 	}
 	for name := range names {
-		keptNumber, learned := origin(name)
-		if keptNumber != noNumber {
+		ownNumber, learned := origin(name)
+		if ownNumber != noNumber {
 			continue
 		}
 		free := 0
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -15,7 +15,8 @@
 	Keepalive      int64 // idle time after which a backend closes a connection
 	LoadReports    bool  // backends report their load
 	OverdueGrace   int64 // time past its deadline after which a request counts as overdue
-	// time after the notification that a backend drains or is removed in which attempts may still start there
+	// DrainGrace is the time after the notification that a backend drains or is removed in which attempts may still
+	// start there.
 	DrainGrace     int64
 	MaxDescriptors int   // file descriptors of the whole process
 	MemoryLimit    int64 // bytes that the process may use; 0: unlimited
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -268,7 +268,7 @@
 	waitUntil(n, func() bool { return len(n.requests) == 1 })
 	ended := make(chan struct{})
 	n.Drain(0, func() { close(ended) })
-	// its class is removed
+	// The class of the queued request is removed.
 	reconfigureNode(n, func(s *Settings) { s.Classes, s.Balancer.Classes = s.Classes[:1], s.Balancer.Classes[:1] })
 	n.UpdateEndpoints(protocol.List{Rev: 1, All: true, Targets: backend.targets()}, false)
 	if code, body, closing := conn.readAnswer(); code != 200 || body != "body of /once" || !closing {
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -76,7 +76,7 @@
 		for unread := 1; unread > 0; {
 			_ = raw.Control(func(fd uintptr) { unread, _ = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
 		}
-		// an acknowledgement does not mean that the node has read it; but a node that misses it has no answer either
+		// An acknowledgement does not mean that the node has read it; but a node that misses it has no answer either.
 		time.Sleep(10 * time.Millisecond)
 		_ = conn.(*net.TCPConn).SetLinger(0)
 		_ = conn.Close()
