--- a/internal/processtest/faults.go
+++ b/internal/processtest/faults.go
@@ -83,18 +83,17 @@
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
-		for next := linkFault(nil); ; {
+		for connected := true; ; connected = !connected {
 			select {
 			case <-stop:
 				h.setLinkFault(id, nil)
 				return
 			case <-time.After(time.Duration(fault.Size) * time.Millisecond):
 			}
-			h.setLinkFault(id, next)
-			if next == nil {
-				next = cut
+			if connected {
+				h.setLinkFault(id, nil)
 			} else {
-				next = nil
+				h.setLinkFault(id, cut)
 			}
 		}
 	}()
--- a/internal/processtest/harness.go
+++ b/internal/processtest/harness.go
@@ -29,8 +29,8 @@
 	Seed            uint64
 }
 
-// Terms are the lease terms of schedules: short, so that much happens within seconds.
-var Terms = lease.Terms{Interval: 100 * time.Millisecond, Drift: 0.01}
+// scheduledTerms are the lease terms of schedules: short, so that much happens within seconds.
+var scheduledTerms = lease.Terms{Interval: 100 * time.Millisecond, Drift: 0.01}
 
 const (
 	scheduledLeaseDuration = 1500 * time.Millisecond
@@ -58,7 +58,7 @@
 // Start starts the processes and the relays between them.
 func Start(options Options) (h *Harness, err error) {
 	if options.Terms.Interval == 0 {
-		options.Terms, options.LeaseDuration = Terms, scheduledLeaseDuration
+		options.Terms, options.LeaseDuration = scheduledTerms, scheduledLeaseDuration
 	}
 	directory, err := os.MkdirTemp("", "processtest")
 	if err != nil {
--- a/internal/processtest/schedule.go
+++ b/internal/processtest/schedule.go
@@ -29,8 +29,8 @@
 // ErrIdle is the error of a schedule after whose faults no holder acts.
 var ErrIdle = errors.New("no holder acts after the faults")
 
-// Plan draws faults and their times from the seed of the options.
-func Plan(options Options, length time.Duration, count int) []faultinject.Fault {
+// drawFaults draws faults and their times from the seed of the options.
+func drawFaults(options Options, length time.Duration, count int) []faultinject.Fault {
 	random := rand.New(rand.NewPCG(options.Seed, faultStream))
 	faults := faultinject.RandomFaults{Count: count, MinMs: shortestFaultMs, MaxMs: longestFaultMs}
 	scope := faultinject.Scope{Processes: options.Agents + options.Holders}
@@ -115,7 +115,7 @@
 
 // Faults returns the faults of a seed's schedule.
 func Faults(seed uint64) []faultinject.Fault {
-	return Plan(scheduleOptions(seed, Without{}), scheduledFaultTime, scheduledFaults)
+	return drawFaults(scheduleOptions(seed, Without{}), scheduledFaultTime, scheduledFaults)
 }
 
 // Fails reports whether a plan breaks something in one of several attempts. They differ, as the timing of processes is not drawn from
