--- a/internal/processtest/events.go
+++ b/internal/processtest/events.go
@@ -23,7 +23,7 @@
 	EventAcquire        EventKind = "acquire" // a request to the group and its answer; so are the next two
 	EventRenew          EventKind = "renew"
 	EventRelease        EventKind = "release"
-	EventLeaseHeld      EventKind = "holds"
+	EventLeaseAcquired  EventKind = "holds"
 	EventLeaseDone      EventKind = "done"
 	EventHolderHalted   EventKind = "halts" // it stops itself between its check and its action
 	EventActionWithheld EventKind = "withheld"
--- a/internal/processtest/role_holder.go
+++ b/internal/processtest/role_holder.go
@@ -49,7 +49,7 @@
 			continue
 		}
 		grant, _ := held.Grant()
-		p.report(Event{Kind: EventLeaseHeld, Slot: grant.Slot, Token: grant.Token, From: from})
+		p.report(Event{Kind: EventLeaseAcquired, Slot: grant.Slot, Token: grant.Token, From: from})
 		h.act(ctx, held, grant)
 		if held.Reason() == nil {
 			h.release(ctx, held)
--- a/internal/simulation/leasesim/group.go
+++ b/internal/simulation/leasesim/group.go
@@ -21,12 +21,12 @@
 
 // group is members of a consensus group, with the network between them and their disks.
 type group struct {
-	schedule  *schedule
-	members   []*member // by ID, from 1, with those that were removed
-	cutUntil  map[route]time.Duration
-	checksums map[uint64]uint64 // of the state that was agreed on, by log index
-	leaderAt  time.Duration     // when a leading member died; 0: another leads since
-	changing  bool              // a change of members is in progress
+	schedule     *schedule
+	members      []*member // by ID, from 1, with those that were removed
+	cutUntil     map[route]time.Duration
+	checksums    map[uint64]uint64 // of the state that was agreed on, by log index
+	leaderDiedAt time.Duration     // when a leading member died; 0: another leads since
+	changing     bool              // a change of members is in progress
 }
 
 func newGroup(s *schedule, members int, first lease.Command) *group {
--- a/internal/simulation/leasesim/member.go
+++ b/internal/simulation/leasesim/member.go
@@ -136,9 +136,9 @@
 func (m *member) noteElection() {
 	g, s := m.group, m.group.schedule
 	s.outcome.Leaders++
-	if g.leaderAt > 0 {
-		s.gaps.Lead = append(s.gaps.Lead, s.now-g.leaderAt)
-		g.leaderAt = 0
+	if g.leaderDiedAt > 0 {
+		s.gaps.Lead = append(s.gaps.Lead, s.now-g.leaderDiedAt)
+		g.leaderDiedAt = 0
 	}
 }
 
@@ -167,7 +167,7 @@
 	}
 	s := m.group.schedule
 	if m.process.IsLeader() {
-		m.group.leaderAt = s.now
+		m.group.leaderDiedAt = s.now
 	}
 	m.process, m.stoppedUntil = nil, 0
 	m.incarnation++
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-func TestSchedulesAreDrawnFromTheSeed(t *testing.T) {
+func TestSeedDeterminesSchedule(t *testing.T) {
 	options := Options{Seed: 1, Nodes: 10, Backends: 6, Length: 16 * time.Second}
 	plan := draw(options)
-	if again := draw(options); !reflect.DeepEqual(plan, again) {
-		t.Errorf("%v, then %v", plan, again)
+	if repeated := draw(options); !reflect.DeepEqual(plan, repeated) {
+		t.Errorf("%v, then %v", plan, repeated)
 	}
 	options.Seed++
 	if other := draw(options); reflect.DeepEqual(plan, other) {
@@ -21,17 +21,17 @@
 
 func TestSchedulesCoverAllKindsWithinTheirTime(t *testing.T) {
 	options := Options{Nodes: 10, Backends: 6, Length: 16 * time.Second}
-	drawn := map[Kind]int{}
+	counts := map[Kind]int{}
 	for options.Seed = range 30 {
 		for _, fault := range draw(options) {
-			drawn[fault.Kind]++
+			counts[fault.Kind]++
 			if fault.Start < firstFault || fault.Start >= options.Length-quietEnd || len(fault.Targets) == 0 {
 				t.Errorf("seed %d: %v", options.Seed, fault)
 			}
 		}
 	}
 	for _, kind := range slices.Concat(randomKinds, []Kind{SitePowerLost}) {
-		if drawn[kind] == 0 {
+		if counts[kind] == 0 {
 			t.Errorf("no schedule has %q", kind)
 		}
 	}
