--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -232,7 +232,7 @@
 			task()
 		}
 		if err := a.member.Flush(); err != nil {
-			a.log.Error("the disk failed: this member ends", "err", err)
+			a.log.Error("storage failed", "err", err)
 			return fmt.Errorf("disk: %w", err)
 		}
 		watch.logLeadership()
@@ -256,10 +256,10 @@
 	switch isLeader := member.IsLeader(); {
 	case isLeader != w.isLeader:
 		w.isLeader = isLeader
-		w.agent.log.Info("lead", "leads", isLeader, "term", member.Term())
+		w.agent.log.Info("leadership changed", "is_leader", isLeader, "term", member.Term())
 	case member.Leader() != w.leader:
 		w.leader = member.Leader()
-		w.agent.log.Info("leader", "id", w.leader, "term", member.Term())
+		w.agent.log.Info("leader known", "id", w.leader, "term", member.Term())
 	}
 }
 
--- a/internal/agent/failover_leader.go
+++ b/internal/agent/failover_leader.go
@@ -240,9 +240,9 @@
 			RetryInterval: failoverInterval,
 		})
 		if err == nil {
-			f.agent.log.Info("director", "directs", true)
+			f.agent.log.Info("failover leadership changed", "is_leader", true)
 			err = f.lead(ctx, leaderLease)
-			f.agent.log.Info("director", "directs", false, "err", err)
+			f.agent.log.Info("failover leadership changed", "is_leader", false, "err", err)
 			f.release(ctx, leaderLease)
 		}
 		_ = sleep(ctx, failoverInterval) // the loop ends with ctx
--- a/internal/processtest/events.go
+++ b/internal/processtest/events.go
@@ -16,10 +16,10 @@
 // The kinds of events. Agents report their log records, too; the kind of such an event is the record's message.
 const (
 	EventProcessReady   EventKind = "up"
-	EventProcessFailed  EventKind = "ended"  // Text has the error
-	EventLeadership     EventKind = "lead"   // an agent's log record: it has become leader, or is leader no longer
-	EventLeaderKnown    EventKind = "leader" // an agent's log record: it follows another leader
-	EventFailoverLeader EventKind = "director"
+	EventProcessFailed  EventKind = "ended"              // Text has the error
+	EventLeadership     EventKind = "leadership changed" // an agent's log record: it has become leader, or is leader no longer
+	EventLeaderKnown    EventKind = "leader known"       // an agent's log record: it follows another leader
+	EventFailoverLeader EventKind = "failover leadership changed"
 	EventAcquire        EventKind = "acquire" // a request to the group and its answer; so are the next two
 	EventRenew          EventKind = "renew"
 	EventRelease        EventKind = "release"
@@ -52,7 +52,7 @@
 
 // becomesLeader reports whether an agent says that it leads the group from now on.
 func (e Event) becomesLeader() bool {
-	return e.Kind == EventLeadership && strings.Contains(e.Text, "leads=true")
+	return e.Kind == EventLeadership && strings.Contains(e.Text, "is_leader=true")
 }
 
 // eventLog collects the events of all processes in the order in which they arrive.
--- a/internal/processtest/failover_test.go
+++ b/internal/processtest/failover_test.go
@@ -170,7 +170,7 @@
 func (h *Harness) awaitFailoverLeader(t *testing.T, position int) (leader, next int) {
 	t.Helper()
 	event, next := h.awaitEvent(t, position, func(event Event) bool {
-		return event.Kind == EventFailoverLeader && event.Text == "directs=true"
+		return event.Kind == EventFailoverLeader && event.Text == "is_leader=true"
 	})
 	return h.Index(event.Process), next
 }
