--- a/internal/simulation/emulator/backend_capacity.go
+++ b/internal/simulation/emulator/backend_capacity.go
@@ -85,22 +85,22 @@
 // the start or end of overload.
 func (b *Backend) handleLoadChange(now eventqueue.Time) {
 	b.rescheduleCompletion(now)
-	o := &b.simulation.scenario.Fleet.Overdrive
-	if o.PerCore <= 0 {
+	settings := &b.simulation.scenario.Fleet.Overdrive
+	if settings.PerCore <= 0 {
 		return
 	}
 	cores := float64(b.kind.Cores)
-	if float64(b.queueLength) <= o.PerCore*cores {
+	if float64(b.queueLength) <= settings.PerCore*cores {
 		b.longQueueSince = 0
 	} else if b.longQueueSince == 0 {
 		b.longQueueSince = now
-		b.schedule(fromMilliseconds(o.Over), eventqueue.Event{To: b, Kind: backendOverloadDue, A: now})
+		b.schedule(fromMilliseconds(settings.Over), eventqueue.Event{To: b, Kind: backendOverloadDue, A: now})
 	}
-	if !b.overloaded || float64(b.InFlight()) > o.Below*cores {
+	if !b.overloaded || float64(b.InFlight()) > settings.Below*cores {
 		b.lowLoadSince = 0
 	} else if b.lowLoadSince == 0 {
 		b.lowLoadSince = now
-		b.schedule(fromMilliseconds(o.Rest), eventqueue.Event{To: b, Kind: backendRecoveryDue, A: now})
+		b.schedule(fromMilliseconds(settings.Rest), eventqueue.Event{To: b, Kind: backendRecoveryDue, A: now})
 	}
 }
 
--- a/internal/simulation/emulator/backend_queue.go
+++ b/internal/simulation/emulator/backend_queue.go
@@ -18,20 +18,20 @@
 		a.reply(balancer.OutcomeReset) // the process that accepted the connection has ended
 		return
 	}
-	c := &b.simulation.scenario.Fleet.Conns
+	connections := &b.simulation.scenario.Fleet.Conns
 	if a.newConnection {
-		a.work += c.Work
+		a.work += connections.Work
 	}
 	if b.slowStartFraction(now) < 1 {
 		b.simulation.checker.AttemptReached(now, a.request.node.index, b.id, b.incarnation.startedAt, a.work, b.capacity(now))
 	}
-	d := eventqueue.NewDraws(b.simulation.seed, a.drawSeed(), drawOutcome)
+	draws := eventqueue.NewDraws(b.simulation.seed, a.drawSeed(), drawOutcome)
 	switch {
-	case a.newConnection && c.PerCore > 0 && float64(b.incarnation.connections) > c.PerCore*float64(b.kind.Cores),
+	case a.newConnection && connections.PerCore > 0 && float64(b.incarnation.connections) > connections.PerCore*float64(b.kind.Cores),
 		b.draining, len(b.active) >= b.slots && b.queueLength >= b.queueCapacity:
 		a.reply(balancer.OutcomeRejected)
 		return
-	case d.Float64() < max(b.errorRate, b.kind.Errors):
+	case draws.Float64() < max(b.errorRate, b.kind.Errors):
 		a.reply(balancer.OutcomeServerError)
 		return
 	}
--- a/internal/simulation/emulator/backend_report.go
+++ b/internal/simulation/emulator/backend_report.go
@@ -12,21 +12,21 @@
 
 // measureReport measures the load report, which becomes visible after the scenario's delay.
 func (b *Backend) measureReport(now eventqueue.Time) {
-	r := &b.simulation.scenario.Fleet.Report
+	settings := &b.simulation.scenario.Fleet.Report
 	b.advanceService(now)
-	noise := func(x float64) float64 { return max(0, x*(1+r.Noise*b.random.NormFloat64())) }
+	noise := func(x float64) float64 { return max(0, x*(1+settings.Noise*b.random.NormFloat64())) }
 	b.nextReport = unknownReport
 	if d := float64(now - b.busyMeasuredAt); d > 0 {
 		b.nextReport.Utilization = min(noise(b.busyTime/d/float64(b.kind.Cores)), 1)
 		b.nextReport.Backlog = math.Round(noise(float64(b.queueLength)))
-		if r.Includes("held") {
+		if settings.Includes("held") {
 			b.nextReport.Outstanding = math.Round(noise(float64(b.InFlight())))
 		}
-		b.nextReport = r.LoadReport(b.nextReport)
+		b.nextReport = settings.LoadReport(b.nextReport)
 	}
 	b.busyTime, b.busyMeasuredAt = 0, now
-	b.schedule(fromMilliseconds(r.Delay), eventqueue.Event{To: b, Kind: backendReportPublished})
-	interval := eventqueue.Span(float64(fromMilliseconds(r.Every)) * (0.9 + 0.2*b.random.Float64()))
+	b.schedule(fromMilliseconds(settings.Delay), eventqueue.Event{To: b, Kind: backendReportPublished})
+	interval := eventqueue.Span(float64(fromMilliseconds(settings.Every)) * (0.9 + 0.2*b.random.Float64()))
 	b.schedule(interval, eventqueue.Event{To: b, Kind: backendReportMeasured})
 }
 
--- a/internal/simulation/emulator/idempotency_store.go
+++ b/internal/simulation/emulator/idempotency_store.go
@@ -24,16 +24,16 @@
 
 // joinEarlierExecution answers an attempt whose key is known, or lets it wait for the execution under way, and returns
 // true. Otherwise the attempt becomes the first with its key.
-func (l *idempotencyStore) joinEarlierExecution(now eventqueue.Time, a *attempt) bool {
-	for len(l.inOrder) > 0 && now-l.inOrder[0].startedAt > l.inOrder[0].window {
-		if execution := l.inOrder[0]; l.executions[execution.key] == execution && execution.first == nil {
-			delete(l.executions, execution.key)
+func (s *idempotencyStore) joinEarlierExecution(now eventqueue.Time, a *attempt) bool {
+	for len(s.inOrder) > 0 && now-s.inOrder[0].startedAt > s.inOrder[0].window {
+		if execution := s.inOrder[0]; s.executions[execution.key] == execution && execution.first == nil {
+			delete(s.executions, execution.key)
 		}
-		l.inOrder[0] = nil
-		l.inOrder = l.inOrder[1:]
+		s.inOrder[0] = nil
+		s.inOrder = s.inOrder[1:]
 	}
-	key, window := a.request.call.Number, l.simulation.classes[a.request.call.Class].IdempotencyWindow
-	if execution := l.executions[key]; execution != nil && now-execution.startedAt <= window {
+	key, window := a.request.call.Number, s.simulation.classes[a.request.call.Class].IdempotencyWindow
+	if execution := s.executions[key]; execution != nil && now-execution.startedAt <= window {
 		if execution.first == nil {
 			a.reply(balancer.OutcomeOK)
 		} else {
@@ -43,48 +43,48 @@
 		return true
 	}
 	execution := &keyedExecution{key: key, startedAt: now, window: window, first: a}
-	l.executions[key] = execution
-	l.inOrder = append(l.inOrder, execution)
+	s.executions[key] = execution
+	s.inOrder = append(s.inOrder, execution)
 	return false
 }
 
 // completeExecution records that the first attempt has run, and answers those that waited for it.
-func (l *idempotencyStore) completeExecution(a *attempt) {
-	if r := l.executions[a.request.call.Number]; r != nil && r.first == a {
-		r.first = nil
-		for _, x := range r.waiters {
-			if x.backend.running && x.incarnation == x.backend.incarnation {
-				x.reply(balancer.OutcomeOK)
+func (s *idempotencyStore) completeExecution(a *attempt) {
+	if execution := s.executions[a.request.call.Number]; execution != nil && execution.first == a {
+		execution.first = nil
+		for _, waiter := range execution.waiters {
+			if waiter.backend.running && waiter.incarnation == waiter.backend.incarnation {
+				waiter.reply(balancer.OutcomeOK)
 			} else {
-				x.reply(balancer.OutcomeReset)
+				waiter.reply(balancer.OutcomeReset)
 			}
 		}
-		r.waiters = nil
+		execution.waiters = nil
 	}
 }
 
 // abortExecution forgets an execution that was lost halfway: a later attempt runs anew, waiting ones are reset.
-func (l *idempotencyStore) abortExecution(a *attempt) {
-	if r := l.executions[a.request.call.Number]; r != nil && r.first == a {
-		delete(l.executions, r.key)
-		for _, x := range r.waiters {
-			x.reply(balancer.OutcomeReset)
+func (s *idempotencyStore) abortExecution(a *attempt) {
+	if execution := s.executions[a.request.call.Number]; execution != nil && execution.first == a {
+		delete(s.executions, execution.key)
+		for _, waiter := range execution.waiters {
+			waiter.reply(balancer.OutcomeReset)
 		}
 	}
 }
 
 // restartFromWaiters forgets a first attempt that never ran: the next one that waited for it runs in its place.
-func (l *idempotencyStore) restartFromWaiters(now eventqueue.Time, a *attempt) {
-	r := l.executions[a.request.call.Number]
-	if r == nil || r.first != a {
+func (s *idempotencyStore) restartFromWaiters(now eventqueue.Time, a *attempt) {
+	execution := s.executions[a.request.call.Number]
+	if execution == nil || execution.first != a {
 		return
 	}
-	delete(l.executions, r.key)
-	for _, x := range r.waiters {
-		if !x.backend.running || x.incarnation != x.backend.incarnation {
-			x.reply(balancer.OutcomeReset)
-		} else if !l.joinEarlierExecution(now, x) {
-			x.backend.enqueueAttempt(now, x)
+	delete(s.executions, execution.key)
+	for _, waiter := range execution.waiters {
+		if !waiter.backend.running || waiter.incarnation != waiter.backend.incarnation {
+			waiter.reply(balancer.OutcomeReset)
+		} else if !s.joinEarlierExecution(now, waiter) {
+			waiter.backend.enqueueAttempt(now, waiter)
 		}
 	}
 }
--- a/internal/simulation/emulator/station.go
+++ b/internal/simulation/emulator/station.go
@@ -186,7 +186,7 @@
 	before := b.InFlight()
 	b.receiveAttempt(now, a)
 	if b.InFlight() > before {
-		s.moveBackend(before, before+1)
+		s.recordJobCount(before, before+1)
 	}
 }
 
@@ -212,8 +212,8 @@
 	return work
 }
 
-// moveBackend records that one backend has changed its number of jobs.
-func (s *station) moveBackend(from, to int) {
+// recordJobCount records that the number of jobs of one backend has changed.
+func (s *station) recordJobCount(from, to int) {
 	for len(s.backendsHolding) <= max(from, to) {
 		s.backendsHolding = append(s.backendsHolding, 0)
 	}
@@ -226,7 +226,7 @@
 	switch {
 	case outcome == balancer.OutcomeOK:
 		inFlight := a.backend.InFlight()
-		s.moveBackend(inFlight+1, inFlight)
+		s.recordJobCount(inFlight+1, inFlight)
 		if measured {
 			s.completed++
 			s.sojournSum += float64(now - a.sentAt)
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -180,9 +180,9 @@
 	}
 }
 
-func rowsWith(policy string, worth ...float64) []Row {
+func rowsWith(policy string, servedValues ...float64) []Row {
 	var rows []Row
-	for i, w := range worth {
+	for i, w := range servedValues {
 		rows = append(rows, Row{Cell{Policy: policy, Seed: uint64(i)}, &emulator.Result{Scenario: "x", ServedValue: w}})
 	}
 	return rows
