--- a/cmd/tulipagent/member.go
+++ b/cmd/tulipagent/member.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	identity := agent.Identity{Group: cmd.String(flagGroup), ID: id, Address: members[id]}
-	return agent.Create(cmd.String(flagDir), identity, durable)
+	return agent.CreateStorage(cmd.String(flagDir), identity, durable)
 }
 
 // parseMembers parses the members' IDs and addresses.
@@ -68,12 +68,12 @@
 		return errors.New("--id: it must be above 0")
 	}
 	identity := agent.Identity{Group: cmd.String(flagGroup), ID: cmd.Uint64(flagID), Address: address}
-	return agent.Create(cmd.String(flagDir), identity, consensus.EmptyState())
+	return agent.CreateStorage(cmd.String(flagDir), identity, consensus.EmptyState())
 }
 
 // check prints what a member's folder contains.
 func check(_ context.Context, cmd *cli.Command) error {
-	storage, durable, err := agent.Open(cmd.String(flagDir))
+	storage, durable, err := agent.OpenStorage(cmd.String(flagDir))
 	if err != nil {
 		return err
 	}
--- a/cmd/tulipctl/lease.go
+++ b/cmd/tulipctl/lease.go
@@ -247,7 +247,7 @@
 				p.End()
 				return
 			case <-time.After(100 * time.Millisecond):
-				p.Until(deadline())
+				p.ExtendDeadline(deadline())
 			}
 		}
 	}()
@@ -278,7 +278,7 @@
 	if err != nil {
 		return negativeAnswer("lease note: %v", err)
 	}
-	if err := errors.Join(l.Note(ctx, cmd.Args().Get(1)), l.Release(ctx)); err != nil {
+	if err := errors.Join(l.SetNote(ctx, cmd.Args().Get(1)), l.Release(ctx)); err != nil {
 		return negativeAnswer("lease note: %v", err)
 	}
 	return nil
--- a/cmd/tulipctl/load.go
+++ b/cmd/tulipctl/load.go
@@ -141,7 +141,7 @@
 	}
 	if bar := progress(cmd.Root().ErrWriter, "load"); bar != nil {
 		all := int(plan.Scenario.Seconds)
-		plan.Each = func(s load.Second) { bar(min(int(s.At)+1, all), all) }
+		plan.Each = func(s load.Second) { bar(min(int(s.Start)+1, all), all) }
 	}
 	res, err := load.Run(ctx, plan)
 	for _, done := range closers {
@@ -188,7 +188,7 @@
 		writef(out, "INVALID: %s\n", strings.Join(r.Invalid, "; "))
 	}
 	writef(out, "%s, seed %d: %d calls in %.1f s (%.0f/s), %d requests of which %d retries, value served in time %.3f\n",
-		r.Scenario, r.Seed, r.Calls, r.Seconds, r.PerS, r.Sent, r.Repeats, r.ServedValue)
+		r.Scenario, r.Seed, r.Calls, r.Seconds, r.PerS, r.Sent, r.Retries, r.ServedValue)
 	writef(out, "lag p50 %.3f ms, p99 %.3f ms, max %.3f ms; at most %d connections; %.1f µs of processor time per request\n\n", r.Lag.P50,
 		r.Lag.P99, r.Lag.Max, r.Conns, r.CPU)
 	t := table(cmd)
--- a/cmd/tulipctl/load_find.go
+++ b/cmd/tulipctl/load_find.go
@@ -35,12 +35,12 @@
 	}
 	s := load.Search{
 		Objective:     load.Objective{P99: cmd.Duration("p99"), MaxRejectedShare: cmd.Float("rejected")},
-		From:          cmd.Float("from"),
-		To:            cmd.Float("to"),
-		Close:         cmd.Float("close"),
+		MinRate:       cmd.Float("from"),
+		MaxRate:       cmd.Float("to"),
+		Tolerance:     cmd.Float("close"),
 		Confirmations: cmd.Int("confirmations"),
 	}
-	if s.From <= 0 || s.To < s.From || s.Close <= 0 || s.Confirmations < 1 {
+	if s.MinRate <= 0 || s.MaxRate < s.MinRate || s.Tolerance <= 0 || s.Confirmations < 1 {
 		return fmt.Errorf("find: --from, --to, --close and --confirmations must be above 0, and --to not below --from")
 	}
 	found, err := load.Find(ctx, s, func(ctx context.Context, perS float64) (*load.Result, error) {
@@ -71,11 +71,11 @@
 	}
 	switch {
 	case found.Low == 0:
-		return negativeAnswer("not even %.0f calls/s keeps p99 within %v and %.1f%% not served", s.From, s.P99, 100*s.MaxRejectedShare)
+		return negativeAnswer("not even %.0f calls/s keeps p99 within %v and %.1f%% not served", s.MinRate, s.P99, 100*s.MaxRejectedShare)
 	case found.High == 0:
 		writef(out, "at least %.0f calls/s (within bounds in %s)\n", found.Low, found.LowConfidence)
 	default:
-		writef(out, "%.0f calls/s (within bounds in %s); not %.0f (beyond them in %s)\n", found.Low, found.LowConfidence, found.High, found.HighOut)
+		writef(out, "%.0f calls/s (within bounds in %s); not %.0f (beyond them in %s)\n", found.Low, found.LowConfidence, found.High, found.HighConfidence)
 	}
 	return nil
 }
--- a/cmd/tulipctl/load_serve.go
+++ b/cmd/tulipctl/load_serve.go
@@ -41,7 +41,7 @@
 }
 
 func serveNull(ctx context.Context, cmd *cli.Command) error {
-	n, err := fake.StartNull(cmd.String("listen"), nil, nil)
+	n, err := fake.StartNullServer(cmd.String("listen"), nil, nil)
 	if err != nil {
 		return err
 	}
--- a/cmd/tulipctl/load_verify.go
+++ b/cmd/tulipctl/load_verify.go
@@ -33,7 +33,7 @@
 	writeln(t, "figure\treported ms\tknown ms\terror ms\t")
 	for _, c := range checks {
 		verdict := ""
-		if !c.OK {
+		if !c.Passed {
 			verdict = "BEYOND"
 			beyond++
 		}
--- a/cmd/tulipctl/main.go
+++ b/cmd/tulipctl/main.go
@@ -46,7 +46,7 @@
 }
 
 func main() {
-	deadlineexec.Role(agent.Clock)
+	deadlineexec.RunSupervisor(agent.Clock)
 	processtest.Role()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/tulipctl/main_test.go
+++ b/cmd/tulipctl/main_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestMain(m *testing.M) {
-	deadlineexec.Role(agent.Clock)
+	deadlineexec.RunSupervisor(agent.Clock)
 	testscript.Main(m, map[string]func(){
 		"tulipctl": func() { os.Exit(run(context.Background(), os.Args, os.Stdout, os.Stderr)) },
 		// status COMMAND... prints the exit status of tulipctl, so that a script can tell 1 from 2.
--- a/cmd/tulipctl/rollout.go
+++ b/cmd/tulipctl/rollout.go
@@ -190,7 +190,7 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, r.cmd.Duration("within"))
 	defer stop()
-	return r.lease.Note(ctx, r.rollout.Note())
+	return r.lease.SetNote(ctx, r.rollout.Note())
 }
 
 // runNode performs what is left of one node's steps.
--- a/cmd/tulipctl/simulate_agents.go
+++ b/cmd/tulipctl/simulate_agents.go
@@ -51,11 +51,11 @@
 	for _, m := range all {
 		election, latency := m.Elections, m.Latency
 		writef(t, "%d\tp50 %d, p99 %d, max %d", m.Agents, election.ValueAtQuantile(50), election.ValueAtQuantile(99), election.Max())
-		writef(t, "\t%.0f", m.GrantsPS)
+		writef(t, "\t%.0f", m.GrantsPerSecond)
 		writef(t, "\tp50 %.1f, p99 %.1f", float64(latency.ValueAtQuantile(50))/1000, float64(latency.ValueAtQuantile(99))/1000)
-		writef(t, "\t%.1f%%, %.0f, %.0f", 100*m.Idle.CPU, m.Idle.Memory, m.Idle.Pieces)
+		writef(t, "\t%.1f%%, %.0f, %.0f", 100*m.Idle.CPU, m.Idle.Memory, m.Idle.Messages)
 		writef(t, "\t%d", m.Holders)
-		writef(t, "\t%.1f%%, %.0f, %.0f", 100*m.Holding.CPU, m.Holding.Memory, m.Holding.Pieces)
+		writef(t, "\t%.1f%%, %.0f, %.0f", 100*m.Holding.CPU, m.Holding.Memory, m.Holding.Messages)
 		writef(t, "\t%.1f s\n", m.Rush.Seconds())
 	}
 	return t.Flush()
--- a/cmd/tulipctl/simulate_failover.go
+++ b/cmd/tulipctl/simulate_failover.go
@@ -45,17 +45,17 @@
 			{"schedules", outcome.Schedules},
 			{"events", outcome.Events},
 			{"plans", outcome.Plans},
-			{"failover leaders", outcome.Directors},
+			{"failover leaders", outcome.Leaders},
 			{"schedules in which all failover leaders stop", outcome.Died},
 			{"plans rejected because a newer one was in effect", outcome.Rejected},
-			{"changes of direction", outcome.Turns},
+			{"changes of direction", outcome.Reversals},
 			{"PLANS APPLIED AFTER NEWER ONES", outcome.Backwards},
 			{"ZONES THAT GREW FASTER THAN ALLOWED", outcome.Jumps},
 			{"PLANS THAT EXPIRED WITHOUT A FADE", outcome.Cliffs},
 		})
 		writef(t, "value served, of the optimum's, from 10 s after each event\t%.4f\n", outcome.ServedValue)
-		writef(t, "the same over the whole time\t%.4f\n", outcome.Whole)
-		writef(t, "the same when all failover leaders have stopped\t%.4f\n", outcome.Alone)
+		writef(t, "the same over the whole time\t%.4f\n", outcome.OverallValue)
+		writef(t, "the same when all failover leaders have stopped\t%.4f\n", outcome.ValueWithoutAgents)
 		writef(t, "traffic between zones from 10 s after each event, and the optimum's\t%.4f, %.4f\n", outcome.Crossing, outcome.Needed)
 		err = t.Flush()
 	}
--- a/cmd/tulipctl/simulate_leases.go
+++ b/cmd/tulipctl/simulate_leases.go
@@ -33,7 +33,7 @@
 		"guard": {Guard: true},
 		"fence": {Fence: true},
 		"clock": {Clock: true},
-		"free":  {Free: true},
+		"free":  {ReleaseWait: true},
 		"sync":  {Sync: true},
 	})
 	if err != nil {
@@ -56,17 +56,17 @@
 			{"grants", outcome.Grants},
 			{"leaders", outcome.Leaders},
 			{"holders killed", outcome.Kills},
-			{"actions admitted", outcome.Acts},
+			{"actions admitted", outcome.Actions},
 			{"actions withheld by uncertain holders", outcome.Withheld},
-			{"actions rejected by their fencing token", outcome.Old},
+			{"actions rejected by their fencing token", outcome.Stale},
 			{"actions rejected because an earlier one was running", outcome.Busy},
 			{"OVERLAPS", outcome.Overlaps},
 			{"OLDER AFTER NEWER", outcome.Backwards},
-			{"REJECTED ALTHOUGH THE GUARD SUFFICES", outcome.Unneeded},
+			{"REJECTED ALTHOUGH THE GUARD SUFFICES", outcome.UnexpectedRejections},
 			{"faults among members", outcome.Faults},
 			{"membership changes", outcome.Changes},
 			{"TOKENS GRANTED TWICE", outcome.DuplicateGrants},
-			{"MEMBERS THAT DISAGREE", outcome.Split},
+			{"MEMBERS THAT DISAGREE", outcome.Disagreements},
 			{"NO ACTIONS AFTER THE FAULTS", outcome.Idle},
 		})
 		printQuantiles(t, "from a holder's end to its successor's first action", latencies.All)
--- a/cmd/tulipctl/simulate_processes.go
+++ b/cmd/tulipctl/simulate_processes.go
@@ -51,11 +51,11 @@
 // add adds the findings of one schedule. The error is that of the schedule, unless it counts as idle.
 func (r *processTestResult) add(seed uint64, findings processtest.Findings, err error) error {
 	r.Schedules++
-	for i, violation := range findings.Broken {
-		findings.Broken[i] = fmt.Sprintf("schedule %d: %s", seed, violation)
+	for i, violation := range findings.Violations {
+		findings.Violations[i] = fmt.Sprintf("schedule %d: %s", seed, violation)
 	}
 	r.Add(findings)
-	if (err != nil || len(findings.Broken) > 0) && (r.First == 0 || seed < r.First) {
+	if (err != nil || len(findings.Violations) > 0) && (r.First == 0 || seed < r.First) {
 		r.First = seed
 	}
 	if errors.Is(err, processtest.ErrIdle) {
@@ -69,10 +69,10 @@
 }
 
 // violations counts what failed.
-func (r *processTestResult) violations() int { return len(r.Broken) + r.Idle }
+func (r *processTestResult) violations() int { return len(r.Violations) + r.Idle }
 
 func testProcesses(ctx context.Context, cmd *cli.Command) error {
-	schedules, without, err := scheduleFlags(cmd, map[string]processtest.Without{
+	schedules, without, err := scheduleFlags(cmd, map[string]processtest.DisabledParts{
 		"":      {},
 		"guard": {Guard: true},
 		"fence": {Fence: true},
@@ -105,7 +105,7 @@
 }
 
 // runProcessSchedules runs all schedules. Its error joins those of schedules that could not be run.
-func runProcessSchedules(ctx context.Context, cmd *cli.Command, schedules int, without processtest.Without) (*processTestResult, error) {
+func runProcessSchedules(ctx context.Context, cmd *cli.Command, schedules int, without processtest.DisabledParts) (*processTestResult, error) {
 	parallel := cmd.Int("parallel")
 	if parallel < 1 {
 		return nil, errors.New("processes: --parallel must be above 0")
@@ -130,23 +130,23 @@
 		{"schedules", result.Schedules},
 		{"grants", result.Grants},
 		{"leaders", result.Leaders},
-		{"actions admitted", result.Acts},
+		{"actions admitted", result.Actions},
 		{"actions rejected by their fencing token", result.Rejected},
 		{"NO ACTIONS AFTER THE FAULTS", result.Idle},
 	})
 	for _, kind := range slices.Sorted(maps.Keys(result.Faults)) {
 		writef(t, "%s\t%d\n", kind, result.Faults[kind])
 	}
-	if err := printDurations(t, "from a holder's kill, stop or partition to its successor's first action", result.Gaps); err != nil {
+	if err := printDurations(t, "from a holder's kill, stop or partition to its successor's first action", result.TakeoverTimes); err != nil {
 		return err
 	}
-	if err := printDurations(t, "from a leader's kill, stop or partition to the next leader", result.LeaderTimes); err != nil {
+	if err := printDurations(t, "from a leader's kill, stop or partition to the next leader", result.ElectionTimes); err != nil {
 		return err
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, violation := range result.Broken {
+	for _, violation := range result.Violations {
 		writeln(cmd.Root().Writer, violation)
 	}
 	return nil
@@ -164,7 +164,7 @@
 }
 
 // shrinkSchedule prints the fewest faults with which the schedule of a seed still fails.
-func shrinkSchedule(ctx context.Context, out io.Writer, seed uint64, without processtest.Without) error {
+func shrinkSchedule(ctx context.Context, out io.Writer, seed uint64, without processtest.DisabledParts) error {
 	var failed error
 	needed := experiment.DDMin(processtest.Faults(seed), func(faults []faultinject.Fault) bool {
 		fails, err := processtest.Fails(ctx, seed, without, faults, shrinkAttempts)
--- a/cmd/tulipctl/survey_test.go
+++ b/cmd/tulipctl/survey_test.go
@@ -57,9 +57,9 @@
 			if served := r.Outcomes["served"] + r.Outcomes["late"]; float64(served) < 0.7*float64(r.Calls) {
 				t.Errorf("%d of %d calls served: %v", served, r.Calls, r.Outcomes)
 			}
-			if probing := sc.Rules.AllowHealthChecks && sc.Rules.HealthCheckCost < 0.003; !probing && truth.Probes > 0 {
-				t.Errorf("%d probes, although they are forbidden or expensive", truth.Probes)
-			} else if probing && truth.Probes == 0 {
+			if probing := sc.Rules.AllowHealthChecks && sc.Rules.HealthCheckCost < 0.003; !probing && truth.HealthChecks > 0 {
+				t.Errorf("%d probes, although they are forbidden or expensive", truth.HealthChecks)
+			} else if probing && truth.HealthChecks == 0 {
 				t.Error("no probes, although they are cheap")
 			}
 		})
--- a/cmd/tulipglade/soak_test.go
+++ b/cmd/tulipglade/soak_test.go
@@ -47,9 +47,9 @@
 	}
 	t.Logf("%d requests: %d served, %d rejected, %d failed; faults %v",
 		result.Total, result.Served, result.Rejected, result.Failed, result.Faults)
-	for i, line := range result.Broken {
+	for i, line := range result.Violations {
 		if i == maxBrokenLines {
-			t.Errorf("and %d more", len(result.Broken)-i)
+			t.Errorf("and %d more", len(result.Violations)-i)
 			break
 		}
 		t.Error(line)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -102,7 +102,7 @@
 // Serve runs the member of a folder until ctx ends, the member has been removed from its group, or a failure.
 func Serve(ctx context.Context, dir string, options Options) (err error) {
 	options.setDefaults()
-	storage, durable, err := Open(dir)
+	storage, durable, err := OpenStorage(dir)
 	if err != nil {
 		return err
 	}
--- a/internal/agent/failover_leader.go
+++ b/internal/agent/failover_leader.go
@@ -318,7 +318,7 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, failoverLeaseDuration)
 	defer stop()
-	if err := leaderLease.Note(ctx, string(raw)); err != nil {
+	if err := leaderLease.SetNote(ctx, string(raw)); err != nil {
 		return fmt.Errorf("plan %d/%d: %w", plan.Token, plan.Revision, err)
 	}
 	return nil
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -89,7 +89,7 @@
 		t.Fatal(err)
 	}
 	dir := filepath.Join(t.TempDir(), "member")
-	if err := Create(dir, Identity{Group: "golden", ID: 1, Address: "127.0.0.1:17101"}, durable); err != nil {
+	if err := CreateStorage(dir, Identity{Group: "golden", ID: 1, Address: "127.0.0.1:17101"}, durable); err != nil {
 		t.Fatal(err)
 	}
 	address := serveCopy(t, dir)
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -131,7 +131,7 @@
 			Ticks:     l.ticks,
 		})
 		if err == nil {
-			l.guard.Granted(grant, l.ticks, sentAt)
+			l.guard.RecordGrant(grant, l.ticks, sentAt)
 			if _, ok := l.guard.BeginAction(l.options.Clock(), 0); ok {
 				return nil
 			}
@@ -183,7 +183,7 @@
 	})
 	if err == nil && response.Grant != nil {
 		l.mu.Lock()
-		l.guard.Granted(*response.Grant, l.ticks, sentAt)
+		l.guard.RecordGrant(*response.Grant, l.ticks, sentAt)
 		l.mu.Unlock()
 	}
 	return err
@@ -237,8 +237,8 @@
 	return l.guard.Remaining(l.options.Clock())
 }
 
-// Note replaces the note for the next holder.
-func (l *Lease) Note(ctx context.Context, text string) error {
+// SetNote replaces the note for the next holder.
+func (l *Lease) SetNote(ctx context.Context, text string) error {
 	grant, _ := l.Grant()
 	_, err := l.client.Do(ctx, verbSetNote, lease.Command{Name: grant.Name, Token: grant.Token, Text: text})
 	return err
@@ -266,5 +266,5 @@
 func (l *Lease) actionsOver() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.guard.Expired(l.options.Clock())
+	return l.guard.ActionsOver(l.options.Clock())
 }
--- a/internal/agent/storage.go
+++ b/internal/agent/storage.go
@@ -59,8 +59,8 @@
 	Identity Identity
 }
 
-// Create creates a member's folder with its initial state.
-func Create(dir string, identity Identity, durable consensus.DurableState) error {
+// CreateStorage creates a member's folder with its initial state.
+func CreateStorage(dir string, identity Identity, durable consensus.DurableState) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -81,8 +81,8 @@
 	return errors.Join(err, db.Close())
 }
 
-// Open opens a member's folder, which no other process may have open, and returns its state.
-func Open(dir string) (*Storage, consensus.DurableState, error) {
+// OpenStorage opens a member's folder, which no other process may have open, and returns its state.
+func OpenStorage(dir string) (*Storage, consensus.DurableState, error) {
 	path := filepath.Join(dir, storageFileName)
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil, consensus.DurableState{}, fmt.Errorf("%s: %w", dir, errNoStorage)
--- a/internal/agent/storage_test.go
+++ b/internal/agent/storage_test.go
@@ -31,12 +31,12 @@
 			t.Fatal(err)
 		}
 		identity := Identity{Version: storageVersion, Group: "g", ID: 1, Address: "127.0.0.1:1"}
-		if err := Create(dir, identity, want); err != nil {
+		if err := CreateStorage(dir, identity, want); err != nil {
 			t.Fatal(err)
 		}
 		log := drawnLog{compacted: 1, last: 1}
 		for range rapid.IntRange(0, 3).Draw(t, "restarts") {
-			storage, got, err := Open(dir)
+			storage, got, err := OpenStorage(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -48,13 +48,13 @@
 				if err := storage.Save(update); err != nil {
 					t.Fatal(err)
 				}
-				want = want.EntriesAfter(update)
+				want = want.Apply(update)
 			}
 			if err := storage.Close(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		storage, got, err := Open(dir)
+		storage, got, err := OpenStorage(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -120,28 +120,28 @@
 // A folder is opened by one process at a time and is never overwritten, and an error is one line.
 func TestStorageFolderErrors(t *testing.T) {
 	dir := t.TempDir()
-	if _, _, err := Open(dir); !errors.Is(err, errNoStorage) {
+	if _, _, err := OpenStorage(dir); !errors.Is(err, errNoStorage) {
 		t.Error("an empty folder:", err)
 	}
-	if err := Create(dir, Identity{ID: 1}, consensus.EmptyState()); err != nil {
+	if err := CreateStorage(dir, Identity{ID: 1}, consensus.EmptyState()); err != nil {
 		t.Fatal(err)
 	}
-	if err := Create(dir, Identity{ID: 1}, consensus.EmptyState()); !errors.Is(err, errStorageExists) {
+	if err := CreateStorage(dir, Identity{ID: 1}, consensus.EmptyState()); !errors.Is(err, errStorageExists) {
 		t.Error("created twice:", err)
 	}
-	storage, _, err := Open(dir)
+	storage, _, err := OpenStorage(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeStorage(t, storage)
-	if _, _, err := Open(dir); err == nil || !strings.Contains(err.Error(), "timeout") {
+	if _, _, err := OpenStorage(dir); err == nil || !strings.Contains(err.Error(), "timeout") {
 		t.Error("opened twice:", err)
 	}
 	other := t.TempDir()
 	if err := os.WriteFile(filepath.Join(other, storageFileName), []byte(strings.Repeat("no file of ours", 1000)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(other); err == nil || strings.Contains(err.Error(), "\n") {
+	if _, _, err := OpenStorage(other); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Error("a file of another kind:", err)
 	}
 }
--- a/internal/agent/transport.go
+++ b/internal/agent/transport.go
@@ -47,7 +47,7 @@
 	case queue <- outbound:
 	default:
 		if outbound.isSnapshot {
-			a.post(func() { a.member.Delivered(outbound.to, false) })
+			a.post(func() { a.member.ReportSnapshot(outbound.to, false) })
 		}
 	}
 }
@@ -69,7 +69,7 @@
 			err := a.sendMessage(address, outbound.raw)
 			switch {
 			case outbound.isSnapshot:
-				a.post(func() { a.member.Delivered(outbound.to, err == nil) })
+				a.post(func() { a.member.ReportSnapshot(outbound.to, err == nil) })
 			case err != nil:
 				a.post(func() { a.member.ReportUnreachable(outbound.to) })
 			}
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -260,8 +260,8 @@
 // ReportUnreachable reports that a message to a member was lost.
 func (m *Member) ReportUnreachable(id uint64) { m.node.ReportUnreachable(id) }
 
-// Delivered reports whether a snapshot has reached a member.
-func (m *Member) Delivered(id uint64, ok bool) {
+// ReportSnapshot reports whether a snapshot has reached a member.
+func (m *Member) ReportSnapshot(id uint64, ok bool) {
 	status := raft.SnapshotFailure
 	if ok {
 		status = raft.SnapshotFinish
--- a/internal/consensus/network_test.go
+++ b/internal/consensus/network_test.go
@@ -27,7 +27,7 @@
 
 func (s *memoryStorage) Save(update StorageUpdate) error {
 	s.writes++
-	s.DurableState = s.EntriesAfter(update)
+	s.DurableState = s.Apply(update)
 	return s.err
 }
 
@@ -103,7 +103,7 @@
 			_ = recipient.Step(address(msg.GetFrom()), msg) // a member that has stopped rejects it
 		}
 		if sender := n.members[msg.GetFrom()]; msg.GetType() == pb.MsgSnap && sender != nil {
-			sender.Delivered(msg.GetTo(), recipient != nil)
+			sender.ReportSnapshot(msg.GetTo(), recipient != nil)
 		}
 	}
 }
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -31,8 +31,8 @@
 	Entries   []*pb.Entry
 }
 
-// EntriesAfter returns the state after an update.
-func (s DurableState) EntriesAfter(update StorageUpdate) DurableState {
+// Apply returns the state after an update.
+func (s DurableState) Apply(update StorageUpdate) DurableState {
 	if update.HardState != nil {
 		s.HardState = update.HardState
 	}
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -23,7 +23,7 @@
 	}
 	want := []any{"n3", "127.0.0.1:0", 192, int64(41), 1, []string{"read"}, 20000, 1024, uint64(0x8c1f30d27a5be964), 6}
 	got := []any{
-		c.Name, c.Listen, c.MemoryMB, c.Endpoints.Rev, len(c.Endpoints.Targets), c.Node.Classes, c.Node.MaxInFlight,
+		c.Name, c.Listen, c.MemoryMB, c.Endpoints.Revision, len(c.Endpoints.Targets), c.Node.Classes, c.Node.MaxInFlight,
 		c.Node.MaxDescriptors, c.Node.Seed, c.Node.Balancer.MaxAttempts,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/daemon/configfile.go
+++ b/internal/daemon/configfile.go
@@ -121,7 +121,7 @@
 // endpoints returns the endpoint list that is known before discovery has answered.
 func (f *configFile) endpoints() (protocol.List, error) {
 	if len(f.Known) == 0 {
-		return protocol.List{All: true}, nil
+		return protocol.List{Full: true}, nil
 	}
 	list, err := protocol.ParseList(f.Known)
 	if err != nil {
--- a/internal/daemon/hotrestart.go
+++ b/internal/daemon/hotrestart.go
@@ -71,7 +71,7 @@
 		return nil
 	}
 	log.Info("handoff received",
-		"rev", inherited.EndpointList.Rev,
+		"rev", inherited.EndpointList.Revision,
 		"backends", len(inherited.EndpointList.Targets),
 		"open", len(inherited.RequestIDs))
 	return inherited
@@ -133,7 +133,7 @@
 	}
 	p.group.addProcess()
 	p.log.Info("handoff sent",
-		"rev", state.EndpointList.Rev,
+		"rev", state.EndpointList.Revision,
 		"backends", len(state.EndpointList.Targets),
 		"open", len(state.RequestIDs),
 		"bytes", len(body))
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -117,13 +117,13 @@
 	}
 	s.onClose(func() { _ = s.inherited.Close() }) // the connection has served its purpose
 	list := s.inherited.EndpointList
-	if list.Rev >= s.endpoints.Rev && len(list.Targets) > 0 {
+	if list.Revision >= s.endpoints.Revision && len(list.Targets) > 0 {
 		s.endpoints = list
 	}
 }
 
 func (s *server) createNode() error {
-	s.watch = newWatch(s.config.Discovery, s.endpoints.Rev)
+	s.watch = newWatch(s.config.Discovery, s.endpoints.Revision)
 	created, err := node.New(s.settings, s.watch, s.log)
 	if err != nil {
 		return err
--- a/internal/daemon/watch_loop.go
+++ b/internal/daemon/watch_loop.go
@@ -125,7 +125,7 @@
 func (w *watch) classify(result callResult) error {
 	err := result.err
 	if err == nil {
-		if result.list.All && !hasLiveEndpoint(result.list) {
+		if result.list.Full && !hasLiveEndpoint(result.list) {
 			return fmt.Errorf("discovery at %s: %w", result.address, errEmptyList)
 		}
 		return nil
@@ -176,8 +176,8 @@
 	if result.address != w.address {
 		return time.Time{}
 	}
-	w.revision = result.list.Rev
-	w.needsFullList = w.needsFullList && !result.list.All
+	w.revision = result.list.Revision
+	w.needsFullList = w.needsFullList && !result.list.Full
 	return earlierOf(time.Now(), result.start.Add(result.wait+answerLatencyTolerance))
 }
 
--- a/internal/daemon/watch_test.go
+++ b/internal/daemon/watch_test.go
@@ -18,7 +18,7 @@
 type notifications chan string
 
 func (n notifications) UpdateEndpointsAsOf(list protocol.List, _ time.Time) {
-	n <- fmt.Sprint("list ", list.Rev, list.All)
+	n <- fmt.Sprint("list ", list.Revision, list.Full)
 }
 
 func (n notifications) DiscoveryAddressChanged(time.Duration) {}
@@ -195,13 +195,13 @@
 		{"late", "127.0.0.1:2", start.Add(time.Second + answerLatencyTolerance)},
 		{"from the old address", "127.0.0.1:1", time.Time{}},
 	} {
-		w.report(callResult{address: c.address, list: protocol.List{Rev: 42}, start: start, wait: time.Second})
+		w.report(callResult{address: c.address, list: protocol.List{Revision: 42}, start: start, wait: time.Second})
 		if got := <-received.asOf; !got.Equal(c.want) {
 			t.Errorf("%s: as of %v, want %v", c.name, got, c.want)
 		}
 	}
 	before := time.Now()
-	w.report(callResult{address: "127.0.0.1:2", list: protocol.List{Rev: 43}, start: before, wait: time.Hour})
+	w.report(callResult{address: "127.0.0.1:2", list: protocol.List{Revision: 43}, start: before, wait: time.Hour})
 	if got := <-received.asOf; got.Before(before) || got.After(time.Now()) {
 		t.Errorf("a prompt answer: as of %v", got)
 	}
--- a/internal/deadlineexec/deadlineexec.go
+++ b/internal/deadlineexec/deadlineexec.go
@@ -61,8 +61,8 @@
 	return c, nil
 }
 
-// Until extends the deadline. An earlier deadline than the current one changes nothing.
-func (c *Cmd) Until(deadline time.Duration) {
+// ExtendDeadline extends the deadline. An earlier deadline than the current one changes nothing.
+func (c *Cmd) ExtendDeadline(deadline time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, _ = fmt.Fprintln(c.deadlines, formatTime(deadline)) // fails if the supervisor has exited
--- a/internal/deadlineexec/deadlineexec_test.go
+++ b/internal/deadlineexec/deadlineexec_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestMain(m *testing.M) {
-	Role(clock)
+	RunSupervisor(clock)
 	os.Exit(m.Run())
 }
 
@@ -71,8 +71,8 @@
 func TestDeadlineIsExtendedUntilEnd(t *testing.T) {
 	var out bytes.Buffer
 	c := start(t, 2*TerminationNotice, &out, "sh", "-c", "sleep 0.3; echo there; sleep 100")
-	c.Until(clock() + time.Hour)
-	c.Until(clock()) // an earlier deadline changes nothing
+	c.ExtendDeadline(clock() + time.Hour)
+	c.ExtendDeadline(clock()) // an earlier deadline changes nothing
 	time.AfterFunc(2*TerminationNotice+300*time.Millisecond, c.End)
 	started := clock()
 	if err := c.Wait(); !errors.Is(err, ErrKilled) || out.String() != "there\n" {
--- a/internal/deadlineexec/supervisor.go
+++ b/internal/deadlineexec/supervisor.go
@@ -25,8 +25,8 @@
 	maxWait = 50 * time.Millisecond
 )
 
-// Role must be called first in main. In a process that Start has started as a supervisor it runs the command, and does not return.
-func Role(clock func() time.Duration) {
+// RunSupervisor must be called first in main. In a process that Start has started as a supervisor it runs the command, and does not return.
+func RunSupervisor(clock func() time.Duration) {
 	raw := os.Getenv(deadlineEnv)
 	if raw == "" {
 		return
--- a/internal/fake/backend_conn.go
+++ b/internal/fake/backend_conn.go
@@ -82,7 +82,7 @@
 	cl := b.cluster
 	cl.post(func() {
 		if c.counted && cl.live.Incarnation(b.place) == c.incarnation {
-			cl.live.Connected(b.place, -1)
+			cl.live.AddConnections(b.place, -1)
 		}
 		if c.inFlight != nil && !c.inFlight.ended {
 			c.inFlight.ended = true
@@ -218,13 +218,13 @@
 	}
 	var response []byte
 	cl.call(func() {
-		cl.ledger.totals.Probes++
+		cl.ledger.totals.HealthChecks++
 		if cl.live.Incarnation(b.place) != c.incarnation {
 			return
 		}
 		body := ""
 		if path == loadReportPath {
-			body = formatLoadReport(cl.live.Probe(cl.now(), b.place))
+			body = formatLoadReport(cl.live.CheckHealth(cl.now(), b.place))
 		}
 		response = fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	})
@@ -265,18 +265,18 @@
 		return attempt, http.StatusBadRequest
 	}
 	attempt = emulator.Attempt{
-		Place:  c.backend.place,
-		Node:   c.backend.node,
-		ID:     id,
-		Repeat: id,
-		Class:  class,
-		Fresh:  c.firstRequest,
+		AddressIndex:   c.backend.place,
+		Node:           c.backend.node,
+		ID:             id,
+		IdempotencyKey: id,
+		Class:          class,
+		NewConnection:  c.firstRequest,
 	}
 	if object := target.Query().Get("obj"); object != "" {
 		attempt.Key = xxhash.Sum64String(object)
 	}
 	if key := message.Get("idempotency-key"); len(key) > 0 {
-		attempt.Repeat = string(key)
+		attempt.IdempotencyKey = string(key)
 	}
 	ms, err := strconv.ParseInt(string(message.Get("x-expires-in-ms")), 10, 64)
 	if err == nil && ms > 0 {
--- a/internal/fake/backend_listener.go
+++ b/internal/fake/backend_listener.go
@@ -218,7 +218,7 @@
 	cl.post(func() {
 		cl.ledger.totals.Connections++
 		if cl.live.Incarnation(b.place) == c.incarnation {
-			cl.live.Connected(b.place, 1)
+			cl.live.AddConnections(b.place, 1)
 			c.counted = true
 		}
 	})
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// Since is the time since the start.
-func (cl *Cluster) Since() time.Duration { return time.Since(cl.startedAt) }
+// Elapsed is the time since the start.
+func (cl *Cluster) Elapsed() time.Duration { return time.Since(cl.startedAt) }
 
 // Discovery is the address of discovery for a node: each has one of its own, by which discovery knows the node.
 func (cl *Cluster) Discovery(node int) string { return cl.discoveries[node].addr }
--- a/internal/fake/control_test.go
+++ b/internal/fake/control_test.go
@@ -91,7 +91,7 @@
 }
 
 func TestControlListensOnLoopbackOnly(t *testing.T) {
-	if _, err := start(t, Options{}).Control("0.0.0.0:0"); !errors.Is(err, loopback.ErrNot) {
+	if _, err := start(t, Options{}).Control("0.0.0.0:0"); !errors.Is(err, loopback.ErrNotLoopback) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -251,7 +251,7 @@
 				Kind:     eventNotified,
 				Node:     d.node,
 				Backend:  record.Backend,
-				Place:    record.Place,
+				Place:    record.AddressIndex,
 				Phase:    phaseNames[record.Phase],
 				Revision: list.Revision,
 			})
--- a/internal/fake/discovery_test.go
+++ b/internal/fake/discovery_test.go
@@ -39,9 +39,9 @@
 	notified := make(chan notification, 1)
 	go func() {
 		list := fetchList(t, cl, 0, "?since=4&timeout_ms=20000")
-		notified <- notification{list, cl.Since()}
+		notified <- notification{list, cl.Elapsed()}
 	}()
-	killedAt := cl.Since()
+	killedAt := cl.Elapsed()
 	id := inject(t, cl, faultinject.Fault{Kind: faultinject.Kill, Backends: []int{2}})
 	got := <-notified
 	if got.list.Full || len(got.list.Endpoints) != 1 || got.list.Endpoints[0].UID != "box-3" ||
@@ -70,7 +70,7 @@
 		}
 		ended <- err
 	}()
-	id = inject(t, cl, faultinject.Fault{Kind: faultinject.ListDown})
+	id = inject(t, cl, faultinject.Fault{Kind: faultinject.DiscoveryDown})
 	if err := <-ended; err == nil {
 		t.Error("a watch outlives discovery")
 	}
--- a/internal/fake/endpoints.go
+++ b/internal/fake/endpoints.go
@@ -64,7 +64,7 @@
 func (cl *Cluster) backendAt(place int) int {
 	backend := 0
 	for _, record := range cl.endpoints {
-		if record.Place == place {
+		if record.AddressIndex == place {
 			backend = max(backend, record.Backend)
 		}
 	}
@@ -75,15 +75,15 @@
 func (cl *Cluster) listedEndpoint(node int, record endpointRecord) listedEndpoint {
 	endpoint := listedEndpoint{
 		UID:      fmt.Sprintf("box-%d", record.Backend),
-		Endpoint: cl.backends[record.Place][node].addr,
+		Endpoint: cl.backends[record.AddressIndex][node].addr,
 		Zone:     cl.scenario.Fleet.Sites[record.Site],
 		Model:    "box",
 		Group:    record.Rack,
 		State:    phaseNames[record.Phase],
 		Capacity: record.Weight,
 	}
-	if record.Started >= 0 {
-		endpoint.BootMs = cl.startedAt.UnixMilli() + record.Started/microsPerMilli
+	if record.StartedAt >= 0 {
+		endpoint.BootMs = cl.startedAt.UnixMilli() + record.StartedAt/microsPerMilli
 	}
 	return endpoint
 }
--- a/internal/fake/exchange.go
+++ b/internal/fake/exchange.go
@@ -72,7 +72,7 @@
 	cl := x.conn.backend.cluster
 	answer := x.event(cl.now(), eventAnswered)
 	answer.Outcome = outcomeNames[outcome]
-	answer.Ran = result.Ran
+	answer.Ran = result.Started
 	cl.log.write(answer)
 	x.response <- cl.formatResponse(x, result, outcome)
 }
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -15,7 +15,7 @@
 
 // Answered ends an exchange at its backend.
 func (h eventHandler) Answered(result emulator.Pending, outcome balancer.Outcome) {
-	result.Any.(*exchange).finish(result, outcome)
+	result.Context.(*exchange).finish(result, outcome)
 }
 
 // Ran counts an execution as it begins: an attempt that its node cancels has no end, but it has run.
@@ -34,7 +34,7 @@
 		Time:     cl.now(),
 		Kind:     eventListed,
 		Backend:  entry.Backend,
-		Place:    entry.Place,
+		Place:    entry.AddressIndex,
 		Phase:    phaseNames[entry.Phase],
 		Revision: cl.revision,
 	})
@@ -50,7 +50,7 @@
 	switch fault.Kind {
 	case faultinject.Garbage, faultinject.Interim:
 		cl.responseFaults = append(cl.responseFaults, fault)
-	case faultinject.ListDown:
+	case faultinject.DiscoveryDown:
 		cl.discoveryFaults++
 		for _, d := range cl.discoveries {
 			d.resetConnections()
@@ -66,7 +66,7 @@
 	if cl.processes != nil {
 		cl.processes.applyFault(fault, false)
 	}
-	if fault.Kind == faultinject.ListDown {
+	if fault.Kind == faultinject.DiscoveryDown {
 		cl.discoveryFaults--
 	}
 	index := slices.IndexFunc(cl.responseFaults, func(active faultinject.Fault) bool {
--- a/internal/fake/faults_test.go
+++ b/internal/fake/faults_test.go
@@ -39,7 +39,7 @@
 	far, near := dial(t, cl.backendAddr(1, 0)), dial(t, cl.backendAddr(0, 0))
 	far.sendRequest("/read", "a", "")
 	far.wantStatus(200)
-	id := inject(t, cl, faultinject.Fault{Kind: faultinject.SiteCut, Site: "west"})
+	id := inject(t, cl, faultinject.Fault{Kind: faultinject.SitePartition, Site: "west"})
 	far.sendRequest("/read", "b", "")
 	near.sendRequest("/read", "c", "")
 	near.wantStatus(200)
--- a/internal/fake/nodeconfig.go
+++ b/internal/fake/nodeconfig.go
@@ -142,7 +142,7 @@
 
 func newNodeSettings(sc *scenario.Scenario, node int, limits NodeLimits) nodeSettings {
 	settings := nodeSettings{
-		Clients:       clientSettings{MarksRetries: sc.Clients.Marks},
+		Clients:       clientSettings{MarksRetries: sc.Clients.MarkRetries},
 		DiscoveryMode: "push",
 		Limits:        newLimitSettings(sc, limits),
 		Node:          node,
@@ -173,7 +173,7 @@
 		MaxRetryAfterMicros:  micros(sc.Clients.MaxRetryAfter),
 		AllowHedging:         sc.Rules.AllowHedging,
 		AllowHealthChecks:    sc.Rules.AllowHealthChecks,
-		HonorsRetryAfter:     sc.Clients.Heed > 0,
+		HonorsRetryAfter:     sc.Clients.HeedRetryAfter > 0,
 	}
 }
 
@@ -199,7 +199,7 @@
 	}
 	switch {
 	case len(settings.Fields) == 0:
-	case report.By == "probes":
+	case report.SentBy == "probes":
 		settings.Delivery = "pull"
 	default:
 		settings.Delivery = "piggyback"
--- a/internal/fake/nullserver.go
+++ b/internal/fake/nullserver.go
@@ -9,9 +9,9 @@
 	"tulipglade/internal/protocol"
 )
 
-// Null answers every request with a 200 after a delay that is known exactly, and does nothing else: the server that a
+// NullServer answers every request with a 200 after a delay that is known exactly, and does nothing else: the server that a
 // load generator is measured against.
-type Null struct {
+type NullServer struct {
 	listener net.Listener
 	delay    func(arrived time.Time) time.Time
 	sleep    func(time.Time)
@@ -22,23 +22,23 @@
 	wg     sync.WaitGroup
 }
 
-// StartNull serves on a loopback address. Delay returns when the response to a request that arrived at the given time is
+// StartNullServer serves on a loopback address. Delay returns when the response to a request that arrived at the given time is
 // due; nil: at once. Sleep waits for that time.
-func StartNull(addr string, delay func(time.Time) time.Time, sleep func(time.Time)) (*Null, error) {
+func StartNullServer(addr string, delay func(time.Time) time.Time, sleep func(time.Time)) (*NullServer, error) {
 	listener, err := Listen(addr)
 	if err != nil {
 		return nil, err
 	}
-	n := &Null{listener: listener, delay: delay, sleep: sleep, conns: map[net.Conn]bool{}}
+	n := &NullServer{listener: listener, delay: delay, sleep: sleep, conns: map[net.Conn]bool{}}
 	n.wg.Go(n.accept)
 	return n, nil
 }
 
 // Addr is the address that the server listens on.
-func (n *Null) Addr() string { return n.listener.Addr().String() }
+func (n *NullServer) Addr() string { return n.listener.Addr().String() }
 
 // Close ends the server with its connections, and waits for its goroutines.
-func (n *Null) Close() {
+func (n *NullServer) Close() {
 	n.mu.Lock()
 	n.closed = true
 	closeQuietly(n.listener)
@@ -49,7 +49,7 @@
 	n.wg.Wait()
 }
 
-func (n *Null) accept() {
+func (n *NullServer) accept() {
 	for {
 		conn, err := n.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -72,7 +72,7 @@
 }
 
 // register lets Close end the connection. It returns false once the server is closed.
-func (n *Null) register(conn net.Conn) bool {
+func (n *NullServer) register(conn net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -82,7 +82,7 @@
 	return true
 }
 
-func (n *Null) unregister(conn net.Conn) {
+func (n *NullServer) unregister(conn net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, conn)
@@ -91,7 +91,7 @@
 var nullResponse = []byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n")
 
 // serve answers the requests of a connection, pipelined ones in their order.
-func (n *Null) serve(conn net.Conn) {
+func (n *NullServer) serve(conn net.Conn) {
 	buf := make([]byte, 0, protocol.BufferSize)
 	var message protocol.Message
 	for {
@@ -124,7 +124,7 @@
 }
 
 // respond writes a response when it is due. It returns false once the connection has ended.
-func (n *Null) respond(conn net.Conn, arrived time.Time) bool {
+func (n *NullServer) respond(conn net.Conn, arrived time.Time) bool {
 	if n.delay != nil {
 		n.sleep(n.delay(arrived))
 	}
--- a/internal/fake/report.go
+++ b/internal/fake/report.go
@@ -10,7 +10,7 @@
 	Unreadable    int64           `json:"unreadable"`  // requests that were not what PROTOCOL says
 	Connections   int64           `json:"connections"` // made to backends
 	Backends      []BackendReport `json:"boxes"`
-	Probes        int64           `json:"probes"`
+	HealthChecks  int64           `json:"probes"`
 }
 
 // BackendReport is what was counted at one backend's address.
@@ -26,7 +26,7 @@
 	var report Report
 	cl.call(func() {
 		report = cl.ledger.totals
-		report.Seconds = cl.Since().Seconds()
+		report.Seconds = cl.Elapsed().Seconds()
 		report.Executions = cl.live.Executions()
 		for place := range cl.backends {
 			backend := BackendReport{
--- a/internal/faultinject/kind.go
+++ b/internal/faultinject/kind.go
@@ -20,11 +20,11 @@
 	Interim       Kind = "interim"        // a share of responses (size) has informational responses before it
 	SiteLost      Kind = "site-lost"      // all backends of a site die, and start again, warming up
 	SiteSilent    Kind = "site-silent"    // the same, but the machines vanish: nothing is reset
-	SiteCut       Kind = "site-cut"       // a network partition: the links between a site and the others drop everything
-	ListDown      Kind = "list-down"      // discovery answers nothing and ends its watches
+	SitePartition Kind = "site-cut"       // a network partition: the links between a site and the others drop everything
+	DiscoveryDown Kind = "list-down"      // discovery answers nothing and ends its watches
 	NodeKill      Kind = "node-kill"      // nodes die, and start again without state when the fault ends
-	ClockOff      Kind = "clock-off"      // the clocks of nodes are off by some ms (size)
-	DatagramsLost Kind = "datagrams-lost" // a share of the messages between nodes (size) is lost
+	ClockSkew     Kind = "clock-off"      // the clocks of nodes are off by some ms (size)
+	MessageLoss   Kind = "datagrams-lost" // a share of the messages between nodes (size) is lost
 	Surge         Kind = "surge"          // clients send more by a factor (size); of one tenant, if one is named
 	HotNode       Kind = "hot-node"       // a share of all traffic (size) comes in at the nodes chosen
 )
@@ -81,16 +81,16 @@
 	Garbage:    {targetBackends, 0, 1, 0.5},
 	Interim:    {targetBackends, 0, 1, 1},
 
-	SiteLost:   {target: targetSites},
-	SiteSilent: {target: targetSites},
-	SiteCut:    {target: targetSites},
+	SiteLost:      {target: targetSites},
+	SiteSilent:    {target: targetSites},
+	SitePartition: {target: targetSites},
 
-	NodeKill: {target: targetNodes},
-	ClockOff: {targetNodes, -60000, 60000, 300},
-	HotNode:  {targetNodes, 0, 1, 0.2},
+	NodeKill:  {target: targetNodes},
+	ClockSkew: {targetNodes, -60000, 60000, 300},
+	HotNode:   {targetNodes, 0, 1, 0.2},
 
-	ListDown:      {target: targetNone},
-	DatagramsLost: {targetNone, 0, 1, 0.5},
+	DiscoveryDown: {target: targetNone},
+	MessageLoss:   {targetNone, 0, 1, 0.5},
 	Surge:         {targetNone, 0, 100, 2},
 
 	ProcessKill:    {target: targetProcesses},
--- a/internal/faultinject/random.go
+++ b/internal/faultinject/random.go
@@ -68,7 +68,7 @@
 	switch t.target {
 	case targetSites:
 		fault.Site = scope.Sites[r.IntN(len(scope.Sites))]
-		fault.WithNodes = kind != SiteCut && r.Float64() < 0.5
+		fault.WithNodes = kind != SitePartition && r.Float64() < 0.5
 	case targetBackends:
 		fault.Share = 0.05 + 0.15*r.Float64()
 	case targetProcesses: // the leader (-1) as often as all others together
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Broken counts the violations by rule.
-func (c *Checker) Broken() map[Rule]int { return c.counts }
+// ViolationCounts counts the violations by rule.
+func (c *Checker) ViolationCounts() map[Rule]int { return c.counts }
 
 // Violations are the first violations, with their histories.
 func (c *Checker) Violations() []Violation { return c.violations }
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -58,8 +58,8 @@
 				}
 				return
 			}
-			if c.Broken()[test.violated] == 0 {
-				t.Errorf("no violation of %s is reported: %v", test.violated, c.Broken())
+			if c.ViolationCounts()[test.violated] == 0 {
+				t.Errorf("no violation of %s is reported: %v", test.violated, c.ViolationCounts())
 			}
 		})
 	}
@@ -314,7 +314,7 @@
 	for id := balancer.RequestID(1); id < 100; id++ {
 		c.RequestAnswered(2, 0, id, Failed)
 	}
-	if len(c.Violations()) != maxViolations || c.Broken()[OneAnswer] != 99 {
-		t.Errorf("%d retained of %d", len(c.Violations()), c.Broken()[OneAnswer])
+	if len(c.Violations()) != maxViolations || c.ViolationCounts()[OneAnswer] != 99 {
+		t.Errorf("%d retained of %d", len(c.Violations()), c.ViolationCounts()[OneAnswer])
 	}
 }
--- a/internal/invariant/violation.go
+++ b/internal/invariant/violation.go
@@ -21,16 +21,16 @@
 // Violation is a broken rule, with the history of the request concerned, if there is one.
 type Violation struct {
 	Rule    Rule     `json:"rule"`
-	At      int64    `json:"at_us"`
+	Time    int64    `json:"at_us"`
 	Node    int      `json:"node"`
 	Request uint64   `json:"request,omitempty"`
-	What    string   `json:"what"`
+	Message string   `json:"what"`
 	History []string `json:"history,omitempty"`
 }
 
 // String returns the violation in one line, and its history in further ones.
 func (v Violation) String() string {
-	text := fmt.Sprintf("%s at %.6f s, node %d: %s", v.Rule, seconds(v.At), v.Node, v.What)
+	text := fmt.Sprintf("%s at %.6f s, node %d: %s", v.Rule, seconds(v.Time), v.Node, v.Message)
 	if len(v.History) > 0 {
 		text += "\n    " + strings.Join(v.History, "\n    ")
 	}
@@ -71,10 +71,10 @@
 	}
 	violation := Violation{
 		Rule:    rule,
-		At:      where.at - c.origin,
+		Time:    where.at - c.origin,
 		Node:    where.node,
 		Request: uint64(where.requestID),
-		What:    fmt.Sprintf(format, args...),
+		Message: fmt.Sprintf(format, args...),
 	}
 	if where.request != nil {
 		for _, s := range where.request.history {
--- a/internal/lease/guard.go
+++ b/internal/lease/guard.go
@@ -28,9 +28,9 @@
 	droppedToken Token         // the answer to a renewal that crossed a release must not bring its grant back
 }
 
-// Granted records the answer to an acquisition or renewal of this many ticks. SentAt is when the request was sent, not when the answer
+// RecordGrant records the answer to an acquisition or renewal of this many ticks. SentAt is when the request was sent, not when the answer
 // came. Answers may come late or repeatedly: they never shorten the lease, nor extend it wrongly.
-func (g *Guard) Granted(grant Grant, ticks uint64, sentAt time.Duration) {
+func (g *Guard) RecordGrant(grant Grant, ticks uint64, sentAt time.Duration) {
 	expiresAt := sentAt + g.Terms.GuaranteedDuration(ticks)
 	isEarlier := grant.Token <= g.droppedToken || g.granted && grant.Token < g.grant.Token
 	switch {
@@ -57,9 +57,9 @@
 // Grant returns the current grant, to be renewed or released.
 func (g *Guard) Grant() (Grant, bool) { return g.grant, g.granted }
 
-// Expired reports whether all actions that were begun must be over. The lease must not be released before that: the next holder would
+// ActionsOver reports whether all actions that were begun must be over. The lease must not be released before that: the next holder would
 // begin while an action of this one is still in progress.
-func (g *Guard) Expired(now time.Duration) bool { return now >= g.busyUntil }
+func (g *Guard) ActionsOver(now time.Duration) bool { return now >= g.busyUntil }
 
 // Remaining returns for how long the lease is guaranteed to last.
 func (g *Guard) Remaining(now time.Duration) time.Duration {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -127,20 +127,20 @@
 		}
 	}
 	checkBegin(0, 0, 0)
-	g.Granted(Grant{Token: 5}, 11, 0) // guaranteed until 10 s, whenever the answer came
+	g.RecordGrant(Grant{Token: 5}, 11, 0) // guaranteed until 10 s, whenever the answer came
 	checkBegin(8*s, 2*s, 5)
 	checkBegin(8*s, 2*s+1, 0)
-	if g.Expired(10*s-1) || !g.Expired(10*s) {
+	if g.ActionsOver(10*s-1) || !g.ActionsOver(10*s) {
 		t.Error("expired before its action is over, or not after")
 	}
-	g.Granted(Grant{Token: 5}, 11, 4*s)
-	g.Granted(Grant{Token: 5}, 11, 2*s) // the late answer to an earlier request
+	g.RecordGrant(Grant{Token: 5}, 11, 4*s)
+	g.RecordGrant(Grant{Token: 5}, 11, 2*s) // the late answer to an earlier request
 	checkBegin(13*s, s, 5)
 	checkBegin(13*s, s+1, 0)
 	g.Drop()
-	g.Granted(Grant{Token: 5}, 11, 12*s) // the answer crossed the release
+	g.RecordGrant(Grant{Token: 5}, 11, 12*s) // the answer crossed the release
 	checkBegin(13*s, s, 0)
-	g.Granted(Grant{Token: 7}, 11, 20*s)
+	g.RecordGrant(Grant{Token: 7}, 11, 20*s)
 	checkBegin(21*s, s, 7)
 	if remaining := g.Remaining(25 * s); remaining != 5*s {
 		t.Error(remaining)
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -195,8 +195,8 @@
 func (r *recorder) recordDue(call workload.Call) *callState {
 	r.due++
 	r.inFlight++
-	r.intervalOf(call.At).due++
-	if call.At >= r.warmUp {
+	r.intervalOf(call.Due).due++
+	if call.Due >= r.warmUp {
 		r.counted++
 		r.possibleValue += r.scenario.Classes[call.Class].PriorityWeight
 	}
@@ -213,7 +213,7 @@
 		r.retries++
 		return
 	}
-	interval := r.intervalOf(state.call.At)
+	interval := r.intervalOf(state.call.Due)
 	if lag <= r.lateSend {
 		interval.onTime++
 	}
@@ -225,7 +225,7 @@
 	if state.ended {
 		return 0, false
 	}
-	wait, retry = r.retry.Next(&state.call, answer, state.attempts, now-state.call.At, retryAfter)
+	wait, retry = r.retry.Next(&state.call, answer, state.attempts, now-state.call.Due, retryAfter)
 	if retry {
 		return wait, true
 	}
@@ -237,21 +237,21 @@
 func (r *recorder) recordEnd(state *callState, answer workload.Answer, now int64) {
 	call := &state.call
 	class := &r.scenario.Classes[call.Class]
-	took := max(now-call.At, 1)
+	took := max(now-call.Due, 1)
 	outcome := outcomeOf(answer)
 	if outcome == Served && took > int64(class.LatencyObjective*microsPerMilli) {
 		outcome = Late
 	}
 	state.ended = true
 	r.inFlight--
-	interval := r.intervalOf(call.At)
+	interval := r.intervalOf(call.Due)
 	interval.ended++
 	interval.outcomes[outcome]++
 	if outcome.answered() {
 		recordLatency(interval.latency, took)
 	}
 	r.closeEnded(now)
-	if call.At < r.warmUp {
+	if call.Due < r.warmUp {
 		return
 	}
 	r.outcomes[outcome]++
--- a/internal/load/recorder_test.go
+++ b/internal/load/recorder_test.go
@@ -53,7 +53,7 @@
 // A retry that succeeds makes one served call, whose latency counts from when the first attempt was due.
 func TestRetriesCountAsOneCall(t *testing.T) {
 	rec, _ := newTestRecorder(t, twoRetries)
-	call := rec.recordDue(workload.Call{At: 1_000_000})
+	call := rec.recordDue(workload.Call{Due: 1_000_000})
 	rec.recordSend(call, 1_000_000, 1_000_100)
 	wait, retry := rec.recordAnswer(call, workload.Rejected, 1_050_000, 0)
 	if !retry || wait != 100_000 {
@@ -98,7 +98,7 @@
 		now := int64(0)
 		for i := range rapid.IntRange(1, 200).Draw(rt, "calls") {
 			now += rapid.Int64Range(0, 400_000).Draw(rt, "gap")
-			call := rec.recordDue(workload.Call{Number: uint64(i), At: now, Class: i % 3, Tenant: i % 2})
+			call := rec.recordDue(workload.Call{Number: uint64(i), Due: now, Class: i % 3, Tenant: i % 2})
 			rec.recordSend(call, now, now+rapid.Int64Range(0, 5000).Draw(rt, "lag"))
 			inFlight = append(inFlight, call)
 			for len(inFlight) > rapid.IntRange(0, 10).Draw(rt, "open") {
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -46,7 +46,7 @@
 	if hint := workload.Hint(sc, r.plan.Seed, call); hint > 0 {
 		dst = appendIntHeader(dst, "X-Size-Hint", hint)
 	}
-	if sc.Clients.Marks && a.state.attempts > 1 {
+	if sc.Clients.MarkRetries && a.state.attempts > 1 {
 		dst = appendHeader(dst, "X-Second-Try", "1")
 	}
 	if idempotency == balancer.IdempotentByKey {
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -20,7 +20,7 @@
 	Calls       int64              `json:"calls"` // due after the warm-up
 	PerS        float64            `json:"calls_per_s"`
 	Sent        int64              `json:"sent"`    // attempts, the warm-up's included
-	Repeats     int64              `json:"repeats"` // of them, by the clients
+	Retries     int64              `json:"repeats"` // of them, by the clients
 	Outcomes    map[string]int64   `json:"outcomes"`
 	ServedValue float64            `json:"worth"`      // share of the possible value
 	Latency     Latency            `json:"latency_ms"` // of served and late calls
@@ -63,7 +63,7 @@
 
 // Second is what was due in one second.
 type Second struct {
-	At       int64            `json:"s"`
+	Start    int64            `json:"s"`
 	Due      int64            `json:"due"`
 	Outcomes map[string]int64 `json:"outcomes"`
 	P50      float64          `json:"p50_ms"`
@@ -110,7 +110,7 @@
 func (res *Result) addInterval(i *interval, p *Plan) error {
 	latency := newLatency(i.latency)
 	second := Second{
-		At:       i.start,
+		Start:    i.start,
 		Due:      i.due,
 		Outcomes: i.outcomes.byName(),
 		P50:      latency.P50,
@@ -132,7 +132,7 @@
 	rec, sc := r.recorder, r.plan.Scenario
 	res.Calls = rec.counted
 	res.Sent = rec.sent
-	res.Repeats = rec.retries
+	res.Retries = rec.retries
 	res.Outcomes = rec.outcomes.byName()
 	res.Seconds = sc.Seconds - sc.WarmUp
 	if res.Seconds > 0 {
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -135,7 +135,7 @@
 // schedule must be kept. Timeouts go last: what was not received by then has timed out.
 func (r *runner) step(source *callSource) (worked bool, err error) {
 	now := r.now()
-	if source.more && source.next.At <= now {
+	if source.more && source.next.Due <= now {
 		return true, r.startNext(source)
 	}
 	if first, ok := r.timers.first(); ok && first.retry != nil && first.at <= now {
@@ -156,12 +156,12 @@
 func (r *runner) startNext(source *callSource) error {
 	call := source.next
 	if r.plan.Record != nil {
-		_, err := fmt.Fprintln(r.plan.Record, call.At, call.Class, call.Tenant, call.Site, call.Key)
+		_, err := fmt.Fprintln(r.plan.Record, call.Due, call.Class, call.Tenant, call.Site, call.Key)
 		if err != nil {
 			return fmt.Errorf("record: %w", err)
 		}
 	}
-	r.startAttempt(r.recorder.recordDue(call), call.At)
+	r.startAttempt(r.recorder.recordDue(call), call.Due)
 	return source.advance()
 }
 
@@ -192,7 +192,7 @@
 		wake = first.at
 	}
 	if source.more {
-		wake = min(wake, source.next.At)
+		wake = min(wake, source.next.Due)
 	}
 	wake = min(wake, r.now()+maxSleep.Microseconds())
 	SleepUntil(r.startedAt.Add(time.Duration(wake) * time.Microsecond))
@@ -203,7 +203,7 @@
 	a := &attempt{
 		state:    state,
 		due:      due,
-		deadline: due + r.recorder.retry.Timeout(&state.call, due-state.call.At),
+		deadline: due + r.recorder.retry.Timeout(&state.call, due-state.call.Due),
 		target:   state.call.Site % len(r.plan.Targets),
 		traceID:  r.traceID(state),
 	}
--- a/internal/load/runner_test.go
+++ b/internal/load/runner_test.go
@@ -69,8 +69,8 @@
 	if invalid != "" {
 		t.Error("unlike PROTOCOL: ", invalid)
 	}
-	if len(ids) != int(r.Sent) || r.Repeats < r.Calls/2 {
-		t.Errorf("%d IDs for %d attempts, of which %d retries", len(ids), r.Sent, r.Repeats)
+	if len(ids) != int(r.Sent) || r.Retries < r.Calls/2 {
+		t.Errorf("%d IDs for %d attempts, of which %d retries", len(ids), r.Sent, r.Retries)
 	}
 	for k, n := range keys {
 		if n > 2 {
@@ -84,7 +84,7 @@
 	startedAt := time.Now()
 	waker := newWaker()
 	defer waker.close()
-	null, err := fake.StartNull("127.0.0.1:0", func(now time.Time) time.Time {
+	null, err := fake.StartNullServer("127.0.0.1:0", func(now time.Time) time.Time {
 		if in := now.Sub(startedAt) % time.Second; in < 300*time.Millisecond {
 			return now.Add(300*time.Millisecond - in)
 		}
@@ -114,7 +114,7 @@
 
 // Ten times and more what any core can send: every call is accounted for, and the run is invalid.
 func TestRunIsInvalidBeyondTheProcessor(t *testing.T) {
-	null, err := fake.StartNull("127.0.0.1:0", nil, nil)
+	null, err := fake.StartNullServer("127.0.0.1:0", nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 }
 
 func TestRecordedTraceReplays(t *testing.T) {
-	null, err := fake.StartNull("127.0.0.1:0", nil, nil)
+	null, err := fake.StartNullServer("127.0.0.1:0", nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +160,7 @@
 
 // BenchmarkGenerator measures the processor time of the whole process for a call, the server included.
 func BenchmarkGenerator(b *testing.B) {
-	null, err := fake.StartNull("127.0.0.1:0", nil, nil)
+	null, err := fake.StartNullServer("127.0.0.1:0", nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/load/search.go
+++ b/internal/load/search.go
@@ -23,20 +23,20 @@
 
 // SearchResult is the highest rate that was carried.
 type SearchResult struct {
-	Low           float64 `json:"low"`  // the highest rate at which most runs kept the objective
-	High          float64 `json:"high"` // the lowest at which most did not; 0: none was found
-	LowConfidence string  `json:"low_kept"`
-	HighOut       string  `json:"high_out"`
-	Limit         string  `json:"limit,omitempty"` // why the search ended early
-	Steps         []Step  `json:"steps"`
+	Low            float64 `json:"low"`  // the highest rate at which most runs kept the objective
+	High           float64 `json:"high"` // the lowest at which most did not; 0: none was found
+	LowConfidence  string  `json:"low_kept"`
+	HighConfidence string  `json:"high_out"`
+	Limit          string  `json:"limit,omitempty"` // why the search ended early
+	Steps          []Step  `json:"steps"`
 }
 
 // Search says where to look.
 type Search struct {
 	Objective
-	From, To      float64 // calls a second
-	Close         float64 // the search ends when High/Low is at most 1 and this
-	Confirmations int     // runs at each end of the bracket, in the end
+	MinRate, MaxRate float64 // calls a second
+	Tolerance        float64 // the search ends when High/Low is at most 1 and this
+	Confirmations    int     // runs at each end of the bracket, in the end
 }
 
 // searcher is the state of a search. The bracket is from low to high; 0: that end has not been found.
@@ -65,7 +65,7 @@
 	}
 	if f.high > 0 {
 		kept, runs := f.count(f.high)
-		f.result.HighOut = fmt.Sprintf("%d of %d runs", runs-kept, runs)
+		f.result.HighConfidence = fmt.Sprintf("%d of %d runs", runs-kept, runs)
 	}
 	return f.result, nil
 }
@@ -92,7 +92,7 @@
 
 // bracket doubles the rate until it is not carried.
 func (f *searcher) bracket(ctx context.Context) error {
-	for perS := f.From; ; perS = min(2*perS, f.To) {
+	for perS := f.MinRate; ; perS = min(2*perS, f.MaxRate) {
 		step, err := f.step(ctx, perS)
 		if err != nil {
 			return err
@@ -105,7 +105,7 @@
 			return nil
 		}
 		f.low = perS
-		if perS >= f.To {
+		if perS >= f.MaxRate {
 			f.result.Limit = fmt.Sprintf("%.0f a second, the highest asked for, was carried", perS)
 			return nil
 		}
@@ -114,7 +114,7 @@
 
 // bisect narrows the bracket.
 func (f *searcher) bisect(ctx context.Context) error {
-	for f.high > 0 && f.low > 0 && f.high/f.low > 1+f.Close && f.result.Limit == "" {
+	for f.high > 0 && f.low > 0 && f.high/f.low > 1+f.Tolerance && f.result.Limit == "" {
 		middle := (f.low + f.high) / 2
 		step, err := f.step(ctx, middle)
 		switch {
@@ -142,7 +142,7 @@
 		if 2*kept >= runs {
 			return nil
 		}
-		f.low /= 1 + f.Close
+		f.low /= 1 + f.Tolerance
 	}
 	return nil
 }
@@ -155,10 +155,10 @@
 			return err
 		}
 		kept, runs := f.count(f.high)
-		if 2*kept <= runs || f.high >= f.To {
+		if 2*kept <= runs || f.high >= f.MaxRate {
 			return nil
 		}
-		f.high = min(f.high*(1+f.Close), f.To)
+		f.high = min(f.high*(1+f.Tolerance), f.MaxRate)
 	}
 	return nil
 }
--- a/internal/load/search_test.go
+++ b/internal/load/search_test.go
@@ -12,9 +12,9 @@
 func TestFindReturnsTheKnownLimit(t *testing.T) {
 	search := Search{
 		Objective:     Objective{P99: 50 * time.Millisecond, MaxRejectedShare: 0.01},
-		From:          100,
-		To:            100000,
-		Close:         0.05,
+		MinRate:       100,
+		MaxRate:       100000,
+		Tolerance:     0.05,
 		Confirmations: 3,
 	}
 	calls := 0
@@ -56,11 +56,11 @@
 			}
 			if f.Low < c.low || f.Low > max(c.high, c.low) || c.want != "" && !strings.Contains(f.Limit, c.want) || calls > 60 {
 				t.Errorf("low %.0f (%s), high %.0f (%s), %q after %d runs",
-					f.Low, f.LowConfidence, f.High, f.HighOut, f.Limit, calls)
+					f.Low, f.LowConfidence, f.High, f.HighConfidence, f.Limit, calls)
 			}
 			found := c.noise == 0 && c.low > 0 && c.limit < 1e9
-			if found && (f.LowConfidence != "3 of 3 runs" || f.HighOut != "3 of 3 runs" || f.High/f.Low > 1.051) {
-				t.Errorf("low %s, high %s", f.LowConfidence, f.HighOut)
+			if found && (f.LowConfidence != "3 of 3 runs" || f.HighConfidence != "3 of 3 runs" || f.High/f.Low > 1.051) {
+				t.Errorf("low %s, high %s", f.LowConfidence, f.HighConfidence)
 			}
 		})
 	}
--- a/internal/load/validity_test.go
+++ b/internal/load/validity_test.go
@@ -13,7 +13,7 @@
 	rec, _ := newTestRecorder(t, noRetries)
 	for n := range int64(20_000) {
 		at := n * 500
-		call := rec.recordDue(workload.Call{Number: uint64(n), At: at})
+		call := rec.recordDue(workload.Call{Number: uint64(n), Due: at})
 		lag := int64(10)
 		if at >= 3_000_000 && at < 3_010_000 { // 20 of the 2,000 in one second: 0.1% of all
 			lag = 50_000
--- a/internal/load/verify.go
+++ b/internal/load/verify.go
@@ -16,10 +16,10 @@
 
 // Check is one figure of a run against a fake whose delays are known.
 type Check struct {
-	Name string  `json:"name"`
-	Got  float64 `json:"got_ms"`
-	Want float64 `json:"want_ms"`
-	OK   bool    `json:"ok"`
+	Name   string  `json:"name"`
+	Got    float64 `json:"got_ms"`
+	Want   float64 `json:"want_ms"`
+	Passed bool    `json:"ok"`
 }
 
 // delayPattern is a known pattern of response times.
@@ -86,7 +86,7 @@
 				Got:  millis(result.latency.ValueAtQuantile(q)),
 				Want: millis(want.ValueAtQuantile(q)),
 			}
-			check.OK = math.Abs(check.Got-check.Want) <= millis(bound.Microseconds())
+			check.Passed = math.Abs(check.Got-check.Want) <= millis(bound.Microseconds())
 			checks = append(checks, check)
 		}
 	}
@@ -144,7 +144,7 @@
 func runPattern(ctx context.Context, sc *scenario.Scenario, pattern delayPattern) (*Result, error) {
 	clock := &patternClock{pattern: pattern, gap: time.Duration(float64(time.Second) / sc.Load.PerS)}
 	waker := newWaker()
-	null, err := fake.StartNull("127.0.0.1:0", clock.answerAt, waker.waitUntil)
+	null, err := fake.StartNullServer("127.0.0.1:0", clock.answerAt, waker.waitUntil)
 	if err != nil {
 		waker.close()
 		return nil, err
@@ -167,7 +167,7 @@
 		if err != nil {
 			return histogram, nil // the end: a schedule without a trace has no other error
 		}
-		due := time.Duration(call.At) * time.Microsecond
+		due := time.Duration(call.Due) * time.Microsecond
 		latency := pattern.answerAt(due, number) - due
 		if err := histogram.RecordValue(max(1, latency.Microseconds())); err != nil {
 			return nil, err
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -8,8 +8,8 @@
 	"net"
 )
 
-// ErrNot is an address off the loopback interface.
-var ErrNot = errors.New("not a loopback address")
+// ErrNotLoopback is an address off the loopback interface.
+var ErrNotLoopback = errors.New("not a loopback address")
 
 // Check returns an error, ErrNot or one of the form, unless address is host:port on the loopback interface.
 func Check(address string) error {
@@ -18,7 +18,7 @@
 		return fmt.Errorf("%q: %w", address, err)
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("%q: %w", address, ErrNot)
+		return fmt.Errorf("%q: %w", address, ErrNotLoopback)
 	}
 	return nil
 }
--- a/internal/node/accounting_test.go
+++ b/internal/node/accounting_test.go
@@ -399,7 +399,7 @@
 	case "moves":
 		target.Endpoint = "127.0.0.1:1"
 	}
-	n.UpdateEndpoints(protocol.List{Rev: int64(i + 1), Targets: []protocol.Target{target}}, false)
+	n.UpdateEndpoints(protocol.List{Revision: int64(i + 1), Targets: []protocol.Target{target}}, false)
 }
 
 // remainingState waits until the node holds no state of requests, and describes what is left otherwise.
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -297,7 +297,7 @@
 			waitUntil(n, func() bool { return len(n.endpoints[1].waitingAttempts) == 1 })
 			notified := backend.targets()[0]
 			notified.State = state
-			n.UpdateEndpoints(protocol.List{Rev: 1, Targets: []protocol.Target{notified, targetOf("b", other)}}, false)
+			n.UpdateEndpoints(protocol.List{Revision: 1, Targets: []protocol.Target{notified, targetOf("b", other)}}, false)
 			waitUntil(n, func() bool { return len(n.endpoints) == 2 })
 			runOnLoop(n, func() {
 				for _, b := range n.endpoints[1].idleConns { // it is reusable
@@ -341,7 +341,7 @@
 			}
 			targets := backend.targets()
 			targets[0].State = protocol.Terminating
-			n.UpdateEndpoints(protocol.List{Rev: 1, Targets: targets}, false)
+			n.UpdateEndpoints(protocol.List{Revision: 1, Targets: targets}, false)
 			waitUntil(n, func() bool { return len(ends.outcomes) > 0 })
 			if ends.outcomes[0] != balancer.OutcomeNotSent || backend.requestCount.Load() > 1 {
 				t.Errorf("ended as %v, %d requests at the backend", ends.outcomes, backend.requestCount.Load())
--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -186,7 +186,7 @@
 // finishEndedConn processes the end of a connection with an answer due. It completes an answer whose head states no
 // length.
 func (n *Node) finishEndedConn(conn *backendConn, att *attempt) {
-	if conn.input != nil && conn.message.UntilEnd() && conn.peerClosedInOrder {
+	if conn.input != nil && conn.message.EndsWithConnection() && conn.peerClosedInOrder {
 		conn.message.Finish()
 		conn.message.KeepAlive = false
 		conn.setState(backendAwaitingAnswer)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -22,18 +22,18 @@
 func (n *Node) handleEndpointList(update protocol.List, cached bool, asOf time.Time) {
 	n.post(func() {
 		kind := balancer.ListDelta
-		if update.All {
+		if update.Full {
 			kind = balancer.ListFull
 		}
 		if cached {
 			kind = balancer.ListCached
 		}
-		if n.listFreshness.observeRevision(update.Rev, n.listRevision) {
+		if n.listFreshness.observeRevision(update.Revision, n.listRevision) {
 			asOf = time.Time{} // an outdated list is no evidence of what is current
 		}
 		endpoints, kind := n.applyEndpointList(update, kind)
 		if cached || len(endpoints) > 0 {
-			n.log.Info("endpoint list updated", "rev", update.Rev, "all", update.All, "cached", cached, "entries", len(endpoints))
+			n.log.Info("endpoint list updated", "rev", update.Revision, "all", update.Full, "cached", cached, "entries", len(endpoints))
 		}
 		n.endpointsKnown = n.endpointsKnown || len(endpoints) > 0
 		if len(endpoints) == 0 && kind == balancer.ListDelta && !n.settings.Balancer.PollDiscovery {
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -123,7 +123,7 @@
 // downloadFinished processes the end of a forwarder that reads from a backend.
 func (n *Node) downloadFinished(conn *backendConn, client *clientConn, fwd *forwarder, err error, untilClose bool) {
 	complete := err == nil && fwd.writeErr == nil
-	reusable := complete && fwd.endedWithMessage() && fwd.message.KeepAlive && !fwd.message.UntilEnd()
+	reusable := complete && fwd.endedWithMessage() && fwd.message.KeepAlive && !fwd.message.EndsWithConnection()
 	fwd.buffer.release()
 	n.forwarderFinished()
 	n.answersInProgress--
--- a/internal/node/forwarder.go
+++ b/internal/node/forwarder.go
@@ -100,7 +100,7 @@
 			if !errors.Is(err, io.EOF) {
 				return err
 			}
-			if !f.message.UntilEnd() {
+			if !f.message.EndsWithConnection() {
 				return errMessageTruncated
 			}
 			f.message.Finish()
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.UpdateEndpoints(protocol.List{All: true, Targets: targets}, true)
+	n.UpdateEndpoints(protocol.List{Full: true, Targets: targets}, true)
 	stop := make(chan struct{})
 	go n.Run(stop)
 	go func() { _ = loop.Serve(ln) }()
--- a/internal/node/healthcheck_test.go
+++ b/internal/node/healthcheck_test.go
@@ -179,7 +179,7 @@
 		<-arrived
 		next := targetOf("a", a)
 		next.State, next.BootMs = c.state, c.boot
-		n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{next}}, false)
+		n.UpdateEndpoints(protocol.List{Revision: 2, Targets: []protocol.Target{next}}, false)
 		runOnLoop(n, func() {
 			n.CheckHealth(n.endpointsByUID["a"].id)
 			if ep := n.endpointsByUID["a"]; c.state != protocol.InService && ep.pendingDials+len(ep.waitingAttempts) > 0 {
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -24,7 +24,7 @@
 func (n *Node) ExportState(deliver func(HotRestartState)) {
 	n.post(func() { // posted, so that the list with which the process started is included
 		state := HotRestartState{
-			EndpointList: protocol.List{Rev: n.listRevision, All: true},
+			EndpointList: protocol.List{Revision: n.listRevision, Full: true},
 			Classes:      n.settings.Classes,
 			Tenants:      n.settings.Tenants,
 			RequestIDs:   map[string]int64{},
--- a/internal/node/listfreshness_test.go
+++ b/internal/node/listfreshness_test.go
@@ -13,7 +13,7 @@
 func TestReadyOnceListIsConfirmed(t *testing.T) {
 	backend := newTestBackend(t, serve)
 	for name, word := range map[string]func(*Node){
-		"an answer":   func(n *Node) { n.UpdateEndpoints(protocol.List{Rev: 1}, false) },
+		"an answer":   func(n *Node) { n.UpdateEndpoints(protocol.List{Revision: 1}, false) },
 		"a rejection": func(n *Node) { n.DiscoveryCallFailed(errors.New("refused"), balancer.ListFailed, n.startedAt) },
 		"no answer": func(n *Node) {
 			runOnLoop(n, func() { n.listFreshness.processStartedAt -= readyTimeout })
@@ -42,22 +42,22 @@
 // lower. A discovery server that stays behind has been restarted with other revisions, and must not end the service.
 func TestOutdatedListDoesNotRenewLease(t *testing.T) {
 	n, _ := startNode(t, newTestBackend(t, serve).targets(), requireListLease)
-	n.UpdateEndpoints(protocol.List{Rev: 9}, false)
+	n.UpdateEndpoints(protocol.List{Revision: 9}, false)
 	runOnLoop(n, func() { n.balancer.ExpireListAt(n.now(), n.now()) })
 	for _, step := range []struct {
 		name string
 		do   func()
 		want bool
 	}{
-		{"behind", func() { n.UpdateEndpoints(protocol.List{Rev: 8}, false) }, false},
-		{"behind again", func() { n.UpdateEndpoints(protocol.List{Rev: 8}, false) }, true},
+		{"behind", func() { n.UpdateEndpoints(protocol.List{Revision: 8}, false) }, false},
+		{"behind again", func() { n.UpdateEndpoints(protocol.List{Revision: 8}, false) }, true},
 		{"run out", func() { runOnLoop(n, func() { n.balancer.ExpireListAt(n.now(), n.now()) }) }, false},
-		{"up to date in between", func() { n.UpdateEndpoints(protocol.List{Rev: 9}, false) }, true},
+		{"up to date in between", func() { n.UpdateEndpoints(protocol.List{Revision: 9}, false) }, true},
 		{"run out again", func() { runOnLoop(n, func() { n.balancer.ExpireListAt(n.now(), n.now()) }) }, false},
-		{"behind once more", func() { n.UpdateEndpoints(protocol.List{Rev: 8}, false) }, false},
-		{"the same", func() { n.UpdateEndpoints(protocol.List{Rev: 9}, false) }, true},
+		{"behind once more", func() { n.UpdateEndpoints(protocol.List{Revision: 8}, false) }, false},
+		{"the same", func() { n.UpdateEndpoints(protocol.List{Revision: 9}, false) }, true},
 		{"moved", func() { n.DiscoveryAddressChanged(0) }, false},
-		{"lower versions there", func() { n.UpdateEndpoints(protocol.List{Rev: 1}, false) }, true},
+		{"lower versions there", func() { n.UpdateEndpoints(protocol.List{Revision: 1}, false) }, true},
 	} {
 		step.do()
 		runOnLoop(n, func() {
@@ -79,7 +79,7 @@
 			t.Error("checked")
 		}
 	})
-	n.UpdateEndpoints(protocol.List{Rev: 1}, false)
+	n.UpdateEndpoints(protocol.List{Revision: 1}, false)
 	runOnLoop(n, func() {
 		if n.CheckHealth(1); n.endpoints[1].pendingDials != 1 {
 			t.Error("not checked by a current list")
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -72,7 +72,7 @@
 	if err := operatorCall(n.Standby); err != nil {
 		t.Errorf("standby without a list: %v", err)
 	}
-	n.UpdateEndpoints(protocol.List{All: true, Targets: []protocol.Target{{UID: "a", Endpoint: "127.0.0.1:1"}}}, false)
+	n.UpdateEndpoints(protocol.List{Full: true, Targets: []protocol.Target{{UID: "a", Endpoint: "127.0.0.1:1"}}}, false)
 	waitUntil(n, func() bool { return n.endpointsKnown })
 	if err := operatorCall(n.Status); err != nil {
 		t.Errorf("status with a list: %v", err)
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -54,8 +54,8 @@
 // neither restores an endpoint that is known to have been removed or restarted since nor removes those that it leaves
 // out.
 func (n *Node) applyEndpointList(update protocol.List, kind balancer.ListKind) ([]balancer.Endpoint, balancer.ListKind) {
-	outdated := update.Rev < n.listRevision
-	n.listRevision = max(n.listRevision, update.Rev)
+	outdated := update.Revision < n.listRevision
+	n.listRevision = max(n.listRevision, update.Revision)
 	if outdated {
 		kind = balancer.ListDelta
 	}
--- a/internal/node/registry_test.go
+++ b/internal/node/registry_test.go
@@ -27,7 +27,7 @@
 	for _, state := range []protocol.State{protocol.Terminating, protocol.Terminated} {
 		changed := targetOf("a", a)
 		changed.State = state
-		n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{changed}}, false)
+		n.UpdateEndpoints(protocol.List{Revision: 2, Targets: []protocol.Target{changed}}, false)
 		before := a.requestCount.Load()
 		for range 20 {
 			if code, _, _ := conn.exchange(requestText("read", 9000)); code != 200 {
@@ -70,7 +70,7 @@
 		fresh := targetOf(fmt.Sprint("s-", i), a)
 		removed := targetOf(fmt.Sprint("s-", i-1), a)
 		removed.State = protocol.Terminated
-		n.UpdateEndpoints(protocol.List{Rev: int64(i + 1), Targets: []protocol.Target{fresh, removed}}, false)
+		n.UpdateEndpoints(protocol.List{Revision: int64(i + 1), Targets: []protocol.Target{fresh, removed}}, false)
 		if code, _, _ := conn.exchange(requestText("once", 9000)); code != 200 {
 			t.Fatal(code)
 		}
@@ -104,7 +104,7 @@
 	}
 	n, _ := startNode(t, nil, nil)
 	runOnLoop(n, func() {
-		n.applyEndpointList(protocol.List{Rev: 10, All: true, Targets: []protocol.Target{
+		n.applyEndpointList(protocol.List{Revision: 10, Full: true, Targets: []protocol.Target{
 			entry("newer", 0, 5),
 			entry("removed", 0, 5),
 			entry("draining", protocol.Terminating, 5),
@@ -112,8 +112,8 @@
 			entry("unknown", 0, 5),
 		}}, balancer.ListFull)
 		removal := []protocol.Target{entry("removed", protocol.Terminated, 5)}
-		n.applyEndpointList(protocol.List{Rev: 11, Targets: removal}, balancer.ListDelta)
-		got, kind := n.applyEndpointList(protocol.List{Rev: 9, All: true, Targets: []protocol.Target{
+		n.applyEndpointList(protocol.List{Revision: 11, Targets: removal}, balancer.ListDelta)
+		got, kind := n.applyEndpointList(protocol.List{Revision: 9, Full: true, Targets: []protocol.Target{
 			entry("newer", protocol.Terminated, 4),
 			entry("removed", 0, 5),
 			entry("draining", 0, 5),
@@ -133,10 +133,10 @@
 			t.Error("not deleted")
 		}
 		restored := []protocol.Target{entry("removed", 0, 5)}
-		if got, _ = n.applyEndpointList(protocol.List{Rev: 9, Targets: restored}, balancer.ListDelta); len(got) != 0 {
+		if got, _ = n.applyEndpointList(protocol.List{Revision: 9, Targets: restored}, balancer.ListDelta); len(got) != 0 {
 			t.Errorf("restored after it was deleted: %v", got)
 		}
-		if got, kind = n.applyEndpointList(protocol.List{Rev: 12, All: true, Targets: restored}, balancer.ListFull); len(got) != 1 ||
+		if got, kind = n.applyEndpointList(protocol.List{Revision: 12, Full: true, Targets: restored}, balancer.ListFull); len(got) != 1 ||
 			got[0].Phase != balancer.PhaseReady || kind != balancer.ListFull {
 			t.Errorf("a new list: %v, kind %d", got, kind)
 		}
@@ -152,7 +152,7 @@
 	<-arrived
 	e := targetOf("a", a)
 	e.State = protocol.Terminating
-	n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{e}}, false)
+	n.UpdateEndpoints(protocol.List{Revision: 2, Targets: []protocol.Target{e}}, false)
 	runOnLoop(n, func() {})
 	close(release)
 	if code, _, _ := conn.readAnswer(); code != 200 {
@@ -174,7 +174,7 @@
 	conn.exchange(requestText("read", 9000))
 	anew := targetOf("a", a)
 	anew.BootMs = 1000
-	n.UpdateEndpoints(protocol.List{Rev: 2, Targets: []protocol.Target{anew}}, false)
+	n.UpdateEndpoints(protocol.List{Revision: 2, Targets: []protocol.Target{anew}}, false)
 	conn.exchange(requestText("read", 9000))
 	if got := a.connectionCount(); got != 2 {
 		t.Errorf("%d connections, want 2", got)
@@ -207,8 +207,8 @@
 		}
 	}
 	sendRequests()
-	n.UpdateEndpoints(protocol.List{Rev: 2, Targets: append(list("new", protocol.InService), list("old", protocol.Terminating)...)}, false)
-	n.UpdateEndpoints(protocol.List{Rev: 3, Targets: list("old", protocol.Terminated)}, false)
+	n.UpdateEndpoints(protocol.List{Revision: 2, Targets: append(list("new", protocol.InService), list("old", protocol.Terminating)...)}, false)
+	n.UpdateEndpoints(protocol.List{Revision: 3, Targets: list("old", protocol.Terminated)}, false)
 	sendRequests()
 	runOnLoop(n, func() {
 		listed := 0
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -270,7 +270,7 @@
 	n.Drain(0, func() { close(ended) })
 	// The class of the queued request is removed.
 	reconfigureNode(n, func(s *Settings) { s.Classes, s.Balancer.Classes = s.Classes[:1], s.Balancer.Classes[:1] })
-	n.UpdateEndpoints(protocol.List{Rev: 1, All: true, Targets: backend.targets()}, false)
+	n.UpdateEndpoints(protocol.List{Revision: 1, Full: true, Targets: backend.targets()}, false)
 	if code, body, closing := conn.readAnswer(); code != 200 || body != "body of /once" || !closing {
 		t.Errorf("%d %q, closing %v", code, body, closing)
 	}
--- a/internal/processtest/agents_test.go
+++ b/internal/processtest/agents_test.go
@@ -15,7 +15,7 @@
 // as stored, tokens are granted twice, and the checks report it.
 func TestTokensStayUniqueAfterAllAgentsAreKilled(t *testing.T) {
 	for _, withoutSync := range []bool{false, true} {
-		harness := startHarness(t, Options{Agents: 3, Holders: 2, Without: Without{Sync: withoutSync}})
+		harness := startHarness(t, Options{Agents: 3, Holders: 2, Disabled: DisabledParts{Sync: withoutSync}})
 		_, position := harness.awaitEvent(t, 0, actionStarted(1))
 		for _, i := range []int{0, 1, 2} {
 			harness.kill(i)
@@ -27,8 +27,8 @@
 		}
 		_, position = harness.awaitEvent(t, position, Event.becomesLeader)
 		harness.awaitEvent(t, position, func(event Event) bool { return event.Kind == EventAcquire && event.Text == "" })
-		if findings := Check(harness.Log()); withoutSync != (len(findings.Broken) > 0) {
-			t.Errorf("disks without sync %v: broken %v", withoutSync, findings.Broken)
+		if findings := Check(harness.Log()); withoutSync != (len(findings.Violations) > 0) {
+			t.Errorf("disks without sync %v: broken %v", withoutSync, findings.Violations)
 		}
 	}
 }
@@ -50,8 +50,8 @@
 	_, position = harness.awaitEvent(t, harness.Here(), actionStarted(0))
 	endFault()
 	harness.awaitEvent(t, position, func(event Event) bool { return event.Kind == EventLeaderKnown && event.Process == name })
-	if findings := Check(harness.Log()); len(findings.Broken) > 0 {
-		t.Error(findings.Broken)
+	if findings := Check(harness.Log()); len(findings.Violations) > 0 {
+		t.Error(findings.Violations)
 	}
 }
 
@@ -85,8 +85,8 @@
 	harness.kill((removed + 1) % agents)
 	_, position := harness.awaitEvent(t, harness.Here(), actionStarted(0))
 	harness.awaitEvent(t, position, actionStarted(0))
-	if findings := Check(harness.Log()); len(findings.Broken) > 0 {
-		t.Error(findings.Broken)
+	if findings := Check(harness.Log()); len(findings.Violations) > 0 {
+		t.Error(findings.Violations)
 	}
 }
 
--- a/internal/processtest/check.go
+++ b/internal/processtest/check.go
@@ -12,27 +12,27 @@
 
 // Findings is what a log of events shows.
 type Findings struct {
-	Acts     int            `json:"acts"`    // actions that the target admitted
-	Rejected int            `json:"refused"` // actions that the target rejected for their token, or while an earlier one was in progress
-	Grants   int            `json:"grants"`
-	Leaders  int            `json:"leaders"`
-	Faults   map[string]int `json:"faults"` // by kind
-	Broken   []string       `json:"broken,omitempty"`
-	// Gaps are the times from a holder's kill, stop or cut to the first action of the next holder.
-	Gaps []time.Duration `json:"-"`
-	// LeaderTimes are the times from a leader's kill, stop or cut to the next leader.
-	LeaderTimes []time.Duration `json:"-"`
+	Actions    int            `json:"acts"`    // actions that the target admitted
+	Rejected   int            `json:"refused"` // actions that the target rejected for their token, or while an earlier one was in progress
+	Grants     int            `json:"grants"`
+	Leaders    int            `json:"leaders"`
+	Faults     map[string]int `json:"faults"` // by kind
+	Violations []string       `json:"broken,omitempty"`
+	// TakeoverTimes are the times from a holder's kill, stop or cut to the first action of the next holder.
+	TakeoverTimes []time.Duration `json:"-"`
+	// ElectionTimes are the times from a leader's kill, stop or cut to the next leader.
+	ElectionTimes []time.Duration `json:"-"`
 }
 
 // Add adds the findings of another log.
 func (f *Findings) Add(other Findings) {
-	f.Acts += other.Acts
+	f.Actions += other.Actions
 	f.Rejected += other.Rejected
 	f.Grants += other.Grants
 	f.Leaders += other.Leaders
-	f.Broken = append(f.Broken, other.Broken...)
-	f.Gaps = append(f.Gaps, other.Gaps...)
-	f.LeaderTimes = append(f.LeaderTimes, other.LeaderTimes...)
+	f.Violations = append(f.Violations, other.Violations...)
+	f.TakeoverTimes = append(f.TakeoverTimes, other.TakeoverTimes...)
+	f.ElectionTimes = append(f.ElectionTimes, other.ElectionTimes...)
 	if f.Faults == nil {
 		f.Faults = map[string]int{}
 	}
@@ -68,7 +68,7 @@
 		c.check(event)
 	}
 	if !linearizable(log) {
-		c.findings.Broken = append(c.findings.Broken, "the history of lease requests is not linearizable")
+		c.findings.Violations = append(c.findings.Violations, "the history of lease requests is not linearizable")
 	}
 	return c.findings
 }
@@ -100,12 +100,12 @@
 
 func (c *checker) violation(event Event, format string, args ...any) {
 	text := fmt.Sprintf("%.3f s: ", event.At.Seconds()) + fmt.Sprintf(format, args...)
-	c.findings.Broken = append(c.findings.Broken, text)
+	c.findings.Violations = append(c.findings.Violations, text)
 }
 
 // actionStarted checks that actions under different tokens never overlap, and that tokens never go back.
 func (c *checker) actionStarted(event Event) {
-	c.findings.Acts++
+	c.findings.Actions++
 	for token, open := range c.openActions {
 		if open > 0 && token != event.Token {
 			c.violation(event, "an action under token %d starts while one under token %d is in progress", event.Token, token)
@@ -115,7 +115,7 @@
 		c.violation(event, "an action under token %d starts after one under token %d", event.Token, c.newestToken)
 	}
 	if c.holderLostAt > 0 && event.Token > c.holderToken {
-		c.findings.Gaps = append(c.findings.Gaps, event.At-c.holderLostAt)
+		c.findings.TakeoverTimes = append(c.findings.TakeoverTimes, event.At-c.holderLostAt)
 		c.holderLostAt = 0
 	}
 	c.newestToken = max(c.newestToken, event.Token)
@@ -139,7 +139,7 @@
 func (c *checker) leaderElected(event Event) {
 	c.findings.Leaders++
 	if c.leaderLostAt > 0 && event.Process != c.leader {
-		c.findings.LeaderTimes = append(c.findings.LeaderTimes, event.At-c.leaderLostAt)
+		c.findings.ElectionTimes = append(c.findings.ElectionTimes, event.At-c.leaderLostAt)
 	}
 	c.leader, c.leaderLostAt = event.Process, 0
 }
--- a/internal/processtest/check_test.go
+++ b/internal/processtest/check_test.go
@@ -13,12 +13,12 @@
 		{At: 10, From: 1, Process: "a", Kind: EventAcquire, Token: 1, RequestID: 1},
 		{At: 30, From: 20, Process: "b", Kind: EventAcquire, Token: 2, RequestID: 1},
 	}
-	if findings := Check(log); len(findings.Broken) > 0 {
-		t.Error(findings.Broken)
+	if findings := Check(log); len(findings.Violations) > 0 {
+		t.Error(findings.Violations)
 	}
 	renewal := Event{At: 50, From: 40, Process: "a", Kind: EventRenew, Token: 1}
-	if findings := Check(append(log, renewal)); len(findings.Broken) != 1 {
-		t.Error("a renewal after the next grant:", findings.Broken)
+	if findings := Check(append(log, renewal)); len(findings.Violations) != 1 {
+		t.Error("a renewal after the next grant:", findings.Violations)
 	}
 	harness := startHarness(t, Options{Agents: 1, Holders: 1})
 	harness.awaitEvent(t, 0, actionStarted(0))
--- a/internal/processtest/cost.go
+++ b/internal/processtest/cost.go
@@ -11,9 +11,9 @@
 
 // Cost is the cost of one agent, as the mean of all.
 type Cost struct {
-	CPU    float64 `json:"cpu_share"` // of one core
-	Memory float64 `json:"memory_mb"`
-	Pieces float64 `json:"pieces_per_s"` // chunks of messages that it sends to other agents, without answers
+	CPU      float64 `json:"cpu_share"` // of one core
+	Memory   float64 `json:"memory_mb"`
+	Messages float64 `json:"pieces_per_s"` // chunks of messages that it sends to other agents, without answers
 }
 
 // clockTicksPerSecond is the unit of CPU times in /proc; Linux uses it for all that it shows to processes.
@@ -49,9 +49,9 @@
 	}
 	agents, seconds := float64(h.options.Agents), time.Since(start).Seconds()
 	return Cost{
-		CPU:    (after.cpuTicks - before.cpuTicks) / clockTicksPerSecond / seconds / agents,
-		Memory: after.memoryKiB / 1024 / agents,
-		Pieces: (after.chunks - before.chunks) / seconds / agents,
+		CPU:      (after.cpuTicks - before.cpuTicks) / clockTicksPerSecond / seconds / agents,
+		Memory:   after.memoryKiB / 1024 / agents,
+		Messages: (after.chunks - before.chunks) / seconds / agents,
 	}, nil
 }
 
--- a/internal/processtest/harness.go
+++ b/internal/processtest/harness.go
@@ -23,7 +23,7 @@
 	SpareAgents     int // agents that are not members yet; their indexes follow the members'
 	Terms           lease.Terms
 	LeaseDuration   time.Duration
-	Without         Without
+	Disabled        DisabledParts
 	Failover        *agent.FailoverOptions // of the agents; nil: they plan no failover
 	ActionsPerLease int                    // after which a holder releases its lease; 0: a random number
 	Seed            uint64
@@ -115,7 +115,7 @@
 		name := fmt.Sprint("agent", i+1)
 		directory := filepath.Join(h.directory, name)
 		identity := agent.Identity{Group: agentGroup, ID: uint64(i + 1), Address: address}
-		if err := agent.Create(directory, identity, state); err != nil {
+		if err := agent.CreateStorage(directory, identity, state); err != nil {
 			return err
 		}
 		h.processes = append(h.processes, &managedProcess{processSettings: processSettings{
@@ -124,7 +124,7 @@
 			Dir:      directory,
 			Listen:   address,
 			Failover: h.options.Failover,
-			Without:  h.options.Without,
+			Disabled: h.options.Disabled,
 		}})
 	}
 	return nil
@@ -139,17 +139,17 @@
 			Target:          target,
 			LeaseDuration:   h.options.LeaseDuration,
 			ActionsPerLease: h.options.ActionsPerLease,
-			Without:         h.options.Without,
+			Disabled:        h.options.Disabled,
 		}})
 	}
 }
 
 func (h *Harness) addTarget(address string) {
 	h.processes = append(h.processes, &managedProcess{processSettings: processSettings{
-		Role:    roleTarget,
-		Name:    roleTarget,
-		Listen:  address,
-		Without: h.options.Without,
+		Role:     roleTarget,
+		Name:     roleTarget,
+		Listen:   address,
+		Disabled: h.options.Disabled,
 	}})
 }
 
--- a/internal/processtest/holder_test.go
+++ b/internal/processtest/holder_test.go
@@ -9,10 +9,10 @@
 
 // stopHolderBeforeAction stops a holder between its check and its action, for longer than its lease, and continues it once the next
 // holder has acted.
-func stopHolderBeforeAction(t *testing.T, without Without) (staleToken lease.Token, findings Findings) {
+func stopHolderBeforeAction(t *testing.T, without DisabledParts) (staleToken lease.Token, findings Findings) {
 	t.Helper()
 	const agents, holders = 3, 2
-	harness := startHarness(t, Options{Agents: agents, Holders: holders, Without: without})
+	harness := startHarness(t, Options{Agents: agents, Holders: holders, Disabled: without})
 	for i := range holders {
 		harness.sendOrder(agents+i, orderHalt)
 	}
@@ -32,19 +32,19 @@
 
 // The fence rejects the action of a holder that was stopped. Without the fence the action is admitted, and the checks report it.
 func TestFenceRejectsStoppedHolder(t *testing.T) {
-	if token, findings := stopHolderBeforeAction(t, Without{}); findings.Rejected == 0 || len(findings.Broken) > 0 {
-		t.Errorf("token %d: %d rejected, broken %v", token, findings.Rejected, findings.Broken)
+	if token, findings := stopHolderBeforeAction(t, DisabledParts{}); findings.Rejected == 0 || len(findings.Violations) > 0 {
+		t.Errorf("token %d: %d rejected, broken %v", token, findings.Rejected, findings.Violations)
 	}
-	if _, findings := stopHolderBeforeAction(t, Without{Fence: true}); len(findings.Broken) == 0 {
+	if _, findings := stopHolderBeforeAction(t, DisabledParts{Fence: true}); len(findings.Violations) == 0 {
 		t.Error("without the fence nothing is reported")
 	}
 }
 
 // cutHolderFromGroup cuts a holder off from the group, but not from the target, until the next holder has acted three times.
-func cutHolderFromGroup(t *testing.T, expectRejected bool, without Without, faults ...faultinject.Fault) Findings {
+func cutHolderFromGroup(t *testing.T, expectRejected bool, without DisabledParts, faults ...faultinject.Fault) Findings {
 	t.Helper()
 	const agents, manyActions = 3, 1 << 20
-	harness := startHarness(t, Options{Agents: agents, Holders: 2, Without: without, ActionsPerLease: manyActions})
+	harness := startHarness(t, Options{Agents: agents, Holders: 2, Disabled: without, ActionsPerLease: manyActions})
 	first, position := harness.awaitEvent(t, 0, actionStarted(0))
 	holder := harness.Index(first.Text)
 	for _, fault := range faults {
@@ -69,14 +69,14 @@
 // A holder that has lost the group stops before the next one starts. Without the guard, or with a clock that is far too slow, it goes
 // on, and only the fence stops it: none of its later actions is admitted.
 func TestHolderStopsActingWithoutQuorum(t *testing.T) {
-	if findings := cutHolderFromGroup(t, false, Without{}); findings.Rejected > 0 || len(findings.Broken) > 0 {
-		t.Errorf("%d rejected, broken %v", findings.Rejected, findings.Broken)
+	if findings := cutHolderFromGroup(t, false, DisabledParts{}); findings.Rejected > 0 || len(findings.Violations) > 0 {
+		t.Errorf("%d rejected, broken %v", findings.Rejected, findings.Violations)
 	}
-	if findings := cutHolderFromGroup(t, true, Without{Guard: true}); findings.Rejected == 0 || len(findings.Broken) > 0 {
-		t.Errorf("without the guard: %d rejected, broken %v", findings.Rejected, findings.Broken)
+	if findings := cutHolderFromGroup(t, true, DisabledParts{Guard: true}); findings.Rejected == 0 || len(findings.Violations) > 0 {
+		t.Errorf("without the guard: %d rejected, broken %v", findings.Rejected, findings.Violations)
 	}
 	slowClock := faultinject.Fault{Kind: faultinject.ClockRate, Size: 0.1}
-	if findings := cutHolderFromGroup(t, true, Without{}, slowClock); findings.Rejected == 0 || len(findings.Broken) > 0 {
-		t.Errorf("with a slow clock: %d rejected, broken %v", findings.Rejected, findings.Broken)
+	if findings := cutHolderFromGroup(t, true, DisabledParts{}, slowClock); findings.Rejected == 0 || len(findings.Violations) > 0 {
+		t.Errorf("with a slow clock: %d rejected, broken %v", findings.Rejected, findings.Violations)
 	}
 }
--- a/internal/processtest/measure.go
+++ b/internal/processtest/measure.go
@@ -17,14 +17,14 @@
 
 // Measured is the performance and cost of a group of agents with relays between its members.
 type Measured struct {
-	Agents    int                     `json:"agents"`
-	Elections *hdrhistogram.Histogram `json:"-"` // ms from the leader's kill to the next leader
-	Idle      Cost                    `json:"idle"`
-	Holding   Cost                    `json:"holding"` // while each of the holders has a lease of its own
-	Holders   int                     `json:"holders"`
-	GrantsPS  float64                 `json:"grants_per_s"` // acquisitions, with as many releases, each synced by a majority
-	Latency   *hdrhistogram.Histogram `json:"-"`            // of the acquisitions, in µs
-	Rush      time.Duration           `json:"rush"`         // until each of the holders, which start together, has had the same lease
+	Agents          int                     `json:"agents"`
+	Elections       *hdrhistogram.Histogram `json:"-"` // ms from the leader's kill to the next leader
+	Idle            Cost                    `json:"idle"`
+	Holding         Cost                    `json:"holding"` // while each of the holders has a lease of its own
+	Holders         int                     `json:"holders"`
+	GrantsPerSecond float64                 `json:"grants_per_s"` // acquisitions, with as many releases, each synced by a majority
+	Latency         *hdrhistogram.Histogram `json:"-"`            // of the acquisitions, in µs
+	Rush            time.Duration           `json:"rush"`         // until each of the holders, which start together, has had the same lease
 }
 
 // Parameters of the measurements.
@@ -94,7 +94,7 @@
 		})
 	}
 	err := group.Wait()
-	m.GrantsPS = float64(grants.Load()) / time.Since(start).Seconds()
+	m.GrantsPerSecond = float64(grants.Load()) / time.Since(start).Seconds()
 	close(latencies)
 	for latency := range latencies {
 		err = errors.Join(err, m.Latency.RecordValue(latency.Microseconds()))
--- a/internal/processtest/role.go
+++ b/internal/processtest/role.go
@@ -56,11 +56,11 @@
 	LeaseDuration   time.Duration          `json:"for,omitempty"`
 	ActionsPerLease int                    `json:"acts,omitempty"`
 	Failover        *agent.FailoverOptions `json:"plans,omitempty"`
-	Without         Without                `json:"without"`
+	Disabled        DisabledParts          `json:"without"`
 }
 
-// Without names a safety mechanism that is left out, to show that the checks find its absence.
-type Without struct {
+// DisabledParts names a safety mechanism that is left out, to show that the checks find its absence.
+type DisabledParts struct {
 	Guard bool `json:"guard,omitempty"` // holders act whatever the state of their lease
 	Fence bool `json:"fence,omitempty"` // the target admits every action
 	Sync  bool `json:"sync,omitempty"`  // agents' disks store nothing of what they report as stored
--- a/internal/processtest/role_agent.go
+++ b/internal/processtest/role_agent.go
@@ -67,7 +67,7 @@
 	switch {
 	case full:
 		return errInjected
-	case s.process.Without.Sync:
+	case s.process.Disabled.Sync:
 		return nil
 	}
 	if err := s.disk.Save(update); err != nil || !syncFails {
--- a/internal/processtest/role_holder.go
+++ b/internal/processtest/role_holder.go
@@ -81,7 +81,7 @@
 // act sends actions until the lease is uncertain or the holder has done enough.
 func (h *holder) act(ctx context.Context, held *agent.Lease, grant lease.Grant) {
 	for actions := cmp.Or(h.ActionsPerLease, 1+rand.IntN(mostRandomActions)); actions > 0 && ctx.Err() == nil; actions-- {
-		if _, err := held.BeginAction(longestAction); err != nil && !h.Without.Guard {
+		if _, err := held.BeginAction(longestAction); err != nil && !h.Disabled.Guard {
 			h.report(Event{Kind: EventActionWithheld, Slot: grant.Slot, Token: grant.Token, Text: err.Error()})
 			return
 		}
@@ -91,7 +91,7 @@
 		h.sendAction(grant)
 		_ = sleep(ctx, 0, longestActionPause) // the loop ends with ctx
 	}
-	for h.Without.Guard && ctx.Err() == nil { // it never stops by itself
+	for h.Disabled.Guard && ctx.Err() == nil { // it never stops by itself
 		h.sendAction(grant)
 		_ = sleep(ctx, 50*time.Millisecond, longestActionPause) // the loop ends with ctx
 	}
--- a/internal/processtest/role_target.go
+++ b/internal/processtest/role_target.go
@@ -67,7 +67,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	fenced = t.fence.Begin(grant) == nil
-	admitted = fenced || t.process.Without.Fence
+	admitted = fenced || t.process.Disabled.Fence
 	event.Kind = EventActionRejected
 	if admitted {
 		event.Kind = EventActionStarted
--- a/internal/processtest/schedule.go
+++ b/internal/processtest/schedule.go
@@ -86,7 +86,7 @@
 	ctx context.Context,
 	firstSeed uint64,
 	count, parallel int,
-	without Without,
+	without DisabledParts,
 	report func(seed uint64, findings Findings, err error),
 ) error {
 	group, ctx := errgroup.WithContext(ctx)
@@ -109,39 +109,39 @@
 }
 
 // Schedule plays the schedule of a seed: 3 agents, or 5 for every third seed, and 3 holders.
-func Schedule(ctx context.Context, seed uint64, without Without) (Findings, error) {
+func Schedule(ctx context.Context, seed uint64, without DisabledParts) (Findings, error) {
 	return playSchedule(ctx, seed, without, Faults(seed))
 }
 
 // Faults returns the faults of a seed's schedule.
 func Faults(seed uint64) []faultinject.Fault {
-	return drawFaults(scheduleOptions(seed, Without{}), scheduledFaultTime, scheduledFaults)
+	return drawFaults(scheduleOptions(seed, DisabledParts{}), scheduledFaultTime, scheduledFaults)
 }
 
 // Fails reports whether a plan breaks something in one of several attempts. They differ, as the timing of processes is not drawn from
 // the seed.
-func Fails(ctx context.Context, seed uint64, without Without, plan []faultinject.Fault, attempts int) (bool, error) {
+func Fails(ctx context.Context, seed uint64, without DisabledParts, plan []faultinject.Fault, attempts int) (bool, error) {
 	for range attempts {
 		findings, err := playSchedule(ctx, seed, without, plan)
 		if err != nil && !errors.Is(err, ErrIdle) {
 			return false, err
 		}
-		if err != nil || len(findings.Broken) > 0 {
+		if err != nil || len(findings.Violations) > 0 {
 			return true, nil
 		}
 	}
 	return false, nil
 }
 
-func scheduleOptions(seed uint64, without Without) Options {
-	options := Options{Agents: 3, Holders: 3, Seed: seed, Without: without}
+func scheduleOptions(seed uint64, without DisabledParts) Options {
+	options := Options{Agents: 3, Holders: 3, Seed: seed, Disabled: without}
 	if seed%3 == 0 {
 		options.Agents = 5
 	}
 	return options
 }
 
-func playSchedule(ctx context.Context, seed uint64, without Without, plan []faultinject.Fault) (Findings, error) {
+func playSchedule(ctx context.Context, seed uint64, without DisabledParts, plan []faultinject.Fault) (Findings, error) {
 	h, err := Start(scheduleOptions(seed, without))
 	if err != nil {
 		return Findings{}, err
--- a/internal/processtest/schedule_test.go
+++ b/internal/processtest/schedule_test.go
@@ -5,14 +5,14 @@
 // Schedules of faults between real processes break no invariant, and holders act again after each.
 func TestScheduledFaultsKeepInvariants(t *testing.T) {
 	var sum Findings
-	err := Schedules(t.Context(), 1, 12, 4, Without{}, func(seed uint64, findings Findings, err error) {
-		if err != nil || len(findings.Broken) > 0 {
-			t.Errorf("schedule %d: %v %v", seed, err, findings.Broken)
+	err := Schedules(t.Context(), 1, 12, 4, DisabledParts{}, func(seed uint64, findings Findings, err error) {
+		if err != nil || len(findings.Violations) > 0 {
+			t.Errorf("schedule %d: %v %v", seed, err, findings.Violations)
 		}
 		sum.Add(findings)
 	})
 	t.Logf("%+v", sum)
-	if err != nil || len(sum.Faults) < 10 || sum.Acts < 12 {
+	if err != nil || len(sum.Faults) < 10 || sum.Actions < 12 {
 		t.Errorf("%v; the schedules are too mild to show anything: %+v", err, sum)
 	}
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -38,9 +38,9 @@
 
 // List is an answer of discovery: all backends, or those that changed.
 type List struct {
-	Rev     int64    `json:"Rev"`
-	All     bool     `json:"All"`
-	Targets []Target `json:"Targets"`
+	Revision int64    `json:"Rev"`
+	Full     bool     `json:"All"`
+	Targets  []Target `json:"Targets"`
 }
 
 // maxTargets bounds a list that discovery sends.
@@ -76,7 +76,7 @@
 	if len(document.Targets) > maxTargets {
 		return List{}, fmt.Errorf("list of backends: %d targets, over %d", len(document.Targets), maxTargets)
 	}
-	list := List{Rev: document.Rev, All: document.All, Targets: make([]Target, 0, len(document.Targets))}
+	list := List{Revision: document.Rev, Full: document.All, Targets: make([]Target, 0, len(document.Targets))}
 	byUID := make(map[string]Target, len(document.Targets))
 	for i, entry := range document.Targets {
 		target, err := convertTarget(entry, i)
@@ -84,7 +84,7 @@
 			return List{}, err
 		}
 		// Among changes the last one counts. In a full list, nothing tells which of two different entries is valid.
-		if earlier, duplicate := byUID[target.UID]; list.All && duplicate && earlier != target {
+		if earlier, duplicate := byUID[target.UID]; list.Full && duplicate && earlier != target {
 			return List{}, fmt.Errorf("targets[%d].uid: %q is there twice, and not alike", i, target.UID)
 		}
 		byUID[target.UID] = target
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -10,12 +10,12 @@
 // The bounds of a message. One with a body of up to MaxBody, the framing of its chunks included, fits into BufferSize; a
 // larger one is read in pieces, with Shift between them.
 const (
-	MaxHead      = 8 << 10
-	MaxBody      = 64 << 10
-	MaxBulk      = 48 << 20 // half as much again as the 32 MB that bodies and answers have at most
-	BufferSize   = MaxHead + MaxBody + 4<<10
-	maxFields    = 64
-	maxChunkLine = 256 // bytes of a chunk's size line, or of one line of the trailer
+	MaxHead         = 8 << 10
+	MaxBody         = 64 << 10
+	MaxStreamedBody = 48 << 20 // half as much again as the 32 MB that bodies and answers have at most
+	BufferSize      = MaxHead + MaxBody + 4<<10
+	maxFields       = 64
+	maxChunkLine    = 256 // bytes of a chunk's size line, or of one line of the trailer
 )
 
 // What can be wrong with a message.
@@ -73,8 +73,8 @@
 // OldVersion reports that the sender uses HTTP/1.0, which has no chunks.
 func (m *Message) OldVersion() bool { return m.minorVersion == 0 }
 
-// UntilEnd reports that the body ends with the connection: then Finish is called, if the connection ended in order.
-func (m *Message) UntilEnd() bool { return m.phase == inBodyUntilClose }
+// EndsWithConnection reports that the body ends with the connection: then Finish is called, if the connection ended in order.
+func (m *Message) EndsWithConnection() bool { return m.phase == inBodyUntilClose }
 
 // Finish marks a message whose body ends with the connection as complete.
 func (m *Message) Finish() { m.phase = complete }
@@ -105,5 +105,5 @@
 	if m.MaxBody > 0 {
 		return m.MaxBody
 	}
-	return MaxBulk
+	return MaxStreamedBody
 }
--- a/internal/protocol/message_test.go
+++ b/internal/protocol/message_test.go
@@ -220,7 +220,7 @@
 				in = nil
 			}
 		}
-		if m.UntilEnd() {
+		if m.EndsWithConnection() {
 			m.Finish()
 		}
 		if string(got) != string(body) || m.Started() {
--- a/internal/simulation/emulator/attempt.go
+++ b/internal/simulation/emulator/attempt.go
@@ -67,11 +67,11 @@
 		return
 	}
 	a.report = unknownReport
-	if b.simulation.scenario.Fleet.Report.By == "answers" {
+	if b.simulation.scenario.Fleet.Report.SentBy == "answers" {
 		a.report = b.visibleReport
 	}
 	delay := b.simulation.delay(&b.random, b.site, n.site)
-	b.schedule(delay, eventqueue.Event{To: a.request.replyTo, Kind: nodeReply, P: a, A: int64(out)})
+	b.schedule(delay, eventqueue.Event{Target: a.request.replyTo, Kind: nodeReply, Payload: a, Argument: int64(out)})
 }
 
 // loseMessage records that a network partition dropped the request or its answer: the node learns nothing until the link
--- a/internal/simulation/emulator/backend.go
+++ b/internal/simulation/emulator/backend.go
@@ -117,18 +117,18 @@
 func (b *Backend) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
 	case backendArrival:
-		b.receiveAttempt(now, e.P.(*attempt))
+		b.receiveAttempt(now, e.Payload.(*attempt))
 	case backendCompletion:
-		if e.A == b.completionGeneration {
+		if e.Argument == b.completionGeneration {
 			b.completeAttempts(now)
 		}
 	case backendCancellation:
-		if a := e.P.(*attempt); a.state == attemptQueued && b.kind.CancelQueued && a.incarnation == b.incarnation {
+		if a := e.Payload.(*attempt); a.state == attemptQueued && b.kind.CancelQueued && a.incarnation == b.incarnation {
 			b.cancelQueuedAttempt(a)
 			b.startQueuedAttempts(now)
 		}
 	case backendWarmUpTick:
-		if e.P == b.incarnation {
+		if e.Payload == b.incarnation {
 			b.continueSlowStart(now)
 		}
 	case backendReportMeasured:
@@ -136,11 +136,11 @@
 	case backendReportPublished:
 		b.visibleReport = b.nextReport
 	case backendOverloadDue:
-		if b.longQueueSince == e.A && e.A > 0 && !b.overloaded {
+		if b.longQueueSince == e.Argument && e.Argument > 0 && !b.overloaded {
 			b.beginOverload(now)
 		}
 	case backendRecoveryDue:
-		if b.overloaded && (e.A > 0 && b.lowLoadSince == e.A || e.A < 0 && b.overloadedAt == -e.A) {
+		if b.overloaded && (e.Argument > 0 && b.lowLoadSince == e.Argument || e.Argument < 0 && b.overloadedAt == -e.Argument) {
 			b.overloaded, b.longQueueSince = false, 0
 			b.handleLoadChange(now)
 		}
@@ -187,7 +187,7 @@
 	b.running, b.unreachable, b.draining = true, false, false
 	b.updatedAt, b.busyMeasuredAt, b.busyTime = now, now, 0
 	b.visibleReport = unknownReport
-	b.schedule(slowStartStep, eventqueue.Event{To: b, Kind: backendWarmUpTick, P: b.incarnation})
+	b.schedule(slowStartStep, eventqueue.Event{Target: b, Kind: backendWarmUpTick, Payload: b.incarnation})
 	b.handleLoadChange(now)
 }
 
--- a/internal/simulation/emulator/backend_capacity.go
+++ b/internal/simulation/emulator/backend_capacity.go
@@ -77,7 +77,7 @@
 	if rate > 0 {
 		remaining := math.Ceil((b.active[0].completionService - b.attainedService) / rate)
 		delay := eventqueue.Span(min(remaining, maxCompletionDelay))
-		b.schedule(delay, eventqueue.Event{To: b, Kind: backendCompletion, A: b.completionGeneration})
+		b.schedule(delay, eventqueue.Event{Target: b, Kind: backendCompletion, Argument: b.completionGeneration})
 	}
 }
 
@@ -94,13 +94,13 @@
 		b.longQueueSince = 0
 	} else if b.longQueueSince == 0 {
 		b.longQueueSince = now
-		b.schedule(fromMilliseconds(settings.Over), eventqueue.Event{To: b, Kind: backendOverloadDue, A: now})
+		b.schedule(fromMilliseconds(settings.Over), eventqueue.Event{Target: b, Kind: backendOverloadDue, Argument: now})
 	}
 	if !b.overloaded || float64(b.InFlight()) > settings.Below*cores {
 		b.lowLoadSince = 0
 	} else if b.lowLoadSince == 0 {
 		b.lowLoadSince = now
-		b.schedule(fromMilliseconds(settings.Rest), eventqueue.Event{To: b, Kind: backendRecoveryDue, A: now})
+		b.schedule(fromMilliseconds(settings.Rest), eventqueue.Event{Target: b, Kind: backendRecoveryDue, Argument: now})
 	}
 }
 
@@ -109,7 +109,7 @@
 	b.advanceService(now)
 	b.rescheduleCompletion(now)
 	if b.slowStartFraction(now) < 1 {
-		b.schedule(slowStartStep, eventqueue.Event{To: b, Kind: backendWarmUpTick, P: b.incarnation})
+		b.schedule(slowStartStep, eventqueue.Event{Target: b, Kind: backendWarmUpTick, Payload: b.incarnation})
 	} else {
 		b.simulation.checker.Warm(b.id)
 	}
@@ -120,6 +120,6 @@
 	b.overloaded, b.overloadedAt = true, now
 	b.simulation.recorder.overloads++
 	longest := fromMilliseconds(b.simulation.scenario.Fleet.Overdrive.Most)
-	b.schedule(longest, eventqueue.Event{To: b, Kind: backendRecoveryDue, A: -now})
+	b.schedule(longest, eventqueue.Event{Target: b, Kind: backendRecoveryDue, Argument: -now})
 	b.handleLoadChange(now)
 }
--- a/internal/simulation/emulator/backend_report.go
+++ b/internal/simulation/emulator/backend_report.go
@@ -25,9 +25,9 @@
 		b.nextReport = settings.LoadReport(b.nextReport)
 	}
 	b.busyTime, b.busyMeasuredAt = 0, now
-	b.schedule(fromMilliseconds(settings.Delay), eventqueue.Event{To: b, Kind: backendReportPublished})
+	b.schedule(fromMilliseconds(settings.Delay), eventqueue.Event{Target: b, Kind: backendReportPublished})
 	interval := eventqueue.Span(float64(fromMilliseconds(settings.Every)) * (0.9 + 0.2*b.random.Float64()))
-	b.schedule(interval, eventqueue.Event{To: b, Kind: backendReportMeasured})
+	b.schedule(interval, eventqueue.Event{Target: b, Kind: backendReportMeasured})
 }
 
 // scheduleFirstReport spreads the backends' first load reports over one report interval.
@@ -35,6 +35,6 @@
 	interval := fromMilliseconds(b.simulation.scenario.Fleet.Report.Every)
 	if interval > 0 {
 		delay := eventqueue.Span(b.random.Float64() * float64(interval))
-		b.schedule(delay, eventqueue.Event{To: b, Kind: backendReportMeasured})
+		b.schedule(delay, eventqueue.Event{Target: b, Kind: backendReportMeasured})
 	}
 }
--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	p.simulation.events.At(&p.source, origin+p.nextCall.At, eventqueue.Event{To: p, Kind: clientCallDue})
+	p.simulation.events.At(&p.source, origin+p.nextCall.Due, eventqueue.Event{Target: p, Kind: clientCallDue})
 	return nil
 }
 
@@ -101,16 +101,16 @@
 		}
 		p.startCall(now, c)
 	case clientRetryDue:
-		p.sendRequest(now, e.P.(*call))
+		p.sendRequest(now, e.Payload.(*call))
 	case clientCancels:
-		if r := e.P.(*request); r.call.currentRequest == r && !r.call.finished {
+		if r := e.Payload.(*request); r.call.currentRequest == r && !r.call.finished {
 			delay := p.simulation.clientDelay(&p.random, r.call.Site, r.node.site)
-			p.schedule(delay, eventqueue.Event{To: r.node, Kind: nodeClientCanceled, P: r})
+			p.schedule(delay, eventqueue.Event{Target: r.node, Kind: nodeClientCanceled, Payload: r})
 			p.finishCall(now, r.call, outcomeCanceled)
 		}
 	default:
-		if r := e.P.(*request); r.call.currentRequest == r && !r.call.finished {
-			p.handleRequestEnd(now, r, e.Kind, e.A)
+		if r := e.Payload.(*request); r.call.currentRequest == r && !r.call.finished {
+			p.handleRequestEnd(now, r, e.Kind, e.Argument)
 		}
 	}
 }
@@ -146,11 +146,11 @@
 	r.node = p.simulation.selectNode(c.Site, draws.Float64(), draws.Float64())
 	r.replyTo = r.node
 	delay := p.simulation.clientDelay(&p.random, c.Site, r.node.site)
-	p.schedule(delay, eventqueue.Event{To: r.node, Kind: nodeRequest, P: r})
-	p.simulation.events.At(&p.source, r.deadline, eventqueue.Event{To: p, Kind: clientTimedOut, P: r})
+	p.schedule(delay, eventqueue.Event{Target: r.node, Kind: nodeRequest, Payload: r})
+	p.simulation.events.At(&p.source, r.deadline, eventqueue.Event{Target: p, Kind: clientTimedOut, Payload: r})
 	if draws.Float64() < p.simulation.scenario.Clients.Impatient {
 		cancelAt := now + eventqueue.Span(draws.Float64()*float64(r.deadline-now))
-		p.simulation.events.At(&p.source, cancelAt, eventqueue.Event{To: p, Kind: clientCancels, P: r})
+		p.simulation.events.At(&p.source, cancelAt, eventqueue.Event{Target: p, Kind: clientCancels, Payload: r})
 	}
 }
 
@@ -180,7 +180,7 @@
 		return
 	}
 	c.currentRequest = nil
-	p.schedule(wait, eventqueue.Event{To: p, Kind: clientRetryDue, P: c})
+	p.schedule(wait, eventqueue.Event{Target: p, Kind: clientRetryDue, Payload: c})
 }
 
 func (p *clientPopulation) finishCall(now eventqueue.Time, c *call, outcome callOutcome) {
--- a/internal/simulation/emulator/connection_pool.go
+++ b/internal/simulation/emulator/connection_pool.go
@@ -28,7 +28,7 @@
 	p.idleSince = append(p.idleSince, now)
 	if !p.sweepScheduled {
 		p.sweepScheduled = true
-		n.schedule(fromMilliseconds(n.simulation.scenario.Fleet.Conns.Idle), eventqueue.Event{To: n, Kind: nodeIdleSweep, P: p})
+		n.schedule(fromMilliseconds(n.simulation.scenario.Fleet.Conns.Idle), eventqueue.Event{Target: n, Kind: nodeIdleSweep, Payload: p})
 	}
 }
 
@@ -46,7 +46,7 @@
 	pool.idleSince = append(pool.idleSince[:0], pool.idleSince[expired:]...)
 	if len(pool.idleSince) > 0 {
 		pool.sweepScheduled = true
-		n.simulation.events.At(&n.source, pool.idleSince[0]+idle, eventqueue.Event{To: n, Kind: nodeIdleSweep, P: pool})
+		n.simulation.events.At(&n.source, pool.idleSince[0]+idle, eventqueue.Event{Target: n, Kind: nodeIdleSweep, Payload: pool})
 	} else {
 		delete(n.pools, pool.backend)
 	}
--- a/internal/simulation/emulator/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -56,19 +56,19 @@
 
 // scheduleChange sets the moment at which discovery learns of a change.
 func (d *discovery) scheduleChange(after eventqueue.Span, endpoint balancer.Endpoint) {
-	d.schedule(after, eventqueue.Event{To: d, Kind: discoveryChangeDetected, P: &listChange{endpoint: endpoint}})
+	d.schedule(after, eventqueue.Event{Target: d, Kind: discoveryChangeDetected, Payload: &listChange{endpoint: endpoint}})
 }
 
 // Handle processes discovery's events.
 func (d *discovery) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
 	case discoveryChangeDetected:
-		c := e.P.(*listChange)
+		c := e.Payload.(*listChange)
 		d.appendChange(now, c.endpoint)
 	case discoveryCallServed:
-		d.serveCall(e.P.(*discoveryCall))
+		d.serveCall(e.Payload.(*discoveryCall))
 	case discoveryWatchNotified:
-		n := e.P.(*Node)
+		n := e.Payload.(*Node)
 		n.notificationScheduled = false
 		if n.watching && d.outages == 0 && n.listRevision < d.revision() {
 			event := &listMessage{
@@ -94,7 +94,7 @@
 	if n.watching && !n.notificationScheduled && d.outages == 0 {
 		n.notificationScheduled = true
 		delay := fromMilliseconds(interpolate(d.simulation.scenario.Discovery.Spread, d.random.Float64()))
-		d.schedule(delay, eventqueue.Event{To: d, Kind: discoveryWatchNotified, P: n})
+		d.schedule(delay, eventqueue.Event{Target: d, Kind: discoveryWatchNotified, Payload: n})
 	}
 }
 
@@ -159,7 +159,7 @@
 	default:
 		d.busyUntil = finish
 	}
-	d.simulation.events.At(&d.source, finish, eventqueue.Event{To: d, Kind: discoveryCallServed, P: call})
+	d.simulation.events.At(&d.source, finish, eventqueue.Event{Target: d, Kind: discoveryCallServed, Payload: call})
 }
 
 // serveCall answers a call with the complete list or the changes since the node's revision, unless the node has restarted.
@@ -182,7 +182,7 @@
 }
 
 func (d *discovery) sendMessage(node *Node, message *listMessage, after eventqueue.Span) {
-	d.schedule(after, eventqueue.Event{To: node, Kind: nodeListMessage, P: message})
+	d.schedule(after, eventqueue.Event{Target: node, Kind: nodeListMessage, Payload: message})
 }
 
 // beginOutage makes discovery unavailable and ends all watches. Outages may overlap.
--- a/internal/simulation/emulator/fault_effects.go
+++ b/internal/simulation/emulator/fault_effects.go
@@ -91,7 +91,7 @@
 	if faultDuration > 0 {
 		timeout = min(timeout, faultDuration/2)
 	}
-	deadline := eventqueue.Event{To: s, Kind: faultDrainDeadline, A: int64(backend.id), P: backend.incarnation}
+	deadline := eventqueue.Event{Target: s, Kind: faultDrainDeadline, Argument: int64(backend.id), Payload: backend.incarnation}
 	s.events.After(&s.faultSource, timeout, deadline)
 }
 
@@ -106,7 +106,7 @@
 			n.stopProcess()
 		}
 		delay := fromMilliseconds(s.scenario.Nodes.Notice)
-		s.events.After(&s.faultSource, delay, eventqueue.Event{To: s, Kind: faultNodeDownDetected, P: n})
+		s.events.After(&s.faultSource, delay, eventqueue.Event{Target: s, Kind: faultNodeDownDetected, Payload: n})
 	}
 }
 
@@ -123,7 +123,7 @@
 		if err := n.startProcess(now); err != nil {
 			panic(err) // the policy was made with the same settings at the start
 		}
-		n.schedule(fromMilliseconds(s.scenario.Nodes.Notice), eventqueue.Event{To: n, Kind: nodeReady})
+		n.schedule(fromMilliseconds(s.scenario.Nodes.Notice), eventqueue.Event{Target: n, Kind: nodeReady})
 	}
 }
 
@@ -159,6 +159,6 @@
 	s.applyFaults(now, b)
 	s.discovery.scheduleChange(s.detectionDelay(false), s.endpointOf(b, balancer.PhaseReady))
 	if interval := fromMilliseconds(s.scenario.Fleet.Report.Every); interval > 0 {
-		b.schedule(interval, eventqueue.Event{To: b, Kind: backendReportMeasured})
+		b.schedule(interval, eventqueue.Event{Target: b, Kind: backendReportMeasured})
 	}
 }
--- a/internal/simulation/emulator/faults.go
+++ b/internal/simulation/emulator/faults.go
@@ -29,10 +29,10 @@
 		if f.Start == 0 {
 			s.startFault(origin, i)
 		} else {
-			s.scheduleFaultEvent(f.Start, eventqueue.Event{To: s, Kind: faultStart, A: int64(i)})
+			s.scheduleFaultEvent(f.Start, eventqueue.Event{Target: s, Kind: faultStart, Argument: int64(i)})
 		}
 		if f.Duration > 0 {
-			s.scheduleFaultEvent(f.End(), eventqueue.Event{To: s, Kind: faultEnd, A: int64(i)})
+			s.scheduleFaultEvent(f.End(), eventqueue.Event{Target: s, Kind: faultEnd, Argument: int64(i)})
 		}
 	}
 }
@@ -46,18 +46,18 @@
 func (s *Simulation) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
 	case faultStart:
-		s.startFault(now, int(e.A))
+		s.startFault(now, int(e.Argument))
 	case faultEnd:
-		s.endFault(now, int(e.A))
+		s.endFault(now, int(e.Argument))
 	case faultConnectionsReset:
 		s.resetLostAttempts()
 	case faultDrainDeadline:
-		if b := s.backendsByID[balancer.EndpointID(e.A)]; b.draining && e.P == b.incarnation {
+		if b := s.backendsByID[balancer.EndpointID(e.Argument)]; b.draining && e.Payload == b.incarnation {
 			b.stopProcess(now, false)
 			s.discovery.scheduleChange(s.detectionDelay(false), s.endpointOf(b, balancer.PhaseRemoved))
 		}
 	case faultNodeDownDetected:
-		if n := e.P.(*Node); n.incarnation == nil {
+		if n := e.Payload.(*Node); n.incarnation == nil {
 			n.believedUp = false
 		}
 	}
@@ -72,7 +72,7 @@
 		case s.partitioned(a.request.node.site, a.backend.site) || a.backend.unreachable:
 			stillLost = append(stillLost, a)
 		default:
-			reset := eventqueue.Event{To: a.request.replyTo, Kind: nodeReply, P: a, A: int64(balancer.OutcomeReset)}
+			reset := eventqueue.Event{Target: a.request.replyTo, Kind: nodeReply, Payload: a, Argument: int64(balancer.OutcomeReset)}
 			s.events.After(&s.faultSource, 0, reset)
 		}
 	}
@@ -107,17 +107,17 @@
 		if f.WithNodes {
 			s.stopNodes(func(n *Node) bool { return n.site == site })
 		}
-	case faultinject.SiteCut:
+	case faultinject.SitePartition:
 		s.partitions[site]++
-	case faultinject.ListDown:
+	case faultinject.DiscoveryDown:
 		s.discovery.beginOutage()
 	case faultinject.NodeKill:
 		s.stopNodes(func(n *Node) bool { return slices.Contains(f.Nodes, n.index) })
-	case faultinject.ClockOff:
+	case faultinject.ClockSkew:
 		for _, i := range f.Nodes {
 			s.nodes[i].clockOffsets = append(s.nodes[i].clockOffsets, fromMilliseconds(f.Size))
 		}
-	case faultinject.DatagramsLost:
+	case faultinject.MessageLoss:
 		s.peerMessageLoss = max(s.peerMessageLoss, f.Size)
 	case faultinject.HotNode:
 		for _, i := range f.Nodes {
@@ -156,25 +156,25 @@
 		if f.WithNodes {
 			s.startNodes(now, func(n *Node) bool { return n.site == site })
 		}
-		s.events.After(&s.faultSource, fromMilliseconds(s.scenario.Net.Silent), eventqueue.Event{To: s, Kind: faultConnectionsReset})
-	case faultinject.SiteCut:
+		s.events.After(&s.faultSource, fromMilliseconds(s.scenario.Net.Silent), eventqueue.Event{Target: s, Kind: faultConnectionsReset})
+	case faultinject.SitePartition:
 		s.partitions[site]--
-		s.events.After(&s.faultSource, fromMilliseconds(s.scenario.Net.Silent), eventqueue.Event{To: s, Kind: faultConnectionsReset})
-	case faultinject.ListDown:
+		s.events.After(&s.faultSource, fromMilliseconds(s.scenario.Net.Silent), eventqueue.Event{Target: s, Kind: faultConnectionsReset})
+	case faultinject.DiscoveryDown:
 		s.discovery.endOutage()
 	case faultinject.NodeKill:
 		s.startNodes(now, func(n *Node) bool { return slices.Contains(f.Nodes, n.index) })
-	case faultinject.ClockOff:
+	case faultinject.ClockSkew:
 		for _, i := range f.Nodes {
 			n := s.nodes[i]
 			if index := slices.Index(n.clockOffsets, fromMilliseconds(f.Size)); index >= 0 {
 				n.clockOffsets = slices.Delete(n.clockOffsets, index, index+1)
 			}
 		}
-	case faultinject.DatagramsLost:
+	case faultinject.MessageLoss:
 		s.peerMessageLoss = 0
 		for i, other := range s.faults {
-			if s.activeFaults[i] && other.Kind == faultinject.DatagramsLost {
+			if s.activeFaults[i] && other.Kind == faultinject.MessageLoss {
 				s.peerMessageLoss = max(s.peerMessageLoss, other.Size)
 			}
 		}
--- a/internal/simulation/emulator/health_check.go
+++ b/internal/simulation/emulator/health_check.go
@@ -25,7 +25,7 @@
 		check.report = n.simulation.loadReportOf(b)
 	}
 	n.simulation.recorder.healthChecks++
-	n.schedule(roundTrip, eventqueue.Event{To: n, Kind: nodeHealthCheck, P: check})
+	n.schedule(roundTrip, eventqueue.Event{Target: n, Kind: nodeHealthCheck, Payload: check})
 }
 
 // loadReportOf is a backend's answer to a health check.
--- a/internal/simulation/emulator/live.go
+++ b/internal/simulation/emulator/live.go
@@ -39,30 +39,30 @@
 
 // EndpointEntry is a backend's entry of the endpoint list. Started counts from the start of the run; below 0: long before.
 type EndpointEntry struct {
-	Backend, Place int // the backend's number, and the index of its address
-	Site, Rack     int
-	Weight         float64
-	Phase          balancer.Phase
-	Started        eventqueue.Time
+	Backend, AddressIndex int // the backend's number, and the index of its address
+	Site, Rack            int
+	Weight                float64
+	Phase                 balancer.Phase
+	StartedAt             eventqueue.Time
 }
 
 // Attempt is a complete request that has arrived at a backend's address.
 type Attempt struct {
-	Place   int
-	Node    int    // that sent it
-	ID      string // the request's ID
-	Repeat  string // identifies repeats: the idempotency key, or the request's ID without one
-	Class   int
-	Key     uint64
-	Timeout eventqueue.Span // how long the node will wait; 0: unknown
-	Fresh   bool            // the first on its connection
-	Pending any             // passed back with the answer
+	AddressIndex   int
+	Node           int    // that sent it
+	ID             string // the request's ID
+	IdempotencyKey string // identifies repeats: the idempotency key, or the request's ID without one
+	Class          int
+	Key            uint64
+	Timeout        eventqueue.Span // how long the node will wait; 0: unknown
+	NewConnection  bool            // the first on its connection
+	Pending        any             // passed back with the answer
 }
 
 // Pending is an attempt that a backend has received.
 type Pending struct {
-	Any     any
-	Ran     bool // its execution has started
+	Context any
+	Started bool // its execution has started
 	Report  balancer.LoadReport
 	attempt *attempt
 }
@@ -72,13 +72,13 @@
 
 // Handle passes an outcome on, unless the attempt was abandoned.
 func (e liveAttemptEnds) Handle(_ eventqueue.Time, event eventqueue.Event) {
-	a := event.P.(*attempt)
+	a := event.Payload.(*attempt)
 	if !a.awaited {
 		return
 	}
 	a.awaited = false
-	pending := Pending{Any: a.liveContext, Ran: a.started, Report: a.report, attempt: a}
-	e.live.effects.Answered(pending, balancer.Outcome(event.A))
+	pending := Pending{Context: a.liveContext, Started: a.started, Report: a.report, attempt: a}
+	e.live.effects.Answered(pending, balancer.Outcome(event.Argument))
 }
 
 // NewLive returns the backends of a scenario that has passed Check.
@@ -128,13 +128,13 @@
 			started = -1
 		}
 		l.effects.Listed(EndpointEntry{
-			Backend: int(endpoint.ID),
-			Place:   l.simulation.backendsByID[endpoint.ID].place,
-			Site:    endpoint.Zone,
-			Rack:    endpoint.Cell,
-			Weight:  endpoint.Weight,
-			Phase:   endpoint.Phase,
-			Started: started,
+			Backend:      int(endpoint.ID),
+			AddressIndex: l.simulation.backendsByID[endpoint.ID].place,
+			Site:         endpoint.Zone,
+			Rack:         endpoint.Cell,
+			Weight:       endpoint.Weight,
+			Phase:        endpoint.Phase,
+			StartedAt:    started,
 		})
 	}
 }
@@ -162,10 +162,10 @@
 func (l *LiveBackends) Arrive(now eventqueue.Time, incoming Attempt) Pending {
 	s := l.simulation
 	s.events.Run(origin + now)
-	b := s.backends[incoming.Place]
+	b := s.backends[incoming.AddressIndex]
 	id := xxhash.Sum64String(incoming.ID)
 	c := &call{
-		Call:        workload.Call{Number: xxhash.Sum64String(incoming.Repeat), Class: incoming.Class, Key: incoming.Key},
+		Call:        workload.Call{Number: xxhash.Sum64String(incoming.IdempotencyKey), Class: incoming.Class, Key: incoming.Key},
 		idempotency: s.classes[incoming.Class].Idempotency,
 	}
 	r := &request{
@@ -185,7 +185,7 @@
 		sentAt:        s.events.Now(),
 		work:          workload.DrawWork(s.scenario, s.seed, c.Number, incoming.Class),
 		awaited:       true,
-		newConnection: incoming.Fresh,
+		newConnection: incoming.NewConnection,
 		liveContext:   incoming.Pending,
 	}
 	if noise := s.scenario.Classes[incoming.Class].Noise; noise > 0 {
@@ -194,11 +194,11 @@
 	}
 	b.inTransit++
 	b.receiveAttempt(s.events.Now(), a)
-	return Pending{Any: incoming.Pending, attempt: a}
+	return Pending{Context: incoming.Pending, attempt: a}
 }
 
-// Probe is the answer of the backend at an address to a health check.
-func (l *LiveBackends) Probe(now eventqueue.Time, place int) balancer.LoadReport {
+// CheckHealth is the answer of the backend at an address to a health check.
+func (l *LiveBackends) CheckHealth(now eventqueue.Time, place int) balancer.LoadReport {
 	l.simulation.events.Run(origin + now)
 	return l.simulation.loadReportOf(l.simulation.backends[place])
 }
@@ -207,10 +207,10 @@
 func (l *LiveBackends) Abandon(p Pending) {
 	p.attempt.awaited = false
 	b := p.attempt.backend
-	b.Handle(l.simulation.events.Now(), eventqueue.Event{To: b, Kind: backendCancellation, P: p.attempt})
+	b.Handle(l.simulation.events.Now(), eventqueue.Event{Target: b, Kind: backendCancellation, Payload: p.attempt})
 }
 
-// Connected adds to the number of connections to an address, which the backend limits.
-func (l *LiveBackends) Connected(place, delta int) {
+// AddConnections adds to the number of connections to an address, which the backend limits.
+func (l *LiveBackends) AddConnections(place, delta int) {
 	l.simulation.backends[place].incarnation.connections += delta
 }
--- a/internal/simulation/emulator/live_faults.go
+++ b/internal/simulation/emulator/live_faults.go
@@ -11,21 +11,21 @@
 // Handle starts or ends a fault.
 func (f liveFaults) Handle(now eventqueue.Time, event eventqueue.Event) {
 	if event.Kind == faultStart {
-		f.live.startFault(now, int(event.A))
+		f.live.startFault(now, int(event.Argument))
 	} else {
-		f.live.endFault(now, int(event.A))
+		f.live.endFault(now, int(event.Argument))
 	}
 }
 
 func (l *LiveBackends) scheduleFault(index int, f faultinject.Fault) {
-	l.simulation.scheduleFaultEvent(f.Start, eventqueue.Event{To: liveFaults{l}, Kind: faultStart, A: int64(index)})
+	l.simulation.scheduleFaultEvent(f.Start, eventqueue.Event{Target: liveFaults{l}, Kind: faultStart, Argument: int64(index)})
 	l.scheduleFaultEnd(index, f)
 }
 
 // scheduleFaultEnd schedules the end of a fault that has one.
 func (l *LiveBackends) scheduleFaultEnd(index int, f faultinject.Fault) {
 	if f.Duration > 0 {
-		l.simulation.scheduleFaultEvent(f.End(), eventqueue.Event{To: liveFaults{l}, Kind: faultEnd, A: int64(index)})
+		l.simulation.scheduleFaultEvent(f.End(), eventqueue.Event{Target: liveFaults{l}, Kind: faultEnd, Argument: int64(index)})
 	}
 }
 
@@ -33,8 +33,8 @@
 // the form of answers.
 func outsideBackends(kind faultinject.Kind) bool {
 	switch kind {
-	case faultinject.Garbage, faultinject.Interim, faultinject.NodeKill, faultinject.ClockOff,
-		faultinject.DatagramsLost, faultinject.HotNode, faultinject.Surge, faultinject.ListDown:
+	case faultinject.Garbage, faultinject.Interim, faultinject.NodeKill, faultinject.ClockSkew,
+		faultinject.MessageLoss, faultinject.HotNode, faultinject.Surge, faultinject.DiscoveryDown:
 		return true
 	}
 	return false
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -133,7 +133,7 @@
 	for _, r := range n.openRequests() {
 		if !r.answered {
 			delay := n.simulation.delay(&n.random, n.site, n.site)
-			n.schedule(delay, eventqueue.Event{To: n.simulation.clients, Kind: clientConnectionBroken, P: r})
+			n.schedule(delay, eventqueue.Event{Target: n.simulation.clients, Kind: clientConnectionBroken, Payload: r})
 		}
 		for _, a := range r.attempts {
 			a.awaited = false
@@ -157,37 +157,37 @@
 func (n *Node) Handle(now eventqueue.Time, e eventqueue.Event) {
 	switch e.Kind {
 	case nodeRequest:
-		n.acceptRequest(now, e.P.(*request))
+		n.acceptRequest(now, e.Payload.(*request))
 	case nodeReply:
-		n.endAttempt(now, e.P.(*attempt), balancer.Outcome(e.A), true)
+		n.endAttempt(now, e.Payload.(*attempt), balancer.Outcome(e.Argument), true)
 	case nodeTimeout:
-		if a := e.P.(*attempt); a.awaited {
-			n.endAttempt(now, a, balancer.Outcome(e.A), false)
+		if a := e.Payload.(*attempt); a.awaited {
+			n.endAttempt(now, a, balancer.Outcome(e.Argument), false)
 		}
 	case nodeTimer:
-		if e.P.(*nodeIncarnation) == n.incarnation {
-			n.policy.HandleTimer(n.localTime(now), balancer.TimerID(e.A))
+		if e.Payload.(*nodeIncarnation) == n.incarnation {
+			n.policy.HandleTimer(n.localTime(now), balancer.TimerID(e.Argument))
 		}
 	case nodeClientCanceled:
-		n.cancelRequest(now, e.P.(*request))
+		n.cancelRequest(now, e.Payload.(*request))
 	case nodeListMessage:
-		n.handleListMessage(now, e.P.(*listMessage))
+		n.handleListMessage(now, e.Payload.(*listMessage))
 	case nodeDatagram:
-		if d := e.P.(*datagram); n.incarnation != nil {
+		if d := e.Payload.(*datagram); n.incarnation != nil {
 			n.policy.HandlePeerMessage(n.localTime(now), d.from, d.data)
 		}
 	case nodeIdleSweep:
-		n.closeIdleConnections(now, e.P.(*connectionPool))
+		n.closeIdleConnections(now, e.Payload.(*connectionPool))
 	case nodeReady:
 		n.believedUp = n.incarnation != nil
 	case nodeHealthCheck:
-		n.endHealthCheck(now, e.P.(*healthCheck))
+		n.endHealthCheck(now, e.Payload.(*healthCheck))
 	}
 }
 
 // SetTimer sets a timer of the policy; it is dropped if the node restarts.
 func (n *Node) SetTimer(t balancer.TimerID, delay balancer.Span) {
-	n.schedule(delay, eventqueue.Event{To: n, Kind: nodeTimer, P: n.incarnation, A: int64(t)})
+	n.schedule(delay, eventqueue.Event{Target: n, Kind: nodeTimer, Payload: n.incarnation, Argument: int64(t)})
 }
 
 // Log passes on a log line of the policy.
--- a/internal/simulation/emulator/node_attempts.go
+++ b/internal/simulation/emulator/node_attempts.go
@@ -24,7 +24,7 @@
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	if r.answered || a.number >= n.simulation.scenario.Rules.MaxAttempts {
-		n.schedule(0, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.OutcomeNotSent)})
+		n.schedule(0, eventqueue.Event{Target: n, Kind: nodeTimeout, Payload: a, Argument: int64(balancer.OutcomeNotSent)})
 		return
 	}
 	c := r.call
@@ -39,7 +39,7 @@
 	if timeout > 0 {
 		end = min(end, now+timeout)
 	}
-	n.simulation.events.At(&n.source, end, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.OutcomeTimeout)})
+	n.simulation.events.At(&n.source, end, eventqueue.Event{Target: n, Kind: nodeTimeout, Payload: a, Argument: int64(balancer.OutcomeTimeout)})
 	n.dispatchAttempt(a, draws.Float64())
 }
 
@@ -66,19 +66,19 @@
 	case staleDraw < n.simulation.scenario.Net.Stale: // the backend has closed the connection meanwhile
 		backend.incarnation.connections--
 		a.holdsConnection = false
-		n.schedule(2*oneWayDelay, eventqueue.Event{To: n, Kind: nodeReply, P: a, A: int64(balancer.OutcomeReset)})
+		n.schedule(2*oneWayDelay, eventqueue.Event{Target: n, Kind: nodeReply, Payload: a, Argument: int64(balancer.OutcomeReset)})
 	case n.simulation.partitioned(n.site, backend.site):
 		a.loseMessage(n.simulation)
 	default:
 		backend.inTransit++
-		n.schedule(oneWayDelay, eventqueue.Event{To: backend, Kind: backendArrival, P: a})
+		n.schedule(oneWayDelay, eventqueue.Event{Target: backend, Kind: backendArrival, Payload: a})
 	}
 }
 
 func (n *Node) sendOnNewConnection(a *attempt, oneWayDelay eventqueue.Span) {
 	backend := a.backend
 	connections := &n.simulation.scenario.Fleet.Conns
-	connectFailed := eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.OutcomeConnectFailed)}
+	connectFailed := eventqueue.Event{Target: n, Kind: nodeTimeout, Payload: a, Argument: int64(balancer.OutcomeConnectFailed)}
 	switch {
 	case n.simulation.partitioned(n.site, backend.site) || backend.unreachable:
 		n.schedule(fromMilliseconds(connections.Timeout), connectFailed)
@@ -90,7 +90,7 @@
 		backend.inTransit++
 		n.simulation.recorder.dials++
 		handshake := eventqueue.Span(2 * connections.Rtts * float64(oneWayDelay))
-		n.schedule(handshake+oneWayDelay, eventqueue.Event{To: backend, Kind: backendArrival, P: a})
+		n.schedule(handshake+oneWayDelay, eventqueue.Event{Target: backend, Kind: backendArrival, Payload: a})
 	}
 }
 
@@ -132,9 +132,9 @@
 		return
 	}
 	a := r.attempts[number]
-	n.schedule(0, eventqueue.Event{To: n, Kind: nodeTimeout, P: a, A: int64(balancer.OutcomeCanceled)})
+	n.schedule(0, eventqueue.Event{Target: n, Kind: nodeTimeout, Payload: a, Argument: int64(balancer.OutcomeCanceled)})
 	if !n.simulation.partitioned(n.site, a.backend.site) {
 		delay := n.simulation.delay(&n.random, n.site, a.backend.site)
-		n.schedule(delay, eventqueue.Event{To: a.backend, Kind: backendCancellation, P: a})
+		n.schedule(delay, eventqueue.Event{Target: a.backend, Kind: backendCancellation, Payload: a})
 	}
 }
--- a/internal/simulation/emulator/node_requests.go
+++ b/internal/simulation/emulator/node_requests.go
@@ -35,7 +35,7 @@
 func (n *Node) acceptRequest(now eventqueue.Time, r *request) {
 	if n.incarnation == nil {
 		delay := n.simulation.delay(&n.random, n.site, n.site)
-		n.schedule(delay, eventqueue.Event{To: n.simulation.clients, Kind: clientNodeUnreachable, P: r})
+		n.schedule(delay, eventqueue.Event{Target: n.simulation.clients, Kind: clientNodeUnreachable, Payload: r})
 		return
 	}
 	r.incarnation = n.incarnation
@@ -49,7 +49,7 @@
 		Tenant:      r.call.Tenant,
 		Deadline:    r.deadline + n.incarnation.clockOffset,
 		CostHint:    workload.Hint(n.simulation.scenario, n.simulation.seed, &r.call.Call),
-		IsRetry:     n.simulation.scenario.Clients.Marks && r.number > 0,
+		IsRetry:     n.simulation.scenario.Clients.MarkRetries && r.number > 0,
 	})
 }
 
@@ -86,7 +86,7 @@
 
 func (n *Node) sendAnswer(r *request, answer invariant.Final, retryIn eventqueue.Span) {
 	delay := n.simulation.clientDelay(&n.random, r.call.Site, n.site)
-	n.schedule(delay, eventqueue.Event{To: n.simulation.clients, Kind: clientAnswered + uint8(answer), P: r, A: retryIn})
+	n.schedule(delay, eventqueue.Event{Target: n.simulation.clients, Kind: clientAnswered + uint8(answer), Payload: r, Argument: retryIn})
 }
 
 // Reject answers a request with a rejection.
--- a/internal/simulation/emulator/peer_message.go
+++ b/internal/simulation/emulator/peer_message.go
@@ -28,6 +28,6 @@
 			continue
 		}
 		delay := fromMilliseconds(interpolate(n.simulation.scenario.Net.Peer, n.random.Float64()))
-		n.schedule(delay, eventqueue.Event{To: other, Kind: nodeDatagram, P: &datagram{n.index, data}})
+		n.schedule(delay, eventqueue.Event{Target: other, Kind: nodeDatagram, Payload: &datagram{n.index, data}})
 	}
 }
--- a/internal/simulation/emulator/result.go
+++ b/internal/simulation/emulator/result.go
@@ -123,7 +123,7 @@
 		result.Decisions += n.decisions
 	}
 	result.Score = score(result, &simulation.scenario.Goal)
-	for rule, count := range simulation.checker.Broken() {
+	for rule, count := range simulation.checker.ViolationCounts() {
 		result.Broken[string(rule)] = count
 		result.Score = 0
 	}
--- a/internal/simulation/emulator/station.go
+++ b/internal/simulation/emulator/station.go
@@ -98,7 +98,7 @@
 		sigma:            math.Sqrt(math.Log1p(s.VariationCoefficient * s.VariationCoefficient)),
 	}
 	st.backendsHolding[0] = int64(s.Backends)
-	simulation.events.After(&st.source, 0, eventqueue.Event{To: st, Kind: clientCallDue})
+	simulation.events.After(&st.source, 0, eventqueue.Event{Target: st, Kind: clientCallDue})
 	return st
 }
 
@@ -136,8 +136,8 @@
 
 // Handle processes arrivals, and the ends of jobs.
 func (s *station) Handle(now eventqueue.Time, e eventqueue.Event) {
-	if e.P != nil {
-		s.handleAttemptEnd(now, e.P.(*attempt), balancer.Outcome(e.A))
+	if e.Payload != nil {
+		s.handleAttemptEnd(now, e.Payload.(*attempt), balancer.Outcome(e.Argument))
 		return
 	}
 	if s.arrivals == s.WarmUpJobs+s.Jobs {
@@ -151,7 +151,7 @@
 	}
 	s.startJob(now, s.selectBackend(), measured)
 	interarrival := eventqueue.Span(math.Round(s.meanInterarrival * s.random.ExpFloat64()))
-	s.simulation.events.After(&s.source, interarrival, eventqueue.Event{To: s, Kind: clientCallDue})
+	s.simulation.events.After(&s.source, interarrival, eventqueue.Event{Target: s, Kind: clientCallDue})
 }
 
 // countTail adds how many backends have at least so many jobs.
--- a/internal/simulation/eventqueue/eventqueue.go
+++ b/internal/simulation/eventqueue/eventqueue.go
@@ -20,10 +20,10 @@
 
 // Event is what a handler receives. Its handler defines the meaning of Kind, P and A.
 type Event struct {
-	To   Handler
-	P    any   // a pointer, or nil
-	A    int64 // a number, which needs no allocation
-	Kind uint8
+	Target   Handler
+	Payload  any   // a pointer, or nil
+	Argument int64 // a number, which needs no allocation
+	Kind     uint8
 }
 
 // Source identifies a component that sets events. Events of one µs are handled in the order of their sources' IDs, and
@@ -138,7 +138,7 @@
 	s.freeSlots = append(s.freeSlots, top.slot)
 	s.now = top.dueAt
 	s.handled++
-	event.To.Handle(s.now, event)
+	event.Target.Handle(s.now, event)
 	return true
 }
 
--- a/internal/simulation/eventqueue/eventqueue_test.go
+++ b/internal/simulation/eventqueue/eventqueue_test.go
@@ -20,7 +20,7 @@
 
 type recorder struct{ received []int64 }
 
-func (r *recorder) Handle(_ Time, e Event) { r.received = append(r.received, e.A) }
+func (r *recorder) Handle(_ Time, e Event) { r.received = append(r.received, e.Argument) }
 
 // The order in which different sources set their events must not matter: only time, source and order within the source do.
 func TestOrderDependsOnlyOnTimeAndSource(t *testing.T) {
@@ -64,7 +64,7 @@
 			}
 			e := queues[s][0]
 			queues[s] = queues[s][1:]
-			sim.At(&srcs[s], e.at, Event{To: rec, A: int64(e.src*100 + e.pos)})
+			sim.At(&srcs[s], e.at, Event{Target: rec, Argument: int64(e.src*100 + e.pos)})
 			remaining--
 		}
 		sim.Run(10)
@@ -83,7 +83,7 @@
 	var sim Sim
 	src, rec := NewSource(1), &recorder{}
 	sim.Run(100)
-	sim.At(&src, 50, Event{To: rec, A: 1})
+	sim.At(&src, 50, Event{Target: rec, Argument: 1})
 	if !sim.Step(100) || sim.Now() != 100 {
 		t.Errorf("clock went to %d", sim.Now())
 	}
@@ -126,7 +126,7 @@
 }
 
 func (t *ticker) Handle(Time, Event) {
-	t.sim.After(&t.src, Span(t.random.Uint64()>>44), Event{To: t})
+	t.sim.After(&t.src, Span(t.random.Uint64()>>44), Event{Target: t})
 }
 
 // BenchmarkEvents measures one event with so many pending.
--- a/internal/simulation/experiment/cost.go
+++ b/internal/simulation/experiment/cost.go
@@ -65,7 +65,7 @@
 	began := time.Now()
 	m.policy.HandleEndpoints(m.events.Now(), balancer.ListFull, list)
 	cost.MicrosPerList = float64(time.Since(began).Nanoseconds()) / 1000
-	m.schedule(0, eventqueue.Event{To: m, Kind: costRequest})
+	m.schedule(0, eventqueue.Event{Target: m, Kind: costRequest})
 	m.warmUp(budget)
 	m.measure(budget)
 	cost.Requests = m.requestCount
@@ -152,36 +152,36 @@
 			Deadline:    now + m.config.Classes[class].Deadline,
 		})
 	case costAttemptEnd:
-		id := balancer.RequestID(e.A)
+		id := balancer.RequestID(e.Argument)
 		attempt := m.attemptCounts[id] - 1
 		delete(m.attemptCounts, id)
 		m.policy.HandleAttemptResult(now, balancer.AttemptResult{
 			ID:          id,
 			Attempt:     attempt,
-			Endpoint:    e.P.(balancer.EndpointID),
+			Endpoint:    e.Payload.(balancer.EndpointID),
 			Outcome:     balancer.OutcomeOK,
 			Latency:     costAttemptLatency,
 			RequestDone: true,
 		})
 	case costTimer:
-		m.policy.HandleTimer(now, balancer.TimerID(e.A))
+		m.policy.HandleTimer(now, balancer.TimerID(e.Argument))
 	}
 	m.spent += time.Since(began)
 	if e.Kind == costRequest {
 		interarrival := eventqueue.Span(m.meanInterarrival * m.random.ExpFloat64())
-		m.schedule(interarrival, eventqueue.Event{To: m, Kind: costRequest})
+		m.schedule(interarrival, eventqueue.Event{Target: m, Kind: costRequest})
 	}
 }
 
 // SendAttempt schedules an answer after a constant time.
 func (m *costMeter) SendAttempt(id balancer.RequestID, endpoint balancer.EndpointID, _ balancer.Span) {
 	m.attemptCounts[id]++
-	m.schedule(costAttemptLatency, eventqueue.Event{To: m, Kind: costAttemptEnd, A: int64(id), P: endpoint})
+	m.schedule(costAttemptLatency, eventqueue.Event{Target: m, Kind: costAttemptEnd, Argument: int64(id), Payload: endpoint})
 }
 
 // SetTimer schedules a timer.
 func (m *costMeter) SetTimer(timer balancer.TimerID, delay balancer.Span) {
-	m.schedule(delay, eventqueue.Event{To: m, Kind: costTimer, A: int64(timer)})
+	m.schedule(delay, eventqueue.Event{Target: m, Kind: costTimer, Argument: int64(timer)})
 }
 
 // CancelAttempt has no effect here, nor have the commands below.
--- a/internal/simulation/experiment/shrink.go
+++ b/internal/simulation/experiment/shrink.go
@@ -87,7 +87,7 @@
 // shrinkTime ends the scenario right after the violation. It comes first: it takes one run and shortens all others.
 func (s *shrinker) shrinkTime(reduced *scenario.Scenario) {
 	candidate := *reduced
-	candidate.Seconds = min(reduced.Seconds, math.Ceil(float64(s.shrunk.Violation.At)/1e6)+0.1)
+	candidate.Seconds = min(reduced.Seconds, math.Ceil(float64(s.shrunk.Violation.Time)/1e6)+0.1)
 	candidate.WarmUp = min(reduced.WarmUp, candidate.Seconds)
 	if s.fails(candidate) {
 		*reduced = candidate
--- a/internal/simulation/failoversim/account.go
+++ b/internal/simulation/failoversim/account.go
@@ -43,8 +43,8 @@
 
 func (a *account) addTo(outcome *Outcome) {
 	outcome.ServedValue = a.settled.fraction()
-	outcome.Whole = a.overall.fraction()
-	outcome.Alone = a.alone.fraction()
+	outcome.OverallValue = a.overall.fraction()
+	outcome.ValueWithoutAgents = a.alone.fraction()
 	outcome.Crossing = a.crossing.achieved / max(a.traffic, 1)
 	outcome.Needed = a.crossing.optimal / max(a.traffic, 1)
 }
@@ -94,7 +94,7 @@
 		s.account.traffic += sent.total
 	}
 	if s.account.changesDirection(sent.crossing / sent.total) {
-		s.outcome.Turns++
+		s.outcome.Reversals++
 	}
 }
 
--- a/internal/simulation/failoversim/agent.go
+++ b/internal/simulation/failoversim/agent.go
@@ -86,7 +86,7 @@
 	if a.token != 0 {
 		return true
 	}
-	s.outcome.Directors++
+	s.outcome.Leaders++
 	a.token = grant.Token
 	if s.latest != nil {
 		a.previous, a.previousAt = s.latest, s.now-reportInterval
--- a/internal/simulation/failoversim/failoversim_test.go
+++ b/internal/simulation/failoversim/failoversim_test.go
@@ -21,14 +21,14 @@
 	if outcome.Broken() > 0 {
 		t.Errorf("broken %d times, first by schedule %d", outcome.Broken(), outcome.First)
 	}
-	if outcome.ServedValue < 0.97 || outcome.Crossing > 1.1*outcome.Needed || outcome.Turns > 2*outcome.Events {
+	if outcome.ServedValue < 0.97 || outcome.Crossing > 1.1*outcome.Needed || outcome.Reversals > 2*outcome.Events {
 		t.Error("worse than the objectives")
 	}
 	worseThanLocal := local.ServedValue > outcome.ServedValue-0.02 || local.Crossing < 2*outcome.Crossing
-	if worseThanLocal || outcome.Alone < local.ServedValue-0.05 {
+	if worseThanLocal || outcome.ValueWithoutAgents < local.ServedValue-0.05 {
 		t.Error("no better than nodes by themselves, or worse without agents")
 	}
-	if outcome.Directors < outcome.Schedules || outcome.Rejected < outcome.Schedules || outcome.Died < 5 {
+	if outcome.Leaders < outcome.Schedules || outcome.Rejected < outcome.Schedules || outcome.Died < 5 {
 		t.Error("the schedules are too mild to show anything")
 	}
 }
--- a/internal/simulation/failoversim/schedule.go
+++ b/internal/simulation/failoversim/schedule.go
@@ -193,13 +193,13 @@
 func (s *schedule) after(delay time.Duration, f func()) {
 	const resolution = time.Microsecond
 	span := eventqueue.Span((max(delay, 0) + resolution - 1) / resolution)
-	s.queue.After(&s.source, span, eventqueue.Event{To: s, P: f})
+	s.queue.After(&s.source, span, eventqueue.Event{Target: s, Payload: f})
 }
 
 // Handle runs the function of an event.
 func (s *schedule) Handle(now eventqueue.Time, event eventqueue.Event) {
 	s.now = time.Duration(now) * time.Microsecond
-	event.P.(func())()
+	event.Payload.(func())()
 }
 
 // send delivers a message: usually soon, at times never, late or twice.
--- a/internal/simulation/leasesim/group.go
+++ b/internal/simulation/leasesim/group.go
@@ -142,7 +142,7 @@
 			continue
 		}
 		if index, checksum := m.process.Checksum(); g.checksums[index] != checksum {
-			g.schedule.outcome.Split++
+			g.schedule.outcome.Disagreements++
 		}
 	}
 }
--- a/internal/simulation/leasesim/group_test.go
+++ b/internal/simulation/leasesim/group_test.go
@@ -13,7 +13,7 @@
 		if outcome.Broken() > 0 {
 			t.Errorf("%d members: broken %d times, first by schedule %d", members, outcome.Broken(), outcome.First)
 		}
-		withActions := outcome.Old > 0 && outcome.Withheld > 0 && outcome.Acts >= 10*outcome.Schedules
+		withActions := outcome.Stale > 0 && outcome.Withheld > 0 && outcome.Actions >= 10*outcome.Schedules
 		withFaults := outcome.Changes >= 5 && outcome.Faults >= 2*outcome.Schedules && took.Lead.TotalCount() >= 20
 		if !withActions || !withFaults {
 			t.Error("the schedules are too mild to show anything")
@@ -27,7 +27,7 @@
 		without Without
 		found   func(Outcome) int
 	}{
-		"sync":  {Without{Sync: true}, func(o Outcome) int { return o.Split + o.DuplicateGrants }},
+		"sync":  {Without{Sync: true}, func(o Outcome) int { return o.Disagreements + o.DuplicateGrants }},
 		"fence": {Without{Fence: true}, func(o Outcome) int { return o.Overlaps + o.Backwards }},
 	} {
 		if outcome, _, err := Many(t.Context(), 1, 30, test.without, 3); err != nil || test.found(outcome) == 0 {
--- a/internal/simulation/leasesim/holder.go
+++ b/internal/simulation/leasesim/holder.go
@@ -85,7 +85,7 @@
 			h.handleResponse(command, response, err, requestedAt)
 		})
 	})
-	if granted && s.chance(0.1) && (h.guard.Expired(h.clock()) || s.without.Free) { // all its actions are over
+	if granted && s.chance(0.1) && (h.guard.ActionsOver(h.clock()) || s.without.ReleaseWait) { // all its actions are over
 		h.guard.Drop()
 		release := lease.Command{Kind: lease.Release, Name: leaseName, Token: grant.Token}
 		s.request(h, release, func(lease.Grant, error) {})
@@ -96,7 +96,7 @@
 // handleResponse takes up a grant, or gives up the lease whose renewal was rejected.
 func (h *holder) handleResponse(command lease.Command, response lease.Grant, err error, requestedAt time.Duration) {
 	if err == nil {
-		h.guard.Granted(response, grantTicks, requestedAt)
+		h.guard.RecordGrant(response, grantTicks, requestedAt)
 		return
 	}
 	current, granted := h.guard.Grant()
--- a/internal/simulation/leasesim/leasesim.go
+++ b/internal/simulation/leasesim/leasesim.go
@@ -15,11 +15,11 @@
 
 // Without names a safety mechanism that is left out, to show that the checks find its absence.
 type Without struct {
-	Guard bool // holders act whenever they believe that they hold the lease
-	Fence bool // the target admits every action
-	Clock bool // the duration of a grant is counted from its response, not from the request
-	Free  bool // holders release a lease while an action may still be on its way
-	Sync  bool // members' disks lose their last writes when the process dies
+	Guard       bool // holders act whenever they believe that they hold the lease
+	Fence       bool // the target admits every action
+	Clock       bool // the duration of a grant is counted from its response, not from the request
+	ReleaseWait bool // holders release a lease while an action may still be on its way
+	Sync        bool // members' disks lose their last writes when the process dies
 }
 
 // Faults are the kinds of faults of one schedule.
@@ -40,35 +40,35 @@
 
 // Outcome is what one schedule, or many together, have shown.
 type Outcome struct {
-	Schedules       int   `json:"schedules"`
-	Acts            int   `json:"acts"`     // actions that the target admitted
-	Old             int   `json:"old"`      // actions rejected for their token
-	Busy            int   `json:"busy"`     // actions rejected as an earlier one was in progress
-	Withheld        int   `json:"withheld"` // actions that holders did not start, as their lease was uncertain
-	Grants          int   `json:"grants"`
-	Leaders         int   `json:"leaders"`
-	Kills           int   `json:"kills"`     // of holders with a grant
-	Overlaps        int   `json:"overlaps"`  // of two actions on one slot under different tokens
-	Backwards       int   `json:"backwards"` // actions admitted under an older token than one before
-	Idle            int   `json:"idle"`      // schedules after whose faults no holder acted
-	Unneeded        int   `json:"unneeded"`  // actions rejected for their token in schedules where the guard alone must be enough
-	DuplicateGrants int   `json:"twice"`     // tokens that were granted to two requests
-	Split           int   `json:"split"`     // members that disagree, or could not go on
-	Faults          int   `json:"faults"`    // among members
-	Changes         int   `json:"changes"`   // completed replacements of members of which the removed member was notified
-	First           int64 `json:"first,omitempty"`
+	Schedules            int   `json:"schedules"`
+	Actions              int   `json:"acts"`     // actions that the target admitted
+	Stale                int   `json:"old"`      // actions rejected for their token
+	Busy                 int   `json:"busy"`     // actions rejected as an earlier one was in progress
+	Withheld             int   `json:"withheld"` // actions that holders did not start, as their lease was uncertain
+	Grants               int   `json:"grants"`
+	Leaders              int   `json:"leaders"`
+	Kills                int   `json:"kills"`     // of holders with a grant
+	Overlaps             int   `json:"overlaps"`  // of two actions on one slot under different tokens
+	Backwards            int   `json:"backwards"` // actions admitted under an older token than one before
+	Idle                 int   `json:"idle"`      // schedules after whose faults no holder acted
+	UnexpectedRejections int   `json:"unneeded"`  // actions rejected for their token in schedules where the guard alone must be enough
+	DuplicateGrants      int   `json:"twice"`     // tokens that were granted to two requests
+	Disagreements        int   `json:"split"`     // members that disagree, or could not go on
+	Faults               int   `json:"faults"`    // among members
+	Changes              int   `json:"changes"`   // completed replacements of members of which the removed member was notified
+	First                int64 `json:"first,omitempty"`
 }
 
 // Broken is how often an invariant was broken.
 func (o Outcome) Broken() int {
-	return o.Overlaps + o.Backwards + o.Idle + o.Unneeded + o.DuplicateGrants + o.Split
+	return o.Overlaps + o.Backwards + o.Idle + o.UnexpectedRejections + o.DuplicateGrants + o.Disagreements
 }
 
 // Gaps are the times that leases and the group were without a holder or a leader.
 type Gaps struct {
-	All  []time.Duration // from a holder's death to the next holder's first action on the slot
-	Well []time.Duration // the same, of schedules without any other fault and with one slot
-	Lead []time.Duration // from a leading member's death to the next leader
+	All         []time.Duration // from a holder's death to the next holder's first action on the slot
+	Undisturbed []time.Duration // the same, of schedules without any other fault and with one slot
+	Lead        []time.Duration // from a leading member's death to the next leader
 }
 
 // Takeovers are histograms of gaps, in ms.
@@ -91,7 +91,7 @@
 	}
 	took = Takeovers{All: newHistogram(), Well: newHistogram(), Lead: newHistogram()}
 	for i, one := range all {
-		err = errors.Join(err, record(took.All, one.gaps.All), record(took.Well, one.gaps.Well), record(took.Lead, one.gaps.Lead))
+		err = errors.Join(err, record(took.All, one.gaps.All), record(took.Well, one.gaps.Undisturbed), record(took.Lead, one.gaps.Lead))
 		if one.outcome.Broken() > 0 && sum.Broken() == 0 {
 			sum.First = int64(first) + int64(i)
 		}
--- a/internal/simulation/leasesim/leasesim_test.go
+++ b/internal/simulation/leasesim/leasesim_test.go
@@ -25,7 +25,7 @@
 	if outcome.Broken() > 0 {
 		t.Errorf("broken %d times, first by schedule %d", outcome.Broken(), outcome.First)
 	}
-	withActions := outcome.Old > 0 && outcome.Busy > 0 && outcome.Withheld > 0 && outcome.Acts >= 10*outcome.Schedules
+	withActions := outcome.Stale > 0 && outcome.Busy > 0 && outcome.Withheld > 0 && outcome.Actions >= 10*outcome.Schedules
 	if !withActions || outcome.Leaders < 2*outcome.Schedules {
 		t.Error("the schedules are too mild to show anything")
 	}
@@ -37,9 +37,9 @@
 		without Without
 		found   func(Outcome) int
 	}{
-		"guard":                 {Without{Guard: true}, func(o Outcome) int { return o.Unneeded }},
+		"guard":                 {Without{Guard: true}, func(o Outcome) int { return o.UnexpectedRejections }},
 		"fence":                 {Without{Fence: true}, func(o Outcome) int { return min(o.Overlaps, o.Backwards) }},
-		"wait before a release": {Without{Free: true}, func(o Outcome) int { return o.Unneeded }},
+		"wait before a release": {Without{ReleaseWait: true}, func(o Outcome) int { return o.UnexpectedRejections }},
 		"clock":                 {Without{Clock: true, Fence: true}, func(o Outcome) int { return o.Overlaps }},
 	} {
 		outcome, _, err := Many(t.Context(), 1, 500, test.without, 0)
--- a/internal/simulation/leasesim/member.go
+++ b/internal/simulation/leasesim/member.go
@@ -67,7 +67,7 @@
 // sync writes all but the last few updates to the disk.
 func (m *member) sync(keep int) {
 	for len(m.unsynced) > keep {
-		m.disk = m.disk.EntriesAfter(m.unsynced[0])
+		m.disk = m.disk.Apply(m.unsynced[0])
 		m.unsynced = m.unsynced[1:]
 	}
 }
@@ -147,7 +147,7 @@
 	g, s := m.group, m.group.schedule
 	index, checksum := m.process.Checksum()
 	if agreed, ok := g.checksums[index]; ok && agreed != checksum {
-		s.outcome.Split++
+		s.outcome.Disagreements++
 	}
 	g.checksums[index] = checksum
 	if m.process.Removed() && !m.removed {
@@ -199,7 +199,7 @@
 	}
 	if message.GetType() == raftpb.MsgSnap {
 		s.after(snapshotReportTime, func() {
-			m.run(incarnation, func(process *consensus.Member) { process.Delivered(message.GetTo(), s.now >= g.cutUntil[path]) })
+			m.run(incarnation, func(process *consensus.Member) { process.ReportSnapshot(message.GetTo(), s.now >= g.cutUntil[path]) })
 		})
 	}
 }
--- a/internal/simulation/leasesim/schedule.go
+++ b/internal/simulation/leasesim/schedule.go
@@ -80,7 +80,7 @@
 	s := newSchedule(seed, without)
 	defer func() {
 		if broken := recover(); broken != nil { // raft panics where an invariant of its own is broken
-			s.outcome.Split++
+			s.outcome.Disagreements++
 			outcome, gaps = s.outcome, s.gaps
 		}
 	}()
@@ -90,9 +90,9 @@
 	s.startHolders()
 	for s.queue.Step(eventqueue.Time(scheduleLength / time.Microsecond)) {
 		if s.queue.Done() > mostEvents { // members whose disks lost what they had promised may send messages without end
-			s.outcome.Split++
+			s.outcome.Disagreements++
 		}
-		if s.outcome.Split+s.outcome.DuplicateGrants > 0 { // what follows has no meaning
+		if s.outcome.Disagreements+s.outcome.DuplicateGrants > 0 { // what follows has no meaning
 			return s.outcome, s.gaps
 		}
 	}
@@ -153,23 +153,23 @@
 	// With processes that are not stopped, clocks within the terms and actions that arrive in the time that holders allow for, the fence has
 	// nothing to reject, however bad the network to the group is.
 	if f := s.faults; !f.Stops && !f.Clocks && !f.Late {
-		s.outcome.Unneeded = s.outcome.Old + s.outcome.Busy
+		s.outcome.UnexpectedRejections = s.outcome.Stale + s.outcome.Busy
 	}
 	if s.faults == (Faults{Kills: true}) && maxHolders == 1 {
-		s.gaps.Well = s.gaps.All
+		s.gaps.Undisturbed = s.gaps.All
 	}
 }
 
 // after calls a function after a time, rounded up to the queue's resolution: an event before it is due would be repeated for ever.
 func (s *schedule) after(delay time.Duration, f func()) {
 	const resolution = time.Microsecond
-	s.queue.After(&s.source, eventqueue.Span((delay+resolution-1)/resolution), eventqueue.Event{To: s, P: f})
+	s.queue.After(&s.source, eventqueue.Span((delay+resolution-1)/resolution), eventqueue.Event{Target: s, Payload: f})
 }
 
 // Handle runs the function of an event.
 func (s *schedule) Handle(now eventqueue.Time, event eventqueue.Event) {
 	s.now = time.Duration(now) * time.Microsecond
-	event.P.(func())()
+	event.Payload.(func())()
 }
 
 func (s *schedule) between(least, most time.Duration) time.Duration {
--- a/internal/simulation/leasesim/target.go
+++ b/internal/simulation/leasesim/target.go
@@ -18,14 +18,14 @@
 func (s *schedule) handleAction(grant lease.Grant) {
 	if err := s.fence.Begin(grant); err != nil && !s.without.Fence {
 		if errors.Is(err, fencing.ErrStaleToken) {
-			s.outcome.Old++
+			s.outcome.Stale++
 		} else {
 			s.outcome.Busy++
 		}
 		return
 	}
 	s.checkAction(grant)
-	s.outcome.Acts++
+	s.outcome.Actions++
 	s.lastAction = s.now
 	if lost, ok := s.lostHolders[grant.Slot]; ok && grant.Token > lost.token {
 		s.gaps.All = append(s.gaps.All, s.now-lost.at)
--- a/internal/simulation/plots/plots.go
+++ b/internal/simulation/plots/plots.go
@@ -203,7 +203,7 @@
 	var p50, p99, maximum, unserved plotter.XYs
 	top := 1.0
 	for _, s := range r.Series {
-		x := float64(s.At) + 0.5
+		x := float64(s.Start) + 0.5
 		p50 = append(p50, plotter.XY{X: x, Y: s.P50})
 		p99 = append(p99, plotter.XY{X: x, Y: s.P99})
 		maximum = append(maximum, plotter.XY{X: x, Y: s.Max})
--- a/internal/simulation/scenario/check.go
+++ b/internal/simulation/scenario/check.go
@@ -125,7 +125,7 @@
 		within("clients.backoff_ms", c.Backoff, 0, 1e6),
 		within("clients.backoff_growth", c.Growth, 1, 100),
 		within("clients.backoff_jitter", c.Jitter, 0, 1),
-		within("clients.heed", c.Heed, 0, 1),
+		within("clients.heed", c.HeedRetryAfter, 0, 1),
 		within("clients.max_retry_after_ms", c.MaxRetryAfter, 0, 1e6),
 		within("clients.impatient", c.Impatient, 0, 1),
 	)
@@ -189,8 +189,8 @@
 			return tomlfile.Invalidf(fmt.Sprintf("fleet.report.fields[%d]", i), "%q is none of %v", field, reportFields)
 		}
 	}
-	if report.By != "answers" && report.By != "probes" {
-		return tomlfile.Invalidf("fleet.report.by", "%q is neither answers nor probes", report.By)
+	if report.SentBy != "answers" && report.SentBy != "probes" {
+		return tomlfile.Invalidf("fleet.report.by", "%q is neither answers nor probes", report.SentBy)
 	}
 	return nil
 }
@@ -251,7 +251,7 @@
 	if err := firstError(
 		within(path+"share", c.Share, 0, 1e6),
 		within(path+"work_ms", c.Work, 1e-3, 1e6),
-		within(path+"cv", c.CV, 0, 100),
+		within(path+"cv", c.VariationCoefficient, 0, 100),
 		within(path+"attempt_noise", c.Noise, 0, 10),
 		within(path+"deadline_ms", c.Deadline, 1, 1e7),
 		within(path+"aim_ms", c.LatencyObjective, 0, c.Deadline),
@@ -264,7 +264,7 @@
 	if !slices.Contains(workDists, c.Dist) {
 		return tomlfile.Invalidf(path+"dist", "%q is none of exp, lognormal, constant", c.Dist)
 	}
-	if c.Dist == "lognormal" && c.CV == 0 {
+	if c.Dist == "lognormal" && c.VariationCoefficient == 0 {
 		return tomlfile.Invalidf(path+"cv", "a lognormal needs one above 0")
 	}
 	if _, ok := idempotencies[c.Idempotency]; !ok {
--- a/internal/simulation/scenario/config.go
+++ b/internal/simulation/scenario/config.go
@@ -39,10 +39,10 @@
 		OverloadWindow:     fromMilliseconds(s.Rules.OverloadWindow),
 		CrossZoneCost:      s.Rules.CrossSite,
 		HealthCheckCost:    s.Rules.HealthCheckCost,
-		ClientsMarkRetries: s.Clients.Marks,
+		ClientsMarkRetries: s.Clients.MarkRetries,
 		KeyAffinity:        s.Fleet.Affinity.Gain > 0,
 	}
-	if s.Clients.Heed == 0 {
+	if s.Clients.HeedRetryAfter == 0 {
 		config.MaxRetryAfter = 0
 	}
 	for _, class := range s.Classes {
--- a/internal/simulation/scenario/defaults.go
+++ b/internal/simulation/scenario/defaults.go
@@ -7,11 +7,11 @@
 		Fleet: Fleet{Backends: 12, Sites: []string{"east", "west", "south"}, Rack: 8,
 			Overdrive: Overdrive{PerCore: 5, Over: 2000, Slower: 3, Below: 0.3, Rest: 3000, Most: 20000},
 			Affinity:  Affinity{Gain: 0.45, Millis: 6000, KeysPerCore: 6},
-			Report:    Report{Every: 1000, Delay: 200, Noise: 0.05, By: "answers"},
+			Report:    Report{Every: 1000, Delay: 200, Noise: 0.05, SentBy: "answers"},
 			Conns:     Connections{PerCore: 750, Rtts: 2, Work: 1500, Idle: 30000, Timeout: 250}},
 		Nodes: Nodes{Count: 3, Tick: 5, Notice: 1500},
 		Load:  Load{Speed: 1, Level: 0.6, Shape: "steady", Keys: 300, Zipf: 0.8, SiteSkew: 0.3, Period: 20, Swing: 0.1, Peak: 2},
-		Clients: Clients{Retries: 2, TimeoutShare: 0.6, Backoff: 200, Growth: 2, Jitter: 0.5, Heed: 0.8, MaxRetryAfter: 2000,
+		Clients: Clients{Retries: 2, TimeoutShare: 0.6, Backoff: 200, Growth: 2, Jitter: 0.5, HeedRetryAfter: 0.8, MaxRetryAfter: 2000,
 			Impatient: 0.01, Hints: "none"},
 		Net: Net{Same: 0.25, Cross: 5, Client: 0.7, Jitter: 0.2, Peer: Range{1, 30}, Silent: 500},
 		Discovery: Discovery{Poll: true, Notice: Range{1200, 4000}, Silent: Range{6000, 14000}, Spread: Range{20, 100},
@@ -38,7 +38,7 @@
 				Idempotency: "repeatable", KeyScope: "all", IdempotencyWindow: 5000},
 			{Name: "start", Share: 0.22, Work: 120, Dist: "exp", Noise: 0.3, LatencyObjective: 1000, Deadline: 4000, PriorityWeight: 5,
 				Idempotency: "once", KeyScope: "all", IdempotencyWindow: 5000},
-			{Name: "settle", Share: 0.22, Work: 260, Dist: "lognormal", CV: 1, Noise: 0.3, LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 3,
+			{Name: "settle", Share: 0.22, Work: 260, Dist: "lognormal", VariationCoefficient: 1, Noise: 0.3, LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 3,
 				Idempotency: "by_key", KeyScope: "rack", IdempotencyWindow: 6000},
 		}
 	}
--- a/internal/simulation/scenario/deployment.go
+++ b/internal/simulation/scenario/deployment.go
@@ -65,7 +65,7 @@
 	{"report", []Setting{{"queue and util", fields("queue", "util")}, {"none", func(s *Scenario) { s.Fleet.Report.Every = 0 }},
 		{"all", fields("held", "queue", "util")}, {"held", fields("held")}, {"queue", fields("queue")}, {"util", fields("util")},
 		{"held and queue", fields("held", "queue")}, {"held and util", fields("held", "util")}}},
-	{"report by", []Setting{{"answers", func(*Scenario) {}}, {"probes", func(s *Scenario) { s.Fleet.Report.By = "probes" }}}},
+	{"report by", []Setting{{"answers", func(*Scenario) {}}, {"probes", func(s *Scenario) { s.Fleet.Report.SentBy = "probes" }}}},
 	{"report age", []Setting{{"a second", func(*Scenario) {}}, {"3 ms", func(s *Scenario) {
 		if r := &s.Fleet.Report; r.Every > 0 {
 			r.Every, r.Delay = 3, 0.5
@@ -73,11 +73,11 @@
 	}}}},
 	{"probes", []Setting{{"forbidden", func(*Scenario) {}}, {"cheap", probes(0.002)}, {"dear", probes(0.05)}}},
 	{"hints", []Setting{{"none", hints("none")}, {"rough", hints("rough")}, {"exact", hints("exact")}}},
-	{"marks", []Setting{{"none", func(*Scenario) {}}, {"repeats", func(s *Scenario) { s.Clients.Marks = true }}}},
+	{"marks", []Setting{{"none", func(*Scenario) {}}, {"repeats", func(s *Scenario) { s.Clients.MarkRetries = true }}}},
 	{"retries", []Setting{{"none", retries(0)}, {"1", retries(1)}, {"3", retries(3)}}},
 	{"patience", []Setting{{"the deadline", timeoutShare(1)}, {"half", timeoutShare(0.5)}}},
 	{"back-off", []Setting{{"as long as the aim", backoff(1)}, {"none", backoff(0)}}},
-	{"advice", []Setting{{"none", func(s *Scenario) { s.Clients.Heed = 0 }}, {"heeded", func(s *Scenario) { s.Clients.Heed = 0.9 }}}},
+	{"advice", []Setting{{"none", func(s *Scenario) { s.Clients.HeedRetryAfter = 0 }}, {"heeded", func(s *Scenario) { s.Clients.HeedRetryAfter = 0.9 }}}},
 	{"second copies", []Setting{{"no", func(*Scenario) {}}, {"allowed", func(s *Scenario) { s.Rules.AllowHedging = true }}}},
 	{"cancelling", []Setting{
 		{"allowed", func(s *Scenario) { s.Rules.AllowCancel = true }},
@@ -122,7 +122,7 @@
 func dist(name string, cv float64) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Classes {
-			s.Classes[i].Dist, s.Classes[i].CV = name, cv
+			s.Classes[i].Dist, s.Classes[i].VariationCoefficient = name, cv
 		}
 	}
 }
--- a/internal/simulation/scenario/report.go
+++ b/internal/simulation/scenario/report.go
@@ -15,8 +15,8 @@
 	// Fields are the fields that reports include, of queue, util and held. Empty: queue and util, and held if
 	// IncludesInFlight is set.
 	Fields []string `toml:"fields"`
-	// By is how reports are sent: with answers and health checks (answers), or with health checks alone (probes).
-	By string `toml:"by"`
+	// SentBy is how reports are sent: with answers and health checks (answers), or with health checks alone (probes).
+	SentBy string `toml:"by"`
 }
 
 // reportFields are the names of a report's fields.
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -113,34 +113,34 @@
 
 // Clients describes how clients retry and what they send.
 type Clients struct {
-	Retries       int     `toml:"retries"`
-	TimeoutShare  float64 `toml:"try_share"` // timeout of a request, as a fraction of its class's deadline
-	Backoff       float64 `toml:"backoff_ms"`
-	Growth        float64 `toml:"backoff_growth"`
-	Jitter        float64 `toml:"backoff_jitter"` // fraction of the backoff that is random
-	Heed          float64 `toml:"heed"`           // fraction of clients that heed Retry-After
-	MaxRetryAfter float64 `toml:"max_retry_after_ms"`
-	Impatient     float64 `toml:"impatient"`     // fraction of requests that the client cancels before the timeout
-	Hints         string  `toml:"hints"`         // cost hint of each request: none, rough or exact
-	Marks         bool    `toml:"marks_repeats"` // retries are marked as such
-	RetryFailed   bool    `toml:"retry_any"`     // naive clients: retry every class after any failure
+	Retries        int     `toml:"retries"`
+	TimeoutShare   float64 `toml:"try_share"` // timeout of a request, as a fraction of its class's deadline
+	Backoff        float64 `toml:"backoff_ms"`
+	Growth         float64 `toml:"backoff_growth"`
+	Jitter         float64 `toml:"backoff_jitter"` // fraction of the backoff that is random
+	HeedRetryAfter float64 `toml:"heed"`           // fraction of clients that heed Retry-After
+	MaxRetryAfter  float64 `toml:"max_retry_after_ms"`
+	Impatient      float64 `toml:"impatient"`     // fraction of requests that the client cancels before the timeout
+	Hints          string  `toml:"hints"`         // cost hint of each request: none, rough or exact
+	MarkRetries    bool    `toml:"marks_repeats"` // retries are marked as such
+	RetryFailed    bool    `toml:"retry_any"`     // naive clients: retry every class after any failure
 }
 
 // Class is a kind of request.
 type Class struct {
-	Name              string  `toml:"name"`
-	Share             float64 `toml:"share"`
-	Work              float64 `toml:"work_ms"`
-	Dist              string  `toml:"dist"` // exp, lognormal or constant
-	CV                float64 `toml:"cv"`   // of lognormal
-	Noise             float64 `toml:"attempt_noise"`
-	LatencyObjective  float64 `toml:"aim_ms"`
-	Deadline          float64 `toml:"deadline_ms"`
-	PriorityWeight    float64 `toml:"worth"`
-	LateValue         float64 `toml:"late_share"`
-	Idempotency       string  `toml:"effect"` // repeatable, by_key or once
-	KeyScope          string  `toml:"scope"`  // of by_key: all, site or rack
-	IdempotencyWindow float64 `toml:"window_ms"`
+	Name                 string  `toml:"name"`
+	Share                float64 `toml:"share"`
+	Work                 float64 `toml:"work_ms"`
+	Dist                 string  `toml:"dist"` // exp, lognormal or constant
+	VariationCoefficient float64 `toml:"cv"`   // of lognormal
+	Noise                float64 `toml:"attempt_noise"`
+	LatencyObjective     float64 `toml:"aim_ms"`
+	Deadline             float64 `toml:"deadline_ms"`
+	PriorityWeight       float64 `toml:"worth"`
+	LateValue            float64 `toml:"late_share"`
+	Idempotency          string  `toml:"effect"` // repeatable, by_key or once
+	KeyScope             string  `toml:"scope"`  // of by_key: all, site or rack
+	IdempotencyWindow    float64 `toml:"window_ms"`
 }
 
 // Tenant is a tenant of the service. Share is its quota.
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -22,13 +22,13 @@
 
 // Result is what a run has shown.
 type Result struct {
-	Broken   []string // violations of the rules, one line each
-	Faults   map[Kind]int
-	Served   int
-	Rejected int
-	Failed   int
-	Total    int
-	Plan     []Fault
+	Violations []string // violations of the rules, one line each
+	Faults     map[Kind]int
+	Served     int
+	Rejected   int
+	Failed     int
+	Total      int
+	Plan       []Fault
 }
 
 // check checks the records against the rules.
@@ -69,18 +69,18 @@
 }
 
 func (res *Result) violation(format string, args ...any) {
-	res.Broken = append(res.Broken, fmt.Sprintf(format, args...))
+	res.Violations = append(res.Violations, fmt.Sprintf(format, args...))
 }
 
 // explain adds what a node has logged on discovery to the first violations.
 func (res *Result) explain(n *node) {
-	if len(res.Broken) > mostExplained {
+	if len(res.Violations) > mostExplained {
 		return
 	}
 	n.log.mu.Lock()
 	defer n.log.mu.Unlock()
 	for _, line := range n.log.discovery {
-		res.Broken = append(res.Broken, fmt.Sprintf("    node %d: %s", n.index, line))
+		res.Violations = append(res.Violations, fmt.Sprintf("    node %d: %s", n.index, line))
 	}
 }
 
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -38,7 +38,7 @@
 	r := newCheckedRun()
 	r.addRequest(effectOnce, outcomeServed, arrivalAt(2100*time.Millisecond))
 	result := r.check([]Fault{{Kind: NodeKilled}})
-	if len(result.Broken) > 0 || result.Served != 1 || result.Total != 1 || result.Faults[NodeKilled] != 1 {
+	if len(result.Violations) > 0 || result.Served != 1 || result.Total != 1 || result.Faults[NodeKilled] != 1 {
 		t.Errorf("%+v", result)
 	}
 }
@@ -102,7 +102,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			r := newCheckedRun()
 			test.record(r)
-			broken := r.check(nil).Broken
+			broken := r.check(nil).Violations
 			if len(broken) != 1 || !strings.Contains(broken[0], test.violated) {
 				t.Errorf("want one violation with %q, have %q", test.violated, broken)
 			}
@@ -119,7 +119,7 @@
 	r.list.noteNotification(0, notification{started: 150 * time.Millisecond, completed: 200 * time.Millisecond, revision: 2})
 	r.list.noteNotification(0, notification{started: 600 * time.Millisecond, completed: 650 * time.Millisecond, revision: 3})
 	r.addRequest(effectRepeatable, outcomeServed, arrivalAt(2*time.Second))
-	if broken := r.check(nil).Broken; len(broken) > 0 {
+	if broken := r.check(nil).Violations; len(broken) > 0 {
 		t.Error(broken)
 	}
 }
--- a/internal/workload/retry.go
+++ b/internal/workload/retry.go
@@ -80,7 +80,7 @@
 	draws := eventqueue.NewDraws(r.seed, call.Number<<8|uint64(attempts-1), drawRetry)
 	millis := clients.Backoff * math.Pow(clients.Growth, float64(attempts-1))
 	wait := eventqueue.Span(microsPerMilli * millis * (1 - clients.Jitter + clients.Jitter*draws.Exp()))
-	if draws.Float64() < clients.Heed {
+	if draws.Float64() < clients.HeedRetryAfter {
 		wait = max(wait, min(retryAfter, eventqueue.Span(microsPerMilli*clients.MaxRetryAfter)))
 	}
 	return wait
--- a/internal/workload/schedule.go
+++ b/internal/workload/schedule.go
@@ -23,7 +23,7 @@
 // Call is what a client wants: a first attempt, and its retries.
 type Call struct {
 	Number uint64          // its number in the schedule, from 0
-	At     eventqueue.Time // when it is due, µs since the start
+	Due    eventqueue.Time // when it is due, µs since the start
 	Class  int
 	Tenant int
 	Site   int
@@ -148,7 +148,7 @@
 	if !s.advance() {
 		return Call{}, io.EOF
 	}
-	call := Call{Number: s.count, At: eventqueue.Time(s.now)}
+	call := Call{Number: s.count, Due: eventqueue.Time(s.now)}
 	s.count++
 	_, tenants := s.levelWithSurges(s.now)
 	call.Class = pick(s.classes, s.random.Float64())
@@ -167,8 +167,8 @@
 	if err != nil {
 		return Call{}, err
 	}
-	call.At = eventqueue.Time(float64(call.At) / s.scenario.Load.Speed)
-	if float64(call.At) >= s.scenario.Seconds*microsPerSecond {
+	call.Due = eventqueue.Time(float64(call.Due) / s.scenario.Load.Speed)
+	if float64(call.Due) >= s.scenario.Seconds*microsPerSecond {
 		return Call{}, errors.Join(io.EOF, s.trace.Close())
 	}
 	call.Number = s.count
--- a/internal/workload/schedule_test.go
+++ b/internal/workload/schedule_test.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			tb.Fatal(err)
 		}
-		if last := len(calls) - 1; last >= 0 && (call.At < calls[last].At || call.Number != calls[last].Number+1) {
+		if last := len(calls) - 1; last >= 0 && (call.Due < calls[last].Due || call.Number != calls[last].Number+1) {
 			tb.Fatalf("%+v after %+v", call, calls[last])
 		}
 		calls = append(calls, call)
@@ -45,7 +45,7 @@
 // count returns how many calls are due within so many seconds.
 func count(calls []Call, from, until float64) (n int) {
 	for _, c := range calls {
-		if at := float64(c.At) / 1e6; at >= from && at < until {
+		if at := float64(c.Due) / 1e6; at >= from && at < until {
 			n++
 		}
 	}
@@ -89,7 +89,7 @@
 			t.Errorf("%g a second: %d calls in 20 s", perS, len(calls))
 		}
 		for i := 1; i < len(calls); i++ {
-			if gap := float64(calls[i].At - calls[i-1].At); math.Abs(gap-1e6/perS) > 1.5 {
+			if gap := float64(calls[i].Due - calls[i-1].Due); math.Abs(gap-1e6/perS) > 1.5 {
 				t.Fatalf("%g a second: a gap of %.0f µs", perS, gap)
 			}
 		}
@@ -101,7 +101,7 @@
 	calls := allCalls(t, parse(t, "seconds = 60.0\nload.per_s = 500.0"), surge)
 	var byPeriod [3][3]float64 // and tenant
 	for _, c := range calls {
-		byPeriod[c.At/20e6][c.Tenant]++
+		byPeriod[c.Due/20e6][c.Tenant]++
 	}
 	for i, share := range []float64{0.55, 0.29, 0.16} {
 		want := 10000 * share
--- a/internal/workload/trace.go
+++ b/internal/workload/trace.go
@@ -82,7 +82,7 @@
 		if err != nil {
 			return call, err
 		}
-		t.last = call.At
+		t.last = call.Due
 		return call, nil
 	}
 	if err := t.lines.Err(); err != nil {
@@ -93,12 +93,12 @@
 
 func (t *Trace) parse(text string) (Call, error) {
 	var call Call
-	n, err := fmt.Sscan(text, &call.At, &call.Class, &call.Tenant, &call.Site, &call.Key)
+	n, err := fmt.Sscan(text, &call.Due, &call.Class, &call.Tenant, &call.Site, &call.Key)
 	if err != nil {
 		return call, t.invalid(traceFields[min(n, len(traceFields)-1)], err)
 	}
-	if call.At < t.last {
-		return call, t.invalid("µs", fmt.Errorf("%d is before the line above or the start", call.At))
+	if call.Due < t.last {
+		return call, t.invalid("µs", fmt.Errorf("%d is before the line above or the start", call.Due))
 	}
 	for _, index := range []struct {
 		field string
--- a/internal/workload/trace_test.go
+++ b/internal/workload/trace_test.go
@@ -41,13 +41,13 @@
 	for _, name := range []string{"t.txt", "t.txt.gz"} {
 		sc := parse(t, "seconds = 5.0\n[load]\nshape = 'trace'\ntrace = '"+writeTrace(t, name, text)+"'")
 		calls := allCalls(t, sc)
-		if len(calls) != 3 || calls[1].At != 1500 || calls[2].Key != 9 || calls[1].Class != 1 || calls[1].Tenant != 2 ||
+		if len(calls) != 3 || calls[1].Due != 1500 || calls[2].Key != 9 || calls[1].Class != 1 || calls[1].Tenant != 2 ||
 			calls[2].Site != 2 || calls[0].Work <= 0 {
 			t.Errorf("%s: %+v", name, calls)
 		}
 	}
 	fast := allCalls(t, parse(t, "seconds = 5.0\n[load]\nshape = 'trace'\ntrace_speed = 3.0\ntrace = '"+writeTrace(t, "t", text)+"'"))
-	if len(fast) != 4 || fast[1].At != 500 || fast[3].At != 3000000 {
+	if len(fast) != 4 || fast[1].Due != 500 || fast[3].Due != 3000000 {
 		t.Errorf("three times as fast: %+v", fast)
 	}
 }
--- a/internal/workload/work.go
+++ b/internal/workload/work.go
@@ -49,7 +49,7 @@
 	case "exp":
 		work *= draws.Exp()
 	case "lognormal":
-		work *= Lognormal(math.Sqrt(math.Log1p(c.CV*c.CV)), draws.Norm())
+		work *= Lognormal(math.Sqrt(math.Log1p(c.VariationCoefficient*c.VariationCoefficient)), draws.Norm())
 	}
 	return work
 }
