--- a/internal/load/validity.go
+++ b/internal/load/validity.go
@@ -17,7 +17,7 @@
 	}
 	causes := processorReasons(cpu, elapsed)
 	if r.waitedAtBound > 0 {
-		causes = append(causes, fmt.Sprintf("connections: %d tries waited at the bound of %d", r.waitedAtBound, r.plan.Conns))
+		causes = append(causes, fmt.Sprintf("connections: %d requests waited at the bound of %d", r.waitedAtBound, r.plan.Conns))
 	}
 	causes = append(causes, descriptorReasons(r)...)
 	if len(causes) == 0 {
@@ -30,7 +30,7 @@
 func missedSchedule(lag LagReport, rec *recorder) []string {
 	var reasons []string
 	if lag.P99 > lag.BoundMs {
-		reasons = append(reasons, fmt.Sprintf("tries went out %.3f ms late at p99, over the bound of %.3f ms", lag.P99, lag.BoundMs))
+		reasons = append(reasons, fmt.Sprintf("requests were sent %.3f ms late at p99, over the bound of %.3f ms", lag.P99, lag.BoundMs))
 	}
 	if rec.shortIntervals > 0 {
 		reasons = append(reasons, fmt.Sprintf("in %d seconds, the first at %d s, over 0.1%% of the schedule went out more than %.0f ms late",
