--- a/cmd/tulipctl/cluster.go
+++ b/cmd/tulipctl/cluster.go
@@ -138,11 +138,7 @@
 }
 
 func runCluster(ctx context.Context, cmd *cli.Command) (err error) {
-	name, err := fileArgument(cmd)
-	if err != nil {
-		return err
-	}
-	sc, err := scenario.Read(name)
+	sc, err := scenarioArgument(cmd)
 	if err != nil {
 		return err
 	}
--- a/cmd/tulipctl/simulate.go
+++ b/cmd/tulipctl/simulate.go
@@ -8,6 +8,7 @@
 	"github.com/urfave/cli/v3"
 
 	"tulipglade/internal/simulation/policy"
+	"tulipglade/internal/simulation/scenario"
 )
 
 // simulateCommand returns the sub-commands of simulations. Their flags and actions are in the files simulate_*.go.
@@ -66,6 +67,15 @@
 	return name, nil
 }
 
+// scenarioArgument reads the scenario that the command's only argument names.
+func scenarioArgument(cmd *cli.Command) (*scenario.Scenario, error) {
+	name, err := fileArgument(cmd)
+	if err != nil {
+		return nil, err
+	}
+	return scenario.Read(name)
+}
+
 // selectedPolicies returns the policies of the flag --policy.
 func selectedPolicies(cmd *cli.Command) ([]string, error) {
 	names := cmd.StringSlice("policy")
@@ -79,3 +89,11 @@
 	}
 	return names, nil
 }
+
+// violationError is the answer of a command that plays fault schedules: nil if no invariant was violated.
+func violationError(violations int, first int64) error {
+	if violations == 0 {
+		return nil
+	}
+	return negativeAnswer("invariants are violated %d times, first by schedule %d", violations, first)
+}
--- a/cmd/tulipctl/simulate_leases.go
+++ b/cmd/tulipctl/simulate_leases.go
@@ -77,8 +77,5 @@
 	if err != nil {
 		return err
 	}
-	if outcome.Broken() > 0 {
-		return negativeAnswer("invariants are violated %d times, first by schedule %d", outcome.Broken(), outcome.First)
-	}
-	return nil
+	return violationError(outcome.Broken(), outcome.First)
 }
--- a/cmd/tulipctl/simulate_processes.go
+++ b/cmd/tulipctl/simulate_processes.go
@@ -98,10 +98,7 @@
 			return err
 		}
 	}
-	if result.violations() > 0 {
-		return negativeAnswer("invariants are violated %d times, first by schedule %d", result.violations(), result.First)
-	}
-	return nil
+	return violationError(result.violations(), int64(result.First))
 }
 
 // runProcessSchedules runs all schedules. Its error joins those of schedules that could not be run.
--- a/cmd/tulipctl/simulate_run.go
+++ b/cmd/tulipctl/simulate_run.go
@@ -77,11 +77,7 @@
 }
 
 func showScenario(_ context.Context, cmd *cli.Command) error {
-	name, err := fileArgument(cmd)
-	if err != nil {
-		return err
-	}
-	sc, err := scenario.Read(name)
+	sc, err := scenarioArgument(cmd)
 	if err != nil {
 		return err
 	}
