--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -43,62 +43,67 @@
 	}
 }
 
+// violationSentAt is when the requests of violationCases were sent.
+const violationSentAt = 2 * time.Second
+
+// violationCases are runs in which one rule is broken, with a part of its report.
+var violationCases = []struct {
+	name     string
+	record   func(*run)
+	violated string
+}{
+	{"answer to another request", func(r *run) {
+		r.addRequest(effectRepeatable, outcomeWrongAnswer)
+	}, "lost: "},
+	{"no answer in time", func(r *run) {
+		r.addRequest(effectRepeatable, outcomeLate)
+	}, "lost: "},
+	{"connection ended during a request", func(r *run) {
+		r.addRequest(effectRepeatable, outcomeIncomplete, arrivalAt(violationSentAt))
+	}, "lost: "},
+	{"rejected after it ran", func(r *run) {
+		r.addRequest(effectOnce, outcomeRejected, arrivalAt(violationSentAt))
+	}, "duplicate: "},
+	{"non-idempotent request ran twice", func(r *run) {
+		r.addRequest(effectOnce, outcomeServed, arrivalAt(violationSentAt), arrivalAt(violationSentAt+time.Millisecond))
+	}, "duplicate: "},
+	{"key repeated after its window", func(r *run) {
+		r.addRequest(effectByKey, outcomeServed, arrivalAt(violationSentAt), arrivalAt(violationSentAt+idempotencyWindow+time.Second))
+	}, "duplicate: "},
+	{"attempt after the client disconnected", func(r *run) {
+		r.addRequest(effectRepeatable, outcomeDisconnected, arrivalAt(4*time.Second))
+	}, "lost: "},
+	{"announced timeout beyond the deadline", func(r *run) {
+		r.addRequest(effectRepeatable, outcomeServed, &arrival{at: violationSentAt, announced: 5 * time.Second})
+	}, "deadline: "},
+	{"attempt at a removed backend", func(r *run) {
+		r.list.changes = append(r.list.changes, listChange{revision: 2, at: 100 * time.Millisecond, state: stateRemoved})
+		r.list.noteNotification(0, notification{started: 150 * time.Millisecond, completed: 200 * time.Millisecond, revision: 2})
+		r.addRequest(effectRepeatable, outcomeServed, arrivalAt(violationSentAt))
+	}, "drain: "},
+	{"request that no client sent", func(r *run) {
+		r.record.arrived("other", arrivalAt(violationSentAt))
+	}, "which no client sent"},
+	{"crash", func(r *run) {
+		r.nodes[0].incarnations[0].exitedAt = 5 * time.Second
+	}, "crash: "},
+	{"slow shutdown", func(r *run) {
+		p := &r.nodes[0].incarnations[0]
+		p.terminatedAt = 5 * time.Second
+		p.exitedAt = p.terminatedAt + shutdownLimit + 2*schedulingDelay
+	}, "stop: "},
+	{"never ready", func(r *run) {
+		r.nodes[0].incarnations[0] = incarnation{started: 0, killedAt: 2 * readyLimit}
+	}, "ready: "},
+	{"forbidden log record", func(r *run) {
+		for _, part := range []string{"level=ERROR msg=\"invariant ", "violated\"\n"} {
+			_, _ = r.nodes[0].log.Write([]byte(part)) // it never fails
+		}
+	}, "log of node 0"},
+}
+
 func TestCheckReportsViolations(t *testing.T) {
-	const sent = 2 * time.Second
-	for _, test := range []struct {
-		name     string
-		record   func(*run)
-		violated string
-	}{
-		{"answer to another request", func(r *run) {
-			r.addRequest(effectRepeatable, outcomeWrongAnswer)
-		}, "lost: "},
-		{"no answer in time", func(r *run) {
-			r.addRequest(effectRepeatable, outcomeLate)
-		}, "lost: "},
-		{"connection ended during a request", func(r *run) {
-			r.addRequest(effectRepeatable, outcomeIncomplete, arrivalAt(sent))
-		}, "lost: "},
-		{"rejected after it ran", func(r *run) {
-			r.addRequest(effectOnce, outcomeRejected, arrivalAt(sent))
-		}, "duplicate: "},
-		{"non-idempotent request ran twice", func(r *run) {
-			r.addRequest(effectOnce, outcomeServed, arrivalAt(sent), arrivalAt(sent+time.Millisecond))
-		}, "duplicate: "},
-		{"key repeated after its window", func(r *run) {
-			r.addRequest(effectByKey, outcomeServed, arrivalAt(sent), arrivalAt(sent+idempotencyWindow+time.Second))
-		}, "duplicate: "},
-		{"attempt after the client disconnected", func(r *run) {
-			r.addRequest(effectRepeatable, outcomeDisconnected, arrivalAt(4*time.Second))
-		}, "lost: "},
-		{"announced timeout beyond the deadline", func(r *run) {
-			r.addRequest(effectRepeatable, outcomeServed, &arrival{at: sent, announced: 5 * time.Second})
-		}, "deadline: "},
-		{"attempt at a removed backend", func(r *run) {
-			r.list.changes = append(r.list.changes, listChange{revision: 2, at: 100 * time.Millisecond, state: stateRemoved})
-			r.list.noteNotification(0, notification{started: 150 * time.Millisecond, completed: 200 * time.Millisecond, revision: 2})
-			r.addRequest(effectRepeatable, outcomeServed, arrivalAt(sent))
-		}, "drain: "},
-		{"request that no client sent", func(r *run) {
-			r.record.arrived("other", arrivalAt(sent))
-		}, "which no client sent"},
-		{"crash", func(r *run) {
-			r.nodes[0].incarnations[0].exitedAt = 5 * time.Second
-		}, "crash: "},
-		{"slow shutdown", func(r *run) {
-			p := &r.nodes[0].incarnations[0]
-			p.terminatedAt = 5 * time.Second
-			p.exitedAt = p.terminatedAt + shutdownLimit + 2*schedulingDelay
-		}, "stop: "},
-		{"never ready", func(r *run) {
-			r.nodes[0].incarnations[0] = incarnation{started: 0, killedAt: 2 * readyLimit}
-		}, "ready: "},
-		{"forbidden log record", func(r *run) {
-			for _, part := range []string{"level=ERROR msg=\"invariant ", "violated\"\n"} {
-				_, _ = r.nodes[0].log.Write([]byte(part)) // it never fails
-			}
-		}, "log of node 0"},
-	} {
+	for _, test := range violationCases {
 		t.Run(test.name, func(t *testing.T) {
 			r := newCheckedRun()
 			test.record(r)
