--- a/internal/balancer/learned.go
+++ b/internal/balancer/learned.go
@@ -15,9 +15,9 @@
 // maxLearnedValue bounds what is taken for a sound number.
 const maxLearnedValue = 1e15
 
-// Learned is what a node has learned, for another process that takes its place. Endpoints are known by their
-// StableKey; classes and tenants are in the order of the configuration that both processes have.
-type Learned struct {
+// LearnedState is the learned state of a node, which a process exports for its successor. Endpoints are keyed
+// by their StableKey; classes and tenants are in the order of the configuration, which both processes share.
+type LearnedState struct {
 	Endpoints    map[uint64]LearnedEndpoint `json:"Hosts"`
 	Classes      []LearnedClass             `json:"Classes"`
 	Tenants      []LearnedTenant            `json:"Tenants"`
@@ -25,8 +25,8 @@
 	AnswerRate   float64                    `json:"Rate"`
 	ModeTime     [2]float64                 `json:"ModeTime"`
 	Overloaded   bool                       `json:"Over"`
-	// ListLeaseLeft is how long requests may still be sent by the endpoint list.
-	ListLeaseLeft Span `json:"ListLeft"`
+	// ListLeaseRemaining is how long requests may still be sent by the endpoint list.
+	ListLeaseRemaining Span `json:"ListLeft"`
 }
 
 // LearnedEndpoint is what was learned of the endpoint's process that was started at StartedAt.
@@ -58,9 +58,9 @@
 }
 
 // ExportState returns what was learned. Half of the slow-start tokens that are left go with it.
-func (b *Balancer) ExportState(now Time) Learned {
+func (b *Balancer) ExportState(now Time) LearnedState {
 	b.now = now
-	learned := Learned{
+	learned := LearnedState{
 		Endpoints:    map[uint64]LearnedEndpoint{},
 		MeanInFlight: b.meanInFlight,
 		AnswerRate:   b.answerRate,
@@ -68,7 +68,7 @@
 		Overloaded:   b.overloadMode,
 	}
 	if b.listLease.Bounded() {
-		learned.ListLeaseLeft = max(b.listLease.Until(b.now)-b.now, 0)
+		learned.ListLeaseRemaining = max(b.listLease.Until(b.now)-b.now, 0)
 	}
 	for _, endpoint := range b.endpoints {
 		endpoint.slowStart.count /= 2
@@ -107,7 +107,7 @@
 
 // ImportState takes up what another process has learned of the listed endpoints. Values that make no sense
 // are left out.
-func (b *Balancer) ImportState(now Time, learned Learned) {
+func (b *Balancer) ImportState(now Time, learned LearnedState) {
 	b.now = now
 	for _, endpoint := range b.endpoints {
 		state, ok := learned.Endpoints[endpoint.stableKey()]
@@ -121,7 +121,7 @@
 		b.meanInFlight, b.answerRate = learned.MeanInFlight, learned.AnswerRate
 		b.modeTime, b.overloadMode = learned.ModeTime, learned.Overloaded
 	}
-	b.importListLease(learned.ListLeaseLeft)
+	b.importListLease(learned.ListLeaseRemaining)
 	b.runControl()
 	b.dispatch()
 }
--- a/internal/balancer/listlease_test.go
+++ b/internal/balancer/listlease_test.go
@@ -141,7 +141,7 @@
 	}
 	late := startNode(t, leasedConfig(), testEndpoints(4)...)
 	for _, left := range []Span{0, -1, maxHandoffDuration, NotificationDeadline + 1} {
-		if late.balancer.ImportState(late.now, Learned{ListLeaseLeft: left}); late.balancer.listLease.Valid(late.now) {
+		if late.balancer.ImportState(late.now, LearnedState{ListLeaseRemaining: left}); late.balancer.listLease.Valid(late.now) {
 			t.Errorf("%d us left give a lease", left)
 		}
 	}
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -117,7 +117,7 @@
 	}
 	s.onClose(func() { _ = s.inherited.Close() }) // the connection has served its purpose
 	list := s.inherited.EndpointList
-	if list.Revision >= s.endpoints.Revision || s.inherited.Learned.ListLeaseLeft > 0 {
+	if list.Revision >= s.endpoints.Revision || s.inherited.Learned.ListLeaseRemaining > 0 {
 		s.endpoints = list
 	}
 }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -9,10 +9,10 @@
 
 // HotRestartState is what a process passes to its successor: to backends and clients the two are one node.
 type HotRestartState struct {
-	EndpointList protocol.List    `json:"List"`
-	Classes      []string         `json:"Classes"` // those that Learned refers to, in its order
-	Tenants      []string         `json:"Tenants"`
-	Learned      balancer.Learned `json:"Learned"`
+	EndpointList protocol.List         `json:"List"`
+	Classes      []string              `json:"Classes"` // those that Learned refers to, in its order
+	Tenants      []string              `json:"Tenants"`
+	Learned      balancer.LearnedState `json:"Learned"`
 	// RequestIDs are the trace IDs of requests that may be running, with their expiry on the clock that both processes share.
 	RequestIDs map[string]int64 `json:"IDs"`
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,8 +36,8 @@
 	HandleCancellation(now balancer.Time, id balancer.RequestID)
 	HandleTimer(now balancer.Time, t balancer.TimerID)
 	Reconfigure(now balancer.Time, cfg balancer.Config, classes, tenants []int) error
-	ExportState(now balancer.Time) balancer.Learned
-	ImportState(now balancer.Time, m balancer.Learned)
+	ExportState(now balancer.Time) balancer.LearnedState
+	ImportState(now balancer.Time, m balancer.LearnedState)
 	SetProcessCount(processes int)
 }
 
