--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -123,10 +123,10 @@
 	ListTimeout                    // the call had no answer; other nodes' watches may still get changes
 	ListOverloaded                 // the call was rejected after a wait: discovery has too many callers
 	ListInvalid                    // discovery answered, but with nothing that can be used as a list
-	listKinds
+	listKindCount
 )
 
-var listKindNames = [listKinds]string{
+var listKindNames = [listKindCount]string{
 	ListDelta:      "changes",
 	ListFull:       "full list",
 	ListCached:     "cached list",
@@ -138,7 +138,7 @@
 
 // String names the kind as logs do.
 func (k ListKind) String() string {
-	if k < listKinds {
+	if k < listKindCount {
 		return listKindNames[k]
 	}
 	return "unknown"
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -36,9 +36,9 @@
 	controlPeriod  Span // T_d of the paper
 	lastControlAt  Time
 	overloadMode   bool
-	modeTime       [modes]float64 // time spent in each mode
-	predictedTotal float64        // sum of the tenants' U_PR, at least 1
-	capacity       float64        // requests that the subset can hold of this node
+	modeTime       [loadModeCount]float64 // time spent in each mode
+	predictedTotal float64                // sum of the tenants' U_PR, at least 1
+	capacity       float64                // requests that the subset can hold of this node
 	inFlight       inFlightMeter
 	meanInFlight   float64 // over control periods
 
@@ -80,26 +80,27 @@
 	return b, nil
 }
 
-// The kinds of timers. A TimerID is the RequestID, 0 for timers of the node, times timerKinds plus the kind.
+// The kinds of timers. A TimerID is the RequestID (0 for timers of the node) times timerKindCount, plus the
+// kind.
 const (
 	timerControl     TimerID = iota // of the node: a control period has passed
 	timerPoll                       // of the node: discovery may have to be called
 	timerDeadline                   // of a request: its last moment for a final answer
 	timerQueue                      // of a queued request: capacity may be free, or its time has run out
 	timerHealthCheck                // of a queued request: the time for its health checks is over
-	timerKinds
+	timerKindCount
 )
 
 // HandleTimer takes a timer that has expired.
 func (b *Balancer) HandleTimer(now Time, id TimerID) {
 	b.now = now
-	switch kind := id % timerKinds; kind {
+	switch kind := id % timerKindCount; kind {
 	case timerControl:
 		b.handleControlTimer()
 	case timerPoll:
 		b.handlePollTimer()
 	default:
-		request := b.requests[RequestID(id/timerKinds)]
+		request := b.requests[RequestID(id/timerKindCount)]
 		if request != nil && !request.responseStarted {
 			b.handleRequestTimer(request, kind)
 		}
@@ -127,7 +128,7 @@
 }
 
 func (b *Balancer) setRequestTimer(request *openRequest, kind TimerID, delay Span) {
-	b.commands.SetTimer(TimerID(request.id)*timerKinds+kind, delay)
+	b.commands.SetTimer(TimerID(request.id)*timerKindCount+kind, delay)
 }
 
 // HandleRequest takes a client's request. It is queued, and sent at once if a slot is free.
--- a/internal/balancer/overload.go
+++ b/internal/balancer/overload.go
@@ -12,11 +12,11 @@
 // loadMode says whether the fleet has capacity left.
 type loadMode int
 
-// The modes of the paper: its equations blend utilization by mode.
+// The modes of the paper, whose equations average utilization separately for each mode.
 const (
 	underload loadMode = iota
 	overload
-	modes
+	loadModeCount
 )
 
 func (b *Balancer) mode() loadMode {
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -17,7 +17,7 @@
 	demand      float64 // mean fraction of the requests
 	predicted   float64 // U_PR of the paper, as a fraction of all slots above the minimum
 	slots       float64
-	utilization [modes]float64 // U_j of the paper, by mode
+	utilization [loadModeCount]float64 // U_j of the paper, by mode
 
 	slotTime float64 // latency of the attempts that have ended since the last control
 	arrivals float64 // requests since then
