--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -158,7 +158,7 @@
 	}
 	ended.inFlight = false
 	ended.mayHaveRun = !provesNotRun(result.Outcome)
-	b.accountAttempt(request, ended.endpoint, -1, result)
+	b.recordAttemptChange(request, ended.endpoint, -1, result)
 	if result.Outcome == OutcomeOK || result.Outcome == OutcomeTimeout {
 		b.recordLatency(request, ended, float64(result.Latency), result.Outcome == OutcomeOK)
 	}
@@ -213,7 +213,7 @@
 	} else if endpoint.inFlight.count == 0 {
 		endpoint.lastAnswerAt = now // the time without an answer counts from here
 	}
-	b.countInFlight(request, endpoint, change)
+	b.updateInFlightCounts(request, endpoint, change)
 	b.dispatch()
 }
 
--- a/internal/balancer/inflight.go
+++ b/internal/balancer/inflight.go
@@ -16,9 +16,9 @@
 	updatedAt Time
 }
 
-// add changes the count and returns the mean up to now. At its first call the mean is set to the slots, as if
+// update changes the count and returns the mean up to now. At its first call the mean is set to the slots, as if
 // these had been used: no node starts with capacity that it has saved up.
-func (m *inFlightMeter) add(now Time, change int, slots float64, period Span) float64 {
+func (m *inFlightMeter) update(now Time, change int, slots float64, period Span) float64 {
 	if m.updatedAt == 0 {
 		m.mean, m.updatedAt = slots, now
 	}
@@ -35,7 +35,7 @@
 	if float64(meter.count+1) <= slots {
 		return true
 	}
-	return float64(meter.count) < slots && meter.add(b.now, 0, slots, b.averagingTime(slots)) < slots
+	return float64(meter.count) < slots && meter.update(b.now, 0, slots, b.averagingTime(slots)) < slots
 }
 
 // averagingTime is long enough for a few requests, however few slots there are.
@@ -44,8 +44,8 @@
 	return max(b.controlPeriod, Span(few))
 }
 
-// accountAttempt counts the start (1) or the end (-1) of an attempt, with what its end has shown.
-func (b *Balancer) accountAttempt(
+// recordAttemptChange counts the start (1) or the end (-1) of an attempt, with what its end has shown.
+func (b *Balancer) recordAttemptChange(
 	request *openRequest, endpoint *endpointState, change int, result AttemptResult,
 ) {
 	b.tenants[request.tenant].quota.slotTime += float64(result.Latency)
@@ -54,18 +54,18 @@
 	if request.uploading { // it is not counted while its endpoint has no work with it
 		request.uploading = false
 	} else {
-		b.countInFlight(request, endpoint, change)
+		b.updateInFlightCounts(request, endpoint, change)
 	}
 }
 
-// countInFlight changes the counts of the endpoint, the tenant and the node.
-func (b *Balancer) countInFlight(request *openRequest, endpoint *endpointState, change int) {
+// updateInFlightCounts changes the counts of the endpoint, the tenant and the node.
+func (b *Balancer) updateInFlightCounts(request *openRequest, endpoint *endpointState, change int) {
 	limit := b.effectiveLimit(endpoint)
-	endpoint.inFlight.add(b.now, change, limit, b.averagingTime(limit))
+	endpoint.inFlight.update(b.now, change, limit, b.averagingTime(limit))
 	endpoint.inFlightByTenant[request.tenant] += change
 	tenant := &b.tenants[request.tenant]
-	tenant.inFlight.add(b.now, change, tenant.quota.slots, b.averagingTime(tenant.quota.slots))
-	b.inFlight.add(b.now, change, b.capacity, b.averagingTime(b.capacity))
+	tenant.inFlight.update(b.now, change, tenant.quota.slots, b.averagingTime(tenant.quota.slots))
+	b.inFlight.update(b.now, change, b.capacity, b.averagingTime(b.capacity))
 }
 
 // inFlightShare is the node's part of what an endpoint holds, by a fresh report or else its own attempts.
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -95,7 +95,7 @@
 		mayHaveRun: true,
 		predicted:  prediction,
 	})
-	b.accountAttempt(request, endpoint, 1, AttemptResult{})
+	b.recordAttemptChange(request, endpoint, 1, AttemptResult{})
 	endpoint.slowStart.count--
 	if endpoint.reported.Outstanding >= 0 { // until the next report
 		endpoint.reported.Outstanding++
