--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -49,10 +49,10 @@
 	answerRate      float64 // answers that a warm endpoint gives this node, per microsecond
 	medianErrorRate float64 // of the endpoints in use
 
-	meanObjective     float64 // latency objective, mean over classes
-	meanWork          float64 // time that a request takes alone, mean over classes
-	networkDelay      float64 // from a client to the node, where deadlines show it
-	lastLateAttemptAt Time    // the last time when an attempt was sent with a late answer predicted
+	meanObjective             float64 // latency objective, mean over classes
+	meanWork                  float64 // time that a request takes alone, mean over classes
+	networkDelay              float64 // from a client to the node, where deadlines show it
+	lastExpectedLateAttemptAt Time    // the last time when an attempt was sent with a late answer predicted
 
 	listLease    staleness.Lease // nothing is sent without it
 	poll         pollSchedule
--- a/internal/balancer/prediction.go
+++ b/internal/balancer/prediction.go
@@ -69,7 +69,7 @@
 		return
 	}
 	if predicted.expectedLate && answered && b.now <= request.objectiveAt {
-		b.lastLateAttemptAt = 0 // the prediction is wrong: the next attempt may follow at once
+		b.lastExpectedLateAttemptAt = 0 // the prediction is wrong: the next attempt may follow at once
 	}
 	endpoint, class := ended.endpoint, &b.classes[request.class]
 	ratio := latency * math.Sqrt(b.warmUpFraction(endpoint)) / predicted.latency
@@ -79,7 +79,7 @@
 	}
 	if predicted.inFlight < endpoint.cores { // it waited for nothing, so its latency was work
 		work := max(ratio*request.relativeWork/endpoint.slowness, minWorkRatio)
-		class.hints.learn(request.hintDistance, work)
+		class.hints.learn(request.logHintRatio, work)
 	}
 	class.work.learn(ratio / endpoint.slowness)
 	b.meanWork += workGain * (request.relativeWork*class.work.mean - b.meanWork)
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -23,7 +23,7 @@
 	id               RequestID
 	class, tenant    int
 	affinityKey      uint64  // 0: endpoints do no less work for a known key
-	hintDistance     float64 // logarithm of the client's cost hint as a multiple of the usual one
+	logHintRatio     float64 // logarithm of the client's cost hint as a multiple of the usual one
 	relativeWork     float64 // expected work as a multiple of what is usual in its class
 	objectiveAt      Time    // an answer by then has its full value
 	halfTimeAt       Time    // half of its time has passed by then
@@ -49,9 +49,9 @@
 		tenant:       incoming.Tenant % len(b.tenants),
 		deadline:     incoming.Deadline,
 		maxAttempts:  b.config.MaxAttempts,
-		hintDistance: class.hints.observe(incoming.CostHint),
+		logHintRatio: class.hints.observe(incoming.CostHint),
 	}
-	request.relativeWork = math.Exp(request.hintDistance * class.hints.slope())
+	request.relativeWork = math.Exp(request.logHintRatio * class.hints.slope())
 	if b.config.KeyAffinity {
 		request.affinityKey = incoming.AffinityKey
 	}
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -84,7 +84,7 @@
 	latency := prediction.latency * b.slownessFactor(endpoint)
 	if latency > float64(request.objectiveAt-b.now) {
 		prediction.expectedLate = true
-		b.lastLateAttemptAt = b.now
+		b.lastExpectedLateAttemptAt = b.now
 	}
 	request.attempts = append(request.attempts, attempt{
 		endpoint:   endpoint,
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -112,6 +112,6 @@
 	if prediction.inFlight != 0 {
 		return false
 	}
-	mayExplore := class.Idempotency != NonIdempotent && b.now-b.lastLateAttemptAt > b.controlPeriod
+	mayExplore := class.Idempotency != NonIdempotent && b.now-b.lastExpectedLateAttemptAt > b.controlPeriod
 	return latency <= timeLeft || mayExplore
 }
