--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -168,7 +168,7 @@
 	} else if !request.done && request.attemptsInFlight == 0 {
 		b.retryOrEnd(request)
 	}
-	b.forgetIfComplete(request)
+	b.deleteIfComplete(request)
 	b.dispatch()
 }
 
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// playScript plays a fixed series of requests and outcomes and returns the commands.
-func playScript(t *testing.T, others ...*fakeNode) []string {
+// runRequestScript plays a fixed series of requests and outcomes and returns the commands.
+func runRequestScript(t *testing.T, others ...*fakeNode) []string {
 	t.Helper()
 	outcomes := []Outcome{
 		OutcomeOK, OutcomeOK, OutcomeOK, OutcomeRejected, OutcomeServerError, OutcomeOK, OutcomeReset,
@@ -38,10 +38,10 @@
 }
 
 func TestSameEventsGiveSameCommands(t *testing.T) {
-	alone := playScript(t)
+	alone := runRequestScript(t)
 	small := startNode(t, testConfig(), testEndpoints(3)...)
 	large := startNode(t, configWithQuotas(0.2, 0.8), testEndpoints(7)...)
-	among := playScript(t, small, large)
+	among := runRequestScript(t, small, large)
 	if len(alone) < 2500 || strings.Join(alone, "\n") != strings.Join(among, "\n") {
 		t.Errorf("%d actions alone, %d among others, or not the same", len(alone), len(among))
 	}
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -71,7 +71,7 @@
 			i = len(tenant.queue) - 1 - i
 		}
 		request := tenant.queue[i]
-		if request.class != class || !b.readyToSend(request) || b.startsHealthChecks(request, lent) {
+		if request.class != class || !b.readyToSend(request) || b.startHealthChecks(request, lent) {
 			continue
 		}
 		if b.sendToLeastLoaded(request) {
@@ -93,9 +93,9 @@
 	return !request.done && request.queued && (b.now >= request.waitUntil || b.candidatesChecked(request))
 }
 
-// startsHealthChecks selects candidates for a request that has none, and tells whether it now waits for their
+// startHealthChecks selects candidates for a request that has none, and tells whether it now waits for their
 // load.
-func (b *Balancer) startsHealthChecks(request *openRequest, lent bool) bool {
+func (b *Balancer) startHealthChecks(request *openRequest, lent bool) bool {
 	if request.candidates != nil {
 		return false
 	}
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -45,12 +45,12 @@
 func (b *Balancer) HandleEndpointsAsOf(now, asOf Time, kind ListKind, list []Endpoint) {
 	b.now = now
 	if !b.started {
-		b.start(len(list))
+		b.startFromFirstList(len(list))
 	}
 	b.recordListEvidence(kind, asOf)
 	switch kind {
 	case ListFailed, ListTimeout, ListOverloaded, ListInvalid:
-		b.backOff(kind)
+		b.schedulePollAfterFailure(kind)
 		b.dispatch() // the failure may be evidence that the list is current
 		return
 	case ListDelta, ListFull:
--- a/internal/balancer/learned.go
+++ b/internal/balancer/learned.go
@@ -72,7 +72,7 @@
 	}
 	for _, endpoint := range b.endpoints {
 		endpoint.slowStart.count /= 2
-		learned.Endpoints[endpoint.stableKey()] = endpoint.export()
+		learned.Endpoints[endpoint.stableKey()] = endpoint.exportState()
 	}
 	for i := range b.classes {
 		latency := &b.classes[i].latency
@@ -89,7 +89,7 @@
 	return learned
 }
 
-func (e *endpointState) export() LearnedEndpoint {
+func (e *endpointState) exportState() LearnedEndpoint {
 	return LearnedEndpoint{
 		StartedAt:           e.StartedAt,
 		Limit:               e.limit,
@@ -111,13 +111,13 @@
 	b.now = now
 	for _, endpoint := range b.endpoints {
 		state, ok := learned.Endpoints[endpoint.stableKey()]
-		if ok && state.StartedAt == endpoint.StartedAt && state.sound() {
+		if ok && state.StartedAt == endpoint.StartedAt && state.validNumbers() {
 			b.importEndpoint(endpoint, state)
 		}
 	}
 	b.importClasses(learned.Classes)
 	b.importTenants(learned.Tenants)
-	if sound(learned.MeanInFlight, learned.AnswerRate, learned.ModeTime[0], learned.ModeTime[1]) {
+	if validNumbers(learned.MeanInFlight, learned.AnswerRate, learned.ModeTime[0], learned.ModeTime[1]) {
 		b.meanInFlight, b.answerRate = learned.MeanInFlight, learned.AnswerRate
 		b.modeTime, b.overloadMode = learned.ModeTime, learned.Overloaded
 	}
@@ -136,7 +136,7 @@
 	}
 	endpoint.slowStart = slowStartTokens{count: state.SlowStartTokens, updatedAt: b.now}
 	endpoint.reported = reportedLoad{LoadReport: unknownLoad, changedAt: b.now}
-	if sound(state.Backlog, state.Utilization) {
+	if validNumbers(state.Backlog, state.Utilization) {
 		endpoint.reported.LoadReport = LoadReport{state.Outstanding, state.Backlog, state.Utilization}
 	}
 }
@@ -147,7 +147,7 @@
 	}
 	for i, class := range classes {
 		positive := class.BaselineLatency > 0 && class.MeanLatency > 0
-		if positive && sound(class.BaselineLatency, class.MeanLatency) {
+		if positive && validNumbers(class.BaselineLatency, class.MeanLatency) {
 			latency := &b.classes[i].latency
 			latency.baseline, latency.mean = class.BaselineLatency, class.MeanLatency
 		}
@@ -159,7 +159,7 @@
 		return
 	}
 	for i, tenant := range tenants {
-		if sound(tenant.Demand, tenant.PredictedQuota, tenant.Utilization[0], tenant.Utilization[1]) {
+		if validNumbers(tenant.Demand, tenant.PredictedQuota, tenant.Utilization[0], tenant.Utilization[1]) {
 			quota := &b.tenants[i].quota
 			quota.demand, quota.predicted = tenant.Demand, tenant.PredictedQuota
 			quota.utilization = tenant.Utilization
@@ -175,13 +175,13 @@
 	}
 }
 
-// sound tells whether the state has values that an endpoint can have.
-func (e *LearnedEndpoint) sound() bool {
-	return sound(e.Limit, e.ErrorRate) && e.Limit != 0 && e.ErrorRate <= 1 && !math.IsNaN(e.SlowStartTokens)
+// validNumbers tells whether the state has values that an endpoint can have.
+func (e *LearnedEndpoint) validNumbers() bool {
+	return validNumbers(e.Limit, e.ErrorRate) && e.Limit != 0 && e.ErrorRate <= 1 && !math.IsNaN(e.SlowStartTokens)
 }
 
-// sound tells whether all values are finite and not negative.
-func sound(values ...float64) bool {
+// validNumbers tells whether all values are finite and not negative.
+func validNumbers(values ...float64) bool {
 	for _, value := range values {
 		if !(value >= 0 && value < maxLearnedValue) {
 			return false
--- a/internal/balancer/poll.go
+++ b/internal/balancer/poll.go
@@ -23,8 +23,8 @@
 	nextAt   Time
 }
 
-// start takes the first endpoint list, before which nothing is decided.
-func (b *Balancer) start(listed int) {
+// startFromFirstList takes the first endpoint list, before which nothing is decided.
+func (b *Balancer) startFromFirstList(listed int) {
 	b.started = true
 	b.lastControlAt = b.now
 	b.poll.watching = !b.config.PollDiscovery
@@ -43,13 +43,13 @@
 }
 
 // schedulePoll sets the next call to discovery, at a random time, so that nodes do not call together.
-func (b *Balancer) schedulePoll(after float64) {
-	b.poll.nextAt = b.now + b.config.TickInterval + Span(after*(0.25+0.75*b.random.uniform()))
+func (b *Balancer) schedulePoll(maxDelay float64) {
+	b.poll.nextAt = b.now + b.config.TickInterval + Span(maxDelay*(0.25+0.75*b.random.uniform()))
 	b.commands.SetTimer(timerPoll, b.poll.nextAt-b.now)
 }
 
-// backOff sets the next call after one that has failed: exponential backoff, within bounds.
-func (b *Balancer) backOff(kind ListKind) {
+// schedulePollAfterFailure sets the next call after one that has failed: exponential backoff, within bounds.
+func (b *Balancer) schedulePollAfterFailure(kind ListKind) {
 	b.poll.watching = false
 	b.logf("discovery unavailable")
 	first := max(float64(b.controlPeriod)/4, b.pollSpread())
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -65,10 +65,10 @@
 // would leave the counts while its endpoint still works on it, and the next would need a new connection.
 func (b *Balancer) closeRequest(request *openRequest) {
 	request.done, request.queued = true, false
-	b.forgetIfComplete(request)
+	b.deleteIfComplete(request)
 }
 
-func (b *Balancer) forgetIfComplete(request *openRequest) {
+func (b *Balancer) deleteIfComplete(request *openRequest) {
 	if request.done && request.attemptsInFlight == 0 {
 		delete(b.requests, request.id)
 	}
