--- a/internal/balancer/inflight.go
+++ b/internal/balancer/inflight.go
@@ -16,8 +16,8 @@
 	updatedAt Time
 }
 
-// update changes the count and returns the mean up to now. At its first call the mean is set to the slots, as if
-// these had been used: no node starts with capacity that it has saved up.
+// update adds change to the count and returns the mean up to now. The first call sets the mean to the slots,
+// as if all of them had been in use, so that no node starts with saved-up capacity.
 func (m *inFlightMeter) update(now Time, change int, slots float64, period Span) float64 {
 	if m.updatedAt == 0 {
 		m.mean, m.updatedAt = slots, now
--- a/internal/balancer/learned.go
+++ b/internal/balancer/learned.go
@@ -177,7 +177,8 @@
 
 // validNumbers tells whether the state has values that an endpoint can have.
 func (e *LearnedEndpoint) validNumbers() bool {
-	return validNumbers(e.Limit, e.ErrorRate) && e.Limit != 0 && e.ErrorRate <= 1 && !math.IsNaN(e.SlowStartTokens)
+	return validNumbers(e.Limit, e.ErrorRate) && e.Limit != 0 && e.ErrorRate <= 1 &&
+		!math.IsNaN(e.SlowStartTokens)
 }
 
 // validNumbers tells whether all values are finite and not negative.
