--- a/internal/balancer/learned.go
+++ b/internal/balancer/learned.go
@@ -15,9 +15,9 @@
 // maxLearnedValue bounds what is taken for a sound number.
 const maxLearnedValue = 1e15
 
-// Learned is what a node has learned, for another process that takes its place. Endpoints are known by their
-// StableKey; classes and tenants are in the order of the configuration that both processes have.
-type Learned struct {
+// LearnedState is the learned state of a node, which a process exports for its successor. Endpoints are keyed
+// by their StableKey; classes and tenants are in the order of the configuration, which both processes share.
+type LearnedState struct {
 	Endpoints    map[uint64]LearnedEndpoint `json:"Hosts"`
 	Classes      []LearnedClass             `json:"Classes"`
 	Tenants      []LearnedTenant            `json:"Tenants"`
@@ -25,8 +25,8 @@
 	AnswerRate   float64                    `json:"Rate"`
 	ModeTime     [2]float64                 `json:"ModeTime"`
 	Overloaded   bool                       `json:"Over"`
-	// ListLeaseLeft is how long requests may still be sent by the endpoint list.
-	ListLeaseLeft Span `json:"ListLeft"`
+	// ListLeaseRemaining is how long requests may still be sent by the endpoint list.
+	ListLeaseRemaining Span `json:"ListLeft"`
 }
 
 // LearnedEndpoint is what was learned of the endpoint's process that was started at StartedAt.
@@ -58,9 +58,9 @@
 }
 
 // ExportState returns what was learned. Half of the slow-start tokens that are left go with it.
-func (b *Balancer) ExportState(now Time) Learned {
+func (b *Balancer) ExportState(now Time) LearnedState {
 	b.now = now
-	learned := Learned{
+	learned := LearnedState{
 		Endpoints:    map[uint64]LearnedEndpoint{},
 		MeanInFlight: b.meanInFlight,
 		AnswerRate:   b.answerRate,
@@ -68,11 +68,11 @@
 		Overloaded:   b.overloadMode,
 	}
 	if b.listLease.Bounded() {
-		learned.ListLeaseLeft = max(b.listLease.Until(b.now)-b.now, 0)
+		learned.ListLeaseRemaining = max(b.listLease.Until(b.now)-b.now, 0)
 	}
 	for _, endpoint := range b.endpoints {
 		endpoint.slowStart.count /= 2
-		learned.Endpoints[endpoint.stableKey()] = endpoint.export()
+		learned.Endpoints[endpoint.stableKey()] = endpoint.exportState()
 	}
 	for i := range b.classes {
 		latency := &b.classes[i].latency
@@ -89,7 +89,7 @@
 	return learned
 }
 
-func (e *endpointState) export() LearnedEndpoint {
+func (e *endpointState) exportState() LearnedEndpoint {
 	return LearnedEndpoint{
 		StartedAt:           e.StartedAt,
 		Limit:               e.limit,
@@ -107,21 +107,21 @@
 
 // ImportState takes up what another process has learned of the listed endpoints. Values that make no sense
 // are left out.
-func (b *Balancer) ImportState(now Time, learned Learned) {
+func (b *Balancer) ImportState(now Time, learned LearnedState) {
 	b.now = now
 	for _, endpoint := range b.endpoints {
 		state, ok := learned.Endpoints[endpoint.stableKey()]
-		if ok && state.StartedAt == endpoint.StartedAt && state.sound() {
+		if ok && state.StartedAt == endpoint.StartedAt && state.validNumbers() {
 			b.importEndpoint(endpoint, state)
 		}
 	}
 	b.importClasses(learned.Classes)
 	b.importTenants(learned.Tenants)
-	if sound(learned.MeanInFlight, learned.AnswerRate, learned.ModeTime[0], learned.ModeTime[1]) {
+	if validNumbers(learned.MeanInFlight, learned.AnswerRate, learned.ModeTime[0], learned.ModeTime[1]) {
 		b.meanInFlight, b.answerRate = learned.MeanInFlight, learned.AnswerRate
 		b.modeTime, b.overloadMode = learned.ModeTime, learned.Overloaded
 	}
-	b.importListLease(learned.ListLeaseLeft)
+	b.importListLease(learned.ListLeaseRemaining)
 	b.runControl()
 	b.dispatch()
 }
@@ -136,7 +136,7 @@
 	}
 	endpoint.slowStart = slowStartTokens{count: state.SlowStartTokens, updatedAt: b.now}
 	endpoint.reported = reportedLoad{LoadReport: unknownLoad, changedAt: b.now}
-	if sound(state.Backlog, state.Utilization) {
+	if validNumbers(state.Backlog, state.Utilization) {
 		endpoint.reported.LoadReport = LoadReport{state.Outstanding, state.Backlog, state.Utilization}
 	}
 }
@@ -147,7 +147,7 @@
 	}
 	for i, class := range classes {
 		positive := class.BaselineLatency > 0 && class.MeanLatency > 0
-		if positive && sound(class.BaselineLatency, class.MeanLatency) {
+		if positive && validNumbers(class.BaselineLatency, class.MeanLatency) {
 			latency := &b.classes[i].latency
 			latency.baseline, latency.mean = class.BaselineLatency, class.MeanLatency
 		}
@@ -159,7 +159,7 @@
 		return
 	}
 	for i, tenant := range tenants {
-		if sound(tenant.Demand, tenant.PredictedQuota, tenant.Utilization[0], tenant.Utilization[1]) {
+		if validNumbers(tenant.Demand, tenant.PredictedQuota, tenant.Utilization[0], tenant.Utilization[1]) {
 			quota := &b.tenants[i].quota
 			quota.demand, quota.predicted = tenant.Demand, tenant.PredictedQuota
 			quota.utilization = tenant.Utilization
@@ -175,13 +175,14 @@
 	}
 }
 
-// sound tells whether the state has values that an endpoint can have.
-func (e *LearnedEndpoint) sound() bool {
-	return sound(e.Limit, e.ErrorRate) && e.Limit != 0 && e.ErrorRate <= 1 && !math.IsNaN(e.SlowStartTokens)
+// validNumbers tells whether the state has values that an endpoint can have.
+func (e *LearnedEndpoint) validNumbers() bool {
+	return validNumbers(e.Limit, e.ErrorRate) && e.Limit != 0 && e.ErrorRate <= 1 &&
+		!math.IsNaN(e.SlowStartTokens)
 }
 
-// sound tells whether all values are finite and not negative.
-func sound(values ...float64) bool {
+// validNumbers tells whether all values are finite and not negative.
+func validNumbers(values ...float64) bool {
 	for _, value := range values {
 		if !(value >= 0 && value < maxLearnedValue) {
 			return false
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -84,7 +84,7 @@
 	latency := prediction.latency * b.slownessFactor(endpoint)
 	if latency > float64(request.objectiveAt-b.now) {
 		prediction.expectedLate = true
-		b.lastLateAttemptAt = b.now
+		b.lastExpectedLateAttemptAt = b.now
 	}
 	request.attempts = append(request.attempts, attempt{
 		endpoint:   endpoint,
@@ -95,7 +95,7 @@
 		mayHaveRun: true,
 		predicted:  prediction,
 	})
-	b.accountAttempt(request, endpoint, 1, AttemptResult{})
+	b.recordAttemptChange(request, endpoint, 1, AttemptResult{})
 	endpoint.slowStart.count--
 	if endpoint.reported.Outstanding >= 0 { // until the next report
 		endpoint.reported.Outstanding++
