--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -6,19 +6,19 @@
 import "math"
 
 const (
-	minLimit              = 4.5  // so few do not congest an endpoint
-	initialLimit          = 6    // of an endpoint of which nothing is known
-	targetUtilization     = 0.95 // reported utilization that limits are steered for
-	limitGain             = 0.10 // change of a limit for one answer that is a whole target early or late
-	failedAttemptWeight   = 3    // answers for which an attempt counts that was rejected or given up
-	lateAttemptRatio      = 3    // times the target that such an attempt, or a later answer, counts as
-	limitInUseFraction    = 0.70 // a limit rises only while this part of it is in use
-	latencyTargetExponent = 0.25 // position of the target from baseline to objective, on a log scale
-	objectiveFillFraction = 0.7  // of the objective: a limit is what an endpoint completes in that time
+	minLimit               = 4.5  // so few do not congest an endpoint
+	initialLimit           = 6    // of an endpoint of which nothing is known
+	targetUtilization      = 0.95 // reported utilization that limits are steered for
+	limitGain              = 0.10 // change of a limit for one answer that is a whole target early or late
+	failedAttemptWeight    = 3    // answers for which an attempt counts that was rejected or given up
+	maxLatencyRatio        = 3    // times the target that such an attempt, or a later answer, counts as
+	limitInUseFraction     = 0.70 // a limit rises only while this part of it is in use
+	latencyTargetExponent  = 0.25 // position of the target from baseline to objective, on a log scale
+	limitObjectiveFraction = 0.7  // of the objective: a limit is what an endpoint completes in that time
 )
 
-// limitSignal is what one attempt says of an endpoint's load.
-type limitSignal struct {
+// loadSignal is what one attempt says of an endpoint's load.
+type loadSignal struct {
 	excess   float64 // above 0 the limit falls, below 0 it may rise
 	reported bool    // by the endpoint's own report, not by the latency of one answer
 }
@@ -35,17 +35,17 @@
 		b.recordSuccess(endpoint, class, latency)
 	case OutcomeRejected:
 		b.recordRejection(endpoint)
-		latency = lateAttemptRatio * target // as late as can be
+		latency = maxLatencyRatio * target // as late as can be
 	case OutcomeConnectFailed, OutcomeTimeout, OutcomeCanceled:
 		if result.Outcome != OutcomeConnectFailed && latency < target { // it was not late yet
 			return
 		}
 		b.recordNoAnswer(endpoint, class, latency, result.Outcome)
-		latency = lateAttemptRatio * target // it would have taken longer still
+		latency = maxLatencyRatio * target // it would have taken longer still
 	default:
 		return
 	}
-	b.learnLimits(endpoint, b.limitSignal(endpoint, result.Outcome, latency, target))
+	b.updateLimits(endpoint, b.loadSignal(endpoint, result.Outcome, latency, target))
 }
 
 // latencyTarget is the latency that limits are steered for. A standing queue slows an endpoint for all and
@@ -56,27 +56,27 @@
 	return baseline * math.Pow(objective/baseline, latencyTargetExponent) / b.warmUpFraction(endpoint)
 }
 
-// limitSignal prefers the endpoint's own report, which covers all its work, to the latency of one answer.
-func (b *Balancer) limitSignal(
+// loadSignal prefers the endpoint's own report, which covers all its work, to the latency of one answer.
+func (b *Balancer) loadSignal(
 	endpoint *endpointState, outcome Outcome, latency, target float64,
-) limitSignal {
+) loadSignal {
 	reported := &endpoint.reported
 	fresh := b.now-reported.changedAt < reportFreshPeriods*b.controlPeriod
 	if outcome == OutcomeOK && reported.Utilization >= 0 && fresh {
 		utilization := (reported.Utilization - targetUtilization) / (1 - targetUtilization)
 		backlog := min(max(reported.Backlog, 0), 1)
-		return limitSignal{excess: min(max(utilization, -1), 1) + backlog, reported: true}
+		return loadSignal{excess: min(max(utilization, -1), 1) + backlog, reported: true}
 	}
-	excess := min(latency/target, lateAttemptRatio) - 1
+	excess := min(latency/target, maxLatencyRatio) - 1
 	if outcome != OutcomeOK {
 		excess *= failedAttemptWeight
 	}
-	return limitSignal{excess: excess}
+	return loadSignal{excess: excess}
 }
 
-// learnLimits changes the limit of an endpoint. If each endpoint gives few answers, one speaks for the others
+// updateLimits changes the limit of an endpoint. If each endpoint gives few answers, one speaks for the others
 // too: what it shows is pooled, unless the endpoint has reported it of itself.
-func (b *Balancer) learnLimits(endpoint *endpointState, signal limitSignal) {
+func (b *Balancer) updateLimits(endpoint *endpointState, signal loadSignal) {
 	b.adjustLimit(endpoint, signal.excess, 1)
 	for _, other := range b.subset {
 		pooled := 1 - b.answerRate*float64(b.controlPeriod)/minPeriodSamples
@@ -91,7 +91,7 @@
 func (b *Balancer) adjustLimit(endpoint *endpointState, excess, part float64) {
 	before := b.effectiveLimit(endpoint)
 	switch {
-	case endpoint.cores > 0 && b.checksHealth():
+	case endpoint.cores > 0 && b.usesHealthChecks():
 		endpoint.limit = b.predictedLimit(endpoint)
 	case excess > 0:
 		cut := part * limitGain * excess * endpoint.limit / 2
@@ -107,7 +107,7 @@
 // objective.
 func (b *Balancer) predictedLimit(endpoint *endpointState) float64 {
 	work := b.meanWork * b.slownessFactor(endpoint)
-	completed := endpoint.cores * b.meanObjective * objectiveFillFraction / work
+	completed := endpoint.cores * b.meanObjective * limitObjectiveFraction / work
 	return max(endpoint.cores+1, completed)
 }
 
@@ -133,7 +133,7 @@
 	limit := b.effectiveLimit(endpoint)
 	fresh := b.hasFreshReport(endpoint)
 	switch {
-	case b.checksHealth() && !fresh:
+	case b.usesHealthChecks() && !fresh:
 		return limit
 	case fresh || b.belowLimit(&endpoint.inFlight, limit):
 		return limit - used
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -38,7 +38,7 @@
 	if !lent {
 		return ownSlot
 	}
-	return b.checksHealth() || b.belowLimit(&b.inFlight, b.capacity)
+	return b.usesHealthChecks() || b.belowLimit(&b.inFlight, b.capacity)
 }
 
 // dispatchTenant sends one queued request of a tenant. Its class is drawn by the value of a request for the
@@ -79,7 +79,7 @@
 			tenant.queue = append(tenant.queue[:i], tenant.queue[i+1:]...)
 			return true
 		}
-		if b.checksHealth() { // all candidates are full: select others, but not at once
+		if b.usesHealthChecks() { // all candidates are full: select others, but not at once
 			request.waitUntil = b.now + b.queueInterval(request)
 		} else if len(request.attempts) == 0 { // the next one would find no endpoint either
 			return false
@@ -100,7 +100,7 @@
 		return false
 	}
 	request.candidates = b.selectCandidates(request, lent)
-	if !b.checksHealth() || len(request.candidates) == 0 {
+	if !b.usesHealthChecks() || len(request.candidates) == 0 {
 		return false
 	}
 	b.checkCandidates(request)
--- a/internal/balancer/healthcheck.go
+++ b/internal/balancer/healthcheck.go
@@ -24,16 +24,16 @@
 
 // healthCheckState is what the health checks have shown so far.
 type healthCheckState struct {
-	loadMissing     bool    // answers do not say how many requests an endpoint holds
+	loadNotReported bool    // answers do not say how many requests an endpoint holds
 	unansweredSince Time    // when the first check since the last answer was sent; 0: none was
 	meanLatency     float64 // of a check
 }
 
-// checksHealth tells whether endpoints are asked for their load before a request is sent: where that is
+// usesHealthChecks tells whether endpoints are asked for their load before a request is sent: where that is
 // cheap, and they answer with it.
-func (b *Balancer) checksHealth() bool {
+func (b *Balancer) usesHealthChecks() bool {
 	cheap := b.config.HealthCheckCost*healthCheckCandidates <= maxHealthCheckCost
-	return b.config.AllowHealthChecks && cheap && !b.healthChecks.loadMissing && !b.healthChecksUnanswered()
+	return b.config.AllowHealthChecks && cheap && !b.healthChecks.loadNotReported && !b.healthChecksUnanswered()
 }
 
 // healthChecksUnanswered tells that health checks were sent and none has been answered for a control period:
@@ -78,7 +78,7 @@
 		return
 	}
 	b.recordReport(endpoint, report)
-	b.healthChecks.loadMissing = report == nil || report.Outstanding < 0
+	b.healthChecks.loadNotReported = report == nil || report.Outstanding < 0
 	b.healthChecks.unansweredSince = 0
 	b.healthChecks.meanLatency += periodSmoothing * (float64(latency) - b.healthChecks.meanLatency)
 	b.dispatch()
@@ -94,11 +94,11 @@
 		reported.changedAt = b.now
 	}
 	reported.LoadReport, reported.receivedAt = *report, b.now
-	endpoint.learnCores(report)
+	endpoint.updateCores(report)
 }
 
-// learnCores derives from a report how many requests an endpoint works on at once.
-func (e *endpointState) learnCores(report *LoadReport) {
+// updateCores derives from a report how many requests an endpoint works on at once.
+func (e *endpointState) updateCores(report *LoadReport) {
 	if report.Outstanding >= 0 && report.Backlog >= 0 {
 		e.cores = max(e.cores, 1, math.Round(report.Outstanding-report.Backlog))
 	}
--- a/internal/balancer/healthcheck_test.go
+++ b/internal/balancer/healthcheck_test.go
@@ -94,7 +94,7 @@
 	}
 	fleet.unresponsive = false
 	fleet.sendRequests(2001, 50, 20*ms)
-	if !fleet.balancer.checksHealth() {
+	if !fleet.balancer.usesHealthChecks() {
 		t.Error("health checks are answered, and not used")
 	}
 }
@@ -109,8 +109,8 @@
 		fleet.balancer.HandleHealthCheck(fleet.now, fleet.healthChecks[0], OutcomeOK, ms, rep)
 		fleet.request(2, 0, 0)
 		fleet.step()
-		if fleet.balancer.checksHealth() || len(fleet.attempts[2]) != 1 {
-			t.Errorf("%s: uses health checks %v, attempts %v", name, fleet.balancer.checksHealth(), fleet.attempts[2])
+		if fleet.balancer.usesHealthChecks() || len(fleet.attempts[2]) != 1 {
+			t.Errorf("%s: uses health checks %v, attempts %v", name, fleet.balancer.usesHealthChecks(), fleet.attempts[2])
 		}
 	}
 }
--- a/internal/balancer/prediction.go
+++ b/internal/balancer/prediction.go
@@ -37,7 +37,7 @@
 // predictLatency predicts the latency of a request if it is sent to an endpoint now, or 0 if endpoints report
 // too little. It holds for an endpoint of usual speed; slownessFactor is the factor for this one.
 func (b *Balancer) predictLatency(request *openRequest, endpoint *endpointState) latencyPrediction {
-	if endpoint.cores == 0 || !b.checksHealth() {
+	if endpoint.cores == 0 || !b.usesHealthChecks() {
 		return latencyPrediction{}
 	}
 	inFlight := b.totalInFlight(endpoint)
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -56,7 +56,7 @@
 }
 
 func (b *Balancer) candidateCount() int {
-	if b.checksHealth() {
+	if b.usesHealthChecks() {
 		return healthCheckCandidates
 	}
 	return randomCandidates
@@ -87,7 +87,7 @@
 	least := math.Inf(1)
 	for _, endpoint := range candidates {
 		load := b.inFlightShare(endpoint) / b.effectiveLimit(endpoint)
-		usable := !b.checksHealth() || b.hasFreshReport(endpoint) && b.freeCapacity(endpoint) > 0
+		usable := !b.usesHealthChecks() || b.hasFreshReport(endpoint) && b.freeCapacity(endpoint) > 0
 		if usable && load < least && b.mayAttempt(request, endpoint) && b.meetsDeadline(request, endpoint) {
 			best, least = endpoint, load
 		}
