--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -122,7 +122,7 @@
 		}
 		learned := previous.classes[number]
 		if b.config.Classes[i].Deadline != previous.config.Classes[number].Deadline {
-			learned.waits = b.classes[i].waits // its buckets are parts of the deadline
+			learned.clientTimeouts = b.classes[i].clientTimeouts // its buckets are parts of the deadline
 		}
 		b.classes[i] = learned
 	}
--- a/internal/balancer/latency.go
+++ b/internal/balancer/latency.go
@@ -9,15 +9,15 @@
 	networkDelayGain = 0.05 // weight of one request in the mean delay from clients
 )
 
-// waitBuckets is the number of steps of a class's deadline in which clients' times to wait are counted.
-const waitBuckets = 20
+// timeoutBuckets is the number of steps of a class's deadline in which clients' times to wait are counted.
+const timeoutBuckets = 20
 
 // classState is what was learned of a class.
 type classState struct {
-	latency classLatency
-	waits   waitHistogram
-	work    workEstimate
-	hints   hintRegression
+	latency        classLatency
+	clientTimeouts timeoutHistogram
+	work           workEstimate
+	hints          hintRegression
 }
 
 // classLatency is the latency of a class's answers.
@@ -34,8 +34,8 @@
 	l.mean += latencyGain * (latency - l.mean)
 }
 
-// recordMissing takes an attempt that had no answer for so long: it can only raise the mean.
-func (l *classLatency) recordMissing(latency float64) {
+// recordUnanswered takes an attempt that had no answer for so long: it can only raise the mean.
+func (l *classLatency) recordUnanswered(latency float64) {
 	l.mean += latencyGain * (max(latency, l.mean) - l.mean)
 }
 
@@ -67,13 +67,13 @@
 	b.warmAnswers = 0
 }
 
-// waitHistogram counts requests by how long their clients wait, in parts of the class's deadline.
-type waitHistogram [waitBuckets]int
+// timeoutHistogram counts requests by how long their clients wait, in parts of the class's deadline.
+type timeoutHistogram [timeoutBuckets]int
 
 // observe counts a request and returns its bucket and the most frequent one. That stays the one of first
 // attempts, even if an overload brings many retries.
-func (h *waitHistogram) observe(wait, deadline Span) (bucket, mostFrequent int) {
-	bucket = int(max(0, min(wait*waitBuckets/deadline, waitBuckets-1)))
+func (h *timeoutHistogram) observe(wait, deadline Span) (bucket, mostFrequent int) {
+	bucket = int(max(0, min(wait*timeoutBuckets/deadline, timeoutBuckets-1)))
 	h[bucket]++
 	for i, count := range h {
 		if count > h[mostFrequent] {
@@ -83,10 +83,10 @@
 	return bucket, mostFrequent
 }
 
-// firstAttemptAt is when the client sent its first attempt of a request, as far as its deadline shows.
-func (b *Balancer) firstAttemptAt(incoming Request) Time {
+// estimateFirstAttemptAt is when the client sent its first attempt of a request, as far as its deadline shows.
+func (b *Balancer) estimateFirstAttemptAt(incoming Request) Time {
 	class, timeLeft := &b.config.Classes[incoming.Class], incoming.Deadline-b.now
-	bucket, usual := b.classes[incoming.Class].waits.observe(timeLeft, class.Deadline)
+	bucket, usual := b.classes[incoming.Class].clientTimeouts.observe(timeLeft, class.Deadline)
 	if incoming.IsRetry && bucket >= usual {
 		// Each attempt of a client has its own timeout, or ends with the whole request, which is not sooner
 		// here. So the first one was sent between these two times.
@@ -95,7 +95,7 @@
 	if incoming.IsRetry || b.looksLikeRetry(class, bucket, usual) {
 		return min(b.now, incoming.Deadline-class.Deadline)
 	}
-	if b.config.ClientsMarkRetries && bucket == waitBuckets-1 {
+	if b.config.ClientsMarkRetries && bucket == timeoutBuckets-1 {
 		// It is a first attempt, whose client waits as long as any may: what is missing was spent on the way.
 		b.networkDelay += networkDelayGain * (float64(class.Deadline-timeLeft) - b.networkDelay)
 	}
--- a/internal/balancer/latency_test.go
+++ b/internal/balancer/latency_test.go
@@ -9,7 +9,7 @@
 // waits longer than its first, so that the longest wait makes first attempts look like retries; and a
 // median drifts with the retries of an overload.
 func TestUsualWaitIsTheMostFrequent(t *testing.T) {
-	waits := &waitHistogram{}
+	waits := &timeoutHistogram{}
 	for i := range 60 {
 		waits.observe(318*ms, 450*ms)
 		if at, usual := waits.observe(318*ms, 450*ms); at != usual {
@@ -92,10 +92,10 @@
 
 func TestMissingAnswerOnlyRaisesMean(t *testing.T) {
 	latency := classLatency{mean: 100}
-	if latency.recordMissing(50); latency.mean != 100 {
+	if latency.recordUnanswered(50); latency.mean != 100 {
 		t.Errorf("mean %g after an attempt that was canceled early", latency.mean)
 	}
-	if latency.recordMissing(200); latency.mean != 105 {
+	if latency.recordUnanswered(200); latency.mean != 105 {
 		t.Errorf("mean %g after one without an answer in 200, want 105", latency.mean)
 	}
 }
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -82,7 +82,7 @@
 // recordNoAnswer takes an attempt without an answer. Only failed connects eject: a late answer is a
 // sign of load.
 func (b *Balancer) recordNoAnswer(endpoint *endpointState, class int, latency float64, outcome Outcome) {
-	b.classes[class].latency.recordMissing(latency)
+	b.classes[class].latency.recordUnanswered(latency)
 	if outcome == OutcomeConnectFailed {
 		b.recordFailure(endpoint)
 	} else {
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -56,7 +56,7 @@
 		request.affinityKey = incoming.AffinityKey
 	}
 	objective := b.config.Classes[incoming.Class].LatencyObjective
-	request.objectiveAt = min(b.firstAttemptAt(incoming)+objective, request.deadline)
+	request.objectiveAt = min(b.estimateFirstAttemptAt(incoming)+objective, request.deadline)
 	request.halfTimeAt = b.now + (incoming.Deadline-b.now)/2
 	return request
 }
