--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -74,8 +74,9 @@
 	return loadSignal{excess: excess}
 }
 
-// updateLimits changes the limit of an endpoint. If each endpoint gives few answers, one speaks for the others
-// too: what it shows is pooled, unless the endpoint has reported it of itself.
+// updateLimits changes the limit of an endpoint after an attempt. While each endpoint gives this node few
+// answers, a signal that is derived from latency changes the limits of the other endpoints as well, with a
+// weight that falls to 0 as the answer rate rises. A load report changes only the limit of its own endpoint.
 func (b *Balancer) updateLimits(endpoint *endpointState, signal loadSignal) {
 	b.adjustLimit(endpoint, signal.excess, 1)
 	for _, other := range b.subset {
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -76,7 +76,7 @@
 	endpoint.outlier = outlierState{}
 	endpoint.slowness, endpoint.cores = 1, 0
 	endpoint.rank = hash64(endpoint.stableKey())
-	endpoint.slowStart = slowStartTokens{count: b.firstSlowStartTokens(endpoint), updatedAt: b.now}
+	endpoint.slowStart = slowStartTokens{count: b.initialSlowStartTokens(endpoint), updatedAt: b.now}
 	endpoint.lastAnswerAt = b.now
 }
 
--- a/internal/balancer/healthcheck.go
+++ b/internal/balancer/healthcheck.go
@@ -24,16 +24,17 @@
 
 // healthCheckState is what the health checks have shown so far.
 type healthCheckState struct {
-	loadNotReported bool    // answers do not say how many requests an endpoint holds
+	loadUnknown     bool    // answers do not say how many requests an endpoint holds
 	unansweredSince Time    // when the first check since the last answer was sent; 0: none was
 	meanLatency     float64 // of a check
 }
 
-// usesHealthChecks tells whether endpoints are asked for their load before a request is sent: where that is
-// cheap, and they answer with it.
+// usesHealthChecks reports whether a request's candidates are asked for their load before it is sent. This
+// requires that health checks are allowed and cheap, that they are answered, and that the answers state how
+// many requests an endpoint holds.
 func (b *Balancer) usesHealthChecks() bool {
 	cheap := b.config.HealthCheckCost*healthCheckCandidates <= maxHealthCheckCost
-	return b.config.AllowHealthChecks && cheap && !b.healthChecks.loadNotReported && !b.healthChecksUnanswered()
+	return b.config.AllowHealthChecks && cheap && !b.healthChecks.loadUnknown && !b.healthChecksUnanswered()
 }
 
 // healthChecksUnanswered tells that health checks were sent and none has been answered for a control period:
@@ -78,7 +79,7 @@
 		return
 	}
 	b.recordReport(endpoint, report)
-	b.healthChecks.loadNotReported = report == nil || report.Outstanding < 0
+	b.healthChecks.loadUnknown = report == nil || report.Outstanding < 0
 	b.healthChecks.unansweredSince = 0
 	b.healthChecks.meanLatency += periodSmoothing * (float64(latency) - b.healthChecks.meanLatency)
 	b.dispatch()
--- a/internal/balancer/latency.go
+++ b/internal/balancer/latency.go
@@ -83,7 +83,8 @@
 	return bucket, mostFrequent
 }
 
-// estimateFirstAttemptAt is when the client sent its first attempt of a request, as far as its deadline shows.
+// estimateFirstAttemptAt returns the time at which the client sent its first attempt of a request, estimated
+// from the time that is left until the request's deadline.
 func (b *Balancer) estimateFirstAttemptAt(incoming Request) Time {
 	class, timeLeft := &b.config.Classes[incoming.Class], incoming.Deadline-b.now
 	bucket, usual := b.classes[incoming.Class].clientTimeouts.observe(timeLeft, class.Deadline)
--- a/internal/balancer/learned.go
+++ b/internal/balancer/learned.go
@@ -131,8 +131,8 @@
 	endpoint.outlier = outlierState{
 		consecutiveFailures: min(max(state.ConsecutiveFailures, 0), ejectionFailures),
 		errorRate:           state.ErrorRate,
-		ejections:           min(max(state.Ejections, 0), 2*maxDoublings),
-		ejectedUntil:        min(state.EjectedUntil, b.now+b.controlPeriod<<maxDoublings),
+		ejections:           min(max(state.Ejections, 0), 2*maxBackoffExponent),
+		ejectedUntil:        min(state.EjectedUntil, b.now+b.controlPeriod<<maxBackoffExponent),
 	}
 	endpoint.slowStart = slowStartTokens{count: state.SlowStartTokens, updatedAt: b.now}
 	endpoint.reported = reportedLoad{LoadReport: unknownLoad, changedAt: b.now}
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -14,7 +14,7 @@
 	ejectionErrorRate      = 0.45 // ejects an endpoint: about three errors in a row, not one
 	suspectErrorRate       = 0.1  // above it, an endpoint gets nothing that can't be retried
 	typicalErrorRateFactor = 2    // median error rates by which both are raised: what all have is no outlier
-	maxDoublings           = 5    // of an ejection's time, and of the backoff of calls to discovery
+	maxBackoffExponent     = 5    // of an ejection's time, and of the backoff of calls to discovery
 )
 
 // outlierState is what is known of an endpoint's failures.
@@ -48,9 +48,9 @@
 
 func (b *Balancer) anyAvailable() bool { return slices.ContainsFunc(b.subset, b.available) }
 
-// trusted tells whether an endpoint is available and has lately answered without errors. Requests that must
+// reliable tells whether an endpoint is available and has lately answered without errors. Requests that must
 // run once go there alone: an error loses one for good, while others show whether the endpoint has recovered.
-func (b *Balancer) trusted(endpoint *endpointState) bool {
+func (b *Balancer) reliable(endpoint *endpointState) bool {
 	return b.available(endpoint) &&
 		endpoint.outlier.errorRate < suspectErrorRate+typicalErrorRateFactor*b.medianErrorRate
 }
@@ -104,7 +104,7 @@
 	if outlier.ejected(b.now) {
 		return
 	}
-	duration := float64(b.controlPeriod) * math.Exp2(float64(min(outlier.ejections, maxDoublings)))
+	duration := float64(b.controlPeriod) * math.Exp2(float64(min(outlier.ejections, maxBackoffExponent)))
 	outlier.ejectedUntil = b.now + Span(duration*(0.75+b.random.uniform()/2))
 	outlier.ejections++
 	b.logf("endpoint ejected endpoint=%x consecutive_failures=%d error_rate=%.2f",
--- a/internal/balancer/poll.go
+++ b/internal/balancer/poll.go
@@ -54,7 +54,7 @@
 	b.logf("discovery unavailable")
 	first := max(float64(b.controlPeriod)/4, b.pollSpread())
 	b.schedulePoll(min(first*math.Exp2(float64(b.poll.failures)), b.maxBackoff(kind)))
-	b.poll.failures = min(b.poll.failures+1, maxDoublings)
+	b.poll.failures = min(b.poll.failures+1, maxBackoffExponent)
 }
 
 // maxBackoff keeps the node within NotificationDeadline of a change: what discovery has counts as notified by
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -12,15 +12,15 @@
 	if justFailed {
 		return false
 	}
-	further := safety.Attempt{Made: made, Max: request.maxAttempts, InFlight: request.attemptsInFlight}
-	if further.Check() != safety.Allowed || b.maySend(request, endpoint, request.attempts) != safety.Allowed {
+	next := safety.Attempt{Made: made, Max: request.maxAttempts, InFlight: request.attemptsInFlight}
+	if next.Check() != safety.Allowed || b.checkSend(request, endpoint, request.attempts) != safety.Allowed {
 		return false
 	}
 	return b.hasSlowStartToken(endpoint)
 }
 
-// maySend asks internal/safety whether an attempt may be sent, given the attempts before it.
-func (b *Balancer) maySend(request *openRequest, endpoint *endpointState, earlier []attempt) safety.Reason {
+// checkSend asks internal/safety whether an attempt may be sent, given the attempts before it.
+func (b *Balancer) checkSend(request *openRequest, endpoint *endpointState, earlier []attempt) safety.Reason {
 	return safety.Send{
 		Now:         b.now,
 		Deadline:    request.deadline,
@@ -69,7 +69,7 @@
 	if request == nil || attempt >= len(request.attempts) {
 		return safety.RequestDone
 	}
-	return b.maySend(request, request.attempts[attempt].endpoint, request.attempts[:attempt])
+	return b.checkSend(request, request.attempts[attempt].endpoint, request.attempts[:attempt])
 }
 
 // sendAttempt is the only way to SendAttempt. It tells whether the attempt was sent.
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -22,11 +22,11 @@
 		from = b.endpoints // its key's scope may lie outside the subset
 	}
 	onlyAvailable := b.anyAvailable()
-	onlyTrusted := idempotency == NonIdempotent && slices.ContainsFunc(from, b.trusted)
+	onlyTrusted := idempotency == NonIdempotent && slices.ContainsFunc(from, b.reliable)
 	weights := b.endpointWeights[:len(from)]
 	for i, endpoint := range from {
 		weights[i] = 0
-		if onlyAvailable && !b.available(endpoint) || onlyTrusted && !b.trusted(endpoint) {
+		if onlyAvailable && !b.available(endpoint) || onlyTrusted && !b.reliable(endpoint) {
 			continue
 		}
 		if b.mayAttempt(request, endpoint) {
@@ -88,16 +88,17 @@
 	for _, endpoint := range candidates {
 		load := b.inFlightShare(endpoint) / b.effectiveLimit(endpoint)
 		usable := !b.usesHealthChecks() || b.hasFreshReport(endpoint) && b.freeCapacity(endpoint) > 0
-		if usable && load < least && b.mayAttempt(request, endpoint) && b.meetsDeadline(request, endpoint) {
+		if usable && load < least && b.mayAttempt(request, endpoint) && b.expectedInTime(request, endpoint) {
 			best, least = endpoint, load
 		}
 	}
 	return best
 }
 
-// meetsDeadline tells whether an answer is predicted in time. An endpoint that holds nothing still gets an
-// attempt now and then if its answer would be late: the prediction may be wrong, and only answers correct it.
-func (b *Balancer) meetsDeadline(request *openRequest, endpoint *endpointState) bool {
+// expectedInTime reports whether the predicted latency permits an attempt: the answer must be in time. An idle
+// endpoint gets an attempt now and then although its answer is predicted to be late: the prediction may be
+// wrong, and only answers correct it.
+func (b *Balancer) expectedInTime(request *openRequest, endpoint *endpointState) bool {
 	class := &b.config.Classes[request.class]
 	until := request.objectiveAt
 	if class.LateValue > 0 {
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -56,12 +56,12 @@
 	return warmRate * warmUp * b.config.OverloadFactor * slowStartBudgetFraction * weight / b.processCount
 }
 
-// firstSlowStartTokens is how far this node's next token has come when it first sees an endpoint. The tokens
-// of all nodes follow one schedule on the clock that all machines share: it begins with the start of the
-// endpoint, at a point that depends on the endpoint, and the nodes are spread evenly over it, by a step that
-// is independent of the one that chose their subsets. A node that restarts has no token more than it would
-// have had.
-func (b *Balancer) firstSlowStartTokens(endpoint *endpointState) float64 {
+// initialSlowStartTokens returns the fraction of a token that this node has for an endpoint that it sees for
+// the first time. The tokens of all nodes follow one schedule on the clock that all machines share. The
+// schedule begins when the endpoint starts, at a point that depends on the endpoint. The nodes are spread
+// evenly over it by a step that is independent of the step that spreads their subsets. A node that restarts
+// therefore has no more tokens than it would have had without the restart.
+func (b *Balancer) initialSlowStartTokens(endpoint *endpointState) float64 {
 	start := unitInterval(hash64(endpoint.rank ^ hash64(uint64(endpoint.StartedAt))))
 	own := float64(b.config.PeerIndex) * math.Sqrt2
 	age := float64(max(b.now-endpoint.StartedAt, 0))
