--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -80,26 +80,26 @@
 func (b *Balancer) updateLimits(endpoint *endpointState, signal loadSignal) {
 	b.adjustLimit(endpoint, signal.excess, 1)
 	for _, other := range b.subset {
-		pooled := 1 - b.answerRate*float64(b.controlPeriod)/minPeriodSamples
-		if !signal.reported && other != endpoint && pooled > 0 {
-			b.adjustLimit(other, signal.excess, pooled)
+		weight := 1 - b.answerRate*float64(b.controlPeriod)/minPeriodSamples
+		if !signal.reported && other != endpoint && weight > 0 {
+			b.adjustLimit(other, signal.excess, weight)
 		}
 	}
 }
 
 // adjustLimit changes a limit by one answer, or by a part of one that came from another endpoint. It changes
 // the capacity too: the next control period, which sums up the limits, may be far away.
-func (b *Balancer) adjustLimit(endpoint *endpointState, excess, part float64) {
+func (b *Balancer) adjustLimit(endpoint *endpointState, excess, weight float64) {
 	before := b.effectiveLimit(endpoint)
 	switch {
 	case endpoint.cores > 0 && b.usesHealthChecks():
 		endpoint.limit = b.predictedLimit(endpoint)
 	case excess > 0:
-		cut := part * limitGain * excess * endpoint.limit / 2
+		cut := weight * limitGain * excess * endpoint.limit / 2
 		endpoint.limit = max(minLimit*b.relativeWeight(endpoint), endpoint.limit-cut)
-	case b.limitInUse(endpoint, part):
+	case b.limitInUse(endpoint, weight):
 		// All nodes that use the endpoint raise it together, so each one's step is small.
-		endpoint.limit -= part * limitGain * min(b.nodesPerEndpoint, initialLimit) * excess
+		endpoint.limit -= weight * limitGain * min(b.nodesPerEndpoint, initialLimit) * excess
 	}
 	b.capacity += b.effectiveLimit(endpoint) - before
 }
@@ -114,10 +114,10 @@
 
 // limitInUse tells whether so much of a limit is in use that it may rise. For a part of an answer from
 // another endpoint, that must hold for the whole subset too.
-func (b *Balancer) limitInUse(endpoint *endpointState, part float64) bool {
+func (b *Balancer) limitInUse(endpoint *endpointState, weight float64) bool {
 	used := max(b.inFlightShare(endpoint), endpoint.inFlight.mean)
 	return used >= limitInUseFraction*b.effectiveLimit(endpoint) &&
-		(part == 1 || b.inFlight.mean+1 >= limitInUseFraction*b.capacity)
+		(weight == 1 || b.inFlight.mean+1 >= limitInUseFraction*b.capacity)
 }
 
 // effectiveLimit is what an endpoint may hold of this node's requests now. A warming endpoint has all its
@@ -147,8 +147,8 @@
 	limits, weights := 0.0, 0.0
 	b.capacity = 0
 	for _, endpoint := range b.subset {
-		listedNow := endpoint.limit == 0 // its limit depends on the others' and is not set yet
-		if !b.available(endpoint) || listedNow {
+		newlyListed := endpoint.limit == 0 // its limit depends on the others' and is not set yet
+		if !b.available(endpoint) || newlyListed {
 			continue
 		}
 		b.capacity += b.effectiveLimit(endpoint)
--- a/internal/balancer/latency.go
+++ b/internal/balancer/latency.go
@@ -72,8 +72,8 @@
 
 // observe counts a request and returns its bucket and the most frequent one. That stays the one of first
 // attempts, even if an overload brings many retries.
-func (h *timeoutHistogram) observe(wait, deadline Span) (bucket, mostFrequent int) {
-	bucket = int(max(0, min(wait*timeoutBuckets/deadline, timeoutBuckets-1)))
+func (h *timeoutHistogram) observe(timeout, deadline Span) (bucket, mostFrequent int) {
+	bucket = int(max(0, min(timeout*timeoutBuckets/deadline, timeoutBuckets-1)))
 	h[bucket]++
 	for i, count := range h {
 		if count > h[mostFrequent] {
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -8,8 +8,8 @@
 // mayAttempt tells whether a request may have one more attempt, at an endpoint. Every SendAttempt passes it.
 func (b *Balancer) mayAttempt(request *openRequest, endpoint *endpointState) bool {
 	made := len(request.attempts)
-	justFailed := made > 0 && request.attempts[made-1].endpoint == endpoint && len(b.endpoints) > 1
-	if justFailed {
+	repeatsEndpoint := made > 0 && request.attempts[made-1].endpoint == endpoint && len(b.endpoints) > 1
+	if repeatsEndpoint {
 		return false
 	}
 	next := safety.Attempt{Made: made, Max: request.maxAttempts, InFlight: request.attemptsInFlight}
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -17,25 +17,25 @@
 // none is available, it draws from all in use.
 func (b *Balancer) selectCandidates(request *openRequest, lent bool) (candidates []*endpointState) {
 	idempotency := b.config.Classes[request.class].Idempotency
-	from := b.subset
+	pool := b.subset
 	if idempotency == IdempotentByKey && firstThatMayHaveRun(request.attempts) != nil {
-		from = b.endpoints // its key's scope may lie outside the subset
+		pool = b.endpoints // its key's scope may lie outside the subset
 	}
 	onlyAvailable := b.anyAvailable()
-	onlyTrusted := idempotency == NonIdempotent && slices.ContainsFunc(from, b.reliable)
-	weights := b.endpointWeights[:len(from)]
-	for i, endpoint := range from {
+	onlyReliable := idempotency == NonIdempotent && slices.ContainsFunc(pool, b.reliable)
+	weights := b.endpointWeights[:len(pool)]
+	for i, endpoint := range pool {
 		weights[i] = 0
-		if onlyAvailable && !b.available(endpoint) || onlyTrusted && !b.reliable(endpoint) {
+		if onlyAvailable && !b.available(endpoint) || onlyReliable && !b.reliable(endpoint) {
 			continue
 		}
 		if b.mayAttempt(request, endpoint) {
 			weights[i] = b.selectionWeight(endpoint, request.tenant, lent)
 		}
 	}
-	draw := func() int { return b.drawEndpoint(request.affinityKey, from) }
+	draw := func() int { return b.drawEndpoint(request.affinityKey, pool) }
 	for i := draw(); i >= 0 && len(candidates) < b.candidateCount(); i = draw() {
-		candidates = append(candidates, from[i])
+		candidates = append(candidates, pool[i])
 		weights[i] = 0
 	}
 	return candidates
@@ -65,31 +65,31 @@
 // drawEndpoint draws an index by endpointWeights: at random, or by weighted rendezvous hashing of a key if
 // endpoints do less work for one that they have seen. Over all keys the endpoints are still drawn in
 // proportion to their weights, but one key selects the same endpoints at every node.
-func (b *Balancer) drawEndpoint(key uint64, from []*endpointState) int {
+func (b *Balancer) drawEndpoint(key uint64, pool []*endpointState) int {
 	if key == 0 {
-		return b.random.weightedIndex(b.endpointWeights[:len(from)])
+		return b.random.weightedIndex(b.endpointWeights[:len(pool)])
 	}
-	first, least := -1, math.Inf(1)
-	for i, endpoint := range from {
+	best, lowestScore := -1, math.Inf(1)
+	for i, endpoint := range pool {
 		u := float64(hash64(key^endpoint.rank)>>11+1) / (1 << 53) // in (0, 1], for the logarithm
 		weight := b.endpointWeights[i]
-		if weight > 0 && 1-u < least*weight { // -ln u is 1-u at least: that spares most logarithms
-			if x := -math.Log(u) / weight; x < least {
-				first, least = i, x
+		if weight > 0 && 1-u < lowestScore*weight { // -ln u is 1-u at least: that spares most logarithms
+			if score := -math.Log(u) / weight; score < lowestScore {
+				best, lowestScore = i, score
 			}
 		}
 	}
-	return first
+	return best
 }
 
 // leastLoaded is the candidate that uses the least part of its limit, or nil if none has capacity.
 func (b *Balancer) leastLoaded(request *openRequest, candidates []*endpointState) (best *endpointState) {
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, endpoint := range candidates {
 		load := b.inFlightShare(endpoint) / b.effectiveLimit(endpoint)
 		usable := !b.usesHealthChecks() || b.hasFreshReport(endpoint) && b.freeCapacity(endpoint) > 0
-		if usable && load < least && b.mayAttempt(request, endpoint) && b.expectedInTime(request, endpoint) {
-			best, least = endpoint, load
+		if usable && load < lowest && b.mayAttempt(request, endpoint) && b.expectedInTime(request, endpoint) {
+			best, lowest = endpoint, load
 		}
 	}
 	return best
@@ -100,13 +100,13 @@
 // wrong, and only answers correct it.
 func (b *Balancer) expectedInTime(request *openRequest, endpoint *endpointState) bool {
 	class := &b.config.Classes[request.class]
-	until := request.objectiveAt
+	latest := request.objectiveAt
 	if class.LateValue > 0 {
-		until = request.deadline
+		latest = request.deadline
 	}
 	prediction := b.predictLatency(request, endpoint)
 	latency := prediction.latency * b.slownessFactor(endpoint)
-	timeLeft := float64(until - b.now)
+	timeLeft := float64(latest - b.now)
 	if latency == 0 || latency*latencyMargin <= timeLeft {
 		return true
 	}
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -62,9 +62,9 @@
 // evenly over it by a step that is independent of the step that spreads their subsets. A node that restarts
 // therefore has no more tokens than it would have had without the restart.
 func (b *Balancer) initialSlowStartTokens(endpoint *endpointState) float64 {
-	start := unitInterval(hash64(endpoint.rank ^ hash64(uint64(endpoint.StartedAt))))
-	own := float64(b.config.PeerIndex) * math.Sqrt2
+	endpointOffset := unitInterval(hash64(endpoint.rank ^ hash64(uint64(endpoint.StartedAt))))
+	nodeOffset := float64(b.config.PeerIndex) * math.Sqrt2
 	age := float64(max(b.now-endpoint.StartedAt, 0))
 	earned := b.slowStartRate(endpoint, b.warmUpFraction(endpoint)) * age
-	return math.Mod(start+own+earned, 1)
+	return math.Mod(endpointOffset+nodeOffset+earned, 1)
 }
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -20,8 +20,8 @@
 	ready := b.readyEndpoints()
 	b.fillSubset(ready)
 	b.medianErrorRate = b.computeMedianErrorRate()
-	usedPart := float64(b.config.PeerCount) * float64(len(b.subset)) / float64(max(len(ready), 1))
-	b.nodesPerEndpoint = max(1, usedPart)
+	meanNodes := float64(b.config.PeerCount) * float64(len(b.subset)) / float64(max(len(ready), 1))
+	b.nodesPerEndpoint = max(1, meanNodes)
 	return b.updateCapacity()
 }
 
