--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -12,7 +12,7 @@
 	if justFailed {
 		return false
 	}
-	further := safety.Attempt{Made: made, Max: request.maxAttempts, InFlight: request.attemptsInFlight}
+	further := safety.AttemptLimits{Made: made, Max: request.maxAttempts, InFlight: request.attemptsInFlight}
 	if further.Check() != safety.Allowed || b.maySend(request, endpoint, request.attempts) != safety.Allowed {
 		return false
 	}
@@ -21,13 +21,13 @@
 
 // maySend asks internal/safety whether an attempt may be sent, given the attempts before it.
 func (b *Balancer) maySend(request *openRequest, endpoint *endpointState, earlier []attempt) safety.Reason {
-	return safety.Send{
-		Now:         b.now,
-		Deadline:    request.deadline,
-		RequestDone: request.done || request.responseStarted,
-		ListCurrent: b.listLease.Valid(b.now),
-		Rules:       b.safetyRules(request),
-		Prior:       firstThatMayHaveRun(earlier),
+	return safety.SendConditions{
+		Now:               b.now,
+		Deadline:          request.deadline,
+		RequestDone:       request.done || request.responseStarted,
+		ListCurrent:       b.listLease.Valid(b.now),
+		IdempotencyPolicy: b.safetyRules(request),
+		Prior:             firstThatMayHaveRun(earlier),
 		Backend: safety.Backend{
 			InService: endpoint.Phase == PhaseReady,
 			Zone:      endpoint.Zone,
@@ -38,9 +38,9 @@
 
 // safetyRules are those of a request's class. A part of the idempotency window is kept for the way to the
 // endpoint.
-func (b *Balancer) safetyRules(request *openRequest) safety.Rules {
+func (b *Balancer) safetyRules(request *openRequest) safety.IdempotencyPolicy {
 	class := &b.config.Classes[request.class]
-	return safety.Rules{
+	return safety.IdempotencyPolicy{
 		Idempotency: class.Idempotency,
 		KeyScope:    class.KeyScope,
 		Window:      class.IdempotencyWindow,
--- a/internal/node/clientidle.go
+++ b/internal/node/clientidle.go
@@ -50,7 +50,7 @@
 // mayClose reports whether the connection may be closed between two requests, and if not, why: input that has not
 // been parsed asks for an answer.
 func (c *clientConn) mayClose() safety.Reason {
-	return safety.Close{
+	return safety.CloseConditions{
 		RequestInProgress: c.request != nil || c.writingAnswer || c.upload != nil,
 		UnreadInput:       c.unreadInput() > 0 || !c.isOpenAndDrained(),
 	}.Check()
--- a/internal/safety/safety.go
+++ b/internal/safety/safety.go
@@ -48,10 +48,10 @@
 	RequestInProgress               // the connection carries a request without an answer
 	UnreadInput                     // the connection has input that was not read
 	ShuttingDown                    // the process takes no more requests
-	reasons
+	reasonCount
 )
 
-var reasonNames = [reasons]string{
+var reasonNames = [reasonCount]string{
 	Allowed:                  "allowed",
 	RequestDone:              "request done",
 	ClientDisconnected:       "client disconnected",
@@ -70,14 +70,14 @@
 
 // String names the reason as logs do.
 func (r Reason) String() string {
-	if r < reasons {
+	if r < reasonCount {
 		return reasonNames[r]
 	}
 	return "unknown"
 }
 
-// Rules are what the configuration says of a request's class.
-type Rules struct {
+// IdempotencyPolicy are what the configuration says of a request's class.
+type IdempotencyPolicy struct {
 	Idempotency Idempotency
 	KeyScope    KeyScope
 	Window      Span // repeats of a key are dropped for this long after the first attempt was sent
@@ -98,47 +98,47 @@
 
 // MayRetry tells whether a request may be sent to a backend although an earlier attempt may have run. Without such
 // an attempt it may. With a nil backend the question is whether there could be one at all.
-func MayRetry(now Time, rules Rules, prior *PriorAttempt, backend *Backend) Reason {
+func MayRetry(now Time, policy IdempotencyPolicy, prior *PriorAttempt, backend *Backend) Reason {
 	switch {
-	case prior == nil || rules.Idempotency == Idempotent:
+	case prior == nil || policy.Idempotency == Idempotent:
 		return Allowed
-	case rules.Idempotency == NonIdempotent:
+	case policy.Idempotency == NonIdempotent:
 		return MayHaveExecuted
-	case now-prior.SentAt+rules.Margin >= rules.Window:
+	case now-prior.SentAt+policy.Margin >= policy.Window:
 		return IdempotencyWindowExpired
-	case backend == nil || rules.KeyScope == ScopeAll:
+	case backend == nil || policy.KeyScope == ScopeAll:
 		return Allowed
-	case rules.KeyScope == ScopeZone && prior.Zone == backend.Zone:
+	case policy.KeyScope == ScopeZone && prior.Zone == backend.Zone:
 		return Allowed
-	case rules.KeyScope == ScopeCell && prior.Cell == backend.Cell:
+	case policy.KeyScope == ScopeCell && prior.Cell == backend.Cell:
 		return Allowed
 	}
 	return OutsideKeyScope
 }
 
 // MayReject tells whether a rejection, which promises that a retry does no harm, would be true.
-func MayReject(rules Rules, prior *PriorAttempt) Reason {
-	droppedEverywhere := rules.Idempotency == IdempotentByKey && rules.KeyScope == ScopeAll
-	if prior == nil || rules.Idempotency == Idempotent || droppedEverywhere {
+func MayReject(policy IdempotencyPolicy, prior *PriorAttempt) Reason {
+	droppedEverywhere := policy.Idempotency == IdempotentByKey && policy.KeyScope == ScopeAll
+	if prior == nil || policy.Idempotency == Idempotent || droppedEverywhere {
 		return Allowed
 	}
 	return MayHaveExecuted
 }
 
-// Send is what the sending of an attempt depends on. It is checked when the attempt is decided on, and again at its
+// SendConditions is what the sending of an attempt depends on. It is checked when the attempt is decided on, and again at its
 // first byte.
-type Send struct {
+type SendConditions struct {
 	Now, Deadline      Time
 	RequestDone        bool
 	ClientDisconnected bool
 	ListCurrent        bool // there is recent evidence that the endpoint list is current
-	Rules              Rules
+	IdempotencyPolicy  IdempotencyPolicy
 	Prior              *PriorAttempt // nil if no attempt may have run
 	Backend            Backend
 }
 
 // Check tells whether the attempt may be sent.
-func (s Send) Check() Reason {
+func (s SendConditions) Check() Reason {
 	switch {
 	case s.RequestDone:
 		return RequestDone
@@ -151,18 +151,18 @@
 	case !s.Backend.InService:
 		return BackendDraining
 	}
-	return MayRetry(s.Now, s.Rules, s.Prior, &s.Backend)
+	return MayRetry(s.Now, s.IdempotencyPolicy, s.Prior, &s.Backend)
 }
 
-// Attempt is what one more attempt of a request depends on beyond Send: how many it has had.
-type Attempt struct {
+// AttemptLimits is what one more attempt of a request depends on beyond Send: how many it has had.
+type AttemptLimits struct {
 	Made, Max    int
 	InFlight     int
 	AllowHedging bool // two attempts may be in flight together
 }
 
 // Check tells whether the request may have one more attempt.
-func (a Attempt) Check() Reason {
+func (a AttemptLimits) Check() Reason {
 	switch {
 	case a.Made >= a.Max:
 		return AttemptsUsed
@@ -172,14 +172,14 @@
 	return Allowed
 }
 
-// Close is what the closing of a client's connection depends on, whatever it is closed for.
-type Close struct {
+// CloseConditions is what the closing of a client's connection depends on, whatever it is closed for.
+type CloseConditions struct {
 	RequestInProgress bool // a request was read from it, or an answer is being written
 	UnreadInput       bool // it has input that was not read
 }
 
 // Check tells whether the connection may be closed.
-func (c Close) Check() Reason {
+func (c CloseConditions) Check() Reason {
 	switch {
 	case c.RequestInProgress:
 		return RequestInProgress
