--- a/internal/balancer/learned.go
+++ b/internal/balancer/learned.go
@@ -67,8 +67,8 @@
 		ModeTime:     b.modeTime,
 		Overloaded:   b.overloadMode,
 	}
-	if b.listLease.Bounded() {
-		learned.ListLeaseLeft = max(b.listLease.Until(b.now)-b.now, 0)
+	if b.listLease.CanExpire() {
+		learned.ListLeaseLeft = max(b.listLease.ExpiresAt(b.now)-b.now, 0)
 	}
 	for _, endpoint := range b.endpoints {
 		endpoint.slowStart.count /= 2
--- a/internal/balancer/poll.go
+++ b/internal/balancer/poll.go
@@ -29,7 +29,7 @@
 	b.lastControlAt = b.now
 	b.poll.watching = !b.config.PollDiscovery
 	b.meanInFlight = initialLimit * float64(listed) / float64(max(b.config.PeerCount, 1))
-	b.listLease = staleness.New(b.now, b.config.ListLease)
+	b.listLease = staleness.NewLease(b.now, b.config.ListLease)
 	b.commands.SetTimer(timerControl, b.controlPeriod)
 	b.commands.SetTimer(timerPoll, Span(b.random.uniform()*b.firstPollSpread()))
 }
@@ -64,11 +64,11 @@
 	switch {
 	case kind == ListTimeout || kind == ListInvalid:
 		return maxTimeoutBackoffFraction * deadline
-	case kind == ListFailed && b.listLease.Bounded() && !b.listLease.Confirmed():
+	case kind == ListFailed && b.listLease.CanExpire() && !b.listLease.Confirmed():
 		// Nothing is sent until discovery answers, or has failed for long. Few nodes need not wait for each
 		// other.
 		return min(max(maxTimeoutBackoffFraction*deadline, b.pollSpread()), maxBackoffFraction*deadline)
-	case kind == ListOverloaded && !b.listLease.Bounded():
+	case kind == ListOverloaded && !b.listLease.CanExpire():
 		// If all nodes called sooner, discovery could not answer them in time.
 		return max(maxBackoffFraction*deadline, b.pollSpread())
 	}
@@ -86,7 +86,7 @@
 // nothing is sent before the answer, it is short.
 func (b *Balancer) firstPollSpread() float64 {
 	spread := min(b.pollSpread(), firstPollFraction*float64(b.config.PollInterval))
-	if b.listLease.Bounded() {
+	if b.listLease.CanExpire() {
 		spread = min(spread, firstLeasedPollFraction*float64(NotificationDeadline))
 	}
 	return spread
@@ -96,7 +96,7 @@
 // shows nothing.
 func (b *Balancer) recordListEvidence(kind ListKind, asOf Time) {
 	if asOf == NoEvidence && (kind == ListDelta || kind == ListFull) {
-		b.listLease.Record(b.now, staleness.Unusable, b.now)
+		b.listLease.Record(b.now, staleness.InvalidAnswer, b.now)
 		return
 	}
 	switch kind {
@@ -105,9 +105,9 @@
 	case ListFailed, ListOverloaded:
 		b.listLease.Record(b.now, staleness.Failed, asOf)
 	case ListTimeout:
-		b.listLease.Record(b.now, staleness.NoAnswer, asOf)
+		b.listLease.Record(b.now, staleness.TimedOut, asOf)
 	case ListInvalid:
-		b.listLease.Record(b.now, staleness.Unusable, asOf)
+		b.listLease.Record(b.now, staleness.InvalidAnswer, asOf)
 	}
 }
 
@@ -115,10 +115,10 @@
 // list at the new one, and counts for validity at most.
 func (b *Balancer) HandleDiscoveryMoved(now Time, validity Span) {
 	b.now = now
-	b.listLease.ChangeAddress(now, validity)
+	b.listLease.HandleAddressChange(now, validity)
 }
 
 // ListCurrent tells whether requests are sent by the endpoint list, and until when the lease on it lasts.
 func (b *Balancer) ListCurrent(now Time) (current bool, until Time) {
-	return b.listLease.Valid(now), b.listLease.Until(now)
+	return b.listLease.Valid(now), b.listLease.ExpiresAt(now)
 }
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -14,7 +14,7 @@
 // endpointListener receives what calls to discovery bring.
 type endpointListener interface {
 	// UpdateEndpointsAsOf is an answer, the time at which it was current, and how it relates to those before.
-	UpdateEndpointsAsOf(list protocol.List, asOf time.Time, order staleness.Order)
+	UpdateEndpointsAsOf(list protocol.List, asOf time.Time, order staleness.RevisionOrder)
 	// DiscoveryCallFailed is a failed call, and the time as of which nothing newer could be had.
 	DiscoveryCallFailed(err error, kind balancer.ListKind, asOf time.Time)
 	// DiscoveryAddressChanged limits for how long the list received so far stays valid.
@@ -40,7 +40,7 @@
 	address             string
 	addressChanged      chan struct{} // closed, and replaced, as address changes
 	revision            int64         // of the last answer
-	revisions           staleness.Revisions
+	revisions           staleness.RevisionTracker
 	needsFullList       bool // the next call fetches the full list: revisions of another address may mean nothing here
 	running             bool
 	active              bool
@@ -54,7 +54,7 @@
 		calls:             callLog{log: log},
 		address:           address,
 		revision:          revision,
-		revisions:         staleness.NewRevisions(revision),
+		revisions:         staleness.NewRevisionTracker(revision),
 		startedAt:         time.Now(),
 		addressChanged:    make(chan struct{}),
 		maxWait:           maxWatchWait,
--- a/internal/daemon/watch_loop.go
+++ b/internal/daemon/watch_loop.go
@@ -183,7 +183,7 @@
 // acceptRevision takes over the list's revision, and returns the time at which the list was current and how it relates to
 // the answers before. Of an answer from an earlier address only what it restricts holds: its revision does not count at the
 // new one, and it proves no time.
-func (w *watch) acceptRevision(result callResult) (asOf time.Time, order staleness.Order) {
+func (w *watch) acceptRevision(result callResult) (asOf time.Time, order staleness.RevisionOrder) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	list := result.list
--- a/internal/daemon/watch_test.go
+++ b/internal/daemon/watch_test.go
@@ -19,7 +19,7 @@
 // notifications collects what a watch passes to its listener.
 type notifications chan string
 
-func (n notifications) UpdateEndpointsAsOf(list protocol.List, _ time.Time, _ staleness.Order) {
+func (n notifications) UpdateEndpointsAsOf(list protocol.List, _ time.Time, _ staleness.RevisionOrder) {
 	n <- fmt.Sprint("list ", list.Revision, list.Full)
 }
 
@@ -175,7 +175,7 @@
 			t.Fatalf("no call %s", want)
 		}
 	}
-	for _, want := range []staleness.Order{staleness.Behind, staleness.BehindConfirmed} {
+	for _, want := range []staleness.RevisionOrder{staleness.Behind, staleness.BehindConfirmed} {
 		if got := <-received; got != want {
 			t.Errorf("order %d, want %d", got, want)
 		}
@@ -183,9 +183,11 @@
 }
 
 // orders collects how answers relate to those before.
-type orders chan staleness.Order
+type orders chan staleness.RevisionOrder
 
-func (o orders) UpdateEndpointsAsOf(_ protocol.List, _ time.Time, order staleness.Order) { o <- order }
+func (o orders) UpdateEndpointsAsOf(_ protocol.List, _ time.Time, order staleness.RevisionOrder) {
+	o <- order
+}
 
 func (o orders) DiscoveryAddressChanged(time.Duration) {}
 
@@ -220,7 +222,7 @@
 
 func (m addressNotifications) DiscoveryAddressChanged(within time.Duration) { m.validities <- within }
 
-func (m addressNotifications) UpdateEndpointsAsOf(_ protocol.List, asOf time.Time, _ staleness.Order) {
+func (m addressNotifications) UpdateEndpointsAsOf(_ protocol.List, asOf time.Time, _ staleness.RevisionOrder) {
 	m.asOf <- asOf
 }
 
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -15,13 +15,13 @@
 
 // UpdateEndpointsAsOf applies an answer of discovery that was current at a time; the zero time says that this is not known.
 // Order says how it relates to the answers before.
-func (n *Node) UpdateEndpointsAsOf(update protocol.List, asOf time.Time, order staleness.Order) {
+func (n *Node) UpdateEndpointsAsOf(update protocol.List, asOf time.Time, order staleness.RevisionOrder) {
 	n.handleEndpointList(update, false, asOf, order)
 }
 
 // handleEndpointList posts a change of the endpoint list to the event loop, which merges it and notifies the
 // balancer.
-func (n *Node) handleEndpointList(update protocol.List, cached bool, asOf time.Time, order staleness.Order) {
+func (n *Node) handleEndpointList(update protocol.List, cached bool, asOf time.Time, order staleness.RevisionOrder) {
 	n.post(func() {
 		kind := balancer.ListDelta
 		if update.Full {
--- a/internal/node/listfreshness_test.go
+++ b/internal/node/listfreshness_test.go
@@ -66,7 +66,7 @@
 	for _, step := range []struct {
 		name  string
 		known bool // as of when it was current
-		order staleness.Order
+		order staleness.RevisionOrder
 		want  bool
 	}{
 		{"in order", true, staleness.InOrder, true},
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -57,7 +57,7 @@
 // that of a discovery server which has just taken over, only what it restricts holds: it adds endpoints and reports drains,
 // and what it leaves out gets nothing new, but it restores no endpoint that is known to drain or to have been removed.
 func (n *Node) applyEndpointList(
-	update protocol.List, kind balancer.ListKind, order staleness.Order,
+	update protocol.List, kind balancer.ListKind, order staleness.RevisionOrder,
 ) ([]balancer.Endpoint, balancer.ListKind) {
 	behind := order != staleness.InOrder
 	if !behind {
--- a/internal/staleness/revisions_test.go
+++ b/internal/staleness/revisions_test.go
@@ -5,11 +5,11 @@
 // TestOrderOfRevisionsThatGoBack has discoveries that are behind, were restarted, or answer in turn.
 func TestOrderOfRevisionsThatGoBack(t *testing.T) {
 	type answer struct {
-		at       Time
-		revision int64
-		full     bool
-		order    Order
-		needsAll bool // the next call fetches the full list
+		at            Time
+		revision      int64
+		full          bool
+		order         RevisionOrder
+		needsFullList bool // the next call fetches the full list
 	}
 	for name, answers := range map[string][]answer{
 		"in order":    {{0, 10, true, InOrder, false}, {1, 10, false, InOrder, false}, {2, 12, false, InOrder, false}},
@@ -18,12 +18,12 @@
 			{0, 3, true, Behind, true},
 			{1, 3, true, BehindConfirmed, false},
 			{2, 4, false, BehindConfirmed, false},
-			{settlingTime, 5, false, BehindConfirmed, true},
-			{settlingTime + 1, 5, true, InOrder, false},
-			{settlingTime + 2, 6, false, InOrder, false},
-			{settlingTime + 3, 5, false, Behind, true},
+			{minRegressionDuration, 5, false, BehindConfirmed, true},
+			{minRegressionDuration + 1, 5, true, InOrder, false},
+			{minRegressionDuration + 2, 6, false, InOrder, false},
+			{minRegressionDuration + 3, 5, false, Behind, true},
 		},
-		"settled at the first answer after a while": {{0, 3, true, Behind, true}, {2 * settlingTime, 3, true, InOrder, false}},
+		"settled at the first answer after a while": {{0, 3, true, Behind, true}, {2 * minRegressionDuration, 3, true, InOrder, false}},
 		"changes alone confirm nothing": {
 			{0, 3, false, Behind, true},
 			{1, 3, false, Behind, true},
@@ -32,17 +32,17 @@
 		"two in turn": {
 			{0, 3, true, Behind, true},
 			{1, 10, true, InOrder, false},
-			{settlingTime, 3, true, Behind, true},
-			{settlingTime + 1, 10, true, InOrder, false},
+			{minRegressionDuration, 3, true, Behind, true},
+			{minRegressionDuration + 1, 10, true, InOrder, false},
 		},
 	} {
-		revisions := NewRevisions(10)
+		revisions := NewRevisionTracker(10)
 		for i, a := range answers {
 			if order := revisions.Observe(a.at, a.revision, a.full); order != a.order {
 				t.Errorf("%s, answer %d: order %d, want %d", name, i, order, a.order)
 			}
-			if revisions.NeedsFullList(a.at) != a.needsAll {
-				t.Errorf("%s, answer %d: needs the full list: %v", name, i, !a.needsAll)
+			if revisions.NeedsFullList(a.at) != a.needsFullList {
+				t.Errorf("%s, answer %d: needs the full list: %v", name, i, !a.needsFullList)
 			}
 		}
 	}
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -2,97 +2,97 @@
 
 import "testing"
 
-const length = 6_000_000
+const leaseDuration = 6_000_000
 
 const second Span = 1_000_000
 
-// note is what a call shows, and as of when.
-type note struct {
-	evidence Evidence
-	asOf     Time
+// call is what a call shows, and as of when.
+type call struct {
+	outcome CallOutcome
+	asOf    Time
 }
 
 // TestRecordRenewsLease begins with an answer at 0: each kind of evidence renews the lease as of its own time, or not at all.
 func TestRecordRenewsLease(t *testing.T) {
 	for name, test := range map[string]struct {
-		notes []note
+		calls []call
 		asOf  Time // of which the lease is renewed
 	}{
 		"answered":                            {nil, 0},
-		"again":                               {[]note{{Answered, 200}}, 200},
-		"an older answer does not shorten it": {[]note{{Answered, 200}, {Answered, 150}}, 200},
-		"one failure":                         {[]note{{Failed, 2 * second}}, 0},
-		"a watch timed out":                   {[]note{{NoAnswer, 2 * second}}, 0},
-		"two failures at once":                {[]note{{Failed, 2 * second}, {Failed, 4*second - 1}}, 0},
-		"two failures":                        {[]note{{Failed, 2 * second}, {Failed, 4 * second}}, 4 * second},
-		"two timeouts":                        {[]note{{NoAnswer, 2 * second}, {NoAnswer, 4 * second}}, 4 * second},
-		"a timeout and a failure":             {[]note{{NoAnswer, 2 * second}, {Failed, 4 * second}}, 4 * second},
-		"an outage that goes on":              {[]note{{Failed, second}, {Failed, 3 * second}, {Failed, 20 * second}}, 20 * second},
-		"an answer between two failures":      {[]note{{Failed, second}, {Answered, 2 * second}, {Failed, 3 * second}}, 2 * second},
-		"unusable":                            {[]note{{Unusable, 2 * second}, {Unusable, 4 * second}}, 0},
-		"an unusable answer in an outage":     {[]note{{Failed, second}, {Unusable, 2 * second}, {Failed, 3 * second}}, 0},
+		"again":                               {[]call{{Answered, 200}}, 200},
+		"an older answer does not shorten it": {[]call{{Answered, 200}, {Answered, 150}}, 200},
+		"one failure":                         {[]call{{Failed, 2 * second}}, 0},
+		"a watch timed out":                   {[]call{{TimedOut, 2 * second}}, 0},
+		"two failures at once":                {[]call{{Failed, 2 * second}, {Failed, 4*second - 1}}, 0},
+		"two failures":                        {[]call{{Failed, 2 * second}, {Failed, 4 * second}}, 4 * second},
+		"two timeouts":                        {[]call{{TimedOut, 2 * second}, {TimedOut, 4 * second}}, 4 * second},
+		"a timeout and a failure":             {[]call{{TimedOut, 2 * second}, {Failed, 4 * second}}, 4 * second},
+		"an outage that goes on":              {[]call{{Failed, second}, {Failed, 3 * second}, {Failed, 20 * second}}, 20 * second},
+		"an answer between two failures":      {[]call{{Failed, second}, {Answered, 2 * second}, {Failed, 3 * second}}, 2 * second},
+		"unusable":                            {[]call{{InvalidAnswer, 2 * second}, {InvalidAnswer, 4 * second}}, 0},
+		"an unusable answer in an outage":     {[]call{{Failed, second}, {InvalidAnswer, 2 * second}, {Failed, 3 * second}}, 0},
 	} {
-		l := New(-100, length)
+		l := NewLease(-100, leaseDuration)
 		l.Record(0, Answered, 0)
-		for _, n := range test.notes {
-			l.Record(n.asOf, n.evidence, n.asOf)
+		for _, c := range test.calls {
+			l.Record(c.asOf, c.outcome, c.asOf)
 		}
-		if until := test.asOf + length; l.Until(until) != until || l.Valid(until) || !l.Valid(until-1) {
-			t.Errorf("%s: until %d, want %d", name, l.Until(until), until)
+		if until := test.asOf + leaseDuration; l.ExpiresAt(until) != until || l.Valid(until) || !l.Valid(until-1) {
+			t.Errorf("%s: until %d, want %d", name, l.ExpiresAt(until), until)
 		}
 	}
 }
 
 // TestOutageCountsFromTheEndsOfCalls has a watch that is given up 5 s after its start, and calls that fail after that.
 func TestOutageCountsFromTheEndsOfCalls(t *testing.T) {
-	l := New(-100, length)
+	l := NewLease(-100, leaseDuration)
 	l.Record(0, Answered, 0)
-	l.Record(5*second, NoAnswer, 0)
-	if l.Record(5*second+1, Failed, 5*second+1); l.Until(5*second+1) != length {
+	l.Record(5*second, TimedOut, 0)
+	if l.Record(5*second+1, Failed, 5*second+1); l.ExpiresAt(5*second+1) != leaseDuration {
 		t.Error("renewed by one failure after a watch that was given up")
 	}
-	if l.Record(7*second, Failed, 6*second); l.Until(7*second) != 6*second+length {
-		t.Errorf("until %d", l.Until(7*second))
+	if l.Record(7*second, Failed, 6*second); l.ExpiresAt(7*second) != 6*second+leaseDuration {
+		t.Errorf("until %d", l.ExpiresAt(7*second))
 	}
 }
 
 // TestUnconfirmedListIsUsedAfterLongOutage has a list that no answer has confirmed, at a start and after a change of address.
 func TestUnconfirmedListIsUsedAfterLongOutage(t *testing.T) {
 	const start, used = 100, 100 + minUnconfirmedOutage
-	starts := map[string]func() Lease{
-		"start": func() Lease { return New(start, length) },
+	newLeases := map[string]func() Lease{
+		"start": func() Lease { return NewLease(start, leaseDuration) },
 		"moved": func() Lease {
-			l := New(start-second, length)
+			l := NewLease(start-second, leaseDuration)
 			l.Record(start-second/2, Failed, start-second/2)
 			l.Record(start-second/4, Answered, start-second/4)
-			l.ChangeAddress(start, 0)
+			l.HandleAddressChange(start, 0)
 			return l
 		},
 	}
 	for name, test := range map[string]struct {
-		notes []note
+		calls []call
 		used  bool
 		until Time
 	}{
 		"no call yet":         {nil, false, 0},
-		"one failure":         {[]note{{Failed, start}}, false, 0},
-		"one timeout":         {[]note{{NoAnswer, start}}, true, start + length},
-		"early failures":      {[]note{{Failed, start}, {Failed, used - 1}}, false, 0},
-		"failures all along":  {[]note{{Failed, start}, {Failed, used}}, true, used + length},
-		"failure, timeout":    {[]note{{Failed, start}, {NoAnswer, 2 * second}}, true, 2*second + length},
-		"unusable":            {[]note{{Unusable, start}, {Unusable, 4 * second}}, false, 0},
-		"answered at the end": {[]note{{Failed, start}, {Answered, 4 * second}}, true, 4*second + length},
+		"one failure":         {[]call{{Failed, start}}, false, 0},
+		"one timeout":         {[]call{{TimedOut, start}}, true, start + leaseDuration},
+		"early failures":      {[]call{{Failed, start}, {Failed, used - 1}}, false, 0},
+		"failures all along":  {[]call{{Failed, start}, {Failed, used}}, true, used + leaseDuration},
+		"failure, timeout":    {[]call{{Failed, start}, {TimedOut, 2 * second}}, true, 2*second + leaseDuration},
+		"unusable":            {[]call{{InvalidAnswer, start}, {InvalidAnswer, 4 * second}}, false, 0},
+		"answered at the end": {[]call{{Failed, start}, {Answered, 4 * second}}, true, 4*second + leaseDuration},
 	} {
-		for kind, begin := range starts {
-			l := begin()
-			for _, n := range test.notes {
-				l.Record(n.asOf, n.evidence, n.asOf)
+		for kind, newLease := range newLeases {
+			l := newLease()
+			for _, c := range test.calls {
+				l.Record(c.asOf, c.outcome, c.asOf)
 			}
 			if answered := !l.unconfirmed; !answered && l.Valid(used-1) {
 				t.Errorf("%s, %s: used before", kind, name)
 			}
 			if l.Valid(used) != test.used || test.used && (l.Valid(test.until) || !l.Valid(test.until-1)) {
-				t.Errorf("%s, %s: used %v, until %d, want %d", kind, name, l.Valid(used), l.Until(used), test.until)
+				t.Errorf("%s, %s: used %v, until %d, want %d", kind, name, l.Valid(used), l.ExpiresAt(used), test.until)
 			}
 		}
 	}
@@ -100,10 +100,10 @@
 
 // TestChangesOfAddressInAnOutageDoNotProlongIt has addresses change again and again before one of them has answered.
 func TestChangesOfAddressInAnOutageDoNotProlongIt(t *testing.T) {
-	l := New(0, length)
+	l := NewLease(0, leaseDuration)
 	for at := second; at <= minUnconfirmedOutage; at += second {
 		l.Record(at, Failed, at)
-		l.ChangeAddress(at, 4*second)
+		l.HandleAddressChange(at, 4*second)
 	}
 	if l.Valid(minUnconfirmedOutage) {
 		t.Error("used before the last address has failed")
@@ -115,13 +115,13 @@
 
 // TestChangeOfAddressEndsLeaseEarlier has earlier evidence count no longer than the validity. Later evidence extends it again.
 func TestChangeOfAddressEndsLeaseEarlier(t *testing.T) {
-	l := New(100, length)
+	l := NewLease(100, leaseDuration)
 	l.Record(200, Answered, 200)
-	l.ChangeAddress(300, 700)
+	l.HandleAddressChange(300, 700)
 	if l.Valid(1000) || !l.Valid(999) {
 		t.Error("not shortened")
 	}
-	l.ChangeAddress(300, 5000)
+	l.HandleAddressChange(300, 5000)
 	if l.Valid(1000) {
 		t.Error("extended")
 	}
@@ -132,7 +132,7 @@
 
 // TestLeaseWithoutLengthNeverEnds has a list that is never stale.
 func TestLeaseWithoutLengthNeverEnds(t *testing.T) {
-	if l := New(100, 0); !l.Valid(1<<60) || l.Bounded() {
+	if l := NewLease(100, 0); !l.Valid(1<<60) || l.CanExpire() {
 		t.Error("expires")
 	}
 	if l := (Lease{}); !l.Valid(0) {
