--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -66,7 +66,7 @@
 func (a *adapter) handleEvent(now balancer.Time, event *simprotocol.Event) error {
 	defer func() {
 		if cause := recover(); cause != nil {
-			a.writer.Fault(event.Instance, fmt.Sprint(cause))
+			a.writer.ReportFault(event.Instance, fmt.Sprint(cause))
 		}
 	}()
 	switch event.Code {
@@ -84,7 +84,7 @@
 }
 
 func (a *adapter) start(event *simprotocol.Event) error {
-	commands := simprotocol.Instance{Writer: a.writer, ID: event.Instance}
+	commands := simprotocol.InstanceCommands{Writer: a.writer, ID: event.Instance}
 	b, err := balancer.New(event.Config, event.Seed, commands)
 	if err != nil {
 		return err
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -14,19 +14,19 @@
 
 // Sizes and codes of the simulator's protocol, written out here so that the test does not take them from the code under test.
 const (
-	frameHeadSize = 16
-	recordSize    = 48
-	replyHeadSize = 8
-	faultCode     = 89
+	frameHeaderSize  = 16
+	recordSize       = 48
+	replyHeaderSize  = 8
+	commandFaultCode = 89
 )
 
-// batch returns a frame of the simulator's.
-func batch(records []byte, tail string) []byte {
-	head := make([]byte, frameHeadSize)
-	binary.BigEndian.PutUint32(head, uint32(len(records)+len(tail)))
-	binary.BigEndian.PutUint64(head[4:], 1000)
-	binary.BigEndian.PutUint32(head[12:], uint32(len(records)/recordSize))
-	return append(append(head, records...), tail...)
+// buildFrame returns a frame of the simulator's.
+func buildFrame(records []byte, tail string) []byte {
+	header := make([]byte, frameHeaderSize)
+	binary.BigEndian.PutUint32(header, uint32(len(records)+len(tail)))
+	binary.BigEndian.PutUint64(header[4:], 1000)
+	binary.BigEndian.PutUint32(header[12:], uint32(len(records)/recordSize))
+	return append(append(header, records...), tail...)
 }
 
 // startRecord returns a record that starts an instance with settings that stand at the start of the tail.
@@ -39,8 +39,8 @@
 
 func TestRunAnswersEachBatchAndEndsWithInput(t *testing.T) {
 	var output bytes.Buffer
-	input := append(batch(nil, ""), batch(nil, "")...)
-	if err := run(bytes.NewReader(input), &output); err != nil || output.Len() != 2*replyHeadSize {
+	input := append(buildFrame(nil, ""), buildFrame(nil, "")...)
+	if err := run(bytes.NewReader(input), &output); err != nil || output.Len() != 2*replyHeaderSize {
 		t.Errorf("%v, %d bytes", err, output.Len())
 	}
 }
@@ -53,8 +53,8 @@
 	withoutClasses := `{"discovery":"push"}`
 	for name, input := range map[string][]byte{
 		"short":               []byte("abc"),
-		"no classes":          batch(startRecord(withoutClasses), withoutClasses),
-		"an unknown instance": batch(append([]byte{byte(simprotocol.EventTimer)}, make([]byte, recordSize-1)...), ""),
+		"no classes":          buildFrame(startRecord(withoutClasses), withoutClasses),
+		"an unknown instance": buildFrame(append([]byte{byte(simprotocol.EventTimer)}, make([]byte, recordSize-1)...), ""),
 	} {
 		cmd := exec.Command(program)
 		cmd.Stdin = bytes.NewReader(input)
@@ -88,7 +88,7 @@
 	}
 	var output bytes.Buffer
 	_ = a.writer.Flush(&output) // never fails
-	if output.Len() < 32 || output.Bytes()[replyHeadSize] != faultCode || !strings.Contains(output.String(), "nil") {
+	if output.Len() < 32 || output.Bytes()[replyHeaderSize] != commandFaultCode || !strings.Contains(output.String(), "nil") {
 		t.Errorf("reply %q, want a Fault with the panic's text", output.String())
 	}
 }
--- a/internal/simprotocol/cursor.go
+++ b/internal/simprotocol/cursor.go
@@ -10,32 +10,32 @@
 
 // cursor reads the fields of a record one after the other. Records have a fixed size, so it never reads beyond the end.
 type cursor struct {
-	rest []byte
+	remaining []byte
 }
 
-func (c *cursor) skip(n int) { c.rest = c.rest[n:] }
+func (c *cursor) advance(n int) { c.remaining = c.remaining[n:] }
 
 func (c *cursor) uint8() byte {
-	value := c.rest[0]
-	c.skip(1)
+	value := c.remaining[0]
+	c.advance(1)
 	return value
 }
 
 func (c *cursor) uint16() int {
-	value := binary.BigEndian.Uint16(c.rest)
-	c.skip(2)
+	value := binary.BigEndian.Uint16(c.remaining)
+	c.advance(2)
 	return int(value)
 }
 
 func (c *cursor) uint32() uint32 {
-	value := binary.BigEndian.Uint32(c.rest)
-	c.skip(4)
+	value := binary.BigEndian.Uint32(c.remaining)
+	c.advance(4)
 	return value
 }
 
 func (c *cursor) uint64() uint64 {
-	value := binary.BigEndian.Uint64(c.rest)
-	c.skip(8)
+	value := binary.BigEndian.Uint64(c.remaining)
+	c.advance(8)
 	return value
 }
 
@@ -60,8 +60,8 @@
 	return balancer.Time(value), value, value <= math.MaxInt64
 }
 
-// section reads an offset and a count, and returns so many units of the tail from that offset on.
-func (c *cursor) section(tail []byte, unitSize int64, code EventCode) ([]byte, error) {
+// tailSection reads an offset and a count, and returns so many units of the tail from that offset on.
+func (c *cursor) tailSection(tail []byte, unitSize int64, code EventCode) ([]byte, error) {
 	offset, count := int64(c.uint32()), int64(c.uint32())
 	if offset > int64(len(tail)) || count*unitSize > int64(len(tail))-offset {
 		return nil, fmt.Errorf("%s: offset %d and count %d run past the tail of %d bytes", code, offset, count, len(tail))
--- a/internal/simprotocol/record.go
+++ b/internal/simprotocol/record.go
@@ -11,20 +11,20 @@
 
 const (
 	listEntrySize = 25
-	byteSize      = 1
+	byteUnitSize  = 1
 )
 
 // Flags of a Request record.
 const (
-	flagHasCostHint = 1 << iota
-	flagIsRetry
+	flagCostHint = 1 << iota
+	flagRetry
 )
 
-// Bounds of the codes of outcomes, which are multiples of outcomeStep.
+// Bounds of the codes of outcomes, which are multiples of outcomeCodeStep.
 const (
-	outcomeStep = 10
-	minOutcome  = 10
-	maxOutcome  = 80
+	outcomeCodeStep = 10
+	minOutcomeCode  = 10
+	maxOutcomeCode  = 80
 )
 
 // maxReportValues bounds a load report.
@@ -33,8 +33,8 @@
 // notReported stands for a value that a load report does not hold.
 const notReported = -1
 
-// decode decodes one record; the tail is what its offsets refer to.
-func (r *Reader) decode(record, tail []byte) (Event, error) {
+// decodeRecord decodes one record; the tail is what its offsets refer to.
+func (r *Reader) decodeRecord(record, tail []byte) (Event, error) {
 	fields := cursor{record}
 	event := Event{Code: EventCode(fields.uint8())}
 	if event.Code == recordInventory {
@@ -78,12 +78,12 @@
 	if number >= len(r.lists) {
 		return fmt.Errorf("record Inventory: list number %d is over %d", number, len(r.lists)-1)
 	}
-	entries, err := fields.section(tail, listEntrySize, recordInventory)
+	entries, err := fields.tailSection(tail, listEntrySize, recordInventory)
 	if err != nil {
 		return err
 	}
 	endpoints, err := decodeListEntries(entries)
-	r.lists[number] = endpointList{known: err == nil, endpoints: endpoints}
+	r.lists[number] = endpointList{defined: err == nil, endpoints: endpoints}
 	return err
 }
 
@@ -119,7 +119,7 @@
 
 func (r *Reader) decodeStart(event *Event, fields cursor, tail []byte) error {
 	event.Seed = fields.uint64()
-	raw, err := fields.section(tail, byteSize, event.Code)
+	raw, err := fields.tailSection(tail, byteUnitSize, event.Code)
 	if err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 		return nil
 	}
 	number := fields.uint16()
-	if number >= len(r.lists) || !r.lists[number].known {
+	if number >= len(r.lists) || !r.lists[number].defined {
 		return fmt.Errorf("record Members: no Inventory with number %d", number)
 	}
 	event.Endpoints = r.lists[number].endpoints
@@ -152,9 +152,9 @@
 	request := &event.Request
 	request.ID = fields.requestID()
 	flags := fields.uint8()
-	request.IsRetry = flags&flagIsRetry != 0
+	request.IsRetry = flags&flagRetry != 0
 	costHint := int64(fields.uint32())
-	if flags&flagHasCostHint != 0 {
+	if flags&flagCostHint != 0 {
 		request.CostHint = costHint
 	}
 	request.AffinityKey = fields.uint64()
@@ -213,7 +213,7 @@
 
 func decodePeerMessage(event *Event, fields cursor, tail []byte) error {
 	event.Peer = fields.uint16()
-	data, err := fields.section(tail, byteSize, event.Code)
+	data, err := fields.tailSection(tail, byteUnitSize, event.Code)
 	if err != nil {
 		return err
 	}
@@ -222,7 +222,7 @@
 }
 
 func decodeOutcome(code int) (balancer.Outcome, error) {
-	if code%outcomeStep != 0 || code < minOutcome || code > maxOutcome {
+	if code%outcomeCodeStep != 0 || code < minOutcomeCode || code > maxOutcomeCode {
 		return 0, fmt.Errorf("unknown outcome %d", code)
 	}
 	return balancer.Outcome(code), nil
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -12,15 +12,15 @@
 	"tulipglade/internal/balancer"
 )
 
-// hexBytes turns hand-written hex, with spaces and +N for zero bytes, into bytes.
-func hexBytes(tb testing.TB, text string) []byte {
+// parseHex turns hand-written hex, with spaces and +N for zero bytes, into bytes.
+func parseHex(tb testing.TB, text string) []byte {
 	tb.Helper()
 	var out []byte
 	for _, word := range strings.Fields(text) {
 		if n, ok := strings.CutPrefix(word, "+"); ok {
 			zeros := 0
-			for _, d := range n {
-				zeros = zeros*10 + int(d-'0')
+			for _, digit := range n {
+				zeros = zeros*10 + int(digit-'0')
 			}
 			out = append(out, make([]byte, zeros)...)
 			continue
@@ -43,22 +43,22 @@
 	`"rules":{"cold_from":0.12,"ramp_time_us":24000000,"overload_factor":3.0,"fall_us":3000000,"ask_every_us":7},` +
 	`"report":{"fields":["utilization","backlog"],"how":"piggyback"}}`
 
-// frame builds a batch: header, records of 48 bytes, tail.
-func frame(tb testing.TB, tail []byte, records ...string) []byte {
+// buildFrame builds a batch: header, records of 48 bytes, tail.
+func buildFrame(tb testing.TB, tail []byte, records ...string) []byte {
 	tb.Helper()
 	var body []byte
 	for _, record := range records {
-		raw := hexBytes(tb, record)
+		raw := parseHex(tb, record)
 		if len(raw) != recordSize {
 			tb.Fatalf("record of %d bytes: %s", len(raw), record)
 		}
 		body = append(body, raw...)
 	}
 	body = append(body, tail...)
-	head := hexBytes(tb, "00000000 0000000000805c5a 00000000")
-	head[2], head[3] = byte(len(body)>>8), byte(len(body))
-	head[15] = byte(len(records))
-	return append(head, body...)
+	header := parseHex(tb, "00000000 0000000000805c5a 00000000")
+	header[2], header[3] = byte(len(body)>>8), byte(len(body))
+	header[15] = byte(len(records))
+	return append(header, body...)
 }
 
 // startRecord returns a record that starts an instance, and the tail that it refers to.
@@ -67,17 +67,17 @@
 	return "10 00000003 0102030405060708 00000000 0000" + hex.EncodeToString([]byte{byte(n >> 8), byte(n)}) + " +27", []byte(bootInfo)
 }
 
-// everyEvent returns a frame with an Inventory record and one record of each event.
-func everyEvent(t *testing.T) []byte {
+// frameWithEveryEvent returns a frame with an Inventory record and one record of each event.
+func frameWithEveryEvent(t *testing.T) []byte {
 	t.Helper()
 	start, tail := startRecord()
-	at := hex.EncodeToString([]byte{0, 0, byte(len(tail) >> 8), byte(len(tail))})
-	tail = append(tail, hexBytes(t, `01 3f800000 0000 0000 0000000000000000 0a124a07 2bc3 0000
+	listSection := hex.EncodeToString([]byte{0, 0, byte(len(tail) >> 8), byte(len(tail))})
+	tail = append(tail, parseHex(t, `01 3f800000 0000 0000 0000000000000000 0a124a07 2bc3 0000
 		02 3fc00000 0004 0001 00000000005d1420 0a9011f2 2bec 0000 68692037`)...)
-	peerAt := hex.EncodeToString([]byte{0, 0, byte((len(tail) - 4) >> 8), byte(len(tail) - 4)})
-	return frame(t, tail,
+	messageOffset := hex.EncodeToString([]byte{0, 0, byte((len(tail) - 4) >> 8), byte(len(tail) - 4)})
+	return buildFrame(t, tail,
 		start,
-		"1a 0000 "+at+" 00000002 +37",
+		"1a 0000 "+listSection+" 00000002 +37",
 		"11 00000003 02 0000 0000000000000029 +32",
 		"11 00000003 03 0000 0000000000000000 +32",
 		"12 00000003 5d3a91c4 03 00002ee0 91f03b7c55d20a64 0002 00000000008405da 0001 +14",
@@ -85,14 +85,14 @@
 		"13 00000003 5d3a91c4 00002422 0a124a07 2bc3 0000 +27",
 		"14 00000003 5d3a91c4 0001 000a 00004844 0a124a07 2bc3 01 02 3f000000 40400000 00000000 00000000 +7",
 		"17 00000003 0032 0a9011f2 2bec 00000578 00 00000000 00000000 00000000 00000000 +14",
-		"18 00000003 0002 "+peerAt+" 00000004 +33",
+		"18 00000003 0002 "+messageOffset+" 00000004 +33",
 		"15 00000003 0e6f2b19 +39",
 		"19 00000003 +43",
 	)
 }
 
 func TestReaderDecodesEveryEvent(t *testing.T) {
-	b, err := NewReader(bytes.NewReader(everyEvent(t))).Next()
+	b, err := NewReader(bytes.NewReader(frameWithEveryEvent(t))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,11 +150,11 @@
 
 func TestWriterEncodesEveryCommand(t *testing.T) {
 	w := &Writer{}
-	commands := Instance{Writer: w, ID: 3}
+	commands := InstanceCommands{Writer: w, ID: 3}
 	endpoint := balancer.EndpointID(0x0a124a072bc3)
 	commands.SendAttempt(0x5d3a91c4, endpoint, 80000)
 	commands.SetTimer(0x4d, 500000)
-	Instance{Writer: w, ID: 5}.Log("two servers known")
+	InstanceCommands{Writer: w, ID: 5}.Log("two servers known")
 	commands.CancelAttempt(0x5d3a91c4, 1)
 	commands.WatchEndpoints(true)
 	commands.WatchEndpoints(false)
@@ -162,12 +162,12 @@
 	commands.Fail(0x0e6f2b19)
 	commands.Reject(0x0e6f2b19, 250000)
 	commands.PollEndpoints()
-	w.Fault(3, "index out of range")
+	w.ReportFault(3, "index out of range")
 	var out bytes.Buffer
 	if err := w.Flush(&out); err != nil {
 		t.Fatal(err)
 	}
-	want := hexBytes(t, `0000000b 0000012b
+	want := parseHex(t, `0000000b 0000012b
 		53 00000003 5d3a91c4 0a124a07 2bc3 00013880 +5
 		50 00000003 000000000000004d 0007a120 +7
 		55 00000005 00000000 00000011 +11
@@ -190,7 +190,7 @@
 }
 
 func TestEmptyBatchAndEnd(t *testing.T) {
-	r := NewReader(bytes.NewReader(hexBytes(t, "00000000 0000000000805c5a 00000000")))
+	r := NewReader(bytes.NewReader(parseHex(t, "00000000 0000000000805c5a 00000000")))
 	if b, err := r.Next(); err != nil || b.Now != 0x805c5a || len(b.Events) != 0 {
 		t.Errorf("%+v, %v", b, err)
 	}
@@ -200,12 +200,12 @@
 }
 
 func TestListNumbersAreReused(t *testing.T) {
-	tail := hexBytes(t, `01 3f800000 0000 0000 0000000000000000 00000001 0001 0000
+	tail := parseHex(t, `01 3f800000 0000 0000 0000000000000000 00000001 0001 0000
 		01 3f800000 0000 0000 0000000000000000 00000002 0002 0000`)
 	members := "11 00000003 00 000f 0000000000000029 +32"
 	r := NewReader(io.MultiReader(
-		bytes.NewReader(frame(t, tail, "1a 000f 00000000 00000001 +37", members, "1a 000f 00000019 00000001 +37", members)),
-		bytes.NewReader(frame(t, nil, members))))
+		bytes.NewReader(buildFrame(t, tail, "1a 000f 00000000 00000001 +37", members, "1a 000f 00000019 00000001 +37", members)),
+		bytes.NewReader(buildFrame(t, nil, members))))
 	b, err := r.Next()
 	if err != nil {
 		t.Fatal(err)
@@ -226,20 +226,20 @@
 		in      []byte
 		message string
 	}{
-		"short header":    {hexBytes(t, "00000000 00"), "frame header: 5 of 16 bytes"},
-		"short body":      {hexBytes(t, "00000030 0000000000000000 00000001 12"), "frame body: 1 of 48 bytes"},
-		"count too large": {hexBytes(t, "00000000 0000000000000000 ffffffff"), "4294967295 records"},
-		"length absurd":   {hexBytes(t, "ffffffff 0000000000000000 00000000"), "length 4294967295"},
-		"unknown code":    {frame(t, nil, "63 +47"), "record 0 at byte 16: unknown record code 99"},
-		"offset past":     {frame(t, nil, "1a 0000 00000001 00000000 +37"), "Inventory: offset 1"},
-		"count past":      {frame(t, nil, "1a 0000 00000000 ffffffff +37"), "count 4294967295"},
-		"list number":     {frame(t, nil, "1a 0010 00000000 00000000 +37"), "list number 16"},
-		"unknown list":    {frame(t, nil, "11 00000003 01 0001 0000000000000000 +32"), "no Inventory with number 1"},
-		"unknown mode":    {frame(t, nil, "11 00000003 09 0001 0000000000000000 +32"), "unknown mode 9"},
-		"unknown outcome": {frame(t, nil, "14 00000003 00000001 0000 000b +35"), "unknown outcome 11"},
-		"long report":     {frame(t, nil, "17 00000003 000a 00000000 0000 00000000 05 +30"), "report of 5 values"},
-		"bad settings":    {frame(t, []byte("{]"), "10 00000003 +8 00000000 00000002 +27"), "boot_info"},
-		"unknown phase":   {frame(t, hexBytes(t, "07 +24"), "1a 0000 00000000 00000001 +37"), "unknown phase 7"},
+		"short header":    {parseHex(t, "00000000 00"), "frame header: 5 of 16 bytes"},
+		"short body":      {parseHex(t, "00000030 0000000000000000 00000001 12"), "frame body: 1 of 48 bytes"},
+		"count too large": {parseHex(t, "00000000 0000000000000000 ffffffff"), "4294967295 records"},
+		"length absurd":   {parseHex(t, "ffffffff 0000000000000000 00000000"), "length 4294967295"},
+		"unknown code":    {buildFrame(t, nil, "63 +47"), "record 0 at byte 16: unknown record code 99"},
+		"offset past":     {buildFrame(t, nil, "1a 0000 00000001 00000000 +37"), "Inventory: offset 1"},
+		"count past":      {buildFrame(t, nil, "1a 0000 00000000 ffffffff +37"), "count 4294967295"},
+		"list number":     {buildFrame(t, nil, "1a 0010 00000000 00000000 +37"), "list number 16"},
+		"unknown list":    {buildFrame(t, nil, "11 00000003 01 0001 0000000000000000 +32"), "no Inventory with number 1"},
+		"unknown mode":    {buildFrame(t, nil, "11 00000003 09 0001 0000000000000000 +32"), "unknown mode 9"},
+		"unknown outcome": {buildFrame(t, nil, "14 00000003 00000001 0000 000b +35"), "unknown outcome 11"},
+		"long report":     {buildFrame(t, nil, "17 00000003 000a 00000000 0000 00000000 05 +30"), "report of 5 values"},
+		"bad settings":    {buildFrame(t, []byte("{]"), "10 00000003 +8 00000000 00000002 +27"), "boot_info"},
+		"unknown phase":   {buildFrame(t, parseHex(t, "07 +24"), "1a 0000 00000000 00000001 +37"), "unknown phase 7"},
 	} {
 		_, err := NewReader(bytes.NewReader(c.in)).Next()
 		if err == nil || !strings.Contains(err.Error(), c.message) || strings.Contains(err.Error(), "\n") {
@@ -250,10 +250,10 @@
 
 func FuzzReader(f *testing.F) {
 	start, tail := startRecord()
-	f.Add(frame(f, tail, start, "15 00000003 0e6f2b19 +39"))
-	f.Add(hexBytes(f, "00000000 0000000000805c5a 00000000"))
-	f.Add(frame(f, hexBytes(f, "01 3f800000 +20"), "1a 0000 00000000 00000001 +37", "11 00000003 01 0000 +40"))
-	f.Add(hexBytes(f, "ffffffff 0000000000000000 ffffffff"))
+	f.Add(buildFrame(f, tail, start, "15 00000003 0e6f2b19 +39"))
+	f.Add(parseHex(f, "00000000 0000000000805c5a 00000000"))
+	f.Add(buildFrame(f, parseHex(f, "01 3f800000 +20"), "1a 0000 00000000 00000001 +37", "11 00000003 01 0000 +40"))
+	f.Add(parseHex(f, "ffffffff 0000000000000000 ffffffff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := NewReader(bytes.NewReader(in))
 		for range len(in) + 1 { // each frame takes at least a header
--- a/internal/simprotocol/writer.go
+++ b/internal/simprotocol/writer.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	replyHeadSize = 8
-	commandSize   = 24
+	replyHeaderSize = 8
+	commandSize     = 24
 
-	// commandFields is the offset of the fields behind the code and the instance.
-	commandFields = 5
+	// commandFieldsOffset is the offset of the fields behind the code and the instance.
+	commandFieldsOffset = 5
 )
 
 // commandCode is the code of a record that the adapter sends.
@@ -43,7 +43,7 @@
 // Flush writes the reply to output and starts the next one.
 func (w *Writer) Flush(output io.Writer) error {
 	size := len(w.records) + len(w.tail)
-	frame := make([]byte, replyHeadSize, replyHeadSize+size)
+	frame := make([]byte, replyHeaderSize, replyHeaderSize+size)
 	binary.BigEndian.PutUint32(frame, w.count)
 	binary.BigEndian.PutUint32(frame[4:], uint32(size))
 	frame = append(frame, w.records...)
@@ -53,37 +53,39 @@
 	return err
 }
 
-// add adds a command and returns its fields, all 0.
-func (w *Writer) add(code commandCode, instance uint32) []byte {
+// addCommand adds a command and returns its fields, all 0.
+func (w *Writer) addCommand(code commandCode, instance uint32) []byte {
 	w.count++
 	start := len(w.records)
 	w.records = append(w.records, make([]byte, commandSize)...)
 	record := w.records[start:]
 	record[0] = byte(code)
 	binary.BigEndian.PutUint32(record[1:], instance)
-	return record[commandFields:]
+	return record[commandFieldsOffset:]
 }
 
-// addForRequest adds a command whose first field is a request's ID, and returns the fields behind it.
-func (w *Writer) addForRequest(code commandCode, instance uint32, id balancer.RequestID) []byte {
-	fields := w.add(code, instance)
+// addRequestCommand adds a command whose first field is a request's ID, and returns the fields behind it.
+func (w *Writer) addRequestCommand(code commandCode, instance uint32, id balancer.RequestID) []byte {
+	fields := w.addCommand(code, instance)
 	binary.BigEndian.PutUint32(fields, uint32(id))
 	return fields[4:]
 }
 
-// addText adds a command whose fields are a section of the tail with a text.
-func (w *Writer) addText(code commandCode, instance uint32, text string) {
-	fields := w.add(code, instance)
+// addTextCommand adds a command whose fields are a section of the tail with a text.
+func (w *Writer) addTextCommand(code commandCode, instance uint32, text string) {
+	fields := w.addCommand(code, instance)
 	binary.BigEndian.PutUint32(fields, uint32(len(w.tail)))
 	binary.BigEndian.PutUint32(fields[4:], uint32(len(text)))
 	w.tail = append(w.tail, text...)
 }
 
-// Fault reports that the decision module of an instance has panicked.
-func (w *Writer) Fault(instance uint32, text string) { w.addText(commandFault, instance, text) }
+// ReportFault reports that the decision module of an instance has panicked.
+func (w *Writer) ReportFault(instance uint32, text string) {
+	w.addTextCommand(commandFault, instance, text)
+}
 
-// Instance writes the commands of one Balancer. It implements balancer.Commands.
-type Instance struct {
+// InstanceCommands writes the commands of one Balancer. It implements balancer.Commands.
+type InstanceCommands struct {
 	Writer *Writer
 	ID     uint32
 }
@@ -98,48 +100,50 @@
 }
 
 // SendAttempt implements balancer.Commands.
-func (i Instance) SendAttempt(id balancer.RequestID, endpoint balancer.EndpointID, timeout balancer.Span) {
-	fields := i.Writer.addForRequest(commandSendAttempt, i.ID, id)
+func (i InstanceCommands) SendAttempt(id balancer.RequestID, endpoint balancer.EndpointID, timeout balancer.Span) {
+	fields := i.Writer.addRequestCommand(commandSendAttempt, i.ID, id)
 	putEndpoint(fields, endpoint)
 	putSpan(fields[6:], timeout)
 }
 
 // CancelAttempt implements balancer.Commands.
-func (i Instance) CancelAttempt(id balancer.RequestID, attempt int) {
-	fields := i.Writer.addForRequest(commandCancelAttempt, i.ID, id)
+func (i InstanceCommands) CancelAttempt(id balancer.RequestID, attempt int) {
+	fields := i.Writer.addRequestCommand(commandCancelAttempt, i.ID, id)
 	binary.BigEndian.PutUint16(fields, uint16(attempt))
 }
 
 // Reject implements balancer.Commands.
-func (i Instance) Reject(id balancer.RequestID, retryAfter balancer.Span) {
-	putSpan(i.Writer.addForRequest(commandReject, i.ID, id), retryAfter)
+func (i InstanceCommands) Reject(id balancer.RequestID, retryAfter balancer.Span) {
+	putSpan(i.Writer.addRequestCommand(commandReject, i.ID, id), retryAfter)
 }
 
 // Fail implements balancer.Commands.
-func (i Instance) Fail(id balancer.RequestID) { i.Writer.addForRequest(commandFail, i.ID, id) }
+func (i InstanceCommands) Fail(id balancer.RequestID) {
+	i.Writer.addRequestCommand(commandFail, i.ID, id)
+}
 
 // CheckHealth implements balancer.Commands.
-func (i Instance) CheckHealth(endpoint balancer.EndpointID) {
-	putEndpoint(i.Writer.add(commandCheckHealth, i.ID), endpoint)
+func (i InstanceCommands) CheckHealth(endpoint balancer.EndpointID) {
+	putEndpoint(i.Writer.addCommand(commandCheckHealth, i.ID), endpoint)
 }
 
 // SetTimer implements balancer.Commands.
-func (i Instance) SetTimer(id balancer.TimerID, delay balancer.Span) {
-	fields := i.Writer.add(commandSetTimer, i.ID)
+func (i InstanceCommands) SetTimer(id balancer.TimerID, delay balancer.Span) {
+	fields := i.Writer.addCommand(commandSetTimer, i.ID)
 	binary.BigEndian.PutUint64(fields, uint64(id))
 	putSpan(fields[8:], delay)
 }
 
 // WatchEndpoints implements balancer.Commands.
-func (i Instance) WatchEndpoints(on bool) {
-	fields := i.Writer.add(commandWatchEndpoints, i.ID)
+func (i InstanceCommands) WatchEndpoints(on bool) {
+	fields := i.Writer.addCommand(commandWatchEndpoints, i.ID)
 	if on {
 		fields[0] = 1
 	}
 }
 
 // PollEndpoints implements balancer.Commands.
-func (i Instance) PollEndpoints() { i.Writer.add(commandPollEndpoints, i.ID) }
+func (i InstanceCommands) PollEndpoints() { i.Writer.addCommand(commandPollEndpoints, i.ID) }
 
 // Log implements balancer.Commands.
-func (i Instance) Log(text string) { i.Writer.addText(commandLog, i.ID, text) }
+func (i InstanceCommands) Log(text string) { i.Writer.addTextCommand(commandLog, i.ID, text) }
