--- a/internal/safety/safety.go
+++ b/internal/safety/safety.go
@@ -1,6 +1,7 @@
-// Package safety decides whether something may be done now: an attempt be sent, a request be retried, a rejection
-// be given, a connection be closed. It is asked when a decision is made and again when it takes effect, since in
-// between backends drain, clients disconnect and time passes. It does no input or output and keeps no state.
+// Package safety decides whether an action is allowed now: sending an attempt, retrying a request, rejecting a
+// request, or closing a client's connection. Callers check when they decide on an action and again when it takes
+// effect, since in between backends may drain, clients may disconnect and deadlines may pass. The package performs no
+// input or output and keeps no state.
 package safety
 
 // Time is a point on the caller's monotonic clock, in microseconds.
@@ -9,45 +10,45 @@
 // Span is a length of time, in microseconds.
 type Span = int64
 
-// Idempotency says how often a request may run.
+// Idempotency states whether a request may be executed more than once.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota
-	IdempotentByKey             // backends of one KeyScope drop repeats of a key for Rules.Window
-	NonIdempotent               // must never run twice
+	Idempotent      Idempotency = iota // may be executed any number of times
+	IdempotentByKey                    // backends in one KeyScope drop repeats of a key within the policy's Window
+	NonIdempotent                      // must never be executed twice
 )
 
-// KeyScope is the group of backends that drops repeats of an idempotency key.
+// KeyScope is the group of backends within which repeats of an idempotency key are dropped.
 type KeyScope uint8
 
-// The key scopes: all backends, those of a zone, those of a cell.
+// The key scopes.
 const (
-	ScopeAll KeyScope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  KeyScope = iota // all backends
+	ScopeZone                 // the backends of one zone
+	ScopeCell                 // the backends of one cell
 )
 
-// Reason says why something may not be done. The zero value allows it.
+// Reason is why an action is not allowed. The zero value means that it is allowed.
 type Reason uint8
 
 // The reasons.
 const (
 	Allowed                  Reason = iota
-	RequestDone                     // it has its final answer, or its response has started
-	ClientDisconnected              // its client has closed the connection or canceled the request
-	DeadlinePassed                  // its client no longer waits
-	AttemptsUsed                    // it has had as many attempts as the configuration allows
-	AttemptInFlight                 // another attempt is in flight, and hedging is not allowed
+	RequestDone                     // the request has its final answer, or its response has started
+	ClientDisconnected              // the client has closed the connection or canceled the request
+	DeadlinePassed                  // the request's deadline has passed, so the client no longer waits
+	AttemptsUsed                    // the request has had as many attempts as the configuration allows
+	AttemptInFlight                 // another attempt of the request is in flight, and hedging is not allowed
 	ListStale                       // the endpoint list is not known to be current
 	BackendDraining                 // the backend is draining or removed
-	MayHaveExecuted                 // it may have run already, and must not run twice
-	IdempotencyWindowExpired        // repeats of its key are not dropped any longer
-	OutsideKeyScope                 // repeats of its key are not dropped there
-	RequestInProgress               // the connection carries a request without an answer
-	UnreadInput                     // the connection has input that was not read
-	ShuttingDown                    // the process takes no more requests
+	MayHaveExecuted                 // an attempt may have been executed, and the request must not be executed twice
+	IdempotencyWindowExpired        // backends no longer drop repeats of the request's idempotency key
+	OutsideKeyScope                 // the backend is outside the group that drops repeats of the request's idempotency key
+	RequestInProgress               // the connection carries a request that has not been answered
+	UnreadInput                     // the connection has received input that has not been read
+	ShuttingDown                    // the process accepts no more requests
 	reasonCount
 )
 
@@ -68,7 +69,7 @@
 	ShuttingDown:             "shutting down",
 }
 
-// String names the reason as logs do.
+// String returns the text of the reason that is used in logs.
 func (r Reason) String() string {
 	if r < reasonCount {
 		return reasonNames[r]
@@ -76,28 +77,29 @@
 	return "unknown"
 }
 
-// IdempotencyPolicy are what the configuration says of a request's class.
+// IdempotencyPolicy holds the configured idempotency rules of a request's class.
 type IdempotencyPolicy struct {
 	Idempotency Idempotency
 	KeyScope    KeyScope
-	Window      Span // repeats of a key are dropped for this long after the first attempt was sent
-	Margin      Span // part of the window that is kept for the time until the backend has the request
+	Window      Span // backends drop repeats of a key for this long after the first attempt was sent
+	Margin      Span // reserved at the end of the window for the time until the request reaches the backend
 }
 
-// Backend is where an attempt would be sent.
+// Backend describes the backend that an attempt would be sent to.
 type Backend struct {
-	InService  bool // by the last endpoint list
+	InService  bool // the last endpoint list has the backend in service: neither draining nor removed
 	Zone, Cell int
 }
 
-// PriorAttempt is an attempt of the same request that has run, or may have.
+// PriorAttempt is an earlier attempt of the same request that was or may have been executed.
 type PriorAttempt struct {
 	SentAt     Time
 	Zone, Cell int
 }
 
-// MayRetry tells whether a request may be sent to a backend although an earlier attempt may have run. Without such
-// an attempt it may. With a nil backend the question is whether there could be one at all.
+// MayRetry checks whether a request may be sent to a backend although the prior attempt may have been executed. A nil
+// prior means that no attempt can have been executed; the request may then always be sent. With a nil backend MayRetry
+// checks whether the request could be sent to any backend at all.
 func MayRetry(now Time, policy IdempotencyPolicy, prior *PriorAttempt, backend *Backend) Reason {
 	switch {
 	case prior == nil || policy.Idempotency == Idempotent:
@@ -116,7 +118,8 @@
 	return OutsideKeyScope
 }
 
-// MayReject tells whether a rejection, which promises that a retry does no harm, would be true.
+// MayReject checks whether a request may be rejected. A rejection promises the client that a retry does no harm. This
+// does not hold for a request that may have been executed, unless it is idempotent or all backends drop its repeats.
 func MayReject(policy IdempotencyPolicy, prior *PriorAttempt) Reason {
 	droppedEverywhere := policy.Idempotency == IdempotentByKey && policy.KeyScope == ScopeAll
 	if prior == nil || policy.Idempotency == Idempotent || droppedEverywhere {
@@ -125,19 +128,19 @@
 	return MayHaveExecuted
 }
 
-// SendConditions is what the sending of an attempt depends on. It is checked when the attempt is decided on, and again at its
-// first byte.
+// SendConditions holds the state that decides whether an attempt may be sent. It is checked when the attempt is decided
+// on, and again right before its first byte is written.
 type SendConditions struct {
 	Now, Deadline      Time
 	RequestDone        bool
 	ClientDisconnected bool
-	ListCurrent        bool // there is recent evidence that the endpoint list is current
+	ListCurrent        bool // the endpoint list was recently shown to be current
 	IdempotencyPolicy  IdempotencyPolicy
-	Prior              *PriorAttempt // nil if no attempt may have run
+	Prior              *PriorAttempt // nil if no attempt can have been executed
 	Backend            Backend
 }
 
-// Check tells whether the attempt may be sent.
+// Check returns Allowed if the attempt may be sent, and otherwise the first reason against it.
 func (s SendConditions) Check() Reason {
 	switch {
 	case s.RequestDone:
@@ -154,14 +157,15 @@
 	return MayRetry(s.Now, s.IdempotencyPolicy, s.Prior, &s.Backend)
 }
 
-// AttemptLimits is what one more attempt of a request depends on beyond Send: how many it has had.
+// AttemptLimits holds the attempt counts of a request and their limits, which apply to a further attempt in addition to
+// SendConditions.
 type AttemptLimits struct {
 	Made, Max    int
 	InFlight     int
-	AllowHedging bool // two attempts may be in flight together
+	AllowHedging bool // several attempts of the request may be in flight at the same time
 }
 
-// Check tells whether the request may have one more attempt.
+// Check returns Allowed if one more attempt may be made, and otherwise the reason against it.
 func (a AttemptLimits) Check() Reason {
 	switch {
 	case a.Made >= a.Max:
@@ -172,13 +176,14 @@
 	return Allowed
 }
 
-// CloseConditions is what the closing of a client's connection depends on, whatever it is closed for.
+// CloseConditions holds the state that decides whether a client's connection may be closed. The same conditions apply
+// whatever the reason for closing it.
 type CloseConditions struct {
-	RequestInProgress bool // a request was read from it, or an answer is being written
-	UnreadInput       bool // it has input that was not read
+	RequestInProgress bool // a request was read from the connection, or an answer is being written to it
+	UnreadInput       bool // the connection has received input that has not been read
 }
 
-// Check tells whether the connection may be closed.
+// Check returns Allowed if the connection may be closed, and otherwise the reason against it.
 func (c CloseConditions) Check() Reason {
 	switch {
 	case c.RequestInProgress:
--- a/internal/safety/safety_test.go
+++ b/internal/safety/safety_test.go
@@ -4,7 +4,7 @@
 
 const second = 1_000_000
 
-// validSend is an attempt that may be sent.
+// validSend returns conditions under which an attempt may be sent. Tests change one of them.
 func validSend() SendConditions {
 	return SendConditions{Now: 10 * second, Deadline: 11 * second, ListCurrent: true, Backend: Backend{InService: true, Zone: 1, Cell: 2}}
 }
--- a/internal/staleness/revisions.go
+++ b/internal/staleness/revisions.go
@@ -1,35 +1,43 @@
 package staleness
 
-// RevisionOrder says how an answer of discovery relates to the answers to earlier calls.
+// RevisionOrder is how the revision of an answer from discovery relates to those of the answers to earlier calls.
 type RevisionOrder uint8
 
-// The orders.
+// The revision orders.
 const (
-	InOrder         RevisionOrder = iota // it holds as a whole
-	Behind                               // older than an earlier one, or of another address: only what it restricts holds, and it proves nothing
-	BehindConfirmed                      // the same, but discovery has repeated it in a full list: it has nothing newer
+	// InOrder means that the answer is not older than the earlier ones. All of it applies.
+	InOrder RevisionOrder = iota
+	// Behind means that the answer is older than an earlier one, or comes from a previous address of discovery. Only
+	// its restrictions apply: it may take endpoints out of service, but not put them back. It is no evidence that the
+	// list is current.
+	Behind
+	// BehindConfirmed means that the answer is behind, but discovery has repeated its lower revisions and has sent a
+	// full list, so it has nothing newer. Only its restrictions apply, but it is evidence of the list's age.
+	BehindConfirmed
 )
 
-// minRegressionDuration is for how long a discovery must have answered with lower revisions until its full list replaces what was
-// known before, and so puts endpoints back into service. One that is behind its peers has caught up by then; one that still
-// answers so was restarted.
+// minRegressionDuration is how long discovery must keep answering with lower revisions before its full list replaces
+// the known one, which may put endpoints back into service. A discovery server that is behind its peers has caught up
+// by then; one that still answers with lower revisions was restarted.
 const minRegressionDuration Span = 6_000_000
 
-// RevisionTracker tells by the order of calls, and not by numbers alone, which answers hold. It observes one answer after the
-// other, each to a call that was made after the answer before.
+// RevisionTracker decides how much of each answer from discovery applies. It compares revisions in the order of the
+// calls, not by their numbers alone. Each observed answer must belong to a call that was made after the previous
+// answer.
 type RevisionTracker struct {
 	newestRevision int64
-	answersBehind  int // answers in a row with lower revisions
-	behindSince    Time
-	fullListSeen   bool // one of them was a full list
+	answersBehind  int  // consecutive answers with revisions lower than newestRevision
+	behindSince    Time // when the first of these answers was observed
+	fullListSeen   bool // one of these answers was a full list
 }
 
-// NewRevisionTracker returns the order of answers after a list with a revision.
+// NewRevisionTracker returns a tracker for the answers that follow a list with the given revision.
 func NewRevisionTracker(newestRevision int64) RevisionTracker {
 	return RevisionTracker{newestRevision: newestRevision}
 }
 
-// Observe takes the revision of the next answer and returns its order.
+// Observe records the revision of the next answer, and whether it is a full list, and returns how it relates to the
+// earlier answers.
 func (r *RevisionTracker) Observe(now Time, revision int64, full bool) RevisionOrder {
 	if revision >= r.newestRevision {
 		*r = RevisionTracker{newestRevision: revision}
@@ -50,8 +58,8 @@
 	return BehindConfirmed
 }
 
-// NeedsFullList tells whether the next call must fetch the full list: to confirm a revision that went back, and to replace
-// what was known before once that has settled.
+// NeedsFullList reports whether the next call must fetch the full list. A full list confirms a revision that went back,
+// and replaces the known list once discovery has answered with lower revisions for minRegressionDuration.
 func (r *RevisionTracker) NeedsFullList(now Time) bool {
 	return r.answersBehind == 1 || r.answersBehind > 1 && (!r.fullListSeen || r.regressedLongEnough(now))
 }
--- a/internal/staleness/revisions_test.go
+++ b/internal/staleness/revisions_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestOrderOfRevisionsThatGoBack has discoveries that are behind, were restarted, or answer in turn.
+// TestOrderOfRevisionsThatGoBack guards against an outdated list that puts endpoints back into service. Revisions go
+// back when a discovery server is behind its peers, was restarted, or answers in turn with a newer one.
 func TestOrderOfRevisionsThatGoBack(t *testing.T) {
 	type answer struct {
 		at            Time
@@ -42,7 +43,7 @@
 				t.Errorf("%s, answer %d: order %d, want %d", name, i, order, a.order)
 			}
 			if revisions.NeedsFullList(a.at) != a.needsFullList {
-				t.Errorf("%s, answer %d: needs the full list: %v", name, i, !a.needsFullList)
+				t.Errorf("%s, answer %d: NeedsFullList returned %v", name, i, !a.needsFullList)
 			}
 		}
 	}
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -1,9 +1,9 @@
-// Package staleness bounds the age of the endpoint list by which a node sends requests.
+// Package staleness bounds the age of the endpoint list that a node uses to send requests.
 //
-// A node learns of draining and removed endpoints from discovery alone. A list has a revision but no age, so a node
-// that has had no answer for a while, or has just started with the list of its configuration, can't tell whether
-// the list is current. A Lease settles that: each piece of evidence that the list was current at some time lets
-// requests be sent for a fixed time after it. The package does no input or output.
+// Discovery is a node's only source of information about draining and removed endpoints. A list has a revision but no
+// age, so a node that has received no answer for a while, or has just started with the list from its configuration,
+// can't know whether the list is current. A Lease solves this: each piece of evidence that the list was current at some
+// time allows requests to be sent for a fixed duration from that time. The package performs no input or output.
 package staleness
 
 // Time is a point on a monotonic clock, in microseconds.
@@ -12,52 +12,59 @@
 // Span is a length of time, in microseconds.
 type Span = int64
 
-// CallOutcome is what a call to discovery shows of the age of the list in use.
+// CallOutcome is how a call to discovery ended, as far as it is evidence of the age of the list in use.
 type CallOutcome uint8
 
-// The kinds of evidence.
+// The call outcomes.
 const (
-	Answered      CallOutcome = iota // a valid answer: the list was current when it was written
-	Failed                           // refused, reset or turned away: discovery may be down, or this call alone had no luck
-	TimedOut                         // timed out: discovery may be down, or a newer list was lost on its way
-	InvalidAnswer                    // answered with what can't be used: discovery is there, and may have a newer list
+	// Answered means that discovery sent a valid answer: the list was current when the answer was written.
+	Answered CallOutcome = iota
+	// Failed means that the call was refused, reset or rejected: discovery may be down, or only this call failed.
+	Failed
+	// TimedOut means that the call had no answer in time: discovery may be down, or a newer list was lost in transit.
+	TimedOut
+	// InvalidAnswer means that discovery sent an answer that can't be used, or that is no evidence of when the list was
+	// current: discovery is up, and may have a newer list.
+	InvalidAnswer
 )
 
-// While discovery is down nothing is notified (STANDING.md), so the list stays in use. One failed call doesn't show that: a
-// change counts as notified 6 s after discovery had it and could be reached, whatever became of a call.
+// While discovery is down, no change counts as notified (STANDING.md), so the list stays in use. One failed call
+// doesn't show that discovery is down: a change counts as notified 6 s after discovery had it and could be reached,
+// whatever the outcome of a call.
 const (
-	// minOutageCalls is how many calls in a row must have failed until discovery counts as down.
+	// minOutageCalls is how many consecutive calls must have failed before discovery is considered down.
 	minOutageCalls = 2
-	// minOutageDuration is the least time from the end of the first to the end of the last of them.
+	// minOutageDuration is the least time from the end of the first of these failed calls to the end of the last one.
 	minOutageDuration Span = 2_000_000
-	// minUnconfirmedOutage is for how long no call may have been answered until a list that no answer has confirmed is used:
-	// that of a configuration may be of any age, and after a change of address discovery's changes count 4 s later.
+	// minUnconfirmedOutage is how long discovery must have answered no call before a list that no answer has confirmed
+	// is used. The list of a configuration may be of any age, and after a change of discovery's address, changes of the
+	// list count as notified 4 s later.
 	minUnconfirmedOutage Span = 5_000_000
 )
 
-// Lease allows requests to be sent by the endpoint list until it expires. The zero value never expires.
+// Lease allows the endpoint list to be used for sending requests until the lease expires. The zero value never expires.
 type Lease struct {
-	duration  Span
-	expiresAt Time
+	duration  Span // 0 or less: the lease never expires
+	expiresAt Time // extended by answers and, for a confirmed list, by failed calls in an outage
 
 	unconfirmed      bool // discovery has not answered since unconfirmedSince
 	unconfirmedSince Time
-	outageExpiresAt  Time // to when failed calls extend the lease, once an unconfirmed list may be used
+	outageExpiresAt  Time // extended by failed calls while unconfirmed; counts once an unconfirmed list may be used
 
-	failures     int  // consecutive calls that failed or had no answer
-	failingSince Time // when the first of them had ended
+	failures     int  // consecutive calls that failed or timed out
+	failingSince Time // when the first of these calls ended
 }
 
-// NewLease returns a lease that has expired, since nothing is known of the list's age yet. Evidence that the list was
-// current at some time extends it to length after that time.
+// NewLease returns a lease that has expired, since nothing is known about the list's age yet. Evidence that the list
+// was current at some time extends the lease to that time plus duration.
 func NewLease(now Time, duration Span) Lease {
 	return Lease{duration: duration, expiresAt: now, unconfirmed: true, unconfirmedSince: now, outageExpiresAt: now}
 }
 
-// Record takes what a call that has ended now has shown: that as of a time the list was current, or nothing newer could be
-// had. For an answer that is the time of its arrival, and no later than the call was to wait; for a failure the time of the
-// failure, or when the call began if discovery has let it wait; for a timeout the time when the call began. An answer that
-// can't be used extends nothing.
+// Record updates the lease with the outcome of a call that ends now. At asOf the list was current, or no newer one was
+// available. For an answer, asOf is the time of its arrival, but no later than the end of the wait that the call asked
+// for; for a failure, it is the time of the failure, or the start of the call if discovery queued it; for a timeout, it
+// is the start of the call. An invalid answer doesn't extend the lease.
 func (l *Lease) Record(now Time, outcome CallOutcome, asOf Time) {
 	switch outcome {
 	case Answered:
@@ -77,7 +84,8 @@
 	l.failures++
 	switch {
 	case l.unconfirmed:
-		// After a timeout another call waits for its answer all the time, but after a failure none may be in flight.
+		// While calls time out, one of them is always waiting for an answer. After a failure, there may be no call in
+		// flight, so a failure counts only once the list has been unconfirmed for minUnconfirmedOutage.
 		if outcome == TimedOut || now-l.unconfirmedSince >= minUnconfirmedOutage {
 			l.outageExpiresAt = max(l.outageExpiresAt, asOf+l.duration)
 		}
@@ -86,23 +94,25 @@
 	}
 }
 
-// HandleAddressChange has what is known count for no longer than validity: what an earlier address of discovery has answered
-// shows nothing of the list at the new one.
+// HandleAddressChange makes the lease expire at now plus validity at the latest, since an answer from an earlier address
+// of discovery is no evidence of the age of the list at the new one. The list is unconfirmed until the new address
+// answers.
 func (l *Lease) HandleAddressChange(now Time, validity Span) {
 	l.expiresAt = min(l.expiresAt, now+validity)
-	if !l.unconfirmed { // else nobody has answered since before
+	if !l.unconfirmed { // otherwise unconfirmedSince stays: no address has answered since then
 		l.unconfirmed, l.unconfirmedSince = true, now
 	}
 	l.outageExpiresAt, l.failures = now, 0
 }
 
-// Confirmed tells whether discovery has answered since the start, or since its address changed.
+// Confirmed reports whether discovery has sent a valid answer since the start, or since its address last changed.
 func (l *Lease) Confirmed() bool { return !l.unconfirmed }
 
-// Valid tells whether requests may be sent by the list.
+// Valid reports whether the list may be used for sending requests.
 func (l *Lease) Valid(now Time) bool { return l.duration <= 0 || now < l.ExpiresAt(now) }
 
-// ExpiresAt is when the lease expires, as is known now. It means nothing for a lease that is not Bounded.
+// ExpiresAt returns when the lease expires, going by the evidence recorded so far. The result has no meaning if
+// CanExpire is false.
 func (l *Lease) ExpiresAt(now Time) Time {
 	if l.unconfirmed && now-l.unconfirmedSince >= minUnconfirmedOutage {
 		return max(l.expiresAt, l.outageExpiresAt)
@@ -110,5 +120,5 @@
 	return l.expiresAt
 }
 
-// CanExpire tells whether the lease can expire at all.
+// CanExpire reports whether the lease can expire at all, which requires a positive duration.
 func (l *Lease) CanExpire() bool { return l.duration > 0 }
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -6,17 +6,18 @@
 
 const second Span = 1_000_000
 
-// call is what a call shows, and as of when.
+// call is one argument pair of Lease.Record, which the tests call at the time asOf.
 type call struct {
 	outcome CallOutcome
 	asOf    Time
 }
 
-// TestRecordRenewsLease begins with an answer at 0: each kind of evidence renews the lease as of its own time, or not at all.
+// TestRecordRenewsLease guards against a lease that is renewed by a call that is no evidence of the list's age. Each
+// case follows an answer at time 0.
 func TestRecordRenewsLease(t *testing.T) {
 	for name, test := range map[string]struct {
 		calls []call
-		asOf  Time // of which the lease is renewed
+		asOf  Time // from when the renewed lease lasts
 	}{
 		"answered":                            {nil, 0},
 		"again":                               {[]call{{Answered, 200}}, 200},
@@ -38,25 +39,28 @@
 			l.Record(c.asOf, c.outcome, c.asOf)
 		}
 		if until := test.asOf + leaseDuration; l.ExpiresAt(until) != until || l.Valid(until) || !l.Valid(until-1) {
-			t.Errorf("%s: until %d, want %d", name, l.ExpiresAt(until), until)
+			t.Errorf("%s: lease expires at %d, want %d", name, l.ExpiresAt(until), until)
 		}
 	}
 }
 
-// TestOutageCountsFromTheEndsOfCalls has a watch that is given up 5 s after its start, and calls that fail after that.
+// TestOutageCountsFromTheEndsOfCalls guards against measuring an outage from the start of its first call. After a watch
+// that times out 5 s after its start, a single failure would then already renew the lease.
 func TestOutageCountsFromTheEndsOfCalls(t *testing.T) {
 	l := NewLease(-100, leaseDuration)
 	l.Record(0, Answered, 0)
 	l.Record(5*second, TimedOut, 0)
 	if l.Record(5*second+1, Failed, 5*second+1); l.ExpiresAt(5*second+1) != leaseDuration {
-		t.Error("renewed by one failure after a watch that was given up")
+		t.Error("lease renewed by one failure right after a watch timed out")
 	}
 	if l.Record(7*second, Failed, 6*second); l.ExpiresAt(7*second) != 6*second+leaseDuration {
-		t.Errorf("until %d", l.ExpiresAt(7*second))
+		t.Errorf("after two failures over 2 s: lease expires at %d", l.ExpiresAt(7*second))
 	}
 }
 
-// TestUnconfirmedListIsUsedAfterLongOutage has a list that no answer has confirmed, at a start and after a change of address.
+// TestUnconfirmedListIsUsedAfterLongOutage guards against using a list that no answer has confirmed before discovery
+// has been down for minUnconfirmedOutage, and against never using it. This applies at a start and after a change of
+// address.
 func TestUnconfirmedListIsUsedAfterLongOutage(t *testing.T) {
 	const start, used = 100, 100 + minUnconfirmedOutage
 	newLeases := map[string]func() Lease{
@@ -89,16 +93,17 @@
 				l.Record(c.asOf, c.outcome, c.asOf)
 			}
 			if answered := !l.unconfirmed; !answered && l.Valid(used-1) {
-				t.Errorf("%s, %s: used before", kind, name)
+				t.Errorf("%s, %s: list used before the end of minUnconfirmedOutage", kind, name)
 			}
 			if l.Valid(used) != test.used || test.used && (l.Valid(test.until) || !l.Valid(test.until-1)) {
-				t.Errorf("%s, %s: used %v, until %d, want %d", kind, name, l.Valid(used), l.ExpiresAt(used), test.until)
+				t.Errorf("%s, %s: list used: %v, lease expires at %d, want %d", kind, name, l.Valid(used), l.ExpiresAt(used), test.until)
 			}
 		}
 	}
 }
 
-// TestChangesOfAddressInAnOutageDoNotProlongIt has addresses change again and again before one of them has answered.
+// TestChangesOfAddressInAnOutageDoNotProlongIt guards against each change of address restarting the wait for the use of
+// an unconfirmed list: with repeated changes and no answer, the node would never send requests.
 func TestChangesOfAddressInAnOutageDoNotProlongIt(t *testing.T) {
 	l := NewLease(0, leaseDuration)
 	for at := second; at <= minUnconfirmedOutage; at += second {
@@ -106,36 +111,37 @@
 		l.HandleAddressChange(at, 4*second)
 	}
 	if l.Valid(minUnconfirmedOutage) {
-		t.Error("used before the last address has failed")
+		t.Error("list used before a call to the last address has failed")
 	}
 	if l.Record(minUnconfirmedOutage+second, Failed, minUnconfirmedOutage+second); !l.Valid(minUnconfirmedOutage + second) {
-		t.Error("not used in an outage that goes on")
+		t.Error("list not used although discovery has been down for minUnconfirmedOutage")
 	}
 }
 
-// TestChangeOfAddressEndsLeaseEarlier has earlier evidence count no longer than the validity. Later evidence extends it again.
+// TestChangeOfAddressEndsLeaseEarlier checks that after a change of address earlier evidence counts for no longer than
+// the validity, and that later evidence extends the lease again.
 func TestChangeOfAddressEndsLeaseEarlier(t *testing.T) {
 	l := NewLease(100, leaseDuration)
 	l.Record(200, Answered, 200)
 	l.HandleAddressChange(300, 700)
 	if l.Valid(1000) || !l.Valid(999) {
-		t.Error("not shortened")
+		t.Error("lease not shortened by a change of address")
 	}
 	l.HandleAddressChange(300, 5000)
 	if l.Valid(1000) {
-		t.Error("extended")
+		t.Error("lease extended by a change of address")
 	}
 	if l.Record(900, Answered, 900); !l.Valid(1000) {
-		t.Error("not renewed by later evidence")
+		t.Error("lease not renewed by a later answer")
 	}
 }
 
-// TestLeaseWithoutLengthNeverEnds has a list that is never stale.
+// TestLeaseWithoutLengthNeverEnds checks that a duration of 0 turns the limit on the list's age off.
 func TestLeaseWithoutLengthNeverEnds(t *testing.T) {
 	if l := NewLease(100, 0); !l.Valid(1<<60) || l.CanExpire() {
-		t.Error("expires")
+		t.Error("a lease without a duration expires")
 	}
 	if l := (Lease{}); !l.Valid(0) {
-		t.Error("the zero value expires")
+		t.Error("the zero value of Lease expires")
 	}
 }
