--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestLeaseWithoutLengthNeverEnds checks that a duration of 0 turns the limit on the list's age off.
-func TestLeaseWithoutLengthNeverEnds(t *testing.T) {
+// TestLeaseWithoutDurationNeverExpires checks that a duration of 0 turns the limit on the list's age off.
+func TestLeaseWithoutDurationNeverExpires(t *testing.T) {
 	if l := NewLease(100, 0); !l.Valid(1<<60) || l.CanExpire() {
 		t.Error("a lease without a duration expires")
 	}
