--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,6 @@
-// Command simadapter runs the decision module on the simulator's protocol: one Balancer for each instance, sharing nothing.
+// Command simadapter runs the decision module in the simulator. It reads the simulator's protocol from standard input
+// and writes replies to standard output. Each instance in the simulator has its own Balancer, and Balancers share no
+// state.
 package main
 
 import (
@@ -12,17 +14,17 @@
 	"tulipglade/internal/simprotocol"
 )
 
-// inputBufferSize is the size of the buffer in front of standard input.
+// inputBufferSize is the size in bytes of the buffer for standard input.
 const inputBufferSize = 1 << 16
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		_, _ = fmt.Fprintf(os.Stderr, "simadapter: %v\n", err) // the exit status tells it too
+		_, _ = fmt.Fprintf(os.Stderr, "simadapter: %v\n", err) // if this fails, the exit status still reports the error
 		os.Exit(1)
 	}
 }
 
-// run answers one batch after the other until the input ends.
+// run reads batches from input and writes one reply to output for each of them, until the input ends.
 func run(input io.Reader, output io.Writer) error {
 	reader := simprotocol.NewReader(bufio.NewReaderSize(input, inputBufferSize))
 	adapter := newAdapter()
@@ -43,7 +45,7 @@
 	}
 }
 
-// adapter passes events to the instances and collects their commands.
+// adapter passes events to the Balancers of their instances, whose commands the writer collects.
 type adapter struct {
 	writer    *simprotocol.Writer
 	balancers map[uint32]*balancer.Balancer // by instance
@@ -62,7 +64,8 @@
 	return nil
 }
 
-// handleEvent passes one event to its instance; a panic in the decision module becomes a Fault.
+// handleEvent passes one event to the Balancer of its instance. A panic in the decision module is reported to the
+// simulator as a Fault record, and doesn't end the program.
 func (a *adapter) handleEvent(now balancer.Time, event *simprotocol.Event) error {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -78,7 +81,7 @@
 	}
 	b := a.balancers[event.Instance]
 	if b == nil {
-		return fmt.Errorf("instance %d was never started", event.Instance)
+		return fmt.Errorf("instance %d is not running: it was never started, or has stopped", event.Instance)
 	}
 	return dispatch(b, now, event)
 }
@@ -93,7 +96,7 @@
 	return nil
 }
 
-// dispatch calls the Balancer's handler for an event.
+// dispatch calls the method of the Balancer that handles the event.
 func dispatch(b *balancer.Balancer, now balancer.Time, event *simprotocol.Event) error {
 	result := &event.Result
 	switch event.Code {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -12,7 +12,8 @@
 	"tulipglade/internal/simprotocol"
 )
 
-// Sizes and codes of the simulator's protocol, written out here so that the test does not take them from the code under test.
+// Sizes and codes of the simulator's protocol. They are repeated here so that the tests don't depend on the values in
+// the code under test.
 const (
 	frameHeaderSize  = 16
 	recordSize       = 48
@@ -20,7 +21,7 @@
 	commandFaultCode = 89
 )
 
-// buildFrame returns a frame of the simulator's.
+// buildFrame returns a frame as the simulator sends it, with the given records and tail.
 func buildFrame(records []byte, tail string) []byte {
 	header := make([]byte, frameHeaderSize)
 	binary.BigEndian.PutUint32(header, uint32(len(records)+len(tail)))
@@ -29,7 +30,7 @@
 	return append(append(header, records...), tail...)
 }
 
-// startRecord returns a record that starts an instance with settings that stand at the start of the tail.
+// startRecord returns a record that starts an instance. Its settings must be at the start of the frame's tail.
 func startRecord(settings string) []byte {
 	record := make([]byte, recordSize)
 	record[0] = byte(simprotocol.EventStart)
@@ -74,7 +75,7 @@
 func TestPanicBecomesFault(t *testing.T) {
 	const instance = 7
 	a := newAdapter()
-	a.balancers[instance] = &balancer.Balancer{} // without settings: the decision module divides by its tenants
+	a.balancers[instance] = &balancer.Balancer{} // its zero value panics when it merges an endpoint list
 	result := simprotocol.Event{Code: simprotocol.EventAttemptResult, Instance: instance}
 	if err := a.handleEvent(1, &result); err != nil {
 		t.Fatal(err)
--- a/internal/simprotocol/event.go
+++ b/internal/simprotocol/event.go
@@ -1,5 +1,5 @@
-// Package simprotocol decodes the simulator's frames into events and encodes commands of the decision module into frames.
-// It decides nothing.
+// Package simprotocol decodes the simulator's frames into events for the decision module, and encodes the decision
+// module's commands into reply frames. It makes no decisions itself.
 package simprotocol
 
 import (
@@ -8,10 +8,10 @@
 	"tulipglade/internal/balancer"
 )
 
-// EventCode is the code of a record that the simulator sends.
+// EventCode is the code at the start of each record that the simulator sends. It identifies the record's kind.
 type EventCode byte
 
-// The codes of events; the comments give the records' names in the simulator's protocol.
+// The event codes. The comment on each gives the record's name in the simulator's protocol.
 const (
 	EventStart         EventCode = 16 // PowerOn
 	EventEndpoints     EventCode = 17 // Members
@@ -24,7 +24,8 @@
 	EventPeerMessage   EventCode = 24 // PeerData
 	EventStop          EventCode = 25 // Detach
 
-	// recordInventory is an endpoint list that later records refer to by its number. It is not an event.
+	// recordInventory is the code of a record that defines an endpoint list, which later records refer to by its
+	// number. It is not an event.
 	recordInventory EventCode = 26 // Inventory
 )
 
@@ -42,7 +43,7 @@
 	recordInventory:    "Inventory",
 }
 
-// String returns the record's name in the simulator's protocol.
+// String returns the name in the simulator's protocol of the record with this code.
 func (c EventCode) String() string {
 	if name, ok := recordNames[c]; ok {
 		return name
@@ -50,7 +51,7 @@
 	return fmt.Sprintf("code %d", byte(c))
 }
 
-// Event is one decoded record. Code and Instance are always set; the other fields belong to the events named with them.
+// Event is one decoded record. Code and Instance are always set; each other field is set for the events in its comment.
 type Event struct {
 	Code      EventCode
 	Instance  uint32
@@ -65,7 +66,7 @@
 	Data      []byte                 // EventPeerMessage
 }
 
-// Batch is one round of events.
+// Batch holds the events of one frame. They all occur at the time Now.
 type Batch struct {
 	Now    balancer.Time
 	Events []Event
--- a/internal/simprotocol/reader.go
+++ b/internal/simprotocol/reader.go
@@ -14,46 +14,48 @@
 const (
 	frameHeaderSize  = 16
 	recordSize       = 48
-	maxFrameSize     = 1 << 30 // bytes; a greater length is taken as damage
+	maxFrameSize     = 1 << 30 // bytes; a frame with a greater length is treated as corrupt
 	maxEndpointLists = 16
 )
 
-// Reader reads batches from a stream. Numbered lists and each instance's load report fields are retained across batches.
+// Reader reads batches from a stream. It retains the numbered endpoint lists, and the names of each instance's load
+// report fields, across batches.
 type Reader struct {
 	input        io.Reader
 	buffer       bytes.Buffer
 	lists        [maxEndpointLists]endpointList
-	reportFields map[uint32][]string // by instance
+	reportFields map[uint32][]string // names of the fields in load reports, by instance
 }
 
-// endpointList is the list that an Inventory record has given under one number.
+// endpointList is the list that the last Inventory record with some number has defined.
 type endpointList struct {
-	defined   bool
+	defined   bool // there was such a record, and it is valid
 	endpoints []balancer.Endpoint
 }
 
-// NewReader returns a Reader on input.
+// NewReader returns a Reader that reads batches from input.
 func NewReader(input io.Reader) *Reader {
 	return &Reader{input: input, reportFields: map[uint32][]string{}}
 }
 
-// frameHeader is the head of a batch.
+// frameHeader is the decoded header of a frame. A frame holds one batch: a header, records, and a tail.
 type frameHeader struct {
-	size  int64 // of the records and the tail
+	size  int64 // bytes of the records and the tail together
 	now   balancer.Time
-	count int64 // of the records
+	count int64 // number of records
 }
 
-// Next reads a batch. It returns io.EOF only where a frame could start.
+// Next reads the next batch. It returns io.EOF if the input ends between two frames, and another error if it ends
+// within a frame.
 func (r *Reader) Next() (Batch, error) {
 	header, err := r.readHeader()
 	if err != nil {
 		return Batch{}, err
 	}
 	r.buffer.Reset()
-	// The buffer grows with what arrives, so a wrong length cannot claim memory.
+	// The buffer grows with the data that arrives, so a wrong length can't cause a large allocation.
 	if n, err := io.CopyN(&r.buffer, r.input, header.size); err != nil {
-		return Batch{}, fmt.Errorf("frame body: %d of %d bytes", n, header.size)
+		return Batch{}, fmt.Errorf("frame body: read only %d of %d bytes", n, header.size)
 	}
 	body := r.buffer.Bytes()
 	tail := body[header.count*recordSize:]
@@ -76,7 +78,7 @@
 		if errors.Is(err, io.EOF) {
 			return frameHeader{}, io.EOF
 		}
-		return frameHeader{}, fmt.Errorf("frame header: %d of %d bytes", n, frameHeaderSize)
+		return frameHeader{}, fmt.Errorf("frame header: read only %d of %d bytes", n, frameHeaderSize)
 	}
 	size := int64(binary.BigEndian.Uint32(raw[0:]))
 	now := binary.BigEndian.Uint64(raw[4:])
--- a/internal/simprotocol/record.go
+++ b/internal/simprotocol/record.go
@@ -11,29 +11,29 @@
 
 const (
 	listEntrySize = 25
-	byteUnitSize  = 1
+	byteUnitSize  = 1 // unit size of a tail section whose count is in bytes
 )
 
-// Flags of a Request record.
+// The flags of a Request record.
 const (
 	flagCostHint = 1 << iota
 	flagRetry
 )
 
-// Bounds of the codes of outcomes, which are multiples of outcomeCodeStep.
+// The valid outcome codes are the multiples of outcomeCodeStep from minOutcomeCode to maxOutcomeCode.
 const (
 	outcomeCodeStep = 10
 	minOutcomeCode  = 10
 	maxOutcomeCode  = 80
 )
 
-// maxReportValues bounds a load report.
+// maxReportValues is the maximum number of values in a load report.
 const maxReportValues = 4
 
-// notReported stands for a value that a load report does not hold.
+// notReported marks the fields of a balancer.LoadReport for which the load report has no value.
 const notReported = -1
 
-// decodeRecord decodes one record; the tail is what its offsets refer to.
+// decodeRecord decodes one record of a frame. Offsets in the record refer to the frame's tail.
 func (r *Reader) decodeRecord(record, tail []byte) (Event, error) {
 	fields := cursor{record}
 	event := Event{Code: EventCode(fields.uint8())}
@@ -44,7 +44,7 @@
 	return event, r.decodeEvent(&event, fields, tail)
 }
 
-// decodeEvent decodes the fields behind the instance.
+// decodeEvent decodes the fields of an event that follow the instance.
 func (r *Reader) decodeEvent(event *Event, fields cursor, tail []byte) error {
 	switch event.Code {
 	case EventStart:
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// decodeInventory retains an endpoint list under its number.
+// decodeInventory decodes an Inventory record and retains its endpoint list under the record's number.
 func (r *Reader) decodeInventory(fields cursor, tail []byte) error {
 	number := fields.uint16()
 	if number >= len(r.lists) {
@@ -217,7 +217,7 @@
 	if err != nil {
 		return err
 	}
-	event.Data = bytes.Clone(data) // the tail is overwritten by the next batch
+	event.Data = bytes.Clone(data) // the next batch overwrites the tail
 	return nil
 }
 
@@ -228,12 +228,12 @@
 	return balancer.Outcome(code), nil
 }
 
-// decodeLoadReport decodes a load report, whose values come in the order that the instance's settings give. It returns nil
-// where there is none.
+// decodeLoadReport decodes a load report, whose values are in the order of the field names in the instance's settings.
+// It returns nil if the record holds no load report.
 func (r *Reader) decodeLoadReport(instance uint32, fields cursor) (*balancer.LoadReport, error) {
 	count := int(fields.uint8())
 	if count > maxReportValues {
-		return nil, fmt.Errorf("load report of %d values", count)
+		return nil, fmt.Errorf("load report of %d values is too long", count)
 	}
 	if count == 0 {
 		return nil, nil
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -12,7 +12,7 @@
 	"tulipglade/internal/balancer"
 )
 
-// parseHex turns hand-written hex, with spaces and +N for zero bytes, into bytes.
+// parseHex parses hexadecimal bytes in words separated by white space. A word +N stands for N zero bytes.
 func parseHex(tb testing.TB, text string) []byte {
 	tb.Helper()
 	var out []byte
@@ -34,7 +34,7 @@
 	return out
 }
 
-// bootInfo is the settings of an instance.
+// bootInfo holds the settings of an instance in JSON, as the field boot_info of a PowerOn record has them.
 const bootInfo = `{"discovery":"ask","my_zone":1,"peers_total":4,"tick_us":5000,"novel":{"x":[1]},` +
 	`"orgs":[{"name":"a","share":0.6,"quota_per_s":10}],` +
 	`"profiles":[{"aim_us":500000,"deadline_us":1500000,"effect":"by_key","key_scope":"cell","window_us":1500000},` +
@@ -43,7 +43,7 @@
 	`"rules":{"cold_from":0.12,"ramp_time_us":24000000,"overload_factor":3.0,"fall_us":3000000,"ask_every_us":7},` +
 	`"report":{"fields":["utilization","backlog"],"how":"piggyback"}}`
 
-// buildFrame builds a batch: header, records of 48 bytes, tail.
+// buildFrame builds a frame from records of 48 bytes each, written for parseHex, and a tail.
 func buildFrame(tb testing.TB, tail []byte, records ...string) []byte {
 	tb.Helper()
 	var body []byte
@@ -61,7 +61,7 @@
 	return append(header, body...)
 }
 
-// startRecord returns a record that starts an instance, and the tail that it refers to.
+// startRecord returns a PowerOn record, which starts an instance, and the tail that its offset refers to.
 func startRecord() (record string, tail []byte) {
 	n := len(bootInfo)
 	return "10 00000003 0102030405060708 00000000 0000" + hex.EncodeToString([]byte{byte(n >> 8), byte(n)}) + " +27", []byte(bootInfo)
@@ -216,7 +216,7 @@
 	}
 	for i, want := range []balancer.EndpointID{1<<16 | 1, 2<<16 | 2, 2<<16 | 2} {
 		if got := append(b.Events, later.Events...)[i].Endpoints[0].ID; got != want {
-			t.Errorf("event %d names endpoint %x, want %x", i, got, want)
+			t.Errorf("event %d has endpoint %x, want %x", i, got, want)
 		}
 	}
 }
@@ -226,8 +226,8 @@
 		in      []byte
 		message string
 	}{
-		"short header":    {parseHex(t, "00000000 00"), "frame header: 5 of 16 bytes"},
-		"short body":      {parseHex(t, "00000030 0000000000000000 00000001 12"), "frame body: 1 of 48 bytes"},
+		"short header":    {parseHex(t, "00000000 00"), "frame header: read only 5 of 16 bytes"},
+		"short body":      {parseHex(t, "00000030 0000000000000000 00000001 12"), "frame body: read only 1 of 48 bytes"},
 		"count too large": {parseHex(t, "00000000 0000000000000000 ffffffff"), "4294967295 records"},
 		"length absurd":   {parseHex(t, "ffffffff 0000000000000000 00000000"), "length 4294967295"},
 		"unknown code":    {buildFrame(t, nil, "63 +47"), "record 0 at byte 16: unknown record code 99"},
@@ -237,7 +237,7 @@
 		"unknown list":    {buildFrame(t, nil, "11 00000003 01 0001 0000000000000000 +32"), "no Inventory with number 1"},
 		"unknown mode":    {buildFrame(t, nil, "11 00000003 09 0001 0000000000000000 +32"), "unknown mode 9"},
 		"unknown outcome": {buildFrame(t, nil, "14 00000003 00000001 0000 000b +35"), "unknown outcome 11"},
-		"long report":     {buildFrame(t, nil, "17 00000003 000a 00000000 0000 00000000 05 +30"), "report of 5 values"},
+		"long report":     {buildFrame(t, nil, "17 00000003 000a 00000000 0000 00000000 05 +30"), "load report of 5 values is too long"},
 		"bad settings":    {buildFrame(t, []byte("{]"), "10 00000003 +8 00000000 00000002 +27"), "boot_info"},
 		"unknown phase":   {buildFrame(t, parseHex(t, "07 +24"), "1a 0000 00000000 00000001 +37"), "unknown phase 7"},
 	} {
@@ -256,7 +256,7 @@
 	f.Add(parseHex(f, "ffffffff 0000000000000000 ffffffff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := NewReader(bytes.NewReader(in))
-		for range len(in) + 1 { // each frame takes at least a header
+		for range len(in) + 1 { // more than the number of frames in the input, as each has a header
 			b, err := r.Next()
 			if err != nil {
 				return
@@ -265,6 +265,6 @@
 				t.Fatal("more events than bytes")
 			}
 		}
-		t.Fatal("no end")
+		t.Fatal("reader returns more batches than the input has bytes")
 	})
 }
--- a/internal/simprotocol/writer.go
+++ b/internal/simprotocol/writer.go
@@ -12,14 +12,14 @@
 	replyHeaderSize = 8
 	commandSize     = 24
 
-	// commandFieldsOffset is the offset of the fields behind the code and the instance.
+	// commandFieldsOffset is the offset in a command of the fields that follow the code and the instance.
 	commandFieldsOffset = 5
 )
 
-// commandCode is the code of a record that the adapter sends.
+// commandCode is the code at the start of each record that the adapter sends. It identifies the command.
 type commandCode byte
 
-// The codes of commands; the comments give the records' names in the simulator's protocol.
+// The command codes. The comment on each gives the record's name in the simulator's protocol.
 const (
 	commandSetTimer       commandCode = 80 // WakeAt
 	commandFail           commandCode = 82 // FinishError
@@ -33,14 +33,15 @@
 	commandPollEndpoints  commandCode = 91 // Refresh
 )
 
-// Writer collects the commands of one reply.
+// Writer collects the commands of one reply, which is a frame of a header, records, and a tail. The zero value is ready
+// to use.
 type Writer struct {
 	count   uint32
 	records []byte
 	tail    []byte
 }
 
-// Flush writes the reply to output and starts the next one.
+// Flush writes the collected commands to output as one reply, and starts the next reply.
 func (w *Writer) Flush(output io.Writer) error {
 	size := len(w.records) + len(w.tail)
 	frame := make([]byte, replyHeaderSize, replyHeaderSize+size)
@@ -53,7 +54,7 @@
 	return err
 }
 
-// addCommand adds a command and returns its fields, all 0.
+// addCommand adds a command to the reply. It returns the bytes of the command's fields, all 0, for the caller to fill in.
 func (w *Writer) addCommand(code commandCode, instance uint32) []byte {
 	w.count++
 	start := len(w.records)
@@ -64,14 +65,14 @@
 	return record[commandFieldsOffset:]
 }
 
-// addRequestCommand adds a command whose first field is a request's ID, and returns the fields behind it.
+// addRequestCommand adds a command whose first field is a request's ID. It returns the bytes of the fields that follow.
 func (w *Writer) addRequestCommand(code commandCode, instance uint32, id balancer.RequestID) []byte {
 	fields := w.addCommand(code, instance)
 	binary.BigEndian.PutUint32(fields, uint32(id))
 	return fields[4:]
 }
 
-// addTextCommand adds a command whose fields are a section of the tail with a text.
+// addTextCommand adds a command with a text. The text goes into the tail, and the fields hold its offset and length.
 func (w *Writer) addTextCommand(code commandCode, instance uint32, text string) {
 	fields := w.addCommand(code, instance)
 	binary.BigEndian.PutUint32(fields, uint32(len(w.tail)))
@@ -79,12 +80,14 @@
 	w.tail = append(w.tail, text...)
 }
 
-// ReportFault reports that the decision module of an instance has panicked.
+// ReportFault adds a Fault record, which reports that the decision module of an instance has panicked. The text
+// describes the panic.
 func (w *Writer) ReportFault(instance uint32, text string) {
 	w.addTextCommand(commandFault, instance, text)
 }
 
-// InstanceCommands writes the commands of one Balancer. It implements balancer.Commands.
+// InstanceCommands implements balancer.Commands for the Balancer of one instance: it adds each command to the Writer's
+// reply.
 type InstanceCommands struct {
 	Writer *Writer
 	ID     uint32
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -129,7 +129,7 @@
 	}
 	l.HandleAddressChange(300, 5000)
 	if l.Valid(1000) {
-		t.Error("lease extended by a change of address")
+		t.Error("extended")
 	}
 	if l.Record(900, Answered, 900); !l.Valid(1000) {
 		t.Error("lease not renewed by a later answer")
@@ -139,7 +139,7 @@
 // TestLeaseWithoutDurationNeverExpires checks that a duration of 0 turns the limit on the list's age off.
 func TestLeaseWithoutDurationNeverExpires(t *testing.T) {
 	if l := NewLease(100, 0); !l.Valid(1<<60) || l.CanExpire() {
-		t.Error("a lease without a duration expires")
+		t.Error("expires")
 	}
 	if l := (Lease{}); !l.Valid(0) {
 		t.Error("the zero value of Lease expires")
