--- a/internal/balancer/learned.go
+++ b/internal/balancer/learned.go
@@ -67,8 +67,8 @@
 		ModeTime:     b.modeTime,
 		Overloaded:   b.overloadMode,
 	}
-	if b.listLease.Bounded() {
-		learned.ListLeaseRemaining = max(b.listLease.Until(b.now)-b.now, 0)
+	if b.listLease.CanExpire() {
+		learned.ListLeaseRemaining = max(b.listLease.ExpiresAt(b.now)-b.now, 0)
 	}
 	for _, endpoint := range b.endpoints {
 		endpoint.slowStart.count /= 2
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -12,7 +12,7 @@
 	if repeatsEndpoint {
 		return false
 	}
-	next := safety.Attempt{Made: made, Max: request.maxAttempts, InFlight: request.attemptsInFlight}
+	next := safety.AttemptLimits{Made: made, Max: request.maxAttempts, InFlight: request.attemptsInFlight}
 	if next.Check() != safety.Allowed || b.checkSend(request, endpoint, request.attempts) != safety.Allowed {
 		return false
 	}
@@ -21,13 +21,13 @@
 
 // checkSend asks internal/safety whether an attempt may be sent, given the attempts before it.
 func (b *Balancer) checkSend(request *openRequest, endpoint *endpointState, earlier []attempt) safety.Reason {
-	return safety.Send{
-		Now:         b.now,
-		Deadline:    request.deadline,
-		RequestDone: request.done || request.responseStarted,
-		ListCurrent: b.listLease.Valid(b.now),
-		Rules:       b.safetyRules(request),
-		Prior:       firstThatMayHaveRun(earlier),
+	return safety.SendConditions{
+		Now:               b.now,
+		Deadline:          request.deadline,
+		RequestDone:       request.done || request.responseStarted,
+		ListCurrent:       b.listLease.Valid(b.now),
+		IdempotencyPolicy: b.safetyRules(request),
+		Prior:             firstThatMayHaveRun(earlier),
 		Backend: safety.Backend{
 			InService: endpoint.Phase == PhaseReady,
 			Zone:      endpoint.Zone,
@@ -38,9 +38,9 @@
 
 // safetyRules are those of a request's class. A part of the idempotency window is kept for the way to the
 // endpoint.
-func (b *Balancer) safetyRules(request *openRequest) safety.Rules {
+func (b *Balancer) safetyRules(request *openRequest) safety.IdempotencyPolicy {
 	class := &b.config.Classes[request.class]
-	return safety.Rules{
+	return safety.IdempotencyPolicy{
 		Idempotency: class.Idempotency,
 		KeyScope:    class.KeyScope,
 		Window:      class.IdempotencyWindow,
