--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -158,7 +158,7 @@
 		return err
 	}
 	s.listener = &node.GatedListener{Listener: listener}
-	s.eventLoop, err = s.node.Serve()
+	s.eventLoop, err = s.node.NewClientEventLoop()
 	if err != nil {
 		return fmt.Errorf("serve: %w", err)
 	}
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -45,8 +45,8 @@
 	idleSince         int64
 }
 
-// Serve returns the event loop of the poller that accepts clients.
-func (n *Node) Serve() (netpoll.EventLoop, error) {
+// NewClientEventLoop returns the event loop of the poller that accepts clients.
+func (n *Node) NewClientEventLoop() (netpoll.EventLoop, error) {
 	type key struct{}
 	return netpoll.NewEventLoop(
 		func(ctx context.Context, conn netpoll.Connection) error {
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop, err := n.Serve()
+	loop, err := n.NewClientEventLoop()
 	if err != nil {
 		t.Fatal(err)
 	}
