--- a/internal/node/readlimit.go
+++ b/internal/node/readlimit.go
@@ -28,8 +28,8 @@
 
 // readBudget bounds what the poller has read for all connections of a node and the event loop has not processed.
 type readBudget struct {
-	buffers int64 // how many there may be
-	used    atomic.Int64
+	maxBuffers  int64 // how many there may be
+	usedBuffers atomic.Int64
 }
 
 // newReadBudget returns the budget of a node with a memory limit in bytes; 0: it has none.
@@ -37,7 +37,7 @@
 	if memoryLimit <= 0 {
 		memoryLimit = defaultUnprocessedMemory * unprocessedMemoryDivisor
 	}
-	return &readBudget{buffers: memoryLimit / unprocessedMemoryDivisor / protocol.BufferSize}
+	return &readBudget{maxBuffers: memoryLimit / unprocessedMemoryDivisor / protocol.BufferSize}
 }
 
 // readLimiter makes the poller stop reading a connection while the event loop is behind with its input, or has
@@ -47,18 +47,18 @@
 	budget *readBudget
 	conn   netpoll.Connection
 
-	deniedAt uint64 // the count of pauses when the poller was last told not to read it; only the poller uses it
+	lastDeniedPause uint64 // the count of pauses when the poller was last told not to read it; only the poller uses it
 
-	mu      sync.Mutex
-	unread  int  // bytes that the poller has read and nobody has taken
-	posted  int  // pieces that are posted to the event loop
-	charged int  // buffers that count against the budget
-	stopped bool // nothing more is to be read for now
-	ended   bool // the connection has ended: what is read no longer counts
+	mu             sync.Mutex
+	unread         int  // bytes that the poller has read and nobody has taken
+	postedPieces   int  // pieces that are posted to the event loop
+	chargedBuffers int  // buffers that count against the budget
+	stopped        bool // nothing more is to be read for now
+	ended          bool // the connection has ended: what is read no longer counts
 }
 
-// limitReads puts a limiter between the poller and a connection on which no request callback is set.
-func limitReads(conn netpoll.Connection, budget *readBudget) (*readLimiter, error) {
+// installReadLimiter puts a limiter between the poller and a connection on which no request callback is set.
+func installReadLimiter(conn netpoll.Connection, budget *readBudget) (*readLimiter, error) {
 	operator, err := operatorOf(conn)
 	if err != nil {
 		return nil, err
@@ -68,20 +68,20 @@
 		return nil, err
 	}
 	defer unlock()
-	limiter := &readLimiter{budget: budget, conn: conn, deniedAt: math.MaxUint64}
+	limiter := &readLimiter{budget: budget, conn: conn, lastDeniedPause: math.MaxUint64}
 	inputs, acknowledge := operator.Inputs, operator.InputAck
-	operator.Inputs = func(vectors [][]byte) [][]byte { return limiter.space(inputs, vectors) }
+	operator.Inputs = func(vectors [][]byte) [][]byte { return limiter.limitInputs(inputs, vectors) }
 	operator.InputAck = func(n int) error {
-		limiter.received(n)
+		limiter.recordRead(n)
 		return acknowledge(n)
 	}
 	return limiter, nil
 }
 
-// space returns where the poller may read to, which is nowhere while the connection may not be read. If the peer has
+// limitInputs returns where the poller may read to, which is nowhere while the connection may not be read. If the peer has
 // ended the connection, all is read, as netpoll drops what it leaves: that is no more than the kernel's buffer.
-func (l *readLimiter) space(inputs func([][]byte) [][]byte, vectors [][]byte) [][]byte {
-	allowed := l.allowance()
+func (l *readLimiter) limitInputs(inputs func([][]byte) [][]byte, vectors [][]byte) [][]byte {
+	allowed := l.allowedBytes()
 	if allowed > 0 {
 		vectors = inputs(vectors)
 		vectors[0] = vectors[0][:min(len(vectors[0]), allowed)]
@@ -94,50 +94,50 @@
 	return inputs(vectors)
 }
 
-// allowance is how many bytes may be read now.
-func (l *readLimiter) allowance() int {
+// allowedBytes is how many bytes may be read now.
+func (l *readLimiter) allowedBytes() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.stopped, l.posted >= maxPostedPieces, l.unread == 0 && l.budget.used.Load() >= l.budget.buffers:
+	case l.stopped, l.postedPieces >= maxPostedPieces, l.unread == 0 && l.budget.usedBuffers.Load() >= l.budget.maxBuffers:
 		return 0
 	}
 	return protocol.BufferSize - l.unread
 }
 
-// received counts what the poller has read.
-func (l *readLimiter) received(n int) {
+// recordRead counts what the poller has read.
+func (l *readLimiter) recordRead(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if n <= 0 || l.ended {
 		return
 	}
 	l.unread += n
-	l.charge()
+	l.updateBudget()
 }
 
-// delivered counts a piece of so many bytes as posted to the event loop.
-func (l *readLimiter) delivered(n int) {
+// recordPosted counts a piece of so many bytes as posted to the event loop.
+func (l *readLimiter) recordPosted(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unread = max(l.unread-n, 0) // what was read before the limiter was there has not been counted
-	l.posted++
-	l.charge()
+	l.postedPieces++
+	l.updateBudget()
 }
 
-// processed counts a posted piece as processed.
-func (l *readLimiter) processed() {
+// recordProcessed counts a posted piece as processed.
+func (l *readLimiter) recordProcessed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.posted--
-	l.charge()
+	l.postedPieces--
+	l.updateBudget()
 }
 
-// charge brings the budget up to what this connection holds.
-func (l *readLimiter) charge() {
-	held := l.posted + (l.unread+protocol.BufferSize-1)/protocol.BufferSize
-	l.budget.used.Add(int64(held - l.charged))
-	l.charged = held
+// updateBudget brings the budget up to what this connection holds.
+func (l *readLimiter) updateBudget() {
+	held := l.postedPieces + (l.unread+protocol.BufferSize-1)/protocol.BufferSize
+	l.budget.usedBuffers.Add(int64(held - l.chargedBuffers))
+	l.chargedBuffers = held
 }
 
 // setStopped stops or resumes reading.
@@ -147,29 +147,29 @@
 	l.stopped = stopped
 }
 
-// end returns what nobody will take to the budget. What is posted counts until it is processed.
-func (l *readLimiter) end() {
+// recordEnd returns what nobody will take to the budget. What is posted counts until it is processed.
+func (l *readLimiter) recordEnd() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ended, l.unread = true, 0
-	l.charge()
+	l.updateBudget()
 }
 
 // pollerPause is how long the poller waits before it looks again at connections that it may not read. It must not spin:
 // the event loop, on which it waits, may have but a part of one core with it.
 const pollerPause = 500 * time.Microsecond
 
-// pollerPauses counts the pauses. Only the poller's goroutine uses it, and the counts that limiters keep of it.
-var pollerPauses uint64
+// pollerPauseCount counts the pauses. Only the poller's goroutine uses it, and the counts that limiters keep of it.
+var pollerPauseCount uint64
 
 // waitForEventLoop is called each time that the connection may not be read. It pauses if the poller has found that before
 // since the last pause: once for all connections in each round of the poller.
 func (l *readLimiter) waitForEventLoop() {
-	if l.deniedAt == pollerPauses {
+	if l.lastDeniedPause == pollerPauseCount {
 		time.Sleep(pollerPause)
-		pollerPauses++
+		pollerPauseCount++
 	}
-	l.deniedAt = pollerPauses
+	l.lastDeniedPause = pollerPauseCount
 }
 
 // errNoOperator reports that netpoll's connection has a form that this package does not know.
--- a/internal/node/readlimit_test.go
+++ b/internal/node/readlimit_test.go
@@ -13,11 +13,11 @@
 	budget := newReadBudget(buffers * protocol.BufferSize * unprocessedMemoryDivisor)
 	for range buffers {
 		limiter := &readLimiter{budget: budget}
-		limiter.received(100)
-		limiter.delivered(100)
+		limiter.recordRead(100)
+		limiter.recordPosted(100)
 	}
 	waiting := &readLimiter{budget: budget}
-	if allowed := waiting.allowance(); allowed != 0 {
+	if allowed := waiting.allowedBytes(); allowed != 0 {
 		t.Errorf("%d bytes may be read beyond the budget", allowed)
 	}
 }
@@ -26,19 +26,25 @@
 // would stop the poller for good.
 func TestReadBudgetIsReturned(t *testing.T) {
 	for name, use := range map[string]func(*readLimiter){
-		"processed":                    func(l *readLimiter) { l.received(100); l.delivered(100); l.processed() },
-		"in two pieces":                func(l *readLimiter) { l.received(200); l.delivered(50); l.delivered(150); l.processed(); l.processed() },
-		"ended with unread input":      func(l *readLimiter) { l.received(100); l.end() },
-		"ended before it is processed": func(l *readLimiter) { l.received(100); l.delivered(60); l.end(); l.processed() },
-		"read after its end":           func(l *readLimiter) { l.end(); l.received(100) },
-		"read before the limiter":      func(l *readLimiter) { l.delivered(100); l.processed() },
+		"processed": func(l *readLimiter) { l.recordRead(100); l.recordPosted(100); l.recordProcessed() },
+		"in two pieces": func(l *readLimiter) {
+			l.recordRead(200)
+			l.recordPosted(50)
+			l.recordPosted(150)
+			l.recordProcessed()
+			l.recordProcessed()
+		},
+		"ended with unread input":      func(l *readLimiter) { l.recordRead(100); l.recordEnd() },
+		"ended before it is processed": func(l *readLimiter) { l.recordRead(100); l.recordPosted(60); l.recordEnd(); l.recordProcessed() },
+		"read after its end":           func(l *readLimiter) { l.recordEnd(); l.recordRead(100) },
+		"read before the limiter":      func(l *readLimiter) { l.recordPosted(100); l.recordProcessed() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			budget := newReadBudget(0)
 			limiter := &readLimiter{budget: budget}
 			use(limiter)
-			if used := budget.used.Load(); used != 0 {
-				t.Errorf("%d buffers are still charged", used)
+			if usedBuffers := budget.usedBuffers.Load(); usedBuffers != 0 {
+				t.Errorf("%d buffers are still charged", usedBuffers)
 			}
 		})
 	}
@@ -48,11 +54,11 @@
 func TestStoppedConnectionIsNotRead(t *testing.T) {
 	limiter := &readLimiter{budget: newReadBudget(0)}
 	limiter.setStopped(true)
-	if allowed := limiter.allowance(); allowed != 0 {
+	if allowed := limiter.allowedBytes(); allowed != 0 {
 		t.Errorf("%d bytes may be read while it is stopped", allowed)
 	}
 	limiter.setStopped(false)
-	if allowed := limiter.allowance(); allowed != protocol.BufferSize {
+	if allowed := limiter.allowedBytes(); allowed != protocol.BufferSize {
 		t.Errorf("%d bytes may be read", allowed)
 	}
 }
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -34,7 +34,7 @@
 // takeOver prepares a new connection of the poller, before any callback for its input is set: it limits what the
 // poller reads ahead, and registers the callback for the end of the connection.
 func (s *socket) takeOver(budget *readBudget, onClosed func()) error {
-	limiter, err := limitReads(s.conn, budget)
+	limiter, err := installReadLimiter(s.conn, budget)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 		_ = c.SetOnDisconnect(func(context.Context, netpoll.Connection) { s.closedByPoller.Store(true) })
 	}
 	return s.conn.AddCloseCallback(func(conn netpoll.Connection) error {
-		limiter.end()
+		limiter.recordEnd()
 		s.mu.Lock()
 		s.transportClosed = true
 		onDetached := s.onDetached
@@ -172,13 +172,13 @@
 		return err
 	}
 	limiter := s.limiter
-	limiter.delivered(b.length)
+	limiter.recordPosted(b.length)
 	pollerBacklog.Add(1)
 	node.report(reportInput, func() {
 		s.inputInTransit.Add(-1)
 		pollerBacklog.Add(-1)
 		receive(b)
-		limiter.processed()
+		limiter.recordProcessed()
 	})
 	return nil
 }
