--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -116,11 +116,11 @@
 // hasTooManyRequests reports whether the node has no capacity for another request.
 func (n *Node) hasTooManyRequests() bool {
 	limit := n.settings.MaxInFlight
-	return limit > 0 && n.openRequests >= limit || len(n.requestIDsInUse) >= maxRequestIDsInUse
+	return limit > 0 && n.openRequests >= limit || len(n.requestIDsInUse) >= maxTraceIDsInUse
 }
 
-// maxRequestIDsInUse bounds the trace IDs that are remembered.
-const maxRequestIDsInUse = 1 << 14
+// maxTraceIDsInUse bounds the trace IDs that are remembered.
+const maxTraceIDsInUse = 1 << 14
 
 // parseSizeHint reads a client's estimate of the work, in microseconds; 0: none. A value that is not a positive
 // 32-bit number counts as none, as it is no reason to reject a request.
--- a/internal/node/arrivals.go
+++ b/internal/node/arrivals.go
@@ -5,7 +5,7 @@
 // arrival is when the input of a connection up to some byte was received, kept while requests in it wait for earlier
 // answers.
 type arrival struct {
-	upToByte   int
+	endOffset  int
 	receivedAt int64
 }
 
@@ -20,7 +20,7 @@
 		c.arrivals = c.arrivals[:0]
 	}
 	if last := len(c.arrivals) - 1; last >= 0 && receivedAt-c.arrivals[last].receivedAt < arrivalMergeInterval {
-		c.arrivals[last].upToByte = c.receivedBytes
+		c.arrivals[last].endOffset = c.receivedBytes
 		return
 	}
 	c.arrivals = append(c.arrivals, arrival{c.receivedBytes, receivedAt})
@@ -28,8 +28,8 @@
 
 // arrivalTime returns when the last byte before so many others was received: a request's deadline counts from its own
 // last byte, also if it has waited behind another.
-func (c *clientConn) arrivalTime(behind int) (receivedAt int64) {
-	index := slices.IndexFunc(c.arrivals, func(arrived arrival) bool { return arrived.upToByte >= c.receivedBytes-behind })
+func (c *clientConn) arrivalTime(bytesAfter int) (receivedAt int64) {
+	index := slices.IndexFunc(c.arrivals, func(arrived arrival) bool { return arrived.endOffset >= c.receivedBytes-bytesAfter })
 	if index < 0 {
 		return c.node.now()
 	}
--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -164,7 +164,7 @@
 				att.request.clientConn.headContentLength = protocol.UntilClose
 			}
 		}
-		n.answer(att.request, in.retain(), 200, msg.Fields, msg.Body(in.bytes()), 0)
+		n.answerRequest(att.request, in.retain(), 200, msg.Fields, msg.Body(in.bytes()), 0)
 	}
 	n.completeAttempt(att, result, report)
 	in.release()
--- a/internal/node/clientanswer.go
+++ b/internal/node/clientanswer.go
@@ -9,8 +9,8 @@
 	"tulipglade/internal/protocol"
 )
 
-// reply writes an answer. It retains source, into which fields and body point, until that is done.
-func (c *clientConn) reply(source *buffer, status int, fields []protocol.Field, body []byte, retryAfter int64) {
+// writeAnswer writes an answer. It retains source, into which fields and body point, until that is done.
+func (c *clientConn) writeAnswer(source *buffer, status int, fields []protocol.Field, body []byte, retryAfter int64) {
 	c.request = nil
 	if c.state == clientClosed {
 		source.release()
@@ -21,7 +21,7 @@
 	c.node.answersInProgress++
 	head := newBuffer()
 	size := len(body)
-	if c.headRequest {
+	if c.isHeadRequest {
 		if body = nil; status == 200 {
 			size = c.headContentLength
 		}
@@ -57,12 +57,12 @@
 	return closeWriteFailed
 }
 
-// rejectUnreadable answers what can't be parsed, after which the connection closes.
-func (c *clientConn) rejectUnreadable(status int, reason string) {
+// rejectInput answers what can't be parsed, after which the connection closes.
+func (c *clientConn) rejectInput(status int, reason string) {
 	c.setIdle(false)
 	c.closeAfterAnswer = true
 	c.setState(clientLingering)
 	c.input.release()
 	c.input = nil
-	c.reply(nil, status, nil, []byte(reason+"\n"), 0)
+	c.writeAnswer(nil, status, nil, []byte(reason+"\n"), 0)
 }
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -26,7 +26,7 @@
 	closeAfterAnswer  bool     // the connection closes behind this answer
 	continueSent      bool     // 100 Continue has been written for the request that is being read
 	discardedBytes    int      // input that was discarded while lingering
-	surplus           bool     // it was accepted beyond the descriptor limit
+	acceptedOverLimit bool     // it was accepted beyond the descriptor limit
 	hasSentRequest    bool     // a complete request, or the head of a large one, has come
 	idleElement       *list.Element
 	idleList          *list.List // the list that holds idleElement: newClients, idleClients or lingeringClients
@@ -37,8 +37,8 @@
 	arrivals          []arrival
 	upload            *upload      // the request that is being read is too large to be buffered
 	downloadConn      *backendConn // forwards an answer that is too large to be buffered
-	http10            bool         // the request came as HTTP/1.0
-	headRequest       bool         // the request is a HEAD: its answer has no body
+	isHTTP10          bool         // the request came as HTTP/1.0
+	isHeadRequest     bool         // the request is a HEAD: its answer has no body
 	headContentLength int          // length that a backend states in answer to a HEAD
 	headCompleteAt    int64        // when the head of the request that is being read was complete; 0: it is not
 	requestStartedAt  int64        // when the request that is being read began; at first, when the connection was accepted
@@ -94,7 +94,7 @@
 		c.close(closeNoDescriptor)
 		return
 	}
-	c.surplus = c.node.surplusDescriptors(0) > 0
+	c.acceptedOverLimit = c.node.surplusDescriptors(0) > 0
 	c.setIdle(true) // at the end of a shutdown, checkDrained closes it unless a request has come
 }
 
@@ -155,15 +155,15 @@
 func (c *clientConn) onClosed(n *Node) func() {
 	return func() {
 		c.disconnectedAt.Store(n.now())
-		n.report(reportClosed, func() { c.disconnected(closePeerEnded) })
+		n.report(reportClosed, func() { c.handleDisconnect(closePeerEnded) })
 	}
 }
 
-// disconnected processes the end of the connection.
-func (c *clientConn) disconnected(reason closeReason) {
+// handleDisconnect processes the end of the connection.
+func (c *clientConn) handleDisconnect(reason closeReason) {
 	req := c.request
 	c.close(reason)
 	if c.request = nil; req != nil {
-		c.node.clientDisconnected(req)
+		c.node.cancelRequest(req)
 	}
 }
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -144,7 +144,7 @@
 		"idle for too long": func(n *Node, c *clientConn) { c.idleSince = n.now() - maxClientIdleTime; n.closeStalledClients() },
 		"too many idle": func(n *Node, c *clientConn) {
 			// One more than may be idle, each used later than the one before.
-			for k := range (reservedDescriptors + minServingDescriptors) / idleClientFraction {
+			for k := range (reservedDescriptors + minServingDescriptors) / idleClientLimitDivisor {
 				other := &clientConn{node: n, hasSentRequest: true}
 				other.conn, other.idleSince = c.conn, n.now()+int64(k)
 				n.clients[other] = struct{}{}
--- a/internal/node/clientidle.go
+++ b/internal/node/clientidle.go
@@ -33,7 +33,7 @@
 			c.idleList = &c.node.newClients
 		}
 		c.idleElement, c.idleSince = c.idleList.PushBack(c), c.node.now()
-		limit := c.node.descriptorLimit() / idleClientFraction
+		limit := c.node.descriptorLimit() / idleClientLimitDivisor
 		if c.hasSentRequest && c.state != clientLingering && limit > 0 && c.idleList.Len() > limit {
 			if oldest := c.node.oldestIdleClient(c.idleList, 0); oldest != nil && oldest != c {
 				oldest.closeGracefully(closeTooManyIdle)
@@ -42,10 +42,10 @@
 	}
 }
 
-// idleClientFraction is the divisor of the descriptor limit that gives the most connections which may be between two
+// idleClientLimitDivisor is the divisor of the descriptor limit that gives the most connections which may be between two
 // requests. Clients have at most a third of all descriptors: full of connections that are not used any more, that
 // would keep new clients out.
-const idleClientFraction = 6
+const idleClientLimitDivisor = 6
 
 // mayClose reports whether the connection may be closed between two requests, and if not, why: input that has not
 // been parsed asks for an answer.
@@ -69,12 +69,12 @@
 			case client.state == clientLingering:
 			case client.mayClose() != safety.Allowed: // a request is coming in right now
 			case client.input != nil && client.headCompleteAt == 0 && now-client.requestStartedAt >= headTimeout,
-				client.input != nil && client.headCompleteAt > 0 && now-client.headCompleteAt >= maxBodyTime(client.input.length):
-				client.rejectUnreadable(408, "request not complete in time")
+				client.input != nil && client.headCompleteAt > 0 && now-client.headCompleteAt >= maxBodyDuration(client.input.length):
+				client.rejectInput(408, "request not complete in time")
 			case client.input != nil:
 			case !client.hasSentRequest && now-client.requestStartedAt >= headTimeout, idleTime >= maxClientIdleTime:
 				client.closeGracefully(closeNoRequest)
-			case client.hasSentRequest && idleTime >= minClientIdleTime && n.hasManyClients():
+			case client.hasSentRequest && idleTime >= minClientIdleTime && n.clientsExceedDescriptorShare():
 				// More connections than clients need for their requests, idle ones included.
 				client.closeGracefully(closeTooManyIdle)
 			}
@@ -82,14 +82,14 @@
 	}
 }
 
-// hasManyClients reports whether clients have more than a third of the descriptors.
-func (n *Node) hasManyClients() bool {
+// clientsExceedDescriptorShare reports whether clients have more than a third of the descriptors.
+func (n *Node) clientsExceedDescriptorShare() bool {
 	limit := n.descriptorLimit()
 	return limit > 0 && len(n.clients) > limit/3
 }
 
-// maxBodyTime is how long the body of a buffered request may take of which so many bytes have come, in microseconds.
-func maxBodyTime(received int) int64 {
+// maxBodyDuration is how long the body of a buffered request may take of which so many bytes have come, in microseconds.
+func maxBodyDuration(received int) int64 {
 	return bodyTimeout + int64(float64(received)*1e6/(minBodyRate*bodyRateTolerance))
 }
 
--- a/internal/node/clientinput.go
+++ b/internal/node/clientinput.go
@@ -119,7 +119,7 @@
 	}
 	switch {
 	case err != nil:
-		c.rejectUnreadable(protocol.RejectionStatus(err), err.Error())
+		c.rejectInput(protocol.RejectionStatus(err), err.Error())
 	case complete:
 		c.hasSentRequest = true
 		c.setIdle(false)
@@ -155,25 +155,25 @@
 	}
 	msg := c.message
 	c.message, c.continueSent = protocol.Message{}, false
-	c.http10, c.headRequest = msg.OldVersion(), string(msg.Method) == "HEAD"
+	c.isHTTP10, c.isHeadRequest = msg.OldVersion(), string(msg.Method) == "HEAD"
 	c.headContentLength = protocol.UntilClose
 	if string(msg.Path()) == "/ready" {
 		buf.release()
 		if !c.node.ready() {
-			c.reply(nil, 503, nil, []byte("not ready\n"), 0)
+			c.writeAnswer(nil, 503, nil, []byte("not ready\n"), 0)
 		} else {
-			c.reply(nil, 200, nil, []byte("ready\n"), 0)
+			c.writeAnswer(nil, 200, nil, []byte("ready\n"), 0)
 		}
 		return
 	}
 	if c.node.drain.rejecting || c.node.drain.closingAll { // late in a shutdown no client may wait
 		c.closeAfterAnswer = true
-		c.reply(buf, 503, nil, []byte("not in service\n"), 0)
+		c.writeAnswer(buf, 503, nil, []byte("not in service\n"), 0)
 		return
 	}
 	if c.isFull() {
 		c.closeAfterAnswer = true
-		c.reply(buf, 503, nil, []byte("no descriptor\n"), 0)
+		c.writeAnswer(buf, 503, nil, []byte("no descriptor\n"), 0)
 		return
 	}
 	req, rejected := c.node.admit(&msg, buf, arrivedAt)
@@ -181,9 +181,9 @@
 		// A client whose request is invalid loses its connection. An answer to HEAD has no body: the text of a
 		// rejection would be read as the next answer.
 		c.closeAfterAnswer = c.closeAfterAnswer || rejected.status != 503
-		c.reply(buf, rejected.status, nil, []byte(rejected.reason+"\n"), 0)
+		c.writeAnswer(buf, rejected.status, nil, []byte(rejected.reason+"\n"), 0)
 		return
 	}
 	req.clientConn, c.request = c, req
-	c.node.submit(req)
+	c.node.submitRequest(req)
 }
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -49,7 +49,7 @@
 // Reject implements balancer.Commands: it answers that a retry does no harm.
 func (n *Node) Reject(id balancer.RequestID, retryAfter balancer.Span) {
 	if req := n.requests[id]; req != nil {
-		n.answer(req, nil, 503, nil, []byte("refused\n"), retryAfter)
+		n.answerRequest(req, nil, 503, nil, []byte("refused\n"), retryAfter)
 	}
 }
 
@@ -63,7 +63,7 @@
 	if req.pendingAttempts > 0 { // an attempt is still in flight: nothing came in time
 		status = 504
 	}
-	n.answer(req, nil, status, nil, []byte("failed\n"), 0)
+	n.answerRequest(req, nil, status, nil, []byte("failed\n"), 0)
 }
 
 // SetTimer implements balancer.Commands.
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -48,11 +48,11 @@
 // isFull reports whether a request on a connection that was accepted beyond the descriptor limit must be rejected: all
 // others are busy, beyond answers that are on their way out.
 func (c *clientConn) isFull() bool {
-	if !c.surplus {
+	if !c.acceptedOverLimit {
 		return false
 	}
-	c.surplus = !c.node.closeIdleConnections(0)
-	return c.surplus && c.node.surplusDescriptors(0) > c.node.answersBeingWritten()
+	c.acceptedOverLimit = !c.node.closeIdleConnections(0)
+	return c.acceptedOverLimit && c.node.surplusDescriptors(0) > c.node.answersBeingWritten()
 }
 
 // answersBeingWritten counts the connections whose answer has been passed to a writer that has not reported its end.
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -52,7 +52,7 @@
 // requests, those idle for longest close once there are many.
 func TestIdleConnectionsAreLimited(t *testing.T) {
 	targets := newTestBackend(t, serve).targets()
-	n, addr := startNode(t, targets, func(s *Settings) { s.MaxDescriptors = 10 * idleClientFraction })
+	n, addr := startNode(t, targets, func(s *Settings) { s.MaxDescriptors = 10 * idleClientLimitDivisor })
 	callers := make([]*testClient, 15)
 	for i := range callers {
 		callers[i] = dialNode(t, addr)
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -89,7 +89,7 @@
 func (n *Node) forwardDownload(conn *backendConn, client *clientConn, fwd *forwarder) {
 	length := fwd.message.Length()
 	switch {
-	case length < 0 && client.http10:
+	case length < 0 && client.isHTTP10:
 		length = protocol.UntilClose
 		client.closeAfterAnswer = true
 	case length < 0:
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -54,7 +54,7 @@
 		}
 		n.balancer.ImportState(n.now(), state.Learned)
 		for id, expiresAt := range state.RequestIDs {
-			if _, inUse := n.requestIDsInUse[id]; inUse || expiresAt < n.now() || len(n.requestIDsInUse) >= maxRequestIDsInUse {
+			if _, inUse := n.requestIDsInUse[id]; inUse || expiresAt < n.now() || len(n.requestIDsInUse) >= maxTraceIDsInUse {
 				continue
 			}
 			n.requestIDsInUse[id] = struct{}{}
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -23,8 +23,8 @@
 	state           requestState
 }
 
-// submit hands a request to the balancer.
-func (n *Node) submit(req *request) {
+// submitRequest hands a request to the balancer.
+func (n *Node) submitRequest(req *request) {
 	n.setRequestState(req, requestOpen)
 	n.openRequests++
 	n.requests[req.id] = req
@@ -53,7 +53,7 @@
 	delete(n.requestIDsInUse, traceID)
 	if req != nil && !req.isDone() { // the balancer should have answered; the client must not wait for ever
 		n.log.Error("request overdue", "request_id", req.id, "attempts", len(req.attempts))
-		n.answer(req, nil, 504, nil, []byte("overdue\n"), 0)
+		n.answerRequest(req, nil, 504, nil, []byte("overdue\n"), 0)
 		n.balancer.HandleCancellation(n.now(), req.id)
 	}
 }
@@ -61,11 +61,11 @@
 // overdueCheckInterval is the time between two checks of a request that is still being uploaded, in microseconds.
 const overdueCheckInterval = 1_000_000
 
-// answer gives a request its one answer; source is the buffer into which fields and body point.
-func (n *Node) answer(req *request, source *buffer, status int, fields []protocol.Field, body []byte, retryAfter int64) {
+// answerRequest gives a request its one answer; source is the buffer into which fields and body point.
+func (n *Node) answerRequest(req *request, source *buffer, status int, fields []protocol.Field, body []byte, retryAfter int64) {
 	if n.finishRequest(req) {
 		n.traceRequest(req, "request answered", "status", status, "attempts", len(req.attempts))
-		req.clientConn.reply(source, status, fields, body, retryAfter)
+		req.clientConn.writeAnswer(source, status, fields, body, retryAfter)
 	} else {
 		source.release()
 	}
@@ -114,8 +114,8 @@
 	}
 }
 
-// clientDisconnected cancels a request whose client has disconnected.
-func (n *Node) clientDisconnected(req *request) {
+// cancelRequest cancels a request whose client has disconnected.
+func (n *Node) cancelRequest(req *request) {
 	if n.finishRequest(req) {
 		n.traceRequest(req, "client disconnected", "attempts", len(req.attempts))
 		n.balancer.HandleCancellation(n.now(), req.id)
@@ -129,6 +129,6 @@
 	if req.clientConn == nil || !req.clientConn.peerHasEnded() {
 		return false
 	}
-	n.deferred = append(n.deferred, func() { req.clientConn.disconnected(closePeerEnded) })
+	n.deferred = append(n.deferred, func() { req.clientConn.handleDisconnect(closePeerEnded) })
 	return true
 }
--- a/internal/node/requesttrace.go
+++ b/internal/node/requesttrace.go
@@ -7,8 +7,8 @@
 	"tulipglade/internal/safety"
 )
 
-// logWithheld traces an attempt that was decided on and may not start any more.
-func (n *Node) logWithheld(att *attempt, reason safety.Reason) {
+// traceWithheldAttempt traces an attempt that was decided on and may not start any more.
+func (n *Node) traceWithheldAttempt(att *attempt, reason safety.Reason) {
 	n.traceRequest(att.request, "attempt withheld", "attempt", att.number, "endpoint", att.endpoint.address, "reason", reason.String())
 }
 
--- a/internal/node/sendrequest.go
+++ b/internal/node/sendrequest.go
@@ -23,7 +23,7 @@
 		reason = n.balancer.MayStartAttempt(n.now(), att.request.id, att.number)
 	}
 	if reason != safety.Allowed {
-		n.logWithheld(att, reason)
+		n.traceWithheldAttempt(att, reason)
 	}
 	return reason
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -23,7 +23,7 @@
 	n.post(func() {
 		for c := range n.clients {
 			c.setIdle(false)
-			c.reply(nil, 200, nil, nil, 0)
+			c.writeAnswer(nil, 200, nil, nil, 0)
 		}
 		n.Drain(0, func() { close(done) })
 	})
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -47,7 +47,7 @@
 		if descriptor != nil {
 			_ = descriptor.Close()
 		}
-		c.disconnected(closePollerFailed)
+		c.handleDisconnect(closePollerFailed)
 		return
 	}
 	c.useDescriptor(descriptor)
@@ -57,15 +57,15 @@
 	up.earlyInput = append([][]byte{bytes.Clone(msg.Rest(buf.bytes()))}, append(up.earlyInput, rest)...)
 	up.tail = msg.Tail()
 	c.closeAfterAnswer = c.closeAfterAnswer || !msg.KeepAlive
-	c.http10, c.headRequest, c.headCompleteAt = msg.OldVersion(), false, 0
+	c.isHTTP10, c.isHeadRequest, c.headCompleteAt = msg.OldVersion(), false, 0
 	if n.drain.rejecting || n.drain.closingAll || n.activeForwarders >= n.maxForwarders() || c.isFull() {
-		c.reply(buf, 503, nil, []byte("no room for a large request\n"), 0)
+		c.writeAnswer(buf, 503, nil, []byte("no room for a large request\n"), 0)
 		return
 	}
 	req, rejected := n.admit(&msg, buf, up.lastByte.after)
 	if rejected != nil {
 		c.closeAfterAnswer, up.rejected = true, rejected.status != 503
-		c.reply(buf, rejected.status, nil, []byte(rejected.reason+"\n"), 0)
+		c.writeAnswer(buf, rejected.status, nil, []byte(rejected.reason+"\n"), 0)
 		return
 	}
 	req.upload, req.clientConn, c.request = up, c, req
@@ -74,7 +74,7 @@
 	if up.lastByte.by == 0 {
 		req.deadline = n.answerDeadline(n.now(), up.lastByte.after+req.uploadTimeout)
 	}
-	n.submit(req)
+	n.submitRequest(req)
 }
 
 // forwardUpload forwards what the attempt's first write did not include. From here on the request can't be sent
@@ -174,10 +174,10 @@
 			status = 408
 		}
 		client.closeAfterAnswer = true
-		n.answer(req, nil, status, nil, []byte(err.Error()+"\n"), 0)
+		n.answerRequest(req, nil, status, nil, []byte(err.Error()+"\n"), 0)
 		n.balancer.HandleCancellation(n.now(), req.id)
 	default:
-		client.disconnected(closePeerEnded)
+		client.handleDisconnect(closePeerEnded)
 	}
 	if err != nil && att != nil && !att.isCompleted() {
 		n.abandonAttempt(att, balancer.OutcomeConnectFailed)
@@ -245,7 +245,7 @@
 	c.upload = nil
 	if err != nil {
 		c.node.warnLimited("reattaching client connection failed", "err", err)
-		c.disconnected(closePollerFailed)
+		c.handleDisconnect(closePollerFailed)
 		return false
 	}
 	c.usePollerConn(conn)
@@ -253,7 +253,7 @@
 		err = conn.SetOnRequest(c.onInput)
 	}
 	if err != nil || !conn.IsActive() {
-		c.node.post(func() { c.disconnected(closePeerEnded) })
+		c.node.post(func() { c.handleDisconnect(closePeerEnded) })
 	}
 	return true
 }
