--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -101,7 +101,7 @@
 
 // keepDownloadInput buffers input of a large answer until it can be forwarded.
 func (b *backendConn) keepDownloadInput(data []byte) {
-	if err := b.download.keepInput(data); err != nil {
+	if err := b.download.bufferEarlyInput(data); err != nil {
 		att := b.download.attempt
 		b.node.warnLimited("malformed answer", "endpoint", b.endpoint.address, "err", err)
 		b.node.closeBackend(b, closeMalformedAnswer)
--- a/internal/node/clientanswer.go
+++ b/internal/node/clientanswer.go
@@ -33,7 +33,7 @@
 		head.release()
 		source.release()
 		switch {
-		case err == nil && c.upload != nil && !c.upload.complete:
+		case err == nil && c.upload != nil && !c.upload.forwarderEnded:
 			c.discardAfterEarlyAnswer()
 		case err != nil:
 			c.close(writeFailureReason(err))
--- a/internal/node/clientidle.go
+++ b/internal/node/clientidle.go
@@ -90,7 +90,7 @@
 
 // maxBodyDuration is how long the body of a buffered request may take of which so many bytes have come, in microseconds.
 func maxBodyDuration(received int) int64 {
-	return bodyTimeout + int64(float64(received)*1e6/(minBodyRate*bodyRateTolerance))
+	return bodyTimeout + int64(float64(received)*1e6/(minBodyRate*enforcedRateFraction))
 }
 
 // oldestIdleClient returns the connection of a list that has been idle for longest, and at least for so long; nil if
--- a/internal/node/clientinput.go
+++ b/internal/node/clientinput.go
@@ -22,7 +22,7 @@
 	}
 	c.recordArrival(buf.length, receivedAt)
 	if len(c.overflow) > 0 {
-		c.keepOverflow(buf.bytes())
+		c.bufferOverflow(buf.bytes())
 		return
 	}
 	if c.input == nil {
@@ -39,7 +39,7 @@
 		}
 		before := len(rest)
 		if rest = c.input.add(rest); len(rest) == before { // full, and the previous request is not answered yet
-			c.keepOverflow(rest)
+			c.bufferOverflow(rest)
 			return
 		}
 		c.parseNextRequest(receivedAt)
@@ -53,13 +53,13 @@
 // Limits of pipelined input that is kept while the previous answer is being written.
 const (
 	maxOverflowPerConn = maxLingerBytes // of one connection
-	maxOverflowBytes   = 4 << 20        // of all connections
+	maxOverflowPerNode = 4 << 20        // of all connections
 )
 
-// keepOverflow keeps pipelined input that the buffer has no space for. What exceeds the limits is dropped, so that
+// bufferOverflow keeps pipelined input that the buffer has no space for. What exceeds the limits is dropped, so that
 // nothing behind it can be parsed.
-func (c *clientConn) keepOverflow(data []byte) {
-	if c.overflowSize+len(data) > maxOverflowPerConn || c.node.overflowBytes+len(data) > maxOverflowBytes {
+func (c *clientConn) bufferOverflow(data []byte) {
+	if c.overflowSize+len(data) > maxOverflowPerConn || c.node.overflowBytes+len(data) > maxOverflowPerNode {
 		c.closeAfterAnswer, c.inputTruncated = true, true
 		c.receivedBytes -= len(data)
 		return
--- a/internal/node/closereason.go
+++ b/internal/node/closereason.go
@@ -32,7 +32,7 @@
 // logClose logs why the node closes a client's connection. A connection with an unanswered request, or a part of one,
 // is worth a warning whoever is at fault; others are logged only if tracing is on.
 func (c *clientConn) logClose(reason closeReason) {
-	unanswered := c.request != nil || c.input != nil && c.input.length > 0 || c.upload != nil && !c.upload.complete
+	unanswered := c.request != nil || c.input != nil && c.input.length > 0 || c.upload != nil && !c.upload.forwarderEnded
 	if !unanswered || reason == closePeerEnded || reason == closeLastAnswer { // input behind the last answer is never admitted
 		c.node.traceClient(c, "client connection closed", "reason", string(reason), "unanswered", unanswered)
 		return
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -15,7 +15,7 @@
 	attempt            *attempt
 	awaitingRequestEnd bool     // the connection can't be detached: the request is still being written
 	earlyInput         [][]byte // what came while the connection was being detached
-	earlyBytes         int
+	earlyInputSize     int
 }
 
 // startDownload detaches the connection from the poller. The input buffer has what has been read of the answer.
@@ -126,7 +126,7 @@
 // downloadFinished processes the end of a forwarder that reads from a backend.
 func (n *Node) downloadFinished(conn *backendConn, client *clientConn, fwd *forwarder, err error, untilClose bool) {
 	complete := err == nil && fwd.writeErr == nil
-	reusable := complete && fwd.endedWithMessage() && fwd.message.KeepAlive && !fwd.message.EndsWithConnection()
+	reusable := complete && fwd.hasNoExcessInput() && fwd.message.KeepAlive && !fwd.message.EndsWithConnection()
 	fwd.buffer.release()
 	n.forwarderFinished()
 	n.answersInProgress--
@@ -138,7 +138,7 @@
 	case client.state == clientClosed:
 	case !complete:
 		client.abortAnswer(untilClose)
-	case client.closeAfterAnswer && client.upload != nil && !client.upload.complete: // the request is still being uploaded
+	case client.closeAfterAnswer && client.upload != nil && !client.upload.forwarderEnded: // the request is still being uploaded
 		client.discardAfterEarlyAnswer()
 	case client.closeAfterAnswer:
 		client.closeGracefully(closeLastAnswer)
@@ -189,11 +189,11 @@
 // then nothing more is read until it comes.
 const maxEarlyDownloadBytes = 1 << 20
 
-// keepInput buffers input that comes before the connection has been detached.
-func (d *download) keepInput(data []byte) error {
+// bufferEarlyInput buffers input that comes before the connection has been detached.
+func (d *download) bufferEarlyInput(data []byte) error {
 	d.earlyInput = appendCopy(d.earlyInput, data)
 	uploading := d.attempt.deadline == noDeadline
-	if d.earlyBytes += len(data); d.awaitingRequestEnd && uploading && d.earlyBytes > maxEarlyDownloadBytes {
+	if d.earlyInputSize += len(data); d.awaitingRequestEnd && uploading && d.earlyInputSize > maxEarlyDownloadBytes {
 		return errEarlyLargeAnswer
 	}
 	return nil
--- a/internal/node/forwarder.go
+++ b/internal/node/forwarder.go
@@ -21,9 +21,9 @@
 	// does not count.
 	minBodyRate = 64_000
 	bodyGrace   = 3 * time.Second
-	// bodyRateTolerance is the part of the rate that is enforced, so that a client which just keeps it is never cut
+	// enforcedRateFraction is the part of the rate that is enforced, so that a client which just keeps it is never cut
 	// off.
-	bodyRateTolerance = 0.9
+	enforcedRateFraction = 0.9
 	// forwarderMemory is what one forwarder takes: its buffer, and the one in which the request or answer began.
 	forwarderMemory = 2 * protocol.BufferSize
 )
@@ -67,20 +67,20 @@
 // forwarder forwards the rest of a large message piece by piece: the next piece is read once the last has been
 // written. It runs on a goroutine of its own and only posts to the event loop.
 type forwarder struct {
-	source         source
-	message        protocol.Message // as protocol.Message.Tail returns it
-	buffer         *buffer          // what has been read and not forwarded
-	write          func(parts ...[]byte) error
-	chunked        bool // write with chunked framing
-	enforceMinRate bool // the sender must keep up minBodyRate
-	receivedBytes  int64
-	fullyRead      atomic.Bool // the last byte has been read
-	maxBytes       int64       // stop reading after so many; 0: unlimited
-	startedAt      time.Time
-	lastWaitAt     time.Time     // when a read had to wait for its sender for the last time: the last byte was not sent before
-	writeTime      time.Duration // time spent on writing
-	writeErr       error         // why writing has failed: the rest of the message is discarded
-	onWriteError   func()        // called when writeErr is set
+	source          source
+	message         protocol.Message // as protocol.Message.Tail returns it
+	buffer          *buffer          // what has been read and not forwarded
+	write           func(parts ...[]byte) error
+	chunked         bool // write with chunked framing
+	enforceMinRate  bool // the sender must keep up minBodyRate
+	receivedBytes   int64
+	fullyRead       atomic.Bool // the last byte has been read
+	maxBytes        int64       // stop reading after so many; 0: unlimited
+	startedAt       time.Time
+	lastWaitEndedAt time.Time     // when a read had to wait for its sender for the last time: the last byte was not sent before
+	writeTime       time.Duration // time spent on writing
+	writeErr        error         // why writing has failed: the rest of the message is discarded
+	onWriteError    func()        // called when writeErr is set
 }
 
 // run forwards the message. It returns why reading failed; writeErr has why writing did.
@@ -115,8 +115,8 @@
 	}
 }
 
-// endedWithMessage reports whether nothing has been read beyond the end of the message.
-func (f *forwarder) endedWithMessage() bool {
+// hasNoExcessInput reports whether nothing has been read beyond the end of the message.
+func (f *forwarder) hasNoExcessInput() bool {
 	return len(f.message.Rest(f.buffer.bytes())) == 0 && len(f.source.buffered) == 0
 }
 
@@ -151,20 +151,20 @@
 	if !f.enforceMinRate {
 		return forwardIdleTimeout
 	}
-	earned := time.Duration(float64(f.receivedBytes) / (minBodyRate * bodyRateTolerance) * float64(time.Second))
+	earned := time.Duration(float64(f.receivedBytes) / (minBodyRate * enforcedRateFraction) * float64(time.Second))
 	return min(bodyGrace+earned-(now.Sub(f.startedAt)-f.writeTime), forwardIdleTimeout)
 }
 
-// readWaiting reads from the source, and records when that had to wait for the sender.
-func (f *forwarder) readWaiting(dst []byte) (int, error) {
+// readNotingWait reads from the source, and records when that had to wait for the sender.
+func (f *forwarder) readNotingWait(dst []byte) (int, error) {
 	if f.source.hasBuffered() || f.source.descriptor == nil {
 		return f.source.Read(dst)
 	}
 	waiting, ok := unreadBytes(f.source.descriptor)
 	startedAt := time.Now()
 	n, err := f.source.Read(dst)
-	if now := time.Now(); ok && waiting == 0 && n > 0 && now.Sub(startedAt) >= emptyReadWait {
-		f.lastWaitAt = now
+	if now := time.Now(); ok && waiting == 0 && n > 0 && now.Sub(startedAt) >= minEmptyReadWait {
+		f.lastWaitEndedAt = now
 	}
 	return n, err
 }
@@ -178,7 +178,7 @@
 		now := time.Now()
 		_ = f.source.descriptor.SetReadDeadline(now.Add(f.readTimeout(now)))
 	}
-	n, err := f.readWaiting(f.buffer.data[f.buffer.length:])
+	n, err := f.readNotingWait(f.buffer.data[f.buffer.length:])
 	f.buffer.length += n
 	f.receivedBytes += int64(n)
 	switch {
--- a/internal/node/sendrequest.go
+++ b/internal/node/sendrequest.go
@@ -45,7 +45,7 @@
 	body := req.message.Body(req.buffer.bytes())
 	length, remaining := len(body), att.deadline-n.now()
 	if req.upload != nil {
-		length, remaining = req.message.Length(), n.remainingUploadTime(req)
+		length, remaining = req.message.Length(), n.minRemainingUploadTime(req)
 	}
 	remaining = statedTimeout(remaining)
 	first := firstByte{statedTimeout: remaining, deadline: att.deadline}
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -13,13 +13,13 @@
 // upload is a request that is too large to be buffered: it is forwarded while it is read, with its client's
 // connection detached from the poller.
 type upload struct {
-	earlyInput [][]byte // what came behind the part of the body that is buffered
-	tail       protocol.Message
-	rejected   bool // the request is invalid: little more of it is read
-	forwarder  *forwarder
-	lastByte   lastByte
-	forwarding bool // bytes have been consumed that can't be sent again
-	complete   bool // the forwarder has ended
+	earlyInput       [][]byte // what came behind the part of the body that is buffered
+	remainingMessage protocol.Message
+	rejected         bool // the request is invalid: little more of it is read
+	forwarder        *forwarder
+	lastByteTime     lastByteTime
+	bodyConsumed     bool // bytes have been consumed that can't be sent again
+	forwarderEnded   bool // the forwarder has ended
 }
 
 // noDeadline stands for a deadline that is not known yet: that of a request counts from its last byte.
@@ -30,7 +30,7 @@
 	c.hasSentRequest = true
 	c.setIdle(false)
 	c.upload = &upload{earlyInput: c.overflow}
-	c.upload.lastByte.after = c.arrivalTime(c.input.length + c.overflowSize - 1)
+	c.upload.lastByteTime.earliest = c.arrivalTime(c.input.length + c.overflowSize - 1)
 	c.overflow = nil
 	c.setOverflowSize(0)
 	c.detach(func(descriptor *os.File, rest []byte, err error) {
@@ -55,24 +55,24 @@
 	msg := c.message
 	c.input, c.message = nil, protocol.Message{}
 	up.earlyInput = append([][]byte{bytes.Clone(msg.Rest(buf.bytes()))}, append(up.earlyInput, rest)...)
-	up.tail = msg.Tail()
+	up.remainingMessage = msg.Tail()
 	c.closeAfterAnswer = c.closeAfterAnswer || !msg.KeepAlive
 	c.isHTTP10, c.isHeadRequest, c.headCompleteAt = msg.OldVersion(), false, 0
 	if n.drain.rejecting || n.drain.closingAll || n.activeForwarders >= n.maxForwarders() || c.isFull() {
 		c.writeAnswer(buf, 503, nil, []byte("no room for a large request\n"), 0)
 		return
 	}
-	req, rejected := n.admit(&msg, buf, up.lastByte.after)
+	req, rejected := n.admit(&msg, buf, up.lastByteTime.earliest)
 	if rejected != nil {
 		c.closeAfterAnswer, up.rejected = true, rejected.status != 503
 		c.writeAnswer(buf, rejected.status, nil, []byte(rejected.reason+"\n"), 0)
 		return
 	}
 	req.upload, req.clientConn, c.request = up, c, req
-	req.uploadTimeout = req.deadline - up.lastByte.after
-	up.observe(n.now(), descriptor, msg.Length(), len(msg.Body(buf.bytes())))
-	if up.lastByte.by == 0 {
-		req.deadline = n.answerDeadline(n.now(), up.lastByte.after+req.uploadTimeout)
+	req.uploadTimeout = req.deadline - up.lastByteTime.earliest
+	up.updateLastByteTime(n.now(), descriptor, msg.Length(), len(msg.Body(buf.bytes())))
+	if up.lastByteTime.latest == 0 {
+		req.deadline = n.answerDeadline(n.now(), up.lastByteTime.earliest+req.uploadTimeout)
 	}
 	n.submitRequest(req)
 }
@@ -82,7 +82,7 @@
 func (n *Node) forwardUpload(conn *backendConn, att *attempt) {
 	req := att.request
 	client, up := req.clientConn, req.upload
-	up.forwarding = true
+	up.bodyConsumed = true
 	req.deadline, att.deadline = noDeadline, noDeadline
 	n.balancer.HandleUpload(n.now(), req.id, true)
 	fwd := up.newForwarder(client, func(parts ...[]byte) error { return conn.write(parts) })
@@ -110,7 +110,7 @@
 // connection, and the client might not see the answer.
 func (c *clientConn) discardUpload() {
 	up := c.upload
-	up.forwarding = true
+	up.bodyConsumed = true
 	fwd := up.newForwarder(c, func(...[]byte) error { return nil })
 	if up.rejected {
 		fwd.maxBytes = maxLingerBytes
@@ -126,10 +126,10 @@
 func (u *upload) newForwarder(client *clientConn, write func(...[]byte) error) *forwarder {
 	fwd := &forwarder{
 		source:         source{buffered: u.earlyInput, descriptor: client.descriptor},
-		message:        u.tail,
+		message:        u.remainingMessage,
 		buffer:         newBuffer(),
 		write:          write,
-		chunked:        u.tail.Length() < 0,
+		chunked:        u.remainingMessage.Length() < 0,
 		enforceMinRate: true,
 	}
 	u.earlyInput, u.forwarder = nil, fwd
@@ -145,7 +145,7 @@
 	}
 	fwd.buffer.release()
 	n.forwarderFinished()
-	client.upload.complete = true
+	client.upload.forwarderEnded = true
 	req := client.request
 	switch {
 	case att == nil:
@@ -188,9 +188,9 @@
 func (n *Node) uploadSent(conn *backendConn, att *attempt, fwd *forwarder) {
 	now := n.now()
 	req, writeErr := att.request, fwd.writeErr
-	sentAfter := req.upload.lastByte.after
-	if !fwd.lastWaitAt.IsZero() {
-		sentAfter = max(sentAfter, n.nodeTime(fwd.lastWaitAt))
+	sentAfter := req.upload.lastByteTime.earliest
+	if !fwd.lastWaitEndedAt.IsZero() {
+		sentAfter = max(sentAfter, n.nodeTime(fwd.lastWaitEndedAt))
 	}
 	req.deadline = n.answerDeadline(now, sentAfter+req.uploadTimeout)
 	att.startedAt, att.deadline = now, req.deadline
@@ -260,7 +260,7 @@
 
 // discardAfterEarlyAnswer handles the end of an answer that was written while the request was still being uploaded.
 func (c *clientConn) discardAfterEarlyAnswer() {
-	if !c.upload.forwarding {
+	if !c.upload.bodyConsumed {
 		c.discardUpload()
 	}
 }
