--- a/internal/node/accounting_test.go
+++ b/internal/node/accounting_test.go
@@ -144,17 +144,17 @@
 
 // accountingClient sends requests one after the other and checks their answers.
 type accountingClient struct {
-	addr    string
-	fail    func(string, ...any)
-	classes map[string]string // of the requests that were sent, by trace ID
-	conn    net.Conn          // nil: none
-	reader  *bufio.Reader
-	reused  bool // an answer has come on conn: from then on the node may close it between two requests
+	addr        string
+	fail        func(string, ...any)
+	classes     map[string]string // of the requests that were sent, by trace ID
+	conn        net.Conn          // nil: none
+	reader      *bufio.Reader
+	hasAnswered bool // an answer has come on conn: from then on the node may close it between two requests
 }
 
-// runClient sends a drawn list of requests, each in a drawn way, and checks each answer. It returns the class of each
+// sendAndCheckRequests sends a drawn list of requests, each in a drawn way, and checks each answer. It returns the class of each
 // request by trace ID.
-func runClient(addr string, client int, sendModes []string, fail func(string, ...any)) map[string]string {
+func sendAndCheckRequests(addr string, client int, sendModes []string, fail func(string, ...any)) map[string]string {
 	c := &accountingClient{addr: addr, fail: fail, classes: map[string]string{}}
 	defer c.close()
 	for i, sendMode := range sendModes {
@@ -181,7 +181,7 @@
 		return false
 	}
 	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
-	c.conn, c.reader, c.reused = conn, bufio.NewReader(conn), false
+	c.conn, c.reader, c.hasAnswered = conn, bufio.NewReader(conn), false
 	return true
 }
 
@@ -232,7 +232,7 @@
 func (c *accountingClient) checkRejection() {
 	resp, err := http.ReadResponse(c.reader, nil)
 	switch {
-	case c.crossesClose(err):
+	case c.sawOrderlyClose(err):
 	case err != nil:
 		c.fail("malformed: %v", err)
 	case resp.StatusCode/100 != 4 && resp.StatusCode != http.StatusHTTPVersionNotSupported:
@@ -244,19 +244,19 @@
 	}
 }
 
-// crossesClose reports whether the node closed the connection in order, and sent not a byte before that, as it may between
+// sawOrderlyClose reports whether the node closed the connection in order, and sent not a byte before that, as it may between
 // two requests.
-func (c *accountingClient) crossesClose(err error) bool {
-	return c.reused && errors.Is(err, io.ErrUnexpectedEOF) && c.reader.Buffered() == 0
+func (c *accountingClient) sawOrderlyClose(err error) bool {
+	return c.hasAnswered && errors.Is(err, io.ErrUnexpectedEOF) && c.reader.Buffered() == 0
 }
 
 // checkAnswers reads the answers that are due and reports whether the client can go on.
 func (c *accountingClient) checkAnswers(ids []string, mode string) bool {
 	for k, id := range ids {
 		resp, err := http.ReadResponse(c.reader, nil)
-		if c.crossesClose(err) {
+		if c.sawOrderlyClose(err) {
 			for _, lost := range ids[k:] {
-				c.classes[lost] = unanswered
+				c.classes[lost] = classUnanswered
 			}
 			c.close()
 			return true
@@ -265,7 +265,7 @@
 			c.fail("%s (%s): no answer: %v", id, mode, err)
 			return false
 		}
-		c.reused = true
+		c.hasAnswered = true
 		body, err := io.ReadAll(resp.Body)
 		_ = resp.Body.Close() // read to its end
 		switch {
@@ -287,8 +287,8 @@
 // answerStatuses are those of an admitted request.
 var answerStatuses = []int{http.StatusOK, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout}
 
-// unanswered is the class of a request that met the end of its connection: it was never admitted, and must not run.
-const unanswered = "crossed"
+// classUnanswered is the class of a request that met the end of its connection: it was never admitted, and must not run.
+const classUnanswered = "crossed"
 
 // Whatever backends, clients and endpoint lists do: each admitted request gets one complete answer, from a backend or
 // the node; each attempt has one outcome; a non-idempotent request runs at most once; and no state is left at the end.
@@ -322,7 +322,7 @@
 		classes := make([]map[string]string, rapid.IntRange(1, 6).Draw(rt, "clients"))
 		for i := range classes {
 			sendModes := rapid.SliceOfN(rapid.SampledFrom(clientSendModes), 1, 6).Draw(rt, "ways")
-			clients.Go(func() { classes[i] = runClient(addr, i, sendModes, fail) })
+			clients.Go(func() { classes[i] = sendAndCheckRequests(addr, i, sendModes, fail) })
 		}
 		var clientsDone atomic.Bool
 		go func() {
@@ -430,7 +430,7 @@
 			ran += s.executions[id]
 			s.mu.Unlock()
 		}
-		if class == "once" && ran > 1 || class == unanswered && (ran > 0 || accepted[id]) {
+		if class == "once" && ran > 1 || class == classUnanswered && (ran > 0 || accepted[id]) {
 			fail("%s (%s) ran %d times, accepted %v", id, class, ran, accepted[id])
 		}
 	}
--- a/internal/node/backpressure_test.go
+++ b/internal/node/backpressure_test.go
@@ -18,11 +18,11 @@
 	largeMessageSize   = 8 << 20
 	largeUploadCount   = 24
 	largeDownloadCount = 4 // few enough to be in flight at one backend together
-	// heldPerMessage is what the node may hold of each: the pieces that are posted, one buffer that the poller reads,
+	// maxHeldPerMessage is what the node may hold of each: the pieces that are posted, one buffer that the poller reads,
 	// and as much again, as the poller allocates powers of two.
-	heldPerMessage = 2 * (maxPostedPieces + 1) * protocol.BufferSize
-	// heldPerUpload is what its request takes: the buffers of its first part, of its head and of its forwarder.
-	heldPerUpload = 3 * protocol.BufferSize
+	maxHeldPerMessage = 2 * (maxPostedPieces + 1) * protocol.BufferSize
+	// maxHeldPerUpload is what its request takes: the buffers of its first part, of its head and of its forwarder.
+	maxHeldPerUpload = 3 * protocol.BufferSize
 )
 
 // A node that is busy for a moment must not be killed for its memory. It was: the poller read large messages on for
@@ -38,7 +38,7 @@
 		clients[i] = dialNode(t, addr)
 		clients[i].exchange(readyRequest)
 	}
-	held := measureHeldMemory()
+	held := trackHeapGrowth()
 	resume := suspendEventLoop(t, n)
 	var sent atomic.Int64
 	var wait sync.WaitGroup
@@ -53,8 +53,8 @@
 			}
 		})
 	}
-	waitUntilStalled(&sent)
-	if grown := held(); grown > largeUploadCount*heldPerMessage {
+	waitUntilWritesStall(&sent)
+	if grown := held(); grown > largeUploadCount*maxHeldPerMessage {
 		t.Errorf("%d MB held for %d requests of %d MB", grown>>20, largeUploadCount, largeMessageSize>>20)
 	}
 	resume()
@@ -84,11 +84,11 @@
 	for range largeDownloadCount {
 		<-arrived
 	}
-	held := measureHeldMemory()
+	held := trackHeapGrowth()
 	resume := suspendEventLoop(t, n)
 	close(release)
-	waitUntilStalled(&sent)
-	if grown := held(); grown > largeDownloadCount*heldPerMessage {
+	waitUntilWritesStall(&sent)
+	if grown := held(); grown > largeDownloadCount*maxHeldPerMessage {
 		t.Errorf("%d MB held for %d answers of %d MB", grown>>20, largeDownloadCount, largeMessageSize>>20)
 	}
 	resume()
@@ -106,8 +106,8 @@
 	return resume
 }
 
-// measureHeldMemory returns a function that tells by how much the live heap has grown since.
-func measureHeldMemory() func() int {
+// trackHeapGrowth returns a function that tells by how much the live heap has grown since.
+func trackHeapGrowth() func() int {
 	liveHeap := func() int {
 		var stats runtime.MemStats
 		runtime.GC()
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// waitUntilStalled waits until writers make no progress any more, as what lies behind them is full.
-func waitUntilStalled(written *atomic.Int64) {
+// waitUntilWritesStall waits until writers make no progress any more, as what lies behind them is full.
+func waitUntilWritesStall(written *atomic.Int64) {
 	for before := int64(-1); before != written.Load(); time.Sleep(200 * time.Millisecond) {
 		before = written.Load()
 	}
@@ -164,13 +164,13 @@
 	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
 	delayReports(n, reportForwarded, time.Second)
 	client := dialNode(t, addr)
-	held := measureHeldMemory()
+	held := trackHeapGrowth()
 	_, _ = io.WriteString(client, postRequest("Content-Length: 100000")+string(randomBody(1, 100_000)))
 	for sent.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	waitUntilStalled(&sent)
-	if grown := held(); grown > heldPerMessage+heldPerUpload {
+	waitUntilWritesStall(&sent)
+	if grown := held(); grown > maxHeldPerMessage+maxHeldPerUpload {
 		t.Errorf("%d KB held for an answer of %d MB", grown>>10, largeMessageSize>>20)
 	}
 	if code, body, _ := client.readAnswer(); code != http.StatusOK || len(body) != largeMessageSize {
--- a/internal/node/sizehint_test.go
+++ b/internal/node/sizehint_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-var hintedRequests int
+var hintedRequestCount int
 
 func requestWithField(field string) string {
-	hintedRequests++
-	return fmt.Sprintf("GET /read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: hint%d\r\nX-Customer: t\r\n%s\r\n", hintedRequests, field)
+	hintedRequestCount++
+	return fmt.Sprintf("GET /read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: hint%d\r\nX-Customer: t\r\n%s\r\n", hintedRequestCount, field)
 }
--- a/internal/node/testclient_test.go
+++ b/internal/node/testclient_test.go
@@ -37,7 +37,7 @@
 var lastTraceID atomic.Int64
 
 // requestText is a small request of a class with a timeout.
-func requestText(class string, ms int) string {
+func requestText(class string, timeoutMillis int) string {
 	body, key := "", ""
 	method := "GET"
 	if class != "read" {
@@ -47,7 +47,7 @@
 		key = "Idempotency-Key: k1\r\n"
 	}
 	return fmt.Sprintf("%s /%s?obj=1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: id%d\r\nX-Qos: %s\r\nX-Customer: t\r\nX-Expires-In-Ms: %d\r\n%s%s",
-		method, class, lastTraceID.Add(1), class, ms, key, map[bool]string{true: "\r\n", false: body}[body == ""])
+		method, class, lastTraceID.Add(1), class, timeoutMillis, key, map[bool]string{true: "\r\n", false: body}[body == ""])
 }
 
 // readAnswer reads one answer.
@@ -95,9 +95,9 @@
 
 // postRequest is the head of a request with a body, and more behind it.
 // Its class is not idempotent.
-func postRequest(framing string, more ...string) string {
+func postRequest(framingField string, otherFields ...string) string {
 	return fmt.Sprintf("POST /once HTTP/1.1\r\nHost: h\r\nX-Trace-Id: id%d\r\nX-Customer: t\r\nX-Expires-In-Ms: 9000\r\n%s\r\n%s\r\n",
-		lastTraceID.Add(1), framing, strings.Join(more, ""))
+		lastTraceID.Add(1), framingField, strings.Join(otherFields, ""))
 }
 
 // chunkedBody splits a body into chunks of some size, with an extension and a trailer.
--- a/internal/node/uploaddeadline_test.go
+++ b/internal/node/uploaddeadline_test.go
@@ -17,8 +17,8 @@
 	uploadTimeoutMillis = 3000
 	connectDelay        = time.Second
 	uploadSize          = 100_000
-	// statedSlackMillis is by how much the time stated to a backend may exceed what the client has left.
-	statedSlackMillis = deadlineSlack / 1000
+	// statedTimeoutSlackMillis is by how much the time stated to a backend may exceed what the client has left.
+	statedTimeoutSlackMillis = deadlineSlack / 1000
 )
 
 // uploadHead is the head of a large request; framing is its last field.
@@ -27,9 +27,9 @@
 		lastTraceID.Add(1), uploadTimeoutMillis, framing)
 }
 
-// newStatingBackend is a backend that reads each request, passes on the time that it states, and does not answer
+// newTimeoutRecordingBackend is a backend that reads each request, passes on the time that it states, and does not answer
 // before the node gives up.
-func newStatingBackend(t *testing.T) (backend *testBackend, stated chan int) {
+func newTimeoutRecordingBackend(t *testing.T) (backend *testBackend, stated chan int) {
 	t.Helper()
 	stated = make(chan int, 10)
 	backend = newTestBackend(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -41,8 +41,8 @@
 	return backend, stated
 }
 
-// startLateNode starts a node whose connections to backends come up late.
-func startLateNode(t *testing.T, targets []protocol.Target) (*Node, string) {
+// startNodeWithSlowConnects starts a node whose connections to backends come up late.
+func startNodeWithSlowConnects(t *testing.T, targets []protocol.Target) (*Node, string) {
 	t.Helper()
 	n, addr := startNode(t, targets, func(s *Settings) {
 		s.ConnectTimeout = 5_000_000
@@ -52,12 +52,12 @@
 	return n, addr
 }
 
-// checkStated checks what a backend was told of a request whose last byte was sent at a time, and that the node answers
+// checkStatedTimeout checks what a backend was told of a request whose last byte was sent at a time, and that the node answers
 // by its deadline and counts no violation.
-func checkStated(t *testing.T, n *Node, client *testClient, sentAt time.Time, stated int) {
+func checkStatedTimeout(t *testing.T, n *Node, client *testClient, sentAt time.Time, stated int) {
 	t.Helper()
 	left := uploadTimeoutMillis - int(time.Since(sentAt).Milliseconds())
-	if stated > left+statedSlackMillis {
+	if stated > left+statedTimeoutSlackMillis {
 		t.Errorf("the backend was told %d ms, its client had %d ms left", stated, left)
 	}
 	client.readAnswer()
@@ -88,11 +88,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend, stated := newStatingBackend(t)
-			n, addr := startLateNode(t, backend.targets())
+			backend, stated := newTimeoutRecordingBackend(t)
+			n, addr := startNodeWithSlowConnects(t, backend.targets())
 			client := dialNode(t, addr)
 			_, _ = io.WriteString(client, request)
-			checkStated(t, n, client, time.Now(), <-stated)
+			checkStatedTimeout(t, n, client, time.Now(), <-stated)
 		})
 	}
 }
@@ -111,13 +111,13 @@
 		stated <- millis
 		<-r.Context().Done()
 	})
-	n, addr := startLateNode(t, backend.targets())
+	n, addr := startNodeWithSlowConnects(t, backend.targets())
 	client := dialNode(t, addr)
 	request := uploadHead("Content-Length: "+strconv.Itoa(uploadSize)) + string(randomBody(1, uploadSize))
 	_, _ = io.WriteString(client, requestText("read", 9000)+request)
 	sentAt := time.Now()
 	client.readAnswer()
-	checkStated(t, n, client, sentAt, <-stated)
+	checkStatedTimeout(t, n, client, sentAt, <-stated)
 }
 
 // The same for a request that is sent again after a connect that failed.
@@ -128,22 +128,22 @@
 		t.Fatal(err)
 	}
 	_ = refused.Close()
-	backend, stated := newStatingBackend(t)
-	n, addr := startLateNode(t, []protocol.Target{{UID: "b", Endpoint: refused.Addr().String(), Zone: "z", Weight: 1}})
+	backend, stated := newTimeoutRecordingBackend(t)
+	n, addr := startNodeWithSlowConnects(t, []protocol.Target{{UID: "b", Endpoint: refused.Addr().String(), Zone: "z", Weight: 1}})
 	client := dialNode(t, addr)
 	_, _ = io.WriteString(client, uploadHead("Content-Length: "+strconv.Itoa(uploadSize))+string(randomBody(1, uploadSize)))
 	sentAt := time.Now()
 	waitUntil(n, func() bool { return len(n.requests) == 1 && len(n.requests[1].attempts) == 1 })
 	n.UpdateEndpoints(protocol.List{Revision: 1, Targets: backend.targets()}, false)
-	checkStated(t, n, client, sentAt, <-stated)
+	checkStatedTimeout(t, n, client, sentAt, <-stated)
 }
 
 // A large request whose last byte comes later has its full time from there, also if its head came long before. What has
 // come leaves the kernel space for more, so that the node knows the rest not to have been sent.
 func TestStatedDeadlineOfSlowUpload(t *testing.T) {
 	t.Parallel()
-	backend, stated := newStatingBackend(t)
-	n, addr := startLateNode(t, backend.targets())
+	backend, stated := newTimeoutRecordingBackend(t)
+	n, addr := startNodeWithSlowConnects(t, backend.targets())
 	client := dialNode(t, addr)
 	body := randomBody(1, uploadSize)
 	_, _ = io.WriteString(client, uploadHead("Content-Length: "+strconv.Itoa(uploadSize))+string(body[:20_000]))
@@ -151,11 +151,11 @@
 	_, _ = client.Write(body[20_000:])
 	sentAt := time.Now()
 	told := <-stated
-	if told < uploadTimeoutMillis-statedSlackMillis {
+	if told < uploadTimeoutMillis-statedTimeoutSlackMillis {
 		t.Errorf("the backend was told %d ms, its client had %d ms left", told, uploadTimeoutMillis)
 	}
-	checkStated(t, n, client, sentAt, told)
-	if waited := time.Since(sentAt); waited < uploadTimeoutMillis*time.Millisecond-statedSlackMillis*time.Millisecond {
+	checkStatedTimeout(t, n, client, sentAt, told)
+	if waited := time.Since(sentAt); waited < uploadTimeoutMillis*time.Millisecond-statedTimeoutSlackMillis*time.Millisecond {
 		t.Errorf("given up after %v", waited)
 	}
 }
