--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -73,7 +73,7 @@
 // abandonAttempt ends an attempt that is in flight. Without a connection it has never run.
 func (n *Node) abandonAttempt(att *attempt, outcome balancer.Outcome) {
 	if conn := att.conn; conn != nil {
-		n.closeBackend(conn, closeAttemptAbandoned)
+		n.closeBackendConn(conn, closeAttemptAbandoned)
 	} else {
 		isThis := func(waiting *attempt) bool { return waiting == att }
 		att.endpoint.waitingAttempts = slices.DeleteFunc(att.endpoint.waitingAttempts, isThis)
--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -14,22 +14,22 @@
 // backendConn is a connection to a backend. It carries one request at a time.
 type backendConn struct {
 	socket
-	node              *Node
-	endpoint          *endpoint
-	incarnation       int
-	attempt           *attempt
-	input             *buffer
-	message           protocol.Message
-	state             backendConnState
-	answerComplete    bool      // the complete answer came before the writer had returned
-	download          *download // forwards an answer that is too large to be buffered
-	writeReported     bool      // the event loop has learned that the first write of its request has ended
-	deferredInput     []*buffer // input that came before the event loop learned what had been written
-	peerEndedEarly    bool      // the backend has closed while the request was being written
-	idleElement       *list.Element
-	idleSince         int64
-	idleBeforeAttempt int64 // idle time before the attempt that it carries; 0: the connection is new
-	lastAnswerAt      int64 // when it last brought the answer to a request, which a duplicate may follow; 0: never
+	node               *Node
+	endpoint           *endpoint
+	incarnation        int
+	attempt            *attempt
+	input              *buffer
+	message            protocol.Message
+	state              backendConnState
+	answerComplete     bool      // the complete answer came before the writer had returned
+	download           *download // forwards an answer that is too large to be buffered
+	firstWriteReported bool      // the event loop has learned that the first write of its request has ended
+	deferredInput      []*buffer // input that came before the event loop learned what had been written
+	peerEndedEarly     bool      // the backend has closed while the request was being written
+	idleElement        *list.Element
+	idleSince          int64
+	idleBeforeAttempt  int64 // idle time before the attempt that it carries; 0: the connection is new
+	lastAnswerAt       int64 // when it last brought the answer to a request, which a duplicate may follow; 0: never
 }
 
 // onInput passes on what the poller has read.
@@ -54,7 +54,7 @@
 	}
 	if b.attempt == nil { // no request is in flight
 		b.endpoint.duplicatesUntil = b.node.now() + observationLifetime
-		b.node.closeBackend(b, closeUnexpectedInput)
+		b.node.closeBackendConn(b, closeUnexpectedInput)
 		b.node.dialForWaiting(b.endpoint)
 		return
 	}
@@ -76,7 +76,7 @@
 
 // awaitsWriteReport reports whether the event loop does not know yet that any byte of a request has been written. Only
 // then can what the backend sends be its answer.
-func (b *backendConn) awaitsWriteReport() bool { return b.attempt != nil && !b.writeReported }
+func (b *backendConn) awaitsWriteReport() bool { return b.attempt != nil && !b.firstWriteReported }
 
 // processDeferredInput processes the input that was deferred until the event loop knew what had been written.
 func (b *backendConn) processDeferredInput() {
@@ -104,7 +104,7 @@
 	if err := b.download.keepInput(data); err != nil {
 		att := b.download.attempt
 		b.node.warnLimited("malformed answer", "endpoint", b.endpoint.address, "err", err)
-		b.node.closeBackend(b, closeMalformedAnswer)
+		b.node.closeBackendConn(b, closeMalformedAnswer)
 		b.node.completeAttempt(att, balancer.OutcomeReset, nil)
 	}
 }
@@ -118,7 +118,7 @@
 	switch {
 	case err != nil:
 		n.warnLimited("malformed answer", "endpoint", b.endpoint.address, "err", err)
-		n.closeBackend(b, closeMalformedAnswer)
+		n.closeBackendConn(b, closeMalformedAnswer)
 		n.completeAttempt(att, balancer.OutcomeReset, nil) // the request may have run
 	case complete:
 		b.finishAnswer(unread > 0)
@@ -147,7 +147,7 @@
 	b.attempt, b.input = nil, nil
 	switch {
 	case !reusable:
-		n.closeBackend(b, closeNotReusable)
+		n.closeBackendConn(b, closeNotReusable)
 	case b.state == backendAwaitingAnswer:
 		n.releaseConn(b)
 	default:
@@ -178,23 +178,23 @@
 	case b.download != nil && !b.download.awaitingRequestEnd:
 		n.startDownloadForwarding(b, nil, nil, nil)
 	case att == nil:
-		n.closeBackend(b, closePeerEnded)
+		n.closeBackendConn(b, closePeerEnded)
 		n.dialForWaiting(b.endpoint)
 	case b.state == backendWriting && att.deadline == noDeadline && !b.uploadFullyRead():
 		// The request was still being uploaded and is never completed.
-		n.closeBackend(b, closePeerEnded)
+		n.closeBackendConn(b, closePeerEnded)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	case b.state == backendWriting:
 		b.peerEndedEarly = true // requestSent decides, once it is known how much was written
 	default:
 		n.recordIdleOutcome(b.idleBeforeAttempt, b.input == nil && n.now()-att.startedAt < 2*reuseDelay)
-		n.finishEndedConn(b, att)
+		n.finishAttemptAtConnEnd(b, att)
 	}
 }
 
-// finishEndedConn processes the end of a connection with an answer due. It completes an answer whose head states no
+// finishAttemptAtConnEnd processes the end of a connection with an answer due. It completes an answer whose head states no
 // length.
-func (n *Node) finishEndedConn(conn *backendConn, att *attempt) {
+func (n *Node) finishAttemptAtConnEnd(conn *backendConn, att *attempt) {
 	if conn.input != nil && conn.message.EndsWithConnection() && conn.peerClosedInOrder {
 		conn.message.Finish()
 		conn.message.KeepAlive = false
@@ -202,12 +202,12 @@
 		conn.finishAnswer(false)
 		return
 	}
-	n.closeBackend(conn, closePeerEnded)
+	n.closeBackendConn(conn, closePeerEnded)
 	n.completeAttempt(att, balancer.OutcomeReset, nil)
 }
 
-// closeBackend closes a connection. The caller completes an attempt on it.
-func (n *Node) closeBackend(conn *backendConn, reason closeReason) {
+// closeBackendConn closes a connection. The caller completes an attempt on it.
+func (n *Node) closeBackendConn(conn *backendConn, reason closeReason) {
 	if conn.state == backendClosed {
 		return
 	}
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -112,7 +112,7 @@
 	c.input, c.overflow = nil, nil
 	c.setOverflowSize(0)
 	if c.downloadConn != nil {
-		c.node.closeBackend(c.downloadConn, closeAnswerTruncated)
+		c.node.closeBackendConn(c.downloadConn, closeAnswerTruncated)
 	}
 	if c.upload == nil || c.descriptor != nil { // a connection that is being detached from the poller closes when that is done
 		c.closeTransport()
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -82,7 +82,7 @@
 		} else if client := n.oldestIdleClient(&n.lingeringClients, 0); client != nil {
 			client.close(closeForDescriptors)
 		} else if element := n.idleBackends.Front(); element != nil {
-			n.closeBackend(element.Value.(*backendConn), closeForDescriptors)
+			n.closeBackendConn(element.Value.(*backendConn), closeForDescriptors)
 		} else if client := n.oldestIdleClient(&n.idleClients, 0); client != nil {
 			client.close(closeForDescriptors)
 		} else {
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -27,7 +27,7 @@
 			result = balancer.OutcomeReset // its load report could not be read
 		}
 		report := headerLoadReport(&b.message)
-		n.closeBackend(b, closeUnwantedDownload)
+		n.closeBackendConn(b, closeUnwantedDownload)
 		n.completeAttempt(att, result, report)
 		return
 	}
@@ -58,7 +58,7 @@
 		if descriptor != nil {
 			_ = descriptor.Close()
 		}
-		n.closeBackend(conn, closeAnswerTruncated)
+		n.closeBackendConn(conn, closeAnswerTruncated)
 		n.completeAttempt(att, balancer.OutcomeReset, nil)
 		return
 	}
@@ -72,7 +72,7 @@
 	report := headerLoadReport(&msg)
 	if !n.finishRequest(req) {
 		in.release()
-		n.closeBackend(conn, closeAttemptAbandoned)
+		n.closeBackendConn(conn, closeAttemptAbandoned)
 		n.completeAttempt(att, balancer.OutcomeOK, report)
 		return
 	}
@@ -148,7 +148,7 @@
 	}
 	conn.download = nil
 	if !reusable || conn.state == backendClosed || conn.descriptor == nil {
-		n.closeBackend(conn, closeNotReusable)
+		n.closeBackendConn(conn, closeNotReusable)
 		return
 	}
 	n.reattachBackend(conn)
@@ -159,7 +159,7 @@
 	polled, err := attachToPoller(conn.descriptor)
 	if err != nil {
 		conn.descriptor = nil
-		n.closeBackend(conn, closePollerFailed)
+		n.closeBackendConn(conn, closePollerFailed)
 		return
 	}
 	conn.usePollerConn(polled)
@@ -169,7 +169,7 @@
 		err = polled.SetOnRequest(conn.onInput)
 	}
 	if err != nil || !polled.IsActive() {
-		n.closeBackend(conn, closePollerFailed)
+		n.closeBackendConn(conn, closePollerFailed)
 		return
 	}
 	n.releaseConn(conn)
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -13,7 +13,7 @@
 		if n.now()-conn.idleSince < n.idleLimit() {
 			break
 		}
-		n.closeBackend(conn, closeIdle)
+		n.closeBackendConn(conn, closeIdle)
 	}
 	n.closeStalledClients()
 	n.updateListFreshness()
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -15,13 +15,13 @@
 		n.sendRequest(conn, att)
 		return
 	}
-	spared := ep.hasSparedConn()
+	spared := ep.hasUnclaimedIdleConn()
 	if !spared && !att.isHealthCheck && !n.mayDial() {
 		n.warnLimited("no descriptor for backend connection", "descriptors", n.openDescriptors)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 		return
 	}
-	ep.addWaiting(att)
+	ep.enqueueAttempt(att)
 	if spared {
 		n.scheduleServeWaiting(ep)
 	} else {
@@ -34,13 +34,13 @@
 	})
 }
 
-// hasSparedConn reports whether an idle connection that is spared for now will be left for one more waiting attempt.
-func (e *endpoint) hasSparedConn() bool {
+// hasUnclaimedIdleConn reports whether an idle connection that is spared for now will be left for one more waiting attempt.
+func (e *endpoint) hasUnclaimedIdleConn() bool {
 	return len(e.idleConns) > 0 && len(e.idleConns)+e.pendingDials > len(e.waitingAttempts)
 }
 
-// addWaiting adds an attempt to those that wait for a connection. Health checks wait behind requests.
-func (e *endpoint) addWaiting(att *attempt) {
+// enqueueAttempt adds an attempt to those that wait for a connection. Health checks wait behind requests.
+func (e *endpoint) enqueueAttempt(att *attempt) {
 	position := len(e.waitingAttempts)
 	for !att.isHealthCheck && position > 0 && e.waitingAttempts[position-1].isHealthCheck {
 		position--
@@ -59,7 +59,7 @@
 		switch {
 		case ep.mayReceiveDuplicate(conn, now):
 		case now-conn.idleSince >= n.idleLimit() || !conn.isOpenAndDrained():
-			n.closeBackend(conn, closeUnusable) // idle for too long, closed, or with input that no request asked for
+			n.closeBackendConn(conn, closeUnusable) // idle for too long, closed, or with input that no request asked for
 		case now-conn.idleSince < reuseDelay:
 			fallback = conn
 		default:
@@ -82,7 +82,7 @@
 	switch {
 	case conn.state == backendClosed:
 	case conn.incarnation != ep.incarnation || !conn.isOpenAndDrained() || ep.state != protocol.InService && len(ep.waitingAttempts) == 0:
-		n.closeBackend(conn, closeUnusable)
+		n.closeBackendConn(conn, closeUnusable)
 		n.dialForWaiting(ep)
 	default:
 		n.setIdle(conn, true)
@@ -109,7 +109,7 @@
 		}
 	}
 	if ep.state != protocol.InService {
-		n.closeIdleBackends(ep)
+		n.closeIdleBackendConns(ep)
 	}
 }
 
@@ -152,9 +152,9 @@
 	}
 }
 
-// closeIdleBackends closes an endpoint's idle connections because it drains, was removed or has restarted.
-func (n *Node) closeIdleBackends(ep *endpoint) {
+// closeIdleBackendConns closes an endpoint's idle connections because it drains, was removed or has restarted.
+func (n *Node) closeIdleBackendConns(ep *endpoint) {
 	for len(ep.idleConns) > 0 {
-		n.closeBackend(ep.idleConns[0], closeEndpointChanged)
+		n.closeBackendConn(ep.idleConns[0], closeEndpointChanged)
 	}
 }
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -148,10 +148,10 @@
 		n.endpointRemoved(ep)
 	case ep.address != target.Endpoint || ep.bootMillis != target.BootMs: // a new process
 		ep.incarnation++
-		n.closeIdleBackends(ep)
+		n.closeIdleBackendConns(ep)
 		ep.address = target.Endpoint
 	case target.State == protocol.Terminating: // no attempt starts there any more
-		n.closeIdleBackends(ep)
+		n.closeIdleBackendConns(ep)
 	}
 	ep.bootMillis, ep.zone, ep.cell, ep.weight = target.BootMs, target.Zone, target.Cell, target.Weight
 }
@@ -191,7 +191,7 @@
 func (n *Node) endpointRemoved(ep *endpoint) {
 	ep.removedAt = n.now()
 	ep.incarnation++
-	n.closeIdleBackends(ep)
+	n.closeIdleBackendConns(ep)
 }
 
 // deleteExpiredEndpoints deletes endpoints that were removed long ago, as every rollout of backends brings new ones.
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -89,7 +89,7 @@
 func (n *Node) abortPartialWrites(req *request) {
 	for _, att := range req.attempts {
 		if att.isPartlyWritten() {
-			n.closeBackend(att.conn, closeRequestAnswered)
+			n.closeBackendConn(att.conn, closeRequestAnswered)
 			n.completeAttempt(att, balancer.OutcomeCanceled, nil)
 		}
 	}
--- a/internal/node/sendrequest.go
+++ b/internal/node/sendrequest.go
@@ -34,7 +34,7 @@
 	att.conn, conn.attempt = conn, att
 	n.setAttemptState(att, attemptAssigned)
 	conn.setState(backendWriting)
-	conn.writeReported = att.isHealthCheck
+	conn.firstWriteReported = att.isHealthCheck
 	if att.isHealthCheck {
 		conn.message = protocol.Message{}
 		n.write(&conn.socket, func(err error) { n.requestSent(conn, att, err) }, n.appendHealthCheck(nil, conn.endpoint))
@@ -84,7 +84,7 @@
 		n.retryDelayedWrite(conn, att)
 		return
 	}
-	conn.writeReported = true
+	conn.firstWriteReported = true
 	conn.processDeferredInput()
 	req := att.request
 	switch {
@@ -92,7 +92,7 @@
 	case req.upload != nil && err == nil && !conn.answerComplete && !conn.peerEndedEarly && !req.isDone():
 		n.forwardUpload(conn, att)
 	case req.upload != nil: // incomplete: it has never started
-		n.closeBackend(conn, closeRequestIncomplete)
+		n.closeBackendConn(conn, closeRequestIncomplete)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	default:
 		n.requestSent(conn, att, err)
@@ -116,7 +116,7 @@
 		conn.endpoint.duplicatesUntil = n.now() + observationLifetime
 	}
 	if conn.peerEndedEarly || unsolicited {
-		n.closeBackend(conn, closeUnusable)
+		n.closeBackendConn(conn, closeUnusable)
 		n.dialForWaiting(conn.endpoint)
 		return
 	}
@@ -131,16 +131,16 @@
 		conn.answerComplete = false
 		n.releaseConn(conn)
 	case conn.answerComplete:
-		n.closeBackend(conn, closeWriteFailed)
+		n.closeBackendConn(conn, closeWriteFailed)
 	case err != nil: // incomplete: it has never started
-		n.closeBackend(conn, closeWriteFailed)
+		n.closeBackendConn(conn, closeWriteFailed)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	case conn.peerEndedEarly && conn.download != nil:
 		conn.setState(backendAwaitingAnswer)
 		n.startDownloadForwarding(conn, nil, nil, nil)
 	case conn.peerEndedEarly:
 		n.recordIdleOutcome(conn.idleBeforeAttempt, conn.input == nil && n.now()-att.startedAt < 2*reuseDelay)
-		n.finishEndedConn(conn, att)
+		n.finishAttemptAtConnEnd(conn, att)
 	default:
 		conn.setState(backendAwaitingAnswer)
 		if conn.download != nil {
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -89,7 +89,7 @@
 	fwd.onWriteError = func() {
 		n.report(reportForwarded, func() {
 			if !att.isCompleted() { // incomplete: it has never started
-				n.closeBackend(conn, closeWriteFailed)
+				n.closeBackendConn(conn, closeWriteFailed)
 				n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 			}
 		})
