--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -34,7 +34,7 @@
 
 // onInput passes on what the poller has read.
 func (b *backendConn) onInput(_ context.Context, conn netpoll.Connection) error {
-	return b.deliver(conn, b.node, b.receive)
+	return b.postInput(conn, b.node, b.receive)
 }
 
 // receive processes input from the backend.
@@ -195,7 +195,7 @@
 // finishAttemptAtConnEnd processes the end of a connection with an answer due. It completes an answer whose head states no
 // length.
 func (n *Node) finishAttemptAtConnEnd(conn *backendConn, att *attempt) {
-	if conn.input != nil && conn.message.EndsWithConnection() && conn.peerClosedInOrder {
+	if conn.input != nil && conn.message.EndsWithConnection() && conn.peerClosedCleanly {
 		conn.message.Finish()
 		conn.message.KeepAlive = false
 		conn.setState(backendAwaitingAnswer)
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -55,7 +55,7 @@
 		netpoll.WithOnPrepare(func(conn netpoll.Connection) context.Context {
 			c := &clientConn{node: n, socket: socket{conn: conn}, requestStartedAt: n.now()}
 			_ = conn.SetWriteTimeout(writeTimeout)
-			if err := c.takeOver(n.readBudget, c.onClosed(n)); err != nil {
+			if err := c.initPollerConn(n.readBudget, c.onClosed(n)); err != nil {
 				_ = conn.Close()
 				return context.Background()
 			}
@@ -69,7 +69,7 @@
 // onInput passes on what the poller has read.
 func (c *clientConn) onInput(_ context.Context, conn netpoll.Connection) error {
 	receivedAt := c.node.now()
-	return c.deliver(conn, c.node, func(buf *buffer) { c.receive(buf, receivedAt) })
+	return c.postInput(conn, c.node, func(buf *buffer) { c.receive(buf, receivedAt) })
 }
 
 // maxPendingAccepts is how many accepted connections the event loop may not have registered yet. It is well within
--- a/internal/node/clientidle.go
+++ b/internal/node/clientidle.go
@@ -52,7 +52,7 @@
 func (c *clientConn) mayClose() safety.Reason {
 	return safety.Close{
 		RequestInProgress: c.request != nil || c.writingAnswer || c.upload != nil,
-		UnreadInput:       c.unreadInput() > 0 || !c.isOpenAndDrained(),
+		UnreadInput:       c.unreadInput() > 0 || !c.isOpenWithoutInput(),
 	}.Check()
 }
 
--- a/internal/node/detach.go
+++ b/internal/node/detach.go
@@ -26,9 +26,9 @@
 	go func() { _ = conn.Close() }() // waits for the poller
 }
 
-// takeDescriptor duplicates the descriptor of a connection that is being detached, whose own one closes after that. A
+// duplicateDescriptor duplicates the descriptor of a connection that is being detached, whose own one closes after that. A
 // nil file means that the connection has ended, and that rest is all its input.
-func (s *socket) takeDescriptor(conn netpoll.Connection) (*os.File, []byte, error) {
+func (s *socket) duplicateDescriptor(conn netpoll.Connection) (*os.File, []byte, error) {
 	c, ok := conn.(fdConn)
 	if !ok {
 		return nil, nil, errors.New("a connection without a descriptor")
@@ -59,7 +59,7 @@
 	// The poller may have seen a reset, which the descriptor then does not show any more: it would look like an
 	// orderly end.
 	peer := queryPeerState(conn)
-	s.peerClosedInOrder = peer == peerFinished
+	s.peerClosedCleanly = peer == peerFinished
 	if closedByPoller || peer == peerBroken {
 		return nil, rest, nil
 	}
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -31,7 +31,7 @@
 	if c, ok := conn.(fdConn); ok {
 		_ = limitReceiveBuffer(uintptr(c.Fd()))
 	}
-	if err := b.takeOver(b.node.readBudget, func() { b.node.report(reportClosed, b.connectionEnded) }); err != nil {
+	if err := b.initPollerConn(b.node.readBudget, func() { b.node.report(reportClosed, b.connectionEnded) }); err != nil {
 		return err
 	}
 	return conn.SetOnRequest(b.onInput)
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -79,7 +79,7 @@
 	from := source{
 		buffered:     append(pending.earlyInput, rest),
 		descriptor:   descriptor,
-		endedInOrder: descriptor == nil && conn.peerClosedInOrder,
+		endedInOrder: descriptor == nil && conn.peerClosedCleanly,
 	}
 	n.forwardDownload(conn, req.clientConn, &forwarder{source: from, message: msg, buffer: in})
 	n.completeAttempt(att, balancer.OutcomeOK, report)
@@ -164,7 +164,7 @@
 	}
 	conn.usePollerConn(polled)
 	conn.message = protocol.Message{}
-	err = conn.takeOver(n.readBudget, func() { n.report(reportClosed, conn.connectionEnded) })
+	err = conn.initPollerConn(n.readBudget, func() { n.report(reportClosed, conn.connectionEnded) })
 	if err == nil {
 		err = polled.SetOnRequest(conn.onInput)
 	}
--- a/internal/node/peerstate.go
+++ b/internal/node/peerstate.go
@@ -16,10 +16,10 @@
 	peerBroken             // reset, or unknown
 )
 
-// peerStateOf derives the state from the events of poll(2): a reset ends both directions and shows for as long as the
+// peerStateFromEvents derives the state from the events of poll(2): a reset ends both directions and shows for as long as the
 // descriptor lives, while an orderly end leaves this side open. The state in TCP_INFO proves nothing: under a system
 // call layer other than the kernel's own it has been seen to say CLOSE_WAIT for both.
-func peerStateOf(revents int16) peerState {
+func peerStateFromEvents(revents int16) peerState {
 	switch {
 	case revents&(unix.POLLHUP|unix.POLLERR|unix.POLLNVAL) != 0:
 		return peerBroken
@@ -38,8 +38,8 @@
 	return pollPeerState(c.Fd())
 }
 
-// queryDescriptor asks the kernel about a connection that is detached from the poller.
-func queryDescriptor(descriptor *os.File) (state peerState) {
+// queryDetachedPeerState asks the kernel about a connection that is detached from the poller.
+func queryDetachedPeerState(descriptor *os.File) (state peerState) {
 	raw, err := descriptor.SyscallConn()
 	if err == nil {
 		err = raw.Control(func(fd uintptr) { state = pollPeerState(int(fd)) })
@@ -61,6 +61,6 @@
 		if err != nil {
 			return peerBroken
 		}
-		return peerStateOf(descriptors[0].Revents)
+		return peerStateFromEvents(descriptors[0].Revents)
 	}
 }
--- a/internal/node/peerstate_test.go
+++ b/internal/node/peerstate_test.go
@@ -26,7 +26,7 @@
 		{"finished", unix.POLLIN | unix.POLLOUT | unix.POLLRDHUP, peerFinished},
 		{"no descriptor", unix.POLLNVAL, peerBroken},
 	} {
-		if got := peerStateOf(c.revents); got != c.want {
+		if got := peerStateFromEvents(c.revents); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -58,7 +58,7 @@
 		conn := ep.idleConns[i]
 		switch {
 		case ep.mayReceiveDuplicate(conn, now):
-		case now-conn.idleSince >= n.idleLimit() || !conn.isOpenAndDrained():
+		case now-conn.idleSince >= n.idleLimit() || !conn.isOpenWithoutInput():
 			n.closeBackendConn(conn, closeUnusable) // idle for too long, closed, or with input that no request asked for
 		case now-conn.idleSince < reuseDelay:
 			fallback = conn
@@ -81,7 +81,7 @@
 	ep := conn.endpoint
 	switch {
 	case conn.state == backendClosed:
-	case conn.incarnation != ep.incarnation || !conn.isOpenAndDrained() || ep.state != protocol.InService && len(ep.waitingAttempts) == 0:
+	case conn.incarnation != ep.incarnation || !conn.isOpenWithoutInput() || ep.state != protocol.InService && len(ep.waitingAttempts) == 0:
 		n.closeBackendConn(conn, closeUnusable)
 		n.dialForWaiting(ep)
 	default:
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -92,7 +92,7 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // so that the poller does not run meanwhile
 	runOnLoop(n, func() {
 		b := n.endpoints[1].idleConns[0]
-		if !b.isOpenAndDrained() {
+		if !b.isOpenWithoutInput() {
 			t.Error("an open connection is not drained")
 		}
 		now := n.now()
@@ -120,7 +120,7 @@
 			t.Error("a new connection is not reusable")
 		}
 		_ = peer.Close()
-		if b.isOpenAndDrained() {
+		if b.isOpenWithoutInput() {
 			t.Error("a closed connection counts as open")
 		}
 	})
--- a/internal/node/sendrequest.go
+++ b/internal/node/sendrequest.go
@@ -62,7 +62,7 @@
 	if length < 0 && len(body) > 0 {
 		parts = [][]byte{append(strconv.AppendInt(headBytes, int64(len(body)), 16), "\r\n"...), body, []byte("\r\n")}
 	}
-	n.writeWithoutDelay(&conn.socket, func(startedAt int64, err error) {
+	n.writeUnlessDelayed(&conn.socket, func(startedAt int64, err error) {
 		head.release()
 		requestBuffer.release()
 		if first.writtenAt = startedAt; !errors.Is(err, errWriteDelayed) {
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -24,16 +24,16 @@
 	closedByPoller  atomic.Bool // the poller has closed conn
 	// disconnectedAt is when the poller noticed the end of a client's connection, on the node's clock; 0: it has not.
 	disconnectedAt    atomic.Int64
-	peerClosedInOrder bool // the peer has closed the connection without a reset
+	peerClosedCleanly bool // the peer has closed the connection without a reset
 	onDetached        func(*os.File, []byte, error)
 }
 
 // fdConn is a connection that has a file descriptor, as the poller's have.
 type fdConn interface{ Fd() int }
 
-// takeOver prepares a new connection of the poller, before any callback for its input is set: it limits what the
+// initPollerConn prepares a new connection of the poller, before any callback for its input is set: it limits what the
 // poller reads ahead, and registers the callback for the end of the connection.
-func (s *socket) takeOver(budget *readBudget, onClosed func()) error {
+func (s *socket) initPollerConn(budget *readBudget, onClosed func()) error {
 	limiter, err := limitReads(s.conn, budget)
 	if err != nil {
 		return err
@@ -53,10 +53,10 @@
 		s.mu.Unlock()
 		if onDetached != nil {
 			pollerBacklog.Add(-1)
-			onDetached(s.takeDescriptor(conn))
+			onDetached(s.duplicateDescriptor(conn))
 			return nil
 		}
-		s.peerClosedInOrder = queryPeerState(conn) == peerFinished // only an orderly end completes an answer without a length
+		s.peerClosedCleanly = queryPeerState(conn) == peerFinished // only an orderly end completes an answer without a length
 		onClosed()
 		return nil
 	})
@@ -131,9 +131,9 @@
 	return s.conn.Reader().Len() + int(s.inputInTransit.Load())
 }
 
-// isOpenAndDrained reports whether the connection is open and has no unprocessed input, including what the poller has
+// isOpenWithoutInput reports whether the connection is open and has no unprocessed input, including what the poller has
 // not read yet. Like unreadInput it looks in the order in which input moves on: kernel, poller, event loop.
-func (s *socket) isOpenAndDrained() bool {
+func (s *socket) isOpenWithoutInput() bool {
 	s.mu.Lock() // once it is closed, its descriptor may belong to another connection
 	defer s.mu.Unlock()
 	if s.transportClosed || !s.conn.IsActive() {
@@ -157,14 +157,14 @@
 	}
 	defer s.mu.Unlock()
 	if s.descriptor != nil {
-		return queryDescriptor(s.descriptor) != peerOpen
+		return queryDetachedPeerState(s.descriptor) != peerOpen
 	}
 	return s.transportClosed || !s.conn.IsActive() || queryPeerState(s.conn) != peerOpen
 }
 
-// deliver posts what the connection has received to the event loop. Until then it counts as unread, and it is counted
+// postInput posts what the connection has received to the event loop. Until then it counts as unread, and it is counted
 // before the bytes leave the reader, so that the connection never looks drained in between.
-func (s *socket) deliver(conn netpoll.Connection, node *Node, receive func(*buffer)) error {
+func (s *socket) postInput(conn netpoll.Connection, node *Node, receive func(*buffer)) error {
 	s.inputInTransit.Add(1)
 	b, err := readBuffer(conn)
 	if err != nil {
@@ -183,9 +183,9 @@
 	return nil
 }
 
-// writeWithoutDelay is write for a first byte that must follow its check soon: after a delay of more than
+// writeUnlessDelayed is write for a first byte that must follow its check soon: after a delay of more than
 // maxWriteDelay nothing is written. It reports when the write started.
-func (n *Node) writeWithoutDelay(target *socket, onWritten func(startedAt int64, err error), parts ...[]byte) {
+func (n *Node) writeUnlessDelayed(target *socket, onWritten func(startedAt int64, err error), parts ...[]byte) {
 	allowedAt := n.now() - n.testWriteDelay
 	go func() {
 		startedAt, err := n.now(), error(nil)
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -249,7 +249,7 @@
 		return false
 	}
 	c.usePollerConn(conn)
-	if err = c.takeOver(c.node.readBudget, c.onClosed(c.node)); err == nil {
+	if err = c.initPollerConn(c.node.readBudget, c.onClosed(c.node)); err == nil {
 		err = conn.SetOnRequest(c.onInput)
 	}
 	if err != nil || !conn.IsActive() {
