--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -39,7 +39,7 @@
 	}
 	n.setAttemptState(att, attemptCompleted)
 	if att.isHealthCheck {
-		n.healthCheckDone(att, outcome, report)
+		n.completeHealthCheck(att, outcome, report)
 		return
 	}
 	n.traceRequest(att.request, "attempt completed", "attempt", att.number, "endpoint", att.endpoint.address,
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -358,28 +358,28 @@
 		ep := &endpoint{address: "h"}
 		r := &request{settings: n.settings, clientConn: &clientConn{node: n}, deadline: now + 1_000_000}
 		a := &attempt{request: r, endpoint: ep, deadline: r.deadline}
-		fine := firstByte{writtenAt: now, statedTimeout: 1_000_000, deadline: a.deadline, listExpiresAt: now}
+		fine := attemptStart{writtenAt: now, statedTimeout: 1_000_000, deadline: a.deadline, listExpiresAt: now}
 		for _, c := range []struct {
 			name   string
-			change func(*firstByte)
+			change func(*attemptStart)
 			want   safety.Reason
 		}{
-			{"as it should be", func(*firstByte) {}, safety.Allowed},
-			{"endpoint drains", func(*firstByte) {
+			{"as it should be", func(*attemptStart) {}, safety.Allowed},
+			{"endpoint drains", func(*attemptStart) {
 				ep.outOfServiceSince = now - n.settings.DrainGrace - auditSlack - 1
 			}, safety.BackendDraining},
-			{"list too old", func(f *firstByte) { f.listExpiresAt = now - n.settings.DrainGrace - auditSlack - 1 }, safety.ListStale},
-			{"client disconnected", func(*firstByte) {
-				r.clientConn.disconnectedAt.Store(now - maxDisconnectDelay - 1)
+			{"list too old", func(f *attemptStart) { f.listExpiresAt = now - n.settings.DrainGrace - auditSlack - 1 }, safety.ListStale},
+			{"client disconnected", func(*attemptStart) {
+				r.clientConn.disconnectedAt.Store(now - disconnectGrace - 1)
 			}, safety.ClientDisconnected},
-			{"more time than is left", func(f *firstByte) { f.statedTimeout += deadlineSlack + 1 }, safety.DeadlinePassed},
+			{"more time than is left", func(f *attemptStart) { f.statedTimeout += deadlineSlack + 1 }, safety.DeadlinePassed},
 		} {
 			clear(n.violations)
 			ep.outOfServiceSince = 0
 			r.clientConn.disconnectedAt.Store(0)
 			f := fine
 			c.change(&f)
-			n.audit(a, f)
+			n.auditAttemptStart(a, f)
 			unexpected := c.want == safety.Allowed && len(n.violations) > 0
 			missing := c.want != safety.Allowed && n.violations[c.want] != 1
 			if unexpected || missing {
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -15,22 +15,22 @@
 
 // Limits of the audit, in microseconds.
 const (
-	auditSlack         = 50_000  // added to every limit
-	maxDisconnectDelay = 100_000 // time after its client's disconnect in which an attempt may start
-	deadlineSlack      = 150_000 // by which the deadline stated to a backend may exceed the time that is left
+	auditSlack      = 50_000  // added to every limit
+	disconnectGrace = 100_000 // time after its client's disconnect in which an attempt may start
+	deadlineSlack   = 150_000 // by which the deadline stated to a backend may exceed the time that is left
 )
 
-// firstByte is what the audit needs to know of an attempt's first byte.
-type firstByte struct {
+// attemptStart is what the audit needs to know of an attempt's first byte.
+type attemptStart struct {
 	writtenAt     int64 // right before the write
 	statedTimeout int64 // the time that the request states to the backend
 	deadline      int64 // when the request's client gives up at the latest; noDeadline: not known yet
 	listExpiresAt int64 // until when the endpoint list was known to be current; 0: unbounded
 }
 
-// audit checks a started attempt against the rules, independently of what decided it. It only counts and logs
+// auditAttemptStart checks a started attempt against the rules, independently of what decided it. It only counts and logs
 // violations.
-func (n *Node) audit(att *attempt, first firstByte) {
+func (n *Node) auditAttemptStart(att *attempt, first attemptStart) {
 	ep, req := att.endpoint, att.request
 	if since := ep.outOfServiceSince; since > 0 && first.writtenAt > since+n.settings.DrainGrace+auditSlack {
 		n.recordViolation(att, safety.BackendDraining, first.writtenAt-since)
@@ -40,7 +40,7 @@
 	}
 	if req.clientConn != nil {
 		disconnectedAt := req.clientConn.disconnectedAt.Load()
-		if disconnectedAt > 0 && first.writtenAt > disconnectedAt+maxDisconnectDelay {
+		if disconnectedAt > 0 && first.writtenAt > disconnectedAt+disconnectGrace {
 			n.recordViolation(att, safety.ClientDisconnected, first.writtenAt-disconnectedAt)
 		}
 	}
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -21,7 +21,7 @@
 		att.deadline = min(att.deadline, now+timeout)
 	}
 	switch {
-	case req.isDone() || n.clientHasDisconnected(req) || now >= req.deadline || req.exceedsLimits():
+	case req.isDone() || n.clientHasDisconnected(req) || now >= req.deadline || req.exceedsAttemptLimits():
 		n.completeAttempt(att, balancer.OutcomeNotSent, nil)
 		return
 	case att.deadline <= now:
@@ -32,8 +32,8 @@
 	n.assignConn(att)
 }
 
-// exceedsLimits reports whether the last attempt is one too many by the request's settings.
-func (r *request) exceedsLimits() bool {
+// exceedsAttemptLimits reports whether the last attempt is one too many by the request's settings.
+func (r *request) exceedsAttemptLimits() bool {
 	rules := &r.settings.Balancer
 	hedged := r.pendingAttempts > 1
 	return len(r.attempts) > max(rules.MaxAttempts, 1) || hedged && !rules.AllowHedging
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -58,8 +58,8 @@
 	return append(append(append(append(append(dst, "GET "...), path...), " HTTP/1.1\r\nHost: "...), ep.address...), "\r\n\r\n"...)
 }
 
-// healthCheckDone notifies the balancer of the outcome of a health check.
-func (n *Node) healthCheckDone(att *attempt, outcome balancer.Outcome, report *balancer.LoadReport) {
+// completeHealthCheck notifies the balancer of the outcome of a health check.
+func (n *Node) completeHealthCheck(att *attempt, outcome balancer.Outcome, report *balancer.LoadReport) {
 	took := n.now() - att.startedAt
 	n.deferred = append(n.deferred, func() {
 		att.endpoint.pendingHealthChecks--
--- a/internal/node/sendrequest.go
+++ b/internal/node/sendrequest.go
@@ -37,7 +37,7 @@
 	conn.firstWriteReported = att.isHealthCheck
 	if att.isHealthCheck {
 		conn.message = protocol.Message{}
-		n.write(&conn.socket, func(err error) { n.requestSent(conn, att, err) }, n.appendHealthCheck(nil, conn.endpoint))
+		n.write(&conn.socket, func(err error) { n.requestWriteFinished(conn, att, err) }, n.appendHealthCheck(nil, conn.endpoint))
 		return
 	}
 	conn.message = protocol.Message{NoBody: string(req.message.Method) == "HEAD"}
@@ -48,7 +48,7 @@
 		length, remaining = req.message.Length(), n.remainingUploadTime(req)
 	}
 	remaining = statedTimeout(remaining)
-	first := firstByte{statedTimeout: remaining, deadline: att.deadline}
+	first := attemptStart{statedTimeout: remaining, deadline: att.deadline}
 	if req.upload != nil {
 		first.deadline = req.upload.latestDeadline(req.uploadTimeout)
 	}
@@ -66,9 +66,9 @@
 		head.release()
 		requestBuffer.release()
 		if first.writtenAt = startedAt; !errors.Is(err, errWriteDelayed) {
-			n.audit(att, first)
+			n.auditAttemptStart(att, first)
 		}
-		n.requestWritten(conn, att, err)
+		n.firstWriteFinished(conn, att, err)
 	}, parts...)
 }
 
@@ -78,8 +78,8 @@
 	return max(remaining-min(maxWriteDelay, remaining/10), 1000)
 }
 
-// requestWritten processes the end of the write that sendRequest has started.
-func (n *Node) requestWritten(conn *backendConn, att *attempt, err error) {
+// firstWriteFinished processes the end of the write that sendRequest has started.
+func (n *Node) firstWriteFinished(conn *backendConn, att *attempt, err error) {
 	if errors.Is(err, errWriteDelayed) && conn.state != backendClosed {
 		n.retryDelayedWrite(conn, att)
 		return
@@ -95,7 +95,7 @@
 		n.closeBackendConn(conn, closeRequestIncomplete)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	default:
-		n.requestSent(conn, att, err)
+		n.requestWriteFinished(conn, att, err)
 	}
 }
 
@@ -123,8 +123,8 @@
 	n.releaseConn(conn)
 }
 
-// requestSent processes the end of the write of a request.
-func (n *Node) requestSent(conn *backendConn, att *attempt, err error) {
+// requestWriteFinished processes the end of the write of a request.
+func (n *Node) requestWriteFinished(conn *backendConn, att *attempt, err error) {
 	switch {
 	case conn.state == backendClosed:
 	case conn.answerComplete && err == nil:
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -197,7 +197,7 @@
 	n.scheduleAt(att.deadline, func() { n.checkAttemptDeadline(att) })
 	n.balancer.HandleUpload(now, req.id, false)
 	if writeErr != nil || conn.answerComplete || conn.state == backendClosed {
-		n.requestSent(conn, att, writeErr)
+		n.requestWriteFinished(conn, att, writeErr)
 		return
 	}
 	conn.setState(backendAwaitingAnswer)
@@ -210,7 +210,7 @@
 // closes it if the backend has not received all of the request.
 func (n *Node) earlyAnsweredUploadEnded(conn *backendConn, att *attempt, err error) {
 	if conn.answerComplete {
-		n.requestSent(conn, att, err)
+		n.requestWriteFinished(conn, att, err)
 	}
 }
 
