--- a/internal/node/accounting_test.go
+++ b/internal/node/accounting_test.go
@@ -314,7 +314,7 @@
 		if rapid.Bool().Draw(rt, "known to answer twice") {
 			runOnLoop(n, func() {
 				for _, ep := range n.endpoints {
-					ep.duplicatesUntil = noDeadline
+					ep.duplicatesExpectedUntil = noDeadline
 				}
 			})
 		}
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -290,7 +290,7 @@
 			conn.readAnswer()
 			waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
 			runOnLoop(n, func() { // the next attempt waits for this connection
-				n.endpoints[1].duplicatesUntil = noDeadline
+				n.endpoints[1].duplicatesExpectedUntil = noDeadline
 				n.endpoints[1].idleConns[0].lastAnswerAt = n.now() + 3_600_000_000
 			})
 			_, _ = io.WriteString(conn, requestText("once", 9000))
@@ -303,7 +303,7 @@
 				for _, b := range n.endpoints[1].idleConns { // it is reusable
 					b.lastAnswerAt = 0
 				}
-				n.endpoints[1].duplicatesUntil = 0
+				n.endpoints[1].duplicatesExpectedUntil = 0
 				n.serveWaiting(n.endpoints[1])
 			})
 			if code, body, _ := conn.readAnswer(); code != 200 || body != "body of /once" {
@@ -408,7 +408,7 @@
 	_, _ = io.WriteString(client, requestText("read", 9000))
 	waitUntil(n, func() bool { return len(n.requests) == 1 && n.requests[2].pendingAttempts == 1 })
 	writeOK(first, "not asked for")
-	waitUntil(n, func() bool { return n.endpoints[1].duplicatesUntil > 0 || len(n.requests) == 0 })
+	waitUntil(n, func() bool { return n.endpoints[1].duplicatesExpectedUntil > 0 || len(n.requests) == 0 })
 	runOnLoop(n, func() { n.testWriteDelay = 0 })
 	go func() {
 		second, _ := backend.acceptRequest()
--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -53,7 +53,7 @@
 		return
 	}
 	if b.attempt == nil { // no request is in flight
-		b.endpoint.duplicatesUntil = b.node.now() + observationLifetime
+		b.endpoint.duplicatesExpectedUntil = b.node.now() + observationLifetime
 		b.node.closeBackendConn(b, closeUnexpectedInput)
 		b.node.dialForWaiting(b.endpoint)
 		return
@@ -141,7 +141,7 @@
 	}
 	duplicate := unread || len(msg.Rest(in.bytes())) > 0
 	if duplicate {
-		b.endpoint.duplicatesUntil = n.now() + observationLifetime
+		b.endpoint.duplicatesExpectedUntil = n.now() + observationLifetime
 	}
 	reusable := msg.KeepAlive && !b.peerEndedEarly && !duplicate
 	b.attempt, b.input = nil, nil
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -43,7 +43,7 @@
 		if len(endpoints) == 0 && kind == balancer.ListDelta && !n.settings.Balancer.PollDiscovery {
 			return // without polling, the balancer is notified of changes only
 		}
-		n.notifyBalancer(evidence, kind, endpoints)
+		n.notifyDiscoveryResult(evidence, kind, endpoints)
 	})
 }
 
@@ -53,12 +53,12 @@
 func (n *Node) DiscoveryCallFailed(err error, how balancer.ListKind, asOf time.Time) {
 	n.post(func() {
 		n.log.Warn("discovery failed", "err", err)
-		n.notifyBalancer(n.nodeTime(asOf), how, nil)
+		n.notifyDiscoveryResult(n.nodeTime(asOf), how, nil)
 	})
 }
 
-// notifyBalancer passes on what a call to discovery has brought, and traces what that means for the lease on the list.
-func (n *Node) notifyBalancer(asOf balancer.Time, kind balancer.ListKind, endpoints []balancer.Endpoint) {
+// notifyDiscoveryResult passes on what a call to discovery has brought, and traces what that means for the lease on the list.
+func (n *Node) notifyDiscoveryResult(asOf balancer.Time, kind balancer.ListKind, endpoints []balancer.Endpoint) {
 	_, until := n.balancer.ListCurrent(n.now())
 	n.balancer.HandleEndpointsAsOf(n.now(), asOf, kind, endpoints)
 	n.updateListFreshness()
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -56,5 +56,5 @@
 // mayReceiveDuplicate reports whether the next request on a connection might take a duplicate of the last answer for
 // its own.
 func (e *endpoint) mayReceiveDuplicate(conn *backendConn, now int64) bool {
-	return now < e.duplicatesUntil && now-conn.lastAnswerAt < reuseDelay
+	return now < e.duplicatesExpectedUntil && now-conn.lastAnswerAt < reuseDelay
 }
--- a/internal/node/listfreshness.go
+++ b/internal/node/listfreshness.go
@@ -7,7 +7,7 @@
 	processStartedAt int64
 	everCurrent      bool  // the list has been current at least once since the start
 	stale            bool  // the list is not current any more, and this has been logged
-	emptySince       int64 // since when no endpoint has been in service, as has been logged; 0: one is
+	noEndpointSince  int64 // since when no endpoint has been in service, as has been logged; 0: one is
 	staleSince       int64
 }
 
@@ -39,12 +39,12 @@
 		}
 	}
 	switch {
-	case inService && n.listFreshness.emptySince > 0:
-		n.log.Info("endpoint in service again", "rev", n.listRevision, "without_us", n.now()-n.listFreshness.emptySince)
-		n.listFreshness.emptySince = 0
-	case !inService && n.listFreshness.emptySince == 0:
+	case inService && n.listFreshness.noEndpointSince > 0:
+		n.log.Info("endpoint in service again", "rev", n.listRevision, "without_us", n.now()-n.listFreshness.noEndpointSince)
+		n.listFreshness.noEndpointSince = 0
+	case !inService && n.listFreshness.noEndpointSince == 0:
 		n.log.Warn("no endpoint in service", "rev", n.listRevision, "open", n.openRequests)
-		n.listFreshness.emptySince = n.now()
+		n.listFreshness.noEndpointSince = n.now()
 	}
 }
 
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -27,7 +27,7 @@
 	}
 	waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
 	runOnLoop(n, func() {
-		n.endpoints[1].duplicatesUntil = noDeadline               // it has sent duplicates before
+		n.endpoints[1].duplicatesExpectedUntil = noDeadline       // it has sent duplicates before
 		n.endpoints[1].idleConns[0].lastAnswerAt += 3_600_000_000 // not reusable for as long as this test takes
 	})
 	_, _ = io.WriteString(conn, requestText("once", 9000))
@@ -38,17 +38,17 @@
 	if code, body, _ := conn.readAnswer(); code != 200 || body != "two" {
 		t.Error(code, body)
 	}
-	runOnLoop(n, func() { n.endpoints[1].duplicatesUntil = 0 })
+	runOnLoop(n, func() { n.endpoints[1].duplicatesExpectedUntil = 0 })
 	writeOK(second, "two again")
-	waitUntil(n, func() bool { return n.endpoints[1].duplicatesUntil > n.now() }) // the duplicate has been noticed
-	runOnLoop(n, func() { n.endpoints[1].duplicatesUntil = 0 })
+	waitUntil(n, func() bool { return n.endpoints[1].duplicatesExpectedUntil > n.now() }) // the duplicate has been noticed
+	runOnLoop(n, func() { n.endpoints[1].duplicatesExpectedUntil = 0 })
 	_, _ = io.WriteString(conn, requestText("read", 9000))
 	third, _ := backend.acceptRequest()
 	_, _ = io.WriteString(third, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nthreeHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	if code, body, _ := conn.readAnswer(); code != 200 || body != "three" {
 		t.Error(code, body)
 	}
-	waitUntil(n, func() bool { return n.endpoints[1].duplicatesUntil > n.now() }) // two answers in one read are noticed too
+	waitUntil(n, func() bool { return n.endpoints[1].duplicatesExpectedUntil > n.now() }) // two answers in one read are noticed too
 }
 
 // Input that a backend sends without a request is not taken for the answer to the next one, also while it is on its
@@ -103,7 +103,7 @@
 		for _, one := range []*backendConn{long, short, fresh} {
 			since := one.idleSince
 			one.conn, one.node, one.endpoint, one.lastAnswerAt = b.conn, n, ep, one.idleSince
-			ep.duplicatesUntil = noDeadline
+			ep.duplicatesExpectedUntil = noDeadline
 			n.setIdle(one, true)
 			one.idleSince = since
 		}
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -13,21 +13,21 @@
 
 // endpoint is an entry of the endpoint list and the state of its connections. An ID is never reused.
 type endpoint struct {
-	id                  balancer.EndpointID
-	address             string
-	state               protocol.State
-	bootMillis          int64
-	zone                string // zone, cell and weight are as discovery states them
-	cell                int
-	weight              float64
-	removedAt           int64 // when discovery reported it removed, or left it off a full list; 0: listed
-	outOfServiceSince   int64 // when the node was first notified that it drains or is removed; 0: in service
-	duplicatesUntil     int64 // until then it is assumed to answer requests twice
-	incarnation         int   // counts its processes: a connection to an earlier one is never reused
-	idleConns           []*backendConn
-	waitingAttempts     []*attempt // attempts that wait for a connection, in the order in which they are served
-	pendingDials        int        // dials whose result has not been processed
-	pendingHealthChecks int        // health checks in flight
+	id                      balancer.EndpointID
+	address                 string
+	state                   protocol.State
+	bootMillis              int64
+	zone                    string // zone, cell and weight are as discovery states them
+	cell                    int
+	weight                  float64
+	removedAt               int64 // when discovery reported it removed, or left it off a full list; 0: listed
+	outOfServiceSince       int64 // when the node was first notified that it drains or is removed; 0: in service
+	duplicatesExpectedUntil int64 // until then it is assumed to answer requests twice
+	incarnation             int   // counts its processes: a connection to an earlier one is never reused
+	idleConns               []*backendConn
+	waitingAttempts         []*attempt // attempts that wait for a connection, in the order in which they are served
+	pendingDials            int        // dials whose result has not been processed
+	pendingHealthChecks     int        // health checks in flight
 }
 
 // setDiscoveryState records what discovery says of the endpoint, and since when no attempt may start there.
@@ -86,7 +86,7 @@
 	for _, ep := range n.endpoints {
 		if !listed[ep] && ep.removedAt == 0 {
 			ep.setDiscoveryState(protocol.Terminated, n.now())
-			n.endpointRemoved(ep)
+			n.markEndpointRemoved(ep)
 		}
 	}
 	return changed, kind
@@ -127,7 +127,7 @@
 func (n *Node) findOrAddEndpoint(target protocol.Target, behind bool) *endpoint {
 	ep := n.endpointsByUID[target.UID]
 	switch {
-	case ep == nil && (target.State == protocol.Terminated || behind && n.tombstones.has(target.UID, target.BootMs)):
+	case ep == nil && (target.State == protocol.Terminated || behind && n.tombstones.contains(target.UID, target.BootMs)):
 		return nil
 	case ep == nil:
 		n.lastEndpointID++
@@ -145,7 +145,7 @@
 	ep.removedAt = 0
 	switch {
 	case target.State == protocol.Terminated:
-		n.endpointRemoved(ep)
+		n.markEndpointRemoved(ep)
 	case ep.address != target.Endpoint || ep.bootMillis != target.BootMs: // a new process
 		ep.incarnation++
 		n.closeIdleBackendConns(ep)
@@ -156,8 +156,8 @@
 	ep.bootMillis, ep.zone, ep.cell, ep.weight = target.BootMs, target.Zone, target.Cell, target.Weight
 }
 
-// phases are the balancer's terms for the states of discovery.
-var phases = map[protocol.State]balancer.Phase{
+// phaseByState are the balancer's terms for the states of discovery.
+var phaseByState = map[protocol.State]balancer.Phase{
 	protocol.InService:   balancer.PhaseReady,
 	protocol.Terminating: balancer.PhaseDraining,
 	protocol.Terminated:  balancer.PhaseRemoved,
@@ -172,7 +172,7 @@
 	return balancer.Endpoint{
 		ID:        ep.id,
 		StableKey: xxhash.Sum64String(target.UID),
-		Phase:     phases[target.State],
+		Phase:     phaseByState[target.State],
 		Zone:      zone,
 		Cell:      target.Cell,
 		Weight:    target.Weight,
@@ -187,8 +187,8 @@
 // and than an outdated list can arrive late.
 const endpointRetention = 60_000_000
 
-// endpointRemoved marks an endpoint as removed. A connection that still carries an attempt closes behind it.
-func (n *Node) endpointRemoved(ep *endpoint) {
+// markEndpointRemoved marks an endpoint as removed. A connection that still carries an attempt closes behind it.
+func (n *Node) markEndpointRemoved(ep *endpoint) {
 	ep.removedAt = n.now()
 	ep.incarnation++
 	n.closeIdleBackendConns(ep)
--- a/internal/node/sendrequest.go
+++ b/internal/node/sendrequest.go
@@ -113,7 +113,7 @@
 		n.completeAttempt(att, balancer.OutcomeNotSent, nil)
 	}
 	if unsolicited {
-		conn.endpoint.duplicatesUntil = n.now() + observationLifetime
+		conn.endpoint.duplicatesExpectedUntil = n.now() + observationLifetime
 	}
 	if conn.peerEndedEarly || unsolicited {
 		n.closeBackendConn(conn, closeUnusable)
