--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -175,10 +175,10 @@
 			w.Header().Set("X-Never-Ran", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, 503},
-		{"breaks early", resetAfter(""), 503},
+		{"breaks early", closeAfterSending(""), 503},
 		{"breaks during the upload", func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.CopyN(io.Discard, r.Body, 3<<20)
-			resetAfter("")(w, r)
+			closeAfterSending("")(w, r)
 		}, 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/node/healthcheck_test.go
+++ b/internal/node/healthcheck_test.go
@@ -46,7 +46,7 @@
 		{"rejected", respondWith(503, "X-Never-Ran", "1"), "30"},
 		{"no such path", answers(404, "", "inflight=3"), "20"},
 		{"garbage", sendGarbage("\x00\x01 noise\r\n\r\n"), "60"},
-		{"reset", resetAfter(""), "60"},
+		{"reset", closeAfterSending(""), "60"},
 		{"never answers", neverAnswer(make(chan struct{}, 1)), "40"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/node/manualbackend_test.go
+++ b/internal/node/manualbackend_test.go
@@ -65,8 +65,8 @@
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// hasReceived reports whether bytes of a backend have reached the event loop, on which it must be called.
-func hasReceived(n *Node, part string) bool {
+// backendInputContains reports whether bytes of a backend have reached the event loop, on which it must be called.
+func backendInputContains(n *Node, part string) bool {
 	for _, r := range n.requests {
 		for _, a := range r.attempts {
 			if a.conn != nil && a.conn.input != nil && bytes.Contains(a.conn.input.bytes(), []byte(part)) {
--- a/internal/node/peerstate_test.go
+++ b/internal/node/peerstate_test.go
@@ -86,7 +86,7 @@
 			_, _ = io.WriteString(c, requestText("once", 5000))
 			conn, _ := backend.acceptRequest()
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf")
-			waitUntil(n, func() bool { return hasReceived(n, "half") })
+			waitUntil(n, func() bool { return backendInputContains(n, "half") })
 			if reset {
 				_ = conn.(*net.TCPConn).SetLinger(0)
 			}
--- a/internal/node/reconfigure_test.go
+++ b/internal/node/reconfigure_test.go
@@ -21,7 +21,7 @@
 	h, seen := handleFirst(func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
 		<-release
-		resetAfter("")(w, r)
+		closeAfterSending("")(w, r)
 	})
 	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, h)), targetOf("b", newTestBackend(t, h))}, nil)
 	old := dialNode(t, addr)
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -55,8 +55,8 @@
 	_, _ = io.WriteString(w, "body of "+r.URL.Path) // the node may have closed the connection
 }
 
-// resetAfter ends the connection after some bytes of an answer, with a reset if there are none.
-func resetAfter(answer string) http.HandlerFunc {
+// closeAfterSending ends the connection after some bytes of an answer, with a reset if there are none.
+func closeAfterSending(answer string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, _ := w.(http.Hijacker).Hijack()
 		_, _ = io.WriteString(conn, answer)
@@ -67,8 +67,8 @@
 	}
 }
 
-// resetOnceRead sends some bytes of an answer, and resets the connection once the node's side has received them.
-func resetOnceRead(answer string) http.HandlerFunc {
+// resetAfterReceipt sends some bytes of an answer, and resets the connection once the node's side has received them.
+func resetAfterReceipt(answer string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, _ := w.(http.Hijacker).Hijack()
 		_, _ = io.WriteString(conn, answer)
