--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -7,19 +7,20 @@
 	"tulipglade/internal/protocol"
 )
 
-// attempt is one sending of a request, or a health check, to an endpoint.
+// attempt is one transmission of a request, or a health check, to an endpoint.
 type attempt struct {
 	request       *request
 	number        int
 	endpoint      *endpoint
 	startedAt     int64
-	deadline      int64        // until when the node waits for the answer; noDeadline while a large request is being uploaded
-	conn          *backendConn // nil: it has had no connection
+	deadline      int64        // when the node gives up waiting for the answer; noDeadline while a large request is uploaded
+	conn          *backendConn // nil: the attempt has no connection yet
 	state         attemptState
-	isHealthCheck bool // request is then a placeholder that no client sent
+	isHealthCheck bool // request is then a placeholder that no client has sent
 }
 
-// answerOutcome classifies an answer. Only a rejection that is marked as such proves that the attempt never ran.
+// answerOutcome maps an answer to the outcome of its attempt. Only a 503 or 504 that is marked as never run proves
+// that the backend has not run the request.
 func answerOutcome(msg *protocol.Message) balancer.Outcome {
 	switch msg.Status {
 	case 200:
@@ -32,7 +33,8 @@
 	return balancer.OutcomeServerError
 }
 
-// completeAttempt gives an attempt its one outcome. The balancer is notified after the call in which it may be.
+// completeAttempt records the outcome of an attempt; only the first call for an attempt has an effect. The balancer
+// is notified after its current call has returned, because it must not be called from within its own commands.
 func (n *Node) completeAttempt(att *attempt, outcome balancer.Outcome, report *balancer.LoadReport) {
 	if att.isCompleted() {
 		return
@@ -52,7 +54,7 @@
 		Latency:  n.now() - att.startedAt,
 		Load:     report,
 	}
-	if att.deadline == noDeadline { // not fully sent: the time was the client's, not the backend's
+	if att.deadline == noDeadline { // the upload had not ended: the client took the time, not the backend
 		result.Latency = 0
 	}
 	n.deferred = append(n.deferred, func() {
@@ -63,14 +65,16 @@
 	})
 }
 
-// checkAttemptDeadline abandons an attempt whose time is over.
+// checkAttemptDeadline abandons an attempt whose deadline has passed, unless it has its outcome already.
 func (n *Node) checkAttemptDeadline(att *attempt) {
 	if !att.isCompleted() && n.now() >= att.deadline {
 		n.abandonAttempt(att, balancer.OutcomeTimeout)
 	}
 }
 
-// abandonAttempt ends an attempt that is in flight. Without a connection it has never run.
+// abandonAttempt ends an attempt that is in flight: it closes the connection of the attempt, or removes the attempt
+// from those that wait for a connection. An attempt without a connection has never run, so its timeout counts as a
+// failed connect.
 func (n *Node) abandonAttempt(att *attempt, outcome balancer.Outcome) {
 	if conn := att.conn; conn != nil {
 		n.closeBackendConn(conn, closeAttemptAbandoned)
--- a/internal/node/audit.go
+++ b/internal/node/audit.go
@@ -6,30 +6,31 @@
 	"tulipglade/internal/safety"
 )
 
-// maxWriteDelay is how much time may pass between the check of an attempt and its first byte, in microseconds. An
-// attempt whose goroutine or process was delayed for longer is checked again instead of being written.
+// maxWriteDelay is how much time may pass between the check of an attempt and the write of its first byte, in
+// microseconds. An attempt whose goroutine or process was delayed for longer is not written but checked again.
 const maxWriteDelay = 10_000
 
-// errWriteDelayed reports a write that was not started because too much time had passed since its check.
-var errWriteDelayed = errors.New("delayed before the first byte")
+// errWriteDelayed reports that a write was not started because more than maxWriteDelay had passed since the check of
+// its attempt.
+var errWriteDelayed = errors.New("write not started: delayed for too long after the check of its attempt")
 
 // Limits of the audit, in microseconds.
 const (
-	auditSlack      = 50_000  // added to every limit
-	disconnectGrace = 100_000 // time after its client's disconnect in which an attempt may start
-	deadlineSlack   = 150_000 // by which the deadline stated to a backend may exceed the time that is left
+	auditSlack      = 50_000  // added to the limits for endpoints out of service and for stale lists
+	disconnectGrace = 100_000 // time after the client's disconnect within which an attempt may still start
+	deadlineSlack   = 150_000 // time by which the timeout stated to a backend may exceed the time that is left
 )
 
-// attemptStart is what the audit needs to know of an attempt's first byte.
+// attemptStart holds what the audit needs to know about the first byte of an attempt.
 type attemptStart struct {
-	writtenAt     int64 // right before the write
-	statedTimeout int64 // the time that the request states to the backend
-	deadline      int64 // when the request's client gives up at the latest; noDeadline: not known yet
-	listExpiresAt int64 // until when the endpoint list was known to be current; 0: unbounded
+	writtenAt     int64 // time right before the first byte was written
+	statedTimeout int64 // timeout that the request states to the backend
+	deadline      int64 // when the client gives up at the latest; noDeadline: not known yet
+	listExpiresAt int64 // until when the endpoint list was known to be current; 0: lists do not expire
 }
 
-// auditAttemptStart checks a started attempt against the rules, independently of what decided it. It only counts and logs
-// violations.
+// auditAttemptStart checks an attempt that has started against the invariants, independently of the code that decided
+// to start it. It only counts and logs violations.
 func (n *Node) auditAttemptStart(att *attempt, first attemptStart) {
 	ep, req := att.endpoint, att.request
 	if since := ep.outOfServiceSince; since > 0 && first.writtenAt > since+n.settings.DrainGrace+auditSlack {
@@ -49,7 +50,9 @@
 	}
 }
 
-// recordViolation counts and logs an attempt that should not have started.
+// recordViolation counts and logs an attempt that must not have started. excess is the time since its endpoint left
+// service, its list expired or its client disconnected, or the time by which its stated timeout is too long, in
+// microseconds.
 func (n *Node) recordViolation(att *attempt, reason safety.Reason, excess int64) {
 	n.violations[reason]++
 	_, listExpiresAt := n.balancer.ListCurrent(n.now())
--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -16,28 +16,28 @@
 	socket
 	node               *Node
 	endpoint           *endpoint
-	incarnation        int
-	attempt            *attempt
-	input              *buffer
-	message            protocol.Message
+	incarnation        int              // of the endpoint at the time of the dial
+	attempt            *attempt         // the attempt that the connection carries; nil: none
+	input              *buffer          // the part of the answer that has been received; nil: nothing yet
+	message            protocol.Message // the answer, as far as it has been parsed
 	state              backendConnState
-	answerComplete     bool      // the complete answer came before the writer had returned
-	download           *download // forwards an answer that is too large to be buffered
-	firstWriteReported bool      // the event loop has learned that the first write of its request has ended
-	deferredInput      []*buffer // input that came before the event loop learned what had been written
-	peerEndedEarly     bool      // the backend has closed while the request was being written
-	idleElement        *list.Element
-	idleSince          int64
-	idleBeforeAttempt  int64 // idle time before the attempt that it carries; 0: the connection is new
-	lastAnswerAt       int64 // when it last brought the answer to a request, which a duplicate may follow; 0: never
+	answerComplete     bool          // the complete answer was received before the writer had returned
+	download           *download     // forwards an answer that is too large to be buffered
+	firstWriteReported bool          // the event loop has processed the result of the first write of the request
+	deferredInput      []*buffer     // input that was received before the event loop knew what had been written
+	peerEndedEarly     bool          // the backend has closed the connection while the request was being written
+	idleElement        *list.Element // in Node.idleBackends; nil: the connection is not idle
+	idleSince          int64         // when the connection last became idle
+	idleBeforeAttempt  int64         // idle time before the current attempt; 0: it has none, or this has been recorded
+	lastAnswerAt       int64         // when it last received the answer to a request, which a duplicate may follow
 }
 
-// onInput passes on what the poller has read.
+// onInput is the poller's callback for input from the backend. It posts the input to the event loop.
 func (b *backendConn) onInput(_ context.Context, conn netpoll.Connection) error {
 	return b.postInput(conn, b.node, b.receive)
 }
 
-// receive processes input from the backend.
+// receive processes input from the backend on the event loop.
 func (b *backendConn) receive(buf *buffer) {
 	defer buf.release()
 	if b.state == backendClosed {
@@ -52,7 +52,7 @@
 		b.limiter.setStopped(true) // until processDeferredInput
 		return
 	}
-	if b.attempt == nil { // no request is in flight
+	if b.attempt == nil { // the backend has sent input without a request, which may be a duplicate answer
 		b.endpoint.duplicatesExpectedUntil = b.node.now() + observationLifetime
 		b.node.closeBackendConn(b, closeUnexpectedInput)
 		b.node.dialForWaiting(b.endpoint)
@@ -74,11 +74,12 @@
 	}
 }
 
-// awaitsWriteReport reports whether the event loop does not know yet that any byte of a request has been written. Only
-// then can what the backend sends be its answer.
+// awaitsWriteReport reports whether the event loop does not know yet that any byte of the request has been written.
+// What the backend sends before that can't be the answer to the request.
 func (b *backendConn) awaitsWriteReport() bool { return b.attempt != nil && !b.firstWriteReported }
 
-// processDeferredInput processes the input that was deferred until the event loop knew what had been written.
+// processDeferredInput processes the input that was deferred until the event loop knew what had been written, and
+// then the end of the connection if the backend has closed it meanwhile.
 func (b *backendConn) processDeferredInput() {
 	deferred, peerEnded := b.deferredInput, b.peerEndedEarly
 	b.deferredInput, b.peerEndedEarly = nil, false
@@ -94,12 +95,12 @@
 }
 
 // uploadFullyRead reports whether the last byte of a large request has been read from its client, while the event
-// loop has not learned yet that it was written.
+// loop does not know yet whether it was written.
 func (b *backendConn) uploadFullyRead() bool {
 	return b.attempt != nil && b.attempt.deadline == noDeadline && b.attempt.request.upload.forwarder.fullyRead.Load()
 }
 
-// keepDownloadInput buffers input of a large answer until it can be forwarded.
+// keepDownloadInput buffers input of a large answer until its forwarder can read it.
 func (b *backendConn) keepDownloadInput(data []byte) {
 	if err := b.download.keepInput(data); err != nil {
 		att := b.download.attempt
@@ -109,7 +110,8 @@
 	}
 }
 
-// parseAnswer parses the input so far; unread is the number of bytes that the buffer had no space for.
+// parseAnswer parses the part of the answer that has been received. unread is the number of received bytes that the
+// buffer had no space for.
 func (b *backendConn) parseAnswer(unread int) {
 	n, att := b.node, b.attempt
 	size, complete, err := b.message.Response(b.input.bytes())
@@ -127,19 +129,20 @@
 	}
 }
 
-// errEarlyLargeAnswer reports a large answer to a request that has not been written: too much of it would have to be
-// buffered.
-var errEarlyLargeAnswer = errors.New("a large answer before the end of its request")
+// errEarlyLargeAnswer reports a large answer to a request that has not been written completely: more of the answer
+// would have to be buffered than the node allows.
+var errEarlyLargeAnswer = errors.New("too much of a large answer received before the end of its request")
 
-// finishAnswer processes a complete answer; unread says that more input follows it.
+// finishAnswer processes a complete answer. unread says whether bytes were received behind it that the buffer had no
+// space for.
 func (b *backendConn) finishAnswer(unread bool) {
-	n, att, in, msg := b.node, b.attempt, b.input, b.message
+	n, att, buf, msg := b.node, b.attempt, b.input, b.message
 	n.recordIdleOutcome(b.idleBeforeAttempt, false)
 	b.idleBeforeAttempt = 0
 	if !att.isHealthCheck {
 		b.lastAnswerAt = n.now()
 	}
-	duplicate := unread || len(msg.Rest(in.bytes())) > 0
+	duplicate := unread || len(msg.Rest(buf.bytes())) > 0
 	if duplicate {
 		b.endpoint.duplicatesExpectedUntil = n.now() + observationLifetime
 	}
@@ -154,46 +157,47 @@
 		b.answerComplete = true
 	}
 	report := headerLoadReport(&msg)
-	result := answerOutcome(&msg)
-	if att.isHealthCheck && result == balancer.OutcomeOK {
-		report = healthCheckReport(&msg, msg.Body(in.bytes()))
-	} else if result == balancer.OutcomeOK {
+	outcome := answerOutcome(&msg)
+	if att.isHealthCheck && outcome == balancer.OutcomeOK {
+		report = healthCheckReport(&msg, msg.Body(buf.bytes()))
+	} else if outcome == balancer.OutcomeOK {
 		if msg.NoBody && att.request.clientConn != nil {
 			att.request.clientConn.headContentLength = max(msg.Length(), protocol.UntilClose)
 			if msg.Length() < 0 {
 				att.request.clientConn.headContentLength = protocol.UntilClose
 			}
 		}
-		n.answer(att.request, in.retain(), 200, msg.Fields, msg.Body(in.bytes()), 0)
+		n.answer(att.request, buf.retain(), 200, msg.Fields, msg.Body(buf.bytes()), 0)
 	}
-	n.completeAttempt(att, result, report)
-	in.release()
+	n.completeAttempt(att, outcome, report)
+	buf.release()
 }
 
-// connectionEnded processes the end of the connection.
+// connectionEnded processes the end of the connection after the poller has reported it.
 func (b *backendConn) connectionEnded() {
 	n, att := b.node, b.attempt
 	switch {
-	case b.state == backendClosed || b.state == backendDialing: // dialFinished handles it
+	case b.state == backendClosed || b.state == backendDialing: // in the latter state, dialFinished processes it
 	case b.download != nil && !b.download.awaitingRequestEnd:
 		n.startDownloadForwarding(b, nil, nil, nil)
 	case att == nil:
 		n.closeBackendConn(b, closePeerEnded)
 		n.dialForWaiting(b.endpoint)
 	case b.state == backendWriting && att.deadline == noDeadline && !b.uploadFullyRead():
-		// The request was still being uploaded and is never completed.
+		// The request was still being uploaded: the backend never receives the rest of it and so never starts it.
 		n.closeBackendConn(b, closePeerEnded)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	case b.state == backendWriting:
-		b.peerEndedEarly = true // requestSent decides, once it is known how much was written
+		b.peerEndedEarly = true // requestWriteFinished decides once it is known how much was written
 	default:
 		n.recordIdleOutcome(b.idleBeforeAttempt, b.input == nil && n.now()-att.startedAt < 2*reuseDelay)
 		n.finishAttemptAtConnEnd(b, att)
 	}
 }
 
-// finishAttemptAtConnEnd processes the end of a connection with an answer due. It completes an answer whose head states no
-// length.
+// finishAttemptAtConnEnd ends an attempt whose connection has ended before the answer was known to be complete. If
+// the head of the answer states no length and the backend closed the connection without a reset, the answer is
+// complete; otherwise the attempt fails.
 func (n *Node) finishAttemptAtConnEnd(conn *backendConn, att *attempt) {
 	if conn.input != nil && conn.message.EndsWithConnection() && conn.peerClosedCleanly {
 		conn.message.Finish()
@@ -206,7 +210,8 @@
 	n.completeAttempt(att, balancer.OutcomeReset, nil)
 }
 
-// closeBackendConn closes a connection. The caller completes an attempt on it.
+// closeBackendConn closes a connection to a backend. It does not complete the attempt on that connection, which is up
+// to the caller.
 func (n *Node) closeBackendConn(conn *backendConn, reason closeReason) {
 	if conn.state == backendClosed {
 		return
@@ -222,7 +227,7 @@
 		buf.release()
 	}
 	conn.deferredInput = nil
-	// A connection that is being detached from the poller closes when that is done.
+	// A connection that is being detached from the poller is closed as soon as it is detached.
 	if conn.download == nil || conn.download.awaitingRequestEnd || conn.descriptor != nil {
 		conn.closeTransport()
 	}
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -5,7 +5,8 @@
 // Node implements the commands that the balancer issues.
 var _ balancer.Commands = (*Node)(nil)
 
-// SendAttempt implements balancer.Commands: it sends a request to an endpoint.
+// SendAttempt implements balancer.Commands: it sends a request to an endpoint. The attempt ends at the request's
+// deadline, or after timeout if that is earlier; 0: there is no other timeout than the deadline.
 func (n *Node) SendAttempt(id balancer.RequestID, endpointID balancer.EndpointID, timeout balancer.Span) {
 	req := n.requests[id]
 	ep := n.endpoints[endpointID]
@@ -32,41 +33,43 @@
 	n.assignConn(att)
 }
 
-// exceedsAttemptLimits reports whether the last attempt is one too many by the request's settings.
+// exceedsAttemptLimits reports whether the latest attempt of the request exceeds what the request's settings allow:
+// it is one attempt too many, or a hedged request although hedging is not allowed.
 func (r *request) exceedsAttemptLimits() bool {
 	rules := &r.settings.Balancer
 	hedged := r.pendingAttempts > 1
 	return len(r.attempts) > max(rules.MaxAttempts, 1) || hedged && !rules.AllowHedging
 }
 
-// CancelAttempt implements balancer.Commands: it stops waiting for an attempt.
+// CancelAttempt implements balancer.Commands: it abandons an attempt that has no outcome yet.
 func (n *Node) CancelAttempt(id balancer.RequestID, number int) {
 	if req := n.requests[id]; req != nil && number < len(req.attempts) && !req.attempts[number].isCompleted() {
 		n.abandonAttempt(req.attempts[number], balancer.OutcomeCanceled)
 	}
 }
 
-// Reject implements balancer.Commands: it answers that a retry does no harm.
+// Reject implements balancer.Commands: it answers 503, which tells the client that a retry does no harm.
 func (n *Node) Reject(id balancer.RequestID, retryAfter balancer.Span) {
 	if req := n.requests[id]; req != nil {
 		n.answer(req, nil, 503, nil, []byte("refused\n"), retryAfter)
 	}
 }
 
-// Fail implements balancer.Commands: it answers without a promise about the request's effect.
+// Fail implements balancer.Commands: it answers 502, or 504 if an attempt is still in flight. Neither tells the
+// client whether the request has run.
 func (n *Node) Fail(id balancer.RequestID) {
 	req := n.requests[id]
 	if req == nil {
 		return
 	}
 	status := 502
-	if req.pendingAttempts > 0 { // an attempt is still in flight: nothing came in time
+	if req.pendingAttempts > 0 { // an attempt is still in flight: no answer was received in time
 		status = 504
 	}
 	n.answer(req, nil, status, nil, []byte("failed\n"), 0)
 }
 
-// SetTimer implements balancer.Commands.
+// SetTimer implements balancer.Commands: it notifies the balancer after the delay, which is at least one microsecond.
 func (n *Node) SetTimer(id balancer.TimerID, delay balancer.Span) {
 	n.scheduleAt(n.now()+max(delay, 1), func() { n.balancer.HandleTimer(n.now(), id) })
 }
@@ -77,5 +80,5 @@
 // PollEndpoints implements balancer.Commands: it asks discovery for the full list, once.
 func (n *Node) PollEndpoints() { n.discovery.Poll() }
 
-// Log implements balancer.Commands.
+// Log implements balancer.Commands: it logs a decision of the balancer.
 func (n *Node) Log(text string) { n.log.Info("decision", "text", text) }
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -8,7 +8,7 @@
 	"tulipglade/internal/balancer"
 )
 
-// dial opens a connection to an endpoint.
+// dial opens a connection to an endpoint on a goroutine of its own, which posts the result to the event loop.
 func (n *Node) dial(ep *endpoint) {
 	pending := &backendConn{node: n, endpoint: ep, incarnation: ep.incarnation}
 	ep.pendingDials++
@@ -23,8 +23,8 @@
 	}()
 }
 
-// attach takes over a connection that has been established. From here on its input is posted to the event loop, which
-// has not processed the result of the dial yet.
+// attach initializes the connection with the poller's connection that the dial has established. From then on input is
+// posted to the event loop, which has not processed the result of the dial yet.
 func (b *backendConn) attach(conn netpoll.Connection) error {
 	b.conn = conn
 	_ = conn.SetWriteTimeout(writeTimeout)
@@ -37,13 +37,13 @@
 	return conn.SetOnRequest(b.onInput)
 }
 
-// dialFinished processes the result of a dial. A new connection goes to the attempt that has waited longest; a
-// failure is that of a waiting attempt if no other connection is due for it.
+// dialFinished processes the result of a dial. A new connection is assigned to the attempt that has waited longest.
+// If the dial has failed, so does a waiting attempt, unless another connection is expected for it.
 func (n *Node) dialFinished(conn *backendConn, err error) {
 	ep := conn.endpoint
 	ep.pendingDials--
 	if err != nil || !conn.conn.IsActive() {
-		if conn.state != backendClosed { // closed already if the backend has sent input before any request
+		if conn.state != backendClosed { // it is closed already if the backend has sent input before any request
 			conn.setState(backendClosed)
 			n.openDescriptors--
 		}
@@ -56,8 +56,8 @@
 	n.releaseConn(conn)
 }
 
-// failWaiting attributes a failed dial to a waiting attempt, a health check if there is one, unless a connection is due for
-// each of them.
+// failWaiting fails a waiting attempt after a failed dial, a health check if one is waiting, unless there is an idle
+// connection or a pending dial for each waiting attempt.
 func (n *Node) failWaiting(ep *endpoint, err error) {
 	waiting := len(ep.waitingAttempts)
 	if waiting <= ep.pendingDials+len(ep.idleConns) {
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -8,18 +8,19 @@
 	"tulipglade/internal/staleness"
 )
 
-// UpdateEndpoints applies changes of the endpoint list. Cached says that the list may be out of date.
+// UpdateEndpoints applies an endpoint list that is current now. cached says that the list comes from a cache and may
+// be out of date.
 func (n *Node) UpdateEndpoints(update protocol.List, cached bool) {
 	n.handleEndpointList(update, cached, time.Now(), staleness.InOrder)
 }
 
-// UpdateEndpointsAsOf applies an answer of discovery that was current at a time; the zero time says that this is not known.
-// Order says how it relates to the answers before.
+// UpdateEndpointsAsOf applies an answer of discovery that was current at the time asOf; the zero time says that this
+// time is not known. order says how the answer relates to earlier ones.
 func (n *Node) UpdateEndpointsAsOf(update protocol.List, asOf time.Time, order staleness.Order) {
 	n.handleEndpointList(update, false, asOf, order)
 }
 
-// handleEndpointList posts a change of the endpoint list to the event loop, which merges it and notifies the
+// handleEndpointList posts an endpoint list to the event loop, which merges it into the registry and notifies the
 // balancer.
 func (n *Node) handleEndpointList(update protocol.List, cached bool, asOf time.Time, order staleness.Order) {
 	n.post(func() {
@@ -41,35 +42,35 @@
 		n.endpointsKnown = n.endpointsKnown || len(endpoints) > 0
 		n.logEndpointsInService()
 		if len(endpoints) == 0 && kind == balancer.ListDelta && !n.settings.Balancer.PollDiscovery {
-			return // without polling, the balancer is notified of changes only
+			return // without polling, the balancer is notified only of changes
 		}
 		n.notifyDiscoveryResult(evidence, kind, endpoints)
 	})
 }
 
-// DiscoveryCallFailed reports a failed call to discovery and the kind of failure: ListFailed, ListTimeout, ListOverloaded or
-// ListInvalid.
-// No newer list was available as of the given time.
-func (n *Node) DiscoveryCallFailed(err error, how balancer.ListKind, asOf time.Time) {
+// DiscoveryCallFailed reports that a call to discovery has failed. kind is the kind of failure: ListFailed,
+// ListTimeout, ListOverloaded or ListInvalid. No newer list was available at the time asOf.
+func (n *Node) DiscoveryCallFailed(err error, kind balancer.ListKind, asOf time.Time) {
 	n.post(func() {
 		n.log.Warn("discovery failed", "err", err)
-		n.notifyDiscoveryResult(n.nodeTime(asOf), how, nil)
+		n.notifyDiscoveryResult(n.nodeTime(asOf), kind, nil)
 	})
 }
 
-// notifyDiscoveryResult passes on what a call to discovery has brought, and traces what that means for the lease on the list.
+// notifyDiscoveryResult passes the result of a call to discovery to the balancer, and traces how it changes the list
+// lease.
 func (n *Node) notifyDiscoveryResult(asOf balancer.Time, kind balancer.ListKind, endpoints []balancer.Endpoint) {
-	_, until := n.balancer.ListCurrent(n.now())
+	_, validUntil := n.balancer.ListCurrent(n.now())
 	n.balancer.HandleEndpointsAsOf(n.now(), asOf, kind, endpoints)
 	n.updateListFreshness()
 	if n.traceRequests {
-		_, renewed := n.balancer.ListCurrent(n.now())
+		_, renewedUntil := n.balancer.ListCurrent(n.now())
 		n.log.Debug("endpoint list lease", "evidence", kind.String(), "rev", n.listRevision, "entries", len(endpoints),
-			"valid_us_before", until-n.now(), "valid_us", renewed-n.now())
+			"valid_us_before", validUntil-n.now(), "valid_us", renewedUntil-n.now())
 	}
 }
 
-// DiscoveryAddressChanged reports that discovery has a new address: what the old one answered expires within the
+// DiscoveryAddressChanged reports that discovery has a new address: answers of the old address expire within the
 // given time.
 func (n *Node) DiscoveryAddressChanged(within time.Duration) {
 	n.post(func() {
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -2,33 +2,36 @@
 
 import "math"
 
-// reuseDelay is how long a connection is spared after an answer while others will do, in microseconds. A backend that
-// closes a connection says so right after its last answer, and a request that crosses the close counts as one that
-// may have run. Connections to an endpoint that has lately answered a request twice are always spared: duplicates
-// come some milliseconds late, and the next request would take one for its own answer. To spare all connections
-// always costs far more than it saves.
+// reuseDelay is how long after an answer a connection is spared, which means not reused while another connection is
+// available, in microseconds. A backend that closes a connection does so right after its last answer, and a request
+// that crosses the close counts as one that may have run. Connections to an endpoint that has lately answered a
+// request twice are spared even if no other is available: duplicates arrive some milliseconds late, and the next
+// request would take one for its own answer. To spare all connections in that way at all times would cost far more
+// than it would save.
 const reuseDelay = 10_000
 
-// Backends, or what is between, may close idle connections sooner than configured, and without notice: the next request is
-// reset and counts as one that may have run. So the node learns after which idle time connections break at once.
+// Backends, or devices between them and the node, may close idle connections sooner than configured, and without
+// notice: the next request is reset and counts as one that may have run. So the node learns after which idle time
+// connections break as soon as they are used.
 const (
-	idleOutcomeDecay     = 0.95       // weight of earlier attempts with each new one
-	minIdleSamples       = 3          // attempts before a limit is derived
-	idleFailureThreshold = 0.35       // share that broke, far above that of other reasons
-	observationLifetime  = 30_000_000 // how long what was learned holds, in microseconds
+	idleOutcomeDecay     = 0.95       // factor on the weight of earlier attempts with each new one
+	minIdleSamples       = 3          // number of attempts before a limit is derived from them
+	idleFailureThreshold = 0.35       // share of failed attempts that shows a limit; other reasons cause far fewer failures
+	observationLifetime  = 30_000_000 // how long a learned limit or an observed duplicate has an effect, in microseconds
 )
 
-// idleOutcome counts attempts on connections that had been idle for about the same time.
+// idleOutcome counts the attempts, and the failed ones among them, on connections that had been idle for about the
+// same time. Earlier attempts count less than recent ones.
 type idleOutcome struct{ attempts, failures float64 }
 
-// recordIdleOutcome records how an attempt on a connection that had been idle has ended. Only a connection that broke
-// at once, without a byte of an answer, counts as failed: a backend that dies ends all attempts, whatever they were
-// sent on.
+// recordIdleOutcome records whether an attempt failed on a connection that had been idle for idleTime. Only a
+// connection that broke at once, without a byte of an answer, counts as failed: a backend that dies ends all its
+// attempts, however long their connections had been idle.
 func (n *Node) recordIdleOutcome(idleTime int64, failed bool) {
 	if idleTime <= reuseDelay {
 		return
 	}
-	bucket := int(2 * math.Log2(float64(idleTime))) // two buckets for each doubling
+	bucket := int(2 * math.Log2(float64(idleTime))) // two buckets for each doubling of the idle time
 	record := &n.idleOutcomes[min(bucket, len(n.idleOutcomes)-1)]
 	record.attempts, record.failures = idleOutcomeDecay*record.attempts+1, idleOutcomeDecay*record.failures
 	if failed {
@@ -41,7 +44,8 @@
 	}
 }
 
-// idleLimit is how long a backend connection may have been idle and still be reused, in microseconds.
+// idleLimit returns how long a backend connection may have been idle and still be reused, in microseconds: half the
+// configured keep-alive time, or less if the node has learned a shorter limit.
 func (n *Node) idleLimit() int64 {
 	limit := int64(math.MaxInt64)
 	if n.settings.Keepalive > 0 {
@@ -53,8 +57,8 @@
 	return limit
 }
 
-// mayReceiveDuplicate reports whether the next request on a connection might take a duplicate of the last answer for
-// its own.
+// mayReceiveDuplicate reports whether a duplicate of the last answer may still arrive on a connection, so that the
+// next request on it might take the duplicate for its own answer.
 func (e *endpoint) mayReceiveDuplicate(conn *backendConn, now int64) bool {
 	return now < e.duplicatesExpectedUntil && now-conn.lastAnswerAt < reuseDelay
 }
--- a/internal/node/listfreshness.go
+++ b/internal/node/listfreshness.go
@@ -5,14 +5,14 @@
 // listFreshness tracks whether the endpoint list is current, and what has been logged about it.
 type listFreshness struct {
 	processStartedAt int64
-	everCurrent      bool  // the list has been current at least once since the start
-	stale            bool  // the list is not current any more, and this has been logged
-	noEndpointSince  int64 // since when no endpoint has been in service, as has been logged; 0: one is
-	staleSince       int64
+	everCurrent      bool  // the list has been current at least once since the process started
+	stale            bool  // the list is no longer current, and this has been logged
+	noEndpointSince  int64 // when the lack of an endpoint in service was logged; 0: not logged, or one is in service again
+	staleSince       int64 // when the list was last found to be no longer current
 }
 
 // readyTimeout is how long a process that has just started waits for a confirmed list before it accepts clients
-// without one, in microseconds: nine in ten restarted processes are to be ready within 6 s.
+// without one, in microseconds. It is chosen so that nine in ten restarted processes are ready within 6 s.
 const readyTimeout = 4_500_000
 
 // updateListFreshness logs when the endpoint list stops or starts being current.
@@ -48,8 +48,9 @@
 	}
 }
 
-// ready reports whether clients may be sent here: the list was found current, whatever it says, or an endpoint is known and
-// the list could not be confirmed in time.
+// ready reports whether clients may send requests to this node: a list has been confirmed as current, even an empty
+// one, or an endpoint is known and the list could not be confirmed within readyTimeout. A node that drains is not
+// ready.
 func (n *Node) ready() bool {
 	if n.drain.active {
 		return false
--- a/internal/node/peerstate.go
+++ b/internal/node/peerstate.go
@@ -12,13 +12,14 @@
 
 const (
 	peerOpen     peerState = iota
-	peerFinished           // closed in order
-	peerBroken             // reset, or unknown
+	peerFinished           // closed by the peer without a reset
+	peerBroken             // reset, or the state could not be determined
 )
 
-// peerStateFromEvents derives the state from the events of poll(2): a reset ends both directions and shows for as long as the
-// descriptor lives, while an orderly end leaves this side open. The state in TCP_INFO proves nothing: under a system
-// call layer other than the kernel's own it has been seen to say CLOSE_WAIT for both.
+// peerStateFromEvents derives the state from the events that poll(2) reports. A reset ends both directions and is
+// reported for as long as the descriptor is open, while an orderly end leaves this side's direction open. The state
+// in TCP_INFO proves nothing: a system call layer other than the kernel's own has been seen to report CLOSE_WAIT for
+// both.
 func peerStateFromEvents(revents int16) peerState {
 	switch {
 	case revents&(unix.POLLHUP|unix.POLLERR|unix.POLLNVAL) != 0:
@@ -29,7 +30,8 @@
 	return peerOpen
 }
 
-// queryPeerState asks the kernel. The caller must keep the descriptor open.
+// queryPeerState asks the kernel for the state of a connection's peer. The caller must keep the descriptor open
+// meanwhile.
 func queryPeerState(conn netpoll.Connection) peerState {
 	c, ok := conn.(fdConn)
 	if !ok {
@@ -38,7 +40,7 @@
 	return pollPeerState(c.Fd())
 }
 
-// queryDetachedPeerState asks the kernel about a connection that is detached from the poller.
+// queryDetachedPeerState asks the kernel for the state of the peer of a connection that is detached from the poller.
 func queryDetachedPeerState(descriptor *os.File) (state peerState) {
 	raw, err := descriptor.SyscallConn()
 	if err == nil {
@@ -50,7 +52,7 @@
 	return state
 }
 
-// pollPeerState asks the kernel about an open descriptor.
+// pollPeerState polls an open descriptor, without waiting, for the state of the peer.
 func pollPeerState(fd int) peerState {
 	descriptors := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
 	for {
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -8,7 +8,8 @@
 	"tulipglade/internal/safety"
 )
 
-// assignConn gives an attempt a connection: an idle one, one that becomes reusable soon, or a new one.
+// assignConn sends an attempt on an idle connection, or lets it wait for one: an idle connection that becomes
+// reusable soon, or a new one. An attempt that still waits after ConnectTimeout has failed.
 func (n *Node) assignConn(att *attempt) {
 	ep := att.endpoint
 	if conn := n.takeIdleConn(ep); conn != nil {
@@ -34,12 +35,13 @@
 	})
 }
 
-// hasUnclaimedIdleConn reports whether an idle connection that is spared for now will be left for one more waiting attempt.
+// hasUnclaimedIdleConn reports whether one more waiting attempt can expect an idle connection that is spared for now:
+// the idle connections and pending dials outnumber the attempts that wait already.
 func (e *endpoint) hasUnclaimedIdleConn() bool {
 	return len(e.idleConns) > 0 && len(e.idleConns)+e.pendingDials > len(e.waitingAttempts)
 }
 
-// enqueueAttempt adds an attempt to those that wait for a connection. Health checks wait behind requests.
+// enqueueAttempt adds an attempt to those that wait for a connection. Health checks wait behind all requests.
 func (e *endpoint) enqueueAttempt(att *attempt) {
 	position := len(e.waitingAttempts)
 	for !att.isHealthCheck && position > 0 && e.waitingAttempts[position-1].isHealthCheck {
@@ -48,9 +50,9 @@
 	e.waitingAttempts = slices.Insert(e.waitingAttempts, position, att)
 }
 
-// takeIdleConn takes the most recently used idle connection of an endpoint that is old enough to be reused, else the
-// oldest of the younger ones; nil if there is none. It skips connections on which a duplicate answer may follow, and
-// closes those that can't be used any more.
+// takeIdleConn removes an idle connection to an endpoint from the pool and returns it; nil if there is none. It
+// prefers the most recently used one that has been idle for reuseDelay, else takes the one that has been idle
+// longest. It skips connections on which a duplicate answer may follow, and closes those that can't be used any more.
 func (n *Node) takeIdleConn(ep *endpoint) *backendConn {
 	now := n.now()
 	var candidate, fallback *backendConn
@@ -59,7 +61,7 @@
 		switch {
 		case ep.mayReceiveDuplicate(conn, now):
 		case now-conn.idleSince >= n.idleLimit() || !conn.isOpenWithoutInput():
-			n.closeBackendConn(conn, closeUnusable) // idle for too long, closed, or with input that no request asked for
+			n.closeBackendConn(conn, closeUnusable) // idle for too long, closed, or with unsolicited input
 		case now-conn.idleSince < reuseDelay:
 			fallback = conn
 		default:
@@ -76,7 +78,8 @@
 	return candidate
 }
 
-// releaseConn returns a connection that carries nothing to the pool, and serves waiting attempts with it.
+// releaseConn returns a connection that carries no attempt to the pool, from which waiting attempts take it. A
+// connection that is not usable any more is closed instead.
 func (n *Node) releaseConn(conn *backendConn) {
 	ep := conn.endpoint
 	switch {
@@ -92,10 +95,11 @@
 	}
 }
 
-// serveWaiting gives reusable connections to waiting attempts, the longest waiting first.
+// serveWaiting assigns reusable connections to waiting attempts in the order of their queue. Attempts that may not
+// start any more are completed unsent.
 func (n *Node) serveWaiting(ep *endpoint) {
 	for len(ep.waitingAttempts) > 0 {
-		// Conditions may have changed since the balancer decided.
+		// The conditions for a start may have changed since the balancer decided to send the attempt.
 		if att := ep.waitingAttempts[0]; n.mayStart(att) != safety.Allowed {
 			ep.waitingAttempts = ep.waitingAttempts[1:]
 			n.completeAttempt(att, balancer.OutcomeNotSent, nil)
@@ -113,8 +117,8 @@
 	}
 }
 
-// scheduleServeWaiting runs serveWaiting when the next idle connection becomes reusable. No idle connection is
-// reusable now, or an attempt would have taken it.
+// scheduleServeWaiting schedules serveWaiting for the time when the next idle connection becomes reusable. None is
+// reusable when this is called, or an attempt would have taken it.
 func (n *Node) scheduleServeWaiting(ep *endpoint) {
 	next := int64(noDeadline)
 	for _, conn := range ep.idleConns {
@@ -125,14 +129,15 @@
 	}
 }
 
-// dialForWaiting opens connections until each waiting attempt has one that is being dialled or becomes reusable.
+// dialForWaiting opens connections until there is a pending dial or an idle connection for each waiting attempt, or
+// no descriptor is available for another connection.
 func (n *Node) dialForWaiting(ep *endpoint) {
 	for len(ep.waitingAttempts) > ep.pendingDials+len(ep.idleConns) && n.mayDial() {
 		n.dial(ep)
 	}
 }
 
-// setIdle adds a connection to the idle ones or removes it from them.
+// setIdle adds a connection to the idle connections of the node and of its endpoint, or removes it from both.
 func (n *Node) setIdle(conn *backendConn, idle bool) {
 	if conn.idleElement != nil {
 		n.idleBackends.Remove(conn.idleElement)
@@ -152,7 +157,7 @@
 	}
 }
 
-// closeIdleBackendConns closes an endpoint's idle connections because it drains, was removed or has restarted.
+// closeIdleBackendConns closes the idle connections to an endpoint that drains, was removed or has restarted.
 func (n *Node) closeIdleBackendConns(ep *endpoint) {
 	for len(ep.idleConns) > 0 {
 		n.closeBackendConn(ep.idleConns[0], closeEndpointChanged)
