--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -37,13 +37,13 @@
 		{"unmarked 503", "once", 9000, respondWith(503), 502, 1},
 		{"503 with another mark", "once", 9000, respondWith(503, "X-Never-Ran", "0"), 502, 1},
 		{"marked 500", "once", 9000, respondWith(500, never...), 502, 1},
-		{"reset", "once", 9000, resetAfter(""), 502, 1},
-		{"reset, idempotent", "read", 9000, resetAfter(""), 200, 2},
-		{"ends within the body", "once", 9000, resetAfter("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), 502, 1},
-		{"ends within a chunk", "once", 9000, resetAfter("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody"), 502, 1},
-		{"not HTTP", "once", 9000, resetAfter("what?\r\n\r\n"), 502, 1},
-		{"body until close", "once", 9000, resetAfter("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody of /once"), 200, 1},
-		{"body until a reset", "once", 9000, resetOnceRead("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody of /once"), 502, 1},
+		{"reset", "once", 9000, closeAfterSending(""), 502, 1},
+		{"reset, idempotent", "read", 9000, closeAfterSending(""), 200, 2},
+		{"ends within the body", "once", 9000, closeAfterSending("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), 502, 1},
+		{"ends within a chunk", "once", 9000, closeAfterSending("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nbody"), 502, 1},
+		{"not HTTP", "once", 9000, closeAfterSending("what?\r\n\r\n"), 502, 1},
+		{"body until close", "once", 9000, closeAfterSending("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody of /once"), 200, 1},
+		{"body until a reset", "once", 9000, resetAfterReceipt("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody of /once"), 502, 1},
 		{"garbage, left open", "once", 9000, sendGarbage("\x01\x02\x03"), 502, 1},
 		{"garbage, idempotent", "read", 9000, sendGarbage("HTTP/1.1 200 OK\r\nwhat?\r\n"), 200, 2},
 		{"never answers", "once", 150, neverAnswer(nil), 504, 1},
@@ -290,7 +290,7 @@
 			conn.readAnswer()
 			waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
 			runOnLoop(n, func() { // the next attempt waits for this connection
-				n.endpoints[1].duplicatesUntil = noDeadline
+				n.endpoints[1].duplicatesExpectedUntil = noDeadline
 				n.endpoints[1].idleConns[0].lastAnswerAt = n.now() + 3_600_000_000
 			})
 			_, _ = io.WriteString(conn, requestText("once", 9000))
@@ -303,7 +303,7 @@
 				for _, b := range n.endpoints[1].idleConns { // it is reusable
 					b.lastAnswerAt = 0
 				}
-				n.endpoints[1].duplicatesUntil = 0
+				n.endpoints[1].duplicatesExpectedUntil = 0
 				n.serveWaiting(n.endpoints[1])
 			})
 			if code, body, _ := conn.readAnswer(); code != 200 || body != "body of /once" {
@@ -358,28 +358,28 @@
 		ep := &endpoint{address: "h"}
 		r := &request{settings: n.settings, clientConn: &clientConn{node: n}, deadline: now + 1_000_000}
 		a := &attempt{request: r, endpoint: ep, deadline: r.deadline}
-		fine := firstByte{writtenAt: now, statedTimeout: 1_000_000, deadline: a.deadline, listExpiresAt: now}
+		fine := attemptStart{writtenAt: now, statedTimeout: 1_000_000, deadline: a.deadline, listExpiresAt: now}
 		for _, c := range []struct {
 			name   string
-			change func(*firstByte)
+			change func(*attemptStart)
 			want   safety.Reason
 		}{
-			{"as it should be", func(*firstByte) {}, safety.Allowed},
-			{"endpoint drains", func(*firstByte) {
+			{"as it should be", func(*attemptStart) {}, safety.Allowed},
+			{"endpoint drains", func(*attemptStart) {
 				ep.outOfServiceSince = now - n.settings.DrainGrace - auditSlack - 1
 			}, safety.BackendDraining},
-			{"list too old", func(f *firstByte) { f.listExpiresAt = now - n.settings.DrainGrace - auditSlack - 1 }, safety.ListStale},
-			{"client disconnected", func(*firstByte) {
-				r.clientConn.disconnectedAt.Store(now - maxDisconnectDelay - 1)
+			{"list too old", func(f *attemptStart) { f.listExpiresAt = now - n.settings.DrainGrace - auditSlack - 1 }, safety.ListStale},
+			{"client disconnected", func(*attemptStart) {
+				r.clientConn.disconnectedAt.Store(now - disconnectGrace - 1)
 			}, safety.ClientDisconnected},
-			{"more time than is left", func(f *firstByte) { f.statedTimeout += deadlineSlack + 1 }, safety.DeadlinePassed},
+			{"more time than is left", func(f *attemptStart) { f.statedTimeout += deadlineSlack + 1 }, safety.DeadlinePassed},
 		} {
 			clear(n.violations)
 			ep.outOfServiceSince = 0
 			r.clientConn.disconnectedAt.Store(0)
 			f := fine
 			c.change(&f)
-			n.audit(a, f)
+			n.auditAttemptStart(a, f)
 			unexpected := c.want == safety.Allowed && len(n.violations) > 0
 			missing := c.want != safety.Allowed && n.violations[c.want] != 1
 			if unexpected || missing {
@@ -408,7 +408,7 @@
 	_, _ = io.WriteString(client, requestText("read", 9000))
 	waitUntil(n, func() bool { return len(n.requests) == 1 && n.requests[2].pendingAttempts == 1 })
 	writeOK(first, "not asked for")
-	waitUntil(n, func() bool { return n.endpoints[1].duplicatesUntil > 0 || len(n.requests) == 0 })
+	waitUntil(n, func() bool { return n.endpoints[1].duplicatesExpectedUntil > 0 || len(n.requests) == 0 })
 	runOnLoop(n, func() { n.testWriteDelay = 0 })
 	go func() {
 		second, _ := backend.acceptRequest()
--- a/internal/node/sendrequest.go
+++ b/internal/node/sendrequest.go
@@ -34,10 +34,10 @@
 	att.conn, conn.attempt = conn, att
 	n.setAttemptState(att, attemptAssigned)
 	conn.setState(backendWriting)
-	conn.writeReported = att.isHealthCheck
+	conn.firstWriteReported = att.isHealthCheck
 	if att.isHealthCheck {
 		conn.message = protocol.Message{}
-		n.write(&conn.socket, func(err error) { n.requestSent(conn, att, err) }, n.appendHealthCheck(nil, conn.endpoint))
+		n.write(&conn.socket, func(err error) { n.requestWriteFinished(conn, att, err) }, n.appendHealthCheck(nil, conn.endpoint))
 		return
 	}
 	conn.message = protocol.Message{NoBody: string(req.message.Method) == "HEAD"}
@@ -48,7 +48,7 @@
 		length, remaining = req.message.Length(), n.minRemainingUploadTime(req)
 	}
 	remaining = statedTimeout(remaining)
-	first := firstByte{statedTimeout: remaining, deadline: att.deadline}
+	first := attemptStart{statedTimeout: remaining, deadline: att.deadline}
 	if req.upload != nil {
 		first.deadline = req.upload.latestDeadline(req.uploadTimeout)
 	}
@@ -62,13 +62,13 @@
 	if length < 0 && len(body) > 0 {
 		parts = [][]byte{append(strconv.AppendInt(headBytes, int64(len(body)), 16), "\r\n"...), body, []byte("\r\n")}
 	}
-	n.writeWithoutDelay(&conn.socket, func(startedAt int64, err error) {
+	n.writeUnlessDelayed(&conn.socket, func(startedAt int64, err error) {
 		head.release()
 		requestBuffer.release()
 		if first.writtenAt = startedAt; !errors.Is(err, errWriteDelayed) {
-			n.audit(att, first)
+			n.auditAttemptStart(att, first)
 		}
-		n.requestWritten(conn, att, err)
+		n.firstWriteFinished(conn, att, err)
 	}, parts...)
 }
 
@@ -78,13 +78,13 @@
 	return max(remaining-min(maxWriteDelay, remaining/10), 1000)
 }
 
-// requestWritten processes the end of the write that sendRequest has started.
-func (n *Node) requestWritten(conn *backendConn, att *attempt, err error) {
+// firstWriteFinished processes the end of the write that sendRequest has started.
+func (n *Node) firstWriteFinished(conn *backendConn, att *attempt, err error) {
 	if errors.Is(err, errWriteDelayed) && conn.state != backendClosed {
 		n.retryDelayedWrite(conn, att)
 		return
 	}
-	conn.writeReported = true
+	conn.firstWriteReported = true
 	conn.processDeferredInput()
 	req := att.request
 	switch {
@@ -92,10 +92,10 @@
 	case req.upload != nil && err == nil && !conn.answerComplete && !conn.peerEndedEarly && !req.isDone():
 		n.forwardUpload(conn, att)
 	case req.upload != nil: // incomplete: it has never started
-		n.closeBackend(conn, closeRequestIncomplete)
+		n.closeBackendConn(conn, closeRequestIncomplete)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	default:
-		n.requestSent(conn, att, err)
+		n.requestWriteFinished(conn, att, err)
 	}
 }
 
@@ -113,34 +113,34 @@
 		n.completeAttempt(att, balancer.OutcomeNotSent, nil)
 	}
 	if unsolicited {
-		conn.endpoint.duplicatesUntil = n.now() + observationLifetime
+		conn.endpoint.duplicatesExpectedUntil = n.now() + observationLifetime
 	}
 	if conn.peerEndedEarly || unsolicited {
-		n.closeBackend(conn, closeUnusable)
+		n.closeBackendConn(conn, closeUnusable)
 		n.dialForWaiting(conn.endpoint)
 		return
 	}
 	n.releaseConn(conn)
 }
 
-// requestSent processes the end of the write of a request.
-func (n *Node) requestSent(conn *backendConn, att *attempt, err error) {
+// requestWriteFinished processes the end of the write of a request.
+func (n *Node) requestWriteFinished(conn *backendConn, att *attempt, err error) {
 	switch {
 	case conn.state == backendClosed:
 	case conn.answerComplete && err == nil:
 		conn.answerComplete = false
 		n.releaseConn(conn)
 	case conn.answerComplete:
-		n.closeBackend(conn, closeWriteFailed)
+		n.closeBackendConn(conn, closeWriteFailed)
 	case err != nil: // incomplete: it has never started
-		n.closeBackend(conn, closeWriteFailed)
+		n.closeBackendConn(conn, closeWriteFailed)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	case conn.peerEndedEarly && conn.download != nil:
 		conn.setState(backendAwaitingAnswer)
 		n.startDownloadForwarding(conn, nil, nil, nil)
 	case conn.peerEndedEarly:
 		n.recordIdleOutcome(conn.idleBeforeAttempt, conn.input == nil && n.now()-att.startedAt < 2*reuseDelay)
-		n.finishEndedConn(conn, att)
+		n.finishAttemptAtConnEnd(conn, att)
 	default:
 		conn.setState(backendAwaitingAnswer)
 		if conn.download != nil {
