--- a/internal/balancer/hints.go
+++ b/internal/balancer/hints.go
@@ -1,25 +1,27 @@
 package balancer
 
-// Cost hints: clients' guesses of the work of a request, and how accurate they turn out to be.
+// Cost hints: clients' estimates of the work of a request, and how accurate these turn out to be.
 
 import "math"
 
 const (
-	hintGain       = 0.05 // weight of one hint in the usual one
-	maxHintStep    = 1    // of one hint's logarithm in that
-	priorSquares   = 3    // weight of the first slope, in squares of logarithms
-	priorProducts  = 1    // so that slope is a third
-	maxHintSquares = 60   // squares after which what was learned counts half
+	hintGain       = 0.05 // weight of one hint in the moving mean of the hints
+	maxHintStep    = 1    // largest distance from the mean with which one hint counts, as a logarithm
+	priorSquares   = 3    // added to the sum of squares, so that the first answers change the slope slowly
+	priorProducts  = 1    // added to the sum of products: the slope is a third before any answer
+	maxHintSquares = 60   // sum of squares above which both sums are halved, so that old answers count less
 )
 
-// hintRegression relates the logarithms of hints and of work within a class, each beside what is usual.
+// hintRegression estimates how the work of requests of a class depends on their cost hints. It is a linear
+// regression of logarithms, both of them relative to what is usual in the class.
 type hintRegression struct {
-	mean          float64 // logarithm of the usual hint; 0: none seen
-	sumOfSquares  float64 // sum of the squares of the hints' distances from it
-	sumOfProducts float64 // sum of their products with the logarithms of the work
+	mean          float64 // moving mean of the logarithms of the hints; 0: no hint yet
+	sumOfSquares  float64 // sum of the squared distances of the hints from the mean
+	sumOfProducts float64 // sum of the products of these distances and the logarithms of the relative work
 }
 
-// observe takes the hint of a request and returns the logarithm of it as a multiple of the usual one.
+// observe updates the mean with the hint of a request. It returns the distance of the hint from the mean,
+// which is the logarithm of the hint as a multiple of the usual one, or 0 if there is no hint.
 func (h *hintRegression) observe(hint Span) float64 {
 	if hint <= 0 {
 		return 0
@@ -32,13 +34,14 @@
 	return logHint - h.mean
 }
 
-// slope is how much of a hint's distance from the usual one turns out to be work: 0 nothing, 1 all of it.
+// slope returns which part of a hint's distance from the mean turns out to be work: 0 if hints say nothing
+// about the work, 1 if the work is in proportion to them.
 func (h *hintRegression) slope() float64 {
 	return min(max((h.sumOfProducts+priorProducts)/(h.sumOfSquares+priorSquares), 0), 1)
 }
 
-// learn takes an answer to a request whose hint was so far from the usual one, and which took work times the
-// usual.
+// learn updates the regression with an answered request: the distance of its hint from the mean, and its work
+// as a multiple of the usual work.
 func (h *hintRegression) learn(distance, work float64) {
 	h.sumOfSquares += distance * distance
 	h.sumOfProducts += distance * math.Log(work)
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -1,6 +1,7 @@
 package balancer
 
-// Outlier detection: endpoints that fail or give no answer, and their ejection.
+// Outlier detection: endpoints that fail or do not answer are ejected, which means that they get no requests
+// for some time.
 
 import (
 	"math"
@@ -8,20 +9,37 @@
 )
 
 const (
-	silenceFactor          = 1.5  // mean latencies without an answer after which an endpoint gets nothing new
-	ejectionFailures       = 3    // consecutive failures that eject an endpoint
-	errorRateGain          = 0.2  // weight of one answer in an endpoint's error rate
-	ejectionErrorRate      = 0.45 // ejects an endpoint: about three errors in a row, not one
-	suspectErrorRate       = 0.1  // above it, an endpoint gets nothing that can't be retried
-	typicalErrorRateFactor = 2    // median error rates by which both are raised: what all have is no outlier
-	maxBackoffExponent     = 5    // of an ejection's time, and of the backoff of calls to discovery
+	// silenceFactor is the multiple of the longest mean latency among the classes after which an endpoint
+	// without an answer gets no more requests.
+	silenceFactor = 1.5
+
+	// ejectionFailures is the number of consecutive failures after which an endpoint is ejected.
+	ejectionFailures = 3
+
+	// errorRateGain is the weight of one answer in the error rate of an endpoint.
+	errorRateGain = 0.2
+
+	// ejectionErrorRate is the error rate above which an endpoint is ejected. About three errors in a row
+	// exceed it, one error does not.
+	ejectionErrorRate = 0.45
+
+	// suspectErrorRate is the error rate from which on an endpoint gets no requests that can't be retried.
+	suspectErrorRate = 0.1
+
+	// typicalErrorRateFactor is the multiple of the median error rate by which both of these error rates are
+	// raised: an endpoint is no outlier because of errors that all endpoints have.
+	typicalErrorRateFactor = 2
+
+	// maxBackoffExponent is how often the duration of an ejection, and the backoff of calls to discovery, are
+	// doubled at most.
+	maxBackoffExponent = 5
 )
 
-// outlierState is what is known of an endpoint's failures.
+// outlierState is what is known of the failures of an endpoint.
 type outlierState struct {
 	consecutiveFailures int
-	errorRate           float64 // part of its answers that were errors, a moving mean
-	ejections           int     // since its error rate was last low
+	errorRate           float64 // moving mean of the fraction of answers that were errors
+	ejections           int     // number of ejections since the error rate was last below suspectErrorRate
 	ejectedUntil        Time
 }
 
@@ -37,8 +55,9 @@
 	}
 }
 
-// available tells whether an endpoint may get requests: it is ready, not ejected, and not without an answer
-// for as long as only a stopped process would be.
+// available reports whether an endpoint may get requests: it is ready, not ejected and not silent. An
+// endpoint is silent if it has attempts in flight and has not answered for so long that its process must have
+// stopped.
 func (b *Balancer) available(endpoint *endpointState) bool {
 	if endpoint.Phase != PhaseReady || endpoint.outlier.ejected(b.now) {
 		return false
@@ -46,16 +65,19 @@
 	return endpoint.inFlight.count == 0 || b.now-endpoint.lastAnswerAt < b.maxSilence
 }
 
+// anyAvailable reports whether any endpoint of the subset is available.
 func (b *Balancer) anyAvailable() bool { return slices.ContainsFunc(b.subset, b.available) }
 
-// reliable tells whether an endpoint is available and has lately answered without errors. Requests that must
-// run once go there alone: an error loses one for good, while others show whether the endpoint has recovered.
+// reliable reports whether an endpoint is available and has a low error rate. Non-idempotent requests are
+// sent only to such endpoints, if there are any, because an error loses such a request for good. Other
+// requests show whether a failing endpoint has recovered.
 func (b *Balancer) reliable(endpoint *endpointState) bool {
 	return b.available(endpoint) &&
 		endpoint.outlier.errorRate < suspectErrorRate+typicalErrorRateFactor*b.medianErrorRate
 }
 
-// recordError takes an error response or a broken connection.
+// recordError records an error response or a broken connection, and ejects the endpoint if its error rate is
+// too high.
 func (b *Balancer) recordError(endpoint *endpointState) {
 	endpoint.lastAnswerAt = b.now
 	endpoint.outlier.recordError()
@@ -64,7 +86,7 @@
 	}
 }
 
-// recordSuccess takes a response without error.
+// recordSuccess records a response without an error.
 func (b *Balancer) recordSuccess(endpoint *endpointState, class int, latency float64) {
 	endpoint.lastAnswerAt = b.now
 	endpoint.outlier.recordSuccess()
@@ -72,15 +94,15 @@
 	b.warmAnswers += math.Floor(b.warmUpFraction(endpoint)) // 1 for a warm endpoint, else 0
 }
 
-// recordRejection takes a response that says that the endpoint is full or draining. It came at once, so the
-// next request would be rejected at once too: several in a row eject.
+// recordRejection records a response that states that the endpoint is full or draining. The endpoint rejects
+// at once, and would reject the next request at once too, so several rejections in a row eject it.
 func (b *Balancer) recordRejection(endpoint *endpointState) {
 	endpoint.lastAnswerAt = b.now
 	b.recordFailure(endpoint)
 }
 
-// recordNoAnswer takes an attempt without an answer. Only failed connects eject: a late answer is a
-// sign of load.
+// recordNoAnswer records an attempt that had no answer. All such attempts count as failures, but only a
+// failed connect can eject the endpoint: a late answer is a sign of load.
 func (b *Balancer) recordNoAnswer(endpoint *endpointState, class int, latency float64, outcome Outcome) {
 	b.classes[class].latency.recordUnanswered(latency)
 	if outcome == OutcomeConnectFailed {
@@ -90,6 +112,7 @@
 	}
 }
 
+// recordFailure counts a failure and ejects the endpoint after ejectionFailures in a row.
 func (b *Balancer) recordFailure(endpoint *endpointState) {
 	endpoint.outlier.consecutiveFailures++
 	if endpoint.outlier.consecutiveFailures >= ejectionFailures {
@@ -97,8 +120,9 @@
 	}
 }
 
-// ejectEndpoint sends nothing to an endpoint for some time, twice as long each time until its errors cease.
-// The time varies, so that the nodes do not return to it together.
+// ejectEndpoint stops sending requests to an endpoint for some time. The time doubles with each ejection
+// until the error rate of the endpoint is low again. It is randomized, so that the nodes do not all return to
+// the endpoint at the same moment.
 func (b *Balancer) ejectEndpoint(endpoint *endpointState) {
 	outlier := &endpoint.outlier
 	if outlier.ejected(b.now) {
@@ -111,7 +135,7 @@
 		uint64(endpoint.ID), outlier.consecutiveFailures, outlier.errorRate)
 }
 
-// computeMedianErrorRate is the error rate that is usual among the endpoints in use.
+// computeMedianErrorRate returns the median of the error rates of the endpoints in use.
 func (b *Balancer) computeMedianErrorRate() float64 {
 	if len(b.subset) == 0 {
 		return 0
--- a/internal/balancer/prediction.go
+++ b/internal/balancer/prediction.go
@@ -1,41 +1,58 @@
 package balancer
 
-// Prediction of latency, where endpoints report how many requests they hold and how many of these wait: the
-// work of a class, the work of a request beside that, and the slowness of an endpoint. docs/design.md says
-// what for.
+// Latency prediction, which requires that endpoints report how many requests they hold and how many of these
+// wait. It is computed from the work of a class, the work of a request relative to that, and the slowness of
+// an endpoint. docs/design.md describes what it is used for.
 
 import "math"
 
 const (
-	workGain           = 0.05 // weight of one answer in the work of a class, and in its mean over classes
-	initialWorkSamples = 4    // answers that count as much as the first estimate, a quarter of the objective
-	slownessGain       = 0.2  // weight of one answer in the slowness of an endpoint
-	slownessDecay      = 0.05 // part of the way back to usual, per control period without attempts in flight
-	maxSlownessRatio   = 4    // times the slowness that one answer counts at most: it may be an exception
-	minWorkRatio       = 1e-3 // keeps logarithms finite
+	// workGain is the least weight of one answer in the work of a class, and its weight in the mean over
+	// classes.
+	workGain = 0.05
+
+	// initialWorkSamples is the number of answers that the first estimate of the work of a class, which is a
+	// quarter of the latency objective, counts as.
+	initialWorkSamples = 4
+
+	// slownessGain is the weight of one answer in the slowness of an endpoint.
+	slownessGain = 0.2
+
+	// slownessDecay is the part of its distance from 1 that the slowness of an endpoint loses in each control
+	// period without attempts in flight.
+	slownessDecay = 0.05
+
+	// maxSlownessRatio is the largest multiple of the current slowness that one answer counts as, since a
+	// single answer may be an exception.
+	maxSlownessRatio = 4
+
+	// minWorkRatio keeps the logarithms of relative work finite.
+	minWorkRatio = 1e-3
 )
 
-// latencyPrediction is what was predicted of an attempt as it was sent.
+// latencyPrediction is the prediction for an attempt at the time when it was sent.
 type latencyPrediction struct {
-	latency      float64 // of an endpoint of usual speed; 0: not known
-	inFlight     float64 // requests that the endpoint held
-	expectedLate bool    // it was sent all the same, to learn
+	latency      float64 // for an endpoint of usual speed; 0: no prediction
+	inFlight     float64 // number of requests that the endpoint held
+	expectedLate bool    // the predicted answer was later than the latency objective
 }
 
-// workEstimate is the time that a request of a class takes on an endpoint that does nothing else.
+// workEstimate is the estimated time that a request of a class takes on an endpoint that has nothing else to
+// do.
 type workEstimate struct {
 	mean    float64
-	samples float64 // answers from which it was learned
+	samples float64 // number of answers from which the mean was learned
 }
 
-// learn takes an answer that took ratio times as long as was predicted.
+// learn updates the estimate with an answer whose latency was the given multiple of the prediction.
 func (w *workEstimate) learn(ratio float64) {
 	w.samples++
 	w.mean *= 1 + max(workGain, 1/(w.samples+initialWorkSamples))*(ratio-1)
 }
 
-// predictLatency predicts the latency of a request if it is sent to an endpoint now, or 0 if endpoints report
-// too little. It holds for an endpoint of usual speed; slownessFactor is the factor for this one.
+// predictLatency predicts the latency of a request if it is sent to an endpoint now. The predicted latency
+// holds for an endpoint of usual speed; slownessFactor returns the factor for this endpoint. It is 0 if the
+// endpoint reports too little.
 func (b *Balancer) predictLatency(request *openRequest, endpoint *endpointState) latencyPrediction {
 	if endpoint.cores == 0 || !b.usesHealthChecks() {
 		return latencyPrediction{}
@@ -46,14 +63,16 @@
 	return latencyPrediction{latency: work + waiting, inFlight: inFlight}
 }
 
-// slownessFactor is how much longer an endpoint takes than is usual, with its warm-up.
+// slownessFactor returns the time that an endpoint takes as a multiple of what is usual, including the effect
+// of its warm-up.
 func (b *Balancer) slownessFactor(endpoint *endpointState) float64 {
 	return endpoint.slowness / math.Sqrt(b.warmUpFraction(endpoint))
 }
 
-// expectedWork is the time that a request takes on an endpoint that does nothing else, or the mean latency of
-// its class with the time in queues, if endpoints report too little. It is half of the objective at most:
-// only answers bring it down, so it must not keep all requests out.
+// expectedWork returns the time that a request is expected to take on an endpoint that has nothing else to
+// do, or the mean latency of its class, which includes the time in queues, if endpoints report too little.
+// The mean of the class counts as at most half of the latency objective: only answers can lower it, so it
+// must not keep out all requests.
 func (b *Balancer) expectedWork(request *openRequest) float64 {
 	class, half := &b.classes[request.class], float64(b.config.Classes[request.class].LatencyObjective)/2
 	if class.work.samples > 0 {
@@ -62,14 +81,16 @@
 	return min(class.latency.mean, half)
 }
 
-// recordLatency learns from an attempt that was answered, or that was not answered in so long.
+// recordLatency learns from the latency of an attempt that was answered, or that was not answered within that
+// time.
 func (b *Balancer) recordLatency(request *openRequest, ended *attempt, latency float64, answered bool) {
 	predicted := &ended.predicted
-	if predicted.latency == 0 || latency <= 0 { // at 0 the upload was not complete: it was the client's time
+	// A latency of 0 means that the upload was not complete: the client took the time.
+	if predicted.latency == 0 || latency <= 0 {
 		return
 	}
 	if predicted.expectedLate && answered && b.now <= request.objectiveAt {
-		b.lastLateAttemptAt = 0 // the prediction is wrong: the next attempt may follow at once
+		b.lastLateAttemptAt = 0 // the prediction was wrong, so the next such attempt may follow at once
 	}
 	endpoint, class := ended.endpoint, &b.classes[request.class]
 	ratio := latency * math.Sqrt(b.warmUpFraction(endpoint)) / predicted.latency
@@ -77,7 +98,7 @@
 	if !answered && ratio < endpoint.slowness {
 		return
 	}
-	if predicted.inFlight < endpoint.cores { // it waited for nothing, so its latency was work
+	if predicted.inFlight < endpoint.cores { // a core was free, so all of the latency was work
 		work := max(ratio*request.relativeWork/endpoint.slowness, minWorkRatio)
 		class.hints.learn(request.hintDistance, work)
 	}
@@ -86,8 +107,8 @@
 	endpoint.slowness += slownessGain * (ratio - endpoint.slowness)
 }
 
-// normalizeSlowness moves what is common to all endpoints into the work of the classes, and lets the slowness
-// of endpoints without attempts decay.
+// normalizeSlowness gradually moves the slowness that all endpoints have in common into the work of the
+// classes. The slowness of endpoints without attempts in flight decays towards 1, the usual slowness.
 func (b *Balancer) normalizeSlowness() {
 	if len(b.subset) == 0 {
 		return
--- a/internal/balancer/random.go
+++ b/internal/balancer/random.go
@@ -1,9 +1,9 @@
 package balancer
 
-// Pseudo-random draws. The same seed gives the same decisions on every machine.
+// Pseudo-random numbers. The same seed leads to the same decisions on every machine.
 
-// randomSource is a splitmix64 generator. It was chosen so that a port to another language draws the same
-// numbers.
+// randomSource is a splitmix64 generator. It was chosen because a port to another language can draw exactly
+// the same numbers.
 type randomSource struct{ state uint64 }
 
 // uniform returns a number in [0, 1).
@@ -12,7 +12,8 @@
 	return unitInterval(hash64(s.state))
 }
 
-// weightedIndex draws an index in proportion to the weights, or -1 if all are zero.
+// weightedIndex draws an index with a probability in proportion to its weight. If no weight is positive, it
+// returns -1 and draws no number.
 func (s *randomSource) weightedIndex(weights []float64) int {
 	total, last := 0.0, -1
 	for i, weight := range weights {
@@ -30,13 +31,13 @@
 		}
 		x -= weight
 	}
-	return last // rounding has left a rest
+	return last // rounding errors can leave x at or above the last weight
 }
 
 // unitInterval maps the upper 53 bits of a hash to [0, 1).
 func unitInterval(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-// hash64 is the finalizer of splitmix64: it maps similar numbers to unrelated ones.
+// hash64 is the finalizer of splitmix64. It maps similar numbers to unrelated ones.
 func hash64(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -1,11 +1,12 @@
 package balancer
 
-// Attempts and retries: whether a request may be sent, once or once more. internal/safety holds the rules;
-// this file gathers what they depend on.
+// Attempts and retries: whether a request may be sent to an endpoint, for the first time or again.
+// internal/safety holds the rules; this file collects the facts that they depend on.
 
 import "tulipglade/internal/safety"
 
-// mayAttempt tells whether a request may have one more attempt, at an endpoint. Every SendAttempt passes it.
+// mayAttempt reports whether one more attempt of a request may be sent to an endpoint. Every SendAttempt
+// command passes this check.
 func (b *Balancer) mayAttempt(request *openRequest, endpoint *endpointState) bool {
 	made := len(request.attempts)
 	repeatsEndpoint := made > 0 && request.attempts[made-1].endpoint == endpoint && len(b.endpoints) > 1
@@ -19,7 +20,8 @@
 	return b.hasSlowStartToken(endpoint)
 }
 
-// checkSend asks internal/safety whether an attempt may be sent, given the attempts before it.
+// checkSend asks internal/safety whether an attempt may be sent now, given the earlier attempts of the
+// request.
 func (b *Balancer) checkSend(request *openRequest, endpoint *endpointState, earlier []attempt) safety.Reason {
 	return safety.Send{
 		Now:         b.now,
@@ -36,8 +38,8 @@
 	}.Check()
 }
 
-// safetyRules are those of a request's class. A part of the idempotency window is kept for the way to the
-// endpoint.
+// safetyRules returns the safety rules of a request's class. A part of the idempotency window is reserved for
+// the time until the request reaches the endpoint.
 func (b *Balancer) safetyRules(request *openRequest) safety.Rules {
 	class := &b.config.Classes[request.class]
 	return safety.Rules{
@@ -48,21 +50,22 @@
 	}
 }
 
-// mayRetry tells whether there is any endpoint to which a request may be sent once more without running
-// twice.
+// mayRetry reports whether there can be any endpoint to which a request may be sent again without the risk of
+// a harmful second run.
 func (b *Balancer) mayRetry(request *openRequest) bool {
 	prior := firstThatMayHaveRun(request.attempts)
 	return safety.MayRetry(b.now, b.safetyRules(request), prior, nil) == safety.Allowed
 }
 
-// mayReject tells whether a rejection, which promises that a retry does no harm, would be true.
+// mayReject reports whether a request may be rejected: a rejection promises that a retry does no harm, and
+// this promise must be true.
 func (b *Balancer) mayReject(request *openRequest) bool {
 	return safety.MayReject(b.safetyRules(request), firstThatMayHaveRun(request.attempts)) == safety.Allowed
 }
 
-// MayStartAttempt tells whether an attempt that has waited for its connection may start, and if not, why:
-// since it was decided on, its endpoint may drain, its client may have disconnected, its time may have
-// passed.
+// MayStartAttempt returns safety.Allowed if an attempt that has waited for its connection may still start, or
+// else the reason why it may not. After the decision to send the attempt, its endpoint may have started to
+// drain, its client may have disconnected, or its deadline may have passed.
 func (b *Balancer) MayStartAttempt(now Time, id RequestID, attempt int) safety.Reason {
 	b.now = now
 	request := b.requests[id]
@@ -72,12 +75,13 @@
 	return b.checkSend(request, request.attempts[attempt].endpoint, request.attempts[:attempt])
 }
 
-// sendAttempt is the only way to SendAttempt. It tells whether the attempt was sent.
+// sendAttempt sends an attempt of a request to an endpoint if mayAttempt allows it, and reports whether it
+// did so. No other method issues a SendAttempt command.
 func (b *Balancer) sendAttempt(request *openRequest, endpoint *endpointState) bool {
 	if endpoint == nil || !b.mayAttempt(request, endpoint) {
 		return false
 	}
-	if endpoint.inFlight.count == 0 { // the time without an answer counts from here
+	if endpoint.inFlight.count == 0 { // the time without an answer is measured from now on
 		endpoint.lastAnswerAt = b.now
 	}
 	prediction := b.predictLatency(request, endpoint)
@@ -97,15 +101,15 @@
 	})
 	b.accountAttempt(request, endpoint, 1, AttemptResult{})
 	endpoint.slowStart.count--
-	if endpoint.reported.Outstanding >= 0 { // until the next report
+	if endpoint.reported.Outstanding >= 0 { // keeps the last report up to date until the next one
 		endpoint.reported.Outstanding++
 	}
 	b.commands.SendAttempt(request.id, endpoint.ID, 0)
 	return true
 }
 
-// retryOrEnd queues a failed request for a retry, if one is allowed and can still be in time, or else ends
-// it.
+// retryOrEnd queues a failed request for a retry if a retry is allowed and can still be answered in time.
+// Otherwise it gives the request its final answer.
 func (b *Balancer) retryOrEnd(request *openRequest) {
 	attemptsUsed := len(request.attempts) >= request.maxAttempts
 	if request.responseStarted || attemptsUsed || b.now >= b.latestStart(request) || !b.mayRetry(request) {
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -1,6 +1,7 @@
 package balancer
 
-// Endpoint selection: candidates drawn in proportion to slots, and the least loaded of them.
+// Endpoint selection: candidates are drawn in proportion to slots, and the least loaded of them gets the
+// request.
 
 import (
 	"math"
@@ -8,18 +9,18 @@
 )
 
 const (
-	latencyMargin         = 1.2 // times the predicted latency an answer may take, by which it must be in time
-	healthCheckCandidates = 3   // candidates for a request if health checks tell their load
-	randomCandidates      = 2   // otherwise: the power of two choices
+	latencyMargin         = 1.2 // an answer that takes this multiple of the predicted latency must be in time
+	healthCheckCandidates = 3   // candidates of a request if health checks show their load
+	randomCandidates      = 2   // candidates of a request without health checks: the power of two choices
 )
 
-// selectCandidates draws endpoints in proportion to the tenant's slots on them, or to the capacity lent. If
-// none is available, it draws from all in use.
+// selectCandidates draws endpoints for a request, in proportion to its tenant's slots on them or to the
+// capacity that can be lent. If no endpoint of the subset is available, it draws from unavailable ones too.
 func (b *Balancer) selectCandidates(request *openRequest, lent bool) (candidates []*endpointState) {
 	idempotency := b.config.Classes[request.class].Idempotency
 	pool := b.subset
 	if idempotency == IdempotentByKey && firstThatMayHaveRun(request.attempts) != nil {
-		pool = b.endpoints // its key's scope may lie outside the subset
+		pool = b.endpoints // the scope of its key may be outside the subset
 	}
 	onlyAvailable := b.anyAvailable()
 	onlyReliable := idempotency == NonIdempotent && slices.ContainsFunc(pool, b.reliable)
@@ -41,8 +42,9 @@
 	return candidates
 }
 
-// selectionWeight is the number of a tenant's slots on an endpoint, if one is free, or the capacity that can
-// be lent.
+// selectionWeight returns the weight with which an endpoint is drawn: the number of a tenant's slots on it,
+// or 0 if none of these is free or the endpoint is at its limit. For lent capacity the weight is the free
+// part of the endpoint's limit.
 func (b *Balancer) selectionWeight(endpoint *endpointState, tenant int, lent bool) float64 {
 	if lent {
 		return max(b.freeCapacity(endpoint), 0)
@@ -52,9 +54,10 @@
 	if !slotFree || !belowLimit {
 		return 0
 	}
-	return endpoint.slots[tenant] // all of them, whatever part of the endpoint is lent to other tenants
+	return endpoint.slots[tenant] // in full, however much of the endpoint is lent to other tenants
 }
 
+// candidateCount returns the number of candidates that are drawn for a request.
 func (b *Balancer) candidateCount() int {
 	if b.usesHealthChecks() {
 		return healthCheckCandidates
@@ -62,18 +65,19 @@
 	return randomCandidates
 }
 
-// drawEndpoint draws an index by endpointWeights: at random, or by weighted rendezvous hashing of a key if
-// endpoints do less work for one that they have seen. Over all keys the endpoints are still drawn in
-// proportion to their weights, but one key selects the same endpoints at every node.
+// drawEndpoint draws an index into the pool according to endpointWeights, or returns -1 if all weights are 0.
+// It draws at random, or by weighted rendezvous hashing of the affinity key if endpoints do less work for
+// keys that they have seen. Over all keys, endpoints are still drawn in proportion to their weights, but a
+// given key selects the same endpoints at every node.
 func (b *Balancer) drawEndpoint(key uint64, pool []*endpointState) int {
 	if key == 0 {
 		return b.random.weightedIndex(b.endpointWeights[:len(pool)])
 	}
 	best, lowestScore := -1, math.Inf(1)
 	for i, endpoint := range pool {
-		u := float64(hash64(key^endpoint.rank)>>11+1) / (1 << 53) // in (0, 1], for the logarithm
+		u := float64(hash64(key^endpoint.rank)>>11+1) / (1 << 53) // in (0, 1], where -ln u is finite
 		weight := b.endpointWeights[i]
-		if weight > 0 && 1-u < lowestScore*weight { // -ln u is 1-u at least: that spares most logarithms
+		if weight > 0 && 1-u < lowestScore*weight { // -ln u is at least 1-u: saves most logarithms
 			if score := -math.Log(u) / weight; score < lowestScore {
 				best, lowestScore = i, score
 			}
@@ -82,7 +86,9 @@
 	return best
 }
 
-// leastLoaded is the candidate that uses the least part of its limit, or nil if none has capacity.
+// leastLoaded returns the candidate that uses the smallest part of its limit, among those that may get the
+// request and are expected to answer in time, or nil if there is none. With health checks, a candidate must
+// also have a fresh report and free capacity.
 func (b *Balancer) leastLoaded(request *openRequest, candidates []*endpointState) (best *endpointState) {
 	lowest := math.Inf(1)
 	for _, endpoint := range candidates {
@@ -95,9 +101,9 @@
 	return best
 }
 
-// expectedInTime reports whether the predicted latency permits an attempt: the answer must be in time. An idle
-// endpoint gets an attempt now and then although its answer is predicted to be late: the prediction may be
-// wrong, and only answers correct it.
+// expectedInTime reports whether the answer of an endpoint is predicted to be in time, that is, by the
+// latency objective or, if late answers have a value, by the deadline. An idle endpoint is accepted now and
+// then although its answer is predicted to be late: the prediction may be wrong, and only answers correct it.
 func (b *Balancer) expectedInTime(request *openRequest, endpoint *endpointState) bool {
 	class := &b.config.Classes[request.class]
 	latest := request.objectiveAt
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -1,31 +1,40 @@
 package balancer
 
-// Slow start: an endpoint that was started a short time ago has part of its capacity, and becomes overloaded
-// if it is sent more than a multiple of that within a window. Tokens keep all nodes together below it.
+// Slow start: an endpoint that was started recently has only part of its capacity. It becomes overloaded if
+// it is sent more than a multiple of that capacity within a window. Tokens keep all nodes together below this
+// budget.
 
 import "math"
 
 const (
-	slowStartBudgetFraction = 0.5  // of the budget is used; the rest is for chance and for uneven nodes
-	slowStartBurstFraction  = 0.25 // of the window: a token that is not used within this time is lost
-	minAnswersPerPeriod     = 2    // to all nodes: the least that a warm endpoint is assumed to give
+	// slowStartBudgetFraction is the fraction of the budget that is used. The rest allows for random
+	// variation and for an uneven distribution over the nodes.
+	slowStartBudgetFraction = 0.5
+
+	// slowStartBurstFraction is the fraction of the overload window after which an unused token expires.
+	slowStartBurstFraction = 0.25
+
+	// minAnswersPerPeriod is the least number of answers to all nodes that a warm endpoint is assumed to give
+	// in a control period.
+	minAnswersPerPeriod = 2
 )
 
-// slowStartTokens are the attempts that this node may send to a warming endpoint: the whole ones now, and the
-// fraction is how far the next one has come.
+// slowStartTokens counts the attempts that this node may send to a warming endpoint. Each whole token allows
+// an attempt now; the fraction shows how much of the next token has accrued.
 type slowStartTokens struct {
 	count     float64
 	updatedAt Time
 }
 
-// refill adds the tokens of the time that has passed. One that was not used within maxAge is lost: hundreds
-// of nodes would save them up and spend them in one moment.
+// refill adds the tokens that have accrued since the last call. A token that is not used within maxAge
+// expires: otherwise hundreds of nodes would save up tokens and spend them at the same moment.
 func (t *slowStartTokens) refill(now Time, rate, maxAge float64) {
 	t.count, t.updatedAt = t.count+rate*float64(now-t.updatedAt), now
 	t.count -= max(math.Ceil(t.count-1-rate*maxAge), 0)
 }
 
-// warmUpFraction is the least part of its capacity that an endpoint has now.
+// warmUpFraction returns the least fraction of its capacity that an endpoint has now. It is 1 for a warm
+// endpoint.
 func (b *Balancer) warmUpFraction(endpoint *endpointState) float64 {
 	age, duration := b.now-endpoint.StartedAt, b.config.SlowStartDuration
 	if endpoint.StartedAt <= 0 || duration <= 0 || age >= duration {
@@ -35,8 +44,8 @@
 	return initial + (1-initial)*float64(max(age, 0))/float64(duration)
 }
 
-// hasSlowStartToken tells whether an attempt may be sent to an endpoint without overloading it as it warms
-// up.
+// hasSlowStartToken reports whether an attempt may be sent to an endpoint without the risk of overloading it
+// while it warms up.
 func (b *Balancer) hasSlowStartToken(endpoint *endpointState) bool {
 	warmUp := b.warmUpFraction(endpoint)
 	if warmUp == 1 || b.config.OverloadFactor <= 0 || b.config.OverloadWindow <= 0 {
@@ -48,8 +57,9 @@
 	return endpoint.slowStart.count >= 1
 }
 
-// slowStartRate is how many attempts per microsecond a warming endpoint may get of this process: a part of
-// the stated multiple of its capacity, measured by what a warm endpoint answers to this node.
+// slowStartRate returns how many attempts per microsecond this process may send to a warming endpoint. This
+// is a part of the configured multiple of the endpoint's capacity, which is measured by the rate at which a
+// warm endpoint answers this node.
 func (b *Balancer) slowStartRate(endpoint *endpointState, warmUp float64) float64 {
 	warmRate := max(b.answerRate, minAnswersPerPeriod/float64(b.controlPeriod)/b.nodesPerEndpoint)
 	weight := min(b.relativeWeight(endpoint), 1)
@@ -58,9 +68,9 @@
 
 // initialSlowStartTokens returns the fraction of a token that this node has for an endpoint that it sees for
 // the first time. The tokens of all nodes follow one schedule on the clock that all machines share. The
-// schedule begins when the endpoint starts, at a point that depends on the endpoint. The nodes are spread
-// evenly over it by a step that is independent of the step that spreads their subsets. A node that restarts
-// therefore has no more tokens than it would have had without the restart.
+// schedule begins when the endpoint starts, with an offset that depends on the endpoint. The nodes are spread
+// evenly over the schedule by a step that is independent of the step that spreads their subsets. A node that
+// restarts has no more tokens than it would have had without the restart.
 func (b *Balancer) initialSlowStartTokens(endpoint *endpointState) float64 {
 	endpointOffset := unitInterval(hash64(endpoint.rank ^ hash64(uint64(endpoint.StartedAt))))
 	nodeOffset := float64(b.config.PeerIndex) * math.Sqrt2
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -1,20 +1,21 @@
 package balancer
 
-// Subsetting: which endpoints this node uses.
+// Subsetting: which of the listed endpoints this node uses.
 
 import "math"
 
-// goldenRatio is the distance on the ring of endpoints between the starts of two nodes' subsets, as a
-// fraction: its multiples spread any run of nodes evenly.
+// goldenRatio is the distance between the starts of the subsets of two consecutive nodes, as a fraction of
+// the ring of endpoints. Its multiples spread any run of consecutive nodes evenly over the ring.
 const goldenRatio = 0.618034
 
-// updateSubset chooses the endpoints in use: as many as the traffic needs, in an order common to all nodes,
-// from a start of the node's own. If every node used every endpoint, connections would fill the endpoints and
-// no node would see one twice; if each drew its subset at random, some endpoints would be used by many nodes
-// and some by few. It returns how many endpoints of the subset are warm.
+// updateSubset chooses the endpoints that this node uses: as many as its traffic needs, in an order that all
+// nodes share, from a start of the node's own. If every node used every endpoint, connections would fill the
+// endpoints, and a node would hardly use the same endpoint twice. If each node drew its subset at random,
+// some endpoints would be used by many nodes and others by few. It returns the number of warm endpoints in
+// the subset.
 func (b *Balancer) updateSubset() (warmEndpoints float64) {
 	needed := 2*b.candidateCount() - 2 + int(b.meanInFlight)
-	if needed > b.subsetSize || needed < b.subsetSize/2 { // it changes little
+	if needed > b.subsetSize || needed < b.subsetSize/2 { // so that the size seldom changes
 		b.subsetSize = needed
 	}
 	ready := b.readyEndpoints()
@@ -25,8 +26,8 @@
 	return b.updateCapacity()
 }
 
-// fillSubset takes endpoints from the node's start on. Ejected ones are used only if there are too few
-// others.
+// fillSubset fills the subset with ready endpoints, beginning at this node's start. Ejected endpoints are
+// used only if there are too few others.
 func (b *Balancer) fillSubset(ready []*endpointState) {
 	b.subset = b.subset[:0]
 	start := int(math.Mod(float64(b.config.PeerIndex)*goldenRatio, 1) * float64(len(ready)))
