--- a/internal/balancer/concurrency_test.go
+++ b/internal/balancer/concurrency_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestInFlightIsLimited(t *testing.T) {
+func TestInFlightStaysWithinLimit(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(3)...)
 	for id := RequestID(1); id <= 500; id++ {
 		node.request(id, 0, 0)
@@ -53,7 +53,7 @@
 	for _, c := range []struct {
 		name            string
 		report          LoadReport
-		took            Span
+		latency         Span
 		least, greatest float64
 	}{
 		{"idle, high latency", LoadReport{-1, 0, 0.3}, 190 * ms, initialLimit + 0.1, 2 * initialLimit},
@@ -66,7 +66,7 @@
 		endpoint.inFlight.mean = initialLimit // in use
 		for range 3 {
 			node.balancer.recordReport(endpoint, &c.report)
-			node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeOK, Latency: c.took})
+			node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeOK, Latency: c.latency})
 		}
 		if endpoint.limit < c.least || endpoint.limit > c.greatest {
 			t.Errorf("%s: limit %g after three answers, want %g to %g", c.name, endpoint.limit, c.least, c.greatest)
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -7,12 +7,12 @@
 func startFleet(t *testing.T, n int, cfg Config, list []Endpoint) []*fakeNode {
 	t.Helper()
 	cfg.PeerCount = n
-	var all []*fakeNode
+	var nodes []*fakeNode
 	for i := range n {
 		cfg.PeerIndex = i
-		all = append(all, startNodeWithSeed(t, hash64(uint64(i)+1), cfg, list...))
+		nodes = append(nodes, startNodeWithSeed(t, hash64(uint64(i)+1), cfg, list...))
 	}
-	return all
+	return nodes
 }
 
 // pendingAnswer is an attempt whose endpoint has not answered yet.
@@ -24,19 +24,19 @@
 
 // saturate keeps every node full of requests for a duration, answers each attempt after steadyLatency, and
 // returns the mean number in flight over all nodes and the attempts that each endpoint got.
-func saturate(all []*fakeNode, from RequestID, duration Span) (mean float64, sent map[EndpointID]int) {
+func saturate(nodes []*fakeNode, firstID RequestID, duration Span) (mean float64, sent map[EndpointID]int) {
 	const step = 10 * ms
 	sent = map[EndpointID]int{}
-	id, steps := from, 0
+	id, steps := firstID, 0
 	var inFlight []pendingAnswer
 	for elapsed := Span(0); elapsed < duration; elapsed += step {
 		steps++
-		inFlight = answerDue(inFlight)
-		for _, node := range all {
+		inFlight = completeDue(inFlight)
+		for _, node := range nodes {
 			id++
 			node.request(id, 0, 0)
 			node.advance(step)
-			oldest := max(id, from+RequestID(len(all))*20) - RequestID(len(all))*20
+			oldest := max(id, firstID+RequestID(len(nodes))*20) - RequestID(len(nodes))*20
 			for i := oldest; i <= id; i++ {
 				if len(node.attempts[i]) > 0 && node.finalAnswers[i] == "" && !node.attemptSeen[i] {
 					node.attemptSeen[i] = true
@@ -50,8 +50,8 @@
 	return mean / float64(steps), sent
 }
 
-// answerDue answers what is due, and returns the rest.
-func answerDue(inFlight []pendingAnswer) []pendingAnswer {
+// completeDue answers what is due, and returns the rest.
+func completeDue(inFlight []pendingAnswer) []pendingAnswer {
 	remaining := inFlight[:0]
 	for _, pending := range inFlight {
 		node := pending.node
@@ -98,9 +98,9 @@
 	controls, calls := map[Time]int{}, map[Time]int{}
 	for _, node := range startFleet(t, 50, cfg, testEndpoints(4)) {
 		node.advance(2000 * ms)
-		for _, w := range node.timers {
-			if w.id == timerControl {
-				controls[w.expiresAt]++
+		for _, timer := range node.timers {
+			if timer.id == timerControl {
+				controls[timer.expiresAt]++
 			}
 		}
 		calls[node.firstWatchAt]++
--- a/internal/balancer/healthcheck_test.go
+++ b/internal/balancer/healthcheck_test.go
@@ -9,8 +9,8 @@
 	return cfg
 }
 
-// outstanding is the report of an endpoint that tells only how many requests it holds.
-func outstanding(requests float64) *LoadReport {
+// outstandingReport is the report of an endpoint that tells only how many requests it holds.
+func outstandingReport(requests float64) *LoadReport {
 	return &LoadReport{Outstanding: requests, Backlog: -1, Utilization: -1}
 }
 
@@ -24,7 +24,7 @@
 			len(node.healthChecks), node.attempts[1], healthCheckCandidates)
 	}
 	for i, endpoint := range node.healthChecks {
-		node.balancer.HandleHealthCheck(node.now, endpoint, OutcomeOK, ms, outstanding(float64(3-i)))
+		node.balancer.HandleHealthCheck(node.now, endpoint, OutcomeOK, ms, outstandingReport(float64(3-i)))
 	}
 	if len(node.attempts[1]) != 1 || node.attempts[1][0] != node.healthChecks[2] {
 		t.Errorf("checked %v, attempts %v; want the last, it holds least", node.healthChecks, node.attempts[1])
@@ -34,7 +34,7 @@
 func TestSlowHealthCheckIsNotAwaited(t *testing.T) {
 	node := startNode(t, healthCheckConfig(), testEndpoints(6)...)
 	node.request(1, 0, 0)
-	node.balancer.HandleHealthCheck(node.now, node.healthChecks[0], OutcomeOK, ms, outstanding(1))
+	node.balancer.HandleHealthCheck(node.now, node.healthChecks[0], OutcomeOK, ms, outstandingReport(1))
 	node.advance(3 * ms)
 	if len(node.attempts[1]) != 1 || node.attempts[1][0] != node.healthChecks[0] {
 		t.Errorf("checked %v, attempts %v; want the one that answered", node.healthChecks, node.attempts[1])
@@ -45,7 +45,7 @@
 	node := startNode(t, healthCheckConfig(), testEndpoints(6)...)
 	node.request(1, 0, 0)
 	for _, endpoint := range node.healthChecks {
-		node.balancer.HandleHealthCheck(node.now, endpoint, OutcomeOK, ms, outstanding(initialLimit))
+		node.balancer.HandleHealthCheck(node.now, endpoint, OutcomeOK, ms, outstandingReport(initialLimit))
 	}
 	if len(node.attempts[1]) != 0 {
 		t.Errorf("sent %v though all were full", node.attempts[1])
@@ -102,11 +102,11 @@
 // TestHealthChecksWithoutLoadAreNotUsed has health checks whose answers do not say how many requests an
 // endpoint holds: no request waits for another check.
 func TestHealthChecksWithoutLoadAreNotUsed(t *testing.T) {
-	for name, rep := range map[string]*LoadReport{"no report": nil, "other fields": {-1, 2, 0.5}} {
+	for name, report := range map[string]*LoadReport{"no report": nil, "other fields": {-1, 2, 0.5}} {
 		fleet := startSingleCoreFleet(t, singleClassConfig())
 		fleet.unresponsive = true
 		fleet.request(1, 0, 0)
-		fleet.balancer.HandleHealthCheck(fleet.now, fleet.healthChecks[0], OutcomeOK, ms, rep)
+		fleet.balancer.HandleHealthCheck(fleet.now, fleet.healthChecks[0], OutcomeOK, ms, report)
 		fleet.request(2, 0, 0)
 		fleet.step()
 		if fleet.balancer.usesHealthChecks() || len(fleet.attempts[2]) != 1 {
--- a/internal/balancer/latency_test.go
+++ b/internal/balancer/latency_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-// TestUsualWaitIsTheMostFrequent guards against other choices of the usual wait: a client's last attempt
+// TestUsualTimeoutIsTheMostFrequent guards against other choices of the usual wait: a client's last attempt
 // waits longer than its first, so that the longest wait makes first attempts look like retries; and a
 // median drifts with the retries of an overload.
-func TestUsualWaitIsTheMostFrequent(t *testing.T) {
-	waits := &timeoutHistogram{}
+func TestUsualTimeoutIsTheMostFrequent(t *testing.T) {
+	timeouts := &timeoutHistogram{}
 	for i := range 60 {
-		waits.observe(318*ms, 450*ms)
-		if at, usual := waits.observe(318*ms, 450*ms); at != usual {
+		timeouts.observe(318*ms, 450*ms)
+		if bucket, usual := timeouts.observe(318*ms, 450*ms); bucket != usual {
 			t.Fatal("a first attempt looks unusual")
 		}
-		for _, wait := range []Span{385 + Span(i), 140 + Span(i)} {
-			if at, usual := waits.observe(wait*ms, 450*ms); i > 10 && at >= usual-1 && at <= usual+1 {
-				t.Fatalf("a retry that waits %d ms looks usual", wait)
+		for _, timeout := range []Span{385 + Span(i), 140 + Span(i)} {
+			if bucket, usual := timeouts.observe(timeout*ms, 450*ms); i > 10 && bucket >= usual-1 && bucket <= usual+1 {
+				t.Fatalf("a retry that waits %d ms looks usual", timeout)
 			}
 		}
 	}
@@ -30,22 +30,22 @@
 	cfg := singleClassConfig()
 	cfg.ClientsMarkRetries = true
 	node := startNode(t, cfg, testEndpoints(4)...)
-	objectiveIn := func(id RequestID, left Span, isRetry bool) Span {
-		node.balancer.HandleRequest(node.now, Request{ID: id, Deadline: node.now + left, IsRetry: isRetry})
+	objectiveIn := func(id RequestID, timeLeft Span, isRetry bool) Span {
+		node.balancer.HandleRequest(node.now, Request{ID: id, Deadline: node.now + timeLeft, IsRetry: isRetry})
 		return node.balancer.requests[id].objectiveAt - node.now
 	}
 	for id := RequestID(1); id < 100; id++ { // most clients wait 300 ms for an attempt
 		objectiveIn(id, 300*ms, false)
 	}
 	for id, c := range []struct {
-		left    Span
-		isRetry bool
-		want    Span
+		timeLeft Span
+		isRetry  bool
+		want     Span
 	}{{300 * ms, false, 200 * ms}, {490 * ms, false, 200 * ms}, // first attempts
 		{400 * ms, true, 150 * ms}, {300 * ms, true, 100 * ms}, // sent between now and 500 ms before its end
 		{250 * ms, true, -50 * ms}, {100 * ms, true, -200 * ms}} { // ends with the whole request, which was first sent 500 ms before
-		if got := objectiveIn(RequestID(1000+id), c.left, c.isRetry); math.Abs(float64(got-c.want)) > ms {
-			t.Errorf("%d ms left, retry %v: objective in %d µs, want %d", c.left/ms, c.isRetry, got, c.want)
+		if got := objectiveIn(RequestID(1000+id), c.timeLeft, c.isRetry); math.Abs(float64(got-c.want)) > ms {
+			t.Errorf("%d ms left, retry %v: objective in %d µs, want %d", c.timeLeft/ms, c.isRetry, got, c.want)
 		}
 	}
 }
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -48,7 +48,7 @@
 // latencies made all others look congested.
 func TestErrorRateEjectsEndpoint(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(4)...)
-	endpoint, c := node.balancer.endpoints[0], node.balancer.classes[0]
+	endpoint, classBefore := node.balancer.endpoints[0], node.balancer.classes[0]
 	limit, serverError := endpoint.limit, AttemptResult{Outcome: OutcomeServerError, Latency: 1}
 	for range 4 {
 		node.balancer.recordOutcome(endpoint, 0, serverError)
@@ -59,22 +59,22 @@
 	if node.balancer.available(endpoint) {
 		t.Error("still used, with two of three answers errors")
 	}
-	if endpoint.limit != limit || node.balancer.classes[0] != c {
+	if endpoint.limit != limit || node.balancer.classes[0] != classBefore {
 		t.Errorf("errors changed a limit (%g, was %g) or latencies", endpoint.limit, limit)
 	}
-	first := endpoint.outlier.ejectedUntil - node.now
-	node.advance(2 * first)
+	firstEjection := endpoint.outlier.ejectedUntil - node.now
+	node.advance(2 * firstEjection)
 	node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeReset})
-	if endpoint.outlier.ejectedUntil-node.now < first {
+	if endpoint.outlier.ejectedUntil-node.now < firstEjection {
 		t.Error("the second ejection is not longer than the first")
 	}
-	odd := node.balancer.endpoints[1]
+	healthy := node.balancer.endpoints[1]
 	for i := range 200 {
 		outcome := OutcomeOK
 		if i%20 == 0 {
 			outcome = OutcomeServerError
 		}
-		if node.balancer.recordOutcome(odd, 0, AttemptResult{Outcome: outcome, Latency: ms}); !node.balancer.available(odd) {
+		if node.balancer.recordOutcome(healthy, 0, AttemptResult{Outcome: outcome, Latency: ms}); !node.balancer.available(healthy) {
 			t.Fatal("ejected by an occasional error")
 		}
 	}
--- a/internal/balancer/prediction_test.go
+++ b/internal/balancer/prediction_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// TestEndpointsHoldWhatIsInTime offers twice as many requests as endpoints can serve: those that are sent
+// TestOverloadedEndpointsAnswerInTime offers twice as many requests as endpoints can serve: those that are sent
 // are in time, and no endpoint is idle for that.
-func TestEndpointsHoldWhatIsInTime(t *testing.T) {
+func TestOverloadedEndpointsAnswerInTime(t *testing.T) {
 	fleet := startSingleCoreFleet(t, singleClassConfig())
 	fleet.sendRequests(1, 100, 5*ms) // warm-up of the estimates
 	fleet.served, fleet.late = 0, 0
 	fleet.sendRequests(1001, 400, 5*ms)
-	if most := 2000 / 40 * 4; fleet.served < most*9/10 || fleet.late > most/20 {
-		t.Errorf("%d in time and %d late of %d that were possible", fleet.served, fleet.late, most)
+	if possible := 2000 / 40 * 4; fleet.served < possible*9/10 || fleet.late > possible/20 {
+		t.Errorf("%d in time and %d late of %d that were possible", fleet.served, fleet.late, possible)
 	}
 }
 
@@ -66,8 +66,8 @@
 				fleet.step()
 			}
 			wantFinal(t, fleet.fakeNode, 1000, c.want)
-			if x := fleet.balancer.classes[0].hints.slope(); c.exact != (x > 0.7) || !c.exact != (x < 0.3) {
-				t.Errorf("slope of hints is %.2f", x)
+			if hintSlope := fleet.balancer.classes[0].hints.slope(); c.exact != (hintSlope > 0.7) || !c.exact != (hintSlope < 0.3) {
+				t.Errorf("slope of hints is %.2f", hintSlope)
 			}
 		})
 	}
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -150,13 +150,13 @@
 // the decision and the first byte a connection may have to be opened, while the endpoint starts to drain,
 // the idempotency window expires or the client disconnects.
 func TestMayStartAttemptChecksCurrentState(t *testing.T) {
-	once := Class{LatencyObjective: 200 * ms, Deadline: 5000 * ms, Idempotency: NonIdempotent}
+	nonIdempotent := Class{LatencyObjective: 200 * ms, Deadline: 5000 * ms, Idempotency: NonIdempotent}
 	keyed := Class{LatencyObjective: 200 * ms, Deadline: 5000 * ms, Idempotency: IdempotentByKey, IdempotencyWindow: 1000 * ms}
 	for name, c := range map[string]struct {
-		class Class
-		ran   bool // an earlier attempt may have run
-		since func(node *fakeNode)
-		want  bool
+		class      Class
+		mayHaveRun bool // an earlier attempt may have run
+		change     func(node *fakeNode)
+		want       bool
 	}{
 		"nothing changed": {keyed, false, func(*fakeNode) {}, true},
 		"endpoint drains": {keyed, false, func(node *fakeNode) {
@@ -173,19 +173,19 @@
 		"window expired, none ran":      {keyed, false, func(node *fakeNode) { node.now += 1200 * ms }, true},
 		"within the window":             {keyed, true, func(node *fakeNode) { node.now += 100 * ms }, true},
 		"window expired":                {keyed, true, func(node *fakeNode) { node.now += 1200 * ms }, false},
-		"first attempt, non-idempotent": {once, false, func(*fakeNode) {}, true},
+		"first attempt, non-idempotent": {nonIdempotent, false, func(*fakeNode) {}, true},
 	} {
 		cfg := testConfig()
 		cfg.Classes = []Class{c.class}
 		node := startNode(t, cfg, testEndpoints(3)...)
 		node.request(1, 0, 0)
-		if c.ran {
+		if c.mayHaveRun {
 			node.complete(1, 0, OutcomeReset)
 		}
-		if n := len(node.attempts[1]); n == 0 || c.ran && n != 2 {
+		if n := len(node.attempts[1]); n == 0 || c.mayHaveRun && n != 2 {
 			t.Fatalf("%s: %d attempts", name, n)
 		}
-		c.since(node)
+		c.change(node)
 		if got := node.balancer.MayStartAttempt(node.now, 1, len(node.attempts[1])-1); (got == safety.Allowed) != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
--- a/internal/balancer/singlecore_test.go
+++ b/internal/balancer/singlecore_test.go
@@ -47,14 +47,14 @@
 	s.healthChecks = s.healthChecks[:0]
 	s.advance(ms)
 	for id, attempts := range s.attempts {
-		if _, known := s.sentAt[id]; !known {
+		if _, recorded := s.sentAt[id]; !recorded {
 			endpoint := attempts[0]
-			begin := s.now
+			startsAt := s.now
 			if q := s.queues[endpoint]; len(q) > 0 {
-				begin = q[len(q)-1].endsAt
+				startsAt = q[len(q)-1].endsAt
 			}
 			s.sentAt[id] = s.now
-			s.queues[endpoint] = append(s.queues[endpoint], queuedWork{id, begin + s.serviceTime(id)})
+			s.queues[endpoint] = append(s.queues[endpoint], queuedWork{id, startsAt + s.serviceTime(id)})
 		}
 	}
 	for i := range EndpointID(20) {
@@ -83,10 +83,10 @@
 }
 
 // sendRequests sends requests at a fixed interval.
-func (s *singleCoreFleet) sendRequests(first RequestID, n int, every Span) {
+func (s *singleCoreFleet) sendRequests(first RequestID, n int, interval Span) {
 	for k := range n {
 		s.request(first+RequestID(k), 0, 0)
-		for range every / ms {
+		for range interval / ms {
 			s.step()
 		}
 	}
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -8,12 +8,12 @@
 
 // sendAndCount sends a request each millisecond for two overload windows, with quick answers, and counts
 // what each endpoint got.
-func sendAndCount(node *fakeNode, from RequestID) map[EndpointID]int {
+func sendAndCount(node *fakeNode, firstID RequestID) map[EndpointID]int {
 	sent := map[EndpointID]int{}
-	for id := from; id < from+2000; id++ { // a request each millisecond: two windows
+	for id := firstID; id < firstID+2000; id++ { // a request each millisecond: two windows
 		node.request(id, 0, 0)
 		for i := 0; i < len(node.attempts[id]); i++ {
-			if id < from+2000 {
+			if id < firstID+2000 {
 				sent[node.attempts[id][i]]++
 			}
 		}
@@ -69,16 +69,16 @@
 func TestWarmingEndpointOfManyNodesStaysWithinBudget(t *testing.T) {
 	const n = 100
 	list := testEndpoints(4)
-	all := startFleet(t, n, testConfig(), list)
-	_, warm := saturate(all, 1, 4000*ms)
-	warming := []Endpoint{{ID: 99, Phase: PhaseReady, StartedAt: all[0].now}}
-	for _, node := range all {
+	nodes := startFleet(t, n, testConfig(), list)
+	_, warm := saturate(nodes, 1, 4000*ms)
+	warming := []Endpoint{{ID: 99, Phase: PhaseReady, StartedAt: nodes[0].now}}
+	for _, node := range nodes {
 		node.balancer.HandleEndpoints(node.now, ListDelta, warming)
 	}
-	_, sent := saturate(all, 1000000, 2000*ms)
+	_, sent := saturate(nodes, 1000000, 2000*ms)
 	perWindow := float64(warm[1]+warm[2]+warm[3]+warm[4]) / 4 / 2
 	most := 3 * (0.1 + 0.9*2/20) * perWindow
-	_, later := saturate(all, 2000000, 6000*ms)
+	_, later := saturate(nodes, 2000000, 6000*ms)
 	if got := float64(sent[99]); got > most || later[99] == 0 {
 		t.Errorf("warming endpoint got %.0f in its first window, want at most %.0f, and %d later, want some", got, most, later[99])
 	}
@@ -146,8 +146,8 @@
 	return elapsed == own*10*ms || elapsed == 40*second
 }
 
-// sendAll has a node send what its tokens allow, but in quiet times.
-func (s *surgeTest) sendAll(node *fakeNode, elapsed Span) {
+// spendTokens has a node send what its tokens allow, but in quiet times.
+func (s *surgeTest) spendTokens(node *fakeNode, elapsed Span) {
 	node.balancer.now = max(node.balancer.now, 1e9+elapsed)
 	endpoint := node.balancer.endpointsByID[warmingEndpoint]
 	if !slices.Contains(node.balancer.subset, endpoint) {
@@ -163,22 +163,22 @@
 	}
 }
 
-// mostInWindow plays 45 s and returns the most attempts that were sent within a window.
-func (s *surgeTest) mostInWindow(t *testing.T) (most int) {
+// maxInWindow plays 45 s and returns the most attempts that were sent within a window.
+func (s *surgeTest) maxInWindow(t *testing.T) (highest int) {
 	t.Helper()
 	for elapsed := Span(0); elapsed < 45*second; elapsed += 10 * ms {
 		for i := range s.nodes {
 			if s.restartDue(i, elapsed) {
 				s.nodes[i] = s.startNode(t, i, elapsed)
 			}
-			s.sendAll(s.nodes[i], elapsed)
+			s.spendTokens(s.nodes[i], elapsed)
 		}
 		for len(s.sent) > 0 && s.sent[0] <= elapsed-s.config.OverloadWindow {
 			s.sent = s.sent[1:]
 		}
-		most = max(most, len(s.sent))
+		highest = max(highest, len(s.sent))
 	}
-	return most
+	return highest
 }
 
 // TestSlowStartTokensOfAllNodesKeepTheBudget guards against nodes that each save up a token: after a quiet
@@ -191,7 +191,7 @@
 			surge := newSurgeTest(t, nodes, small)
 			budget := surge.budget()
 			limit := budget + 2*math.Sqrt(budget) + 2
-			most := float64(surge.mostInWindow(t))
+			most := float64(surge.maxInWindow(t))
 			if most > limit || most < budget/4 {
 				t.Errorf("%d nodes, small %v: %.0f in a window, want %.0f at most, a budget of %.0f",
 					nodes, small, most, limit, budget)
@@ -204,26 +204,26 @@
 // new endpoint and use it at the same time.
 func TestFirstSlowStartTokensComeOneByOne(t *testing.T) {
 	const n = 300
-	ready := func(all []*fakeNode) (k int) {
-		for _, node := range all {
+	countReady := func(nodes []*fakeNode) (count int) {
+		for _, node := range nodes {
 			if endpoint := node.balancer.endpointsByID[99]; node.balancer.hasSlowStartToken(endpoint) {
-				k++
+				count++
 			}
 		}
-		return k
+		return count
 	}
-	all := startFleet(t, n, testConfig(), testEndpoints(5))
-	for _, node := range all {
+	nodes := startFleet(t, n, testConfig(), testEndpoints(5))
+	for _, node := range nodes {
 		node.balancer.HandleEndpoints(node.now, ListDelta, []Endpoint{{ID: 99, Phase: PhaseReady, StartedAt: node.now}})
 	}
-	if k := ready(all); k > 0 {
-		t.Errorf("%d of %d nodes may send to a new endpoint at once", k, n)
+	if count := countReady(nodes); count > 0 {
+		t.Errorf("%d of %d nodes may send to a new endpoint at once", count, n)
 	}
-	for _, node := range all {
+	for _, node := range nodes {
 		node.balancer.now += node.balancer.config.OverloadWindow
 	}
-	if k := ready(all); k > n/20 {
-		t.Errorf("%d of %d nodes may send to an unknown endpoint within a window", k, n)
+	if count := countReady(nodes); count > n/20 {
+		t.Errorf("%d of %d nodes may send to an unknown endpoint within a window", count, n)
 	}
 }
 
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -9,9 +9,9 @@
 // endpoint, and reach the maximum that endpoints accept.
 func TestSubsetsAreSmallStableAndCoverAllEndpoints(t *testing.T) {
 	list := testEndpoints(40)
-	all := startFleet(t, 200, testConfig(), list)
+	nodes := startFleet(t, 200, testConfig(), list)
 	users := map[EndpointID]int{}
-	for _, node := range all {
+	for _, node := range nodes {
 		if len(node.balancer.subset) > 10 {
 			t.Fatalf("%d endpoints in a subset", len(node.balancer.subset))
 		}
@@ -21,8 +21,8 @@
 		for _, endpoint := range before {
 			users[endpoint.ID]++
 			found := false
-			for _, k := range node.balancer.subset {
-				found = found || k == endpoint
+			for _, used := range node.balancer.subset {
+				found = found || used == endpoint
 			}
 			if !found {
 				lost++
