--- a/internal/balancer/concurrency_test.go
+++ b/internal/balancer/concurrency_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// TestInFlightStaysWithinLimit guards against more requests in flight to an endpoint than its limit allows.
 func TestInFlightStaysWithinLimit(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(3)...)
 	for id := RequestID(1); id <= 500; id++ {
@@ -12,13 +13,14 @@
 	}
 	for _, endpoint := range node.balancer.endpoints {
 		if endpoint.inFlight.count > initialLimit {
-			t.Errorf("endpoint %d has %d in flight", endpoint.ID, endpoint.inFlight.count)
+			t.Errorf("endpoint %d has %d requests in flight, want at most its limit",
+				endpoint.ID, endpoint.inFlight.count)
 		}
 	}
 }
 
-// TestManyNodesShareAnEndpoint guards against a minimum of one request per endpoint and node: 16 nodes
-// overloaded every endpoint.
+// TestManyNodesShareAnEndpoint guards against a minimum of one request in flight per endpoint and node: with
+// 16 nodes, this minimum overloaded every endpoint.
 func TestManyNodesShareAnEndpoint(t *testing.T) {
 	cfg := testConfig()
 	cfg.PeerCount = 60
@@ -27,12 +29,12 @@
 		node.request(id, 0, 0)
 	}
 	if n := node.balancer.tenants[0].inFlight.count; n > 5 {
-		t.Errorf("%d in flight, want a tenth of the endpoints at most", n)
+		t.Errorf("%d requests in flight to 40 endpoints, want at most 5 for one of 60 nodes", n)
 	}
 }
 
-// TestManyNodesRaiseALimitInSmallSteps guards against 16 nodes that each raise a limit by a full step:
-// every endpoint was overloaded.
+// TestManyNodesRaiseALimitInSmallSteps guards against nodes that each raise the limit of an endpoint by a
+// full step: 16 nodes together overloaded every endpoint.
 func TestManyNodesRaiseALimitInSmallSteps(t *testing.T) {
 	cfg := testConfig()
 	cfg.PeerCount = 60
@@ -42,13 +44,13 @@
 	endpoint.inFlight.mean = 1 // in use
 	node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeOK, Latency: 0})
 	if rise := endpoint.limit - before; rise <= 0 || rise > 0.11*before {
-		t.Errorf("limit rose by %g from %g in one step of one of sixty nodes", rise, before)
+		t.Errorf("one of 60 nodes raised the limit by %g from %g in one step", rise, before)
 	}
 }
 
-// TestLimitFollowsLoadReports guards against limits that follow latency although endpoints report their
-// load: with few answers per endpoint and node, each latency says little. After the loss of a zone some
-// endpoints were at a tenth of their capacity and others overloaded.
+// TestLimitFollowsLoadReports guards against limits that follow latency although the endpoints report their
+// load. With few answers per endpoint and node, a single latency shows little of the load: after the loss of
+// a zone, some endpoints were at a tenth of their capacity and others were overloaded.
 func TestLimitFollowsLoadReports(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -69,14 +71,15 @@
 			node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeOK, Latency: c.latency})
 		}
 		if endpoint.limit < c.least || endpoint.limit > c.greatest {
-			t.Errorf("%s: limit %g after three answers, want %g to %g", c.name, endpoint.limit, c.least, c.greatest)
+			t.Errorf("%s: limit %g after three answers, want %g to %g",
+				c.name, endpoint.limit, c.least, c.greatest)
 		}
 	}
 }
 
-// TestLimitsStayPerEndpointWhenFleetShrinks guards against limits that each node learns for itself alone:
-// after the loss of a zone each endpoint was used by half as many nodes again, and all together sent half
-// as much again to full endpoints.
+// TestLimitsStayPerEndpointWhenFleetShrinks guards against limits that each node learns for its own requests
+// alone. After the loss of a zone, half as many nodes again used each endpoint, and all nodes together sent
+// half as much again to endpoints that were already full.
 func TestLimitsStayPerEndpointWhenFleetShrinks(t *testing.T) {
 	cfg := testConfig()
 	cfg.PeerCount = 60
@@ -85,7 +88,7 @@
 		list[i].Weight = float64(1 + i%2)
 	}
 	balancer := startNode(t, cfg, list...).balancer
-	sum := func() (sum float64) { // of all nodes, at an average endpoint
+	sum := func() (sum float64) { // of the limits of all nodes for an average endpoint
 		for _, endpoint := range balancer.subset {
 			limit := balancer.effectiveLimit(endpoint) / balancer.relativeWeight(endpoint) * balancer.nodesPerEndpoint
 			sum += limit / float64(len(balancer.subset))
@@ -100,13 +103,15 @@
 	before, nodesBefore := sum(), balancer.nodesPerEndpoint
 	balancer.HandleEndpoints(balancer.now, ListFull, list[:20])
 	if got := sum(); balancer.nodesPerEndpoint < 1.4*nodesBefore || math.Abs(got-before) > 0.01*before {
-		t.Errorf("%g nodes per endpoint, then %g; limits of all %g, then %g", nodesBefore, balancer.nodesPerEndpoint, before, got)
+		t.Errorf("nodes per endpoint went from %g to %g, and the limits of all nodes together from %g to %g",
+			nodesBefore, balancer.nodesPerEndpoint, before, got)
 	}
 }
 
-// TestWarmingEndpointHasCapacityForItsCores guards against limits in proportion to the warm-up fraction: a
-// warming endpoint has all its cores, only slower ones. With 36 of 60 endpoints new, half of the requests
-// were rejected while these reported a utilization of 0.2. The slow-start tokens keep the budget.
+// TestWarmingEndpointHasCapacityForItsCores guards against limits in proportion to the warm-up fraction. A
+// warming endpoint has all its cores, but they are slower: with 36 of 60 endpoints new, half of the requests
+// were rejected while the new endpoints reported a utilization of 0.2. Slow-start tokens keep the requests
+// within the budget.
 func TestWarmingEndpointHasCapacityForItsCores(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(2)...)
 	node.balancer.HandleEndpoints(node.now, ListDelta, []Endpoint{{ID: 9, Phase: PhaseReady, Weight: 1, StartedAt: node.now}})
@@ -114,12 +119,13 @@
 	warmUp := node.balancer.warmUpFraction(warming)
 	part := node.balancer.effectiveLimit(warming) / node.balancer.effectiveLimit(warm)
 	if warmUp > 0.11 || part < 0.25 || part > 0.5 {
-		t.Errorf("an endpoint at %.2f of its capacity has %.2f of the limit of a warm one", warmUp, part)
+		t.Errorf("an endpoint with %.2f of its capacity has %.2f of a warm one's limit, want 0.25 to 0.5",
+			warmUp, part)
 	}
 }
 
-// TestExtremeWeightsAreBounded guards against a list in which one weight of 1e300 takes the capacity of all
-// other endpoints, and against a negative peer index.
+// TestExtremeWeightsAreBounded guards against an endpoint list in which a weight of 1e300 takes the capacity
+// of all other endpoints, and against a negative peer index.
 func TestExtremeWeightsAreBounded(t *testing.T) {
 	for _, weight := range []float64{1e300, 1.7e308, -5, 0} {
 		list := testEndpoints(4)
@@ -129,15 +135,16 @@
 		node := startNode(t, cfg, list...)
 		for _, endpoint := range node.balancer.endpoints {
 			if endpoint.limit < initialLimit/4 || endpoint.limit > initialLimit*4 {
-				t.Errorf("weight %g: endpoint %d may hold %g", weight, endpoint.ID, endpoint.limit)
+				t.Errorf("weight %g: endpoint %d has limit %g, want a quarter to four times the initial limit",
+					weight, endpoint.ID, endpoint.limit)
 			}
 		}
 	}
 }
 
-// TestLateAnswersKeepMinimumLimit guards against limits below one request per endpoint, drawn down by work
-// that happens to take long: with half of the endpoints draining or warming up, a fifth of all requests was
-// rejected while no endpoint had a backlog.
+// TestLateAnswersKeepMinimumLimit guards against limits below one request per endpoint, which result from
+// work that happens to take long: with half of the endpoints draining or warming up, a fifth of all requests
+// was rejected while no endpoint had a backlog.
 func TestLateAnswersKeepMinimumLimit(t *testing.T) {
 	cfg := testConfig()
 	cfg.PeerCount = 3
@@ -149,26 +156,28 @@
 	}
 	for _, endpoint := range node.balancer.endpoints {
 		if endpoint.limit < minLimit-0.01 || endpoint.limit > minLimit+0.01 {
-			t.Errorf("limits of all nodes together: %g, want %g", endpoint.limit, minLimit)
+			t.Errorf("the limit of an endpoint for all nodes together is %g, want %g",
+				endpoint.limit, minLimit)
 		}
 	}
 }
 
-// TestCanceledAttemptCountsAsLate guards against limits that learn from answers alone: if requests end at
-// their objective, they never fall.
+// TestCanceledAttemptCountsAsLate guards against limits that are learned from answers alone: if requests are
+// canceled at their objective, no late answer arrives and the limits never fall.
 func TestCanceledAttemptCountsAsLate(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(1)...)
 	endpoint := node.balancer.endpoints[0]
 	before := endpoint.limit
 	node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeCanceled, Latency: 199 * ms})
 	if endpoint.limit >= before {
-		t.Errorf("limit %g after an attempt canceled at the objective, was %g", endpoint.limit, before)
+		t.Errorf("limit %g after an attempt that was canceled at the objective, want less than %g",
+			endpoint.limit, before)
 	}
 }
 
 // TestEarlyCancellationDoesNotLowerLimit guards against attempts that count as late although they were
-// canceled early: requests dispatched shortly before their objective drew the limits of idle endpoints to
-// nothing.
+// canceled early: requests that were dispatched shortly before their objective reduced the limits of idle
+// endpoints to nothing.
 func TestEarlyCancellationDoesNotLowerLimit(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(1)...)
 	endpoint := node.balancer.endpoints[0]
@@ -176,12 +185,13 @@
 	node.balancer.classes[0].latency.mean = 10 * ms
 	node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeCanceled, Latency: 30 * ms})
 	if endpoint.limit != before {
-		t.Errorf("limit %g after an attempt canceled early, was %g", endpoint.limit, before)
+		t.Errorf("limit %g after an attempt that was canceled early, want %g as before",
+			endpoint.limit, before)
 	}
 }
 
-// TestLimitRisesOnlyWhenUsed guards against a warming endpoint's limit that rises because a small part of
-// it looks like much.
+// TestLimitRisesOnlyWhenUsed guards against a limit that rises although it is hardly used. The effective
+// limit of a warming endpoint is small, so that a few requests look like much of it.
 func TestLimitRisesOnlyWhenUsed(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(4)...)
 	endpoint := node.balancer.endpoints[0]
@@ -189,12 +199,13 @@
 	before := endpoint.limit
 	node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeOK, Latency: ms})
 	if endpoint.limit != before {
-		t.Errorf("limit went from %g to %g with nothing in flight", before, endpoint.limit)
+		t.Errorf("limit changed from %g to %g with no request in flight", before, endpoint.limit)
 	}
 }
 
-// TestCapacityFollowsLimits has limits that change within a control period: the capacity changes with them,
-// as with long objectives the next period is far away.
+// TestCapacityFollowsLimits guards against a capacity that is computed only once in a control period: if
+// latency objectives are long, the next period is far away, and the capacity must follow limits that change
+// before it.
 func TestCapacityFollowsLimits(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.Classes[0].LatencyObjective, cfg.Classes[0].Deadline = 10000*ms, 20000*ms
@@ -210,6 +221,7 @@
 		sum += node.balancer.effectiveLimit(endpoint)
 	}
 	if math.Abs(node.balancer.capacity-sum) > 1e-6 || sum <= before {
-		t.Errorf("capacity %.2f, was %.2f, limits sum up to %.2f", node.balancer.capacity, before, sum)
+		t.Errorf("capacity %.2f, was %.2f before the answers, the limits sum up to %.2f",
+			node.balancer.capacity, before, sum)
 	}
 }
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// startFleet starts nodes that know of each other. Tests with it check the sum over many nodes, each of
-// which sees only its own part.
+// startFleet starts n nodes with the same endpoints. The nodes count as peers of each other. Tests use it to
+// check sums over many nodes, each of which sees only its own part.
 func startFleet(t *testing.T, n int, cfg Config, list []Endpoint) []*fakeNode {
 	t.Helper()
 	cfg.PeerCount = n
@@ -15,15 +15,16 @@
 	return nodes
 }
 
-// pendingAnswer is an attempt whose endpoint has not answered yet.
+// pendingAnswer is an attempt that its endpoint has not answered yet.
 type pendingAnswer struct {
 	node     *fakeNode
 	id       RequestID
 	answerAt Time
 }
 
-// saturate keeps every node full of requests for a duration, answers each attempt after steadyLatency, and
-// returns the mean number in flight over all nodes and the attempts that each endpoint got.
+// saturate sends requests to every node for the given duration, so that all of them are saturated, and has
+// each attempt answered after steadyLatency. It returns the mean number of attempts in flight over all nodes,
+// and the number of attempts to each endpoint.
 func saturate(nodes []*fakeNode, firstID RequestID, duration Span) (mean float64, sent map[EndpointID]int) {
 	const step = 10 * ms
 	sent = map[EndpointID]int{}
@@ -50,7 +51,7 @@
 	return mean / float64(steps), sent
 }
 
-// completeDue answers what is due, and returns the rest.
+// completeDue answers the attempts whose time has come and returns the others.
 func completeDue(inFlight []pendingAnswer) []pendingAnswer {
 	remaining := inFlight[:0]
 	for _, pending := range inFlight {
@@ -71,27 +72,28 @@
 	return remaining
 }
 
-// steadyLatency is about the latency at which limits stay as they are: a quarter of the way from 50 ms to
-// the objective of 200.
+// steadyLatency is about the latency at which limits neither rise nor fall: a quarter of the way, on a
+// logarithmic scale, from the baseline of 50 ms to the objective of 200 ms.
 const steadyLatency = 70 * ms
 
-// TestInFlightOfAllNodesStaysNearLimits guards against a minimum of one request per node and endpoint,
-// tenant or slot matrix: what the fleet had in flight grew with the number of nodes.
+// TestInFlightOfAllNodesStaysNearLimits guards against a minimum of one request per node for each endpoint,
+// tenant or entry of the slot matrix: the number of requests in flight in the fleet grew with the number of
+// nodes.
 func TestInFlightOfAllNodesStaysNearLimits(t *testing.T) {
 	for _, n := range []int{1, 20, 100} {
 		mean, _ := saturate(startFleet(t, n, testConfig(), testEndpoints(4)), 1, 4000*ms)
 		limits := 4.0 * initialLimit
 		if n == 1 {
-			limits = 7 // a request each 10 ms that takes 70
+			limits = 7 // one request every 10 ms, each of which takes 70 ms
 		}
 		if mean > 1.3*limits || mean < limits/3 {
-			t.Errorf("%d nodes: mean in flight %.1f, want about %.0f", n, mean, limits)
+			t.Errorf("%d nodes: mean number of requests in flight %.1f, want about %.0f", n, mean, limits)
 		}
 	}
 }
 
-// TestNodesDecideAtDifferentTimes guards against nodes that were started together and decide together, and
-// call discovery together, for ever.
+// TestNodesDecideAtDifferentTimes guards against nodes that start together and then recompute their
+// decisions, and call discovery, at the same moments for ever.
 func TestNodesDecideAtDifferentTimes(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollDiscovery = true
@@ -106,6 +108,7 @@
 		calls[node.firstWatchAt]++
 	}
 	if len(controls) < 40 || len(calls) < 20 {
-		t.Errorf("50 nodes decide at %d times and first call discovery at %d", len(controls), len(calls))
+		t.Errorf("50 nodes decide at %d different times, want 40, and first call discovery at %d, want 20",
+			len(controls), len(calls))
 	}
 }
--- a/internal/balancer/latency_test.go
+++ b/internal/balancer/latency_test.go
@@ -5,27 +5,27 @@
 	"testing"
 )
 
-// TestUsualTimeoutIsTheMostFrequent guards against other choices of the usual wait: a client's last attempt
-// waits longer than its first, so that the longest wait makes first attempts look like retries; and a
-// median drifts with the retries of an overload.
+// TestUsualTimeoutIsTheMostFrequent guards against other choices of the usual timeout. The last attempt of a
+// client waits longer than its first one, so the longest timeout would make first attempts look like retries.
+// A median would drift with the retries of an overload.
 func TestUsualTimeoutIsTheMostFrequent(t *testing.T) {
 	timeouts := &timeoutHistogram{}
 	for i := range 60 {
 		timeouts.observe(318*ms, 450*ms)
 		if bucket, usual := timeouts.observe(318*ms, 450*ms); bucket != usual {
-			t.Fatal("a first attempt looks unusual")
+			t.Fatal("the timeout of a first attempt is not the usual one")
 		}
 		for _, timeout := range []Span{385 + Span(i), 140 + Span(i)} {
 			if bucket, usual := timeouts.observe(timeout*ms, 450*ms); i > 10 && bucket >= usual-1 && bucket <= usual+1 {
-				t.Fatalf("a retry that waits %d ms looks usual", timeout)
+				t.Fatalf("a retry with a timeout of %d ms looks like a first attempt", timeout)
 			}
 		}
 	}
 }
 
-// TestMarkedRetriesCountFromFirstAttempt has clients that mark their retries: what is not marked is a first
-// attempt, however long it waits; a retry's objective counts from its first attempt, as far as its deadline
-// shows.
+// TestMarkedRetriesCountFromFirstAttempt guards against a wrong start of the latency objective if clients
+// mark their retries. A request without a mark is a first attempt, whatever its timeout. The objective of a
+// retry counts from the client's first attempt, as far as the deadline of the retry shows when that was.
 func TestMarkedRetriesCountFromFirstAttempt(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.ClientsMarkRetries = true
@@ -34,7 +34,7 @@
 		node.balancer.HandleRequest(node.now, Request{ID: id, Deadline: node.now + timeLeft, IsRetry: isRetry})
 		return node.balancer.requests[id].objectiveAt - node.now
 	}
-	for id := RequestID(1); id < 100; id++ { // most clients wait 300 ms for an attempt
+	for id := RequestID(1); id < 100; id++ { // most clients have a timeout of 300 ms for an attempt
 		objectiveIn(id, 300*ms, false)
 	}
 	for id, c := range []struct {
@@ -42,21 +42,25 @@
 		isRetry  bool
 		want     Span
 	}{{300 * ms, false, 200 * ms}, {490 * ms, false, 200 * ms}, // first attempts
-		{400 * ms, true, 150 * ms}, {300 * ms, true, 100 * ms}, // sent between now and 500 ms before its end
-		{250 * ms, true, -50 * ms}, {100 * ms, true, -200 * ms}} { // ends with the whole request, which was first sent 500 ms before
+		// Retries of requests that were first sent between 500 ms before the end of the retry and now.
+		{400 * ms, true, 150 * ms}, {300 * ms, true, 100 * ms},
+		// Retries that end with the whole request, which was first sent 500 ms before that end.
+		{250 * ms, true, -50 * ms}, {100 * ms, true, -200 * ms}} {
 		if got := objectiveIn(RequestID(1000+id), c.timeLeft, c.isRetry); math.Abs(float64(got-c.want)) > ms {
-			t.Errorf("%d ms left, retry %v: objective in %d µs, want %d", c.timeLeft/ms, c.isRetry, got, c.want)
+			t.Errorf("%d ms left, retry %v: objective in %d µs, want %d",
+				c.timeLeft/ms, c.isRetry, got, c.want)
 		}
 	}
 }
 
-// TestNetworkDelayCountsAgainstObjective has first attempts show how long requests are on their way, if
-// retries are marked. That time counts against their objectives.
+// TestNetworkDelayCountsAgainstObjective guards against a latency objective that ignores the time from the
+// client to this node. If retries are marked, first attempts show this time, and it counts against the
+// objective.
 func TestNetworkDelayCountsAgainstObjective(t *testing.T) {
 	for _, marked := range []bool{true, false} {
 		cfg := singleClassConfig()
 		cfg.ClientsMarkRetries = marked
-		node := startNode(t, cfg) // no endpoint: all requests are queued
+		node := startNode(t, cfg) // without an endpoint all requests stay queued
 		for id := RequestID(1); id < 200; id++ {
 			node.balancer.HandleRequest(node.now, Request{ID: id, Deadline: node.now + 490*ms})
 			node.advance(ms)
@@ -68,6 +72,8 @@
 	}
 }
 
+// TestBaselineIsLowestPeriodMeanAndDriftsUp guards against a baseline that follows too few answers or a slow
+// period.
 func TestBaselineIsLowestPeriodMeanAndDriftsUp(t *testing.T) {
 	latency := classLatency{baseline: 100, mean: 100}
 	period := func(took float64, answers int) {
@@ -90,12 +96,14 @@
 	}
 }
 
+// TestMissingAnswerOnlyRaisesMean guards against a mean latency that falls because attempts were canceled
+// early.
 func TestMissingAnswerOnlyRaisesMean(t *testing.T) {
 	latency := classLatency{mean: 100}
 	if latency.recordUnanswered(50); latency.mean != 100 {
-		t.Errorf("mean %g after an attempt that was canceled early", latency.mean)
+		t.Errorf("mean %g after an attempt that was canceled early, want 100 as before", latency.mean)
 	}
 	if latency.recordUnanswered(200); latency.mean != 105 {
-		t.Errorf("mean %g after one without an answer in 200, want 105", latency.mean)
+		t.Errorf("mean %g after an attempt without an answer within 200, want 105", latency.mean)
 	}
 }
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestRejectingEndpointIsEjected guards against endpoints that reject at once, and are sent the next
-// request at once: a draining one got 300 a second from nodes that did not know of the drain, each of them
-// an attempt less for its request.
+// TestRejectingEndpointIsEjected guards against endpoints that reject requests at once and therefore get the
+// next request at once. A draining endpoint got 300 requests a second from nodes that did not know that it
+// was draining, and each rejection cost the request one of its attempts.
 func TestRejectingEndpointIsEjected(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(4)...)
 	endpoint := node.balancer.endpoints[0]
@@ -12,25 +12,27 @@
 		node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeRejected, Latency: ms})
 	}
 	if node.balancer.available(endpoint) {
-		t.Fatal("still used")
+		t.Fatal("the endpoint is still available after its rejections")
 	}
 	node.advance(2 * node.balancer.controlPeriod)
 	if !node.balancer.available(endpoint) {
-		t.Error("not used again")
+		t.Error("the endpoint is not available after the end of its ejection")
 	}
 }
 
+// TestFailingEndpointIsEjectedAndReturns guards against failed connects that do not eject an endpoint,
+// against ejections without end, and against a node that sends nothing if all endpoints are ejected.
 func TestFailingEndpointIsEjectedAndReturns(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(4)...)
 	for range ejectionFailures {
 		node.balancer.recordOutcome(node.balancer.endpoints[0], 0, AttemptResult{Outcome: OutcomeConnectFailed})
 	}
 	if node.balancer.available(node.balancer.endpoints[0]) {
-		t.Fatal("still used")
+		t.Fatal("the endpoint is still available after its failed connects")
 	}
 	node.advance(2 * node.balancer.controlPeriod)
 	if !node.balancer.available(node.balancer.endpoints[0]) {
-		t.Error("not used again")
+		t.Error("the endpoint is not available after the end of its ejection")
 	}
 	for _, endpoint := range node.balancer.endpoints {
 		for range 10 {
@@ -39,13 +41,13 @@
 	}
 	node.request(1, 0, 0)
 	if len(node.attempts[1]) != 1 {
-		t.Error("nothing is sent if every endpoint fails")
+		t.Error("no attempt is sent if every endpoint fails")
 	}
 }
 
-// TestErrorRateEjectsEndpoint guards against errors that count as answers: an endpoint that fails at once,
-// and not every time, never failed three times in a row, looked fast and idle, and drew requests; its short
-// latencies made all others look congested.
+// TestErrorRateEjectsEndpoint guards against errors that count as answers. An endpoint that failed at once,
+// but not every time, never failed three times in a row. It looked fast and idle and therefore got more
+// requests, and its short latencies made all other endpoints look congested.
 func TestErrorRateEjectsEndpoint(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(4)...)
 	endpoint, classBefore := node.balancer.endpoints[0], node.balancer.classes[0]
@@ -53,20 +55,20 @@
 	for range 4 {
 		node.balancer.recordOutcome(endpoint, 0, serverError)
 		node.balancer.recordOutcome(endpoint, 0, serverError)
-		endpoint.outlier.consecutiveFailures = 0 // as an answer in time would, which would also change the limit
+		endpoint.outlier.consecutiveFailures = 0 // as an answer in time would, but the limit stays
 		endpoint.outlier.errorRate -= errorRateGain * endpoint.outlier.errorRate
 	}
 	if node.balancer.available(endpoint) {
-		t.Error("still used, with two of three answers errors")
+		t.Error("the endpoint is still available although two of three answers are errors")
 	}
 	if endpoint.limit != limit || node.balancer.classes[0] != classBefore {
-		t.Errorf("errors changed a limit (%g, was %g) or latencies", endpoint.limit, limit)
+		t.Errorf("errors changed the limit (%g, was %g) or the latencies of the class", endpoint.limit, limit)
 	}
 	firstEjection := endpoint.outlier.ejectedUntil - node.now
 	node.advance(2 * firstEjection)
 	node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeReset})
 	if endpoint.outlier.ejectedUntil-node.now < firstEjection {
-		t.Error("the second ejection is not longer than the first")
+		t.Error("the second ejection is shorter than the first")
 	}
 	healthy := node.balancer.endpoints[1]
 	for i := range 200 {
@@ -75,14 +77,14 @@
 			outcome = OutcomeServerError
 		}
 		if node.balancer.recordOutcome(healthy, 0, AttemptResult{Outcome: outcome, Latency: ms}); !node.balancer.available(healthy) {
-			t.Fatal("ejected by an occasional error")
+			t.Fatal("an endpoint is ejected for occasional errors")
 		}
 	}
 }
 
-// TestErrorsCommonToAllEjectNone guards against ejections for what all endpoints have: with connections to
-// all of them breaking now and then, healthy ones were ejected in turn, and a tenth of the requests was
-// rejected for lack of capacity.
+// TestErrorsCommonToAllEjectNone guards against ejections for an error rate that all endpoints have. When
+// connections to all of them broke now and then, healthy endpoints were ejected in turn, and a tenth of the
+// requests was rejected for lack of capacity.
 func TestErrorsCommonToAllEjectNone(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(4)...)
 	for i := range 50 {
@@ -96,15 +98,15 @@
 				t.Fatalf("endpoint %d is ejected at an error rate of %.2f, where %.2f is usual",
 					endpoint.ID, endpoint.outlier.errorRate, node.balancer.medianErrorRate)
 			}
-			// The time before the first control does not count.
+			// Ejections before the first control period do not count.
 			endpoint.outlier.ejectedUntil = min(endpoint.outlier.ejectedUntil, node.now)
 		}
 		node.balancer.updateSubset()
 	}
 }
 
-// TestNonIdempotentRequestsAvoidSuspects guards against requests that must run once and are sent to a
-// failing endpoint: each error lost one for good.
+// TestNonIdempotentRequestsAvoidSuspects guards against non-idempotent requests that are sent to a failing
+// endpoint: each error lost such a request for good.
 func TestNonIdempotentRequestsAvoidSuspects(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(3)...)
 	suspect := node.balancer.endpoints[0]
@@ -126,18 +128,18 @@
 		}
 	}
 	if sent == 0 {
-		t.Error("no request shows whether the endpoint has recovered")
+		t.Error("no idempotent request is sent to the suspect endpoint, so its recovery would not be noticed")
 	}
 	for _, endpoint := range node.balancer.endpoints {
 		endpoint.outlier.errorRate = 2 * suspectErrorRate
 	}
 	if node.request(1000, 1, 0); len(node.attempts[1000]) != 1 {
-		t.Error("nothing is sent if every endpoint is suspect")
+		t.Error("a non-idempotent request is not sent if every endpoint is suspect")
 	}
 }
 
-// TestTimeoutsAloneDoNotEject guards against the ejection of endpoints that answer others all the while:
-// the rest was overloaded.
+// TestTimeoutsAloneDoNotEject guards against the ejection of endpoints that time out for some requests while
+// they answer others: the remaining endpoints were overloaded.
 func TestTimeoutsAloneDoNotEject(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(4)...)
 	endpoint := node.balancer.endpoints[0]
@@ -146,10 +148,12 @@
 		node.balancer.recordOutcome(endpoint, 0, AttemptResult{Outcome: OutcomeTimeout, Latency: 500 * ms})
 	}
 	if !node.balancer.available(endpoint) {
-		t.Error("ejected although it answers")
+		t.Error("the endpoint is ejected although it answers other requests")
 	}
 }
 
+// TestSilentEndpointGetsNothingNew guards against requests that are sent to an endpoint that has requests in
+// flight and has not answered for one and a half times the mean latency.
 func TestSilentEndpointGetsNothingNew(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(2)...)
 	node.balancer.endpoints[0].inFlight.count, node.balancer.endpoints[0].lastAnswerAt = 1, node.now
@@ -159,7 +163,7 @@
 	}
 	node.balancer.lastControlAt = node.now - node.balancer.controlPeriod
 	node.balancer.runControl()
-	node.advance(60 * ms) // one and a half means
+	node.advance(60 * ms) // one and a half times the mean latency
 	for id := RequestID(1); id <= 6; id++ {
 		node.request(id, 0, 0)
 		if len(node.attempts[id]) > 0 && node.attempts[id][0] == 1 {
@@ -167,10 +171,12 @@
 		}
 	}
 	if len(node.attempts) == 0 {
-		t.Error("the other endpoint got nothing either")
+		t.Error("the other endpoint got no request either")
 	}
 }
 
+// TestOutlierStateCountsErrorsAndRecovers guards against an error rate that stays low after three errors in a
+// row, or high after successes.
 func TestOutlierStateCountsErrorsAndRecovers(t *testing.T) {
 	outlier := outlierState{consecutiveFailures: 2, ejections: 3}
 	for range 3 {
@@ -181,12 +187,12 @@
 	}
 	outlier.recordSuccess()
 	if outlier.consecutiveFailures != 0 || outlier.ejections != 3 {
-		t.Errorf("%+v after one success: want no failures, and the ejections kept", outlier)
+		t.Errorf("%+v after one success, want no consecutive failures and 3 ejections", outlier)
 	}
 	for range 10 {
 		outlier.recordSuccess()
 	}
 	if outlier.errorRate >= suspectErrorRate || outlier.ejections != 0 {
-		t.Errorf("%+v after eleven successes: want a low error rate and no ejections", outlier)
+		t.Errorf("%+v after eleven successes, want a low error rate and no ejections", outlier)
 	}
 }
--- a/internal/balancer/prediction_test.go
+++ b/internal/balancer/prediction_test.go
@@ -2,20 +2,23 @@
 
 import "testing"
 
-// TestOverloadedEndpointsAnswerInTime offers twice as many requests as endpoints can serve: those that are sent
-// are in time, and no endpoint is idle for that.
+// TestOverloadedEndpointsAnswerInTime guards against late answers, and against idle endpoints, in an
+// overload. It sends twice as many requests as the endpoints can serve: those that reach an endpoint must be
+// answered in time, and the endpoints must be nearly fully used.
 func TestOverloadedEndpointsAnswerInTime(t *testing.T) {
 	fleet := startSingleCoreFleet(t, singleClassConfig())
-	fleet.sendRequests(1, 100, 5*ms) // warm-up of the estimates
+	fleet.sendRequests(1, 100, 5*ms) // lets the estimates settle
 	fleet.served, fleet.late = 0, 0
 	fleet.sendRequests(1001, 400, 5*ms)
 	if possible := 2000 / 40 * 4; fleet.served < possible*9/10 || fleet.late > possible/20 {
-		t.Errorf("%d in time and %d late of %d that were possible", fleet.served, fleet.late, possible)
+		t.Errorf("%d requests answered in time and %d late, of %d that the endpoints can serve",
+			fleet.served, fleet.late, possible)
 	}
 }
 
-// TestSlownessDecays has all endpoints become so slow that nothing is in time, and recover: requests find
-// that out, and few are spent on it.
+// TestSlownessDecays guards against endpoints that get no requests for ever after they were slow. All
+// endpoints become so slow that no answer is in time, and then recover: a few requests must find this out,
+// and only a few may be spent on it.
 func TestSlownessDecays(t *testing.T) {
 	fleet := startSingleCoreFleet(t, singleClassConfig())
 	fleet.sendRequests(1, 100, 15*ms)
@@ -24,20 +27,22 @@
 	before := len(fleet.sentAt)
 	fleet.sendRequests(2001, 100, 15*ms)
 	if n := len(fleet.sentAt) - before; n == 0 || n > 6 {
-		t.Errorf("%d requests sent in 1.5 s that could not be in time", n)
+		t.Errorf("%d requests sent in 1.5 s although none can be answered in time, want 1 to 6", n)
 	}
 	fleet.serviceTime = func(RequestID) Span { return 40 * ms }
 	fleet.sendRequests(3001, 100, 15*ms)
 	fleet.served = 0
 	fleet.sendRequests(4001, 100, 15*ms)
 	if fleet.served < 90 {
-		t.Errorf("%d of 100 served after that", fleet.served)
+		t.Errorf("%d of 100 requests served after the endpoints have recovered, want at least 90",
+			fleet.served)
 	}
 }
 
-// TestCostHintsCountByTheirAccuracy has a request whose hint says that it can not be in time: it is
-// rejected as it comes if hints have turned out to be accurate. If they say nothing of the work, they
-// decide nothing.
+// TestCostHintsCountByTheirAccuracy guards against cost hints that are ignored although they are accurate,
+// and against useless hints that decide anything. A request whose hint shows that it can't be in time is
+// rejected on arrival if hints have turned out to be accurate, and served if hints say nothing about the
+// work.
 func TestCostHintsCountByTheirAccuracy(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -66,14 +71,16 @@
 				fleet.step()
 			}
 			wantFinal(t, fleet.fakeNode, 1000, c.want)
-			if hintSlope := fleet.balancer.classes[0].hints.slope(); c.exact != (hintSlope > 0.7) || !c.exact != (hintSlope < 0.3) {
-				t.Errorf("slope of hints is %.2f", hintSlope)
+			if got := fleet.balancer.classes[0].hints.slope(); c.exact != (got > 0.7) || !c.exact != (got < 0.3) {
+				t.Errorf("the slope of the hints is %.2f, want more than 0.7 if they are exact and less than 0.3 if not",
+					got)
 			}
 		})
 	}
 }
 
-// TestCoresAreLearnedFromReports has an endpoint of many cores, which are seen by what it works on at once.
+// TestCoresAreLearnedFromReports guards against endpoints with many cores that count as single-core
+// endpoints. The number of cores is the number of requests that an endpoint works on at the same time.
 func TestCoresAreLearnedFromReports(t *testing.T) {
 	node := startNode(t, singleClassConfig(), testEndpoints(2)...)
 	endpoint := node.balancer.endpointsByID[1]
@@ -85,17 +92,17 @@
 	}
 	node.balancer.recordReport(node.balancer.endpointsByID[2], &LoadReport{5, -1, 0.5})
 	if c := node.balancer.endpointsByID[2].cores; c != 0 {
-		t.Errorf("%v cores without a reported backlog", c)
+		t.Errorf("%v cores without a reported backlog, want 0", c)
 	}
 }
 
-// TestUploadTimeIsNotCountedAsWork has an answer whose latency was its client's, as the body was still
-// coming in: it says nothing of work.
+// TestUploadTimeIsNotCountedAsWork guards against upload time that counts as work. A latency of 0 stands for
+// an answer that came while the client was still sending the body, so it shows nothing of the work.
 func TestUploadTimeIsNotCountedAsWork(t *testing.T) {
 	fleet := startSingleCoreFleet(t, singleClassConfig())
 	fleet.sendRequests(1, 50, 20*ms)
 	for range 100 {
-		fleet.step() // all are done
+		fleet.step() // until all requests are done
 	}
 	fleet.request(1000, 0, 0)
 	fleet.step()
@@ -104,6 +111,6 @@
 		ID: 1000, Endpoint: fleet.attempts[1000][0], Outcome: OutcomeOK, RequestDone: true,
 	})
 	if got := fleet.balancer.classes[0].work.mean; got != before || before < 30*ms || before > 50*ms {
-		t.Errorf("work %.0f, before %.0f, actually %d", got, before, 40*ms)
+		t.Errorf("work estimate %.0f, before %.0f, actual work %d", got, before, 40*ms)
 	}
 }
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -7,9 +7,9 @@
 	"tulipglade/internal/safety"
 )
 
-// TestAttemptPastObjectiveStaysInFlight guards against attempts that are canceled at the objective and
-// leave the counts while endpoints still work on them: with 80 nodes the endpoints were overloaded, and a
-// third of all attempts needed a new connection.
+// TestAttemptPastObjectiveStaysInFlight guards against attempts that are canceled at the latency objective.
+// They would no longer be counted although their endpoints still work on them: with 80 nodes, the endpoints
+// were overloaded, and a third of all attempts needed a new connection.
 func TestAttemptPastObjectiveStaysInFlight(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(2)...)
 	node.request(1, 0, 0)
@@ -17,27 +17,30 @@
 	wantFinal(t, node, 1, "reject")
 	endpoint := node.balancer.endpointsByID[node.attempts[1][0]]
 	if slices.Contains(node.log, "cancel 1 0") || endpoint.inFlight.count != 1 {
-		t.Errorf("%d in flight, log %v; want 1 and no cancel", endpoint.inFlight.count, node.log)
+		t.Errorf("%d attempts in flight, commands %v; want 1 and no cancel",
+			endpoint.inFlight.count, node.log)
 	}
 	limit := endpoint.limit
 	node.balancer.HandleAttemptResult(node.now, AttemptResult{
 		ID: 1, Endpoint: endpoint.ID, Outcome: OutcomeOK, Latency: 200 * ms, RequestDone: true,
 	})
 	if endpoint.inFlight.count != 0 || endpoint.limit >= limit || len(node.balancer.requests) != 0 {
-		t.Errorf("%d in flight after its end, limit %g of %g, %d requests",
+		t.Errorf("after the answer: %d attempts in flight, limit %g, was %g, %d open requests",
 			endpoint.inFlight.count, endpoint.limit, limit, len(node.balancer.requests))
 	}
 }
 
+// TestFinalAnswerAndAttemptAreGuarded guards against a second final answer, an attempt after the final
+// answer, and more attempts than MaxAttempts.
 func TestFinalAnswerAndAttemptAreGuarded(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(3)...)
 	node.request(1, 0, 0)
 	request := node.balancer.requests[1]
 	node.balancer.HandleCancellation(node.now, 1)
 	node.finalAnswers[1] = "canceled"
-	node.balancer.rejectOrFail(request) // the fake node fails the test on a second answer
+	node.balancer.rejectOrFail(request) // a second final answer fails the test in the fake node
 	if node.balancer.sendAttempt(request, node.balancer.endpoints[0]) {
-		t.Error("an attempt for a request that is done")
+		t.Error("an attempt was sent for a request that is done")
 	}
 	node.request(2, 0, 0)
 	request = node.balancer.requests[2]
@@ -47,19 +50,21 @@
 		other = node.balancer.endpoints[1]
 	}
 	if !node.balancer.mayAttempt(request, other) {
-		t.Fatal("no attempt is allowed at the other endpoint")
+		t.Fatal("no second attempt is allowed at the other endpoint")
 	}
 	request.attempts = append(request.attempts, request.attempts[0], request.attempts[0], request.attempts[0])
 	if node.balancer.mayAttempt(request, other) {
-		t.Error("a fifth attempt of four is allowed")
+		t.Error("a fifth attempt is allowed, want at most four")
 	}
 }
 
-// failures are all outcomes without an answer.
+// failures are all outcomes other than OutcomeOK.
 var failures = []Outcome{
 	OutcomeServerError, OutcomeRejected, OutcomeTimeout, OutcomeConnectFailed, OutcomeReset, OutcomeCanceled, OutcomeNotSent,
 }
 
+// TestRetryByOutcomeAndIdempotency guards against a retry or a rejection of a request that may have run and
+// must not run twice, and against a missing retry where a retry does no harm.
 func TestRetryByOutcomeAndIdempotency(t *testing.T) {
 	for _, outcome := range failures {
 		proven := outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent
@@ -69,20 +74,24 @@
 			node.complete(1, 0, outcome)
 			retried := len(node.attempts[1]) > 1
 			if c.Idempotency == NonIdempotent && retried != proven {
-				t.Errorf("non-idempotent after %d: retried %v, want %v", outcome, retried, proven)
+				t.Errorf("non-idempotent request after outcome %d: retried %v, want %v",
+					outcome, retried, proven)
 			}
 			if c.Idempotency == Idempotent && !retried {
-				t.Errorf("idempotent after %d: not retried", outcome)
+				t.Errorf("idempotent request after outcome %d: not retried", outcome)
 			}
 			node.advance(c.Deadline)
 			harmless := c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll
 			if !harmless && node.finalAnswers[1] == "reject" && (retried || !proven) {
-				t.Errorf("class %d after %d: rejected though it may have run", class, outcome)
+				t.Errorf("request of class %d after outcome %d: rejected although it may have run",
+					class, outcome)
 			}
 		}
 	}
 }
 
+// TestRetryStaysInKeyScope guards against a retry outside the group of endpoints that drops repeats of the
+// idempotency key: the request could run twice.
 func TestRetryStaysInKeyScope(t *testing.T) {
 	for range 40 {
 		for _, class := range []int{3, 4} {
@@ -91,16 +100,19 @@
 			node.request(1, class, 0)
 			node.complete(1, 0, OutcomeReset)
 			if len(node.attempts[1]) < 2 {
-				t.Fatal("not retried")
+				t.Fatal("the request was not retried")
 			}
 			first, second := list[node.attempts[1][0]-1], list[node.attempts[1][1]-1]
 			if class == 3 && first.Zone != second.Zone || class == 4 && first.Cell != second.Cell {
-				t.Fatalf("class %d went from %+v to %+v", class, first, second)
+				t.Fatalf("the retry of a request of class %d went from %+v to %+v, outside the key scope",
+					class, first, second)
 			}
 		}
 	}
 }
 
+// TestRetryMayLeaveKeyScopeWhenAttemptNeverRan guards against a key scope that binds a request before any
+// attempt may have run.
 func TestRetryMayLeaveKeyScopeWhenAttemptNeverRan(t *testing.T) {
 	list := testEndpoints(2) // two zones with one endpoint each
 	node := startNode(t, testConfig(), list...)
@@ -111,22 +123,26 @@
 	}
 }
 
+// TestNoRetryAfterIdempotencyWindow guards against a retry that arrives when endpoints no longer drop repeats
+// of the idempotency key.
 func TestNoRetryAfterIdempotencyWindow(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(6)...)
 	node.request(1, 2, 0)
 	node.advance(99 * ms)
 	node.complete(1, 0, OutcomeReset)
 	if len(node.attempts[1]) != 1 {
-		t.Error("retried at the end of the idempotency window")
+		t.Error("the request was retried at the end of the idempotency window")
 	}
 	wantFinal(t, node, 1, "reject") // the key scope is all endpoints
 }
 
+// TestIdempotencyWindowStartsAtFirstAttemptThatMayHaveRun guards against a window that starts with an attempt
+// that is known not to have run.
 func TestIdempotencyWindowStartsAtFirstAttemptThatMayHaveRun(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(6)...)
 	node.request(1, 2, 0)
 	node.advance(90 * ms)
-	node.complete(1, 0, OutcomeRejected) // it never ran, so it starts no window
+	node.complete(1, 0, OutcomeRejected) // the attempt never ran, so the window does not start with it
 	node.advance(90 * ms)
 	node.complete(1, 1, OutcomeReset)
 	if len(node.attempts[1]) != 3 {
@@ -134,6 +150,8 @@
 	}
 }
 
+// TestAttemptsAreLimitedByMaxAttempts guards against more attempts of a request than the configuration
+// allows.
 func TestAttemptsAreLimitedByMaxAttempts(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(8)...)
 	node.request(1, 1, 0)
@@ -141,14 +159,14 @@
 		node.complete(1, i, OutcomeRejected)
 	}
 	if len(node.attempts[1]) != 4 {
-		t.Errorf("%d attempts, want MaxAttempts", len(node.attempts[1]))
+		t.Errorf("%d attempts, want 4, which is MaxAttempts", len(node.attempts[1]))
 	}
 	wantFinal(t, node, 1, "reject")
 }
 
-// TestMayStartAttemptChecksCurrentState guards against attempts that are sent on an old decision: between
-// the decision and the first byte a connection may have to be opened, while the endpoint starts to drain,
-// the idempotency window expires or the client disconnects.
+// TestMayStartAttemptChecksCurrentState guards against attempts that are sent on an outdated decision.
+// Between the decision and the first byte a connection may have to be opened; meanwhile the endpoint may
+// start to drain, the idempotency window may expire, or the client may disconnect.
 func TestMayStartAttemptChecksCurrentState(t *testing.T) {
 	nonIdempotent := Class{LatencyObjective: 200 * ms, Deadline: 5000 * ms, Idempotency: NonIdempotent}
 	keyed := Class{LatencyObjective: 200 * ms, Deadline: 5000 * ms, Idempotency: IdempotentByKey, IdempotencyWindow: 1000 * ms}
@@ -187,7 +205,7 @@
 		}
 		c.change(node)
 		if got := node.balancer.MayStartAttempt(node.now, 1, len(node.attempts[1])-1); (got == safety.Allowed) != c.want {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: reason %v, want allowed %v", name, got, c.want)
 		}
 	}
 	if startNode(t, testConfig(), testEndpoints(1)...).balancer.MayStartAttempt(0, 7, 0) == safety.Allowed {
--- a/internal/balancer/singlecore_test.go
+++ b/internal/balancer/singlecore_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// singleCoreFleet has endpoints of one core that report what they hold, and a node that may check their
-// health.
+// singleCoreFleet simulates endpoints with one core each, which report how many requests they hold, and a
+// node that may send them health checks.
 type singleCoreFleet struct {
 	*fakeNode
-	serviceTime  func(RequestID) Span        // that a request takes alone
-	queues       map[EndpointID][]queuedWork // first in, first out
-	late         int
-	served       int
-	unresponsive bool // health checks get no answer
+	serviceTime  func(RequestID) Span        // time that a request takes on an idle endpoint
+	queues       map[EndpointID][]queuedWork // work of each endpoint, in the order in which it is done
+	late         int                         // answers after the final answer of the request
+	served       int                         // other answers
+	unresponsive bool                        // health checks are not answered
 	sentAt       map[RequestID]Time
 }
 
@@ -19,7 +19,7 @@
 	endsAt Time
 }
 
-// startSingleCoreFleet starts a fleet of four endpoints, each of which needs 40 ms for a request.
+// startSingleCoreFleet starts a fleet of four endpoints, each of which takes 40 ms for a request.
 func startSingleCoreFleet(t *testing.T, cfg Config) *singleCoreFleet {
 	t.Helper()
 	cfg.AllowHealthChecks, cfg.HealthCheckCost = true, 0.001
@@ -31,13 +31,13 @@
 	}
 }
 
-// report is an endpoint's load report.
+// report returns the current load report of an endpoint.
 func (s *singleCoreFleet) report(endpoint EndpointID) *LoadReport {
 	n := float64(len(s.queues[endpoint]))
 	return &LoadReport{Outstanding: n, Backlog: max(n-1, 0), Utilization: min(n, 1)}
 }
 
-// step passes a millisecond: health checks are answered, endpoints start and end work.
+// step advances time by a millisecond: health checks are answered, and endpoints start and finish their work.
 func (s *singleCoreFleet) step() {
 	for _, endpoint := range s.healthChecks {
 		if !s.unresponsive {
@@ -82,7 +82,7 @@
 	}
 }
 
-// sendRequests sends requests at a fixed interval.
+// sendRequests sends n requests at the given interval, with consecutive IDs.
 func (s *singleCoreFleet) sendRequests(first RequestID, n int, interval Span) {
 	for k := range n {
 		s.request(first+RequestID(k), 0, 0)
@@ -92,8 +92,10 @@
 	}
 }
 
+// singleClassConfig returns a configuration with a single class, whose requests are idempotent and have a
+// latency objective of 200 ms.
 func singleClassConfig() Config {
 	cfg := testConfig()
-	cfg.Classes = cfg.Classes[:1] // 200 ms
+	cfg.Classes = cfg.Classes[:1]
 	return cfg
 }
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -6,14 +6,14 @@
 )
 
 // TestSubsetsAreSmallStableAndCoverAllEndpoints guards against nodes that all hold a connection to every
-// endpoint, and reach the maximum that endpoints accept.
+// endpoint: the endpoints would reach the maximum number of connections that they accept.
 func TestSubsetsAreSmallStableAndCoverAllEndpoints(t *testing.T) {
 	list := testEndpoints(40)
 	nodes := startFleet(t, 200, testConfig(), list)
 	users := map[EndpointID]int{}
 	for _, node := range nodes {
 		if len(node.balancer.subset) > 10 {
-			t.Fatalf("%d endpoints in a subset", len(node.balancer.subset))
+			t.Fatalf("%d endpoints in a subset, want at most 10", len(node.balancer.subset))
 		}
 		before := append([]*endpointState(nil), node.balancer.subset...)
 		node.balancer.HandleEndpoints(node.now, ListDelta, []Endpoint{{ID: 77, Phase: PhaseReady}})
@@ -29,22 +29,22 @@
 			}
 		}
 		if lost > 1 {
-			t.Errorf("one new endpoint changed %d of a subset", lost)
+			t.Errorf("one new endpoint replaced %d endpoints of a subset, want at most 1", lost)
 		}
 	}
 	for _, endpoint := range list {
 		if n := users[endpoint.ID]; n == 0 || n > 60 {
-			t.Errorf("endpoint %d is used by %d of 200 nodes", endpoint.ID, n)
+			t.Errorf("endpoint %d is used by %d of 200 nodes, want 1 to 60", endpoint.ID, n)
 		}
 	}
 	if node := startFleet(t, 4, testConfig(), list)[0]; len(node.balancer.subset) != 40 {
-		t.Errorf("four nodes use %d of 40 endpoints each, want all", len(node.balancer.subset))
+		t.Errorf("each of four nodes uses %d of 40 endpoints, want all", len(node.balancer.subset))
 	}
 }
 
-// TestSubsetsAreEven guards against subsets drawn at random: of 80 nodes, 2 to 17 used an endpoint, and
-// some endpoints rejected requests while others were at a third of their capacity. The order of endpoints
-// is the same at all nodes, whatever their IDs are there.
+// TestSubsetsAreEven guards against subsets that are drawn at random: with 80 nodes, an endpoint was used by
+// 2 to 17 of them, and some endpoints rejected requests while others were at a third of their capacity. It
+// also guards against an order of the endpoints that depends on their IDs, which differ between the nodes.
 func TestSubsetsAreEven(t *testing.T) {
 	for _, c := range []struct{ nodes, endpoints int }{{80, 60}, {80, 41}, {200, 40}, {17, 60}, {300, 100}} {
 		users, total := map[uint64]int{}, 0
@@ -64,7 +64,8 @@
 		mean := float64(total) / float64(c.endpoints)
 		for k := range c.endpoints {
 			if n := float64(users[uint64(k+1)]); math.Abs(n-mean) > max(2, mean/4) {
-				t.Errorf("%d nodes, %d endpoints: endpoint %d is used by %g, the mean is %.1f", c.nodes, c.endpoints, k, n, mean)
+				t.Errorf("%d nodes, %d endpoints: endpoint %d is used by %g nodes, where the mean is %.1f",
+					c.nodes, c.endpoints, k, n, mean)
 			}
 		}
 	}
