--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The Balancer, the events that it takes, and its control loop.
+// The Balancer, the events that it handles, and its control loop.
 
 import (
 	"fmt"
@@ -8,64 +8,67 @@
 	"tulipglade/internal/staleness"
 )
 
-// maxLogBurst is how many lines a Balancer may log at once; each control period allows one more.
+// maxLogBurst is the largest number of lines that a Balancer logs in a burst; each control period allows one
+// more line.
 const maxLogBurst = 100
 
-// periodSmoothing is the weight of the latest value in means over control periods and over health checks.
+// periodSmoothing is the weight of the latest value in moving averages over control periods and over health
+// checks.
 const periodSmoothing = 0.3
 
-// Balancer decides for one node. It is not safe for concurrent use.
+// Balancer makes the decisions of one node. It is not safe for concurrent use.
 type Balancer struct {
 	config        Config
 	commands      Commands
 	random        randomSource
-	now           Time // of the event that is handled
-	started       bool
-	endpoints     []*endpointState // by rank, in the same order at every node
+	now           Time             // time of the current event
+	started       bool             // the first endpoint list has arrived
+	endpoints     []*endpointState // sorted by rank, in the same order at every node
 	endpointsByID map[EndpointID]*endpointState
 	requests      map[RequestID]*openRequest
 	tenants       []tenantState
 	classes       []classState
-	logLines      int
+	logLines      int     // logged lines that count towards maxLogBurst
 	processCount  float64 // processes of this node: 2 during a hot restart
 
-	subset           []*endpointState // the endpoints in use
-	subsetSize       int
-	nodesPerEndpoint float64 // mean number of nodes that use an endpoint
+	subset           []*endpointState // the endpoints that this node uses
+	subsetSize       int              // number of endpoints that the traffic needs
+	nodesPerEndpoint float64          // mean number of nodes that use an endpoint
 
 	controlPeriod  Span // T_d of the paper
-	lastControlAt  Time
+	lastControlAt  Time // when the last control period ended
 	overloadMode   bool
 	modeTime       [loadModeCount]float64 // time spent in each mode
-	predictedTotal float64                // sum of the tenants' U_PR, at least 1
-	capacity       float64                // requests that the subset can hold of this node
-	inFlight       inFlightMeter
-	meanInFlight   float64 // over control periods
+	predictedTotal float64                // sum of the tenants' predicted quotas U_PR, at least 1
+	capacity       float64                // number of this node's requests that the subset can hold
+	inFlight       inFlightMeter          // requests of this node, over all tenants
+	meanInFlight   float64                // moving average over control periods
 
-	meanWeight      float64 // nominal, of the listed endpoints
-	typicalLimit    float64 // mean limit of warm endpoints of mean weight
-	maxSilence      Span    // an endpoint that owes an answer for longer gets nothing new
-	warmAnswers     float64 // from warm endpoints since the last control
-	answerRate      float64 // answers that a warm endpoint gives this node, per microsecond
-	medianErrorRate float64 // of the endpoints in use
+	meanWeight      float64 // mean nominal capacity of the listed endpoints
+	typicalLimit    float64 // mean limit of a warm endpoint of mean weight
+	maxSilence      Span    // an endpoint whose answer is outstanding for longer gets no new requests
+	warmAnswers     float64 // answers from warm endpoints in this control period
+	answerRate      float64 // answers of a warm endpoint to this node, per microsecond
+	medianErrorRate float64 // median of the error rates in the subset
 
-	meanObjective             float64 // latency objective, mean over classes
-	meanWork                  float64 // time that a request takes alone, mean over classes
-	networkDelay              float64 // from a client to the node, where deadlines show it
-	lastExpectedLateAttemptAt Time    // the last time when an attempt was sent with a late answer predicted
+	meanObjective             float64 // mean latency objective of the classes
+	meanWork                  float64 // mean time of a request of any class on an idle endpoint
+	networkDelay              float64 // delay from clients to the node, as far as their deadlines show it
+	lastExpectedLateAttemptAt Time    // when an attempt with a predicted late answer was last sent
 
-	listLease    staleness.Lease // nothing is sent without it
+	listLease    staleness.Lease // no request is sent after its expiry
 	poll         pollSchedule
 	healthChecks healthCheckState
 
-	// Reused by the selection, so that it allocates nothing.
+	// Buffers that the selection reuses, so that it does not allocate memory.
 	endpointWeights []float64
 	tenantWeights   []float64
 	classWeights    []float64
-	blockedTenants  []bool // tenants for which nothing can be sent now
+	blockedTenants  []bool // tenants of which no request can be sent now
 }
 
-// New returns a Balancer for one node, or an error if the configuration has no valid default.
+// New returns a Balancer for one node. It returns an error if config has no classes, or a class without a
+// deadline. The same seed and events result in the same commands.
 func New(config Config, seed uint64, commands Commands) (*Balancer, error) {
 	b := &Balancer{
 		commands:      commands,
@@ -83,15 +86,15 @@
 // The kinds of timers. A TimerID is the RequestID (0 for timers of the node) times timerKindCount, plus the
 // kind.
 const (
-	timerControl     TimerID = iota // of the node: a control period has passed
-	timerPoll                       // of the node: discovery may have to be called
-	timerDeadline                   // of a request: its last moment for a final answer
-	timerQueue                      // of a queued request: capacity may be free, or its time has run out
-	timerHealthCheck                // of a queued request: the time for its health checks is over
+	timerControl     TimerID = iota // of the node: a control period is over
+	timerPoll                       // of the node: a call to discovery may be due
+	timerDeadline                   // of a request: its final answer is due
+	timerQueue                      // of a queued request: capacity may be free, or it must be rejected
+	timerHealthCheck                // of a queued request: it waits no longer for health checks
 	timerKindCount
 )
 
-// HandleTimer takes a timer that has expired.
+// HandleTimer handles the expiry of a timer.
 func (b *Balancer) HandleTimer(now Time, id TimerID) {
 	b.now = now
 	switch kind := id % timerKindCount; kind {
@@ -107,8 +110,8 @@
 	}
 }
 
-// handleControlTimer starts the next control period. Its length varies by a tenth, so that nodes which were
-// started together do not decide together for ever.
+// handleControlTimer ends a control period and starts the next one. The length of a period varies by a tenth,
+// so that nodes that were started together do not continue to make their decisions at the same times.
 func (b *Balancer) handleControlTimer() {
 	b.commands.SetTimer(timerControl, Span(float64(b.controlPeriod)*(0.9+b.random.uniform()/5)))
 	b.logLines = max(b.logLines-1, 0)
@@ -116,6 +119,7 @@
 	b.dispatch()
 }
 
+// handleRequestTimer rejects or fails a request whose time is over, and else tries to send queued requests.
 func (b *Balancer) handleRequestTimer(request *openRequest, kind TimerID) {
 	if kind == timerDeadline || request.queued && b.now >= b.latestStart(request) {
 		b.rejectOrFail(request)
@@ -131,7 +135,8 @@
 	b.commands.SetTimer(TimerID(request.id)*timerKindCount+kind, delay)
 }
 
-// HandleRequest takes a client's request. It is queued, and sent at once if a slot is free.
+// HandleRequest handles a new request of a client: it queues the request, and sends it at once if a slot is
+// free. It rejects a request whose answer would be late.
 func (b *Balancer) HandleRequest(now Time, incoming Request) {
 	b.now = now
 	request := b.newRequest(incoming)
@@ -145,7 +150,7 @@
 	b.dispatch()
 }
 
-// HandleAttemptResult takes the end of one attempt.
+// HandleAttemptResult handles the end of one attempt.
 func (b *Balancer) HandleAttemptResult(now Time, result AttemptResult) {
 	b.now = now
 	request := b.requests[result.ID]
@@ -172,8 +177,7 @@
 	b.dispatch()
 }
 
-// HandleCancellation takes a request whose client has disconnected, or whose time is over: it needs no
-// answer.
+// HandleCancellation ends a request that needs no answer, as its client has disconnected or its time is over.
 func (b *Balancer) HandleCancellation(now Time, id RequestID) {
 	b.now = now
 	request := b.requests[id]
@@ -189,7 +193,7 @@
 	b.dispatch()
 }
 
-// HandleResponseStart takes the start of a streamed response. After that the request has no deadline.
+// HandleResponseStart handles the start of a streamed response. From then on the request has no deadline.
 func (b *Balancer) HandleResponseStart(now Time, id RequestID) {
 	b.now = now
 	if request := b.requests[id]; request != nil {
@@ -197,9 +201,9 @@
 	}
 }
 
-// HandleUpload takes the start and the end of a time in which the one attempt of a request is sent while the
-// request is still coming in. The endpoint has no work with it, and no deadline counts. The request can't be
-// retried, and the node decides how long its answer may take.
+// HandleUpload handles the start and the end of an upload, during which the only attempt of a request is sent
+// while the node still receives the request. Meanwhile the endpoint does not work on the request, and no
+// deadline applies. The request can't be retried, and the node decides how long its answer may take.
 func (b *Balancer) HandleUpload(now Time, id RequestID, uploading bool) {
 	b.now = now
 	request := b.requests[id]
@@ -211,20 +215,21 @@
 	if uploading {
 		change = -1
 	} else if endpoint.inFlight.count == 0 {
-		endpoint.lastAnswerAt = now // the time without an answer counts from here
+		endpoint.lastAnswerAt = now // the time without an answer is measured from here
 	}
 	b.updateInFlightCounts(request, endpoint, change)
 	b.dispatch()
 }
 
-// HandlePeerMessage takes a message of another node. Nodes send none, so it does nothing.
+// HandlePeerMessage handles a message from another node. Nodes send no messages to each other, so it only
+// updates the time.
 func (b *Balancer) HandlePeerMessage(now Time, _ int, _ []byte) { b.now = now }
 
-// SetProcessCount tells how many processes this node has: they share its slow-start budgets.
+// SetProcessCount sets the number of processes of this node, which share its slow-start budgets.
 func (b *Balancer) SetProcessCount(processes int) { b.processCount = float64(max(processes, 1)) }
 
-// runControl recomputes subset, capacity, quotas and slots. It runs in every control period, when the mode
-// changes and when the endpoint list changes.
+// runControl recomputes the subset, the capacity, the quotas and the slots. It runs in every control period
+// and whenever the endpoint list, the configuration or the learned state is replaced.
 func (b *Balancer) runControl() {
 	b.normalizeSlowness()
 	warmEndpoints := b.updateSubset()
@@ -240,7 +245,7 @@
 	b.assignTenantSlots()
 }
 
-// endPeriod turns what was counted since the last control into rates, quotas and the mode.
+// endPeriod derives rates, quotas and the mode from the counts of the control period that ends.
 func (b *Balancer) endPeriod(elapsed, warmEndpoints float64) {
 	b.updateAnswerRate(elapsed, warmEndpoints)
 	b.updateLatencies()
@@ -248,6 +253,7 @@
 	b.updateMode()
 }
 
+// logf logs a line, unless maxLogBurst is reached.
 func (b *Balancer) logf(format string, args ...any) {
 	if b.logLines < maxLogBurst {
 		b.logLines++
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -1,27 +1,28 @@
 package balancer
 
-// Validation of a configuration, its defaults, and its change while requests are open.
+// Validation of a configuration, its default values, and reconfiguration while requests are open.
 
 import (
 	"errors"
 	"fmt"
 )
 
-// ErrNoClasses is the error of a configuration without a class of requests.
-var ErrNoClasses = errors.New("settings: no classes of request")
+// ErrNoClasses is returned for a configuration that has no request classes.
+var ErrNoClasses = errors.New("settings: classes: at least one request class is required")
 
-// MissingDeadlineError is the error of a configuration in which a class has no deadline.
+// MissingDeadlineError is returned for a configuration with a class whose deadline is not above 0.
 type MissingDeadlineError struct{ Class int }
 
-// Error names the class by its number.
+// Error returns a message that names the class by its index in the configuration.
 func (e *MissingDeadlineError) Error() string {
-	return fmt.Sprintf("settings: class %d has no deadline", e.Class)
+	return fmt.Sprintf("settings: class %d has no deadline: it must be above 0", e.Class)
 }
 
-// minSlowStartInitial keeps the warm-up fraction away from 0, by which latencies are divided.
+// minSlowStartInitial keeps the warm-up fraction above 0, as latencies are divided by it.
 const minSlowStartInitial = 0.05
 
-// applyConfig takes a configuration up, with the defaults that api.go and the README state.
+// applyConfig validates a configuration, replaces missing values with the defaults that api.go and the README
+// state, and initializes the classes and tenants.
 func (b *Balancer) applyConfig(config Config) error {
 	if len(config.Classes) == 0 {
 		return ErrNoClasses
@@ -41,7 +42,8 @@
 	return nil
 }
 
-// setDefaults replaces values that make no sense; without a deadline nothing does.
+// setDefaults replaces invalid values with defaults. It returns an error if the deadline is missing, for
+// which there is no default.
 func (c *Class) setDefaults(number int) error {
 	if c.Deadline <= 0 {
 		return &MissingDeadlineError{Class: number}
@@ -55,7 +57,7 @@
 	return nil
 }
 
-// initClasses starts the latency estimates of each class with a quarter of its objective.
+// initClasses initializes the latency estimates of each class to a quarter of its latency objective.
 func (b *Balancer) initClasses(classes []Class) {
 	for i := range classes {
 		objective := classes[i].LatencyObjective
@@ -72,7 +74,8 @@
 	b.classWeights = make([]float64, len(classes))
 }
 
-// initTenants gives each tenant its quota, or all the same one if the configuration has none.
+// initTenants assigns each tenant its quota as a fraction of the sum of all quotas. If the configuration has
+// no quotas, all tenants have the same one.
 func (b *Balancer) initTenants(tenants []Tenant) {
 	total := 0.0
 	for _, tenant := range tenants {
@@ -91,10 +94,11 @@
 	}
 }
 
-// Reconfigure takes a new configuration up. Open requests keep the rules under which they came: their classes
-// and tenants must stay in config under their numbers. classes and tenants give, for each one of config, the
-// number of the one whose learned state it continues, or -1; a tenant's requests go with it, so that number
-// is its own.
+// Reconfigure replaces the configuration. Open requests keep the rules under which they arrived, so config
+// must contain their classes and tenants under the same indexes. For each class and tenant of config, the
+// arguments classes and tenants contain the index of the previous one whose learned state it continues, or -1
+// if it starts without any. A tenant keeps its queued requests, which refer to it by index, so a tenant that
+// continues must keep its own index.
 func (b *Balancer) Reconfigure(now Time, config Config, classes, tenants []int) error {
 	next := &Balancer{}
 	if err := next.applyConfig(config); err != nil {
@@ -115,6 +119,7 @@
 	return nil
 }
 
+// continueClasses copies the learned state of the classes that continue one of the previous Balancer.
 func (b *Balancer) continueClasses(previous *Balancer, numbers []int) {
 	for i, number := range numbers {
 		if number < 0 {
@@ -122,12 +127,14 @@
 		}
 		learned := previous.classes[number]
 		if b.config.Classes[i].Deadline != previous.config.Classes[number].Deadline {
-			learned.waits = b.classes[i].waits // its buckets are parts of the deadline
+			learned.waits = b.classes[i].waits // its buckets are fractions of the deadline, which has changed
 		}
 		b.classes[i] = learned
 	}
 }
 
+// continueTenants copies the state of the tenants that continue one of the previous Balancer, except for
+// their quotas, which the new configuration sets.
 func (b *Balancer) continueTenants(previous *Balancer, numbers []int) {
 	for i, number := range numbers {
 		if number < 0 {
@@ -139,7 +146,8 @@
 	}
 }
 
-// renumberTenants moves the counts of tenants to their new numbers: a number may be another tenant's by now.
+// renumberTenants moves the counts of tenants to their new indexes, as an index may now belong to another
+// tenant.
 func (e *endpointState) renumberTenants(numbers []int, tenants int) {
 	inFlight, slots := make([]int, tenants), make([]float64, tenants)
 	for i, number := range numbers {
@@ -150,5 +158,5 @@
 	e.inFlightByTenant, e.slots = inFlight, slots
 }
 
-// Config returns the configuration in force, with its defaults.
+// Config returns the current configuration, including default values.
 func (b *Balancer) Config() Config { return b.config }
