--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -1,10 +1,10 @@
 package balancer
 
-// Admission and load shedding: until when a request may wait, and what is rejected.
+// Admission and load shedding: how long a request may be queued, and which requests are rejected.
 
-// setDeadlineTimer sets the time of a request's final answer. If an answer past the objective is worth
-// nothing and attempts may be canceled, that is shortly before the objective: it spares the endpoint the
-// work.
+// setDeadlineTimer sets the timer for a request's final answer. The answer is due at the deadline, or shortly
+// before the latency objective if an answer after the objective has no value and attempts may be canceled:
+// this saves the endpoint useless work.
 func (b *Balancer) setDeadlineTimer(request *openRequest) {
 	end := request.deadline
 	if b.config.Classes[request.class].LateValue == 0 && b.config.AllowCancel && request.objectiveAt > b.now {
@@ -14,7 +14,8 @@
 	b.setRequestTimer(request, timerDeadline, max(end-b.now, 0))
 }
 
-// wouldBeLate tells whether a new request has no time left: it is rejected before any other.
+// wouldBeLate reports whether a new request has no time left for an answer. Such a request is the first to be
+// rejected.
 func (b *Balancer) wouldBeLate(request *openRequest) bool {
 	if b.overloadMode && request.objectiveAt <= b.now {
 		return true
@@ -22,8 +23,8 @@
 	return b.classes[request.class].work.samples > 0 && b.latestStart(request) <= b.now
 }
 
-// latestStart is the time after which a queued request is rejected, as its answer would be late: a rejection
-// before the latency objective costs its client less.
+// latestStart returns the time at which a queued request is rejected if it has not been sent, as its answer
+// would be late. A rejection before the latency objective costs the client less than a late answer.
 func (b *Balancer) latestStart(request *openRequest) Time {
 	class := &b.config.Classes[request.class]
 	until, margin := request.objectiveAt, min(2*b.config.TickInterval, class.LatencyObjective/4)
@@ -35,19 +36,20 @@
 		return latest
 	}
 	if b.overloadMode {
-		// Newer requests go first. The sooner a client has its rejection, the more time it has for a retry.
+		// Newer requests are sent first. An early rejection leaves the client more time for a retry.
 		latest = min(latest, request.halfTimeAt)
 	}
-	if b.nothingMayBeSent() { // the client must have its rejection within half of its time
+	if b.nothingMayBeSent() { // the client must receive the rejection within half of its time
 		latest = min(latest, request.halfTimeAt-(request.deadline-request.halfTimeAt)/4)
 	}
 	return latest
 }
 
-// nothingMayBeSent tells whether no endpoint may be sent to, whichever the request.
+// nothingMayBeSent reports whether no request may be sent to any endpoint.
 func (b *Balancer) nothingMayBeSent() bool { return !b.listLease.Valid(b.now) || len(b.subset) == 0 }
 
-// rejectOrFail is the only way to a final answer that does not come from an endpoint.
+// rejectOrFail gives a request a final answer that is not an endpoint's: a rejection if it is safe for the
+// client to retry, or else a failure. All such answers are given here.
 func (b *Balancer) rejectOrFail(request *openRequest) {
 	switch {
 	case request.done:
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -229,7 +229,8 @@
 func (b *Balancer) SetProcessCount(processes int) { b.processCount = float64(max(processes, 1)) }
 
 // runControl recomputes the subset, the capacity, the quotas and the slots. It runs in every control period
-// and whenever the endpoint list, the configuration or the learned state is replaced.
+// and whenever the endpoint list, the configuration or the learned state is replaced. It ends the control
+// period if at least half of it has passed, or earlier if the mode changes.
 func (b *Balancer) runControl() {
 	b.normalizeSlowness()
 	warmEndpoints := b.updateSubset()
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -1,10 +1,11 @@
 package balancer
 
-// Dispatch: the order in which queued requests are sent. Tenants come by their quotas, classes by their
-// value.
+// Dispatch: the order in which queued requests are sent. Tenants are drawn by their slots, and the classes of
+// a tenant by the value of their requests.
 
-// dispatch sends queued requests: first those of tenants below their slots, drawn by slots, then the others
-// into capacity that nobody claims. So a tenant above its quota waits first, and is rejected first.
+// dispatch sends queued requests. The first pass sends those of tenants that use less than their slots, the
+// second pass those of any tenant to capacity that is not in use, which is lent to them. So the requests of a
+// tenant above its quota are the first to wait, and the first to be rejected.
 func (b *Balancer) dispatch() {
 	for _, lent := range []bool{false, true} {
 		clear(b.blockedTenants)
@@ -18,7 +19,8 @@
 	}
 }
 
-// drawTenant draws a tenant with queued requests and free slots, or returns -1.
+// drawTenant draws a tenant that has queued requests and a free slot, in proportion to the slots of the
+// tenants. It returns -1 if there is none.
 func (b *Balancer) drawTenant(lent bool) int {
 	for i := range b.tenants {
 		tenant := &b.tenants[i]
@@ -30,10 +32,10 @@
 	return b.random.weightedIndex(b.tenantWeights)
 }
 
-// hasFreeSlot tells whether a tenant has a slot of its own, or one that is lent. Where health checks are
-// used, these will show whether an endpoint has capacity to lend.
+// hasFreeSlot reports whether a tenant has a free slot of its own, or with lent set, whether there is
+// capacity to lend to it. Where health checks are used, they will show whether an endpoint has such capacity.
 func (b *Balancer) hasFreeSlot(tenant *tenantState, lent bool) bool {
-	// Asked for both kinds of slots, as it also brings the tenant's mean in flight up to date.
+	// belowLimit is called in both cases, as it also updates the tenant's mean number in flight.
 	ownSlot := b.belowLimit(&tenant.inFlight, tenant.quota.slots)
 	if !lent {
 		return ownSlot
@@ -41,8 +43,9 @@
 	return b.checksHealth() || b.belowLimit(&b.inFlight, b.capacity)
 }
 
-// dispatchTenant sends one queued request of a tenant. Its class is drawn by the value of a request for the
-// time that it takes: in an overload that gives the most value, and no class is left out.
+// dispatchTenant sends one queued request of a tenant, and reports whether it did. The class is drawn in
+// proportion to the value of a request divided by its latency: in an overload this yields the most value
+// without excluding any class.
 func (b *Balancer) dispatchTenant(tenant *tenantState, lent bool) bool {
 	clear(b.classWeights)
 	for _, request := range tenant.queue {
@@ -63,11 +66,11 @@
 	}
 }
 
-// dispatchClass sends one queued request of a tenant and class. A request that must stay in its key's scope
-// does not block those behind it.
+// dispatchClass sends one queued request of a tenant and class, and reports whether it did. A request that
+// can only be sent within the scope of its idempotency key does not block the requests behind it.
 func (b *Balancer) dispatchClass(tenant *tenantState, class int, lent bool) bool {
 	for i := range tenant.queue {
-		if b.overloadMode { // the newest first: the oldest would be answered too late
+		if b.overloadMode { // the newest first, as the oldest would be answered too late
 			i = len(tenant.queue) - 1 - i
 		}
 		request := tenant.queue[i]
@@ -79,22 +82,22 @@
 			tenant.queue = append(tenant.queue[:i], tenant.queue[i+1:]...)
 			return true
 		}
-		if b.checksHealth() { // all candidates are full: select others, but not at once
+		if b.checksHealth() { // all candidates are full: select others after a queue interval
 			request.waitUntil = b.now + b.queueInterval(request)
-		} else if len(request.attempts) == 0 { // the next one would find no endpoint either
+		} else if len(request.attempts) == 0 { // the next request would find no endpoint either
 			return false
 		}
 	}
 	return false
 }
 
-// readyToSend tells whether a request is queued and does not wait for health checks.
+// readyToSend reports whether a request is queued and no longer waits for health checks.
 func (b *Balancer) readyToSend(request *openRequest) bool {
 	return !request.done && request.queued && (b.now >= request.waitUntil || b.candidatesChecked(request))
 }
 
-// startHealthChecks selects candidates for a request that has none, and tells whether it now waits for their
-// load.
+// startHealthChecks selects candidates for a request that has none, and sends them health checks if these are
+// in use. It reports whether the request now waits for the answers.
 func (b *Balancer) startHealthChecks(request *openRequest, lent bool) bool {
 	if request.candidates != nil {
 		return false
@@ -107,6 +110,8 @@
 	return true
 }
 
+// sendToLeastLoaded sends a request to the least loaded of its candidates, if one has capacity. It clears the
+// candidates and reports whether the request was sent.
 func (b *Balancer) sendToLeastLoaded(request *openRequest) bool {
 	endpoint := b.leastLoaded(request, request.candidates)
 	request.candidates, request.waitUntil = nil, 0
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -1,47 +1,48 @@
 package balancer
 
-// The endpoint list: what is known of each endpoint, and how a new list changes it.
+// The endpoint list: the state of each endpoint, and how a new list updates it.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// The nominal capacity of an endpoint beside the mean of all is kept within these bounds: one senseless
-// weight in a list must not take the capacity of all other endpoints.
+// The nominal capacity of an endpoint, relative to the mean of all, is limited to this range, so that one
+// wrong weight in a list does not take away the capacity of all other endpoints.
 const (
 	minRelativeWeight = 0.25
 	maxRelativeWeight = 4
 )
 
-// startUnknown is the start time of an endpoint that has just been added: it differs from that of any entry.
+// startUnknown is the start time of an endpoint that has just been added. It differs from the start time of
+// any entry, so that the endpoint is initialized as a new process.
 const startUnknown Time = -1
 
-// endpointState is what is known of an endpoint.
+// endpointState is the state of an endpoint: its entry in the list, and what this node has learned about it.
 type endpointState struct {
 	Endpoint
-	rank uint64 // its place in the order that all nodes share
+	rank uint64 // sort key that is the same at every node
 
-	inFlight         inFlightMeter // attempts of this node
+	inFlight         inFlightMeter // attempts of this node in flight
 	inFlightByTenant []int
-	slots            []float64 // its row of the paper's slot matrix, by tenant
+	slots            []float64 // the endpoint's row of the paper's slot matrix, by tenant
 
-	limit        float64 // requests that it may hold of all nodes together
-	cores        float64 // requests that it works on at once, as far as was seen; 0: not reported
-	slowness     float64 // the time it takes as a multiple of what is usual
-	reported     reportedLoad
-	lastAnswerAt Time // the last sign of life while attempts were in flight
+	limit        float64      // concurrency limit: requests of all nodes together
+	cores        float64      // most requests seen in work at the same time; 0: not reported
+	slowness     float64      // its latency relative to the usual one
+	reported     reportedLoad // its last load report
+	lastAnswerAt Time         // last answer, or when the wait for one began
 	outlier      outlierState
 	slowStart    slowStartTokens
 }
 
-// HandleEndpoints takes an endpoint list that is current as of now, or a call for one that has failed.
+// HandleEndpoints handles an endpoint list that is current as of now, or a failed call for one.
 func (b *Balancer) HandleEndpoints(now Time, kind ListKind, list []Endpoint) {
 	b.HandleEndpointsAsOf(now, now, kind, list)
 }
 
-// HandleEndpointsAsOf takes an endpoint list, or a call for one that has failed. At asOf the list was
-// current, or nothing newer could be had.
+// HandleEndpointsAsOf handles an endpoint list, or a failed call for one. asOf is the time at which the list
+// was known to be current, or at which no newer list could be fetched.
 func (b *Balancer) HandleEndpointsAsOf(now, asOf Time, kind ListKind, list []Endpoint) {
 	b.now = now
 	if !b.started {
@@ -59,6 +60,7 @@
 	b.applyList(kind, list)
 }
 
+// applyList updates the endpoints, the subset, the limits and the slots by a new list.
 func (b *Balancer) applyList(kind ListKind, list []Endpoint) {
 	newProcesses := b.mergeEndpoints(kind, list)
 	b.updateSubset()
@@ -70,7 +72,7 @@
 	b.dispatch()
 }
 
-// initEndpoint sets up what is thought of a new process: that it is like the others.
+// initEndpoint initializes the learned state of a new process, which is assumed to be like the others.
 func (b *Balancer) initEndpoint(endpoint *endpointState) {
 	endpoint.limit = b.typicalLimit * b.relativeWeight(endpoint)
 	endpoint.outlier = outlierState{}
@@ -80,10 +82,11 @@
 	endpoint.lastAnswerAt = b.now
 }
 
-// stableKey is the same at every node and in every process of a node.
+// stableKey returns a key that is the same at every node and in every process of a node.
 func (e *endpointState) stableKey() uint64 { return cmp.Or(e.StableKey, uint64(e.ID)) }
 
-// mergeEndpoints applies a list and returns the endpoints that are new processes.
+// mergeEndpoints merges a list into the known endpoints and returns those that are new processes: endpoints
+// that were added, or whose start time has changed.
 func (b *Balancer) mergeEndpoints(kind ListKind, list []Endpoint) (newProcesses []*endpointState) {
 	listed := map[EndpointID]bool{}
 	for _, entry := range list {
@@ -124,7 +127,7 @@
 	return endpoint
 }
 
-// dropRemoved forgets removed endpoints, each after its last attempt has ended.
+// dropRemoved deletes the removed endpoints that have no more attempts in flight.
 func (b *Balancer) dropRemoved() {
 	b.endpoints = slices.DeleteFunc(b.endpoints, func(endpoint *endpointState) bool {
 		drop := endpoint.Phase == PhaseRemoved && endpoint.inFlight.count == 0
@@ -144,7 +147,7 @@
 	b.meanWeight /= float64(max(len(b.endpoints), 1))
 }
 
-// relativeWeight is an endpoint's nominal capacity, where the mean of all is 1.
+// relativeWeight returns an endpoint's nominal capacity relative to the mean of all, which is 1.
 func (b *Balancer) relativeWeight(endpoint *endpointState) float64 {
 	if endpoint.Weight <= 0 || b.meanWeight <= 0 {
 		return 1
@@ -152,13 +155,13 @@
 	return min(max(endpoint.Weight/b.meanWeight, minRelativeWeight), maxRelativeWeight)
 }
 
-// readyEndpoints returns the endpoints that may be sent to, by rank.
+// readyEndpoints returns the endpoints in phase PhaseReady, sorted by rank.
 func (b *Balancer) readyEndpoints() []*endpointState {
 	notReady := func(endpoint *endpointState) bool { return endpoint.Phase != PhaseReady }
 	return slices.DeleteFunc(slices.Clone(b.endpoints), notReady)
 }
 
-// sortEndpoints puts the endpoints into the order that all nodes share.
+// sortEndpoints sorts the endpoints by rank, which gives the same order at every node.
 func (b *Balancer) sortEndpoints() {
 	slices.SortFunc(b.endpoints, func(x, y *endpointState) int { return cmp.Compare(x.rank, y.rank) })
 }
--- a/internal/balancer/learned.go
+++ b/internal/balancer/learned.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The learned state, which a process passes on to the next one of its node in a hot restart.
+// The learned state, which a process exports for its successor in a hot restart.
 
 import (
 	"math"
@@ -8,11 +8,11 @@
 	"tulipglade/internal/staleness"
 )
 
-// maxHandoffDuration is how long the learned state may take from one process to the next. The lease on the
-// endpoint list is shortened by it.
+// maxHandoffDuration is the longest time that the learned state may take from a process to its successor. The
+// lease on the endpoint list is shortened by this time.
 const maxHandoffDuration Span = 500_000
 
-// maxLearnedValue bounds what is taken for a sound number.
+// maxLearnedValue is the upper bound of the numbers that are accepted from another process.
 const maxLearnedValue = 1e15
 
 // LearnedState is the learned state of a node, which a process exports for its successor. Endpoints are keyed
@@ -25,11 +25,12 @@
 	AnswerRate   float64                    `json:"Rate"`
 	ModeTime     [2]float64                 `json:"ModeTime"`
 	Overloaded   bool                       `json:"Over"`
-	// ListLeaseRemaining is how long requests may still be sent by the endpoint list.
+	// ListLeaseRemaining is the remaining duration of the lease on the endpoint list, or 0 without a lease.
 	ListLeaseRemaining Span `json:"ListLeft"`
 }
 
-// LearnedEndpoint is what was learned of the endpoint's process that was started at StartedAt.
+// LearnedEndpoint is the learned state of an endpoint. It is valid only for the process of the endpoint that
+// was started at StartedAt.
 type LearnedEndpoint struct {
 	StartedAt           Time    `json:"Started"`
 	Limit               float64 `json:"Limit"`
@@ -39,25 +40,26 @@
 	Ejections           int     `json:"Outs"`
 	EjectedUntil        Time    `json:"OutTill"`
 	SlowStartUpdatedAt  Time    `json:"TokensAt"`
-	Backlog             float64 `json:"Queue"` // by its last report, as the next two
+	Backlog             float64 `json:"Queue"` // of the last load report, like the next two fields
 	Utilization         float64 `json:"Util"`
 	Outstanding         float64 `json:"Holding"`
 }
 
-// LearnedClass is what was learned of a class.
+// LearnedClass is the learned state of a class.
 type LearnedClass struct {
 	BaselineLatency float64 `json:"Base"`
 	MeanLatency     float64 `json:"Mean"`
 }
 
-// LearnedTenant is what was learned of a tenant.
+// LearnedTenant is the learned state of a tenant.
 type LearnedTenant struct {
 	Demand         float64    `json:"Demand"`
 	PredictedQuota float64    `json:"Want"`
 	Utilization    [2]float64 `json:"Used"`
 }
 
-// ExportState returns what was learned. Half of the slow-start tokens that are left go with it.
+// ExportState returns the learned state, for a successor. It includes half of the remaining slow-start
+// tokens; this process keeps the other half.
 func (b *Balancer) ExportState(now Time) LearnedState {
 	b.now = now
 	learned := LearnedState{
@@ -89,6 +91,7 @@
 	return learned
 }
 
+// exportState returns the learned state of one endpoint.
 func (e *endpointState) exportState() LearnedEndpoint {
 	return LearnedEndpoint{
 		StartedAt:           e.StartedAt,
@@ -105,8 +108,8 @@
 	}
 }
 
-// ImportState takes up what another process has learned of the listed endpoints. Values that make no sense
-// are left out.
+// ImportState adopts the learned state of another process of the node. It ignores endpoints that are not
+// listed or were started at another time, and values that are invalid.
 func (b *Balancer) ImportState(now Time, learned LearnedState) {
 	b.now = now
 	for _, endpoint := range b.endpoints {
@@ -126,6 +129,8 @@
 	b.dispatch()
 }
 
+// importEndpoint adopts the learned state of one endpoint, and limits its failures and its ejection to values
+// that this process could have reached.
 func (b *Balancer) importEndpoint(endpoint *endpointState, state LearnedEndpoint) {
 	endpoint.limit = state.Limit
 	endpoint.outlier = outlierState{
@@ -141,6 +146,7 @@
 	}
 }
 
+// importClasses adopts the learned latencies if both processes have the same number of classes.
 func (b *Balancer) importClasses(classes []LearnedClass) {
 	if len(classes) != len(b.classes) {
 		return
@@ -154,6 +160,7 @@
 	}
 }
 
+// importTenants adopts the learned quotas if both processes have the same number of tenants.
 func (b *Balancer) importTenants(tenants []LearnedTenant) {
 	if len(tenants) != len(b.tenants) {
 		return
@@ -167,7 +174,8 @@
 	}
 }
 
-// importListLease continues the lease on the endpoint list, less the time that the handoff may have taken.
+// importListLease continues the lease on the endpoint list. It shortens the remaining duration by the time
+// that the handoff may have taken, and ignores one that is longer than a whole lease.
 func (b *Balancer) importListLease(left Span) {
 	remaining := left - maxHandoffDuration
 	if remaining > 0 && left <= b.config.ListLease {
@@ -175,13 +183,13 @@
 	}
 }
 
-// validNumbers tells whether the state has values that an endpoint can have.
+// validNumbers reports whether the limit, the error rate and the tokens are values that an endpoint can have.
 func (e *LearnedEndpoint) validNumbers() bool {
 	return validNumbers(e.Limit, e.ErrorRate) && e.Limit != 0 && e.ErrorRate <= 1 &&
 		!math.IsNaN(e.SlowStartTokens)
 }
 
-// validNumbers tells whether all values are finite and not negative.
+// validNumbers reports whether all values are finite, not negative and below maxLearnedValue.
 func validNumbers(values ...float64) bool {
 	for _, value := range values {
 		if !(value >= 0 && value < maxLearnedValue) {
--- a/internal/balancer/overload.go
+++ b/internal/balancer/overload.go
@@ -1,15 +1,15 @@
 package balancer
 
-// Overload detection: the mode, on which the targets of quotas, the order of dispatch and the time until a
-// rejection depend.
+// Overload detection: the mode, which determines the targets of the quotas, the order of dispatch and the
+// time after which queued requests are rejected.
 
 const (
-	overloadEnterUtilization = 0.92 // mean reported utilization at which overload begins
-	overloadExitUtilization  = 0.80 // and below which it may end; between both the mode stays
-	reportFreshPeriods       = 3    // control periods after which a report that does not change says nothing
+	overloadEnterUtilization = 0.92 // mean reported utilization above which an overload begins
+	overloadExitUtilization  = 0.80 // below which it may end; between the two, the mode does not change
+	reportFreshPeriods       = 3    // control periods after which an unchanged load report is ignored
 )
 
-// loadMode says whether the fleet has capacity left.
+// loadMode is underload while there is free capacity, and overload otherwise.
 type loadMode int
 
 // The modes of the paper, whose equations average utilization separately for each mode.
@@ -19,6 +19,7 @@
 	loadModeCount
 )
 
+// mode returns the current mode as an index for values that are kept by mode.
 func (b *Balancer) mode() loadMode {
 	if b.overloadMode {
 		return overload
@@ -26,7 +27,7 @@
 	return underload
 }
 
-// updateMode changes between underload and overload.
+// updateMode changes the mode if an overload has begun or ended.
 func (b *Balancer) updateMode() {
 	if b.overloadDetected() == b.overloadMode {
 		return
@@ -35,7 +36,8 @@
 	b.logf("overload mode changed overloaded=%v slots=%.0f", b.overloadMode, b.capacity)
 }
 
-// overloadDetected derives the mode from the node's own queue and from the endpoints' load reports, if fresh.
+// overloadDetected reports whether the node is overloaded: if requests are queued, or if the utilization in
+// recent load reports is above the threshold.
 func (b *Balancer) overloadDetected() bool {
 	threshold := overloadEnterUtilization
 	if b.overloadMode {
@@ -44,8 +46,8 @@
 	return b.anyQueued() || b.meanUtilization(reportFreshPeriods*b.controlPeriod) > threshold
 }
 
-// meanUtilization is the mean over the reports of endpoints in use that have changed within a time; 0 without
-// any.
+// meanUtilization returns the mean reported utilization of the available endpoints in the subset whose load
+// report has changed within a duration, or 0 if there are none.
 func (b *Balancer) meanUtilization(within Span) float64 {
 	sum, count := 0.0, 0.0
 	for _, endpoint := range b.subset {
--- a/internal/balancer/poll.go
+++ b/internal/balancer/poll.go
@@ -1,6 +1,7 @@
 package balancer
 
-// The poll schedule: when discovery is called for the endpoint list, and what a call shows of the list's age.
+// The poll schedule: when discovery is called for the endpoint list, and which evidence of the list's age a
+// call provides.
 
 import (
 	"math"
@@ -9,21 +10,29 @@
 )
 
 const (
-	firstPollFraction         = 0.5       // of PollInterval may pass before the first call to discovery
-	firstLeasedPollFraction   = 1.0 / 12  // of NotificationDeadline, if nothing is sent before the answer
-	pollSpacingFraction       = 1.0 / 160 // of PollInterval for each other node, to spread their calls
-	maxBackoffFraction        = 0.5       // of NotificationDeadline: longest backoff after a failed call
-	maxTimeoutBackoffFraction = 0.1       // and after one that had no answer, or none that could be used
+	// firstPollFraction is the longest delay of the first call to discovery, as a fraction of PollInterval.
+	firstPollFraction = 0.5
+	// firstLeasedPollFraction is the same as a fraction of NotificationDeadline, for a node that sends
+	// nothing before discovery answers.
+	firstLeasedPollFraction = 1.0 / 12
+	// pollSpacingFraction is the time that pollSpread allows for the call of each other node, as a fraction
+	// of PollInterval.
+	pollSpacingFraction = 1.0 / 160
+	// maxBackoffFraction is the longest backoff after a failed call, as a fraction of NotificationDeadline.
+	maxBackoffFraction = 0.5
+	// maxTimeoutBackoffFraction is the same after a call that had no answer, or no usable one.
+	maxTimeoutBackoffFraction = 0.1
 )
 
-// pollSchedule is when discovery is called.
+// pollSchedule is the state of the calls to discovery.
 type pollSchedule struct {
 	watching bool // a watch is open, so no call is needed
-	failures int  // consecutive
-	nextAt   Time
+	failures int  // consecutive failed calls, up to maxDoublings
+	nextAt   Time // time of the next call
 }
 
-// startFromFirstList takes the first endpoint list, before which nothing is decided.
+// startFromFirstList starts the control periods and the calls to discovery when the first endpoint list
+// arrives.
 func (b *Balancer) startFromFirstList(listed int) {
 	b.started = true
 	b.lastControlAt = b.now
@@ -34,7 +43,8 @@
 	b.commands.SetTimer(timerPoll, Span(b.random.uniform()*b.firstPollSpread()))
 }
 
-// handlePollTimer calls discovery if no watch is open, and again if there is no answer.
+// handlePollTimer calls discovery if no watch is open, and schedules the next call in case there is no
+// answer.
 func (b *Balancer) handlePollTimer() {
 	if !b.poll.watching && b.now >= b.poll.nextAt {
 		b.commands.WatchEndpoints(true)
@@ -42,13 +52,15 @@
 	}
 }
 
-// schedulePoll sets the next call to discovery, at a random time, so that nodes do not call together.
+// schedulePoll schedules the next call to discovery after a tick and a random delay between a quarter of
+// maxDelay and maxDelay, so that the nodes do not call at the same time.
 func (b *Balancer) schedulePoll(maxDelay float64) {
 	b.poll.nextAt = b.now + b.config.TickInterval + Span(maxDelay*(0.25+0.75*b.random.uniform()))
 	b.commands.SetTimer(timerPoll, b.poll.nextAt-b.now)
 }
 
-// schedulePollAfterFailure sets the next call after one that has failed: exponential backoff, within bounds.
+// schedulePollAfterFailure schedules the next call after a failed one, with exponential backoff up to
+// maxBackoff.
 func (b *Balancer) schedulePollAfterFailure(kind ListKind) {
 	b.poll.watching = false
 	b.logf("discovery unavailable")
@@ -57,33 +69,34 @@
 	b.poll.failures = min(b.poll.failures+1, maxDoublings)
 }
 
-// maxBackoff keeps the node within NotificationDeadline of a change: what discovery has counts as notified by
-// then.
+// maxBackoff returns the longest backoff after a failed call. Unless discovery is overloaded and there is no
+// lease, it lets the node receive a change within NotificationDeadline, after which the node is considered
+// notified of it.
 func (b *Balancer) maxBackoff(kind ListKind) float64 {
 	deadline := float64(NotificationDeadline)
 	switch {
 	case kind == ListTimeout || kind == ListInvalid:
 		return maxTimeoutBackoffFraction * deadline
 	case kind == ListFailed && b.listLease.Bounded() && !b.listLease.Confirmed():
-		// Nothing is sent until discovery answers, or has failed for long. Few nodes need not wait for each
-		// other.
+		// No request is sent until discovery answers or has been failing for long enough. Where there are few
+		// nodes, their calls need not be spread over a long time.
 		return min(max(maxTimeoutBackoffFraction*deadline, b.pollSpread()), maxBackoffFraction*deadline)
 	case kind == ListOverloaded && !b.listLease.Bounded():
-		// If all nodes called sooner, discovery could not answer them in time.
+		// If all nodes called earlier, discovery could not answer them in time.
 		return max(maxBackoffFraction*deadline, b.pollSpread())
 	}
-	return maxBackoffFraction * deadline // with a lease, the list would be too old to send by
+	return maxBackoffFraction * deadline // with a lease, the list would expire during a longer backoff
 }
 
-// pollSpread is the time over which the nodes spread their calls to discovery. Discovery answers them in
-// turn, and works in vain on those that have waited too long: if all nodes call at once, and soon again, it
-// answers none.
+// pollSpread returns the time over which the nodes spread their calls to discovery. Discovery answers calls
+// in turn, and spends the same time on calls that have already timed out: if all nodes call at once and call
+// again soon, it answers none of them in time.
 func (b *Balancer) pollSpread() float64 {
 	return float64(b.config.PollInterval) * float64(b.config.PeerCount-1) * pollSpacingFraction
 }
 
-// firstPollSpread is the time over which nodes that start together spread their first calls to discovery. If
-// nothing is sent before the answer, it is short.
+// firstPollSpread returns the time over which nodes that start together spread their first calls to
+// discovery. The time is short with a lease, as then no request is sent before discovery answers.
 func (b *Balancer) firstPollSpread() float64 {
 	spread := min(b.pollSpread(), firstPollFraction*float64(b.config.PollInterval))
 	if b.listLease.Bounded() {
@@ -92,8 +105,8 @@
 	return spread
 }
 
-// recordListEvidence records what a call to discovery shows of the list's age. A list from a configuration
-// shows nothing.
+// recordListEvidence records the evidence of the list's age that a call to discovery provides. A list from a
+// configuration is no evidence.
 func (b *Balancer) recordListEvidence(kind ListKind, asOf Time) {
 	if asOf == NoEvidence && (kind == ListDelta || kind == ListFull) {
 		b.listLease.Record(b.now, staleness.Unusable, b.now)
@@ -111,14 +124,14 @@
 	}
 }
 
-// HandleDiscoveryMoved takes a change of discovery's address. What the old address said shows nothing of the
-// list at the new one, and counts for validity at most.
+// HandleDiscoveryMoved handles a change of discovery's address. Answers of the old address are no evidence of
+// the list at the new one, so the lease that they have given lasts for validity at most.
 func (b *Balancer) HandleDiscoveryMoved(now Time, validity Span) {
 	b.now = now
 	b.listLease.ChangeAddress(now, validity)
 }
 
-// ListCurrent tells whether requests are sent by the endpoint list, and until when the lease on it lasts.
+// ListCurrent reports whether requests may be sent by the endpoint list, and when the lease on it expires.
 func (b *Balancer) ListCurrent(now Time) (current bool, until Time) {
 	return b.listLease.Valid(now), b.listLease.Until(now)
 }
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -8,39 +8,39 @@
 	"tulipglade/internal/safety"
 )
 
-// attempt is one sending of a request to an endpoint.
+// attempt is one attempt of a request at an endpoint.
 type attempt struct {
 	endpoint   *endpointState
-	zone, cell int // of the endpoint when the attempt was sent
+	zone, cell int // location of the endpoint when the attempt was sent
 	sentAt     Time
 	inFlight   bool
-	mayHaveRun bool
+	mayHaveRun bool // no outcome proves that it was never executed
 	predicted  latencyPrediction
 }
 
-// openRequest is an open request: one without a final answer, or with attempts in flight.
+// openRequest is the state of an open request, one that has no final answer or has attempts in flight.
 type openRequest struct {
 	id               RequestID
 	class, tenant    int
-	affinityKey      uint64  // 0: endpoints do no less work for a known key
-	logHintRatio     float64 // logarithm of the client's cost hint as a multiple of the usual one
-	relativeWork     float64 // expected work as a multiple of what is usual in its class
-	objectiveAt      Time    // an answer by then has its full value
-	halfTimeAt       Time    // half of its time has passed by then
+	affinityKey      uint64  // 0: none, or KeyAffinity is not configured
+	logHintRatio     float64 // logarithm of the client's cost hint relative to the usual hint
+	relativeWork     float64 // expected work relative to the mean of its class
+	objectiveAt      Time    // latest time at which an answer has its full value
+	halfTimeAt       Time    // midpoint between its arrival and its deadline
 	deadline         Time
 	attempts         []attempt
 	attemptsInFlight int
-	maxAttempts      int // by the configuration under which it came
-	queued           bool
-	done             bool // it has a final answer, or needs none
+	maxAttempts      int  // from the configuration at its arrival
+	queued           bool // it waits for a slot
+	done             bool // it has a final answer, or does not need one
 	responseStarted  bool
-	uploading        bool             // its attempt is in flight, but the endpoint does not work on it yet
-	candidates       []*endpointState // selected for it, and asked for their load
-	checkedAt        Time             // when these were sent health checks
-	waitUntil        Time             // it waits for their answers, or for the next selection
+	uploading        bool             // its attempt is sent while the node still receives it
+	candidates       []*endpointState // selected endpoints; sent health checks if these are in use
+	checkedAt        Time             // when the health checks were sent
+	waitUntil        Time             // end of its wait for the answers, or for the next selection
 }
 
-// newRequest sets up the state of a request that has just come.
+// newRequest returns the state of a request that has just arrived.
 func (b *Balancer) newRequest(incoming Request) *openRequest {
 	class := &b.classes[incoming.Class]
 	request := &openRequest{
@@ -61,25 +61,28 @@
 	return request
 }
 
-// closeRequest ends a request. Attempts in flight are of no more use, but end by themselves: a canceled one
-// would leave the counts while its endpoint still works on it, and the next would need a new connection.
+// closeRequest ends a request. Its attempts in flight are no longer needed, but are not canceled: a canceled
+// attempt would no longer be counted although its endpoint may still work on it, and the next attempt would
+// need a new connection.
 func (b *Balancer) closeRequest(request *openRequest) {
 	request.done, request.queued = true, false
 	b.deleteIfComplete(request)
 }
 
+// deleteIfComplete deletes a request that is done and has no attempts in flight.
 func (b *Balancer) deleteIfComplete(request *openRequest) {
 	if request.done && request.attemptsInFlight == 0 {
 		delete(b.requests, request.id)
 	}
 }
 
-// provesNotRun tells whether an outcome proves that its attempt never ran.
+// provesNotRun reports whether an outcome proves that the attempt was never executed.
 func provesNotRun(outcome Outcome) bool {
 	return outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent
 }
 
-// firstThatMayHaveRun returns the first of these attempts that may have run or is still in flight, or nil.
+// firstThatMayHaveRun returns the first of the attempts that is in flight or may have been executed, or nil
+// if there is none.
 func firstThatMayHaveRun(attempts []attempt) *safety.PriorAttempt {
 	for i := range attempts {
 		if a := &attempts[i]; a.inFlight || a.mayHaveRun {
