--- a/internal/balancer/prediction.go
+++ b/internal/balancer/prediction.go
@@ -90,7 +90,8 @@
 		return
 	}
 	if predicted.expectedLate && answered && b.now <= request.objectiveAt {
-		b.lastExpectedLateAttemptAt = 0 // the prediction was wrong, so the next such attempt may follow at once
+		// The prediction was wrong, so the next such attempt may follow at once.
+		b.lastExpectedLateAttemptAt = 0
 	}
 	endpoint, class := ended.endpoint, &b.classes[request.class]
 	ratio := latency * math.Sqrt(b.warmUpFraction(endpoint)) / predicted.latency
