--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -76,15 +76,15 @@
 	const instance = 7
 	a := newAdapter()
 	a.balancers[instance] = &balancer.Balancer{} // its zero value panics when it merges an endpoint list
-	result := simprotocol.Event{Code: simprotocol.EventAttemptResult, Instance: instance}
-	if err := a.handleEvent(1, &result); err != nil {
+	attemptResult := simprotocol.Event{Code: simprotocol.EventAttemptResult, Instance: instance}
+	if err := a.handleEvent(1, &attemptResult); err != nil {
 		t.Fatal(err)
 	}
 	_ = a.writer.Flush(&bytes.Buffer{}) // never fails
 	a.balancers[instance] = &balancer.Balancer{}
-	endpoints := simprotocol.Event{Code: simprotocol.EventEndpoints, Instance: instance,
+	endpointList := simprotocol.Event{Code: simprotocol.EventEndpoints, Instance: instance,
 		Endpoints: []balancer.Endpoint{{ID: 1, Phase: balancer.PhaseReady}}}
-	if err := a.handleEvent(1, &endpoints); err != nil {
+	if err := a.handleEvent(1, &endpointList); err != nil {
 		t.Fatal(err)
 	}
 	var output bytes.Buffer
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -92,59 +92,61 @@
 }
 
 func TestReaderDecodesEveryEvent(t *testing.T) {
-	b, err := NewReader(bytes.NewReader(frameWithEveryEvent(t))).Next()
+	batch, err := NewReader(bytes.NewReader(frameWithEveryEvent(t))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Now != 0x805c5a || len(b.Events) != 11 {
-		t.Fatalf("clock %x, %d events", b.Now, len(b.Events))
+	if batch.Now != 0x805c5a || len(batch.Events) != 11 {
+		t.Fatalf("clock %x, %d events", batch.Now, len(batch.Events))
 	}
-	e := b.Events
+	events := batch.Events
 	for i, code := range []EventCode{
 		EventStart, EventEndpoints, EventEndpoints, EventRequest, EventTimer, EventResponseStart,
 		EventAttemptResult, EventHealthCheck, EventPeerMessage, EventCancellation, EventStop,
 	} {
-		if e[i].Code != code || e[i].Instance != 3 {
-			t.Errorf("event %d: code %d of instance %d", i, e[i].Code, e[i].Instance)
+		if events[i].Code != code || events[i].Instance != 3 {
+			t.Errorf("event %d: code %d of instance %d", i, events[i].Code, events[i].Instance)
 		}
 	}
-	if e[0].Seed != 0x0102030405060708 || e[0].Config.Zone != 1 || len(e[0].Config.Classes) != 2 {
-		t.Errorf("start %+v", e[0])
+	if events[0].Seed != 0x0102030405060708 || events[0].Config.Zone != 1 || len(events[0].Config.Classes) != 2 {
+		t.Errorf("start %+v", events[0])
 	}
 	want := []balancer.Endpoint{
 		{ID: 0x0a124a072bc3, Phase: balancer.PhaseReady, Weight: 1},
 		{ID: 0x0a9011f22bec, Phase: balancer.PhaseDraining, Weight: 1.5, Cell: 4, Zone: 1, StartedAt: 0x5d1420},
 	}
-	if e[1].ListKind != balancer.ListCached || !slices.Equal(e[1].Endpoints, want) {
-		t.Errorf("endpoints %+v", e[1])
+	if events[1].ListKind != balancer.ListCached || !slices.Equal(events[1].Endpoints, want) {
+		t.Errorf("endpoints %+v", events[1])
 	}
-	if e[2].ListKind != balancer.ListFailed || e[2].Endpoints != nil {
-		t.Errorf("failed list %+v", e[2])
+	if events[2].ListKind != balancer.ListFailed || events[2].Endpoints != nil {
+		t.Errorf("failed list %+v", events[2])
 	}
 	wantRequest := balancer.Request{ID: 0x5d3a91c4, Class: 1, Tenant: 2, Deadline: 0x8405da,
 		AffinityKey: 0x91f03b7c55d20a64, IsRetry: true, CostHint: 12000}
-	if got := e[3].Request; got != wantRequest {
+	if got := events[3].Request; got != wantRequest {
 		t.Errorf("request %+v", got)
 	}
-	if e[4].Timer != 0x4d {
-		t.Errorf("timer %+v", e[4])
+	if events[4].Timer != 0x4d {
+		t.Errorf("timer %+v", events[4])
 	}
-	if s := e[5].Result; s.ID != 0x5d3a91c4 || s.Latency != 0x2422 || s.Endpoint != want[0].ID {
-		t.Errorf("response start %+v", s)
+	if result := events[5].Result; result.ID != 0x5d3a91c4 || result.Latency != 0x2422 || result.Endpoint != want[0].ID {
+		t.Errorf("response start %+v", result)
 	}
-	s := e[6].Result
-	if s.ID != 0x5d3a91c4 || s.Attempt != 1 || s.Outcome != balancer.OutcomeOK || s.Latency != 0x4844 || !s.RequestDone ||
-		s.Endpoint != want[0].ID || *s.Load != (balancer.LoadReport{Outstanding: -1, Backlog: 3, Utilization: 0.5}) {
-		t.Errorf("attempt result %+v %+v", s, s.Load)
+	result := events[6].Result
+	if result.ID != 0x5d3a91c4 || result.Attempt != 1 || result.Outcome != balancer.OutcomeOK || result.Latency != 0x4844 ||
+		!result.RequestDone || result.Endpoint != want[0].ID ||
+		*result.Load != (balancer.LoadReport{Outstanding: -1, Backlog: 3, Utilization: 0.5}) {
+		t.Errorf("attempt result %+v %+v", result, result.Load)
 	}
-	if s := e[7].Result; s.Outcome != balancer.OutcomeConnectFailed || s.Endpoint != want[1].ID || s.Latency != 0x578 || s.Load != nil {
-		t.Errorf("health check %+v", s)
+	if result := events[7].Result; result.Outcome != balancer.OutcomeConnectFailed || result.Endpoint != want[1].ID ||
+		result.Latency != 0x578 || result.Load != nil {
+		t.Errorf("health check %+v", result)
 	}
-	if e[8].Peer != 2 || string(e[8].Data) != "hi 7" {
-		t.Errorf("peer message %+v", e[8])
+	if events[8].Peer != 2 || string(events[8].Data) != "hi 7" {
+		t.Errorf("peer message %+v", events[8])
 	}
-	if e[9].Result.ID != 0x0e6f2b19 {
-		t.Errorf("cancellation %+v", e[9])
+	if events[9].Result.ID != 0x0e6f2b19 {
+		t.Errorf("cancellation %+v", events[9])
 	}
 }
 
@@ -190,11 +192,11 @@
 }
 
 func TestEmptyBatchAndEnd(t *testing.T) {
-	r := NewReader(bytes.NewReader(parseHex(t, "00000000 0000000000805c5a 00000000")))
-	if b, err := r.Next(); err != nil || b.Now != 0x805c5a || len(b.Events) != 0 {
-		t.Errorf("%+v, %v", b, err)
+	reader := NewReader(bytes.NewReader(parseHex(t, "00000000 0000000000805c5a 00000000")))
+	if batch, err := reader.Next(); err != nil || batch.Now != 0x805c5a || len(batch.Events) != 0 {
+		t.Errorf("%+v, %v", batch, err)
 	}
-	if _, err := r.Next(); !errors.Is(err, io.EOF) {
+	if _, err := reader.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("end of input: %v", err)
 	}
 }
@@ -202,29 +204,30 @@
 func TestListNumbersAreReused(t *testing.T) {
 	tail := parseHex(t, `01 3f800000 0000 0000 0000000000000000 00000001 0001 0000
 		01 3f800000 0000 0000 0000000000000000 00000002 0002 0000`)
-	members := "11 00000003 00 000f 0000000000000029 +32"
-	r := NewReader(io.MultiReader(
-		bytes.NewReader(buildFrame(t, tail, "1a 000f 00000000 00000001 +37", members, "1a 000f 00000019 00000001 +37", members)),
-		bytes.NewReader(buildFrame(t, nil, members))))
-	b, err := r.Next()
+	endpointsRecord := "11 00000003 00 000f 0000000000000029 +32"
+	reader := NewReader(io.MultiReader(
+		bytes.NewReader(buildFrame(t, tail, "1a 000f 00000000 00000001 +37", endpointsRecord,
+			"1a 000f 00000019 00000001 +37", endpointsRecord)),
+		bytes.NewReader(buildFrame(t, nil, endpointsRecord))))
+	batch, err := reader.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	later, err := r.Next()
+	laterBatch, err := reader.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, want := range []balancer.EndpointID{1<<16 | 1, 2<<16 | 2, 2<<16 | 2} {
-		if got := append(b.Events, later.Events...)[i].Endpoints[0].ID; got != want {
+		if got := append(batch.Events, laterBatch.Events...)[i].Endpoints[0].ID; got != want {
 			t.Errorf("event %d has endpoint %x, want %x", i, got, want)
 		}
 	}
 }
 
 func TestDamagedFramesAreNamed(t *testing.T) {
-	for name, c := range map[string]struct {
-		in      []byte
-		message string
+	for name, test := range map[string]struct {
+		input     []byte
+		wantError string
 	}{
 		"short header":    {parseHex(t, "00000000 00"), "frame header: read only 5 of 16 bytes"},
 		"short body":      {parseHex(t, "00000030 0000000000000000 00000001 12"), "frame body: read only 1 of 48 bytes"},
@@ -241,9 +244,9 @@
 		"bad settings":    {buildFrame(t, []byte("{]"), "10 00000003 +8 00000000 00000002 +27"), "boot_info"},
 		"unknown phase":   {buildFrame(t, parseHex(t, "07 +24"), "1a 0000 00000000 00000001 +37"), "unknown phase 7"},
 	} {
-		_, err := NewReader(bytes.NewReader(c.in)).Next()
-		if err == nil || !strings.Contains(err.Error(), c.message) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %q in it", name, err, c.message)
+		_, err := NewReader(bytes.NewReader(test.input)).Next()
+		if err == nil || !strings.Contains(err.Error(), test.wantError) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: %v, want %q in it", name, err, test.wantError)
 		}
 	}
 }
@@ -254,14 +257,14 @@
 	f.Add(parseHex(f, "00000000 0000000000805c5a 00000000"))
 	f.Add(buildFrame(f, parseHex(f, "01 3f800000 +20"), "1a 0000 00000000 00000001 +37", "11 00000003 01 0000 +40"))
 	f.Add(parseHex(f, "ffffffff 0000000000000000 ffffffff"))
-	f.Fuzz(func(t *testing.T, in []byte) {
-		r := NewReader(bytes.NewReader(in))
-		for range len(in) + 1 { // more than the number of frames in the input, as each has a header
-			b, err := r.Next()
+	f.Fuzz(func(t *testing.T, input []byte) {
+		reader := NewReader(bytes.NewReader(input))
+		for range len(input) + 1 { // more than the number of frames in the input, as each has a header
+			batch, err := reader.Next()
 			if err != nil {
 				return
 			}
-			if len(b.Events)*recordSize > len(in) {
+			if len(batch.Events)*recordSize > len(input) {
 				t.Fatal("more events than bytes")
 			}
 		}
