--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestInvalidInputExitsWithOnePlainLine(t *testing.T) {
+func TestInvalidInputExitsWithOneErrorLine(t *testing.T) {
 	program := t.TempDir() + "/simadapter"
 	if output, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, output)
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestDamagedFramesAreNamed(t *testing.T) {
+func TestDamagedFramesAreReported(t *testing.T) {
 	for name, test := range map[string]struct {
 		input     []byte
 		wantError string
