--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -12,9 +12,9 @@
 	// targetUtilization is the reported utilization towards which limits are steered.
 	targetUtilization = 0.95
 
-	// limitGain is the change of a limit for one unit of excess, which is an answer that is one whole latency
-	// target late or early. A limit falls by half of this fraction, and rises by this number of requests for
-	// each node that uses the endpoint, up to initialLimit nodes.
+	// limitGain sets the change of a limit for one answer. If the answer is late by one whole latency target,
+	// the limit falls by half of this fraction. If it is early by as much, the limit rises by this number of
+	// requests for each node that uses the endpoint, counting at most initialLimit nodes.
 	limitGain = 0.10
 
 	// failedAttemptWeight is the number of answers that one rejected or unanswered attempt counts as.
--- a/internal/balancer/healthcheck.go
+++ b/internal/balancer/healthcheck.go
@@ -52,7 +52,8 @@
 }
 
 // checkCandidates sends a health check to each candidate of a request. The request waits until all of them
-// have answered, but no longer than a multiple of the mean latency of health checks.
+// have answered, but no longer than four times the mean latency of health checks, or two tick intervals if
+// that is more.
 func (b *Balancer) checkCandidates(request *openRequest) {
 	b.healthChecks.unansweredSince = cmp.Or(b.healthChecks.unansweredSince, b.now)
 	request.checkedAt = b.now
@@ -102,8 +103,8 @@
 	endpoint.updateCores(report)
 }
 
-// updateCores raises the number of an endpoint's cores to the number of requests that, according to a report,
-// the endpoint works on at the same time.
+// updateCores raises the number of an endpoint's cores to the number of requests that the endpoint was
+// working on at the time of a report: those that it held, without those that were waiting.
 func (e *endpointState) updateCores(report *LoadReport) {
 	if report.Outstanding >= 0 && report.Backlog >= 0 {
 		e.cores = max(e.cores, 1, math.Round(report.Outstanding-report.Backlog))
--- a/internal/balancer/latency.go
+++ b/internal/balancer/latency.go
@@ -96,13 +96,14 @@
 	class, timeLeft := &b.config.Classes[incoming.Class], incoming.Deadline-b.now
 	bucket, usual := b.classes[incoming.Class].clientTimeouts.observe(timeLeft, class.Deadline)
 	if incoming.IsRetry && bucket >= usual {
-		// An attempt ends after a timeout of its own or together with the whole request, which here ends no
-		// sooner than this attempt. The first attempt was therefore sent between the time that lies one class
-		// deadline before the end of this attempt, and now. The middle of this interval is returned.
+		// Each attempt of a client ends after a timeout of its own, or with the whole request if that is
+		// sooner. This timeout is not shorter than usual, so the whole request ends no sooner than this
+		// attempt, and the first attempt was sent between Deadline-class.Deadline and now. The estimate is the
+		// middle of this interval.
 		return b.now - max(class.Deadline-timeLeft, 0)/2
 	}
 	if incoming.IsRetry || b.looksLikeRetry(class, bucket, usual) {
-		return min(b.now, incoming.Deadline-class.Deadline)
+		return min(b.now, incoming.Deadline-class.Deadline) // the retry ends with the whole request
 	}
 	if b.config.ClientsMarkRetries && bucket == timeoutBuckets-1 {
 		// This is a first attempt whose client waits as long as the class allows. The missing time was spent
--- a/internal/balancer/prediction.go
+++ b/internal/balancer/prediction.go
@@ -44,15 +44,15 @@
 	samples float64 // number of answers from which the mean was learned
 }
 
-// learn updates the estimate with an answer whose latency was the given multiple of the prediction.
+// learn updates the estimate with an answer that took ratio times as long as predicted.
 func (w *workEstimate) learn(ratio float64) {
 	w.samples++
 	w.mean *= 1 + max(workGain, 1/(w.samples+initialWorkSamples))*(ratio-1)
 }
 
 // predictLatency predicts the latency of a request if it is sent to an endpoint now. The predicted latency
-// holds for an endpoint of usual speed; slownessFactor returns the factor for this endpoint. It is 0 if the
-// endpoint reports too little.
+// holds for an endpoint of usual speed; slownessFactor returns the factor for this one. Without the necessary
+// reports from the endpoint, the predicted latency is 0.
 func (b *Balancer) predictLatency(request *openRequest, endpoint *endpointState) latencyPrediction {
 	if endpoint.cores == 0 || !b.usesHealthChecks() {
 		return latencyPrediction{}
--- a/internal/balancer/random.go
+++ b/internal/balancer/random.go
@@ -6,7 +6,7 @@
 // the same numbers.
 type randomSource struct{ state uint64 }
 
-// uniform returns a number in [0, 1).
+// uniform draws a number in [0, 1).
 func (s *randomSource) uniform() float64 {
 	s.state += 0x9e3779b97f4a7c15
 	return unitInterval(hash64(s.state))
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -109,7 +109,7 @@
 }
 
 // retryOrEnd queues a failed request for a retry if a retry is allowed and can still be answered in time.
-// Otherwise it gives the request its final answer.
+// Otherwise it rejects or fails the request.
 func (b *Balancer) retryOrEnd(request *openRequest) {
 	attemptsUsed := len(request.attempts) >= request.maxAttempts
 	if request.responseStarted || attemptsUsed || b.now >= b.latestStart(request) || !b.mayRetry(request) {
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -77,7 +77,7 @@
 	for i, endpoint := range pool {
 		u := float64(hash64(key^endpoint.rank)>>11+1) / (1 << 53) // in (0, 1], where -ln u is finite
 		weight := b.endpointWeights[i]
-		if weight > 0 && 1-u < lowestScore*weight { // -ln u is at least 1-u: saves most logarithms
+		if weight > 0 && 1-u < lowestScore*weight { // skips most logarithms, as -ln u >= 1-u
 			if score := -math.Log(u) / weight; score < lowestScore {
 				best, lowestScore = i, score
 			}
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -9,10 +9,10 @@
 const goldenRatio = 0.618034
 
 // updateSubset chooses the endpoints that this node uses: as many as its traffic needs, in an order that all
-// nodes share, from a start of the node's own. If every node used every endpoint, connections would fill the
-// endpoints, and a node would hardly use the same endpoint twice. If each node drew its subset at random,
-// some endpoints would be used by many nodes and others by few. It returns the number of warm endpoints in
-// the subset.
+// nodes share, from a start of the node's own. If every node used every endpoint, the endpoints would reach
+// their maximum of connections, and a node would hardly use the same endpoint twice. If each node drew its
+// subset at random, some endpoints would be used by many nodes and others by few. It returns the number of
+// warm endpoints in the subset.
 func (b *Balancer) updateSubset() (warmEndpoints float64) {
 	needed := 2*b.candidateCount() - 2 + int(b.meanInFlight)
 	if needed > b.subsetSize || needed < b.subsetSize/2 { // so that the size seldom changes
