--- a/internal/balancer/latency.go
+++ b/internal/balancer/latency.go
@@ -98,12 +98,12 @@
 	if incoming.IsRetry && bucket >= usual {
 		// Each attempt of a client ends after a timeout of its own, or with the whole request if that is
 		// sooner. This timeout is not shorter than usual, so the whole request ends no sooner than this
-		// attempt, and the first attempt was sent between Deadline-class.Deadline and now. The estimate is the
-		// middle of this interval.
+		// attempt, and the first attempt was sent between Deadline-class.Deadline and now. The estimate is
+		// the middle of this interval.
 		return b.now - max(class.Deadline-timeLeft, 0)/2
 	}
 	if incoming.IsRetry || b.looksLikeRetry(class, bucket, usual) {
-		return min(b.now, incoming.Deadline-class.Deadline) // the retry ends with the whole request
+		return min(b.now, incoming.Deadline-class.Deadline) // it ends with the whole request
 	}
 	if b.config.ClientsMarkRetries && bucket == timeoutBuckets-1 {
 		// This is a first attempt whose client waits as long as the class allows. The missing time was spent
