--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -7,15 +7,15 @@
 
 func TestEveryRequestHasFinalAnswerByDeadline(t *testing.T) {
 	for class := range testConfig().Classes {
-		for _, n := range []int{0, 3} { // no endpoint at all, and endpoints that never answer
-			node := startNode(t, testConfig(), testEndpoints(n)...)
+		for _, endpointCount := range []int{0, 3} { // no endpoint at all, and endpoints that never answer
+			node := startNode(t, testConfig(), testEndpoints(endpointCount)...)
 			for id := RequestID(1); id <= 100; id++ {
 				node.request(id, class, 0)
 			}
 			node.advance(node.balancer.config.Classes[class].Deadline)
 			for id := RequestID(1); id <= 100; id++ {
 				if node.finalAnswers[id] == "" {
-					t.Fatalf("class %d, %d endpoints: request %d has no answer at its deadline", class, n, id)
+					t.Fatalf("class %d, %d endpoints: request %d has no answer at its deadline", class, endpointCount, id)
 				}
 			}
 		}
@@ -25,7 +25,7 @@
 // TestNothingFollowsFinalAnswer plays each order of outcome, timers, cancellation and a late outcome. The
 // fake node fails the test on a second final answer, or on an attempt after it.
 func TestNothingFollowsFinalAnswer(t *testing.T) {
-	for _, first := range append([]Outcome{OutcomeOK}, failures...) {
+	for _, outcome := range append([]Outcome{OutcomeOK}, failures...) {
 		for _, order := range []string{"outcome-cancel", "cancel-outcome", "timer-outcome", "outcome-timer", "outcome-outcome"} {
 			for class := range testConfig().Classes {
 				node := startNode(t, testConfig(), testEndpoints(4)...)
@@ -33,7 +33,7 @@
 				for _, step := range strings.Split(order, "-") {
 					switch step {
 					case "outcome":
-						node.complete(1, len(node.attempts[1])-1, first)
+						node.complete(1, len(node.attempts[1])-1, outcome)
 					case "cancel":
 						node.balancer.HandleCancellation(node.now, 1)
 						if node.finalAnswers[1] == "" {
@@ -45,7 +45,7 @@
 				}
 				node.advance(1000 * ms)
 				if node.finalAnswers[1] == "" {
-					t.Errorf("%s after outcome %d, class %d: no final answer", order, first, class)
+					t.Errorf("%s after outcome %d, class %d: no final answer", order, outcome, class)
 				}
 			}
 		}
@@ -66,17 +66,17 @@
 // objective, so that their clients had no time left for a retry. The one endpoint of
 // the subset takes nothing.
 func TestUnsentRequestIsRejectedAtHalfItsTimeInOverload(t *testing.T) {
-	for _, over := range []bool{false, true} {
+	for _, overloaded := range []bool{false, true} {
 		node := startNode(t, testConfig())
 		unavailable := node.balancer.addEndpoint(1)
 		unavailable.Phase = PhaseDraining
 		node.balancer.subset = []*endpointState{unavailable}
-		node.balancer.overloadMode = over
+		node.balancer.overloadMode = overloaded
 		node.balancer.HandleRequest(node.now, Request{ID: 1, Class: 0, Deadline: node.now + 220*ms}) // objective 200 ms, mean 50
 		node.advance(105 * ms)
 		wantFinal(t, node, 1, "")
 		node.advance(20 * ms) // within a queue interval
-		wantFinal(t, node, 1, map[bool]string{false: "", true: "reject"}[over])
+		wantFinal(t, node, 1, map[bool]string{false: "", true: "reject"}[overloaded])
 	}
 }
 
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -25,13 +25,13 @@
 	node := startNode(t, configWithQuotas(0.6, 0.4), testEndpoints(5)...)
 	all := append(others, node)
 	for i := range 3000 {
-		for _, x := range all {
+		for _, current := range all {
 			id := RequestID(i + 1)
-			x.request(id, i%5, i%2)
-			if j := RequestID(i - 10); i > 10 && len(x.attempts[j]) > 0 && x.finalAnswers[j] == "" {
-				x.complete(j, len(x.attempts[j])-1, outcomes[i%len(outcomes)])
+			current.request(id, i%5, i%2)
+			if oldID := RequestID(i - 10); i > 10 && len(current.attempts[oldID]) > 0 && current.finalAnswers[oldID] == "" {
+				current.complete(oldID, len(current.attempts[oldID])-1, outcomes[i%len(outcomes)])
 			}
-			x.advance(3 * ms)
+			current.advance(3 * ms)
 		}
 	}
 	return node.log
@@ -41,8 +41,8 @@
 	alone := runRequestScript(t)
 	small := startNode(t, testConfig(), testEndpoints(3)...)
 	large := startNode(t, configWithQuotas(0.2, 0.8), testEndpoints(7)...)
-	among := runRequestScript(t, small, large)
-	if len(alone) < 2500 || strings.Join(alone, "\n") != strings.Join(among, "\n") {
-		t.Errorf("%d actions alone, %d among others, or not the same", len(alone), len(among))
+	withOthers := runRequestScript(t, small, large)
+	if len(alone) < 2500 || strings.Join(alone, "\n") != strings.Join(withOthers, "\n") {
+		t.Errorf("%d actions alone, %d among others, or not the same", len(alone), len(withOthers))
 	}
 }
--- a/internal/balancer/config_test.go
+++ b/internal/balancer/config_test.go
@@ -117,20 +117,20 @@
 	if node.balancer.endpoints[0].slots[0] == 0 || node.balancer.tenants[0].quota.utilization[0] == 0 {
 		t.Fatal("nothing was learned")
 	}
-	per := node.balancer.endpoints[0].inFlightByTenant[0]
+	inFlightBefore := node.balancer.endpoints[0].inFlightByTenant[0]
 	next := configWithQuotas(0.5, 0.5)
 	if err := node.balancer.Reconfigure(node.now, next, []int{0, 1, 2, 3, 4, 5}, []int{-1, 0}); err != nil {
 		t.Fatal(err)
 	}
-	if u := node.balancer.tenants[0].quota.utilization; u != [2]float64{} {
-		t.Errorf("the new tenant has used %v", u)
+	if used := node.balancer.tenants[0].quota.utilization; used != [2]float64{} {
+		t.Errorf("the new tenant has used %v", used)
 	}
 	for _, endpoint := range node.balancer.endpoints {
 		want := 0.0 // as for an unknown tenant
 		if node.balancer.available(endpoint) {
 			want = wantSlots(node.balancer, endpoint)
 		}
-		if math.Abs(endpoint.slots[0]-want) > 1e-9 || endpoint.inFlightByTenant[0] != 0 || endpoint.inFlightByTenant[1] != per {
+		if math.Abs(endpoint.slots[0]-want) > 1e-9 || endpoint.inFlightByTenant[0] != 0 || endpoint.inFlightByTenant[1] != inFlightBefore {
 			t.Errorf("endpoint %d: slots %v, want %v for the new tenant; in flight %v",
 				endpoint.ID, endpoint.slots, want, endpoint.inFlightByTenant)
 		}
--- a/internal/balancer/fakenode_test.go
+++ b/internal/balancer/fakenode_test.go
@@ -40,26 +40,26 @@
 	f.record("attempt %d %d", id, endpoint)
 }
 
-func (f *fakeNode) CancelAttempt(id RequestID, n int) { f.record("cancel %d %d", id, n) }
+func (f *fakeNode) CancelAttempt(id RequestID, attempt int) { f.record("cancel %d %d", id, attempt) }
 
-func (f *fakeNode) recordFinal(id RequestID, how string) {
+func (f *fakeNode) recordFinalAnswer(id RequestID, answer string) {
 	if f.finalAnswers[id] != "" {
 		f.test.Errorf("second final answer for %d", id)
 	}
-	f.finalAnswers[id] = how
-	f.record("%s %d", how, id)
+	f.finalAnswers[id] = answer
+	f.record("%s %d", answer, id)
 }
 
-func (f *fakeNode) Reject(id RequestID, _ Span) { f.recordFinal(id, "reject") }
+func (f *fakeNode) Reject(id RequestID, _ Span) { f.recordFinalAnswer(id, "reject") }
 
-func (f *fakeNode) Fail(id RequestID) { f.recordFinal(id, "fail") }
+func (f *fakeNode) Fail(id RequestID) { f.recordFinalAnswer(id, "fail") }
 
 func (f *fakeNode) CheckHealth(endpoint EndpointID) {
 	f.healthChecks = append(f.healthChecks, endpoint)
 }
 
-func (f *fakeNode) SetTimer(t TimerID, delay Span) {
-	f.timers = append(f.timers, fakeTimer{f.now + max(delay, 1), t})
+func (f *fakeNode) SetTimer(id TimerID, delay Span) {
+	f.timers = append(f.timers, fakeTimer{f.now + max(delay, 1), id})
 }
 
 func (f *fakeNode) WatchEndpoints(bool) {
@@ -70,25 +70,25 @@
 
 func (f *fakeNode) PollEndpoints() {}
 
-func (f *fakeNode) Log(s string) { f.logLines++; f.record("log %s", s) }
+func (f *fakeNode) Log(text string) { f.logLines++; f.record("log %s", text) }
 
 // advance moves time on by a duration and fires the timers of that time in order.
 func (f *fakeNode) advance(duration Span) {
 	until := f.now + duration
 	for {
 		next := -1
-		for i, expired := range f.timers {
-			if expired.expiresAt <= until && (next < 0 || expired.expiresAt < f.timers[next].expiresAt) {
+		for i, timer := range f.timers {
+			if timer.expiresAt <= until && (next < 0 || timer.expiresAt < f.timers[next].expiresAt) {
 				next = i
 			}
 		}
 		if next < 0 {
 			break
 		}
-		expired := f.timers[next]
+		timer := f.timers[next]
 		f.timers = append(f.timers[:next], f.timers[next+1:]...)
-		f.now = max(f.now, expired.expiresAt)
-		f.balancer.HandleTimer(f.now, expired.id)
+		f.now = max(f.now, timer.expiresAt)
+		f.balancer.HandleTimer(f.now, timer.id)
 	}
 	f.now = until
 }
@@ -98,11 +98,11 @@
 	f.balancer.HandleRequest(f.now, Request{ID: id, Class: class, Tenant: tenant, Deadline: deadline})
 }
 
-func (f *fakeNode) complete(id RequestID, n int, outcome Outcome) {
+func (f *fakeNode) complete(id RequestID, attempt int, outcome Outcome) {
 	f.balancer.HandleAttemptResult(f.now, AttemptResult{
 		ID:          id,
-		Attempt:     n,
-		Endpoint:    f.attempts[id][n],
+		Attempt:     attempt,
+		Endpoint:    f.attempts[id][attempt],
 		Outcome:     outcome,
 		Latency:     ms,
 		RequestDone: outcome == OutcomeOK,
@@ -171,9 +171,9 @@
 	return list
 }
 
-func wantFinal(t *testing.T, node *fakeNode, id RequestID, how string) {
+func wantFinal(t *testing.T, node *fakeNode, id RequestID, want string) {
 	t.Helper()
-	if node.finalAnswers[id] != how {
-		t.Errorf("request %d: final answer %q, want %q", id, node.finalAnswers[id], how)
+	if node.finalAnswers[id] != want {
+		t.Errorf("request %d: final answer %q, want %q", id, node.finalAnswers[id], want)
 	}
 }
--- a/internal/balancer/learned_test.go
+++ b/internal/balancer/learned_test.go
@@ -45,14 +45,14 @@
 	if earnedAlone <= 0 || math.Abs(earnedAsOneOfTwo/earnedAlone-0.5) > 0.01 {
 		t.Errorf("one process has earned %v, one of two %v", earnedAlone, earnedAsOneOfTwo)
 	}
-	odd := learned
-	odd.Endpoints = map[uint64]LearnedEndpoint{1: {Limit: math.NaN(), ErrorRate: 7}, 2: {Limit: -1}, 9: {Limit: 5}}
-	odd.Classes, odd.AnswerRate = []LearnedClass{{0, 0}}, math.Inf(1)
-	third := startNodeWithSeed(t, 10, cfg, list...)
-	limit := third.balancer.endpointsByID[1].limit
-	third.balancer.ImportState(third.now, odd)
-	first, second := third.balancer.endpointsByID[1].limit, third.balancer.endpointsByID[2].limit
-	if first != limit || second <= 0 || third.balancer.answerRate != 0 {
-		t.Errorf("limits %v and %v, rate %v", first, second, third.balancer.answerRate)
+	invalid := learned
+	invalid.Endpoints = map[uint64]LearnedEndpoint{1: {Limit: math.NaN(), ErrorRate: 7}, 2: {Limit: -1}, 9: {Limit: 5}}
+	invalid.Classes, invalid.AnswerRate = []LearnedClass{{0, 0}}, math.Inf(1)
+	importer := startNodeWithSeed(t, 10, cfg, list...)
+	limit := importer.balancer.endpointsByID[1].limit
+	importer.balancer.ImportState(importer.now, invalid)
+	first, second := importer.balancer.endpointsByID[1].limit, importer.balancer.endpointsByID[2].limit
+	if first != limit || second <= 0 || importer.balancer.answerRate != 0 {
+		t.Errorf("limits %v and %v, rate %v", first, second, importer.balancer.answerRate)
 	}
 }
--- a/internal/balancer/listlease_test.go
+++ b/internal/balancer/listlease_test.go
@@ -17,9 +17,9 @@
 // evidence, and is sent as that comes: an answer, or calls that have failed for so long that discovery is down.
 func TestNothingIsSentByListOfUnknownAge(t *testing.T) {
 	const outage = 5000 * ms
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		evidence ListKind
-		after    Span // from the evidence until something is sent; 0: at once
+		delay    Span // from the evidence until something is sent; 0: at once
 	}{
 		"an answer":      {ListDelta, 0},
 		"a failed call":  {ListFailed, outage},
@@ -35,16 +35,16 @@
 		if len(node.attempts[1]) > 0 {
 			t.Errorf("%s: sent without evidence", name)
 		}
-		node.balancer.HandleEndpointsAsOf(node.now, node.now, c.evidence, nil)
-		if c.after > 0 {
-			node.advance(c.after - 30*ms)
+		node.balancer.HandleEndpointsAsOf(node.now, node.now, test.evidence, nil)
+		if test.delay > 0 {
+			node.advance(test.delay - 30*ms)
 			if len(node.attempts[1]) > 0 {
 				t.Errorf("%s: sent too soon", name)
 			}
 			node.advance(30 * ms)
-			node.balancer.HandleEndpointsAsOf(node.now, node.now, c.evidence, nil)
+			node.balancer.HandleEndpointsAsOf(node.now, node.now, test.evidence, nil)
 		}
-		if sent := len(node.attempts[1]) == 1; sent != (c.evidence != ListInvalid) {
+		if sent := len(node.attempts[1]) == 1; sent != (test.evidence != ListInvalid) {
 			t.Errorf("%s: sent %v after it", name, sent)
 		}
 	}
@@ -97,11 +97,11 @@
 	if node.request(1, 0, 0); len(node.attempts[1]) != 1 {
 		t.Fatal("not sent")
 	}
-	if why := node.balancer.MayStartAttempt(node.now, 1, 0); why != safety.Allowed {
-		t.Error(why)
+	if reason := node.balancer.MayStartAttempt(node.now, 1, 0); reason != safety.Allowed {
+		t.Error(reason)
 	}
-	if why := node.balancer.MayStartAttempt(node.now+NotificationDeadline, 1, 0); why != safety.ListStale {
-		t.Errorf("%v, want %v", why, safety.ListStale)
+	if reason := node.balancer.MayStartAttempt(node.now+NotificationDeadline, 1, 0); reason != safety.ListStale {
+		t.Errorf("%v, want %v", reason, safety.ListStale)
 	}
 }
 
--- a/internal/balancer/poll_test.go
+++ b/internal/balancer/poll_test.go
@@ -18,8 +18,8 @@
 		node.balancer.HandleEndpoints(node.now, ListFailed, nil)
 		node.advance(cfg.PollInterval / 2)
 	}
-	if n := node.watchCalls - before; n < 5 || n > 15 {
-		t.Errorf("%d calls for 5 failures", n)
+	if calls := node.watchCalls - before; calls < 5 || calls > 15 {
+		t.Errorf("%d calls for 5 failures", calls)
 	}
 	node.balancer.HandleEndpoints(node.now, ListFull, testEndpoints(2))
 	before = node.watchCalls
@@ -71,22 +71,22 @@
 // had recovered got requests for as long. What discovery has counts as notified 6 s after it can be
 // fetched.
 func TestNextCallComesWithinNotificationDeadline(t *testing.T) {
-	for _, c := range []struct {
-		kind   ListKind
-		peers  int
-		within Span // of the failure: 6 s must also hold a timed-out call and the answer to the next
+	for _, test := range []struct {
+		kind     ListKind
+		peers    int
+		maxDelay Span // of the failure: 6 s must also hold a timed-out call and the answer to the next
 	}{{ListFailed, 1, 3100 * ms}, {ListFailed, 6, 3100 * ms}, {ListFailed, 30, 3100 * ms}, {ListFailed, 350, 3100 * ms},
 		{ListFailed, 1024, 3100 * ms}, {ListTimeout, 350, 700 * ms}, {ListOverloaded, 6, 3100 * ms}, {ListOverloaded, 20, 3100 * ms}} {
 		cfg := testConfig()
-		cfg.PollDiscovery, cfg.PeerCount = true, c.peers
+		cfg.PollDiscovery, cfg.PeerCount = true, test.peers
 		for seed := range uint64(10) {
 			node := startNodeWithSeed(t, seed, cfg, testEndpoints(2)...)
 			node.advance(cfg.PollInterval)
-			for k := range 12 {
+			for failure := range 12 {
 				before := node.watchCalls
-				node.balancer.HandleEndpoints(node.now, c.kind, nil)
-				if node.advance(c.within); node.watchCalls == before {
-					t.Fatalf("kind %d, %d nodes: no call within %d ms of failure %d", c.kind, c.peers, c.within/ms, k+1)
+				node.balancer.HandleEndpoints(node.now, test.kind, nil)
+				if node.advance(test.maxDelay); node.watchCalls == before {
+					t.Fatalf("kind %d, %d nodes: no call within %d ms of failure %d", test.kind, test.peers, test.maxDelay/ms, failure+1)
 				}
 			}
 		}
@@ -108,7 +108,7 @@
 	freeAt               Time
 }
 
-func (q *discoveryQueue) call(now Time) (at Time, ok bool) {
+func (q *discoveryQueue) call(now Time) (answeredAt Time, ok bool) {
 	q.freeAt = max(q.freeAt, now) + q.serviceTime
 	return min(q.freeAt, now+q.timeout), q.freeAt <= now+q.timeout
 }
@@ -118,46 +118,46 @@
 // discovery worked on calls that nobody waited for: 32 of 80 nodes got the list, and of 56 that were
 // restarted together none.
 func TestNodesStartedTogetherAllReceiveTheList(t *testing.T) {
-	for _, c := range []struct {
-		nodes, receiving int
-		within           Span
+	for _, test := range []struct {
+		nodes, minReceiving int
+		maxDelay            Span
 	}{{3, 3, 400 * ms}, {80, 80, 8000 * ms}, {200, 190, 30000 * ms}} { // discovery needs 50 ms for each
-		n := c.nodes
+		n := test.nodes
 		cfg := testConfig()
 		cfg.PollDiscovery = true
 		all := startFleet(t, n, cfg, testEndpoints(20))
-		q := &discoveryQueue{serviceTime: 50 * ms, timeout: 2000 * ms, freeAt: all[0].now}
+		discovery := &discoveryQueue{serviceTime: 50 * ms, timeout: 2000 * ms, freeAt: all[0].now}
 		type answer struct {
-			at Time
-			ok bool
+			answeredAt Time
+			ok         bool
 		}
-		calls, waits, receivedAt, failed := make([]int, n), make([][]answer, n), map[int]Time{}, 0
+		calls, pending, receivedAt, failed := make([]int, n), make([][]answer, n), map[int]Time{}, 0
 		began := all[0].now - ms
 		for step := Span(0); step < 30000*ms; step += 10 * ms {
 			for i, node := range all {
-				for len(waits[i]) > 0 && waits[i][0].at <= node.now {
+				for len(pending[i]) > 0 && pending[i][0].answeredAt <= node.now {
 					kind := ListDelta
-					if !waits[i][0].ok {
+					if !pending[i][0].ok {
 						kind = ListOverloaded
 						failed++
 					} else if receivedAt[i] == 0 {
 						receivedAt[i] = node.now
 					}
-					waits[i] = waits[i][1:]
+					pending[i] = pending[i][1:]
 					node.balancer.HandleEndpoints(node.now, kind, nil)
 				}
 				for ; calls[i] < node.watchCalls; calls[i]++ {
-					at, ok := q.call(node.now)
-					waits[i] = append(waits[i], answer{at, ok})
+					answeredAt, ok := discovery.call(node.now)
+					pending[i] = append(pending[i], answer{answeredAt, ok})
 				}
 				node.advance(10 * ms)
 			}
 		}
 		last := Time(0)
-		for _, at := range receivedAt {
-			last = max(last, at-began)
+		for _, answeredAt := range receivedAt {
+			last = max(last, answeredAt-began)
 		}
-		if len(receivedAt) < c.receiving || last > c.within || failed > n {
+		if len(receivedAt) < test.minReceiving || last > test.maxDelay || failed > n {
 			t.Errorf("%d nodes: %d got the list, the last after %d ms, %d calls failed", n, len(receivedAt), last/ms, failed)
 		}
 	}
--- a/internal/balancer/quota_test.go
+++ b/internal/balancer/quota_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-func configWithQuotas(shares ...float64) Config {
+func configWithQuotas(fractions ...float64) Config {
 	cfg := testConfig()
-	for _, s := range shares {
-		cfg.Tenants = append(cfg.Tenants, Tenant{QuotaFraction: s})
+	for _, fraction := range fractions {
+		cfg.Tenants = append(cfg.Tenants, Tenant{QuotaFraction: fraction})
 	}
 	return cfg
 }
@@ -14,10 +14,10 @@
 	node := startNode(t, configWithQuotas(0.5, 0.5), testEndpoints(2)...)
 	balancer := node.balancer
 	balancer.capacity, balancer.overloadMode = 10, true
-	dt := float64(balancer.controlPeriod)
-	balancer.tenants[0].quota.slotTime, balancer.tenants[1].quota.slotTime = 4*dt, 1*dt // U = 0.4 and 0.1
+	period := float64(balancer.controlPeriod)
+	balancer.tenants[0].quota.slotTime, balancer.tenants[1].quota.slotTime = 4*period, 1*period // U = 0.4 and 0.1
 	balancer.modeTime = [2]float64{}
-	balancer.endPeriod(dt, 2)
+	balancer.endPeriod(period, 2)
 	// Eq. 2 with nothing in flight: U_q = U/2. Eq. 1: 2P - 1.5U.
 	for i, want := range []float64{0.4, 0.85} {
 		if got := balancer.tenants[i].quota.predicted; got < want-1e-9 || got > want+1e-9 {
@@ -26,13 +26,13 @@
 	}
 	// Eq. 3: a second period of equal length weighs one half.
 	balancer.overloadMode = true
-	balancer.endPeriod(dt, 2)
+	balancer.endPeriod(period, 2)
 	if got := balancer.tenants[0].quota.utilization[1]; got != 0.2 {
 		t.Errorf("U after an idle period %g, want 0.2", got)
 	}
 	balancer.overloadMode = false
-	balancer.tenants[0].quota.slotTime = 3 * dt
-	balancer.endPeriod(dt, 2)
+	balancer.tenants[0].quota.slotTime = 3 * period
+	balancer.endPeriod(period, 2)
 	if balancer.tenants[0].quota.utilization[0] != 0.3 || balancer.tenants[0].quota.utilization[1] != 0.2 {
 		t.Errorf("U by mode %v, want 0.3 and 0.2", balancer.tenants[0].quota.utilization)
 	}
@@ -43,11 +43,11 @@
 	node.balancer.capacity = 10
 	node.balancer.tenants[1].quota.slotTime = 10 * float64(node.balancer.controlPeriod)
 	node.balancer.endPeriod(float64(node.balancer.controlPeriod), 2)
-	if w := node.balancer.tenants[1].quota.predicted; w != 0 {
-		t.Errorf("a tenant far above its quota has a prediction of %g", w)
+	if prediction := node.balancer.tenants[1].quota.predicted; prediction != 0 {
+		t.Errorf("a tenant far above its quota has a prediction of %g", prediction)
 	}
-	if w := node.balancer.tenants[0].quota.predicted; w < 0 || w > 1 {
-		t.Errorf("prediction %g out of range", w)
+	if prediction := node.balancer.tenants[0].quota.predicted; prediction < 0 || prediction > 1 {
+		t.Errorf("prediction %g out of range", prediction)
 	}
 }
 
@@ -56,7 +56,7 @@
 	balancer := node.balancer
 	balancer.endpoints[0].limit = 18
 	balancer.capacity = 36
-	row := func() (slots [4]float64) {
+	slotsByEndpoint := func() (slots [4]float64) {
 		for i, endpoint := range balancer.endpoints {
 			slots[i] = endpoint.slots[0]
 		}
@@ -66,21 +66,21 @@
 		balancer.assignSlots(0, 24)
 	}
 	for i, want := range []float64{12, 4, 4, 4} {
-		if got := row()[i]; got < want-1 || got > want+1 {
-			t.Errorf("slots %v, want in line with the limits", row())
+		if got := slotsByEndpoint()[i]; got < want-1 || got > want+1 {
+			t.Errorf("slots %v, want in line with the limits", slotsByEndpoint())
 		}
 	}
-	before := row()
+	before := slotsByEndpoint()
 	balancer.endpoints[1].limit = 6.5 // less than a slot away: nothing changes
 	balancer.assignSlots(0, 24)
-	if row() != before {
-		t.Errorf("slots changed from %v to %v", before, row())
+	if slotsByEndpoint() != before {
+		t.Errorf("slots changed from %v to %v", before, slotsByEndpoint())
 	}
 	balancer.endpoints[1].limit = 9 // more than that: only its entry changes
 	balancer.assignSlots(0, 24)
-	for i, n := range row() {
-		if (n != before[i]) != (i == 1) {
-			t.Errorf("slots changed from %v to %v", before, row())
+	for i, count := range slotsByEndpoint() {
+		if (count != before[i]) != (i == 1) {
+			t.Errorf("slots changed from %v to %v", before, slotsByEndpoint())
 		}
 	}
 }
@@ -122,19 +122,19 @@
 // node.
 func TestTenantsWithinQuotaDivideSlotsInOverload(t *testing.T) {
 	balancer := startNode(t, configWithQuotas(0.5, 0.3, 0.2), testEndpoints(2)...).balancer
-	for _, over := range []bool{false, true} {
-		balancer.overloadMode, balancer.lastControlAt = over, balancer.now
+	for _, overloaded := range []bool{false, true} {
+		balancer.overloadMode, balancer.lastControlAt = overloaded, balancer.now
 		for i, demand := range []float64{0.9, 0.06, 0.04} {
 			balancer.tenants[i].quota.demand, balancer.tenants[i].quota.predicted = demand, 0 // Eq. 1 gives nothing: each had its quota
 		}
 		balancer.runControl()
 		want := []float64{balancer.capacity * minQuotaFraction / 3, balancer.capacity * 0.6, balancer.capacity * 0.4}
 		for i := range want {
-			if !over {
+			if !overloaded {
 				want[i] = want[0]
 			}
 			if got := balancer.tenants[i].quota.slots; got < want[i]-1e-9 || got > want[i]+1e-9 {
-				t.Errorf("overload %v: tenant %d has %g of %g slots, want %g", over, i, got, balancer.capacity, want[i])
+				t.Errorf("overload %v: tenant %d has %g of %g slots, want %g", overloaded, i, got, balancer.capacity, want[i])
 			}
 		}
 	}
