--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -5,9 +5,11 @@
 	"testing"
 )
 
+// TestEveryRequestHasFinalAnswerByDeadline guards against requests that stay open because no endpoint is listed, or
+// because no endpoint answers.
 func TestEveryRequestHasFinalAnswerByDeadline(t *testing.T) {
 	for class := range testConfig().Classes {
-		for _, endpointCount := range []int{0, 3} { // no endpoint at all, and endpoints that never answer
+		for _, endpointCount := range []int{0, 3} { // no endpoints, and endpoints that never answer
 			node := startNode(t, testConfig(), testEndpoints(endpointCount)...)
 			for id := RequestID(1); id <= 100; id++ {
 				node.request(id, class, 0)
@@ -15,15 +17,16 @@
 			node.advance(node.balancer.config.Classes[class].Deadline)
 			for id := RequestID(1); id <= 100; id++ {
 				if node.finalAnswers[id] == "" {
-					t.Fatalf("class %d, %d endpoints: request %d has no answer at its deadline", class, endpointCount, id)
+					t.Fatalf("class %d, %d endpoints: request %d has no final answer at its deadline", class, endpointCount, id)
 				}
 			}
 		}
 	}
 }
 
-// TestNothingFollowsFinalAnswer plays each order of outcome, timers, cancellation and a late outcome. The
-// fake node fails the test on a second final answer, or on an attempt after it.
+// TestNothingFollowsFinalAnswer guards against a second final answer to a request, and against an attempt after the
+// final answer. It delivers an outcome, the timers and a cancellation in different orders; the fake node fails the
+// test in both cases.
 func TestNothingFollowsFinalAnswer(t *testing.T) {
 	for _, outcome := range append([]Outcome{OutcomeOK}, failures...) {
 		for _, order := range []string{"outcome-cancel", "cancel-outcome", "timer-outcome", "outcome-timer", "outcome-outcome"} {
@@ -61,10 +64,9 @@
 	wantFinal(t, node, 1, "reject")
 }
 
-// TestUnsentRequestIsRejectedAtHalfItsTimeInOverload guards against rejections that come too late: in an
-// overload newer requests are sent first, yet older ones stayed queued until shortly before their
-// objective, so that their clients had no time left for a retry. The one endpoint of
-// the subset takes nothing.
+// TestUnsentRequestIsRejectedAtHalfItsTimeInOverload guards against rejections that are too late for a retry: in an
+// overload newer requests are sent first, but older ones stayed queued until shortly before their objective, so that
+// their clients had no time left. The only endpoint of the subset is draining, so no request can be sent.
 func TestUnsentRequestIsRejectedAtHalfItsTimeInOverload(t *testing.T) {
 	for _, overloaded := range []bool{false, true} {
 		node := startNode(t, testConfig())
@@ -75,7 +77,7 @@
 		node.balancer.HandleRequest(node.now, Request{ID: 1, Class: 0, Deadline: node.now + 220*ms}) // objective 200 ms, mean 50
 		node.advance(105 * ms)
 		wantFinal(t, node, 1, "")
-		node.advance(20 * ms) // within a queue interval
+		node.advance(20 * ms) // more than a queue interval past half of its time
 		wantFinal(t, node, 1, map[bool]string{false: "", true: "reject"}[overloaded])
 	}
 }
@@ -87,6 +89,7 @@
 	wantFinal(t, node, 1, "reject")
 }
 
+// TestStartedResponseHasNoDeadline guards against the end of a streamed response at the deadline of its request.
 func TestStartedResponseHasNoDeadline(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(3)...)
 	node.request(1, 0, 0)
@@ -95,51 +98,51 @@
 	wantFinal(t, node, 1, "")
 	node.complete(1, 0, OutcomeOK)
 	if len(node.balancer.requests) != 0 {
-		t.Error("the request is still kept")
+		t.Error("the request is still open after its last attempt has ended")
 	}
 }
 
-// TestRetryPastObjectiveIsRejectedFirst guards against work for retries whose objective has long passed: in
-// an overload they took half of the capacity.
+// TestRetryPastObjectiveIsRejectedFirst guards against attempts for retries whose objective has long passed: in an
+// overload they used half of the capacity.
 func TestRetryPastObjectiveIsRejectedFirst(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(3)...)
-	node.balancer.HandleRequest(node.now, Request{ID: 1, Deadline: node.now + 300*ms}) // the usual wait of these clients
+	node.balancer.HandleRequest(node.now, Request{ID: 1, Deadline: node.now + 300*ms}) // the usual timeout of these clients
 	node.balancer.overloadMode = true
 	node.balancer.HandleRequest(node.now, Request{ID: 2, Deadline: node.now + 300*ms})
-	// Of 500 ms 300 have passed, and the objective was 200.
+	// 300 of the 500 ms until the deadline have passed, and with them the objective of 200 ms.
 	node.balancer.HandleRequest(node.now, Request{ID: 3, Deadline: node.now + 200*ms})
 	if len(node.attempts[2]) != 1 {
-		t.Error("a first attempt was not sent")
+		t.Error("the first attempt of a new request was not sent in an overload")
 	}
 	wantFinal(t, node, 3, "reject")
 	node.balancer.overloadMode = false
 	node.balancer.HandleRequest(node.now, Request{ID: 4, Deadline: node.now + 200*ms})
 	if len(node.attempts[4]) != 1 {
-		t.Error("a retry was not sent although there is capacity")
+		t.Error("a retry past its objective was not sent without an overload")
 	}
-	node.balancer.overloadMode = true // in class 5 late answers have a value
+	node.balancer.overloadMode = true // answers after the objective have a value in class 5
 	node.balancer.HandleRequest(node.now, Request{ID: 5, Class: 5, Deadline: node.now + 300*ms})
 	node.balancer.HandleRequest(node.now, Request{ID: 6, Class: 5, Deadline: node.now + 200*ms})
 	if len(node.attempts[6]) != 1 {
-		t.Error("a retry that still has a value was not sent")
+		t.Error("a retry whose late answer has a value was not sent in an overload")
 	}
 }
 
-// TestLateMeanDoesNotRejectNewRequests has answers that are late on average: new requests are still sent,
-// as only their answers bring the mean down.
+// TestLateMeanDoesNotRejectNewRequests guards against a mean latency near the objective that makes the balancer
+// reject all new requests: only their answers could lower the mean again.
 func TestLateMeanDoesNotRejectNewRequests(t *testing.T) {
 	node := startNode(t, singleClassConfig(), testEndpoints(4)...)
 	node.balancer.classes[0].latency.mean = 190 * ms // of an objective of 200
 	node.request(1, 0, 0)
 	node.advance(50 * ms)
 	if len(node.attempts[1]) != 1 || node.finalAnswers[1] != "" {
-		t.Errorf("%d attempts, final answer %q", len(node.attempts[1]), node.finalAnswers[1])
+		t.Errorf("%d attempts, final answer %q; want 1 attempt and no answer", len(node.attempts[1]), node.finalAnswers[1])
 	}
 }
 
-// TestCoarseTickDoesNotEndRequestsEarly has a node whose tick is half of the objective: an end of the
-// node's own still comes shortly before the objective. Otherwise requests would end that are about to be
-// answered.
+// TestCoarseTickDoesNotEndRequestsEarly guards against a node that rejects requests which are about to be answered.
+// The tick of the node is half of the latency objective; it must still reject requests only shortly before the
+// objective.
 func TestCoarseTickDoesNotEndRequestsEarly(t *testing.T) {
 	cfg := singleClassConfig()
 	cfg.TickInterval = 5 * ms
@@ -154,7 +157,8 @@
 	wantFinal(t, node, 1, "reject")
 }
 
-// TestRequestsWithoutEndpointsAreRejectedEarly has a rejection well within half of a request's time.
+// TestRequestsWithoutEndpointsAreRejectedEarly guards against rejections that arrive after half of the client's time
+// if no request may be sent: because all endpoints are removed or draining, or because the list is stale.
 func TestRequestsWithoutEndpointsAreRejectedEarly(t *testing.T) {
 	draining := testEndpoints(4)
 	for i := range draining {
@@ -174,18 +178,18 @@
 		node.request(2, 0, 0)
 		node.advance(500 * ms)
 		if node.finalAnswers[1] != "" {
-			t.Errorf("%s: %s after a quarter of its time", name, node.finalAnswers[1])
+			t.Errorf("%s: final answer %q after a quarter of its time, want none yet", name, node.finalAnswers[1])
 		}
 		node.balancer.HandleCancellation(node.now, 2)
 		node.advance(400 * ms)
 		if node.finalAnswers[1] != "reject" || len(node.attempts[1]) > 0 {
-			t.Errorf("%s: %q, %d attempts after 0.9 s of 2 s", name, node.finalAnswers[1], len(node.attempts[1]))
+			t.Errorf("%s: final answer %q, %d attempts after 0.9 s of 2 s", name, node.finalAnswers[1], len(node.attempts[1]))
 		}
 		node.request(3, 0, 0)
 		node.advance(100 * ms)
 		node.balancer.HandleEndpoints(node.now, ListFull, testEndpoints(4))
 		if len(node.attempts[3]) != 1 {
-			t.Errorf("%s: not sent as endpoints are back", name)
+			t.Errorf("%s: a queued request was not sent when the endpoints returned", name)
 		}
 	}
 }
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// TestLogIsBounded guards against a log line for each of many failed calls to discovery.
 func TestLogIsBounded(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(2)...)
 	for range 500 {
@@ -12,11 +13,12 @@
 		node.balancer.HandleEndpoints(node.now, ListFull, testEndpoints(2))
 	}
 	if node.logLines == 0 || node.logLines > maxLogBurst {
-		t.Errorf("%d lines, want some and at most %d", node.logLines, maxLogBurst)
+		t.Errorf("%d log lines, want some and at most %d", node.logLines, maxLogBurst)
 	}
 }
 
-// runRequestScript plays a fixed series of requests and outcomes and returns the commands.
+// runRequestScript runs a fixed series of requests and outcomes on a new node, and in turn on others. It returns the
+// commands that the new node received.
 func runRequestScript(t *testing.T, others ...*fakeNode) []string {
 	t.Helper()
 	outcomes := []Outcome{
@@ -37,12 +39,14 @@
 	return node.log
 }
 
+// TestSameEventsGiveSameCommands guards against state that the balancers of a process share: the commands of a node
+// must not depend on other nodes.
 func TestSameEventsGiveSameCommands(t *testing.T) {
 	alone := runRequestScript(t)
 	small := startNode(t, testConfig(), testEndpoints(3)...)
 	large := startNode(t, configWithQuotas(0.2, 0.8), testEndpoints(7)...)
 	withOthers := runRequestScript(t, small, large)
 	if len(alone) < 2500 || strings.Join(alone, "\n") != strings.Join(withOthers, "\n") {
-		t.Errorf("%d actions alone, %d among others, or not the same", len(alone), len(withOthers))
+		t.Errorf("%d commands alone, %d next to other nodes; want the same commands, at least 2500", len(alone), len(withOthers))
 	}
 }
--- a/internal/balancer/config_test.go
+++ b/internal/balancer/config_test.go
@@ -17,23 +17,23 @@
 	}
 }
 
-// TestMinimalConfig has no tenants, no slow start, no limits, an objective past the deadline, and a tenant
-// that is not in the configuration.
+// TestMinimalConfig guards against defaults that leave a balancer unable to work. The configuration has no tenants, no
+// slow start, no limits and an objective after the deadline; the request names a tenant that is not configured.
 func TestMinimalConfig(t *testing.T) {
 	cfg := Config{Classes: []Class{{LatencyObjective: 900 * ms, Deadline: 100 * ms}}}
 	node := startNode(t, cfg, testEndpoints(1)...)
 	node.balancer.HandleRequest(node.now, Request{ID: 1, Tenant: 9, Deadline: node.now + 100*ms})
 	if len(node.attempts[1]) != 1 {
-		t.Error("not sent")
+		t.Error("the request was not sent")
 	}
 	node.advance(100 * ms)
 	if node.finalAnswers[1] == "" {
-		t.Error("not answered")
+		t.Error("no final answer at the deadline")
 	}
 }
 
-// TestOpenRequestsKeepRulesAcrossReconfigure guards against an open request that may have run and is
-// retried by its class's new rules, or whose attempts are counted by the new maximum.
+// TestOpenRequestsKeepRulesAcrossReconfigure guards against an open request that may have been executed and is retried
+// according to the new rules of its class, or that is limited by the new maximum of attempts.
 func TestOpenRequestsKeepRulesAcrossReconfigure(t *testing.T) {
 	cfg := testConfig()
 	node := startNode(t, cfg, testEndpoints(6)...)
@@ -51,23 +51,23 @@
 	node.complete(2, 0, OutcomeReset)
 	node.advance(ms)
 	if len(node.attempts[2]) != 2 {
-		t.Errorf("%d attempts by the rules under which it came, want a second", len(node.attempts[2]))
+		t.Errorf("%d attempts under the previous rules, want a second one", len(node.attempts[2]))
 	}
-	node.request(3, 6, 0) // its class may be retried now, but has only one attempt
+	node.request(3, 6, 0) // its class may now be retried, but the new maximum is one attempt
 	node.complete(3, 0, OutcomeReset)
 	wantFinal(t, node, 3, "reject")
 	if node.balancer.classes[0].latency.mean != learned {
-		t.Errorf("the mean latency of a class that stayed went from %v to %v", learned, node.balancer.classes[0].latency.mean)
+		t.Errorf("the mean latency of a class that continues changed from %v to %v", learned, node.balancer.classes[0].latency.mean)
 	}
 	next.Classes[0].Deadline = 0
 	err := node.balancer.Reconfigure(node.now, next, []int{0, 1, 2, 3, 4, 5, 6}, []int{0})
 	if deadline := node.balancer.config.Classes[0].Deadline; err == nil || deadline == 0 {
-		t.Errorf("invalid configuration: %v, deadline %d", err, deadline)
+		t.Errorf("invalid configuration: error %v, deadline %d; want an error and the previous deadline", err, deadline)
 	}
 }
 
-// TestQueuedRequestsSurviveTenantChanges guards against a new tenant without counts at the known endpoints,
-// and against a removed one that takes queued requests along.
+// TestQueuedRequestsSurviveTenantChanges guards against a new tenant that has no counts at the known endpoints, and
+// against a removed tenant whose queued requests are lost.
 func TestQueuedRequestsSurviveTenantChanges(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{QuotaFraction: 0.5}, {QuotaFraction: 0.5}}
@@ -77,7 +77,7 @@
 	}
 	queued := len(node.balancer.tenants[1].queue)
 	if queued == 0 {
-		t.Fatal("nothing is queued")
+		t.Fatal("no request is queued")
 	}
 	cfg.Tenants = []Tenant{{QuotaFraction: 0.5}, {}, {QuotaFraction: 0.5}}
 	if err := node.balancer.Reconfigure(node.now, cfg, []int{0, 1, 2, 3, 4, 5}, []int{0, 1, -1}); err != nil {
@@ -89,19 +89,19 @@
 	node.advance(2000 * ms)
 	for id := RequestID(1); id <= 70; id++ {
 		if node.finalAnswers[id] == "" && len(node.attempts[id]) == 0 {
-			t.Errorf("request %d, queued as the tenants changed, has no answer and no attempt", id)
+			t.Errorf("request %d, queued when the tenants changed, has no final answer and no attempt", id)
 		}
 	}
 }
 
-// wantSlots is the first tenant's part of its slots on an endpoint, in line with the limits.
+// wantSlots returns the slots that the first tenant should have on an endpoint, in proportion to the limits.
 func wantSlots(balancer *Balancer, endpoint *endpointState) float64 {
 	limit := balancer.effectiveLimit(endpoint)
 	return balancer.tenants[0].quota.slots * limit / max(balancer.capacity, limit)
 }
 
-// TestNewTenantInheritsNothing has a tenant that gets the number of a removed one: it must inherit neither
-// slots nor utilization nor demand.
+// TestNewTenantInheritsNothing guards against a new tenant that inherits the slots, the utilization or the demand of a
+// removed tenant whose index it has received.
 func TestNewTenantInheritsNothing(t *testing.T) {
 	cfg := configWithQuotas(0.9, 0.1)
 	node := startNode(t, cfg, testEndpoints(3)...)
@@ -115,7 +115,7 @@
 	}
 	node.advance(5000 * ms)
 	if node.balancer.endpoints[0].slots[0] == 0 || node.balancer.tenants[0].quota.utilization[0] == 0 {
-		t.Fatal("nothing was learned")
+		t.Fatal("no slots or utilization were learned before the change")
 	}
 	inFlightBefore := node.balancer.endpoints[0].inFlightByTenant[0]
 	next := configWithQuotas(0.5, 0.5)
@@ -123,19 +123,20 @@
 		t.Fatal(err)
 	}
 	if used := node.balancer.tenants[0].quota.utilization; used != [2]float64{} {
-		t.Errorf("the new tenant has used %v", used)
+		t.Errorf("the new tenant has inherited the utilization %v", used)
 	}
 	for _, endpoint := range node.balancer.endpoints {
-		want := 0.0 // as for an unknown tenant
+		want := 0.0 // as for an endpoint that is not available
 		if node.balancer.available(endpoint) {
 			want = wantSlots(node.balancer, endpoint)
 		}
 		if math.Abs(endpoint.slots[0]-want) > 1e-9 || endpoint.inFlightByTenant[0] != 0 || endpoint.inFlightByTenant[1] != inFlightBefore {
-			t.Errorf("endpoint %d: slots %v, want %v for the new tenant; in flight %v",
+			t.Errorf("endpoint %d: slots %v, want %v for the new tenant; in flight by tenant %v",
 				endpoint.ID, endpoint.slots, want, endpoint.inFlightByTenant)
 		}
 	}
-	// An entry of the slot matrix changes only if it is far from its value: one near it would stay.
+	// assignSlots does not change an entry of the slot matrix that is close to its new value, so an inherited entry
+	// would stay.
 	endpoint := node.balancer.endpoints[0]
 	for range 2 { // the second time the quotas are the same
 		endpoint.slots[0] *= 1.2
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -20,7 +20,7 @@
 			node.request(id, 0, 0)
 			for _, endpoint := range node.attempts[id] {
 				if endpoint == 1 {
-					t.Fatalf("%s: endpoint 1 got a request", change)
+					t.Fatalf("%s: endpoint 1 received a request", change)
 				}
 			}
 			node.advance(10 * ms)
@@ -28,7 +28,7 @@
 				node.complete(id, 0, OutcomeOK)
 			}
 		}
-		list[0].Phase, list[0].StartedAt = PhaseReady, 5 // it returns, started long ago
+		list[0].Phase, list[0].StartedAt = PhaseReady, 5 // the endpoint returns as a process that was started long ago
 		node.balancer.HandleEndpoints(node.now, ListDelta, list[:1])
 		back := false
 		for id := RequestID(101); id <= 160; id++ {
@@ -42,7 +42,7 @@
 			}
 		}
 		if !back {
-			t.Errorf("%s: the endpoint returned and got nothing", change)
+			t.Errorf("%s: the endpoint received no requests after it had returned", change)
 		}
 	}
 }
@@ -56,28 +56,29 @@
 	}
 }
 
-// TestFirstListAssignsSlotsAtOnce guards against a first control period in which nothing is sent.
+// TestFirstListAssignsSlotsAtOnce guards against slots that are assigned only at the end of the first control period,
+// until which no request would be sent.
 func TestFirstListAssignsSlotsAtOnce(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(3)...)
 	node.request(1, 0, 0)
 	if len(node.attempts[1]) != 1 {
-		t.Error("not sent right after the first list")
+		t.Error("a request after the first list was not sent at once")
 	}
 }
 
-// TestFirstListGivesInitialLimits guards against endpoints of the first list that take the mean of limits
-// which are not set yet: all but one stayed unused.
+// TestFirstListGivesInitialLimits guards against endpoints of the first list whose limits are derived from the mean of
+// limits that are not set yet: all endpoints but one were not used.
 func TestFirstListGivesInitialLimits(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(5)...)
 	for _, endpoint := range node.balancer.endpoints {
 		if endpoint.limit != initialLimit {
-			t.Errorf("endpoint %d starts at %g", endpoint.ID, endpoint.limit)
+			t.Errorf("endpoint %d has the initial limit %g", endpoint.ID, endpoint.limit)
 		}
 	}
 }
 
-// TestReplacedEndpointsLeaveNoState guards against state that grows: a long day replaces every endpoint
-// many times over. The balancer keeps what is there now, and goes on logging.
+// TestReplacedEndpointsLeaveNoState guards against state that grows without bound if every endpoint is replaced many
+// times, as over a long day, and against a log limit that is never lifted.
 func TestReplacedEndpointsLeaveNoState(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(4)...)
 	id := RequestID(0)
@@ -94,10 +95,10 @@
 	}
 	b := node.balancer
 	if len(b.endpoints) != 4 || len(b.endpointsByID) != 4 || len(b.requests) != 0 || len(b.subset) > 4 {
-		t.Errorf("%d endpoints, %d by id, %d in use, %d requests",
+		t.Errorf("%d endpoints, %d by id, %d in the subset, %d open requests; want 4, 4, at most 4 and 0",
 			len(b.endpoints), len(b.endpointsByID), len(b.subset), len(b.requests))
 	}
 	if node.logLines < 250 {
-		t.Errorf("%d of 300 lines", node.logLines)
+		t.Errorf("%d of 300 lines were logged, want at least 250", node.logLines)
 	}
 }
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -6,8 +6,8 @@
 	"tulipglade/internal/balancer"
 )
 
-// proxy stands for a node: it carries out what the module decides. A real one opens connections and keeps
-// timers; each method only has to start the work and come back.
+// proxy is a minimal node that implements balancer.Commands. A real node opens connections and sets timers; each
+// method must start its work and return without waiting for the result.
 type proxy struct{}
 
 func (proxy) SendAttempt(id balancer.RequestID, endpoint balancer.EndpointID, _ balancer.Span) {
--- a/internal/balancer/fakenode_test.go
+++ b/internal/balancer/fakenode_test.go
@@ -5,24 +5,25 @@
 	"testing"
 )
 
-// fakeNode is a node without sockets: it records the commands of its balancer, and time moves only when a
-// test advances it.
+// fakeNode is a node without sockets. It records the commands of its balancer, and its clock moves only when a test
+// advances it.
 type fakeNode struct {
 	test         *testing.T
 	balancer     *Balancer
 	now          Time
 	log          []string // every command, in order
 	attempts     map[RequestID][]EndpointID
-	finalAnswers map[RequestID]string
+	finalAnswers map[RequestID]string // "reject", "fail", "served" or "canceled"
 	timers       []fakeTimer
 	logLines     int
 	watchCalls   int
 	healthChecks []EndpointID
 
-	attemptSeen  map[RequestID]bool
+	attemptSeen  map[RequestID]bool // requests whose attempt saturate has counted
 	firstWatchAt Time
 }
 
+// fakeTimer is a timer that the balancer has set.
 type fakeTimer struct {
 	expiresAt Time
 	id        TimerID
@@ -34,7 +35,7 @@
 
 func (f *fakeNode) SendAttempt(id RequestID, endpoint EndpointID, _ Span) {
 	if f.finalAnswers[id] != "" {
-		f.test.Errorf("attempt for %d after its final answer", id)
+		f.test.Errorf("attempt for request %d after its final answer", id)
 	}
 	f.attempts[id] = append(f.attempts[id], endpoint)
 	f.record("attempt %d %d", id, endpoint)
@@ -44,7 +45,7 @@
 
 func (f *fakeNode) recordFinalAnswer(id RequestID, answer string) {
 	if f.finalAnswers[id] != "" {
-		f.test.Errorf("second final answer for %d", id)
+		f.test.Errorf("second final answer for request %d", id)
 	}
 	f.finalAnswers[id] = answer
 	f.record("%s %d", answer, id)
@@ -72,7 +73,7 @@
 
 func (f *fakeNode) Log(text string) { f.logLines++; f.record("log %s", text) }
 
-// advance moves time on by a duration and fires the timers of that time in order.
+// advance moves the clock forward by a duration and fires the timers that expire meanwhile in order.
 func (f *fakeNode) advance(duration Span) {
 	until := f.now + duration
 	for {
@@ -93,11 +94,13 @@
 	f.now = until
 }
 
+// request delivers a new request with the deadline of its class.
 func (f *fakeNode) request(id RequestID, class, tenant int) {
 	deadline := f.now + f.balancer.config.Classes[class].Deadline
 	f.balancer.HandleRequest(f.now, Request{ID: id, Class: class, Tenant: tenant, Deadline: deadline})
 }
 
+// complete delivers the result of an attempt. An attempt with OutcomeOK is the final answer of its request.
 func (f *fakeNode) complete(id RequestID, attempt int, outcome Outcome) {
 	f.balancer.HandleAttemptResult(f.now, AttemptResult{
 		ID:          id,
@@ -114,7 +117,7 @@
 
 const ms = 1000
 
-// keyedClass is a class of requests with idempotency keys.
+// keyedClass returns a class of requests with idempotency keys of a scope.
 func keyedClass(scope KeyScope) Class {
 	return Class{
 		LatencyObjective:  400 * ms,
@@ -125,7 +128,8 @@
 	}
 }
 
-// testConfig has a class for each kind of idempotency.
+// testConfig returns a configuration with a class for each idempotency and key scope, and one class in which late
+// answers have a value.
 func testConfig() Config {
 	return Config{PeerCount: 1, MaxAttempts: 4, AllowCancel: true, TickInterval: ms, PollInterval: 10000 * ms,
 		Classes: []Class{
@@ -139,11 +143,13 @@
 		SlowStartInitial: 0.1, SlowStartDuration: 20000 * ms, OverloadFactor: 3, OverloadWindow: 2000 * ms}
 }
 
+// startNode starts a node whose endpoint list is cached, so that it sends requests without an answer of discovery.
 func startNode(t *testing.T, cfg Config, endpoints ...Endpoint) *fakeNode {
 	t.Helper()
 	return startNodeWithSeed(t, 7, cfg, endpoints...)
 }
 
+// startNodeWithSeed is startNode with a seed for the random decisions.
 func startNodeWithSeed(t *testing.T, seed uint64, cfg Config, endpoints ...Endpoint) *fakeNode {
 	t.Helper()
 	node := &fakeNode{
@@ -163,6 +169,7 @@
 	return node
 }
 
+// testEndpoints returns n ready endpoints, spread over two zones and three cells.
 func testEndpoints(n int) []Endpoint {
 	var list []Endpoint
 	for i := range n {
@@ -171,6 +178,7 @@
 	return list
 }
 
+// wantFinal checks the final answer of a request; an empty want stands for none.
 func wantFinal(t *testing.T, node *fakeNode, id RequestID, want string) {
 	t.Helper()
 	if node.finalAnswers[id] != want {
--- a/internal/balancer/inflight_test.go
+++ b/internal/balancer/inflight_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// TestInFlightMeterStartsAtItsSlots guards against a node that starts with a mean of 0 and so with saved-up capacity.
 func TestInFlightMeterStartsAtItsSlots(t *testing.T) {
 	meter := inFlightMeter{}
 	if mean := meter.update(1000*ms, 1, 5, 100*ms); mean != 5 || meter.count != 1 {
--- a/internal/balancer/learned_test.go
+++ b/internal/balancer/learned_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestLearnedStateMovesToNextProcess guards against a process that starts with nothing learned, against two
-// processes that both spend the whole slow-start budget, and against values that make no sense.
+// TestLearnedStateMovesToNextProcess guards against a successor that starts without the learned state, against two
+// processes that each spend the whole slow-start budget, and against invalid values in the learned state.
 func TestLearnedStateMovesToNextProcess(t *testing.T) {
 	cfg := testConfig()
 	list := testEndpoints(4)
@@ -21,14 +21,14 @@
 	before := node.balancer.endpointsByID[4].slowStart.count
 	learned := node.balancer.ExportState(node.now)
 	if now := node.balancer.endpointsByID[4].slowStart.count; now != before/2 || learned.Endpoints[4].SlowStartTokens != before/2 {
-		t.Errorf("of %v tokens one process has %v and the other %v", before, now, learned.Endpoints[4].SlowStartTokens)
+		t.Errorf("of %v tokens, the process kept %v and exported %v; want half each", before, now, learned.Endpoints[4].SlowStartTokens)
 	}
 	next := startNodeWithSeed(t, 8, cfg, list...)
 	next.balancer.ImportState(next.now, learned)
 	endpoint, mean, rate := next.balancer.endpointsByID[1], next.balancer.classes[0].latency.mean, next.balancer.answerRate
 	sameRates := mean == node.balancer.classes[0].latency.mean && rate == node.balancer.answerRate
 	if endpoint.outlier.errorRate != 0.3 || endpoint.limit != 17 || !sameRates {
-		t.Errorf("error rate %v, limit %v, mean %v, answer rate %v",
+		t.Errorf("imported error rate %v, limit %v, mean latency %v, answer rate %v",
 			endpoint.outlier.errorRate, endpoint.limit, mean, rate)
 	}
 	alone := startNodeWithSeed(t, 9, cfg, list...)
@@ -43,7 +43,7 @@
 	earnedAlone := alone.balancer.endpointsByID[4].slowStart.count - before/2
 	earnedAsOneOfTwo := next.balancer.endpointsByID[4].slowStart.count - before/2
 	if earnedAlone <= 0 || math.Abs(earnedAsOneOfTwo/earnedAlone-0.5) > 0.01 {
-		t.Errorf("one process has earned %v, one of two %v", earnedAlone, earnedAsOneOfTwo)
+		t.Errorf("a single process has earned %v tokens, one of two processes %v; want half of that", earnedAlone, earnedAsOneOfTwo)
 	}
 	invalid := learned
 	invalid.Endpoints = map[uint64]LearnedEndpoint{1: {Limit: math.NaN(), ErrorRate: 7}, 2: {Limit: -1}, 9: {Limit: 5}}
@@ -53,6 +53,6 @@
 	importer.balancer.ImportState(importer.now, invalid)
 	first, second := importer.balancer.endpointsByID[1].limit, importer.balancer.endpointsByID[2].limit
 	if first != limit || second <= 0 || importer.balancer.answerRate != 0 {
-		t.Errorf("limits %v and %v, rate %v", first, second, importer.balancer.answerRate)
+		t.Errorf("invalid values were imported: limits %v and %v, answer rate %v", first, second, importer.balancer.answerRate)
 	}
 }
--- a/internal/balancer/listlease_test.go
+++ b/internal/balancer/listlease_test.go
@@ -6,20 +6,21 @@
 	"tulipglade/internal/safety"
 )
 
-// leasedConfig has nothing sent by a list of unknown age.
+// leasedConfig returns a configuration in which no request is sent by an endpoint list of unknown age.
 func leasedConfig() Config {
 	cfg := testConfig()
 	cfg.ListLease, cfg.PollDiscovery = NotificationDeadline, true
 	return cfg
 }
 
-// TestNothingIsSentByListOfUnknownAge has nodes that know nothing of the list but that it was current once. A request waits for
-// evidence, and is sent as that comes: an answer, or calls that have failed for so long that discovery is down.
+// TestNothingIsSentByListOfUnknownAge guards against requests that are sent by a list of which the node only knows that
+// it was current at some time. A request waits for evidence, and is then sent: an answer of discovery, or calls that
+// have been failing for so long that discovery counts as down.
 func TestNothingIsSentByListOfUnknownAge(t *testing.T) {
 	const outage = 5000 * ms
 	for name, test := range map[string]struct {
 		evidence ListKind
-		delay    Span // from the evidence until something is sent; 0: at once
+		delay    Span // from the first evidence until the request is sent; 0: at once
 	}{
 		"an answer":      {ListDelta, 0},
 		"a failed call":  {ListFailed, outage},
@@ -33,26 +34,26 @@
 		node.request(1, 0, 0)
 		node.advance(20 * ms)
 		if len(node.attempts[1]) > 0 {
-			t.Errorf("%s: sent without evidence", name)
+			t.Errorf("%s: the request was sent without evidence", name)
 		}
 		node.balancer.HandleEndpointsAsOf(node.now, node.now, test.evidence, nil)
 		if test.delay > 0 {
 			node.advance(test.delay - 30*ms)
 			if len(node.attempts[1]) > 0 {
-				t.Errorf("%s: sent too soon", name)
+				t.Errorf("%s: the request was sent too early", name)
 			}
 			node.advance(30 * ms)
 			node.balancer.HandleEndpointsAsOf(node.now, node.now, test.evidence, nil)
 		}
 		if sent := len(node.attempts[1]) == 1; sent != (test.evidence != ListInvalid) {
-			t.Errorf("%s: sent %v after it", name, sent)
+			t.Errorf("%s: sent after the evidence: %v", name, sent)
 		}
 	}
 }
 
-// TestListLeaseEndsAndIsRenewed lets requests be sent for the notification deadline from the time as of
-// which an answer held. A list of the configuration's gives no lease, and neither does a watch that has
-// timed out.
+// TestListLeaseEndsAndIsRenewed guards against requests that are sent after the lease has expired: the notification
+// deadline after the time as of which discovery's answer was current. Neither a list from the configuration nor a watch
+// that has timed out may extend the lease.
 func TestListLeaseEndsAndIsRenewed(t *testing.T) {
 	node := startNode(t, leasedConfig(), testEndpoints(4)...)
 	receivedAt := node.now
@@ -64,38 +65,38 @@
 	}
 	node.advance(NotificationDeadline - 10*ms)
 	if !sent(1) {
-		t.Error("not sent while the lease holds")
+		t.Error("a request was not sent during the lease")
 	}
 	node.balancer.HandleEndpointsAsOf(node.now, node.now, ListTimeout, nil)
 	node.balancer.HandleEndpointsAsOf(node.now, node.now, ListCached, testEndpoints(4))
 	if node.advance(receivedAt + NotificationDeadline - node.now); sent(2) {
-		t.Error("sent after the end of the lease")
+		t.Error("a request was sent after the lease had expired")
 	}
 	if current, until := node.balancer.ListCurrent(node.now); current || until != receivedAt+NotificationDeadline {
-		t.Errorf("current %v, until %d", current, until)
+		t.Errorf("list current: %v, until %d; want a lease that ended with the notification deadline", current, until)
 	}
 	if node.balancer.HandleEndpointsAsOf(node.now, node.now, ListFailed, nil); sent(3) {
-		t.Error("sent after one call that has failed")
+		t.Error("a request was sent after a single failed call")
 	}
 	node.advance(2000 * ms)
 	if node.balancer.HandleEndpointsAsOf(node.now, node.now, ListFailed, nil); !sent(4) {
-		t.Error("not sent although discovery is down")
+		t.Error("a request was not sent although discovery counts as down")
 	}
 	node.balancer.HandleDiscoveryMoved(node.now, 100*ms)
 	if node.advance(100 * ms); sent(5) {
-		t.Error("sent by evidence from discovery's old address")
+		t.Error("a request was sent by evidence from the old address of discovery")
 	}
 }
 
-// TestAttemptDoesNotStartByStaleList has an attempt that has waited for its connection while the list has
-// become stale.
+// TestAttemptDoesNotStartByStaleList guards against an attempt that starts by a stale list, because the list has become
+// stale while the attempt was waiting for its connection.
 func TestAttemptDoesNotStartByStaleList(t *testing.T) {
 	cfg := leasedConfig()
 	cfg.Classes[0].LatencyObjective, cfg.Classes[0].Deadline = 2*NotificationDeadline, 2*NotificationDeadline
 	node := startNode(t, cfg, testEndpoints(4)...)
 	node.balancer.HandleEndpointsAsOf(node.now, node.now, ListDelta, nil)
 	if node.request(1, 0, 0); len(node.attempts[1]) != 1 {
-		t.Fatal("not sent")
+		t.Fatal("the request was not sent")
 	}
 	if reason := node.balancer.MayStartAttempt(node.now, 1, 0); reason != safety.Allowed {
 		t.Error(reason)
@@ -105,9 +106,9 @@
 	}
 }
 
-// TestCallsComeBeforeListIsStale has hundreds of nodes that start together and send nothing before the
-// answer: they call within half a second, and again within 3 s after a rejected call. Otherwise the list is
-// stale before they are notified.
+// TestCallsComeBeforeListIsStale guards against calls to discovery that are so late that the list is stale before the
+// nodes are notified. Hundreds of nodes start together and send no requests before discovery answers: they must call
+// within half a second, and again within 3 s after a rejected call.
 func TestCallsComeBeforeListIsStale(t *testing.T) {
 	cfg := leasedConfig()
 	cfg.PeerCount = 300
@@ -121,13 +122,13 @@
 		node.balancer.HandleEndpointsAsOf(node.now, node.now, ListOverloaded, nil)
 		node.watchCalls = 0
 		if node.advance(NotificationDeadline/2 + 10*ms); node.watchCalls == 0 {
-			t.Fatalf("seed %d: no call %d us after an overloaded call", seed, NotificationDeadline/2)
+			t.Fatalf("seed %d: no call within %d us after discovery was overloaded", seed, NotificationDeadline/2)
 		}
 	}
 }
 
-// TestListLeaseIsHandedOver has another process continue what is left of the lease on the list, less the
-// time that the handoff may have taken.
+// TestListLeaseIsHandedOver guards against a successor whose lease on the list is longer than that of its predecessor:
+// it continues the remaining lease, shortened by the time that the handoff may have taken.
 func TestListLeaseIsHandedOver(t *testing.T) {
 	node := startNode(t, leasedConfig(), testEndpoints(4)...)
 	node.balancer.HandleEndpointsAsOf(node.now, node.now, ListDelta, nil)
@@ -137,12 +138,12 @@
 	next.advance(node.now - next.now)
 	next.balancer.ImportState(next.now, node.balancer.ExportState(node.now))
 	if _, until := next.balancer.ListCurrent(next.now); until != receivedAt+NotificationDeadline-maxHandoffDuration {
-		t.Errorf("until %d us after it was received", until-receivedAt)
+		t.Errorf("the lease ends %d us after the list was received, want that of the predecessor less the handoff", until-receivedAt)
 	}
 	late := startNode(t, leasedConfig(), testEndpoints(4)...)
 	for _, left := range []Span{0, -1, maxHandoffDuration, NotificationDeadline + 1} {
 		if late.balancer.ImportState(late.now, LearnedState{ListLeaseRemaining: left}); late.balancer.listLease.Valid(late.now) {
-			t.Errorf("%d us left give a lease", left)
+			t.Errorf("%d us of remaining lease were accepted", left)
 		}
 	}
 }
--- a/internal/balancer/overload_test.go
+++ b/internal/balancer/overload_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestQueuedRequestsMeanOverload guards against a mode that stays underload, by reports of idle endpoints,
-// while most requests are rejected.
+// TestQueuedRequestsMeanOverload guards against a mode that stays underload while most requests are rejected, because
+// the endpoints report a low utilization.
 func TestQueuedRequestsMeanOverload(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(2)...)
 	for _, endpoint := range node.balancer.endpoints {
@@ -14,18 +14,18 @@
 	}
 	node.balancer.runControl()
 	if !node.balancer.overloadDetected() {
-		t.Error("requests are queued, and no overload was detected")
+		t.Error("requests are queued, but no overload was detected")
 	}
 	node = startNode(t, testConfig(), testEndpoints(2)...)
 	for _, endpoint := range node.balancer.endpoints {
 		node.balancer.recordReport(endpoint, &LoadReport{Outstanding: -1, Backlog: -1, Utilization: 0.97})
 	}
 	if !node.balancer.overloadDetected() {
-		t.Error("high utilization was reported, and no overload was detected")
+		t.Error("a high utilization was reported, but no overload was detected")
 	}
 	node.now += 10 * node.balancer.controlPeriod
 	node.balancer.now = node.now
 	if node.balancer.overloadDetected() {
-		t.Error("reports that have not changed for long still count")
+		t.Error("an overload was detected from reports that have not changed for a long time")
 	}
 }
--- a/internal/balancer/quota_test.go
+++ b/internal/balancer/quota_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// configWithQuotas returns testConfig with a tenant for each quota.
 func configWithQuotas(fractions ...float64) Config {
 	cfg := testConfig()
 	for _, fraction := range fractions {
@@ -10,6 +11,7 @@
 	return cfg
 }
 
+// TestQuotaEquations compares the predicted quotas and the utilization with results of the paper's equations.
 func TestQuotaEquations(t *testing.T) {
 	node := startNode(t, configWithQuotas(0.5, 0.5), testEndpoints(2)...)
 	balancer := node.balancer
@@ -44,13 +46,15 @@
 	node.balancer.tenants[1].quota.slotTime = 10 * float64(node.balancer.controlPeriod)
 	node.balancer.endPeriod(float64(node.balancer.controlPeriod), 2)
 	if prediction := node.balancer.tenants[1].quota.predicted; prediction != 0 {
-		t.Errorf("a tenant far above its quota has a prediction of %g", prediction)
+		t.Errorf("a tenant far above its quota has the predicted quota %g, want 0", prediction)
 	}
 	if prediction := node.balancer.tenants[0].quota.predicted; prediction < 0 || prediction > 1 {
-		t.Errorf("prediction %g out of range", prediction)
+		t.Errorf("predicted quota %g, want 0 to 1", prediction)
 	}
 }
 
+// TestSlotsFollowLimitsWithLeastChange guards against slots that do not follow the limits of the endpoints, and against
+// slots that change with every small change of a limit.
 func TestSlotsFollowLimitsWithLeastChange(t *testing.T) {
 	node := startNode(t, testConfig(), testEndpoints(4)...)
 	balancer := node.balancer
@@ -67,16 +71,16 @@
 	}
 	for i, want := range []float64{12, 4, 4, 4} {
 		if got := slotsByEndpoint()[i]; got < want-1 || got > want+1 {
-			t.Errorf("slots %v, want in line with the limits", slotsByEndpoint())
+			t.Errorf("slots %v, want them in proportion to the limits", slotsByEndpoint())
 		}
 	}
 	before := slotsByEndpoint()
-	balancer.endpoints[1].limit = 6.5 // less than a slot away: nothing changes
+	balancer.endpoints[1].limit = 6.5 // changes the slots by less than one: they stay
 	balancer.assignSlots(0, 24)
 	if slotsByEndpoint() != before {
 		t.Errorf("slots changed from %v to %v", before, slotsByEndpoint())
 	}
-	balancer.endpoints[1].limit = 9 // more than that: only its entry changes
+	balancer.endpoints[1].limit = 9 // changes them by more: only this endpoint's entry changes
 	balancer.assignSlots(0, 24)
 	for i, count := range slotsByEndpoint() {
 		if (count != before[i]) != (i == 1) {
@@ -85,6 +89,8 @@
 	}
 }
 
+// TestTenantOverQuotaWaitsFirst guards against a freed slot that goes to the tenant that already uses more than its
+// quota.
 func TestTenantOverQuotaWaitsFirst(t *testing.T) {
 	for seed := range 30 {
 		node := startNode(t, configWithQuotas(0.5, 0.5), testEndpoints(2)...)
@@ -98,7 +104,7 @@
 		}
 		node.request(100, 0, 1)
 		if len(node.attempts[100]) != 0 {
-			t.Fatal("no slot should have been free")
+			t.Fatal("a request of the second tenant was sent although no slot was free")
 		}
 		node.complete(first, 0, OutcomeOK)
 		if len(node.attempts[100]) != 1 {
@@ -107,25 +113,25 @@
 	}
 }
 
+// TestIdleSlotsAreLent guards against a tenant that is limited to its own slots while those of others are idle.
 func TestIdleSlotsAreLent(t *testing.T) {
 	node := startNode(t, configWithQuotas(0.1, 0.9), testEndpoints(2)...)
 	for id := RequestID(1); id <= 12; id++ {
 		node.request(id, 0, 0)
 	}
 	if float64(node.balancer.tenants[0].inFlight.count) <= node.balancer.tenants[0].quota.slots {
-		t.Errorf("%d in flight, %g slots: nothing lent", node.balancer.tenants[0].inFlight.count, node.balancer.tenants[0].quota.slots)
+		t.Errorf("%d requests in flight, %g own slots: no slots were lent", node.balancer.tenants[0].inFlight.count, node.balancer.tenants[0].quota.slots)
 	}
 }
 
-// TestTenantsWithinQuotaDivideSlotsInOverload guards against tenants within their quota that wait for
-// capacity which the tenant above its quota always takes first, as happened with a fraction of a slot per
-// node.
+// TestTenantsWithinQuotaDivideSlotsInOverload guards against tenants within their quota that wait because the tenant
+// above its quota always takes the free capacity first. This happened when a tenant had a fraction of a slot per node.
 func TestTenantsWithinQuotaDivideSlotsInOverload(t *testing.T) {
 	balancer := startNode(t, configWithQuotas(0.5, 0.3, 0.2), testEndpoints(2)...).balancer
 	for _, overloaded := range []bool{false, true} {
 		balancer.overloadMode, balancer.lastControlAt = overloaded, balancer.now
 		for i, demand := range []float64{0.9, 0.06, 0.04} {
-			balancer.tenants[i].quota.demand, balancer.tenants[i].quota.predicted = demand, 0 // Eq. 1 gives nothing: each had its quota
+			balancer.tenants[i].quota.demand, balancer.tenants[i].quota.predicted = demand, 0 // Eq. 1 predicts 0, as each had its quota
 		}
 		balancer.runControl()
 		want := []float64{balancer.capacity * minQuotaFraction / 3, balancer.capacity * 0.6, balancer.capacity * 0.4}
