--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -44,9 +44,9 @@
 
 // setDefaults replaces invalid values with defaults. It returns an error if the deadline is missing, for
 // which there is no default.
-func (c *Class) setDefaults(number int) error {
+func (c *Class) setDefaults(index int) error {
 	if c.Deadline <= 0 {
-		return &MissingDeadlineError{Class: number}
+		return &MissingDeadlineError{Class: index}
 	}
 	if !(c.PriorityWeight > 0) {
 		c.PriorityWeight = 1
@@ -120,13 +120,13 @@
 }
 
 // continueClasses copies the learned state of the classes that continue one of the previous Balancer.
-func (b *Balancer) continueClasses(previous *Balancer, numbers []int) {
-	for i, number := range numbers {
-		if number < 0 {
+func (b *Balancer) continueClasses(previous *Balancer, previousIndexes []int) {
+	for i, previousIndex := range previousIndexes {
+		if previousIndex < 0 {
 			continue
 		}
-		learned := previous.classes[number]
-		if b.config.Classes[i].Deadline != previous.config.Classes[number].Deadline {
+		learned := previous.classes[previousIndex]
+		if b.config.Classes[i].Deadline != previous.config.Classes[previousIndex].Deadline {
 			learned.waits = b.classes[i].waits // its buckets are fractions of the deadline, which has changed
 		}
 		b.classes[i] = learned
@@ -135,24 +135,24 @@
 
 // continueTenants copies the state of the tenants that continue one of the previous Balancer, except for
 // their quotas, which the new configuration sets.
-func (b *Balancer) continueTenants(previous *Balancer, numbers []int) {
-	for i, number := range numbers {
-		if number < 0 {
+func (b *Balancer) continueTenants(previous *Balancer, previousIndexes []int) {
+	for i, previousIndex := range previousIndexes {
+		if previousIndex < 0 {
 			continue
 		}
 		fraction := b.tenants[i].quota.fraction
-		b.tenants[i] = previous.tenants[number]
+		b.tenants[i] = previous.tenants[previousIndex]
 		b.tenants[i].quota.fraction = fraction
 	}
 }
 
 // renumberTenants moves the counts of tenants to their new indexes, as an index may now belong to another
 // tenant.
-func (e *endpointState) renumberTenants(numbers []int, tenants int) {
-	inFlight, slots := make([]int, tenants), make([]float64, tenants)
-	for i, number := range numbers {
-		if number >= 0 {
-			inFlight[i], slots[i] = e.inFlightByTenant[number], e.slots[number]
+func (e *endpointState) renumberTenants(previousIndexes []int, count int) {
+	inFlight, slots := make([]int, count), make([]float64, count)
+	for i, previousIndex := range previousIndexes {
+		if previousIndex >= 0 {
+			inFlight[i], slots[i] = e.inFlightByTenant[previousIndex], e.slots[previousIndex]
 		}
 	}
 	e.inFlightByTenant, e.slots = inFlight, slots
--- a/internal/balancer/inflight.go
+++ b/internal/balancer/inflight.go
@@ -41,8 +41,8 @@
 // averagingTime returns the time over which requests in flight are averaged: a control period, or longer if
 // there are so few slots that a few requests take longer.
 func (b *Balancer) averagingTime(slots float64) Span {
-	few := averagingRequests * float64(b.maxSilence) / max(slots, minAveragedSlots)
-	return max(b.controlPeriod, Span(few))
+	fewRequestsTime := averagingRequests * float64(b.maxSilence) / max(slots, minAveragedSlots)
+	return max(b.controlPeriod, Span(fewRequestsTime))
 }
 
 // recordAttemptChange counts the start (change 1) or the end (change -1) of an attempt. result is the result
--- a/internal/balancer/learned.go
+++ b/internal/balancer/learned.go
@@ -176,9 +176,9 @@
 
 // importListLease continues the lease on the endpoint list. It shortens the remaining duration by the time
 // that the handoff may have taken, and ignores one that is longer than a whole lease.
-func (b *Balancer) importListLease(left Span) {
-	remaining := left - maxHandoffDuration
-	if remaining > 0 && left <= b.config.ListLease {
+func (b *Balancer) importListLease(exported Span) {
+	remaining := exported - maxHandoffDuration
+	if remaining > 0 && exported <= b.config.ListLease {
 		b.listLease.Record(b.now, staleness.Answered, b.now+remaining-b.config.ListLease)
 	}
 }
