--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -78,8 +78,8 @@
 	MaxRetryAfter      Span     // Retry-After of rejections, the longest that clients obey; 0: not sent
 	SlowStartInitial   float64  // fraction of its capacity that an endpoint has at least when it starts
 	SlowStartDuration  Span     // time after its start at which an endpoint has its full capacity
-	OverloadFactor     float64  // a warming endpoint becomes overloaded if it is sent more than this
-	OverloadWindow     Span     // multiple of its capacity for this long; 0 for either: no limit
+	OverloadFactor     float64  // multiple of its capacity that overloads a warming endpoint; 0: no limit
+	OverloadWindow     Span     // time for which it must be sent that much to overload it; 0: no limit
 	CrossZoneCost      float64  // cost of an attempt in another zone; not used by the balancer
 	ClientsMarkRetries bool     // clients mark their retries as such
 	KeyAffinity        bool     // an endpoint does less work for an affinity key that it has seen recently
@@ -196,9 +196,9 @@
 	CancelAttempt(id RequestID, attempt int)
 	Reject(id RequestID, retryAfter Span) // final answer: it is safe for the client to retry
 	Fail(id RequestID)                    // final answer: the request may have been executed
-	CheckHealth(endpoint EndpointID)
+	CheckHealth(endpoint EndpointID)      // asks the endpoint for its load
 	SetTimer(id TimerID, delay Span)
-	WatchEndpoints(on bool)
-	PollEndpoints()
-	Log(text string)
+	WatchEndpoints(on bool) // starts or stops watching the endpoint list at discovery
+	PollEndpoints()         // fetches the full endpoint list once
+	Log(text string)        // logs one line
 }
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -61,9 +61,9 @@
 	return request
 }
 
-// closeRequest ends a request. Its attempts in flight are no longer needed, but are not canceled: a canceled
-// attempt would no longer be counted although its endpoint may still work on it, and the next attempt would
-// need a new connection.
+// closeRequest ends a request. Its attempts in flight are no longer needed, but closeRequest does not cancel
+// them: a canceled attempt would no longer be counted although its endpoint may still work on it, and the
+// next attempt would need a new connection.
 func (b *Balancer) closeRequest(request *openRequest) {
 	request.done, request.queued = true, false
 	b.deleteIfComplete(request)
