--- a/internal/node/detach.go
+++ b/internal/node/detach.go
@@ -9,9 +9,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// detach removes the connection from the poller and passes on its descriptor, with the input that was read and not
-// posted. All other input has been posted by then. If the connection has ended, the callback of onClose is called as
-// usual.
+// detach removes the connection from the poller and calls onDetached with a duplicate of its descriptor and the input
+// that the poller has read but not posted to the event loop. All other input has been posted by then. If the
+// connection has already ended, the callback of onClosed, which was given to initPollerConn, is called as usual
+// instead.
 func (s *socket) detach(onDetached func(file *os.File, rest []byte, err error)) {
 	s.mu.Lock()
 	if s.transportClosed {
@@ -19,26 +20,28 @@
 		return
 	}
 	s.onDetached = onDetached
-	s.limiter.setStopped(true) // what is still to come is for the descriptor's reader
+	s.limiter.setStopped(true) // later input is read through the descriptor
 	conn := s.conn
 	s.mu.Unlock()
 	pollerBacklog.Add(1)
-	go func() { _ = conn.Close() }() // waits for the poller
+	go func() { _ = conn.Close() }() // on a goroutine, as it waits for the poller
 }
 
-// duplicateDescriptor duplicates the descriptor of a connection that is being detached, whose own one closes after that. A
-// nil file means that the connection has ended, and that rest is all its input.
+// duplicateDescriptor duplicates the descriptor of a connection that is being detached, because netpoll closes its
+// own descriptor after that. It also returns the input that has not been posted. A nil file means that the connection
+// has ended, and that the returned input is all that remains.
 func (s *socket) duplicateDescriptor(conn netpoll.Connection) (*os.File, []byte, error) {
 	c, ok := conn.(fdConn)
 	if !ok {
-		return nil, nil, errors.New("a connection without a descriptor")
+		return nil, nil, errors.New("netpoll connection has no file descriptor")
 	}
 	if err := removeFromPollSet(conn); err != nil {
 		return nil, nil, err
 	}
-	// It is out of the poller's set now, but an earlier event may still be due. If the poller itself has closed the
-	// connection, it has finished with it and waits for this callback. The first byte through the poller may arrive
-	// together with an earlier caller's that had overtaken such an event; the second can't.
+	// The connection is out of the poller's set now, but the poller may not have processed an earlier event of it.
+	// If the poller itself has closed the connection, it has no such event left and waits for this callback. Otherwise
+	// wait for the barrier, twice: its byte may reach the poller together with an earlier caller's byte that had
+	// overtaken such an event; the byte of the second wait can't.
 	closedByPoller := s.closedByPoller.Load()
 	for range 2 {
 		if closedByPoller {
@@ -56,8 +59,8 @@
 		}
 		rest = append(rest, p...)
 	}
-	// The poller may have seen a reset, which the descriptor then does not show any more: it would look like an
-	// orderly end.
+	// The poller may have noticed a reset that the duplicate will not show any more: to its reader the connection would
+	// seem to have ended in order.
 	peer := queryPeerState(conn)
 	s.peerClosedCleanly = peer == peerFinished
 	if closedByPoller || peer == peerBroken {
@@ -65,17 +68,17 @@
 	}
 	fd, err := unix.FcntlInt(uintptr(c.Fd()), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
-		return nil, nil, fmt.Errorf("descriptor: %w", err)
+		return nil, nil, fmt.Errorf("duplicate descriptor: %w", err)
 	}
 	return os.NewFile(uintptr(fd), "connection"), rest, nil
 }
 
-// removeFromPollSet removes a connection that is being closed from the poller's set. netpoll does so itself except in
-// one case: if Close is called at the moment in which an input handler finishes (in onProcess, between its last check
-// of the state and its unlock), the handler's goroutine runs the callbacks and believes that the poller has closed
-// the connection. As the descriptor is duplicated here, the kernel would keep the entry: the poller would go on to
-// read input that belongs to another reader, and reject the descriptor when it comes back (EEXIST). Removing it twice
-// does no harm.
+// removeFromPollSet removes a connection that is being closed from the poller's set. netpoll does that itself except
+// in one case: if Close is called at the moment in which an input handler finishes (in onProcess, between its last
+// check of the state and its unlock), the handler's goroutine runs the callbacks and assumes that the poller has
+// closed the connection. Since the descriptor is duplicated here, the kernel would keep the entry: the poller would
+// continue to read input that belongs to another reader, and would reject the descriptor (EEXIST) when it is attached
+// again. Removing it twice does no harm.
 func removeFromPollSet(conn netpoll.Connection) error {
 	operator, err := operatorOf(conn)
 	if err != nil {
@@ -84,7 +87,8 @@
 	return operator.Control(netpoll.PollDetach)
 }
 
-// attachToPoller returns a connection to the poller, which takes ownership of the descriptor.
+// attachToPoller returns a detached connection to the poller. It closes the descriptor; the poller's new connection
+// owns a duplicate of it.
 func attachToPoller(descriptor *os.File) (netpoll.Connection, error) {
 	raw, err := descriptor.SyscallConn()
 	if err != nil {
@@ -96,7 +100,7 @@
 	}
 	_ = descriptor.Close()
 	if err != nil {
-		return nil, fmt.Errorf("descriptor: %w", err)
+		return nil, fmt.Errorf("duplicate descriptor: %w", err)
 	}
 	conn, err := netpoll.NewFDConnection(fd)
 	if err != nil {
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -11,26 +11,27 @@
 	"tulipglade/internal/staleness"
 )
 
-// endpoint is an entry of the endpoint list and the state of its connections. An ID is never reused.
+// endpoint is an entry of the endpoint list, with the state of the connections to it. Its ID is never reused.
 type endpoint struct {
 	id                      balancer.EndpointID
 	address                 string
 	state                   protocol.State
-	bootMillis              int64
-	zone                    string // zone, cell and weight are as discovery states them
+	bootMillis              int64  // start of its current process, in Unix milliseconds
+	zone                    string // zone, cell and weight are those that discovery states
 	cell                    int
 	weight                  float64
-	removedAt               int64 // when discovery reported it removed, or left it off a full list; 0: listed
-	outOfServiceSince       int64 // when the node was first notified that it drains or is removed; 0: in service
-	duplicatesExpectedUntil int64 // until then it is assumed to answer requests twice
-	incarnation             int   // counts its processes: a connection to an earlier one is never reused
+	removedAt               int64 // when discovery reported its removal or left it off a full list; 0: it is listed
+	outOfServiceSince       int64 // when the node was first notified that it drains or is removed; 0: it is in service
+	duplicatesExpectedUntil int64 // until when the endpoint is assumed to answer requests twice
+	incarnation             int   // number of its current process: a connection to an earlier process is never reused
 	idleConns               []*backendConn
-	waitingAttempts         []*attempt // attempts that wait for a connection, in the order in which they are served
-	pendingDials            int        // dials whose result has not been processed
+	waitingAttempts         []*attempt // attempts that wait for a connection, in the order in which they will get one
+	pendingDials            int        // dials whose result the event loop has not processed
 	pendingHealthChecks     int        // health checks in flight
 }
 
-// setDiscoveryState records what discovery says of the endpoint, and since when no attempt may start there.
+// setDiscoveryState records the state that discovery reports for the endpoint, and since when no attempt may start
+// there because of that.
 func (e *endpoint) setDiscoveryState(state protocol.State, now int64) {
 	if state == protocol.InService {
 		e.outOfServiceSince = 0
@@ -40,7 +41,7 @@
 	e.state = state
 }
 
-// target returns the endpoint as discovery described it.
+// target returns the endpoint as an entry of the endpoint list, as discovery last described it.
 func (e *endpoint) target(uid string) protocol.Target {
 	return protocol.Target{
 		UID:      uid,
@@ -53,9 +54,10 @@
 	}
 }
 
-// applyEndpointList merges a list into the registry and converts it for the balancer. Of a list that is behind, such as
-// that of a discovery server which has just taken over, only what it restricts holds: it adds endpoints and reports drains,
-// and what it leaves out gets nothing new, but it restores no endpoint that is known to drain or to have been removed.
+// applyEndpointList merges a list into the registry and converts it for the balancer. A list that is behind, such as
+// that of a discovery server that has just taken over, may add endpoints and restrict known ones, but restore none:
+// endpoints that it reports as draining drain, those that it leaves out get no new attempts, and one that is known to
+// drain or to have been removed stays so.
 func (n *Node) applyEndpointList(
 	update protocol.List, kind balancer.ListKind, order staleness.Order,
 ) ([]balancer.Endpoint, balancer.ListKind) {
@@ -92,7 +94,8 @@
 	return changed, kind
 }
 
-// drainUnlisted has the endpoints that a full list leaves out drain, and returns them for the balancer.
+// drainUnlisted marks the endpoints in service that a full list leaves out as draining, and returns them for the
+// balancer.
 func (n *Node) drainUnlisted(targets []protocol.Target) (drained []balancer.Endpoint) {
 	listed := make(map[string]bool, len(targets))
 	for _, target := range targets {
@@ -110,8 +113,8 @@
 	return drained
 }
 
-// assumeDraining returns what is assumed of a backend whose entry could not be read: that it drains, and else is as before.
-// One that is not known is as one that was removed.
+// assumeDraining returns the entry that is assumed for a backend whose own entry could not be read: the backend
+// drains, unless it was removed, and is otherwise unchanged. A backend that is not known is treated as a removed one.
 func (n *Node) assumeDraining(uid string) protocol.Target {
 	ep := n.endpointsByUID[uid]
 	if ep == nil {
@@ -122,8 +125,9 @@
 	return target
 }
 
-// findOrAddEndpoint returns the endpoint of an entry, or nil if the entry must be ignored: it reports the removal of an
-// unknown endpoint, or is part of a list that is behind and older than what is known of the endpoint.
+// findOrAddEndpoint returns the endpoint of an entry and adds it if it is new. It returns nil if the entry must be
+// ignored: it reports the removal of an unknown endpoint, or it is part of a list that is behind, and is older than
+// what is known of the endpoint.
 func (n *Node) findOrAddEndpoint(target protocol.Target, behind bool) *endpoint {
 	ep := n.endpointsByUID[target.UID]
 	switch {
@@ -139,31 +143,31 @@
 	return ep
 }
 
-// updateEndpoint applies an entry to its endpoint, and closes connections that are not usable any more.
+// updateEndpoint applies an entry to its endpoint, and closes idle connections that must not be used any more.
 func (n *Node) updateEndpoint(ep *endpoint, target protocol.Target) {
 	ep.setDiscoveryState(target.State, n.now())
 	ep.removedAt = 0
 	switch {
 	case target.State == protocol.Terminated:
 		n.markEndpointRemoved(ep)
-	case ep.address != target.Endpoint || ep.bootMillis != target.BootMs: // a new process
+	case ep.address != target.Endpoint || ep.bootMillis != target.BootMs: // the backend has restarted
 		ep.incarnation++
 		n.closeIdleBackendConns(ep)
 		ep.address = target.Endpoint
-	case target.State == protocol.Terminating: // no attempt starts there any more
+	case target.State == protocol.Terminating: // no attempt may start there any more
 		n.closeIdleBackendConns(ep)
 	}
 	ep.bootMillis, ep.zone, ep.cell, ep.weight = target.BootMs, target.Zone, target.Cell, target.Weight
 }
 
-// phaseByState are the balancer's terms for the states of discovery.
+// phaseByState maps the states that discovery reports to the phases of the balancer.
 var phaseByState = map[protocol.State]balancer.Phase{
 	protocol.InService:   balancer.PhaseReady,
 	protocol.Terminating: balancer.PhaseDraining,
 	protocol.Terminated:  balancer.PhaseRemoved,
 }
 
-// balancerEndpoint converts an entry for the balancer.
+// balancerEndpoint converts an entry of the endpoint list for the balancer.
 func (n *Node) balancerEndpoint(ep *endpoint, target protocol.Target) balancer.Endpoint {
 	zone, ok := n.zoneIndex[target.Zone]
 	if !ok {
@@ -180,21 +184,23 @@
 	}
 }
 
-// unknownZone is the number of a zone that the settings do not name.
+// unknownZone is the number of every zone that the settings do not name.
 const unknownZone = -1
 
-// endpointRetention is how long a removed endpoint is kept, in microseconds: longer than an attempt to it can take,
-// and than an outdated list can arrive late.
+// endpointRetention is how long a removed endpoint is kept in the registry, in microseconds. That is longer than an
+// attempt to it can take, and longer than an outdated list can be delayed.
 const endpointRetention = 60_000_000
 
-// markEndpointRemoved marks an endpoint as removed. A connection that still carries an attempt closes behind it.
+// markEndpointRemoved marks an endpoint as removed and closes its idle connections. A connection that still carries
+// an attempt is closed after the answer.
 func (n *Node) markEndpointRemoved(ep *endpoint) {
 	ep.removedAt = n.now()
 	ep.incarnation++
 	n.closeIdleBackendConns(ep)
 }
 
-// deleteExpiredEndpoints deletes endpoints that were removed long ago, as every rollout of backends brings new ones.
+// deleteExpiredEndpoints deletes endpoints that were removed at least endpointRetention ago. Otherwise the registry
+// would grow with every rollout of backends, which brings new endpoints. Tombstones remember the deleted ones.
 func (n *Node) deleteExpiredEndpoints() {
 	for uid, ep := range n.endpointsByUID {
 		if ep.removedAt > 0 && n.now()-ep.removedAt >= endpointRetention {
--- a/internal/node/sendrequest.go
+++ b/internal/node/sendrequest.go
@@ -9,7 +9,8 @@
 	"tulipglade/internal/safety"
 )
 
-// mayStart checks right before its first byte whether an attempt may still start, and if not, why.
+// mayStart checks, right before the first byte of an attempt is written, whether the attempt may still start. If not,
+// it returns the reason.
 func (n *Node) mayStart(att *attempt) (reason safety.Reason) {
 	switch {
 	case att.isHealthCheck && att.endpoint.state != protocol.InService:
@@ -28,7 +29,7 @@
 	return reason
 }
 
-// sendRequest writes an attempt's request, or as much of it as is buffered.
+// sendRequest writes the request of an attempt to a connection, or the part of a large request that is buffered.
 func (n *Node) sendRequest(conn *backendConn, att *attempt) {
 	req := att.request
 	att.conn, conn.attempt = conn, att
@@ -48,12 +49,12 @@
 		length, remaining = req.message.Length(), n.remainingUploadTime(req)
 	}
 	remaining = statedTimeout(remaining)
-	first := attemptStart{statedTimeout: remaining, deadline: att.deadline}
+	start := attemptStart{statedTimeout: remaining, deadline: att.deadline}
 	if req.upload != nil {
-		first.deadline = req.upload.latestDeadline(req.uploadTimeout)
+		start.deadline = req.upload.latestDeadline(req.uploadTimeout)
 	}
-	if _, until := n.balancer.ListCurrent(n.now()); n.settings.Balancer.ListLease > 0 {
-		first.listExpiresAt = until
+	if _, validUntil := n.balancer.ListCurrent(n.now()); n.settings.Balancer.ListLease > 0 {
+		start.listExpiresAt = validUntil
 	}
 	n.traceRequest(req, "attempt started", "attempt", att.number, "endpoint", conn.endpoint.address, "rev", n.listRevision,
 		"remaining_us", remaining, "idle_us", conn.idleBeforeAttempt)
@@ -65,20 +66,20 @@
 	n.writeUnlessDelayed(&conn.socket, func(startedAt int64, err error) {
 		head.release()
 		requestBuffer.release()
-		if first.writtenAt = startedAt; !errors.Is(err, errWriteDelayed) {
-			n.auditAttemptStart(att, first)
+		if start.writtenAt = startedAt; !errors.Is(err, errWriteDelayed) {
+			n.auditAttemptStart(att, start)
 		}
 		n.firstWriteFinished(conn, att, err)
 	}, parts...)
 }
 
-// statedTimeout is the time that a request states to its backend, in microseconds: what remains less an allowance for a
-// delayed write, and at least the one millisecond that the header can express.
+// statedTimeout returns the timeout that a request states to its backend, in microseconds: the remaining time less an
+// allowance for a delayed write, and at least the one millisecond that the header can express.
 func statedTimeout(remaining int64) int64 {
 	return max(remaining-min(maxWriteDelay, remaining/10), 1000)
 }
 
-// firstWriteFinished processes the end of the write that sendRequest has started.
+// firstWriteFinished processes the result of the write that sendRequest has started.
 func (n *Node) firstWriteFinished(conn *backendConn, att *attempt, err error) {
 	if errors.Is(err, errWriteDelayed) && conn.state != backendClosed {
 		n.retryDelayedWrite(conn, att)
@@ -91,7 +92,7 @@
 	case conn.state == backendClosed:
 	case req.upload != nil && err == nil && !conn.answerComplete && !conn.peerEndedEarly && !req.isDone():
 		n.forwardUpload(conn, att)
-	case req.upload != nil: // incomplete: it has never started
+	case req.upload != nil: // the request is incomplete: its backend has never started it
 		n.closeBackendConn(conn, closeRequestIncomplete)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	default:
@@ -99,8 +100,9 @@
 	}
 }
 
-// retryDelayedWrite handles an attempt whose write was delayed so long that not a byte was written: it is checked and
-// sent again on the same connection, unless its backend has ended that or sent something meanwhile, which is no answer.
+// retryDelayedWrite handles an attempt whose write was delayed for so long that no byte was written. The attempt is
+// checked and sent again on the same connection, unless the backend has closed that meanwhile or has sent input on
+// it, which is no answer.
 func (n *Node) retryDelayedWrite(conn *backendConn, att *attempt) {
 	unsolicited := len(conn.deferredInput) > 0
 	if !att.isCompleted() && !conn.peerEndedEarly && !unsolicited && n.mayStart(att) == safety.Allowed {
@@ -123,7 +125,8 @@
 	n.releaseConn(conn)
 }
 
-// requestWriteFinished processes the end of the write of a request.
+// requestWriteFinished processes the end of the write of a request: all of it has been written, or the write has
+// failed.
 func (n *Node) requestWriteFinished(conn *backendConn, att *attempt, err error) {
 	switch {
 	case conn.state == backendClosed:
@@ -132,7 +135,7 @@
 		n.releaseConn(conn)
 	case conn.answerComplete:
 		n.closeBackendConn(conn, closeWriteFailed)
-	case err != nil: // incomplete: it has never started
+	case err != nil: // the request is incomplete: its backend has never started it
 		n.closeBackendConn(conn, closeWriteFailed)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	case conn.peerEndedEarly && conn.download != nil:
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -11,28 +11,28 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// socket is a connection of the poller, or the descriptor that replaces it while it is detached. Its lock keeps a
-// write and the end of the connection apart: the poller reuses a connection's buffers once it has closed, even while
-// they are being filled.
+// socket is a connection of the poller, or the descriptor that replaces it while the connection is detached from the
+// poller. Its lock keeps writes apart from the end of the connection: netpoll reuses the buffers of a closed
+// connection, even if a write is still filling them.
 type socket struct {
 	conn            netpoll.Connection
-	limiter         *readLimiter // of conn
-	inputInTransit  atomic.Int32 // pieces of input that are posted to the event loop
+	limiter         *readLimiter // limits what the poller reads from conn
+	inputInTransit  atomic.Int32 // pieces of input that are posted to the event loop and not processed
 	descriptor      *os.File     // replaces conn while it is detached from the poller
 	mu              sync.Mutex
-	transportClosed bool
-	closedByPoller  atomic.Bool // the poller has closed conn
-	// disconnectedAt is when the poller noticed the end of a client's connection, on the node's clock; 0: it has not.
+	transportClosed bool        // the poller's connection has ended
+	closedByPoller  atomic.Bool // the poller, not the node, has closed conn
+	// disconnectedAt is when the poller noticed that a client had disconnected, on the node's clock; 0: it has not.
 	disconnectedAt    atomic.Int64
-	peerClosedCleanly bool // the peer has closed the connection without a reset
-	onDetached        func(*os.File, []byte, error)
+	peerClosedCleanly bool                          // the peer has closed the connection without a reset
+	onDetached        func(*os.File, []byte, error) // called once the connection is detached; nil: it is not being detached
 }
 
-// fdConn is a connection that has a file descriptor, as the poller's have.
+// fdConn is a connection that has a file descriptor, as the connections of the poller have.
 type fdConn interface{ Fd() int }
 
-// initPollerConn prepares a new connection of the poller, before any callback for its input is set: it limits what the
-// poller reads ahead, and registers the callback for the end of the connection.
+// initPollerConn prepares a new connection of the poller: it limits what the poller reads ahead, and registers the
+// callback for the end of the connection. It must be called before any callback for input is set.
 func (s *socket) initPollerConn(budget *readBudget, onClosed func()) error {
 	limiter, err := limitReads(s.conn, budget)
 	if err != nil {
@@ -62,7 +62,7 @@
 	})
 }
 
-// write writes parts to the connection, wherever it is.
+// write writes parts to the poller's connection, or to the descriptor while the connection is detached.
 func (s *socket) write(parts [][]byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,8 @@
 	return w.Flush()
 }
 
-// closeWrite closes the node's direction; input is still read. It returns false if the connection has ended.
+// closeWrite closes the node's direction of the connection; input can still be read. It returns false if the
+// connection has ended or is detached from the poller.
 func (s *socket) closeWrite() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +99,7 @@
 	return ok && syscall.Shutdown(c.Fd(), syscall.SHUT_WR) == nil
 }
 
-// closeTransport closes the connection, wherever it is.
+// closeTransport closes the poller's connection, or the descriptor while the connection is detached.
 func (s *socket) closeTransport() {
 	if s.descriptor != nil {
 		_ = s.descriptor.Close()
@@ -122,8 +123,9 @@
 	s.closedByPoller.Store(false)
 }
 
-// unreadInput is how much input the event loop has not processed, in bytes or pieces. It looks in the order in which
-// input moves on, so that none in between is missed.
+// unreadInput returns how much input the event loop has not processed: the bytes that the poller has read, plus the
+// pieces that are posted. It counts them in the order in which input moves on, so that it misses none that moves
+// meanwhile.
 func (s *socket) unreadInput() int {
 	if s.descriptor != nil {
 		return 0
@@ -131,17 +133,18 @@
 	return s.conn.Reader().Len() + int(s.inputInTransit.Load())
 }
 
-// isOpenWithoutInput reports whether the connection is open and has no unprocessed input, including what the poller has
-// not read yet. Like unreadInput it looks in the order in which input moves on: kernel, poller, event loop.
+// isOpenWithoutInput reports whether the connection is open and has no unprocessed input, including input that the
+// poller has not read yet. Like unreadInput it checks in the order in which input moves on: kernel, poller, event
+// loop.
 func (s *socket) isOpenWithoutInput() bool {
-	s.mu.Lock() // once it is closed, its descriptor may belong to another connection
+	s.mu.Lock() // once the connection is closed, its descriptor may belong to another
 	defer s.mu.Unlock()
 	if s.transportClosed || !s.conn.IsActive() {
 		return false
 	}
 	if c, ok := s.conn.(fdConn); ok {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(c.Fd(), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var peeked [1]byte
+		_, _, err := syscall.Recvfrom(c.Fd(), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if err != syscall.EAGAIN && err != syscall.EINTR {
 			return false
 		}
@@ -149,8 +152,8 @@
 	return s.conn.IsActive() && s.unreadInput() == 0
 }
 
-// peerHasEnded reports whether the peer has closed or reset the connection, also if the poller has not noticed yet, or
-// does not know the connection as it is detached. While it is being written, the writer finds out.
+// peerHasEnded reports whether the peer has closed or reset the connection, even if the poller has not noticed that
+// yet, or can't because the connection is detached. During a write it returns false: the writer will notice the end.
 func (s *socket) peerHasEnded() bool {
 	if !s.mu.TryLock() {
 		return false
@@ -162,8 +165,9 @@
 	return s.transportClosed || !s.conn.IsActive() || queryPeerState(s.conn) != peerOpen
 }
 
-// postInput posts what the connection has received to the event loop. Until then it counts as unread, and it is counted
-// before the bytes leave the reader, so that the connection never looks drained in between.
+// postInput posts what the connection has received to the event loop. The input counts as unread until the event loop
+// processes it. It is counted before the bytes leave the poller's reader, so that the connection never appears to be
+// without input in between.
 func (s *socket) postInput(conn netpoll.Connection, node *Node, receive func(*buffer)) error {
 	s.inputInTransit.Add(1)
 	b, err := readBuffer(conn)
@@ -183,8 +187,9 @@
 	return nil
 }
 
-// writeUnlessDelayed is write for a first byte that must follow its check soon: after a delay of more than
-// maxWriteDelay nothing is written. It reports when the write started.
+// writeUnlessDelayed writes the first bytes of an attempt, which must follow its check soon: if the write would start
+// more than maxWriteDelay after this call, nothing is written and the error is errWriteDelayed. onWritten also gets
+// the time at which the write was started.
 func (n *Node) writeUnlessDelayed(target *socket, onWritten func(startedAt int64, err error), parts ...[]byte) {
 	allowedAt := n.now() - n.testWriteDelay
 	go func() {
@@ -198,8 +203,8 @@
 	}()
 }
 
-// write writes parts on a goroutine of its own and posts the result. A connection has one write at a time, and parts
-// must not change until it is done.
+// write writes parts to a connection on a goroutine of its own and posts the result to the event loop. A connection
+// has one write at a time, and parts must not change until it has ended.
 func (n *Node) write(target *socket, onWritten func(error), parts ...[]byte) {
 	go func() {
 		err := target.write(parts)
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -11,9 +11,9 @@
 // States of a connection to a backend.
 const (
 	backendDialing        backendConnState = iota // the event loop has not processed the result of the dial
-	backendIdle                                   // in the pool, carries nothing
+	backendIdle                                   // in the pool; carries no attempt
 	backendWriting                                // carries an attempt whose request is not known to be written in full
-	backendAwaitingAnswer                         // the request has been written; its answer is due or being forwarded
+	backendAwaitingAnswer                         // the request has been written; its answer is awaited or being forwarded
 	backendClosed                                 // terminal
 )
 
@@ -25,12 +25,13 @@
 var backendConnTransitions = transitions[backendConnState]{
 	backendDialing: {backendIdle, backendClosed},
 	backendIdle:    {backendWriting, backendClosed},
-	// Idle follows where the attempt was withdrawn before its first byte, or was answered before the writer returned.
+	// A connection goes from writing to idle if its attempt was withdrawn before the first byte, or was answered
+	// before the writer returned.
 	backendWriting:        {backendAwaitingAnswer, backendIdle, backendClosed},
 	backendAwaitingAnswer: {backendIdle, backendClosed},
 }
 
-// setState moves the connection to its next state.
+// setState changes the state of the connection, if that is allowed.
 func (b *backendConn) setState(next backendConnState) {
 	changeState(b.node, "backend connection", &b.state, next, backendConnTransitions)
 }
@@ -40,8 +41,8 @@
 
 // States of a connection from a client.
 const (
-	clientOpen      clientConnState = iota // takes requests
-	clientLingering                        // nothing new is read from it: its input is discarded until the client closes it
+	clientOpen      clientConnState = iota // accepts requests
+	clientLingering                        // accepts no more requests: its input is discarded until the client closes it
 	clientClosed                           // terminal
 )
 
@@ -55,7 +56,7 @@
 	clientLingering: {clientClosed},
 }
 
-// setState moves the connection to its next state.
+// setState changes the state of the connection, if that is allowed.
 func (c *clientConn) setState(next clientConnState) {
 	changeState(c.node, "client connection", &c.state, next, clientConnTransitions)
 }
@@ -65,8 +66,8 @@
 
 // States of a request.
 const (
-	requestAdmitted requestState = iota // not yet handed to the decision module
-	requestOpen                         // the decision module has it, and its client waits
+	requestAdmitted requestState = iota // not yet passed to the balancer
+	requestOpen                         // passed to the balancer, and its client waits for the answer
 	requestDone                         // answered, or its client has disconnected; attempts may still be in flight
 	requestReleased                     // no attempt is in flight, its buffer is released; terminal
 )
@@ -82,12 +83,12 @@
 	requestDone:     {requestReleased},
 }
 
-// setRequestState moves a request to its next state.
+// setRequestState changes the state of a request, if that is allowed.
 func (n *Node) setRequestState(req *request, next requestState) {
 	changeState(n, "request", &req.state, next, requestTransitions)
 }
 
-// isDone reports whether the request needs no answer any more.
+// isDone reports whether the request needs no answer any more, because it has one or its client has disconnected.
 func (r *request) isDone() bool { return r.state >= requestDone }
 
 // attemptState is the state of one attempt of a request, or of a health check.
@@ -95,9 +96,9 @@
 
 // States of an attempt.
 const (
-	attemptWaiting   attemptState = iota // for a connection: nothing of it has been sent
-	attemptAssigned                      // it has a connection, on which it is written and answered
-	attemptCompleted                     // it has its outcome; terminal
+	attemptWaiting   attemptState = iota // waits for a connection: nothing of it has been sent
+	attemptAssigned                      // has a connection, on which its request is written and the answer received
+	attemptCompleted                     // has its outcome; terminal
 )
 
 var attemptStateNames = [...]string{"waiting", "assigned", "completed"}
@@ -110,7 +111,7 @@
 	attemptAssigned: {attemptCompleted},
 }
 
-// setAttemptState moves an attempt to its next state.
+// setAttemptState changes the state of an attempt, if that is allowed.
 func (n *Node) setAttemptState(att *attempt, next attemptState) {
 	changeState(n, "attempt", &att.state, next, attemptTransitions)
 }
@@ -118,17 +119,17 @@
 // isCompleted reports whether the attempt has its outcome.
 func (a *attempt) isCompleted() bool { return a.state == attemptCompleted }
 
-// lifecycleState is what the state types above have in common.
+// lifecycleState is the constraint that the state types above satisfy.
 type lifecycleState interface {
 	~uint8
 	fmt.Stringer
 }
 
-// transitions lists the states that may follow each state.
+// transitions lists, for each state, the states that may follow it. A terminal state has no entry.
 type transitions[S lifecycleState] map[S][]S
 
-// changeState sets a state if it may follow the current one. Any other change is a fault of this package: the state stays,
-// and the first change of each kind is logged. To set the current state again has no effect.
+// changeState sets a state if it may follow the current one. Any other change is a bug in this package: the state
+// stays as it is, and the first change of each kind is logged. Setting the current state again has no effect.
 func changeState[S lifecycleState](n *Node, object string, current *S, next S, allowed transitions[S]) {
 	if *current == next {
 		return
@@ -140,9 +141,10 @@
 	n.reportInvalidTransition(invalidTransition{object, (*current).String(), next.String()})
 }
 
-// invalidTransition identifies one kind of state change that must not happen.
+// invalidTransition identifies one kind of state change that is not allowed.
 type invalidTransition struct{ object, from, to string }
 
+// reportInvalidTransition logs a state change that is not allowed, unless one of the same kind has been logged.
 func (n *Node) reportInvalidTransition(change invalidTransition) {
 	if _, reported := n.invalidTransitions[change]; reported {
 		return
--- a/internal/node/tombstones.go
+++ b/internal/node/tombstones.go
@@ -2,17 +2,17 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// maxTombstones bounds the removed endpoints that are remembered by tombstones.
+// maxTombstones bounds the number of endpoints that the tombstones remember.
 const maxTombstones = 4096
 
-// tombstones remember endpoints that have been deleted from the registry, so that an outdated list can't restore them
-// however late it comes. The oldest are dropped first.
+// tombstones remembers endpoints that have been deleted from the registry, so that an outdated list can't restore
+// them, however late it arrives. The oldest ones are dropped first.
 type tombstones struct {
-	bootMillis     map[uint64]int64 // start of the endpoint's last process, by the hash of its UID
-	insertionOrder []uint64
+	bootMillis     map[uint64]int64 // start of the endpoint's last process in Unix milliseconds, by the hash of its UID
+	insertionOrder []uint64         // keys of bootMillis, the oldest first
 }
 
-// add remembers a deleted endpoint.
+// add remembers an endpoint that has been deleted, and drops the oldest one beyond maxTombstones.
 func (t *tombstones) add(uid string, bootMillis int64) {
 	if t.bootMillis == nil {
 		t.bootMillis = map[uint64]int64{}
@@ -28,7 +28,8 @@
 	}
 }
 
-// contains reports whether an endpoint is known to have been removed and not restarted since.
+// contains reports whether an endpoint is known to have been removed, and to have no newer process than the one that
+// was removed.
 func (t *tombstones) contains(uid string, bootMillis int64) bool {
 	last, known := t.bootMillis[xxhash.Sum64String(uid)]
 	return known && bootMillis <= last
