--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -18,25 +18,26 @@
 	"tulipglade/internal/safety"
 )
 
-// Rules 1 and 2: exactly one answer whatever a backend does, and nothing that may have run is sent again unless its
-// class allows it. Only a 503 or 504 marked as never run, or a failed connect, proves that.
+// Rules 1 and 2: a request gets exactly one answer whatever its backend does, and a request that may have run is sent
+// again only if its class allows that. Only a 503 or 504 that is marked as never run, or a failed connect, proves
+// that a request has not run.
 func TestExactlyOneAnswerAndNoUnsafeRetry(t *testing.T) {
-	never := []string{"X-Never-Ran", "1"}
+	neverRan := []string{"X-Never-Ran", "1"}
 	for _, c := range []struct {
 		name, class string
 		ms          int
-		first       http.HandlerFunc // handles the first request; later ones are served
+		first       http.HandlerFunc // handles the first request; serve handles later ones
 		code, sends int
 	}{
 		{"served", "once", 9000, serve, 200, 1},
 		{"error, idempotent", "read", 9000, respondWith(500), 200, 2},
 		{"error, non-idempotent", "once", 9000, respondWith(500), 502, 1},
 		{"error, other cell", "keyed", 400, respondWith(500), 502, 1},
-		{"rejected", "once", 9000, respondWith(503, never...), 200, 2},
-		{"rejected late", "keyed", 9000, respondWith(504, never...), 200, 2},
+		{"rejected", "once", 9000, respondWith(503, neverRan...), 200, 2},
+		{"rejected late", "keyed", 9000, respondWith(504, neverRan...), 200, 2},
 		{"unmarked 503", "once", 9000, respondWith(503), 502, 1},
 		{"503 with another mark", "once", 9000, respondWith(503, "X-Never-Ran", "0"), 502, 1},
-		{"marked 500", "once", 9000, respondWith(500, never...), 502, 1},
+		{"marked 500", "once", 9000, respondWith(500, neverRan...), 502, 1},
 		{"reset", "once", 9000, closeAfterSending(""), 502, 1},
 		{"reset, idempotent", "read", 9000, closeAfterSending(""), 200, 2},
 		{"ends within the body", "once", 9000, closeAfterSending("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), 502, 1},
@@ -65,19 +66,20 @@
 			conn := dialNode(t, addr)
 			code, body, _ := conn.exchange(requestText(c.class, c.ms))
 			if code != c.code || int(sends.Load()) != c.sends {
-				t.Errorf("status %d after %d sends, want %d after %d", code, sends.Load(), c.code, c.sends)
+				t.Errorf("status %d after %d requests to backends, want %d after %d", code, sends.Load(), c.code, c.sends)
 			}
 			if code == 200 && body != "body of /"+c.class {
 				t.Errorf("body %q", body)
 			}
-			if code, _, _ := conn.exchange(readyRequest); code != 200 { // a second answer would be read here instead
-				t.Errorf("next on the connection: %d", code)
+			if code, _, _ := conn.exchange(readyRequest); code != 200 { // a second answer to the first would be read here
+				t.Errorf("next request on the connection: status %d", code)
 			}
 		})
 	}
 }
 
-// A backend that refuses connections has never run anything: even a non-idempotent request is sent elsewhere.
+// A backend that refuses a connection has not run the request: even a non-idempotent request is sent to another
+// endpoint.
 func TestFailedConnectIsRetriedElsewhere(t *testing.T) {
 	dead := newTestBackend(t, serve)
 	live := newTestBackend(t, serve)
@@ -89,14 +91,14 @@
 		if code, _, _ := conn.exchange(requestText("once", 9000)); code != 200 {
 			t.Fatalf("status %d", code)
 		}
-		waitUntil(n, func() bool { return len(n.endpoints[2].idleConns) == 1 }) // the answer may come before the writer has returned
+		waitUntil(n, func() bool { return len(n.endpoints[2].idleConns) == 1 }) // the writer may return after the answer
 	}
 	if live.requestCount.Load() != 20 || live.connectionCount() != 1 {
-		t.Errorf("%d requests on %d connections, want 20 on one that is reused", live.requestCount.Load(), live.connectionCount())
+		t.Errorf("%d requests on %d connections, want 20 on one connection", live.requestCount.Load(), live.connectionCount())
 	}
 }
 
-// What is forwarded unchanged, and what is not forwarded at all.
+// The method, the target, the trace ID, the idempotency key and the body of a request reach the backend unchanged.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	got := make(chan string, 1)
 	a := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -118,8 +120,8 @@
 	}
 }
 
-// No hedged request, no attempt beyond the limit and none without time is sent, whoever asks for it: it has its
-// outcome at once and reaches no backend.
+// A hedged request where hedging is not allowed, an attempt beyond MaxAttempts and an attempt without time left are
+// not sent, whatever the balancer asks for: each has its outcome at once and reaches no backend.
 func TestAttemptBeyondLimitsIsNotSent(t *testing.T) {
 	a, arrived, release := newBlockedBackend(t)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
@@ -133,26 +135,26 @@
 		n.SendAttempt(r.id, 1, 0)
 		n.settings.Balancer.AllowHedging = true
 		n.SendAttempt(r.id, 1, -1)
-		n.SendAttempt(r.id, 1, 0) // one more than MaxAttempts
+		n.SendAttempt(r.id, 1, 0) // one attempt more than MaxAttempts
 		for _, a := range r.attempts[1:] {
 			if !a.isCompleted() || a.conn != nil {
-				t.Errorf("attempt %d was sent", a.number)
+				t.Errorf("attempt %d has been sent", a.number)
 			}
 		}
 		n.SendAttempt(r.id+1, 1, 0)
 		n.SendAttempt(r.id, 99, 0)
 		if len(r.attempts) != 4 || len(n.requests) != 1 {
-			t.Errorf("%d attempts of %d requests", len(r.attempts), len(n.requests))
+			t.Errorf("%d attempts of %d requests, want 4 of 1", len(r.attempts), len(n.requests))
 		}
 	})
 	<-checked
 	close(release)
 	if code, _, _ := conn.readAnswer(); code != 200 || a.requestCount.Load() != 1 {
-		t.Errorf("status %d after %d sends", code, a.requestCount.Load())
+		t.Errorf("status %d after %d requests to the backend, want 200 after 1", code, a.requestCount.Load())
 	}
 }
 
-// queuedRequest is a request that waits for the only connection to its endpoint, which carries another.
+// queuedRequest is a request that waits for the only connection to its endpoint, which carries another request.
 type queuedRequest struct {
 	node          *Node
 	backend       *testBackend
@@ -161,6 +163,7 @@
 	release       chan struct{}
 }
 
+// newQueuedRequest sends the two requests and returns once the second one waits for a connection.
 func newQueuedRequest(t *testing.T, change func(*Settings)) *queuedRequest {
 	t.Helper()
 	a, arrived, release := newBlockedBackend(t)
@@ -168,18 +171,19 @@
 	w := &queuedRequest{n, a, dialNode(t, addr), dialNode(t, addr), arrived, release}
 	_, _ = io.WriteString(w.first, requestText("once", 9000))
 	<-arrived
-	n.post(func() { n.endpoints[1].address, n.endpoints[1].pendingDials = "127.0.0.1:1", 1 }) // a pending dial that never ends
+	// New dials fail, and one counts as pending for ever.
+	n.post(func() { n.endpoints[1].address, n.endpoints[1].pendingDials = "127.0.0.1:1", 1 })
 	_, _ = io.WriteString(w.second, requestText("once", 9000))
 	waitUntil(n, func() bool { return len(n.endpoints[1].waitingAttempts) == 1 })
 	return w
 }
 
-// releaseFirst lets the first request be answered, and returns once the node has processed the connection that this
-// releases.
+// releaseFirst lets the backend answer the first request. It returns once the node has processed the connection that
+// this frees.
 func (w *queuedRequest) releaseFirst() {
 	t := w.first.t
 	t.Helper()
-	go func() { // in case the second request is sent nevertheless
+	go func() { // receives the second request if it is sent nevertheless, so that the backend is not blocked
 		select {
 		case <-w.arrived:
 		case <-t.Context().Done():
@@ -194,15 +198,15 @@
 	})
 }
 
-// An attempt that waits for a new connection takes one that is released before, and the new one is pooled.
+// An attempt that waits for a new connection is sent on an older one that becomes free earlier.
 func TestReleasedConnectionServesWaitingAttempt(t *testing.T) {
 	a, arrived, release := newBlockedBackend(t)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
 	first, second := dialNode(t, addr), dialNode(t, addr)
 	_, _ = io.WriteString(first, requestText("once", 9000))
 	<-arrived
-	// The dial fails, and its failure is attributed to another that is still pending: only the released connection
-	// can serve.
+	// The dial for the second request fails. Another dial counts as pending, so that the failure does not end the
+	// attempt: only the released connection can serve it.
 	n.post(func() { n.endpoints[1].address, n.endpoints[1].pendingDials = "127.0.0.1:1", 1 })
 	_, _ = io.WriteString(second, requestText("once", 9000))
 	waitUntil(n, func() bool { return len(n.endpoints[1].waitingAttempts) == 1 })
@@ -214,12 +218,13 @@
 		}
 	}
 	if a.connectionCount() != 1 {
-		t.Errorf("%d connections", a.connectionCount())
+		t.Errorf("%d connections, want 1", a.connectionCount())
 	}
 }
 
-// Nothing of a request is sent after its answer. Guards against this: the balancer gave up on a request whose attempt
-// waited for a connection that came up late; the answer was written, and 60 ms later the request was.
+// No byte of a request is sent after its answer. Guards against a failure in which the balancer gave up on a request
+// whose attempt waited for a connection that was established late: the answer was written, and 60 ms later the
+// request was.
 func TestAnsweredRequestIsNotForwarded(t *testing.T) {
 	w := newQueuedRequest(t, nil)
 	n, a := w.node, w.backend
@@ -230,15 +235,16 @@
 	w.releaseFirst()
 	runOnLoop(n, func() {
 		if len(n.requests) > 0 {
-			t.Errorf("%d requests left", len(n.requests))
+			t.Errorf("%d requests are not released", len(n.requests))
 		}
 	})
 	if a.requestCount.Load() != 1 {
-		t.Errorf("%d requests forwarded", a.requestCount.Load())
+		t.Errorf("%d requests forwarded, want 1", a.requestCount.Load())
 	}
 }
 
-// If a part of an answered request has been written, the rest is not, so that its backend never starts it.
+// If a request is answered when only a part of it has been written, the rest is not written, so that its backend
+// never starts it.
 func TestRestOfAnsweredRequestIsNotForwarded(t *testing.T) {
 	backend := newManualBackend(t, 2048)
 	n, addr := startNode(t, backend.targets(), nil)
@@ -259,7 +265,7 @@
 		_, _ = io.WriteString(caller, strings.Replace(requestText("once", 9000), "Content-Length: 2\r\n\r\nhi",
 			fmt.Sprintf("Content-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size)), 1))
 	}()
-	if _, err := in.Peek(1); err != nil { // it is being written
+	if _, err := in.Peek(1); err != nil { // the request is being written
 		t.Fatal(err)
 	}
 	runOnLoop(n, func() {
@@ -271,13 +277,13 @@
 		t.Error(code)
 	}
 	if got, _ := io.Copy(io.Discard, in); got >= size {
-		t.Errorf("%d bytes came, all of the request", got)
+		t.Errorf("the backend has read %d bytes, the whole request", got)
 	}
 	waitUntil(n, func() bool { return len(n.requests) == 0 && n.openDescriptors == 1 })
 }
 
-// An attempt that waits for its connection is checked again when that comes up: nothing is sent to an endpoint that
-// drains by then, and the request goes elsewhere.
+// An attempt that waited for its connection is checked again when it gets one: it is not sent to an endpoint that
+// drains by then, and the request is sent to another endpoint.
 func TestEndpointDrainingBeforeFirstByteGetsNothing(t *testing.T) {
 	for name, state := range map[string]protocol.State{"drains": protocol.Terminating, "is removed": protocol.Terminated} {
 		t.Run(name, func(t *testing.T) {
@@ -289,7 +295,7 @@
 			writeOK(first, "one")
 			conn.readAnswer()
 			waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
-			runOnLoop(n, func() { // the next attempt waits for this connection
+			runOnLoop(n, func() { // the next attempt has to wait for this connection
 				n.endpoints[1].duplicatesExpectedUntil = noDeadline
 				n.endpoints[1].idleConns[0].lastAnswerAt = n.now() + 3_600_000_000
 			})
@@ -300,7 +306,7 @@
 			n.UpdateEndpoints(protocol.List{Revision: 1, Targets: []protocol.Target{notified, targetOf("b", other)}}, false)
 			waitUntil(n, func() bool { return len(n.endpoints) == 2 })
 			runOnLoop(n, func() {
-				for _, b := range n.endpoints[1].idleConns { // it is reusable
+				for _, b := range n.endpoints[1].idleConns { // the connection is reusable now
 					b.lastAnswerAt = 0
 				}
 				n.endpoints[1].duplicatesExpectedUntil = 0
@@ -311,14 +317,14 @@
 			}
 			_ = first.SetReadDeadline(time.Now().Add(5 * time.Second))
 			if b, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-				t.Errorf("the backend read %q, %v, want the end", b, err)
+				t.Errorf("the backend read %q, %v, want the end of the connection", b, err)
 			}
 		})
 	}
 }
 
-// An attempt that was delayed between its check and its first byte is checked again: it is sent once it is not
-// delayed any more, and not at all if its backend drains by then.
+// An attempt whose first byte was delayed for too long after its check is checked again: it is sent once it is no
+// longer delayed, and is not sent at all if its backend drains by then.
 func TestDelayedAttemptIsRechecked(t *testing.T) {
 	for name, drains := range map[string]bool{"still allowed": false, "its backend drains": true} {
 		t.Run(name, func(t *testing.T) {
@@ -328,8 +334,8 @@
 			conn.exchange(requestText("read", 9000))
 			// The next request must not need a dial.
 			waitUntil(n, func() bool { return n.idleBackends.Len() == 1 && len(n.requests) == 0 })
-			ends := &outcomeRecorder{decisionModule: n.balancer}
-			runOnLoop(n, func() { n.balancer, n.testWriteDelay = ends, 2*maxWriteDelay })
+			recorder := &outcomeRecorder{decisionModule: n.balancer}
+			runOnLoop(n, func() { n.balancer, n.testWriteDelay = recorder, 2*maxWriteDelay })
 			_, _ = io.WriteString(conn, requestText("once", 9000))
 			waitUntil(n, func() bool { return len(n.requests) == 1 && n.requests[2].pendingAttempts == 1 })
 			if !drains {
@@ -342,15 +348,15 @@
 			targets := backend.targets()
 			targets[0].State = protocol.Terminating
 			n.UpdateEndpoints(protocol.List{Revision: 1, Targets: targets}, false)
-			waitUntil(n, func() bool { return len(ends.outcomes) > 0 })
-			if ends.outcomes[0] != balancer.OutcomeNotSent || backend.requestCount.Load() > 1 {
-				t.Errorf("ended as %v, %d requests at the backend", ends.outcomes, backend.requestCount.Load())
+			waitUntil(n, func() bool { return len(recorder.outcomes) > 0 })
+			if recorder.outcomes[0] != balancer.OutcomeNotSent || backend.requestCount.Load() > 1 {
+				t.Errorf("outcomes %v, %d requests at the backend", recorder.outcomes, backend.requestCount.Load())
 			}
 		})
 	}
 }
 
-// The audit counts violations at the moment of the first byte, whatever decided the attempt.
+// The audit counts violations as of the first byte of an attempt, whatever has decided to start the attempt.
 func TestAuditAtFirstByte(t *testing.T) {
 	n, _ := startNode(t, newTestBackend(t, serve).targets(), requireListLease)
 	runOnLoop(n, func() {
@@ -358,7 +364,7 @@
 		ep := &endpoint{address: "h"}
 		r := &request{settings: n.settings, clientConn: &clientConn{node: n}, deadline: now + 1_000_000}
 		a := &attempt{request: r, endpoint: ep, deadline: r.deadline}
-		fine := attemptStart{writtenAt: now, statedTimeout: 1_000_000, deadline: a.deadline, listExpiresAt: now}
+		valid := attemptStart{writtenAt: now, statedTimeout: 1_000_000, deadline: a.deadline, listExpiresAt: now}
 		for _, c := range []struct {
 			name   string
 			change func(*attemptStart)
@@ -377,23 +383,24 @@
 			clear(n.violations)
 			ep.outOfServiceSince = 0
 			r.clientConn.disconnectedAt.Store(0)
-			f := fine
+			f := valid
 			c.change(&f)
 			n.auditAttemptStart(a, f)
 			unexpected := c.want == safety.Allowed && len(n.violations) > 0
 			missing := c.want != safety.Allowed && n.violations[c.want] != 1
 			if unexpected || missing {
-				t.Errorf("%s: counted %v", c.name, n.violations)
+				t.Errorf("%s: counted violations %v", c.name, n.violations)
 			}
 		}
 		clear(n.violations)
 	})
 }
 
-// What a backend sends before the first byte of a request is no answer to it, and the connection carries nothing any
-// more. It was taken for the answer: an attempt that was delayed between its check and its first byte counted as
-// answered by whatever came meanwhile, its client got that, and the connection went back to the pool with
-// answerComplete set, so that it was given to a second request while the next still waited for its answer on it.
+// What a backend sends before the first byte of a request is not its answer, and the connection is not used any more.
+// Guards against a failure in which the node took such input for the answer to an attempt that was delayed between
+// its check and its first byte: the client got that input, and the connection returned to the pool with
+// answerComplete set, so that it was given to a second request while an earlier one still waited for its answer on
+// it.
 func TestInputBeforeFirstByteIsNoAnswer(t *testing.T) {
 	backend := newManualBackend(t, 0)
 	n, addr := startNode(t, backend.targets(), nil)
@@ -402,7 +409,7 @@
 	first, in := backend.acceptRequest()
 	writeOK(first, "one")
 	client.readAnswer()
-	// The next request must not need a dial, and is not written before the test says so.
+	// The next request must not need a dial, and is not written before the test resets testWriteDelay.
 	waitUntil(n, func() bool { return n.idleBackends.Len() == 1 && len(n.requests) == 0 })
 	runOnLoop(n, func() { n.testWriteDelay = 2 * maxWriteDelay })
 	_, _ = io.WriteString(client, requestText("read", 9000))
@@ -419,6 +426,6 @@
 	}
 	_ = first.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if b, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the backend read %q, %v, want the end", b, err)
+		t.Errorf("the backend read %q, %v, want the end of the connection", b, err)
 	}
 }
--- a/internal/node/healthcheck_test.go
+++ b/internal/node/healthcheck_test.go
@@ -12,18 +12,18 @@
 	"tulipglade/internal/protocol"
 )
 
-// allowHealthChecks configures a deployment whose endpoints may be checked, and a balancer that does not do so by
+// allowHealthChecks configures a node that may check its endpoints, with a balancer that starts no health check
 // itself.
 func allowHealthChecks(s *Settings) {
 	s.Balancer.AllowHealthChecks, s.LoadReports, s.Balancer.HealthCheckCost = true, true, 1
 	s.ConnectTimeout = 200_000
 }
 
-// The balancer gets one outcome for each health check, whatever happens, and a load report only if the backend gave
-// one.
+// The balancer is notified of exactly one outcome for each health check, whatever happens, and of a load report only
+// if the backend has sent one.
 func TestHealthCheckOutcomes(t *testing.T) {
 	paths := make(chan string, 100)
-	answers := func(code int, field, body string) http.HandlerFunc {
+	answerWith := func(code int, field, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			paths <- r.Method + " " + r.URL.Path
 			if field != "" {
@@ -38,13 +38,13 @@
 		handler http.HandlerFunc
 		want    string
 	}{
-		{"report in the body", answers(200, "", "TEXT inflight=7, queue=2, util=0.61\n"), "10 {7 2 0.61}"},
-		{"report in the body, bare", answers(200, "", "inflight=3"), "10 {3 -1 -1}"},
-		{"report in the head", answers(200, "TEXT queue=1", ""), "10 {-1 1 -1}"},
-		{"no report", answers(200, "", "ok"), "10"},
-		{"unhealthy", answers(503, "", ""), "20"},
+		{"report in the body", answerWith(200, "", "TEXT inflight=7, queue=2, util=0.61\n"), "10 {7 2 0.61}"},
+		{"report in the body, bare", answerWith(200, "", "inflight=3"), "10 {3 -1 -1}"},
+		{"report in the head", answerWith(200, "TEXT queue=1", ""), "10 {-1 1 -1}"},
+		{"no report", answerWith(200, "", "ok"), "10"},
+		{"unhealthy", answerWith(503, "", ""), "20"},
 		{"rejected", respondWith(503, "X-Never-Ran", "1"), "30"},
-		{"no such path", answers(404, "", "inflight=3"), "20"},
+		{"no such path", answerWith(404, "", "inflight=3"), "20"},
 		{"garbage", sendGarbage("\x00\x01 noise\r\n\r\n"), "60"},
 		{"reset", closeAfterSending(""), "60"},
 		{"never answers", neverAnswer(make(chan struct{}, 1)), "40"},
@@ -59,7 +59,7 @@
 			}
 			runOnLoop(n, func() {
 				if ep := n.endpointsByUID["a"]; ep.pendingHealthChecks != 0 || len(ep.waitingAttempts) != 0 || len(m.healthChecks) != 0 {
-					t.Errorf("left: %d health checks, %d waiting, %d outcomes",
+					t.Errorf("not cleaned up: %d health checks, %d waiting attempts, %d outcomes",
 						ep.pendingHealthChecks, len(ep.waitingAttempts), len(m.healthChecks))
 				}
 			})
@@ -70,15 +70,16 @@
 	}
 }
 
-// A draining or removed endpoint is not checked, even if it was in service when the check was decided; nor is any if
-// settings forbid it. Each check has its outcome all the same.
+// No health check is sent to an endpoint that drains or was removed, even if it was in service when the balancer
+// asked for the check; nor is any sent if settings forbid it or no descriptor is left. The balancer is notified of an
+// outcome all the same.
 func TestNoHealthCheckOfDrainingEndpoint(t *testing.T) {
 	a := newTestBackend(t, serve)
 	for _, c := range []struct {
-		name   string
-		change func(*Settings)
-		leave  func(n *Node)
-		want   string
+		name    string
+		change  func(*Settings)
+		prepare func(n *Node)
+		want    string
 	}{
 		{"draining", allowHealthChecks, func(n *Node) { n.endpointsByUID["a"].state = protocol.Terminating }, "80"},
 		{"removed", allowHealthChecks, func(n *Node) { n.endpointsByUID["a"].state = protocol.Terminated }, "80"},
@@ -91,7 +92,7 @@
 		n, _ := startNode(t, []protocol.Target{targetOf("a", a)}, c.change)
 		m := recordModule(n)
 		runOnLoop(n, func() {
-			c.leave(n)
+			c.prepare(n)
 			n.CheckHealth(n.endpointsByUID["a"].id)
 		})
 		if got := receiveNext(t, m.healthChecks); got != c.want {
@@ -100,19 +101,20 @@
 	}
 	n, _ := startNode(t, []protocol.Target{targetOf("a", a)}, allowHealthChecks)
 	m := recordModule(n)
-	runOnLoop(n, func() { // the connection comes up after that
+	runOnLoop(n, func() { // the connection is established after the endpoint has begun to drain
 		n.CheckHealth(n.endpointsByUID["a"].id)
 		n.endpointsByUID["a"].state = protocol.Terminating
 	})
 	if got := receiveNext(t, m.healthChecks); got != "80" {
-		t.Errorf("drains before it is checked: %q", got)
+		t.Errorf("drains before the health check is sent: outcome %q", got)
 	}
 	if k := a.requestCount.Load(); k != 0 {
-		t.Errorf("checked %d times", k)
+		t.Errorf("%d health checks sent", k)
 	}
 }
 
-// A backend that accepts and never answers holds so many connections and no more, however often it is checked.
+// A backend that accepts connections and never answers holds at most maxHealthChecksPerEndpoint of them, however
+// often the balancer asks for a health check.
 func TestHealthChecksAreBounded(t *testing.T) {
 	a := newTestBackend(t, neverAnswer(make(chan struct{}, 1000)))
 	n, _ := startNode(t, []protocol.Target{targetOf("a", a)}, allowHealthChecks)
@@ -122,7 +124,7 @@
 			n.CheckHealth(n.endpointsByUID["a"].id)
 		}
 		if n.openDescriptors > maxHealthChecksPerEndpoint {
-			t.Errorf("%d connections", n.openDescriptors)
+			t.Errorf("%d connections, more than maxHealthChecksPerEndpoint", n.openDescriptors)
 		}
 	})
 	got := map[string]int{}
@@ -135,7 +137,7 @@
 	waitUntil(n, func() bool { return n.openDescriptors == 0 && n.endpointsByUID["a"].pendingHealthChecks == 0 })
 }
 
-// A request does not wait behind health checks: it gets the first connection that comes up.
+// A request does not wait behind health checks: it gets the first connection that is established.
 func TestRequestPrecedesHealthChecks(t *testing.T) {
 	var order []string
 	arrived := make(chan string, 10)
@@ -163,9 +165,8 @@
 	receiveNext(t, m.healthChecks)
 }
 
-// While a health check is in flight its endpoint drains, is removed or restarts, or the node shuts down: the balancer
-// is notified of it once all the same, nothing waits for it, and its report does not count for the endpoint's next
-// process.
+// An endpoint drains, is removed or restarts while a health check is in flight. No further check is sent to one that
+// drains or was removed, and the balancer is notified of exactly one outcome for each check all the same.
 func TestHealthCheckInFlight(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -183,7 +184,7 @@
 		runOnLoop(n, func() {
 			n.CheckHealth(n.endpointsByUID["a"].id)
 			if ep := n.endpointsByUID["a"]; c.state != protocol.InService && ep.pendingDials+len(ep.waitingAttempts) > 0 {
-				t.Errorf("%s: checked again", c.name)
+				t.Errorf("%s: another health check is pending", c.name)
 			}
 		})
 		close(release)
@@ -193,12 +194,12 @@
 		}
 		waitUntil(n, func() bool { return n.endpointsByUID["a"].pendingHealthChecks == 0 })
 		if len(m.healthChecks) > 0 {
-			t.Errorf("%s: a third outcome", c.name)
+			t.Errorf("%s: the balancer was notified of a third outcome", c.name)
 		}
 	}
 }
 
-// A shutdown does not wait for health checks.
+// A shutdown does not wait for a health check that is in flight.
 func TestDrainDoesNotWaitForHealthCheck(t *testing.T) {
 	a, arrived, release := newGatedBackend(t)
 	defer close(release)
--- a/internal/node/listfreshness_test.go
+++ b/internal/node/listfreshness_test.go
@@ -10,11 +10,11 @@
 	"tulipglade/internal/staleness"
 )
 
-// A process that has just started accepts clients once its list is confirmed, whatever it says, or could not be
-// confirmed for a while.
+// A process that has just started is ready for clients once its list is confirmed, whatever the list contains, or
+// once it could not be confirmed for readyTimeout. It stays ready when the list becomes stale.
 func TestReadyOnceListIsConfirmed(t *testing.T) {
 	backend := newTestBackend(t, serve)
-	for name, word := range map[string]func(*Node){
+	for name, becomeReady := range map[string]func(*Node){
 		"an answer": func(n *Node) { n.UpdateEndpoints(protocol.List{Revision: 1}, false) },
 		"no answer": func(n *Node) {
 			runOnLoop(n, func() { n.listFreshness.processStartedAt -= readyTimeout })
@@ -27,45 +27,46 @@
 				t.Errorf("before: %d", code)
 			}
 			n.DiscoveryCallFailed(errors.New("refused"), balancer.ListFailed, n.startedAt)
-			runOnLoop(n, func() {}) // it has been processed
+			runOnLoop(n, func() {}) // waits until the node has processed that
 			if code, _, _ := conn.exchange(readyRequest); code != 503 {
-				t.Errorf("after one failed call: %d", code)
+				t.Errorf("after one failed call to discovery: status %d", code)
 			}
-			word(n)
-			runOnLoop(n, func() {}) // it has been processed
+			becomeReady(n)
+			runOnLoop(n, func() {}) // waits until the node has processed that
 			if code, _, _ := conn.exchange(readyRequest); code != 200 {
 				t.Errorf("after: %d", code)
 			}
 			runOnLoop(n, func() { n.balancer.HandleDiscoveryMoved(n.now(), 0) })
 			if code, _, _ := conn.exchange(readyRequest); code != 200 {
-				t.Errorf("with a stale list: %d", code)
+				t.Errorf("with a stale list: status %d", code)
 			}
 		})
 	}
 }
 
-// A process to which discovery has answered that there are no endpoints is ready: it answers clients, with rejections.
+// A process is ready once discovery has answered that there are no endpoints: it can answer clients, with rejections.
 func TestReadyOnceListWithoutEndpointsIsConfirmed(t *testing.T) {
 	n, addr := startNode(t, nil, requireListLease)
 	conn := dialNode(t, addr)
 	runOnLoop(n, func() { n.listFreshness.processStartedAt -= readyTimeout })
 	if code, _, _ := conn.exchange(readyRequest); code != 503 {
-		t.Errorf("nothing known: %d", code)
+		t.Errorf("before the first answer of discovery: status %d", code)
 	}
 	n.UpdateEndpoints(protocol.List{Revision: 1, Full: true}, false)
 	runOnLoop(n, func() {})
 	if code, _, _ := conn.exchange(readyRequest); code != 200 {
-		t.Errorf("known to have none: %d", code)
+		t.Errorf("after a list without endpoints: status %d", code)
 	}
 }
 
-// An outdated answer is no evidence of what is current until discovery has confirmed it, and neither is one as of an unknown
-// time. A discovery server that stays behind has been restarted with other revisions, and must not end the service.
+// An answer that is behind does not show what is current until discovery has confirmed it, and neither does one as of
+// an unknown time. A discovery server that stays behind has been restarted with other revisions: its answers must
+// renew the lease again, or the node would stop serving.
 func TestOutdatedListDoesNotRenewLease(t *testing.T) {
 	n, _ := startNode(t, newTestBackend(t, serve).targets(), requireListLease)
 	for _, step := range []struct {
 		name  string
-		known bool // as of when it was current
+		known bool // whether it is known when the answer was current
 		order staleness.Order
 		want  bool
 	}{
@@ -82,13 +83,13 @@
 		n.UpdateEndpointsAsOf(protocol.List{Revision: 8}, asOf, step.order)
 		runOnLoop(n, func() {
 			if current, _ := n.balancer.ListCurrent(n.now()); current != step.want {
-				t.Errorf("%s: current %v", step.name, current)
+				t.Errorf("%s: list current: %v", step.name, current)
 			}
 		})
 	}
 }
 
-// No health check is sent by a list that is not known to be current.
+// No health check is sent while the endpoint list is not known to be current.
 func TestNoHealthCheckByStaleList(t *testing.T) {
 	n, _ := startNode(t, newTestBackend(t, serve).targets(), func(s *Settings) {
 		requireListLease(s)
@@ -102,7 +103,7 @@
 	n.UpdateEndpoints(protocol.List{Revision: 1}, false)
 	runOnLoop(n, func() {
 		if n.CheckHealth(1); n.endpoints[1].pendingDials != 1 {
-			t.Error("not checked by a current list")
+			t.Error("no health check by a current list")
 		}
 	})
 }
--- a/internal/node/manualbackend_test.go
+++ b/internal/node/manualbackend_test.go
@@ -14,13 +14,14 @@
 	"tulipglade/internal/protocol"
 )
 
-// manualBackend is a backend whose every byte a test writes itself.
+// manualBackend is a backend whose answers a test writes byte by byte.
 type manualBackend struct {
 	t *testing.T
 	net.Listener
 }
 
-// newManualBackend may bound the kernel's receive buffer, in bytes; 0: as usual.
+// newManualBackend listens on a port of its own. receive is the size of the kernel's receive buffer in bytes; 0: the
+// default.
 func newManualBackend(t *testing.T, receive int) *manualBackend {
 	t.Helper()
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -34,16 +35,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second)) // no longer than clients wait
+	// Accepting must not wait longer than clients do.
+	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
 	t.Cleanup(func() { _ = ln.Close() })
 	return &manualBackend{t, ln}
 }
 
+// targets returns an endpoint list with the backend as its only entry.
 func (h *manualBackend) targets() []protocol.Target {
 	return []protocol.Target{{UID: "a", Endpoint: h.Addr().String(), Zone: "z", Weight: 1}}
 }
 
-// acceptRequest accepts the next connection and reads a request from it.
+// acceptRequest accepts the next connection and reads a request from it. The reader returns what follows the request.
 func (h *manualBackend) acceptRequest() (net.Conn, *bufio.Reader) {
 	h.t.Helper()
 	conn, err := h.Accept()
@@ -60,12 +63,13 @@
 	return conn, in
 }
 
-// writeOK writes a complete answer.
+// writeOK writes a complete answer with status 200.
 func writeOK(conn net.Conn, body string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// backendInputContains reports whether bytes of a backend have reached the event loop, on which it must be called.
+// backendInputContains reports whether the input that the node has received from a backend, for an attempt in flight,
+// contains part. It must be called on the event loop.
 func backendInputContains(n *Node, part string) bool {
 	for _, r := range n.requests {
 		for _, a := range r.attempts {
--- a/internal/node/peerstate_test.go
+++ b/internal/node/peerstate_test.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// A reset is told from an orderly end by the events of poll(2) in both directions, never by the state in TCP_INFO:
-// the second row is what a layer between process and kernel was seen to report for a reset whose state it gave as
-// CLOSE_WAIT.
+// A reset is distinguished from an orderly end by the events of poll(2) in both directions, never by the state in
+// TCP_INFO: the second row is what a layer between process and kernel was seen to report for a reset, while it
+// reported the state as CLOSE_WAIT.
 func TestPeerStateFromPollEvents(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -32,7 +32,7 @@
 	}
 }
 
-// The kernel reports the peer's state after the poller has read all input.
+// The kernel still reports the state of the peer after the poller has read all input.
 func TestPeerStateFromKernel(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(*net.TCPConn)
@@ -60,7 +60,7 @@
 				t.Fatal(err)
 			}
 			if got := queryPeerState(conn); got != peerOpen {
-				t.Errorf("before the end: %v", got)
+				t.Errorf("before the peer ends the connection: %v", got)
 			}
 			c.end(other.(*net.TCPConn))
 			for conn.IsActive() { // until the poller has noticed the end
@@ -75,8 +75,8 @@
 	}
 }
 
-// An answer without a length is complete only if its connection closes in order: cut by a reset, it reaches no
-// client.
+// An answer without a length is complete only if its connection ends in order. Guards against passing on an answer
+// that was cut off by a reset.
 func TestResetDoesNotCompleteAnswer(t *testing.T) {
 	for name, reset := range map[string]bool{"in order": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -11,8 +11,9 @@
 	"tulipglade/internal/protocol"
 )
 
-// Guards against this: a request that followed within milliseconds was given the second answer of a backend that
-// answers twice, as a connection was spared only while another would do.
+// A duplicate answer is not passed on as the answer to the next request. Guards against a failure in which a request
+// that followed within milliseconds got the second answer of a backend that answers twice, because a connection was
+// spared only while another was available.
 func TestDuplicateAnswerIsDiscarded(t *testing.T) {
 	backend := newManualBackend(t, 0)
 	n, addr := startNode(t, backend.targets(), func(s *Settings) {
@@ -27,7 +28,7 @@
 	}
 	waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
 	runOnLoop(n, func() {
-		n.endpoints[1].duplicatesExpectedUntil = noDeadline       // it has sent duplicates before
+		n.endpoints[1].duplicatesExpectedUntil = noDeadline       // the backend has sent duplicates before
 		n.endpoints[1].idleConns[0].lastAnswerAt += 3_600_000_000 // not reusable for as long as this test takes
 	})
 	_, _ = io.WriteString(conn, requestText("once", 9000))
@@ -48,11 +49,11 @@
 	if code, body, _ := conn.readAnswer(); code != 200 || body != "three" {
 		t.Error(code, body)
 	}
-	waitUntil(n, func() bool { return n.endpoints[1].duplicatesExpectedUntil > n.now() }) // two answers in one read are noticed too
+	waitUntil(n, func() bool { return n.endpoints[1].duplicatesExpectedUntil > n.now() }) // a duplicate in the same read is noticed too
 }
 
-// Input that a backend sends without a request is not taken for the answer to the next one, also while it is on its
-// way from the poller and the request is on the connection before the event loop has processed those bytes.
+// Input that a backend sends without a request is not taken for the answer to the next request. That holds also if it
+// is in transit from the poller to the event loop when that request is assigned to the connection.
 func TestUnsolicitedAnswerIsDiscarded(t *testing.T) {
 	backend := newManualBackend(t, 0)
 	n, addr := startNode(t, backend.targets(), nil)
@@ -62,14 +63,14 @@
 	writeOK(first, "one")
 	conn.readAnswer()
 	waitUntil(n, func() bool { return len(n.endpoints[1].idleConns) == 1 })
-	busy, free := make(chan struct{}), make(chan struct{})
-	n.post(func() { close(busy); <-free })
-	<-busy
+	blocked, resume := make(chan struct{}), make(chan struct{})
+	n.post(func() { close(blocked); <-resume })
+	<-blocked
 	_, _ = io.WriteString(conn, requestText("once", 9000))
-	waitForPosted(n, 1) // the request is posted before the backend's bytes
+	waitForPosted(n, 1) // the request is posted before the input from the backend
 	writeOK(first, "one again")
 	waitForPosted(n, 2)
-	close(free)
+	close(resume)
 	second, _ := backend.acceptRequest()
 	writeOK(second, "two")
 	if code, body, _ := conn.readAnswer(); code != 200 || body != "two" {
@@ -77,9 +78,9 @@
 	}
 }
 
-// A connection that the backend has just closed gets no request, even if the poller has not noticed yet; and one that
-// has just been answered is spared while others will do. A request that crosses the close may have run, and a
-// non-idempotent one could not be retried.
+// A connection that the backend has just closed gets no request, even if the poller has not noticed that yet; and one
+// that has just been answered on is spared while another is available. A request that crosses the close may have run,
+// and a non-idempotent one could not be retried.
 func TestClosingConnectionIsNotUsed(t *testing.T) {
 	backend := newManualBackend(t, 0)
 	n, addr := startNode(t, backend.targets(), nil)
@@ -93,7 +94,7 @@
 	runOnLoop(n, func() {
 		b := n.endpoints[1].idleConns[0]
 		if !b.isOpenWithoutInput() {
-			t.Error("an open connection is not drained")
+			t.Error("an open connection without input is not recognized as such")
 		}
 		now := n.now()
 		long := &backendConn{idleSince: now - 3*reuseDelay}
@@ -108,12 +109,12 @@
 			one.idleSince = since
 		}
 		if n.takeIdleConn(ep) != short || n.takeIdleConn(ep) != long || n.takeIdleConn(ep) != nil {
-			t.Error("the wrong connection is used")
+			t.Error("idle connections are not taken in the expected order")
 		}
 		ep.waitingAttempts = []*attempt{{isHealthCheck: true, endpoint: ep, request: &request{}}}
 		timers := len(n.timers)
 		if n.serveWaiting(ep); len(n.timers) != timers+1 || len(ep.waitingAttempts) != 1 {
-			t.Error("no timer is set for the time when a connection becomes reusable")
+			t.Error("no timer is set for the time at which a connection becomes reusable")
 		}
 		ep.waitingAttempts = nil
 		if fresh.lastAnswerAt, fresh.idleSince = 0, now; n.takeIdleConn(ep) != fresh {
@@ -121,13 +122,14 @@
 		}
 		_ = peer.Close()
 		if b.isOpenWithoutInput() {
-			t.Error("a closed connection counts as open")
+			t.Error("a connection that the backend has closed counts as open")
 		}
 	})
 }
 
-// Backends that close idle connections sooner than configured cost one request each, until the node has learned the
-// limit; connections that break now and then, however short they were idle, teach nothing.
+// Backends that close idle connections sooner than configured cost one failed request each, until the node has
+// learned the shorter limit. Connections that break now and then, however short they were idle, do not change the
+// limit.
 func TestShorterIdleTimeoutIsLearned(t *testing.T) {
 	a := newTestBackend(t, serve)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
@@ -140,34 +142,34 @@
 			n.recordIdleOutcome(2*reuseDelay, i%10 == 9)
 		}
 		if n.idleLimit() != n.settings.Keepalive/2 {
-			t.Errorf("limit %d after a single break", n.idleLimit())
+			t.Errorf("limit %d although only one in ten attempts failed", n.idleLimit())
 		}
 		for range minIdleSamples {
 			n.recordIdleOutcome(150_000, true)
 		}
 		if got := n.idleLimit(); got > 150_000 || got < 100_000 {
-			t.Errorf("limit %d, after breaks at 150000", got)
+			t.Errorf("limit %d after failures at an idle time of 150000, want 100000 to 150000", got)
 		}
 		n.endpoints[1].idleConns[0].idleSince -= 200_000
 	})
 	if code, _, _ := conn.exchange(requestText("once", 9000)); code != 200 || a.connectionCount() != 2 {
-		t.Errorf("%d on %d connections, want a new one", code, a.connectionCount())
+		t.Errorf("status %d on %d connections, want 200 on 2 connections", code, a.connectionCount())
 	}
 	runOnLoop(n, func() {
 		if n.learnedIdleLimitUntil -= observationLifetime; n.idleLimit() != n.settings.Keepalive/2 {
-			t.Error("never used again")
+			t.Error("the learned limit does not expire")
 		}
 	})
 }
 
-// A backend sends input as its connection comes up, before the event loop has processed the dial: the connection
-// closes, and its descriptor is counted back once. Counted back twice, the node would believe that it holds fewer
-// than it does, until the system gives it no more.
+// A backend sends input as soon as its connection is established, before the event loop has processed the dial: the
+// connection is closed, and its descriptor is released once in the node's count. Guards against a count that is too
+// low because of a second release: the node would open connections until the system gives it no more descriptors.
 func TestBackendThatSendsFirst(t *testing.T) {
 	backend := newManualBackend(t, 0)
 	n, addr := startNode(t, backend.targets(), nil)
 	b := &backendConn{node: n}
-	runOnLoop(n, func() { // as dial does
+	runOnLoop(n, func() { // does what dial does
 		b.endpoint, b.incarnation = n.endpoints[1], n.endpoints[1].incarnation
 		b.endpoint.pendingDials++
 		n.openDescriptors++
@@ -188,7 +190,7 @@
 	waitUntil(n, func() bool { return b.state == backendClosed })
 	runOnLoop(n, func() {
 		if n.dialFinished(b, nil); n.openDescriptors != 0 || b.endpoint.pendingDials != 0 {
-			t.Errorf("%d descriptors, %d pending dials", n.openDescriptors, b.endpoint.pendingDials)
+			t.Errorf("%d descriptors, %d pending dials, want none", n.openDescriptors, b.endpoint.pendingDials)
 		}
 	})
 	client := dialNode(t, addr)
--- a/internal/node/registry_test.go
+++ b/internal/node/registry_test.go
@@ -14,7 +14,7 @@
 	"tulipglade/internal/staleness"
 )
 
-// Rule 3: from the moment the node is notified, a draining or removed endpoint gets nothing new.
+// Rule 3: from the moment at which the node is notified, an endpoint that drains or was removed gets no new request.
 func TestDrainingEndpointGetsNothing(t *testing.T) {
 	a, b := newTestBackend(t, serve), newTestBackend(t, serve)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", a), targetOf("b", b)}, nil)
@@ -23,7 +23,7 @@
 		conn.exchange(requestText("read", 9000))
 	}
 	if a.requestCount.Load() == 0 || b.requestCount.Load() == 0 {
-		t.Fatalf("%d and %d requests: one endpoint is not used", a.requestCount.Load(), b.requestCount.Load())
+		t.Fatalf("%d and %d requests: an endpoint is not used", a.requestCount.Load(), b.requestCount.Load())
 	}
 	for _, state := range []protocol.State{protocol.Terminating, protocol.Terminated} {
 		changed := targetOf("a", a)
@@ -41,7 +41,8 @@
 	}
 }
 
-// Rule 4: the start time of a backend reaches the balancer, so a warming endpoint gets less than a warm one.
+// Rule 4: the start time of a backend reaches the balancer, so that an endpoint in slow start gets fewer requests
+// than a warm one.
 func TestWarmingEndpointGetsReducedLoad(t *testing.T) {
 	warm, warming := newTestBackend(t, serve), newTestBackend(t, serve)
 	c := targetOf("cold", warming)
@@ -57,12 +58,14 @@
 		}
 	}
 	if warming.requestCount.Load() > 20 || warm.requestCount.Load()+warming.requestCount.Load() != 100 {
-		t.Errorf("warming endpoint got %d, warm one %d of 100", warming.requestCount.Load(), warm.requestCount.Load())
+		t.Errorf("the warming endpoint got %d requests and the warm one %d, want at most 20 and the rest of 100",
+			warming.requestCount.Load(), warm.requestCount.Load())
 	}
 }
 
-// A long day replaces every backend many times, at times at the address of a removed one. Each is an endpoint of its
-// own, and no state of removed ones stays.
+// Rollouts replace every backend many times, sometimes at the address of a removed one. Each backend is an endpoint
+// of its own, and the state of removed ones is deleted after endpointRetention. Guards against a registry that grows
+// with every rollout.
 func TestRemovedEndpointsAreDeleted(t *testing.T) {
 	a := newTestBackend(t, serve)
 	n, addr := startNode(t, nil, nil)
@@ -77,25 +80,26 @@
 		}
 	}
 	if got := a.connectionCount(); got != 200 {
-		t.Errorf("%d connections for 200 endpoints at one address", got)
+		t.Errorf("%d connections for 200 endpoints at one address, want 200", got)
 	}
 	runOnLoop(n, func() {
 		n.deleteExpiredEndpoints()
 		if len(n.endpoints) != 200 {
-			t.Errorf("%d endpoints: an outdated list may still have the removed ones", len(n.endpoints))
+			t.Errorf("%d endpoints, want 200: an outdated list may still contain the removed ones", len(n.endpoints))
 		}
 		for _, ep := range n.endpoints {
 			ep.removedAt -= min(ep.removedAt, endpointRetention)
 		}
 		n.deleteExpiredEndpoints()
 		if len(n.endpoints) != 1 || len(n.endpointsByUID) != 1 || n.idleBackends.Len() > 1 {
-			t.Errorf("%d endpoints, %d by UID, %d connections", len(n.endpoints), len(n.endpointsByUID), n.idleBackends.Len())
+			t.Errorf("%d endpoints, %d by UID, %d idle connections, want 1, 1 and at most 1", len(n.endpoints), len(n.endpointsByUID), n.idleBackends.Len())
 		}
 	})
 }
 
-// A discovery server that has just taken over may be behind. Its list adds endpoints and reports drains, and what it leaves
-// out gets nothing new, but it restores no endpoint that is known to have been removed. One that stays behind is believed.
+// A discovery server that has just taken over may be behind. Its list adds endpoints and drains those that it reports
+// as draining or leaves out, but it restores no endpoint that is known to drain or to have been removed. A later list
+// that is in order is applied in full.
 func TestOutdatedListDoesNotRestoreEndpoints(t *testing.T) {
 	a := newTestBackend(t, serve)
 	entry := func(uid string, state protocol.State, boot int64) protocol.Target {
@@ -131,26 +135,27 @@
 		if diff := cmp.Diff(want, got); diff != "" || kind != balancer.ListDelta || n.listRevision != 11 {
 			t.Errorf("kind %d, revision %d\n%s", kind, n.listRevision, diff)
 		}
-		n.endpointsByUID["removed"].removedAt = n.now() - endpointRetention // long ago
+		n.endpointsByUID["removed"].removedAt = n.now() - endpointRetention // long enough ago to be deleted
 		if n.deleteExpiredEndpoints(); n.endpointsByUID["removed"] != nil {
-			t.Error("not deleted")
+			t.Error("the removed endpoint is not deleted")
 		}
 		restored := []protocol.Target{entry("removed", 0, 5)}
 		got, _ = n.applyEndpointList(protocol.List{Revision: 9, Targets: restored}, balancer.ListDelta, staleness.BehindConfirmed)
 		if len(got) != 0 {
-			t.Errorf("restored after it was deleted: %v", got)
+			t.Errorf("a list that is behind restores a deleted endpoint: %v", got)
 		}
 		if got, kind = n.applyEndpointList(protocol.List{Revision: 9, Full: true, Targets: restored}, balancer.ListFull, staleness.InOrder); len(got) != 1 ||
 			got[0].Phase != balancer.PhaseReady || kind != balancer.ListFull || n.listRevision != 9 {
-			t.Errorf("a list that holds: %v, kind %d, revision %d", got, kind, n.listRevision)
+			t.Errorf("a list that is in order: %v, kind %d, revision %d", got, kind, n.listRevision)
 		}
 		if n.endpointsByUID["unlisted"].removedAt == 0 {
-			t.Error("what it leaves out is not removed")
+			t.Error("an endpoint that the full list leaves out is not removed")
 		}
 	})
 }
 
-// A backend whose entry cannot be read gets nothing new until a list states it again; one that is not known is not added.
+// A backend whose entry cannot be read gets no new attempt until a list has a readable entry for it. A backend that
+// is not known is not added.
 func TestEndpointOfUnreadableEntryDrains(t *testing.T) {
 	a := newTestBackend(t, serve)
 	n, _ := startNode(t, []protocol.Target{targetOf("a", a), targetOf("b", a)}, nil)
@@ -168,12 +173,13 @@
 		}
 		got, _ = n.applyEndpointList(protocol.List{Revision: 3, Targets: []protocol.Target{targetOf("a", a)}}, balancer.ListDelta, staleness.InOrder)
 		if len(got) != 1 || got[0].Phase != balancer.PhaseReady || ep.outOfServiceSince != 0 {
-			t.Errorf("after a list that states it: %v", got)
+			t.Errorf("after a list with a readable entry: %v", got)
 		}
 	})
 }
 
-// A connection that carries an attempt as its endpoint drains closes behind the answer: it will not be needed again.
+// If an endpoint drains while a connection to it carries an attempt, the connection is closed after the answer,
+// because it will not be needed again.
 func TestDrainingEndpointConnectionClosesAfterAnswer(t *testing.T) {
 	a, arrived, release := newBlockedBackend(t)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
@@ -196,36 +202,36 @@
 	})
 }
 
-// A restarted backend gets new connections: a request on one to its earlier process would end in a reset.
+// A restarted backend gets new connections: a request on a connection to its earlier process would end in a reset.
 func TestRestartedEndpointGetsNewConnections(t *testing.T) {
 	a := newTestBackend(t, serve)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
 	conn := dialNode(t, addr)
 	conn.exchange(requestText("read", 9000))
-	anew := targetOf("a", a)
-	anew.BootMs = 1000
-	n.UpdateEndpoints(protocol.List{Revision: 2, Targets: []protocol.Target{anew}}, false)
+	restarted := targetOf("a", a)
+	restarted.BootMs = 1000
+	n.UpdateEndpoints(protocol.List{Revision: 2, Targets: []protocol.Target{restarted}}, false)
 	conn.exchange(requestText("read", 9000))
 	if got := a.connectionCount(); got != 2 {
 		t.Errorf("%d connections, want 2", got)
 	}
 }
 
-// 1,024 endpoints are listed, used, replaced all at once and reconfigured, by a node that has descriptors for half as
-// many.
+// A node with descriptors for half as many serves 1,024 endpoints while they are listed, used, all replaced at once
+// and reconfigured.
 func TestManyEndpoints(t *testing.T) {
-	const many = 1024
+	const endpointCount = 1024
 	a := newTestBackend(t, serve)
-	list := func(prefix string, state protocol.State) (l []protocol.Target) {
-		for i := range many {
-			one := targetOf(fmt.Sprint(prefix, i), a)
-			one.State = state
-			l = append(l, one)
+	list := func(prefix string, state protocol.State) (targets []protocol.Target) {
+		for i := range endpointCount {
+			target := targetOf(fmt.Sprint(prefix, i), a)
+			target.State = state
+			targets = append(targets, target)
 		}
-		return l
+		return targets
 	}
 	n, addr := startNode(t, list("old", protocol.InService), func(s *Settings) {
-		s.MaxDescriptors, s.Balancer.PeerCount, s.Balancer.PeerIndex = 512, many, many-1
+		s.MaxDescriptors, s.Balancer.PeerCount, s.Balancer.PeerIndex = 512, endpointCount, endpointCount-1
 	})
 	conn := dialNode(t, addr)
 	sendRequests := func() {
@@ -247,11 +253,11 @@
 				listed++
 			}
 			if ep.removedAt > 0 && len(ep.idleConns)+len(ep.waitingAttempts)+ep.pendingDials > 0 {
-				t.Errorf("endpoint %d is removed and has connections", ep.id)
+				t.Errorf("endpoint %d is removed and still has connections or waiting attempts", ep.id)
 			}
 		}
-		if listed != many {
-			t.Errorf("%d endpoints listed", listed)
+		if listed != endpointCount {
+			t.Errorf("%d endpoints are listed, want only the new ones", listed)
 		}
 	})
 	changed := *n.settings
--- a/internal/node/state_test.go
+++ b/internal/node/state_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// A state changes only as its type allows. Any other change leaves the state and is logged once for each kind.
+// A state changes only as its type allows. Any other change leaves the state as it is, and is logged once for each
+// kind.
 func TestInvalidTransitionIsLoggedAndNotMade(t *testing.T) {
 	n, _ := startNode(t, nil, nil)
 	runOnLoop(n, func() {
@@ -36,13 +37,14 @@
 			`object=attempt from=completed to=waiting`,
 		} {
 			if got := strings.Count(out.String(), change); got != 1 {
-				t.Errorf("%d lines with %s, want 1", got, change)
+				t.Errorf("%d log lines with %s, want 1", got, change)
 			}
 		}
 	})
 }
 
-// Every state has a name, and every listed transition leads to another state.
+// Every state has a name, every listed transition leads to another state, and only the terminal state has no
+// transition.
 func TestTransitionsAreBetweenNamedStates(t *testing.T) {
 	checkTransitions(t, backendConnTransitions, len(backendConnStateNames))
 	checkTransitions(t, clientConnTransitions, len(clientConnStateNames))
@@ -50,6 +52,7 @@
 	checkTransitions(t, attemptTransitions, len(attemptStateNames))
 }
 
+// checkTransitions checks the transitions of a type with the given number of states.
 func checkTransitions[S lifecycleState](t *testing.T, allowed transitions[S], states int) {
 	t.Helper()
 	for from, targets := range allowed {
@@ -60,6 +63,6 @@
 		}
 	}
 	if len(allowed) != states-1 {
-		t.Errorf("%d states have successors, want all but the terminal one of %d", len(allowed), states)
+		t.Errorf("%d states have transitions, want all but the terminal one of %d states", len(allowed), states)
 	}
 }
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -15,14 +15,14 @@
 	"tulipglade/internal/protocol"
 )
 
-// testBackend is a backend that behaves as a test says, and counts requests and connections.
+// testBackend is a backend with a handler that the test chooses. It counts requests and connections.
 type testBackend struct {
 	*httptest.Server
 	requestCount    atomic.Int32
-	remoteAddresses sync.Map // of its connections
+	remoteAddresses sync.Map // of the connections on which requests were received
 }
 
-// newTestBackend starts a backend.
+// newTestBackend starts a backend, which is closed at the end of the test.
 func newTestBackend(t *testing.T, h http.HandlerFunc) *testBackend {
 	t.Helper()
 	a := &testBackend{}
@@ -38,24 +38,27 @@
 	return a
 }
 
+// connectionCount returns the number of connections on which requests have been received.
 func (a *testBackend) connectionCount() (n int) {
 	a.remoteAddresses.Range(func(any, any) bool { n++; return true })
 	return n
 }
 
+// targets returns an endpoint list with the backend as its only entry.
 func (a *testBackend) targets() []protocol.Target { return []protocol.Target{targetOf("a", a)} }
 
-// targetOf is the backend's entry on an endpoint list.
+// targetOf returns an entry of an endpoint list for a backend.
 func targetOf(uid string, a *testBackend) protocol.Target {
 	return protocol.Target{UID: uid, Endpoint: a.Listener.Addr().String(), Zone: "z", Weight: 1}
 }
 
-// serve answers with the path that was asked for.
+// serve answers 200 with a body that names the path of the request.
 func serve(w http.ResponseWriter, r *http.Request) {
-	_, _ = io.WriteString(w, "body of "+r.URL.Path) // the node may have closed the connection
+	_, _ = io.WriteString(w, "body of "+r.URL.Path) // fails if the node has closed the connection
 }
 
-// closeAfterSending ends the connection after some bytes of an answer, with a reset if there are none.
+// closeAfterSending sends the given bytes of an answer and closes the connection. If there are none, it resets the
+// connection.
 func closeAfterSending(answer string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, _ := w.(http.Hijacker).Hijack()
@@ -67,7 +70,8 @@
 	}
 }
 
-// resetAfterReceipt sends some bytes of an answer, and resets the connection once the node's side has received them.
+// resetAfterReceipt sends the given bytes of an answer, and resets the connection once the node's side has received
+// them.
 func resetAfterReceipt(answer string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, _ := w.(http.Hijacker).Hijack()
@@ -76,26 +80,26 @@
 		for unread := 1; unread > 0; {
 			_ = raw.Control(func(fd uintptr) { unread, _ = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
 		}
-		// An acknowledgement does not mean that the node has read it; but a node that misses it has no answer either.
+		// An acknowledgement does not mean that the node has read the bytes, but if it has not, it has no answer either.
 		time.Sleep(10 * time.Millisecond)
 		_ = conn.(*net.TCPConn).SetLinger(0)
 		_ = conn.Close()
 	}
 }
 
-// sendGarbage sends what is no answer, and leaves the connection open.
+// sendGarbage sends bytes that are not a valid answer, and leaves the connection open.
 func sendGarbage(answer string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, _ := w.(http.Hijacker).Hijack()
 		_, _ = io.WriteString(conn, answer)
-		go func() { // until the node closes it
+		go func() { // reads until the node closes the connection
 			_, _ = io.Copy(io.Discard, conn)
 			_ = conn.Close()
 		}()
 	}
 }
 
-// respondWith answers with a status and header fields.
+// respondWith answers with a status and with header fields, given as names and values in turn.
 func respondWith(code int, fields ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for i := 0; i+1 < len(fields); i += 2 {
@@ -105,7 +109,7 @@
 	}
 }
 
-// neverAnswer sends nothing until the node gives up, and then notifies disconnected.
+// neverAnswer sends nothing until the node closes the connection, and then sends to disconnected unless that is nil.
 func neverAnswer(disconnected chan<- struct{}) http.HandlerFunc {
 	return func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -115,7 +119,7 @@
 	}
 }
 
-// handleFirst passes the first request to a handler, and serves the others.
+// handleFirst passes the first request to a handler and the others to serve. It also returns the count of requests.
 func handleFirst(h http.HandlerFunc) (http.HandlerFunc, *atomic.Int32) {
 	var seen atomic.Int32
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -127,8 +131,9 @@
 	}, &seen
 }
 
-// newBlockedBackend is a backend that notifies arrived of each request and serves none before release is closed, or
-// the test has ended: the server waits for its handlers when it is closed.
+// newBlockedBackend starts a backend that sends to arrived for each request and serves none before release is closed.
+// At the end of the test its handlers return in any case, since closing the server waits for them. A handler blocks
+// until its notification on arrived is received.
 func newBlockedBackend(t *testing.T) (a *testBackend, arrived <-chan struct{}, release chan struct{}) {
 	t.Helper()
 	in, release := make(chan struct{}), make(chan struct{})
@@ -149,7 +154,8 @@
 	return backend, in, release
 }
 
-// newGatedBackend is a backend that answers no request until it is released.
+// newGatedBackend is newBlockedBackend with a buffer for 10 notifications, so that the test need not receive them,
+// and with one request served for each value sent to release until that is closed.
 func newGatedBackend(t *testing.T) (a *testBackend, arrived chan bool, release chan bool) {
 	t.Helper()
 	arrived, release = make(chan bool, 10), make(chan bool)
@@ -166,7 +172,7 @@
 	return backend, arrived, release
 }
 
-// echo answers with the request's body.
+// echo answers with the body of the request.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
