--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -56,8 +56,8 @@
 	n.releaseConn(conn)
 }
 
-// failWaiting fails a waiting attempt after a failed dial, a health check if one is waiting, unless there is an idle
-// connection or a pending dial for each waiting attempt.
+// failWaiting fails one waiting attempt because of a failed dial, a health check if one is waiting. It fails none if
+// there is an idle connection or a pending dial for each waiting attempt.
 func (n *Node) failWaiting(ep *endpoint, err error) {
 	waiting := len(ep.waitingAttempts)
 	if waiting <= ep.pendingDials+len(ep.idleConns) {
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -8,8 +8,8 @@
 	"tulipglade/internal/staleness"
 )
 
-// UpdateEndpoints applies an endpoint list that is current now. cached says that the list comes from a cache and may
-// be out of date.
+// UpdateEndpoints applies an endpoint list as of now. cached says that the list comes from a cache and may be out of
+// date.
 func (n *Node) UpdateEndpoints(update protocol.List, cached bool) {
 	n.handleEndpointList(update, cached, time.Now(), staleness.InOrder)
 }
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -6,8 +6,8 @@
 // available, in microseconds. A backend that closes a connection does so right after its last answer, and a request
 // that crosses the close counts as one that may have run. Connections to an endpoint that has lately answered a
 // request twice are spared even if no other is available: duplicates arrive some milliseconds late, and the next
-// request would take one for its own answer. To spare all connections in that way at all times would cost far more
-// than it would save.
+// request would take a duplicate for its own answer. To spare all connections in that way at all times would cost far
+// more than it would save.
 const reuseDelay = 10_000
 
 // Backends, or devices between them and the node, may close idle connections sooner than configured, and without
--- a/internal/node/peerstate.go
+++ b/internal/node/peerstate.go
@@ -12,7 +12,7 @@
 
 const (
 	peerOpen     peerState = iota
-	peerFinished           // closed by the peer without a reset
+	peerFinished           // the peer has closed its direction without a reset
 	peerBroken             // reset, or the state could not be determined
 )
 
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -9,7 +9,8 @@
 )
 
 // assignConn sends an attempt on an idle connection, or lets it wait for one: an idle connection that becomes
-// reusable soon, or a new one. An attempt that still waits after ConnectTimeout has failed.
+// reusable soon, or a new one. An attempt of a request fails at once if no descriptor is available for a new
+// connection, and any attempt that still waits after ConnectTimeout fails.
 func (n *Node) assignConn(att *attempt) {
 	ep := att.endpoint
 	if conn := n.takeIdleConn(ep); conn != nil {
@@ -78,8 +79,9 @@
 	return candidate
 }
 
-// releaseConn returns a connection that carries no attempt to the pool, from which waiting attempts take it. A
-// connection that is not usable any more is closed instead.
+// releaseConn returns a connection that carries no attempt to the pool, from which waiting attempts take it. The
+// connection is closed instead if it is not usable any more, or if its endpoint is out of service and no attempt
+// waits for it.
 func (n *Node) releaseConn(conn *backendConn) {
 	ep := conn.endpoint
 	switch {
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -54,10 +54,10 @@
 	}
 }
 
-// applyEndpointList merges a list into the registry and converts it for the balancer. A list that is behind, such as
-// that of a discovery server that has just taken over, may add endpoints and restrict known ones, but restore none:
-// endpoints that it reports as draining drain, those that it leaves out get no new attempts, and one that is known to
-// drain or to have been removed stays so.
+// applyEndpointList merges a list into the registry, and returns the changed endpoints and the kind of the list as
+// the balancer gets them. A list that is behind, such as that of a discovery server that has just taken over, may add
+// endpoints and restrict known ones, but restore none: endpoints that it reports as draining drain, those that it
+// leaves out get no new attempts, and one that is known to drain or to have been removed stays so.
 func (n *Node) applyEndpointList(
 	update protocol.List, kind balancer.ListKind, order staleness.Order,
 ) ([]balancer.Endpoint, balancer.ListKind) {
--- a/internal/node/sendrequest.go
+++ b/internal/node/sendrequest.go
@@ -79,7 +79,8 @@
 	return max(remaining-min(maxWriteDelay, remaining/10), 1000)
 }
 
-// firstWriteFinished processes the result of the write that sendRequest has started.
+// firstWriteFinished processes the result of the write that sendRequest has started: that of a whole request, or of
+// the buffered part of a large one.
 func (n *Node) firstWriteFinished(conn *backendConn, att *attempt, err error) {
 	if errors.Is(err, errWriteDelayed) && conn.state != backendClosed {
 		n.retryDelayedWrite(conn, att)
