--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -49,7 +49,7 @@
 	if code, body, _ := conn.readAnswer(); code != 200 || body != "three" {
 		t.Error(code, body)
 	}
-	waitUntil(n, func() bool { return n.endpoints[1].duplicatesExpectedUntil > n.now() }) // a duplicate in the same read is noticed too
+	waitUntil(n, func() bool { return n.endpoints[1].duplicatesExpectedUntil > n.now() }) // also a duplicate in the same read
 }
 
 // Input that a backend sends without a request is not taken for the answer to the next request. That holds also if it
