--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -127,7 +127,8 @@
 		}
 		learned := previous.classes[previousIndex]
 		if b.config.Classes[i].Deadline != previous.config.Classes[previousIndex].Deadline {
-			learned.waits = b.classes[i].waits // its buckets are fractions of the deadline, which has changed
+			// Its buckets are fractions of the deadline, which has changed.
+			learned.clientTimeouts = b.classes[i].clientTimeouts
 		}
 		b.classes[i] = learned
 	}
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -40,7 +40,7 @@
 	if !lent {
 		return ownSlot
 	}
-	return b.checksHealth() || b.belowLimit(&b.inFlight, b.capacity)
+	return b.usesHealthChecks() || b.belowLimit(&b.inFlight, b.capacity)
 }
 
 // dispatchTenant sends one queued request of a tenant, and reports whether it did. The class is drawn in
@@ -82,7 +82,7 @@
 			tenant.queue = append(tenant.queue[:i], tenant.queue[i+1:]...)
 			return true
 		}
-		if b.checksHealth() { // all candidates are full: select others after a queue interval
+		if b.usesHealthChecks() { // all candidates are full: select others after a queue interval
 			request.waitUntil = b.now + b.queueInterval(request)
 		} else if len(request.attempts) == 0 { // the next request would find no endpoint either
 			return false
@@ -103,7 +103,7 @@
 		return false
 	}
 	request.candidates = b.selectCandidates(request, lent)
-	if !b.checksHealth() || len(request.candidates) == 0 {
+	if !b.usesHealthChecks() || len(request.candidates) == 0 {
 		return false
 	}
 	b.checkCandidates(request)
--- a/internal/balancer/learned.go
+++ b/internal/balancer/learned.go
@@ -69,8 +69,8 @@
 		ModeTime:     b.modeTime,
 		Overloaded:   b.overloadMode,
 	}
-	if b.listLease.Bounded() {
-		learned.ListLeaseRemaining = max(b.listLease.Until(b.now)-b.now, 0)
+	if b.listLease.CanExpire() {
+		learned.ListLeaseRemaining = max(b.listLease.ExpiresAt(b.now)-b.now, 0)
 	}
 	for _, endpoint := range b.endpoints {
 		endpoint.slowStart.count /= 2
@@ -136,8 +136,8 @@
 	endpoint.outlier = outlierState{
 		consecutiveFailures: min(max(state.ConsecutiveFailures, 0), ejectionFailures),
 		errorRate:           state.ErrorRate,
-		ejections:           min(max(state.Ejections, 0), 2*maxDoublings),
-		ejectedUntil:        min(state.EjectedUntil, b.now+b.controlPeriod<<maxDoublings),
+		ejections:           min(max(state.Ejections, 0), 2*maxBackoffExponent),
+		ejectedUntil:        min(state.EjectedUntil, b.now+b.controlPeriod<<maxBackoffExponent),
 	}
 	endpoint.slowStart = slowStartTokens{count: state.SlowStartTokens, updatedAt: b.now}
 	endpoint.reported = reportedLoad{LoadReport: unknownLoad, changedAt: b.now}
--- a/internal/balancer/poll.go
+++ b/internal/balancer/poll.go
@@ -27,7 +27,7 @@
 // pollSchedule is the state of the calls to discovery.
 type pollSchedule struct {
 	watching bool // a watch is open, so no call is needed
-	failures int  // consecutive failed calls, up to maxDoublings
+	failures int  // consecutive failed calls, up to maxBackoffExponent
 	nextAt   Time // time of the next call
 }
 
@@ -38,7 +38,7 @@
 	b.lastControlAt = b.now
 	b.poll.watching = !b.config.PollDiscovery
 	b.meanInFlight = initialLimit * float64(listed) / float64(max(b.config.PeerCount, 1))
-	b.listLease = staleness.New(b.now, b.config.ListLease)
+	b.listLease = staleness.NewLease(b.now, b.config.ListLease)
 	b.commands.SetTimer(timerControl, b.controlPeriod)
 	b.commands.SetTimer(timerPoll, Span(b.random.uniform()*b.firstPollSpread()))
 }
@@ -66,7 +66,7 @@
 	b.logf("discovery unavailable")
 	first := max(float64(b.controlPeriod)/4, b.pollSpread())
 	b.schedulePoll(min(first*math.Exp2(float64(b.poll.failures)), b.maxBackoff(kind)))
-	b.poll.failures = min(b.poll.failures+1, maxDoublings)
+	b.poll.failures = min(b.poll.failures+1, maxBackoffExponent)
 }
 
 // maxBackoff returns the longest backoff after a failed call. Unless discovery is overloaded and there is no
@@ -77,11 +77,11 @@
 	switch {
 	case kind == ListTimeout || kind == ListInvalid:
 		return maxTimeoutBackoffFraction * deadline
-	case kind == ListFailed && b.listLease.Bounded() && !b.listLease.Confirmed():
+	case kind == ListFailed && b.listLease.CanExpire() && !b.listLease.Confirmed():
 		// No request is sent until discovery answers or has been failing for long enough. Where there are few
 		// nodes, their calls need not be spread over a long time.
 		return min(max(maxTimeoutBackoffFraction*deadline, b.pollSpread()), maxBackoffFraction*deadline)
-	case kind == ListOverloaded && !b.listLease.Bounded():
+	case kind == ListOverloaded && !b.listLease.CanExpire():
 		// If all nodes called earlier, discovery could not answer them in time.
 		return max(maxBackoffFraction*deadline, b.pollSpread())
 	}
@@ -99,7 +99,7 @@
 // discovery. The time is short with a lease, as then no request is sent before discovery answers.
 func (b *Balancer) firstPollSpread() float64 {
 	spread := min(b.pollSpread(), firstPollFraction*float64(b.config.PollInterval))
-	if b.listLease.Bounded() {
+	if b.listLease.CanExpire() {
 		spread = min(spread, firstLeasedPollFraction*float64(NotificationDeadline))
 	}
 	return spread
@@ -109,7 +109,7 @@
 // configuration is no evidence.
 func (b *Balancer) recordListEvidence(kind ListKind, asOf Time) {
 	if asOf == NoEvidence && (kind == ListDelta || kind == ListFull) {
-		b.listLease.Record(b.now, staleness.Unusable, b.now)
+		b.listLease.Record(b.now, staleness.InvalidAnswer, b.now)
 		return
 	}
 	switch kind {
@@ -118,9 +118,9 @@
 	case ListFailed, ListOverloaded:
 		b.listLease.Record(b.now, staleness.Failed, asOf)
 	case ListTimeout:
-		b.listLease.Record(b.now, staleness.NoAnswer, asOf)
+		b.listLease.Record(b.now, staleness.TimedOut, asOf)
 	case ListInvalid:
-		b.listLease.Record(b.now, staleness.Unusable, asOf)
+		b.listLease.Record(b.now, staleness.InvalidAnswer, asOf)
 	}
 }
 
@@ -128,10 +128,10 @@
 // the list at the new one, so the lease that they have given lasts for validity at most.
 func (b *Balancer) HandleDiscoveryMoved(now Time, validity Span) {
 	b.now = now
-	b.listLease.ChangeAddress(now, validity)
+	b.listLease.HandleAddressChange(now, validity)
 }
 
 // ListCurrent reports whether requests may be sent by the endpoint list, and when the lease on it expires.
 func (b *Balancer) ListCurrent(now Time) (current bool, until Time) {
-	return b.listLease.Valid(now), b.listLease.Until(now)
+	return b.listLease.Valid(now), b.listLease.ExpiresAt(now)
 }
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -1,6 +1,7 @@
 package balancer
 
-// Endpoint selection: candidates drawn in proportion to slots, and the least loaded of them.
+// Endpoint selection: candidates are drawn in proportion to slots, and the least loaded of them gets the
+// request.
 
 import (
 	"math"
@@ -8,41 +9,42 @@
 )
 
 const (
-	latencyMargin         = 1.2 // times the predicted latency an answer may take, by which it must be in time
-	healthCheckCandidates = 3   // candidates for a request if health checks tell their load
-	randomCandidates      = 2   // otherwise: the power of two choices
+	latencyMargin         = 1.2 // an answer that takes this multiple of the predicted latency must be in time
+	healthCheckCandidates = 3   // candidates of a request if health checks show their load
+	randomCandidates      = 2   // candidates of a request without health checks: the power of two choices
 )
 
-// selectCandidates draws endpoints in proportion to the tenant's slots on them, or to the capacity lent. If
-// none is available, it draws from all in use.
+// selectCandidates draws endpoints for a request, in proportion to its tenant's slots on them or to the
+// capacity that can be lent. If no endpoint of the subset is available, it draws from unavailable ones too.
 func (b *Balancer) selectCandidates(request *openRequest, lent bool) (candidates []*endpointState) {
 	idempotency := b.config.Classes[request.class].Idempotency
-	from := b.subset
+	pool := b.subset
 	if idempotency == IdempotentByKey && firstThatMayHaveRun(request.attempts) != nil {
-		from = b.endpoints // its key's scope may lie outside the subset
+		pool = b.endpoints // the scope of its key may be outside the subset
 	}
 	onlyAvailable := b.anyAvailable()
-	onlyTrusted := idempotency == NonIdempotent && slices.ContainsFunc(from, b.trusted)
-	weights := b.endpointWeights[:len(from)]
-	for i, endpoint := range from {
+	onlyReliable := idempotency == NonIdempotent && slices.ContainsFunc(pool, b.reliable)
+	weights := b.endpointWeights[:len(pool)]
+	for i, endpoint := range pool {
 		weights[i] = 0
-		if onlyAvailable && !b.available(endpoint) || onlyTrusted && !b.trusted(endpoint) {
+		if onlyAvailable && !b.available(endpoint) || onlyReliable && !b.reliable(endpoint) {
 			continue
 		}
 		if b.mayAttempt(request, endpoint) {
 			weights[i] = b.selectionWeight(endpoint, request.tenant, lent)
 		}
 	}
-	draw := func() int { return b.drawEndpoint(request.affinityKey, from) }
+	draw := func() int { return b.drawEndpoint(request.affinityKey, pool) }
 	for i := draw(); i >= 0 && len(candidates) < b.candidateCount(); i = draw() {
-		candidates = append(candidates, from[i])
+		candidates = append(candidates, pool[i])
 		weights[i] = 0
 	}
 	return candidates
 }
 
-// selectionWeight is the number of a tenant's slots on an endpoint, if one is free, or the capacity that can
-// be lent.
+// selectionWeight returns the weight with which an endpoint is drawn: the number of a tenant's slots on it,
+// or 0 if none of these is free or the endpoint is at its limit. For lent capacity the weight is the free
+// part of the endpoint's limit.
 func (b *Balancer) selectionWeight(endpoint *endpointState, tenant int, lent bool) float64 {
 	if lent {
 		return max(b.freeCapacity(endpoint), 0)
@@ -52,60 +54,65 @@
 	if !slotFree || !belowLimit {
 		return 0
 	}
-	return endpoint.slots[tenant] // all of them, whatever part of the endpoint is lent to other tenants
+	return endpoint.slots[tenant] // in full, however much of the endpoint is lent to other tenants
 }
 
+// candidateCount returns the number of candidates that are drawn for a request.
 func (b *Balancer) candidateCount() int {
-	if b.checksHealth() {
+	if b.usesHealthChecks() {
 		return healthCheckCandidates
 	}
 	return randomCandidates
 }
 
-// drawEndpoint draws an index by endpointWeights: at random, or by weighted rendezvous hashing of a key if
-// endpoints do less work for one that they have seen. Over all keys the endpoints are still drawn in
-// proportion to their weights, but one key selects the same endpoints at every node.
-func (b *Balancer) drawEndpoint(key uint64, from []*endpointState) int {
+// drawEndpoint draws an index into the pool according to endpointWeights, or returns -1 if all weights are 0.
+// It draws at random, or by weighted rendezvous hashing of the affinity key if endpoints do less work for
+// keys that they have seen. Over all keys, endpoints are still drawn in proportion to their weights, but a
+// given key selects the same endpoints at every node.
+func (b *Balancer) drawEndpoint(key uint64, pool []*endpointState) int {
 	if key == 0 {
-		return b.random.weightedIndex(b.endpointWeights[:len(from)])
+		return b.random.weightedIndex(b.endpointWeights[:len(pool)])
 	}
-	first, least := -1, math.Inf(1)
-	for i, endpoint := range from {
-		u := float64(hash64(key^endpoint.rank)>>11+1) / (1 << 53) // in (0, 1], for the logarithm
+	best, lowestScore := -1, math.Inf(1)
+	for i, endpoint := range pool {
+		u := float64(hash64(key^endpoint.rank)>>11+1) / (1 << 53) // in (0, 1], where -ln u is finite
 		weight := b.endpointWeights[i]
-		if weight > 0 && 1-u < least*weight { // -ln u is 1-u at least: that spares most logarithms
-			if x := -math.Log(u) / weight; x < least {
-				first, least = i, x
+		if weight > 0 && 1-u < lowestScore*weight { // -ln u is at least 1-u: saves most logarithms
+			if score := -math.Log(u) / weight; score < lowestScore {
+				best, lowestScore = i, score
 			}
 		}
 	}
-	return first
+	return best
 }
 
-// leastLoaded is the candidate that uses the least part of its limit, or nil if none has capacity.
+// leastLoaded returns the candidate that uses the smallest part of its limit, among those that may get the
+// request and are expected to answer in time, or nil if there is none. With health checks, a candidate must
+// also have a fresh report and free capacity.
 func (b *Balancer) leastLoaded(request *openRequest, candidates []*endpointState) (best *endpointState) {
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, endpoint := range candidates {
 		load := b.inFlightShare(endpoint) / b.effectiveLimit(endpoint)
-		usable := !b.checksHealth() || b.hasFreshReport(endpoint) && b.freeCapacity(endpoint) > 0
-		if usable && load < least && b.mayAttempt(request, endpoint) && b.meetsDeadline(request, endpoint) {
-			best, least = endpoint, load
+		usable := !b.usesHealthChecks() || b.hasFreshReport(endpoint) && b.freeCapacity(endpoint) > 0
+		if usable && load < lowest && b.mayAttempt(request, endpoint) && b.expectedInTime(request, endpoint) {
+			best, lowest = endpoint, load
 		}
 	}
 	return best
 }
 
-// meetsDeadline tells whether an answer is predicted in time. An endpoint that holds nothing still gets an
-// attempt now and then if its answer would be late: the prediction may be wrong, and only answers correct it.
-func (b *Balancer) meetsDeadline(request *openRequest, endpoint *endpointState) bool {
+// expectedInTime reports whether the answer of an endpoint is predicted to be in time, that is, by the
+// latency objective or, if late answers have a value, by the deadline. An idle endpoint is accepted now and
+// then although its answer is predicted to be late: the prediction may be wrong, and only answers correct it.
+func (b *Balancer) expectedInTime(request *openRequest, endpoint *endpointState) bool {
 	class := &b.config.Classes[request.class]
-	until := request.objectiveAt
+	latest := request.objectiveAt
 	if class.LateValue > 0 {
-		until = request.deadline
+		latest = request.deadline
 	}
 	prediction := b.predictLatency(request, endpoint)
 	latency := prediction.latency * b.slownessFactor(endpoint)
-	timeLeft := float64(until - b.now)
+	timeLeft := float64(latest - b.now)
 	if latency == 0 || latency*latencyMargin <= timeLeft {
 		return true
 	}
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -26,7 +26,7 @@
 	closeAfterAnswer  bool     // the connection closes behind this answer
 	continueSent      bool     // 100 Continue has been written for the request that is being read
 	discardedBytes    int      // input that was discarded while lingering
-	surplus           bool     // it was accepted beyond the descriptor limit
+	acceptedOverLimit bool     // it was accepted beyond the descriptor limit
 	hasSentRequest    bool     // a complete request, or the head of a large one, has come
 	idleElement       *list.Element
 	idleList          *list.List // the list that holds idleElement: newClients, idleClients or lingeringClients
@@ -37,16 +37,16 @@
 	arrivals          []arrival
 	upload            *upload      // the request that is being read is too large to be buffered
 	downloadConn      *backendConn // forwards an answer that is too large to be buffered
-	http10            bool         // the request came as HTTP/1.0
-	headRequest       bool         // the request is a HEAD: its answer has no body
+	isHTTP10          bool         // the request came as HTTP/1.0
+	isHeadRequest     bool         // the request is a HEAD: its answer has no body
 	headContentLength int          // length that a backend states in answer to a HEAD
 	headCompleteAt    int64        // when the head of the request that is being read was complete; 0: it is not
 	requestStartedAt  int64        // when the request that is being read began; at first, when the connection was accepted
 	idleSince         int64
 }
 
-// Serve returns the event loop of the poller that accepts clients.
-func (n *Node) Serve() (netpoll.EventLoop, error) {
+// NewClientEventLoop returns the event loop of the poller that accepts clients.
+func (n *Node) NewClientEventLoop() (netpoll.EventLoop, error) {
 	type key struct{}
 	return netpoll.NewEventLoop(
 		func(ctx context.Context, conn netpoll.Connection) error {
@@ -55,7 +55,7 @@
 		netpoll.WithOnPrepare(func(conn netpoll.Connection) context.Context {
 			c := &clientConn{node: n, socket: socket{conn: conn}, requestStartedAt: n.now()}
 			_ = conn.SetWriteTimeout(writeTimeout)
-			if err := c.takeOver(n.readBudget, c.onClosed(n)); err != nil {
+			if err := c.initPollerConn(n.readBudget, c.onClosed(n)); err != nil {
 				_ = conn.Close()
 				return context.Background()
 			}
@@ -69,7 +69,7 @@
 // onInput passes on what the poller has read.
 func (c *clientConn) onInput(_ context.Context, conn netpoll.Connection) error {
 	receivedAt := c.node.now()
-	return c.deliver(conn, c.node, func(buf *buffer) { c.receive(buf, receivedAt) })
+	return c.postInput(conn, c.node, func(buf *buffer) { c.receive(buf, receivedAt) })
 }
 
 // maxPendingAccepts is how many accepted connections the event loop may not have registered yet. It is well within
@@ -94,7 +94,7 @@
 		c.close(closeNoDescriptor)
 		return
 	}
-	c.surplus = c.node.surplusDescriptors(0) > 0
+	c.acceptedOverLimit = c.node.surplusDescriptors(0) > 0
 	c.setIdle(true) // at the end of a shutdown, checkDrained closes it unless a request has come
 }
 
@@ -112,7 +112,7 @@
 	c.input, c.overflow = nil, nil
 	c.setOverflowSize(0)
 	if c.downloadConn != nil {
-		c.node.closeBackend(c.downloadConn, closeAnswerTruncated)
+		c.node.closeBackendConn(c.downloadConn, closeAnswerTruncated)
 	}
 	if c.upload == nil || c.descriptor != nil { // a connection that is being detached from the poller closes when that is done
 		c.closeTransport()
@@ -155,15 +155,15 @@
 func (c *clientConn) onClosed(n *Node) func() {
 	return func() {
 		c.disconnectedAt.Store(n.now())
-		n.report(reportClosed, func() { c.disconnected(closePeerEnded) })
+		n.report(reportClosed, func() { c.handleDisconnect(closePeerEnded) })
 	}
 }
 
-// disconnected processes the end of the connection.
-func (c *clientConn) disconnected(reason closeReason) {
+// handleDisconnect processes the end of the connection.
+func (c *clientConn) handleDisconnect(reason closeReason) {
 	req := c.request
 	c.close(reason)
 	if c.request = nil; req != nil {
-		c.node.clientDisconnected(req)
+		c.node.cancelRequest(req)
 	}
 }
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -48,11 +48,11 @@
 // isFull reports whether a request on a connection that was accepted beyond the descriptor limit must be rejected: all
 // others are busy, beyond answers that are on their way out.
 func (c *clientConn) isFull() bool {
-	if !c.surplus {
+	if !c.acceptedOverLimit {
 		return false
 	}
-	c.surplus = !c.node.closeIdleConnections(0)
-	return c.surplus && c.node.surplusDescriptors(0) > c.node.answersBeingWritten()
+	c.acceptedOverLimit = !c.node.closeIdleConnections(0)
+	return c.acceptedOverLimit && c.node.surplusDescriptors(0) > c.node.answersBeingWritten()
 }
 
 // answersBeingWritten counts the connections whose answer has been passed to a writer that has not reported its end.
@@ -82,7 +82,7 @@
 		} else if client := n.oldestIdleClient(&n.lingeringClients, 0); client != nil {
 			client.close(closeForDescriptors)
 		} else if element := n.idleBackends.Front(); element != nil {
-			n.closeBackend(element.Value.(*backendConn), closeForDescriptors)
+			n.closeBackendConn(element.Value.(*backendConn), closeForDescriptors)
 		} else if client := n.oldestIdleClient(&n.idleClients, 0); client != nil {
 			client.close(closeForDescriptors)
 		} else {
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -13,13 +13,13 @@
 // upload is a request that is too large to be buffered: it is forwarded while it is read, with its client's
 // connection detached from the poller.
 type upload struct {
-	earlyInput [][]byte // what came behind the part of the body that is buffered
-	tail       protocol.Message
-	rejected   bool // the request is invalid: little more of it is read
-	forwarder  *forwarder
-	lastByte   lastByte
-	forwarding bool // bytes have been consumed that can't be sent again
-	complete   bool // the forwarder has ended
+	earlyInput       [][]byte // what came behind the part of the body that is buffered
+	remainingMessage protocol.Message
+	rejected         bool // the request is invalid: little more of it is read
+	forwarder        *forwarder
+	lastByteTime     lastByteTime
+	bodyConsumed     bool // bytes have been consumed that can't be sent again
+	forwarderEnded   bool // the forwarder has ended
 }
 
 // noDeadline stands for a deadline that is not known yet: that of a request counts from its last byte.
@@ -30,7 +30,7 @@
 	c.hasSentRequest = true
 	c.setIdle(false)
 	c.upload = &upload{earlyInput: c.overflow}
-	c.upload.lastByte.after = c.arrivalTime(c.input.length + c.overflowSize - 1)
+	c.upload.lastByteTime.earliest = c.arrivalTime(c.input.length + c.overflowSize - 1)
 	c.overflow = nil
 	c.setOverflowSize(0)
 	c.detach(func(descriptor *os.File, rest []byte, err error) {
@@ -47,7 +47,7 @@
 		if descriptor != nil {
 			_ = descriptor.Close()
 		}
-		c.disconnected(closePollerFailed)
+		c.handleDisconnect(closePollerFailed)
 		return
 	}
 	c.useDescriptor(descriptor)
@@ -55,26 +55,26 @@
 	msg := c.message
 	c.input, c.message = nil, protocol.Message{}
 	up.earlyInput = append([][]byte{bytes.Clone(msg.Rest(buf.bytes()))}, append(up.earlyInput, rest)...)
-	up.tail = msg.Tail()
+	up.remainingMessage = msg.Tail()
 	c.closeAfterAnswer = c.closeAfterAnswer || !msg.KeepAlive
-	c.http10, c.headRequest, c.headCompleteAt = msg.OldVersion(), false, 0
+	c.isHTTP10, c.isHeadRequest, c.headCompleteAt = msg.OldVersion(), false, 0
 	if n.drain.rejecting || n.drain.closingAll || n.activeForwarders >= n.maxForwarders() || c.isFull() {
-		c.reply(buf, 503, nil, []byte("no room for a large request\n"), 0)
+		c.writeAnswer(buf, 503, nil, []byte("no room for a large request\n"), 0)
 		return
 	}
-	req, rejected := n.admit(&msg, buf, up.lastByte.after)
+	req, rejected := n.admit(&msg, buf, up.lastByteTime.earliest)
 	if rejected != nil {
 		c.closeAfterAnswer, up.rejected = true, rejected.status != 503
-		c.reply(buf, rejected.status, nil, []byte(rejected.reason+"\n"), 0)
+		c.writeAnswer(buf, rejected.status, nil, []byte(rejected.reason+"\n"), 0)
 		return
 	}
 	req.upload, req.clientConn, c.request = up, c, req
-	req.uploadTimeout = req.deadline - up.lastByte.after
-	up.observe(n.now(), descriptor, msg.Length(), len(msg.Body(buf.bytes())))
-	if up.lastByte.by == 0 {
-		req.deadline = n.answerDeadline(n.now(), up.lastByte.after+req.uploadTimeout)
+	req.uploadTimeout = req.deadline - up.lastByteTime.earliest
+	up.updateLastByteTime(n.now(), descriptor, msg.Length(), len(msg.Body(buf.bytes())))
+	if up.lastByteTime.latest == 0 {
+		req.deadline = n.answerDeadline(n.now(), up.lastByteTime.earliest+req.uploadTimeout)
 	}
-	n.submit(req)
+	n.submitRequest(req)
 }
 
 // forwardUpload forwards what the attempt's first write did not include. From here on the request can't be sent
@@ -82,14 +82,14 @@
 func (n *Node) forwardUpload(conn *backendConn, att *attempt) {
 	req := att.request
 	client, up := req.clientConn, req.upload
-	up.forwarding = true
+	up.bodyConsumed = true
 	req.deadline, att.deadline = noDeadline, noDeadline
 	n.balancer.HandleUpload(n.now(), req.id, true)
 	fwd := up.newForwarder(client, func(parts ...[]byte) error { return conn.write(parts) })
 	fwd.onWriteError = func() {
 		n.report(reportForwarded, func() {
 			if !att.isCompleted() { // incomplete: it has never started
-				n.closeBackend(conn, closeWriteFailed)
+				n.closeBackendConn(conn, closeWriteFailed)
 				n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 			}
 		})
@@ -110,7 +110,7 @@
 // connection, and the client might not see the answer.
 func (c *clientConn) discardUpload() {
 	up := c.upload
-	up.forwarding = true
+	up.bodyConsumed = true
 	fwd := up.newForwarder(c, func(...[]byte) error { return nil })
 	if up.rejected {
 		fwd.maxBytes = maxLingerBytes
@@ -126,10 +126,10 @@
 func (u *upload) newForwarder(client *clientConn, write func(...[]byte) error) *forwarder {
 	fwd := &forwarder{
 		source:         source{buffered: u.earlyInput, descriptor: client.descriptor},
-		message:        u.tail,
+		message:        u.remainingMessage,
 		buffer:         newBuffer(),
 		write:          write,
-		chunked:        u.tail.Length() < 0,
+		chunked:        u.remainingMessage.Length() < 0,
 		enforceMinRate: true,
 	}
 	u.earlyInput, u.forwarder = nil, fwd
@@ -145,7 +145,7 @@
 	}
 	fwd.buffer.release()
 	n.forwarderFinished()
-	client.upload.complete = true
+	client.upload.forwarderEnded = true
 	req := client.request
 	switch {
 	case att == nil:
@@ -174,10 +174,10 @@
 			status = 408
 		}
 		client.closeAfterAnswer = true
-		n.answer(req, nil, status, nil, []byte(err.Error()+"\n"), 0)
+		n.answerRequest(req, nil, status, nil, []byte(err.Error()+"\n"), 0)
 		n.balancer.HandleCancellation(n.now(), req.id)
 	default:
-		client.disconnected(closePeerEnded)
+		client.handleDisconnect(closePeerEnded)
 	}
 	if err != nil && att != nil && !att.isCompleted() {
 		n.abandonAttempt(att, balancer.OutcomeConnectFailed)
@@ -188,16 +188,16 @@
 func (n *Node) uploadSent(conn *backendConn, att *attempt, fwd *forwarder) {
 	now := n.now()
 	req, writeErr := att.request, fwd.writeErr
-	sentAfter := req.upload.lastByte.after
-	if !fwd.lastWaitAt.IsZero() {
-		sentAfter = max(sentAfter, n.nodeTime(fwd.lastWaitAt))
+	sentAfter := req.upload.lastByteTime.earliest
+	if !fwd.lastWaitEndedAt.IsZero() {
+		sentAfter = max(sentAfter, n.nodeTime(fwd.lastWaitEndedAt))
 	}
 	req.deadline = n.answerDeadline(now, sentAfter+req.uploadTimeout)
 	att.startedAt, att.deadline = now, req.deadline
 	n.scheduleAt(att.deadline, func() { n.checkAttemptDeadline(att) })
 	n.balancer.HandleUpload(now, req.id, false)
 	if writeErr != nil || conn.answerComplete || conn.state == backendClosed {
-		n.requestSent(conn, att, writeErr)
+		n.requestWriteFinished(conn, att, writeErr)
 		return
 	}
 	conn.setState(backendAwaitingAnswer)
@@ -210,7 +210,7 @@
 // closes it if the backend has not received all of the request.
 func (n *Node) earlyAnsweredUploadEnded(conn *backendConn, att *attempt, err error) {
 	if conn.answerComplete {
-		n.requestSent(conn, att, err)
+		n.requestWriteFinished(conn, att, err)
 	}
 }
 
@@ -245,22 +245,22 @@
 	c.upload = nil
 	if err != nil {
 		c.node.warnLimited("reattaching client connection failed", "err", err)
-		c.disconnected(closePollerFailed)
+		c.handleDisconnect(closePollerFailed)
 		return false
 	}
 	c.usePollerConn(conn)
-	if err = c.takeOver(c.node.readBudget, c.onClosed(c.node)); err == nil {
+	if err = c.initPollerConn(c.node.readBudget, c.onClosed(c.node)); err == nil {
 		err = conn.SetOnRequest(c.onInput)
 	}
 	if err != nil || !conn.IsActive() {
-		c.node.post(func() { c.disconnected(closePeerEnded) })
+		c.node.post(func() { c.handleDisconnect(closePeerEnded) })
 	}
 	return true
 }
 
 // discardAfterEarlyAnswer handles the end of an answer that was written while the request was still being uploaded.
 func (c *clientConn) discardAfterEarlyAnswer() {
-	if !c.upload.forwarding {
+	if !c.upload.bodyConsumed {
 		c.discardUpload()
 	}
 }
--- a/internal/simprotocol/writer.go
+++ b/internal/simprotocol/writer.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	replyHeadSize = 8
-	commandSize   = 24
+	replyHeaderSize = 8
+	commandSize     = 24
 
-	// commandFields is the offset of the fields behind the code and the instance.
-	commandFields = 5
+	// commandFieldsOffset is the offset in a command of the fields that follow the code and the instance.
+	commandFieldsOffset = 5
 )
 
-// commandCode is the code of a record that the adapter sends.
+// commandCode is the code at the start of each record that the adapter sends. It identifies the command.
 type commandCode byte
 
-// The codes of commands; the comments give the records' names in the simulator's protocol.
+// The command codes. The comment on each gives the record's name in the simulator's protocol.
 const (
 	commandSetTimer       commandCode = 80 // WakeAt
 	commandFail           commandCode = 82 // FinishError
@@ -33,17 +33,18 @@
 	commandPollEndpoints  commandCode = 91 // Refresh
 )
 
-// Writer collects the commands of one reply.
+// Writer collects the commands of one reply, which is a frame of a header, records, and a tail. The zero value is ready
+// to use.
 type Writer struct {
 	count   uint32
 	records []byte
 	tail    []byte
 }
 
-// Flush writes the reply to output and starts the next one.
+// Flush writes the collected commands to output as one reply, and starts the next reply.
 func (w *Writer) Flush(output io.Writer) error {
 	size := len(w.records) + len(w.tail)
-	frame := make([]byte, replyHeadSize, replyHeadSize+size)
+	frame := make([]byte, replyHeaderSize, replyHeaderSize+size)
 	binary.BigEndian.PutUint32(frame, w.count)
 	binary.BigEndian.PutUint32(frame[4:], uint32(size))
 	frame = append(frame, w.records...)
@@ -53,37 +54,41 @@
 	return err
 }
 
-// add adds a command and returns its fields, all 0.
-func (w *Writer) add(code commandCode, instance uint32) []byte {
+// addCommand adds a command to the reply. It returns the bytes of the command's fields, all 0, for the caller to fill in.
+func (w *Writer) addCommand(code commandCode, instance uint32) []byte {
 	w.count++
 	start := len(w.records)
 	w.records = append(w.records, make([]byte, commandSize)...)
 	record := w.records[start:]
 	record[0] = byte(code)
 	binary.BigEndian.PutUint32(record[1:], instance)
-	return record[commandFields:]
+	return record[commandFieldsOffset:]
 }
 
-// addForRequest adds a command whose first field is a request's ID, and returns the fields behind it.
-func (w *Writer) addForRequest(code commandCode, instance uint32, id balancer.RequestID) []byte {
-	fields := w.add(code, instance)
+// addRequestCommand adds a command whose first field is a request's ID. It returns the bytes of the fields that follow.
+func (w *Writer) addRequestCommand(code commandCode, instance uint32, id balancer.RequestID) []byte {
+	fields := w.addCommand(code, instance)
 	binary.BigEndian.PutUint32(fields, uint32(id))
 	return fields[4:]
 }
 
-// addText adds a command whose fields are a section of the tail with a text.
-func (w *Writer) addText(code commandCode, instance uint32, text string) {
-	fields := w.add(code, instance)
+// addTextCommand adds a command with a text. The text goes into the tail, and the fields hold its offset and length.
+func (w *Writer) addTextCommand(code commandCode, instance uint32, text string) {
+	fields := w.addCommand(code, instance)
 	binary.BigEndian.PutUint32(fields, uint32(len(w.tail)))
 	binary.BigEndian.PutUint32(fields[4:], uint32(len(text)))
 	w.tail = append(w.tail, text...)
 }
 
-// Fault reports that the decision module of an instance has panicked.
-func (w *Writer) Fault(instance uint32, text string) { w.addText(commandFault, instance, text) }
+// ReportFault adds a Fault record, which reports that the decision module of an instance has panicked. The text
+// describes the panic.
+func (w *Writer) ReportFault(instance uint32, text string) {
+	w.addTextCommand(commandFault, instance, text)
+}
 
-// Instance writes the commands of one Balancer. It implements balancer.Commands.
-type Instance struct {
+// InstanceCommands implements balancer.Commands for the Balancer of one instance: it adds each command to the Writer's
+// reply.
+type InstanceCommands struct {
 	Writer *Writer
 	ID     uint32
 }
@@ -98,48 +103,50 @@
 }
 
 // SendAttempt implements balancer.Commands.
-func (i Instance) SendAttempt(id balancer.RequestID, endpoint balancer.EndpointID, timeout balancer.Span) {
-	fields := i.Writer.addForRequest(commandSendAttempt, i.ID, id)
+func (i InstanceCommands) SendAttempt(id balancer.RequestID, endpoint balancer.EndpointID, timeout balancer.Span) {
+	fields := i.Writer.addRequestCommand(commandSendAttempt, i.ID, id)
 	putEndpoint(fields, endpoint)
 	putSpan(fields[6:], timeout)
 }
 
 // CancelAttempt implements balancer.Commands.
-func (i Instance) CancelAttempt(id balancer.RequestID, attempt int) {
-	fields := i.Writer.addForRequest(commandCancelAttempt, i.ID, id)
+func (i InstanceCommands) CancelAttempt(id balancer.RequestID, attempt int) {
+	fields := i.Writer.addRequestCommand(commandCancelAttempt, i.ID, id)
 	binary.BigEndian.PutUint16(fields, uint16(attempt))
 }
 
 // Reject implements balancer.Commands.
-func (i Instance) Reject(id balancer.RequestID, retryAfter balancer.Span) {
-	putSpan(i.Writer.addForRequest(commandReject, i.ID, id), retryAfter)
+func (i InstanceCommands) Reject(id balancer.RequestID, retryAfter balancer.Span) {
+	putSpan(i.Writer.addRequestCommand(commandReject, i.ID, id), retryAfter)
 }
 
 // Fail implements balancer.Commands.
-func (i Instance) Fail(id balancer.RequestID) { i.Writer.addForRequest(commandFail, i.ID, id) }
+func (i InstanceCommands) Fail(id balancer.RequestID) {
+	i.Writer.addRequestCommand(commandFail, i.ID, id)
+}
 
 // CheckHealth implements balancer.Commands.
-func (i Instance) CheckHealth(endpoint balancer.EndpointID) {
-	putEndpoint(i.Writer.add(commandCheckHealth, i.ID), endpoint)
+func (i InstanceCommands) CheckHealth(endpoint balancer.EndpointID) {
+	putEndpoint(i.Writer.addCommand(commandCheckHealth, i.ID), endpoint)
 }
 
 // SetTimer implements balancer.Commands.
-func (i Instance) SetTimer(id balancer.TimerID, delay balancer.Span) {
-	fields := i.Writer.add(commandSetTimer, i.ID)
+func (i InstanceCommands) SetTimer(id balancer.TimerID, delay balancer.Span) {
+	fields := i.Writer.addCommand(commandSetTimer, i.ID)
 	binary.BigEndian.PutUint64(fields, uint64(id))
 	putSpan(fields[8:], delay)
 }
 
 // WatchEndpoints implements balancer.Commands.
-func (i Instance) WatchEndpoints(on bool) {
-	fields := i.Writer.add(commandWatchEndpoints, i.ID)
+func (i InstanceCommands) WatchEndpoints(on bool) {
+	fields := i.Writer.addCommand(commandWatchEndpoints, i.ID)
 	if on {
 		fields[0] = 1
 	}
 }
 
 // PollEndpoints implements balancer.Commands.
-func (i Instance) PollEndpoints() { i.Writer.add(commandPollEndpoints, i.ID) }
+func (i InstanceCommands) PollEndpoints() { i.Writer.addCommand(commandPollEndpoints, i.ID) }
 
 // Log implements balancer.Commands.
-func (i Instance) Log(text string) { i.Writer.addText(commandLog, i.ID, text) }
+func (i InstanceCommands) Log(text string) { i.Writer.addTextCommand(commandLog, i.ID, text) }
