--- a/internal/balancer/poll.go
+++ b/internal/balancer/poll.go
@@ -27,7 +27,7 @@
 // pollSchedule is the state of the calls to discovery.
 type pollSchedule struct {
 	watching bool // a watch is open, so no call is needed
-	failures int  // consecutive failed calls, up to maxDoublings
+	failures int  // consecutive failed calls, up to maxBackoffExponent
 	nextAt   Time // time of the next call
 }
 
