--- a/internal/node/accounting_test.go
+++ b/internal/node/accounting_test.go
@@ -32,32 +32,32 @@
 
 // newAccountingModule puts an accountingModule in front of a node's balancer.
 func newAccountingModule(n *Node, fail func(format string, args ...any)) *accountingModule {
-	b := &accountingModule{
+	m := &accountingModule{
 		fail:             fail,
 		node:             n,
 		acceptedTraceIDs: map[string]bool{},
 		accepted:         map[balancer.RequestID]bool{},
 		outcomes:         map[[2]uint64]int{},
 	}
-	runOnLoop(n, func() { b.decisionModule, n.balancer = n.balancer, b })
-	return b
+	runOnLoop(n, func() { m.decisionModule, n.balancer = n.balancer, m })
+	return m
 }
 
-func (b *accountingModule) HandleRequest(now balancer.Time, a balancer.Request) {
-	if b.accepted[a.ID] {
-		b.fail("request %d is taken twice", a.ID)
+func (m *accountingModule) HandleRequest(now balancer.Time, request balancer.Request) {
+	if m.accepted[request.ID] {
+		m.fail("request %d is taken twice", request.ID)
 	}
-	b.accepted[a.ID] = true
-	b.acceptedTraceIDs[string(b.node.requests[a.ID].message.Get("x-trace-id"))] = true
-	b.decisionModule.HandleRequest(now, a)
+	m.accepted[request.ID] = true
+	m.acceptedTraceIDs[string(m.node.requests[request.ID].message.Get("x-trace-id"))] = true
+	m.decisionModule.HandleRequest(now, request)
 }
 
-func (b *accountingModule) HandleAttemptResult(now balancer.Time, s balancer.AttemptResult) {
-	key := [2]uint64{uint64(s.ID), uint64(s.Attempt)}
-	if b.outcomes[key]++; b.outcomes[key] > 1 {
-		b.fail("attempt %v has %d outcomes", key, b.outcomes[key])
+func (m *accountingModule) HandleAttemptResult(now balancer.Time, result balancer.AttemptResult) {
+	key := [2]uint64{uint64(result.ID), uint64(result.Attempt)}
+	if m.outcomes[key]++; m.outcomes[key] > 1 {
+		m.fail("attempt %v has %d outcomes", key, m.outcomes[key])
 	}
-	b.decisionModule.HandleAttemptResult(now, s)
+	m.decisionModule.HandleAttemptResult(now, result)
 }
 
 // backendBehaviors are the ways in which a backend may treat a request, each on a line of docs/account.md.
@@ -69,10 +69,10 @@
 // scriptedBackend treats its requests by a drawn list of behaviors, again and again, and records what it started.
 type scriptedBackend struct {
 	net.Listener
-	mu         sync.Mutex
-	behaviors  []string
-	next       int
-	executions map[string]int // by trace ID: it started, and may have had an effect
+	mu           sync.Mutex
+	behaviors    []string
+	nextBehavior int
+	executions   map[string]int // by trace ID: it started, and may have had an effect
 }
 
 func (s *scriptedBackend) serve() {
@@ -87,18 +87,18 @@
 
 func (s *scriptedBackend) serveConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	for in := bufio.NewReader(conn); ; {
-		r, err := http.ReadRequest(in)
+	for reader := bufio.NewReader(conn); ; {
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		id := r.Header.Get("X-Trace-Id")
+		id := request.Header.Get("X-Trace-Id")
 		s.mu.Lock()
-		behavior := s.behaviors[s.next%len(s.behaviors)]
-		s.next++
+		behavior := s.behaviors[s.nextBehavior%len(s.behaviors)]
+		s.nextBehavior++
 		if behavior != "rejects" {
 			s.executions[id]++
 		}
@@ -131,7 +131,7 @@
 			write(complete)
 			return
 		case "never answers":
-			_, _ = in.Peek(1) // until the node gives up
+			_, _ = reader.Peek(1) // until the node gives up
 			return
 		case "100 first":
 			write("HTTP/1.1 100 Continue\r\n\r\n" + complete)
@@ -252,10 +252,10 @@
 
 // checkAnswers reads the answers that are due and reports whether the client can go on.
 func (c *accountingClient) checkAnswers(ids []string, mode string) bool {
-	for k, id := range ids {
+	for i, id := range ids {
 		resp, err := http.ReadResponse(c.reader, nil)
 		if c.sawOrderlyClose(err) {
-			for _, lost := range ids[k:] {
+			for _, lost := range ids[i:] {
 				c.classes[lost] = classUnanswered
 			}
 			c.close()
@@ -310,7 +310,7 @@
 			}
 		})
 		defer stop()
-		b := newAccountingModule(n, fail)
+		module := newAccountingModule(n, fail)
 		if rapid.Bool().Draw(rt, "known to answer twice") {
 			runOnLoop(n, func() {
 				for _, ep := range n.endpoints {
@@ -331,7 +331,7 @@
 		}()
 		for i, event := range rapid.SliceOfN(rapid.SampledFrom(nodeEvents), 0, 6).Draw(rt, "events") {
 			// While backends are busy.
-			waitUntil(n, func() bool { return clientsDone.Load() || len(b.accepted) > i && n.openRequests > 0 })
+			waitUntil(n, func() bool { return clientsDone.Load() || len(module.accepted) > i && n.openRequests > 0 })
 			applyEvent(n, event, i, targets[i%len(targets)])
 		}
 		clients.Wait()
@@ -342,7 +342,7 @@
 			_ = backend.Close()
 		}
 		var accepted map[string]bool
-		runOnLoop(n, func() { accepted = b.acceptedTraceIDs })
+		runOnLoop(n, func() { accepted = module.acceptedTraceIDs })
 		for _, sent := range classes {
 			checkExecutions(backends, sent, accepted, fail)
 		}
@@ -422,8 +422,8 @@
 }
 
 // checkExecutions checks how often the requests of one client ran.
-func checkExecutions(backends []*scriptedBackend, classes map[string]string, accepted map[string]bool, fail func(string, ...any)) {
-	for id, class := range classes {
+func checkExecutions(backends []*scriptedBackend, classesByTraceID map[string]string, accepted map[string]bool, fail func(string, ...any)) {
+	for id, class := range classesByTraceID {
 		ran := 0
 		for _, s := range backends {
 			s.mu.Lock()
--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -13,8 +13,8 @@
 // The node's own rejections: an unreadable request closes the connection, an unknown class or tenant reaches no
 // backend.
 func TestNodeRejections(t *testing.T) {
-	a := newTestBackend(t, serve)
-	_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	backend := newTestBackend(t, serve)
+	_, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	req := requestText("read", 9000)
 	for _, c := range []struct {
 		name, in string
@@ -40,8 +40,8 @@
 			t.Errorf("%s: %d, closing %v, want %d, %v", c.name, code, closing, c.code, c.closing)
 		}
 	}
-	if a.requestCount.Load() != 0 {
-		t.Errorf("%d requests reached a backend", a.requestCount.Load())
+	if backend.requestCount.Load() != 0 {
+		t.Errorf("%d requests reached a backend", backend.requestCount.Load())
 	}
 }
 
@@ -100,8 +100,8 @@
 // A trace ID that another request has, or had until its time is over, is rejected: a backend would take it for the
 // same request, running twice.
 func TestTraceIDInUseIsRejected(t *testing.T) {
-	a, arrived, release := newBlockedBackend(t)
-	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	backend, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	first, req := dialNode(t, addr), requestText("once", 9000)
 	_, _ = io.WriteString(first, req)
 	<-arrived
@@ -112,8 +112,8 @@
 	if code, _, _ := first.readAnswer(); code != 200 {
 		t.Errorf("the first: %d", code)
 	}
-	if code, _, _ := dialNode(t, addr).exchange(req); code != 400 || a.requestCount.Load() != 1 {
-		t.Errorf("the same id after the answer: %d, %d requests came to the backend", code, a.requestCount.Load())
+	if code, _, _ := dialNode(t, addr).exchange(req); code != 400 || backend.requestCount.Load() != 1 {
+		t.Errorf("the same id after the answer: %d, %d requests came to the backend", code, backend.requestCount.Load())
 	}
 	waitUntil(n, func() bool { // nothing of it is left once its time is over
 		due := n.timers
@@ -142,8 +142,8 @@
 	})
 	piece, sent := make([]byte, 1<<16), 0
 	for sent < 40<<20 {
-		k, err := conn.Write(piece)
-		if sent += k; err != nil {
+		written, err := conn.Write(piece)
+		if sent += written; err != nil {
 			return
 		}
 	}
@@ -151,8 +151,8 @@
 }
 
 func TestOpenRequestsAreBounded(t *testing.T) {
-	a, arrived, release := newBlockedBackend(t)
-	_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, func(s *Settings) { s.MaxInFlight = 1 })
+	backend, arrived, release := newBlockedBackend(t)
+	_, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, func(s *Settings) { s.MaxInFlight = 1 })
 	first := dialNode(t, addr)
 	_, _ = io.WriteString(first, requestText("once", 9000))
 	<-arrived
--- a/internal/node/backpressure_test.go
+++ b/internal/node/backpressure_test.go
@@ -31,8 +31,8 @@
 // 48 messages where 0.4 to 10 MB is usual, and deployments limit a node to 64 to 192 MB. Here the event loop stands
 // still while clients send large requests.
 func TestUploadsAreNotReadAheadOfEventLoop(t *testing.T) {
-	a := newTestBackend(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
-	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	backend := newTestBackend(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
+	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	clients := make([]*testClient, largeUploadCount)
 	for i := range clients {
 		clients[i] = dialNode(t, addr)
@@ -41,9 +41,9 @@
 	held := trackHeapGrowth()
 	resume := suspendEventLoop(t, n)
 	var sent atomic.Int64
-	var wait sync.WaitGroup
+	var clientsDone sync.WaitGroup
 	for _, client := range clients {
-		wait.Go(func() {
+		clientsDone.Go(func() {
 			_, _ = io.WriteString(client, postRequest("Content-Length: "+strconv.Itoa(largeMessageSize)))
 			if err := writeCounted(client, &sent); err != nil {
 				t.Error(err)
@@ -58,19 +58,19 @@
 		t.Errorf("%d MB held for %d requests of %d MB", grown>>20, largeUploadCount, largeMessageSize>>20)
 	}
 	resume()
-	wait.Wait()
+	clientsDone.Wait()
 }
 
 // The same with large answers: the event loop stands still while backends send them.
 func TestDownloadsAreNotReadAheadOfEventLoop(t *testing.T) {
 	var sent atomic.Int64
 	arrived, release := make(chan struct{}, largeDownloadCount), make(chan struct{})
-	a := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+	backend := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		arrived <- struct{}{}
 		<-release
 		_ = writeCounted(w, &sent) // a missing part is found by the client
 	})
-	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	var wait sync.WaitGroup
 	for range largeDownloadCount {
 		client := dialNode(t, addr)
@@ -144,8 +144,8 @@
 // answer before the end of its request". The report of the write is 50 ms late here.
 func TestLargeAnswerBeforeWriteReportIsForwarded(t *testing.T) {
 	var sent atomic.Int64
-	a := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) { _ = writeCounted(w, &sent) })
-	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	backend := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) { _ = writeCounted(w, &sent) })
+	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	delayReports(n, reportWritten, 50*time.Millisecond)
 	code, body, _ := dialNode(t, addr).exchange(requestText("read", 9000))
 	if code != http.StatusOK || len(body) != largeMessageSize {
@@ -157,11 +157,11 @@
 // All of it was kept in memory until then.
 func TestLargeAnswerBeforeUploadReportIsBounded(t *testing.T) {
 	var sent atomic.Int64
-	a := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	backend := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		_ = writeCounted(w, &sent)
 	})
-	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	delayReports(n, reportForwarded, time.Second)
 	client := dialNode(t, addr)
 	held := trackHeapGrowth()
--- a/internal/node/buffer.go
+++ b/internal/node/buffer.go
@@ -30,10 +30,10 @@
 func (b *buffer) bytes() []byte { return b.data[:b.length] }
 
 // add appends as much of p as there is space for and returns the rest.
-func (b *buffer) add(p []byte) []byte {
-	k := copy(b.data[b.length:], p)
-	b.length += k
-	return p[k:]
+func (b *buffer) add(input []byte) []byte {
+	copied := copy(b.data[b.length:], input)
+	b.length += copied
+	return input[copied:]
 }
 
 // retain adds a reference.
@@ -56,15 +56,15 @@
 
 // readBuffer moves up to one buffer of what a connection has received into a buffer.
 func readBuffer(conn netpoll.Connection) (*buffer, error) {
-	r := conn.Reader()
-	k := min(r.Len(), protocol.BufferSize)
-	p, err := r.Next(k)
+	reader := conn.Reader()
+	size := min(reader.Len(), protocol.BufferSize)
+	data, err := reader.Next(size)
 	if err != nil {
 		return nil, err
 	}
 	b := newBuffer()
-	b.add(p)
-	return b, r.Release()
+	b.add(data)
+	return b, reader.Release()
 }
 
 // appendCopy appends a copy of data to pieces.
--- a/internal/node/clientanswer.go
+++ b/internal/node/clientanswer.go
@@ -26,7 +26,7 @@
 			size = c.headContentLength
 		}
 	}
-	out := protocol.AppendResponse(head.data[:0], status, fields, size, !c.closeAfterAnswer, retryAfter)
+	headBytes := protocol.AppendResponse(head.data[:0], status, fields, size, !c.closeAfterAnswer, retryAfter)
 	c.node.write(&c.socket, func(err error) {
 		c.node.answersInProgress--
 		c.writingAnswer = false
@@ -44,7 +44,7 @@
 			c.parseNextRequest(c.node.now())
 			c.node.closeIdleConnections(0) // a connection beyond the limit may be waiting for this one
 		}
-	}, out, body)
+	}, headBytes, body)
 }
 
 // writeFailureReason says whether a write to a client failed because the client has ended the connection.
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -47,10 +47,10 @@
 
 // NewClientEventLoop returns the event loop of the poller that accepts clients.
 func (n *Node) NewClientEventLoop() (netpoll.EventLoop, error) {
-	type key struct{}
+	type contextKey struct{}
 	return netpoll.NewEventLoop(
 		func(ctx context.Context, conn netpoll.Connection) error {
-			return ctx.Value(key{}).(*clientConn).onInput(ctx, conn)
+			return ctx.Value(contextKey{}).(*clientConn).onInput(ctx, conn)
 		},
 		netpoll.WithOnPrepare(func(conn netpoll.Connection) context.Context {
 			c := &clientConn{node: n, socket: socket{conn: conn}, requestStartedAt: n.now()}
@@ -62,7 +62,7 @@
 			n.pendingAccepts.Add(1)
 			n.post(c.register)
 			n.throttleAccepts()
-			return context.WithValue(context.Background(), key{}, c)
+			return context.WithValue(context.Background(), contextKey{}, c)
 		}))
 }
 
--- a/internal/node/clientconn_test.go
+++ b/internal/node/clientconn_test.go
@@ -17,8 +17,8 @@
 
 // Pipelined requests are answered one by one and in order; so is one that waits for 100 Continue.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	a := newTestBackend(t, serve)
-	_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	backend := newTestBackend(t, serve)
+	_, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	conn := dialNode(t, addr)
 	_, _ = io.WriteString(conn, requestText("once", 9000)+requestText("read", 9000)+readyRequest)
 	for _, want := range []string{"body of /once", "body of /read", "ready\n"} {
@@ -63,17 +63,17 @@
 // A request that was queued behind another has waited since its own last byte came, not since the previous answer:
 // the time stated to its backend and its deadline count from there. One that came later has longer.
 func TestDeadlineCountsFromLastByte(t *testing.T) {
-	arrived, next := make(chan struct{}), make(chan struct{})
+	arrived, release := make(chan struct{}), make(chan struct{})
 	backend := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
-		<-next
+		<-release
 		serve(w, r)
 	})
 	n, addr := startNode(t, backend.targets(), nil)
 	client := dialNode(t, addr)
-	var began, deadlines [4]int64
-	later := func(since int64) { waitUntil(n, func() bool { return n.now() > since+2*arrivalMergeInterval }) }
-	took := func(k int) {
+	var receivedBy, deadlines [4]int64
+	waitBeyondMergeInterval := func(since int64) { waitUntil(n, func() bool { return n.now() > since+2*arrivalMergeInterval }) }
+	recordDeadline := func(k int) {
 		for _, r := range n.requests {
 			if !r.isDone() {
 				deadlines[k] = r.deadline
@@ -83,8 +83,8 @@
 	// The third is incomplete.
 	_, _ = io.WriteString(client, requestText("once", 9000)+requestText("read", 9000)+requestText("once", 9000)[:40])
 	<-arrived
-	runOnLoop(n, func() { began[0] = n.now(); took(0) })
-	later(began[0])
+	runOnLoop(n, func() { receivedBy[0] = n.now(); recordDeadline(0) })
+	waitBeyondMergeInterval(receivedBy[0])
 	rest := requestText("once", 9000)
 	_, _ = io.WriteString(client, rest[40:]+requestText("read", 9000))
 	waitUntil(n, func() bool {
@@ -93,21 +93,21 @@
 		}
 		return false
 	})
-	runOnLoop(n, func() { began[2] = n.now() })
-	later(began[2])
+	runOnLoop(n, func() { receivedBy[2] = n.now() })
+	waitBeyondMergeInterval(receivedBy[2])
 	for k := range deadlines {
 		if k > 0 {
 			<-arrived
-			runOnLoop(n, func() { took(k) })
+			runOnLoop(n, func() { recordDeadline(k) })
 		}
-		next <- struct{}{}
+		release <- struct{}{}
 		if code, _, _ := client.readAnswer(); code != 200 {
 			t.Fatalf("request %d: %d", k, code)
 		}
 	}
 	if deadlines[1] != deadlines[0] || deadlines[2] != deadlines[3] ||
-		deadlines[2] < deadlines[1]+arrivalMergeInterval || deadlines[3] > began[2]+9_000_000 {
-		t.Errorf("deadlines %v, two pieces came by %d and %d", deadlines, began[0], began[2])
+		deadlines[2] < deadlines[1]+arrivalMergeInterval || deadlines[3] > receivedBy[2]+9_000_000 {
+		t.Errorf("deadlines %v, two pieces came by %d and %d", deadlines, receivedBy[0], receivedBy[2])
 	}
 }
 
@@ -117,20 +117,20 @@
 	body := strings.Repeat("x", 60<<10)
 	backend := newManualBackend(t, 0)
 	n, addr := startNode(t, backend.targets(), nil)
-	conn := dialWithSmallBuffer(t, addr)
-	_, _ = io.WriteString(conn, strings.Replace(requestText("read", 9000), "\r\n", "\r\nConnection: close\r\n", 1))
+	client := dialWithSmallBuffer(t, addr)
+	_, _ = io.WriteString(client, strings.Replace(requestText("read", 9000), "\r\n", "\r\nConnection: close\r\n", 1))
 	peer, _ := backend.acceptRequest()
 	writeOK(peer, body)
 	// The answer's last byte has reached the kernel.
 	waitUntil(n, func() bool { return n.lingeringClients.Len() == 1 || len(n.clients) == 0 })
-	_, _ = io.WriteString(conn, requestText("read", 9000))
+	_, _ = io.WriteString(client, requestText("read", 9000))
 	waitUntil(n, func() bool {
 		for c := range n.clients {
 			return c.discardedBytes > 0
 		}
 		return true
 	})
-	got, err := io.ReadAll(conn)
+	got, err := io.ReadAll(client)
 	if err != nil || !strings.HasSuffix(string(got), body) {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
@@ -139,7 +139,7 @@
 // A request that crosses the close of its connection is not forwarded, whatever caused the close, and its client sees
 // the end without an answer and can retry elsewhere.
 func TestRequestCrossingCloseIsNotForwarded(t *testing.T) {
-	for name, end := range map[string]func(*Node, *clientConn){
+	for name, closeConn := range map[string]func(*Node, *clientConn){
 		"shutdown":          func(n *Node, _ *clientConn) { n.closeIdleClients() },
 		"idle for too long": func(n *Node, c *clientConn) { c.idleSince = n.now() - maxClientIdleTime; n.closeStalledClients() },
 		"too many idle": func(n *Node, c *clientConn) {
@@ -162,16 +162,16 @@
 				t.Fatal(code)
 			}
 			waitUntil(n, func() bool { return n.idleClients.Len() == 1 })
-			var shut *clientConn
+			var closing *clientConn
 			runOnLoop(n, func() {
-				shut = n.idleClients.Front().Value.(*clientConn)
-				end(n, shut)
-				if shut.state != clientLingering {
+				closing = n.idleClients.Front().Value.(*clientConn)
+				closeConn(n, closing)
+				if closing.state != clientLingering {
 					t.Error("not lingering")
 				}
 			})
 			_, _ = io.WriteString(conn, requestText("once", 9000))
-			waitUntil(n, func() bool { return shut.discardedBytes > 0 || shut.state == clientClosed || n.openRequests > 0 })
+			waitUntil(n, func() bool { return closing.discardedBytes > 0 || closing.state == clientClosed || n.openRequests > 0 })
 			runOnLoop(n, func() {
 				if n.openRequests > 0 || len(n.requests) > 0 {
 					t.Error("admitted")
--- a/internal/node/clientinput.go
+++ b/internal/node/clientinput.go
@@ -37,8 +37,8 @@
 			c.input = newBuffer()
 			c.requestStarted(receivedAt)
 		}
-		before := len(rest)
-		if rest = c.input.add(rest); len(rest) == before { // full, and the previous request is not answered yet
+		lengthBefore := len(rest)
+		if rest = c.input.add(rest); len(rest) == lengthBefore { // full, and the previous request is not answered yet
 			c.bufferOverflow(rest)
 			return
 		}
--- a/internal/node/closereason.go
+++ b/internal/node/closereason.go
@@ -7,7 +7,7 @@
 const (
 	closePeerEnded         closeReason = "closed by the peer"
 	closeNoDescriptor      closeReason = "no descriptor"
-	closeForDescriptors    closeReason = "descriptor needed"
+	closeDescriptorNeeded  closeReason = "descriptor needed"
 	closeIdle              closeReason = "idle"
 	closeNoRequest         closeReason = "no request in time"
 	closeTooManyIdle       closeReason = "too many idle"
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -76,15 +76,15 @@
 func (n *Node) closeIdleConnections(more int) bool {
 	for n.exceedsDescriptorLimit(more) {
 		if client := n.oldestIdleClient(&n.newClients, newConnGrace); client != nil {
-			client.close(closeForDescriptors)
+			client.close(closeDescriptorNeeded)
 		} else if client := n.oldestIdleClient(&n.idleClients, minClientIdleTime); client != nil {
-			client.close(closeForDescriptors)
+			client.close(closeDescriptorNeeded)
 		} else if client := n.oldestIdleClient(&n.lingeringClients, 0); client != nil {
-			client.close(closeForDescriptors)
+			client.close(closeDescriptorNeeded)
 		} else if element := n.idleBackends.Front(); element != nil {
-			n.closeBackend(element.Value.(*backendConn), closeForDescriptors)
+			n.closeBackend(element.Value.(*backendConn), closeDescriptorNeeded)
 		} else if client := n.oldestIdleClient(&n.idleClients, 0); client != nil {
-			client.close(closeForDescriptors)
+			client.close(closeDescriptorNeeded)
 		} else {
 			return false
 		}
@@ -97,11 +97,11 @@
 func (n *Node) closeExpendableClients(more int) bool {
 	for n.exceedsDescriptorLimit(more) {
 		if client := n.oldestIdleClient(&n.newClients, 0); client != nil {
-			client.close(closeForDescriptors)
+			client.close(closeDescriptorNeeded)
 		} else if element := n.lingeringClients.Front(); element != nil {
-			element.Value.(*clientConn).close(closeForDescriptors)
+			element.Value.(*clientConn).close(closeDescriptorNeeded)
 		} else if client := n.oldestPartialRequest(); client != nil {
-			client.close(closeForDescriptors)
+			client.close(closeDescriptorNeeded)
 		} else {
 			return false
 		}
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -19,11 +19,11 @@
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	disconnected := make(chan struct{}, 1)
 	arrived := make(chan struct{}, 1)
-	a := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	backend := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
 		neverAnswer(disconnected)(w, r)
 	})
-	_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	_, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	conn := dialNode(t, addr)
 	_, _ = io.WriteString(conn, requestText("read", 9000))
 	<-arrived
@@ -45,14 +45,14 @@
 		"resets, nothing is cancelled": {false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newQueuedRequest(t, func(s *Settings) { s.Balancer.AllowCancel = c.cancel })
+			queued := newQueuedRequest(t, func(s *Settings) { s.Balancer.AllowCancel = c.cancel })
 			if c.reset {
-				_ = w.second.Conn.(*net.TCPConn).SetLinger(0)
+				_ = queued.second.Conn.(*net.TCPConn).SetLinger(0)
 			}
-			_ = w.second.Close()
-			waitUntil(w.node, func() bool { return w.node.openRequests == 1 })
-			w.releaseFirst()
-			if k := w.backend.requestCount.Load(); k != 1 {
+			_ = queued.second.Close()
+			waitUntil(queued.node, func() bool { return queued.node.openRequests == 1 })
+			queued.releaseFirst()
+			if k := queued.backend.requestCount.Load(); k != 1 {
 				t.Errorf("%d requests forwarded", k)
 			}
 		})
@@ -68,8 +68,8 @@
 		conn := dialNode(t, addr)
 		conn.exchange(requestText("read", 9000))
 		waitUntil(n, func() bool { return n.idleBackends.Len() == 1 }) // so that the next request needs no dial
-		ends := &outcomeRecorder{}
-		runOnLoop(n, func() { ends.decisionModule, n.balancer = n.balancer, ends })
+		recorder := &outcomeRecorder{}
+		runOnLoop(n, func() { recorder.decisionModule, n.balancer = n.balancer, recorder })
 		busy, free := make(chan struct{}), make(chan struct{})
 		n.post(func() { close(busy); <-free })
 		<-busy
@@ -79,25 +79,25 @@
 		waitForPosted(n, 2)
 		close(free)
 		waitUntil(n, func() bool { return n.lastRequestID == 2 && len(n.clients) == 0 && len(n.requests) == 0 })
-		if !slices.Equal(ends.outcomes, []balancer.Outcome{balancer.OutcomeNotSent}) {
-			t.Errorf("attempts that ended as %v, want one that never started", ends.outcomes)
+		if !slices.Equal(recorder.outcomes, []balancer.Outcome{balancer.OutcomeNotSent}) {
+			t.Errorf("attempts that ended as %v, want one that never started", recorder.outcomes)
 		}
 	})
 	t.Run("an attempt waits", func(t *testing.T) {
-		w := newQueuedRequest(t, nil)
-		runOnLoop(w.node, func() { // the loop is busy as the client disconnects, and a connection is released behind that
-			_ = w.second.Close()
-			for _, a := range w.node.endpoints[1].waitingAttempts {
-				for !a.request.clientConn.peerHasEnded() {
+		queued := newQueuedRequest(t, nil)
+		runOnLoop(queued.node, func() { // the loop is busy as the client disconnects, and a connection is released behind that
+			_ = queued.second.Close()
+			for _, att := range queued.node.endpoints[1].waitingAttempts {
+				for !att.request.clientConn.peerHasEnded() {
 					runtime.Gosched()
 				}
-				if why := w.node.mayStart(a); why != safety.ClientDisconnected {
-					t.Errorf("may start: %v", why)
+				if reason := queued.node.mayStart(att); reason != safety.ClientDisconnected {
+					t.Errorf("may start: %v", reason)
 				}
 			}
 		})
-		w.releaseFirst()
-		if k := w.backend.requestCount.Load(); k != 1 {
+		queued.releaseFirst()
+		if k := queued.backend.requestCount.Load(); k != 1 {
 			t.Errorf("%d requests forwarded", k)
 		}
 	})
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -52,8 +52,8 @@
 // startDownloadForwarding starts the client's answer. Without a descriptor the backend's connection has ended, and its
 // input so far is all there is.
 func (n *Node) startDownloadForwarding(conn *backendConn, descriptor *os.File, rest []byte, err error) {
-	pending := conn.download
-	att := pending.attempt
+	current := conn.download
+	att := current.attempt
 	if conn.state == backendClosed || att.isCompleted() || err != nil {
 		if descriptor != nil {
 			_ = descriptor.Close()
@@ -67,21 +67,21 @@
 	}
 	n.recordIdleOutcome(conn.idleBeforeAttempt, false)
 	conn.idleBeforeAttempt = 0
-	req, in, msg := att.request, conn.input, conn.message
+	req, answerBuffer, msg := att.request, conn.input, conn.message
 	conn.attempt, conn.input = nil, nil
 	report := headerLoadReport(&msg)
 	if !n.finishRequest(req) {
-		in.release()
+		answerBuffer.release()
 		n.closeBackend(conn, closeAttemptAbandoned)
 		n.completeAttempt(att, balancer.OutcomeOK, report)
 		return
 	}
-	from := source{
-		buffered:     append(pending.earlyInput, rest),
+	answerSource := source{
+		buffered:     append(current.earlyInput, rest),
 		descriptor:   descriptor,
 		endedInOrder: descriptor == nil && conn.peerClosedInOrder,
 	}
-	n.forwardDownload(conn, req.clientConn, &forwarder{source: from, message: msg, buffer: in})
+	n.forwardDownload(conn, req.clientConn, &forwarder{source: answerSource, message: msg, buffer: answerBuffer})
 	n.completeAttempt(att, balancer.OutcomeOK, report)
 }
 
@@ -156,19 +156,19 @@
 
 // reattachBackend returns a backend's detached connection to the poller and to the pool.
 func (n *Node) reattachBackend(conn *backendConn) {
-	polled, err := attachToPoller(conn.descriptor)
+	pollerConn, err := attachToPoller(conn.descriptor)
 	if err != nil {
 		conn.descriptor = nil
 		n.closeBackend(conn, closePollerFailed)
 		return
 	}
-	conn.usePollerConn(polled)
+	conn.usePollerConn(pollerConn)
 	conn.message = protocol.Message{}
 	err = conn.takeOver(n.readBudget, func() { n.report(reportClosed, conn.connectionEnded) })
 	if err == nil {
-		err = polled.SetOnRequest(conn.onInput)
+		err = pollerConn.SetOnRequest(conn.onInput)
 	}
-	if err != nil || !polled.IsActive() {
+	if err != nil || !pollerConn.IsActive() {
 		n.closeBackend(conn, closePollerFailed)
 		return
 	}
--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -22,7 +22,7 @@
 // Large requests and answers are forwarded completely, in any framing and in both directions at once, and the
 // connection is reused after that.
 func TestLargeMessages(t *testing.T) {
-	a := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	backend := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if n, _ := strconv.Atoi(r.URL.Query().Get("size")); n > 0 {
 			w.Header().Set("Content-Length", strconv.Itoa(n))
 			_, _ = w.Write(randomBody(9, n))
@@ -30,7 +30,7 @@
 		}
 		echo(w, r)
 	})
-	_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	_, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	for _, c := range []struct {
 		name string
 		size int
@@ -58,7 +58,7 @@
 			t.Errorf("%s: the request after: %d", c.name, code)
 		}
 	}
-	if k := a.connectionCount(); k > 8 { // of 16 requests: one that comes before a connection is reattached uses another
+	if k := backend.connectionCount(); k > 8 { // of 16 requests: one that comes before a connection is reattached uses another
 		t.Errorf("%d connections to the backend: they were not reattached", k)
 	}
 }
@@ -111,7 +111,7 @@
 		{"until close, HTTP/1.0 client", "Connection: close\r\n", "1.0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+			backend := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 				conn, _, _ := w.(http.Hijacker).Hijack()
 				part := randomBody(1, 500_000)
 				if strings.HasPrefix(c.head, "Transfer") {
@@ -123,7 +123,7 @@
 				_ = conn.(*net.TCPConn).SetLinger(0)
 				_ = conn.Close()
 			})
-			_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+			_, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 			conn := dialNode(t, addr)
 			_, _ = io.WriteString(conn, strings.Replace(requestText("read", 9000), "HTTP/1.1", "HTTP/"+c.version, 1))
 			resp, err := http.ReadResponse(conn.reader, nil)
@@ -134,8 +134,8 @@
 				t.Errorf("%d bytes, and an orderly end", n)
 			}
 			_ = resp.Body.Close() // read to its end
-			if a.requestCount.Load() != 1 {
-				t.Errorf("%d attempts", a.requestCount.Load())
+			if backend.requestCount.Load() != 1 {
+				t.Errorf("%d attempts", backend.requestCount.Load())
 			}
 		})
 	}
@@ -146,12 +146,12 @@
 func TestAnswerDelimitedByConnectionClose(t *testing.T) {
 	for _, size := range []int{100, 1 << 20} {
 		for _, version := range []string{"1.1", "1.0"} {
-			a := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+			backend := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 				conn, _, _ := w.(http.Hijacker).Hijack()
 				_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n\r\n%s", randomBody(1, size))
 				_ = conn.Close()
 			})
-			_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+			_, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 			conn := dialNode(t, addr)
 			_, _ = io.WriteString(conn, strings.Replace(requestText("once", 9000), "HTTP/1.1", "HTTP/"+version, 1))
 			if code, got, _ := conn.readAnswer(); code != 200 || got != string(randomBody(1, size)) {
@@ -167,9 +167,9 @@
 func TestAnswerBeforeEndOfUpload(t *testing.T) {
 	body := randomBody(1, 4<<20)
 	for _, c := range []struct {
-		name string
-		h    http.HandlerFunc
-		code int
+		name    string
+		handler http.HandlerFunc
+		code    int
 	}{
 		{"rejected early", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Never-Ran", "1")
@@ -182,8 +182,8 @@
 		}, 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := newTestBackend(t, c.h)
-			n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+			backend := newTestBackend(t, c.handler)
+			n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 			conn := dialNode(t, addr)
 			_, _ = io.WriteString(conn, postRequest("Content-Length: "+strconv.Itoa(len(body))))
 			_, _ = conn.Write(body[:3<<20+100_000])
@@ -211,11 +211,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ended := make(chan error, 1)
-			a := newTestBackend(t, func(_ http.ResponseWriter, r *http.Request) {
+			backend := newTestBackend(t, func(_ http.ResponseWriter, r *http.Request) {
 				_, err := io.Copy(io.Discard, r.Body)
 				ended <- err
 			})
-			n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+			n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 			conn := dialNode(t, addr)
 			_, _ = io.WriteString(conn, postRequest(c.framing))
 			part := randomBody(1, 200_000)
@@ -244,10 +244,10 @@
 func TestSlowBodyIsRejected(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
-		name  string
-		given int64
-		after time.Duration
-		slow  bool
+		name     string
+		received int64
+		elapsed  time.Duration
+		slow     bool
 	}{
 		{"at once", 0, 0, false},
 		{"nothing yet", 0, 2 * time.Second, false},
@@ -255,7 +255,7 @@
 		{"at the rate", 64_000 * 60, time.Minute, false},
 		{"just under", 64_000 * 50, time.Minute, true},
 	} {
-		f := &forwarder{enforceMinRate: true, receivedBytes: c.given, startedAt: now.Add(-c.after)}
+		f := &forwarder{enforceMinRate: true, receivedBytes: c.received, startedAt: now.Add(-c.elapsed)}
 		if got := f.readTimeout(now) <= 0; got != c.slow {
 			t.Errorf("%s: cut off %v", c.name, got)
 		}
@@ -278,7 +278,7 @@
 	const size, count = 8 << 20, 24
 	slow := make(chan struct{})
 	piece := randomBody(3, 64<<10)
-	a := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	backend := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			_ = writeRepeatedly(w, piece, size)
 			return
@@ -286,18 +286,18 @@
 		<-slow
 		_, _ = io.Copy(io.Discard, r.Body)
 	})
-	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	var before, peak runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	var wait sync.WaitGroup
+	var clients sync.WaitGroup
 	for range count {
-		for _, up := range []bool{false, true} {
+		for _, isUpload := range []bool{false, true} {
 			conn := dialNode(t, addr)
-			wait.Add(1)
+			clients.Add(1)
 			go func() {
-				defer wait.Done()
-				if up {
+				defer clients.Done()
+				if isUpload {
 					_, _ = io.WriteString(conn, postRequest("Content-Length: "+strconv.Itoa(size)))
 					if err := writeRepeatedly(conn, piece, size); err != nil {
 						return
@@ -311,7 +311,7 @@
 					t.Error(resp, err)
 					return
 				}
-				if k, err := io.Copy(io.Discard, resp.Body); err != nil || !up && k != size {
+				if k, err := io.Copy(io.Discard, resp.Body); err != nil || !isUpload && k != size {
 					t.Errorf("%d bytes, %v", k, err)
 				}
 				_ = resp.Body.Close() // read to its end
@@ -329,22 +329,22 @@
 		t.Logf("%.1f MB for %d messages of %d MB", float64(grown)/(1<<20), 2*count, size>>20)
 	}
 	close(slow)
-	wait.Wait()
+	clients.Wait()
 }
 
 // Pipelined input is bounded for each connection and for all; a large request behind one that is not answered is not
 // lost.
 func TestPipelinedInputIsBounded(t *testing.T) {
-	a, arrived, release := newBlockedBackend(t)
-	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	backend, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	body := randomBody(1, 100_000)
-	fine := dialNode(t, addr)
-	_, _ = io.WriteString(fine, requestText("once", 9000)+postRequest("Content-Length: 100000")+string(body))
+	client := dialNode(t, addr)
+	_, _ = io.WriteString(client, requestText("once", 9000)+postRequest("Content-Length: 100000")+string(body))
 	<-arrived
-	flood := dialNode(t, addr)
-	_, _ = io.WriteString(flood, requestText("once", 9000))
+	floodingClient := dialNode(t, addr)
+	_, _ = io.WriteString(floodingClient, requestText("once", 9000))
 	<-arrived
-	go func() { _, _ = flood.Write(randomBody(2, 8<<20)) }()
+	go func() { _, _ = floodingClient.Write(randomBody(2, 8<<20)) }()
 	waitUntil(n, func() bool {
 		for c := range n.clients {
 			if c.inputTruncated {
@@ -356,21 +356,21 @@
 	go func() { <-arrived }()
 	close(release)
 	for i := range 2 {
-		if code, _, _ := fine.readAnswer(); code != 200 {
+		if code, _, _ := client.readAnswer(); code != 200 {
 			t.Errorf("answer %d: %d", i, code)
 		}
 	}
-	if code, _, closing := flood.readAnswer(); code != 200 || !closing {
+	if code, _, closing := floodingClient.readAnswer(); code != 200 || !closing {
 		t.Errorf("the flood's own request: %d, closing %v", code, closing)
 	}
-	_ = flood.Close()
+	_ = floodingClient.Close()
 	waitUntil(n, func() bool { return n.overflowBytes == 0 })
 }
 
 // A detached connection is out of the poller's set, also if netpoll has run the close callbacks without removing it:
 // later input belongs to the next reader, and the descriptor can come back.
 func TestDetachedConnectionIsNotRead(t *testing.T) {
-	for name, leaves := range map[string]bool{"detached": true, "still in the poller's set": false} {
+	for name, isRemoved := range map[string]bool{"detached": true, "still in the poller's set": false} {
 		t.Run(name, func(t *testing.T) {
 			fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 			if err != nil {
@@ -382,7 +382,7 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = conn.Close() }()
-			if leaves {
+			if isRemoved {
 				if err := removeFromPollSet(conn); err != nil {
 					t.Fatal(err)
 				}
@@ -395,7 +395,7 @@
 					t.Fatal(err)
 				}
 			}
-			if read := conn.Reader().Len() > 0; read == leaves {
+			if read := conn.Reader().Len() > 0; read == isRemoved {
 				t.Errorf("the poller has read: %v", read)
 			}
 		})
--- a/internal/node/readlimit.go
+++ b/internal/node/readlimit.go
@@ -135,9 +135,9 @@
 
 // updateBudget brings the budget up to what this connection holds.
 func (l *readLimiter) updateBudget() {
-	held := l.postedPieces + (l.unread+protocol.BufferSize-1)/protocol.BufferSize
-	l.budget.usedBuffers.Add(int64(held - l.chargedBuffers))
-	l.chargedBuffers = held
+	occupied := l.postedPieces + (l.unread+protocol.BufferSize-1)/protocol.BufferSize
+	l.budget.usedBuffers.Add(int64(occupied - l.chargedBuffers))
+	l.chargedBuffers = occupied
 }
 
 // setStopped stops or resumes reading.
@@ -177,11 +177,11 @@
 
 // operatorOf returns what the poller knows a connection by. netpoll does not export it.
 func operatorOf(conn netpoll.Connection) (*netpoll.FDOperator, error) {
-	v := reflect.ValueOf(conn)
-	if v.Kind() != reflect.Pointer || v.Elem().Kind() != reflect.Struct {
+	connValue := reflect.ValueOf(conn)
+	if connValue.Kind() != reflect.Pointer || connValue.Elem().Kind() != reflect.Struct {
 		return nil, errNoOperator
 	}
-	field := v.Elem().FieldByName("operator")
+	field := connValue.Elem().FieldByName("operator")
 	if !field.IsValid() || field.Type() != reflect.TypeFor[*netpoll.FDOperator]() || field.IsNil() {
 		return nil, errNoOperator
 	}
--- a/internal/node/readlimit_test.go
+++ b/internal/node/readlimit_test.go
@@ -25,7 +25,7 @@
 // Whatever becomes of a connection, the budget has all of it back once its posted pieces are processed: what was lost
 // would stop the poller for good.
 func TestReadBudgetIsReturned(t *testing.T) {
-	for name, use := range map[string]func(*readLimiter){
+	for name, operations := range map[string]func(*readLimiter){
 		"processed": func(l *readLimiter) { l.recordRead(100); l.recordPosted(100); l.recordProcessed() },
 		"in two pieces": func(l *readLimiter) {
 			l.recordRead(200)
@@ -42,7 +42,7 @@
 		t.Run(name, func(t *testing.T) {
 			budget := newReadBudget(0)
 			limiter := &readLimiter{budget: budget}
-			use(limiter)
+			operations(limiter)
 			if usedBuffers := budget.usedBuffers.Load(); usedBuffers != 0 {
 				t.Errorf("%d buffers are still charged", usedBuffers)
 			}
--- a/internal/node/sizehint_test.go
+++ b/internal/node/sizehint_test.go
@@ -9,14 +9,14 @@
 
 // A size hint reaches the balancer; an invalid one counts as none, and the request is served.
 func TestSizeHint(t *testing.T) {
-	a := newTestBackend(t, serve)
-	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
-	m := recordModule(n)
+	backend := newTestBackend(t, serve)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
+	module := recordModule(n)
 	conn := dialNode(t, addr)
 	for text, want := range map[string]int64{"X-Size-Hint: 48211\r\n": 48211, "": 0, "X-Size-Hint: 0\r\n": 0, "X-Size-Hint: -5\r\n": 0,
 		"X-Size-Hint: much\r\n": 0, "X-Size-Hint: 1e9\r\n": 0, "X-Size-Hint: 99999999999999999999\r\n": 0} {
 		code, _, _ := conn.exchange(requestWithField(text))
-		if got := receiveNext(t, m.requests); code != 200 || got.CostHint != want {
+		if got := receiveNext(t, module.requests); code != 200 || got.CostHint != want {
 			t.Errorf("%q: answer %d, hint %d, want %d", text, code, got.CostHint, want)
 		}
 	}
--- a/internal/node/testclient_test.go
+++ b/internal/node/testclient_test.go
@@ -57,12 +57,12 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	b, err := io.ReadAll(resp.Body)
+	content, err := io.ReadAll(resp.Body)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	_ = resp.Body.Close() // read to its end
-	return resp.StatusCode, string(b), resp.Close
+	return resp.StatusCode, string(content), resp.Close
 }
 
 // exchange sends a request and reads its answer.
@@ -79,12 +79,12 @@
 // dialWithSmallBuffer connects a client whose kernel buffers little input before it reads.
 func dialWithSmallBuffer(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
-	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
+	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 		})
 	}}
-	conn, err := d.Dial("tcp", addr)
+	conn, err := dialer.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,22 +104,22 @@
 func chunkedBody(body []byte, size int) []byte {
 	var out []byte
 	for len(body) > 0 {
-		k := min(size, len(body))
-		out = append(append(fmt.Appendf(out, "%x;n=1\r\n", k), body[:k]...), "\r\n"...)
-		body = body[k:]
+		length := min(size, len(body))
+		out = append(append(fmt.Appendf(out, "%x;n=1\r\n", length), body[:length]...), "\r\n"...)
+		body = body[length:]
 	}
 	return append(out, "0\r\nT: 1\r\n\r\n"...)
 }
 
 // randomBody is a body of a length, the same for the same seed.
 func randomBody(seed uint64, length int) []byte {
-	p := make([]byte, length)
-	r := rand.New(rand.NewPCG(seed, 1))
+	body := make([]byte, length)
+	source := rand.New(rand.NewPCG(seed, 1))
 	for i := 0; i+8 <= length; i += 8 {
-		v := r.Uint64()
+		v := source.Uint64()
 		for k := range 8 {
-			p[i+k] = byte(v >> (8 * k))
+			body[i+k] = byte(v >> (8 * k))
 		}
 	}
-	return p
+	return body
 }
--- a/internal/node/uploaddeadline_test.go
+++ b/internal/node/uploaddeadline_test.go
@@ -29,16 +29,16 @@
 
 // newTimeoutRecordingBackend is a backend that reads each request, passes on the time that it states, and does not answer
 // before the node gives up.
-func newTimeoutRecordingBackend(t *testing.T) (backend *testBackend, stated chan int) {
+func newTimeoutRecordingBackend(t *testing.T) (backend *testBackend, statedMillis chan int) {
 	t.Helper()
-	stated = make(chan int, 10)
+	statedMillis = make(chan int, 10)
 	backend = newTestBackend(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		millis, _ := strconv.Atoi(r.Header.Get("X-Expires-In-Ms"))
-		stated <- millis
+		statedMillis <- millis
 		<-r.Context().Done()
 	})
-	return backend, stated
+	return backend, statedMillis
 }
 
 // startNodeWithSlowConnects starts a node whose connections to backends come up late.
@@ -54,11 +54,11 @@
 
 // checkStatedTimeout checks what a backend was told of a request whose last byte was sent at a time, and that the node answers
 // by its deadline and counts no violation.
-func checkStatedTimeout(t *testing.T, n *Node, client *testClient, sentAt time.Time, stated int) {
+func checkStatedTimeout(t *testing.T, n *Node, client *testClient, sentAt time.Time, statedMillis int) {
 	t.Helper()
-	left := uploadTimeoutMillis - int(time.Since(sentAt).Milliseconds())
-	if stated > left+statedTimeoutSlackMillis {
-		t.Errorf("the backend was told %d ms, its client had %d ms left", stated, left)
+	remainingMillis := uploadTimeoutMillis - int(time.Since(sentAt).Milliseconds())
+	if statedMillis > remainingMillis+statedTimeoutSlackMillis {
+		t.Errorf("the backend was told %d ms, its client had %d ms left", statedMillis, remainingMillis)
 	}
 	client.readAnswer()
 	if waited := time.Since(sentAt); waited > uploadTimeoutMillis*time.Millisecond+300*time.Millisecond {
@@ -150,11 +150,11 @@
 	time.Sleep(connectDelay + 300*time.Millisecond)
 	_, _ = client.Write(body[20_000:])
 	sentAt := time.Now()
-	told := <-stated
-	if told < uploadTimeoutMillis-statedTimeoutSlackMillis {
-		t.Errorf("the backend was told %d ms, its client had %d ms left", told, uploadTimeoutMillis)
+	statedMillis := <-stated
+	if statedMillis < uploadTimeoutMillis-statedTimeoutSlackMillis {
+		t.Errorf("the backend was told %d ms, its client had %d ms left", statedMillis, uploadTimeoutMillis)
 	}
-	checkStatedTimeout(t, n, client, sentAt, told)
+	checkStatedTimeout(t, n, client, sentAt, statedMillis)
 	if waited := time.Since(sentAt); waited < uploadTimeoutMillis*time.Millisecond-statedTimeoutSlackMillis*time.Millisecond {
 		t.Errorf("given up after %v", waited)
 	}
