--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -8,21 +8,22 @@
 	"tulipglade/internal/protocol"
 )
 
-// rejection is the node's own answer to a request that it does not admit.
+// rejection is the status and the text of the answer to a request that the node does not admit.
 type rejection struct {
 	status int
 	reason string
 }
 
-// admit makes a request of what a client sent, or returns why not. These are the node's own rejections, of which the
-// balancer is not notified.
+// admit validates a parsed message and returns it as an admitted request, or the reason for its rejection. The balancer
+// is not notified of requests that are rejected here.
 func (n *Node) admit(msg *protocol.Message, buf *buffer, receivedAt int64) (*request, *rejection) {
 	switch string(msg.Method) {
 	case "CONNECT", "TRACE", "OPTIONS":
 		return nil, &rejection{405, "method not allowed"}
 	}
 	if duplicate := msg.HasDuplicate("x-trace-id", "x-qos", "x-customer", "x-expires-in-ms", "idempotency-key"); duplicate != "" {
-		return nil, &rejection{400, duplicate + " is there twice"} // a backend might use the other value
+		// The node would use one of the two values, a backend perhaps the other.
+		return nil, &rejection{400, duplicate + " is there twice"}
 	}
 	class, invalid := n.requestedClass(msg)
 	if invalid != nil {
@@ -58,7 +59,7 @@
 	}, nil
 }
 
-// requestedClass returns the number of the class that the path, X-Qos or both name.
+// requestedClass returns the index of the class that is named by the first segment of the path, by X-Qos or by both.
 func (n *Node) requestedClass(msg *protocol.Message) (int, *rejection) {
 	name, _, _ := bytes.Cut(msg.Target[1:], []byte("?"))
 	name, _, _ = bytes.Cut(name, []byte("/"))
@@ -75,7 +76,8 @@
 	return class, nil
 }
 
-// requestedTenant returns the number of the tenant that X-Customer names, unless the settings define no tenants.
+// requestedTenant returns the index of the tenant that X-Customer names. Without tenants in the settings, all requests
+// belong to one unnamed tenant.
 func (n *Node) requestedTenant(msg *protocol.Message) (int, *rejection) {
 	if tenant, ok := n.tenantIndex[""]; ok {
 		return tenant, nil
@@ -87,8 +89,8 @@
 	return tenant, nil
 }
 
-// checkTraceID rejects a request without a trace ID, or with one in use: a backend would take it for the same request,
-// running twice.
+// checkTraceID rejects a request without a trace ID or with one that is in use. A backend would regard two requests
+// with the same trace ID as one request that runs twice.
 func (n *Node) checkTraceID(msg *protocol.Message) *rejection {
 	traceID := msg.Get("x-trace-id")
 	if len(traceID) == 0 {
@@ -100,7 +102,8 @@
 	return nil
 }
 
-// requestedTimeout returns the time that a client grants, at most that of the class, in microseconds.
+// requestedTimeout returns the timeout that the client states in X-Expires-In-Ms, limited to the deadline of the class,
+// in microseconds.
 func requestedTimeout(msg *protocol.Message, classDeadline int64) (int64, *rejection) {
 	expiry := msg.Get("x-expires-in-ms")
 	if expiry == nil {
@@ -113,17 +116,17 @@
 	return min(classDeadline, int64(ms)*1000), nil
 }
 
-// hasTooManyRequests reports whether the node has no capacity for another request.
+// hasTooManyRequests reports whether the limit on open requests or on trace IDs in use is reached.
 func (n *Node) hasTooManyRequests() bool {
 	limit := n.settings.MaxInFlight
 	return limit > 0 && n.openRequests >= limit || len(n.requestIDsInUse) >= maxTraceIDsInUse
 }
 
-// maxTraceIDsInUse bounds the trace IDs that are remembered.
+// maxTraceIDsInUse bounds the number of trace IDs that are kept in order to reject duplicates.
 const maxTraceIDsInUse = 1 << 14
 
-// parseSizeHint reads a client's estimate of the work, in microseconds; 0: none. A value that is not a positive
-// 32-bit number counts as none, as it is no reason to reject a request.
+// parseSizeHint parses X-Size-Hint, the client's estimate of the work in microseconds. It returns 0 if there is no hint
+// or if the value is not a positive 32-bit number, which is no reason to reject a request.
 func parseSizeHint(text []byte) balancer.Span {
 	micros, err := strconv.ParseUint(string(text), 10, 32)
 	if err != nil {
--- a/internal/node/arrivals.go
+++ b/internal/node/arrivals.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// arrival is when the input of a connection up to some byte was received, kept while requests in it wait for earlier
-// answers.
+// arrival records when the input of a connection up to some offset was received. It is kept for pipelined requests,
+// which are parsed only after earlier requests have been answered.
 type arrival struct {
-	endOffset  int
+	endOffset  int // count of bytes received on the connection, this input included
 	receivedAt int64
 }
 
-// arrivalMergeInterval bounds the number of arrivals, in microseconds: input that follows sooner counts as received
-// with what came before.
+// arrivalMergeInterval is the shortest interval between two arrivals that are recorded separately, in microseconds.
+// Input that follows sooner counts as received with the input before it, which bounds the number of arrivals.
 const arrivalMergeInterval = 10_000
 
-// recordArrival records when so many bytes were received.
+// recordArrival records when the next length bytes of the connection were received.
 func (c *clientConn) recordArrival(length int, receivedAt int64) {
 	c.receivedBytes += length
-	if c.request == nil && !c.writingAnswer { // all complete requests before it have been parsed
+	if c.request == nil && !c.writingAnswer { // all complete requests before this input have been parsed
 		c.arrivals = c.arrivals[:0]
 	}
 	if last := len(c.arrivals) - 1; last >= 0 && receivedAt-c.arrivals[last].receivedAt < arrivalMergeInterval {
@@ -26,8 +26,8 @@
 	c.arrivals = append(c.arrivals, arrival{c.receivedBytes, receivedAt})
 }
 
-// arrivalTime returns when the last byte before so many others was received: a request's deadline counts from its own
-// last byte, also if it has waited behind another.
+// arrivalTime returns when the last byte of a request was received, given the number of bytes received after it. The
+// deadline of a request counts from its own last byte, even if it has waited for the answers to earlier requests.
 func (c *clientConn) arrivalTime(bytesAfter int) (receivedAt int64) {
 	index := slices.IndexFunc(c.arrivals, func(arrived arrival) bool { return arrived.endOffset >= c.receivedBytes-bytesAfter })
 	if index < 0 {
--- a/internal/node/clientanswer.go
+++ b/internal/node/clientanswer.go
@@ -9,7 +9,8 @@
 	"tulipglade/internal/protocol"
 )
 
-// writeAnswer writes an answer. It retains source, into which fields and body point, until that is done.
+// writeAnswer writes an answer to the client. It takes over one reference to source, the buffer that fields and body
+// point into, and releases it when the write has ended.
 func (c *clientConn) writeAnswer(source *buffer, status int, fields []protocol.Field, body []byte, retryAfter int64) {
 	c.request = nil
 	if c.state == clientClosed {
@@ -42,12 +43,13 @@
 		default:
 			c.setIdle(true)
 			c.parseNextRequest(c.node.now())
-			c.node.closeIdleConnections(0) // a connection beyond the limit may be waiting for this one
+			c.node.closeIdleConnections(0) // a connection over the descriptor limit may be waiting for this one to become idle
 		}
 	}, headBytes, body)
 }
 
-// writeFailureReason says whether a write to a client failed because the client has ended the connection.
+// writeFailureReason returns closePeerEnded if a write to a client failed because the client has closed or reset the
+// connection, and closeWriteFailed otherwise.
 func writeFailureReason(err error) closeReason {
 	for _, ended := range []error{syscall.EPIPE, syscall.ECONNRESET, netpoll.ErrConnClosed} {
 		if errors.Is(err, ended) {
@@ -57,7 +59,8 @@
 	return closeWriteFailed
 }
 
-// rejectInput answers what can't be parsed, after which the connection closes.
+// rejectInput answers input that can't be parsed, or a request that is not complete in time. It discards the input, and
+// the connection closes after the answer.
 func (c *clientConn) rejectInput(status int, reason string) {
 	c.setIdle(false)
 	c.closeAfterAnswer = true
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -11,41 +11,43 @@
 	"tulipglade/internal/protocol"
 )
 
-// writeTimeout is how long a peer may take to accept what is written to it.
+// writeTimeout is how long a client or a backend may take to accept the data of one write.
 const writeTimeout = 10 * time.Second
 
-// clientConn is a connection that a client opened.
+// clientConn is a connection from a client, with the input that has not been parsed and the request that is being
+// processed. Except for the callbacks of the poller, it is used on the event loop only.
 type clientConn struct {
 	socket
 	state             clientConnState
 	node              *Node
 	input             *buffer
 	message           protocol.Message
-	request           *request // being answered; nil: none
+	request           *request // the request that waits for its answer; nil: none
 	writingAnswer     bool     // an answer, or 100 Continue, is being written
-	closeAfterAnswer  bool     // the connection closes behind this answer
+	closeAfterAnswer  bool     // the connection closes after the current or next answer
 	continueSent      bool     // 100 Continue has been written for the request that is being read
-	discardedBytes    int      // input that was discarded while lingering
-	acceptedOverLimit bool     // it was accepted beyond the descriptor limit
-	hasSentRequest    bool     // a complete request, or the head of a large one, has come
+	discardedBytes    int      // amount of input that was discarded while the connection lingers
+	acceptedOverLimit bool     // the connection was accepted when the descriptor limit was already reached
+	hasSentRequest    bool     // a complete request, or the head of a large one, has been received
 	idleElement       *list.Element
 	idleList          *list.List // the list that holds idleElement: newClients, idleClients or lingeringClients
 	overflow          [][]byte   // pipelined input that the buffer has no space for
-	overflowSize      int
-	inputTruncated    bool // input was dropped: nothing behind it can be parsed
-	receivedBytes     int  // input that was received and not dropped
+	overflowSize      int        // total size of overflow, in bytes
+	inputTruncated    bool       // input was dropped: input after it can't be parsed
+	receivedBytes     int        // number of bytes received and not dropped
 	arrivals          []arrival
-	upload            *upload      // the request that is being read is too large to be buffered
-	downloadConn      *backendConn // forwards an answer that is too large to be buffered
-	isHTTP10          bool         // the request came as HTTP/1.0
+	upload            *upload      // the current request if it is too large to be buffered; else nil
+	downloadConn      *backendConn // the source of the current answer if it is too large to be buffered; else nil
+	isHTTP10          bool         // the request's version is HTTP/1.0
 	isHeadRequest     bool         // the request is a HEAD: its answer has no body
-	headContentLength int          // length that a backend states in answer to a HEAD
-	headCompleteAt    int64        // when the head of the request that is being read was complete; 0: it is not
-	requestStartedAt  int64        // when the request that is being read began; at first, when the connection was accepted
+	headContentLength int          // the Content-Length of the backend's answer to a HEAD request
+	headCompleteAt    int64        // when the head of the request that is being read was complete; 0: it is incomplete
+	requestStartedAt  int64        // when the request that is being read began; for the first one, the time of accept
 	idleSince         int64
 }
 
-// NewClientEventLoop returns the event loop of the poller that accepts clients.
+// NewClientEventLoop returns netpoll's event loop that accepts the connections of clients. Its Serve method runs it on
+// a listener.
 func (n *Node) NewClientEventLoop() (netpoll.EventLoop, error) {
 	type contextKey struct{}
 	return netpoll.NewEventLoop(
@@ -66,39 +68,41 @@
 		}))
 }
 
-// onInput passes on what the poller has read.
+// onInput posts input that the poller has read to the node's event loop.
 func (c *clientConn) onInput(_ context.Context, conn netpoll.Connection) error {
 	receivedAt := c.node.now()
 	return c.deliver(conn, c.node, func(buf *buffer) { c.receive(buf, receivedAt) })
 }
 
-// maxPendingAccepts is how many accepted connections the event loop may not have registered yet. It is well within
-// reservedDescriptors: at the system's limit of descriptors the poller would not notice new connections for a while.
+// maxPendingAccepts is the number of accepted but unregistered connections at which the poller pauses accepting. It is
+// well below reservedDescriptors: if the process reached the system's limit of descriptors, the poller would not notice
+// new connections for a while.
 const maxPendingAccepts = 8
 
-// throttleAccepts makes the poller wait a little for the event loop, which frees descriptors for accepted
-// connections: otherwise the poller accepts a burst of hundreds at once.
+// throttleAccepts makes the poller wait, for a bounded time, until the event loop has registered accepted connections
+// and freed descriptors for them. Without it the poller accepts a burst of hundreds of connections at once.
 func (n *Node) throttleAccepts() {
 	for yields := 0; yields < 1000 && n.pendingAccepts.Load() >= maxPendingAccepts; yields++ {
 		runtime.Gosched()
 	}
 }
 
-// register adds an accepted connection to the node's state.
+// register adds an accepted connection to the node's connections, or closes it if no descriptor can be freed for it.
 func (c *clientConn) register() {
 	c.node.pendingAccepts.Add(-1)
 	c.node.clients[c] = struct{}{}
 	c.node.openDescriptors++
-	if !c.node.mayAccept() { // beyond the limit, and no connection is idle
+	if !c.node.mayAccept() { // over the limit, and no idle connection can be closed instead
 		c.node.warnLimited("client connection rejected", "descriptors", c.node.openDescriptors)
 		c.close(closeNoDescriptor)
 		return
 	}
 	c.acceptedOverLimit = c.node.surplusDescriptors(0) > 0
-	c.setIdle(true) // at the end of a shutdown, checkDrained closes it unless a request has come
+	c.setIdle(true) // at the end of a shutdown, checkDrained closes it unless it has sent a request
 }
 
-// close closes the connection. Unless the client has closed it first, no request on it is unanswered.
+// close closes the connection at once and releases its input. The caller makes sure that no request on it is
+// unanswered, unless the client has disconnected.
 func (c *clientConn) close(reason closeReason) {
 	if c.state == clientClosed {
 		return
@@ -114,15 +118,16 @@
 	if c.downloadConn != nil {
 		c.node.closeBackend(c.downloadConn, closeAnswerTruncated)
 	}
-	if c.upload == nil || c.descriptor != nil { // a connection that is being detached from the poller closes when that is done
+	if c.upload == nil || c.descriptor != nil { // a connection that is being detached is closed by uploadDetached
 		c.closeTransport()
 	}
 }
 
-// closeGracefully closes a connection behind its last answer or between two requests. The client is notified first, and
-// what it sends meanwhile is read and discarded: to close over unread input would reset the connection, and destroy
-// what the client has not read of its answer. A client whose request crosses the close sees the end of the connection
-// and no answer; nothing of the request is forwarded.
+// closeGracefully closes a connection after its last answer or between two requests. It shuts down the node's direction
+// first and lets the connection linger: input is read and discarded until the client closes its side. Closing a socket
+// with unread input would reset the connection and destroy the part of the answer that the client has not read yet. A
+// client that sends a request while the node closes sees the end of the connection and no answer; nothing of that
+// request is forwarded.
 func (c *clientConn) closeGracefully(reason closeReason) {
 	if c.state == clientClosed || c.idleElement != nil && c.idleList == &c.node.lingeringClients {
 		return
@@ -144,14 +149,15 @@
 	c.node.scheduleAt(c.node.now()+lingerDuration, func() { c.close(closeLingerTimeout) })
 }
 
-// lingerDuration is how long a connection lingers unless the client closes it, in microseconds.
+// lingerDuration is the time after which a lingering connection is closed if the client has not closed it, in
+// microseconds.
 const lingerDuration = 500_000
 
-// maxLingerBytes is how much input is discarded meanwhile: enough for what was in transit, but not all that a client
-// may send.
+// maxLingerBytes bounds the input that is discarded while a connection lingers: enough for what was in transit, but not
+// whatever a client may go on to send.
 const maxLingerBytes = 4 * protocol.BufferSize
 
-// onClosed returns the callback for the end of the connection, which runs on the poller's goroutine.
+// onClosed returns the callback that the poller calls, on its own goroutine, when the connection has ended.
 func (c *clientConn) onClosed(n *Node) func() {
 	return func() {
 		c.disconnectedAt.Store(n.now())
@@ -159,7 +165,7 @@
 	}
 }
 
-// handleDisconnect processes the end of the connection.
+// handleDisconnect closes the connection after its end, and cancels the request that waits for an answer on it.
 func (c *clientConn) handleDisconnect(reason closeReason) {
 	req := c.request
 	c.close(reason)
--- a/internal/node/clientidle.go
+++ b/internal/node/clientidle.go
@@ -6,18 +6,20 @@
 	"tulipglade/internal/safety"
 )
 
-// How long clients may hold what they do not use, in microseconds. A client that does not send a request gets an
-// error or a close within 3 s of connecting; a maintenance interval comes on top of these times.
+// Times after which clients lose connections and buffers that they do not use, in microseconds. A client that sends no
+// complete request gets an error or a close within 3 s of connecting. Connections are checked once in a maintenance
+// interval, which adds to these times.
 const (
-	headTimeout       = 2_200_000  // from accept to the end of the first head, or from the start of a later one
-	bodyTimeout       = 1_000_000  // from there to the end of the body, beside the time that it takes at the minimum rate
-	newConnGrace      = 500_000    // until then a new connection is closed for others only if nothing else is idle
-	maxClientIdleTime = 30_000_000 // between two requests
-	minClientIdleTime = 2_000_000  // until then only connections whose descriptors are needed are closed
+	headTimeout       = 2_200_000  // from accept to the end of the first head, or from the start of a later head to its end
+	bodyTimeout       = 1_000_000  // from the end of the head to the end of the body, plus its time at the minimum rate
+	newConnGrace      = 500_000    // new connections are closed before this age only if nothing else is idle
+	maxClientIdleTime = 30_000_000 // a connection that is idle between requests for longer is closed
+	minClientIdleTime = 2_000_000  // a connection idle for less is closed only if its descriptor is needed
 )
 
-// setIdle maintains the lists of connections without a request: those that have never sent one, the others, and those
-// that linger.
+// setIdle puts a connection without a request at the end of the list it belongs to, or removes it from its list if idle
+// is false. There is a list of connections that have not sent a request yet, one of those between two requests, and one
+// of those that linger. If too many connections are between two requests, the oldest of them is closed.
 func (c *clientConn) setIdle(idle bool) {
 	if c.idleElement != nil {
 		c.idleList.Remove(c.idleElement)
@@ -42,13 +44,13 @@
 	}
 }
 
-// idleClientLimitDivisor is the divisor of the descriptor limit that gives the most connections which may be between two
-// requests. Clients have at most a third of all descriptors: full of connections that are not used any more, that
-// would keep new clients out.
+// idleClientLimitDivisor determines how many client connections may be idle between two requests: the descriptor limit
+// divided by this number. Clients have at most a third of all descriptors. If unused connections filled that share, new
+// clients could not connect.
 const idleClientLimitDivisor = 6
 
-// mayClose reports whether the connection may be closed between two requests, and if not, why: input that has not
-// been parsed asks for an answer.
+// mayClose returns safety.Allowed if the connection is between two requests and may be closed, or else the reason why
+// not. Input that has not been parsed may be a request, which must be answered.
 func (c *clientConn) mayClose() safety.Reason {
 	return safety.Close{
 		RequestInProgress: c.request != nil || c.writingAnswer || c.upload != nil,
@@ -56,8 +58,9 @@
 	}.Check()
 }
 
-// closeStalledClients closes client connections that hold resources and don't use them: those that never send a
-// request, requests that are not completed in time, each of which holds a buffer too, and those idle for too long.
+// closeStalledClients closes client connections that occupy resources without using them: those that never send a
+// request, those that do not complete a request in time and so occupy a buffer as well, and those that are idle for too
+// long.
 func (n *Node) closeStalledClients() {
 	now := n.now()
 	for _, conns := range []*list.List{&n.newClients, &n.idleClients} {
@@ -67,7 +70,7 @@
 			idleTime := now - client.idleSince
 			switch {
 			case client.state == clientLingering:
-			case client.mayClose() != safety.Allowed: // a request is coming in right now
+			case client.mayClose() != safety.Allowed: // a request is being processed or its input is arriving
 			case client.input != nil && client.headCompleteAt == 0 && now-client.requestStartedAt >= headTimeout,
 				client.input != nil && client.headCompleteAt > 0 && now-client.headCompleteAt >= maxBodyDuration(client.input.length):
 				client.rejectInput(408, "request not complete in time")
@@ -75,26 +78,27 @@
 			case !client.hasSentRequest && now-client.requestStartedAt >= headTimeout, idleTime >= maxClientIdleTime:
 				client.closeGracefully(closeNoRequest)
 			case client.hasSentRequest && idleTime >= minClientIdleTime && n.clientsExceedDescriptorShare():
-				// More connections than clients need for their requests, idle ones included.
+				// Clients hold more connections, idle ones included, than they need for their requests.
 				client.closeGracefully(closeTooManyIdle)
 			}
 		}
 	}
 }
 
-// clientsExceedDescriptorShare reports whether clients have more than a third of the descriptors.
+// clientsExceedDescriptorShare reports whether clients use more than a third of the descriptors.
 func (n *Node) clientsExceedDescriptorShare() bool {
 	limit := n.descriptorLimit()
 	return limit > 0 && len(n.clients) > limit/3
 }
 
-// maxBodyDuration is how long the body of a buffered request may take of which so many bytes have come, in microseconds.
+// maxBodyDuration returns the time that the body of a buffered request may take after its head, in microseconds: a
+// fixed time, and the time that the bytes received so far take at the minimum rate.
 func maxBodyDuration(received int) int64 {
 	return bodyTimeout + int64(float64(received)*1e6/(minBodyRate*enforcedRateFraction))
 }
 
-// oldestIdleClient returns the connection of a list that has been idle for longest, and at least for so long; nil if
-// there is none. It skips those on which a part of a request has come.
+// oldestIdleClient returns the connection of a list that has been idle for longest and for at least minIdle, or nil if
+// there is none. It skips connections that have received a part of a request.
 func (n *Node) oldestIdleClient(conns *list.List, minIdle int64) *clientConn {
 	for element := conns.Front(); element != nil; element = element.Next() {
 		if client := element.Value.(*clientConn); n.now()-client.idleSince < minIdle {
@@ -106,8 +110,8 @@
 	return nil
 }
 
-// oldestPartialRequest returns the connection that has waited longest for the rest of a request, and at least as long as
-// a new connection is spared; nil if there is none.
+// oldestPartialRequest returns the connection that has waited longest for the rest of a request, and for at least
+// newConnGrace, or nil if there is none.
 func (n *Node) oldestPartialRequest() (oldest *clientConn) {
 	for _, conns := range []*list.List{&n.newClients, &n.idleClients} {
 		for element := conns.Front(); element != nil; element = element.Next() {
--- a/internal/node/clientinput.go
+++ b/internal/node/clientinput.go
@@ -2,7 +2,8 @@
 
 import "tulipglade/internal/protocol"
 
-// receive processes input from the client.
+// receive processes a piece of input from the client: it is parsed, kept until it can be parsed, or discarded if the
+// connection is lingering.
 func (c *clientConn) receive(buf *buffer, receivedAt int64) {
 	defer buf.release()
 	if c.state == clientLingering {
@@ -38,7 +39,7 @@
 			c.requestStarted(receivedAt)
 		}
 		lengthBefore := len(rest)
-		if rest = c.input.add(rest); len(rest) == lengthBefore { // full, and the previous request is not answered yet
+		if rest = c.input.add(rest); len(rest) == lengthBefore { // the buffer is full, and the previous request has not been answered yet
 			c.bufferOverflow(rest)
 			return
 		}
@@ -50,14 +51,14 @@
 	}
 }
 
-// Limits of pipelined input that is kept while the previous answer is being written.
+// Limits of the pipelined input that is kept until the previous request has been answered, in bytes.
 const (
-	maxOverflowPerConn = maxLingerBytes // of one connection
-	maxOverflowPerNode = 4 << 20        // of all connections
+	maxOverflowPerConn = maxLingerBytes // for one connection
+	maxOverflowPerNode = 4 << 20        // for all connections of clients together
 )
 
-// bufferOverflow keeps pipelined input that the buffer has no space for. What exceeds the limits is dropped, so that
-// nothing behind it can be parsed.
+// bufferOverflow keeps a copy of pipelined input that does not fit into the input buffer. Input beyond the limits is
+// dropped; as nothing after it can be parsed, the connection then closes after the next answer.
 func (c *clientConn) bufferOverflow(data []byte) {
 	if c.overflowSize+len(data) > maxOverflowPerConn || c.node.overflowBytes+len(data) > maxOverflowPerNode {
 		c.closeAfterAnswer, c.inputTruncated = true, true
@@ -68,13 +69,13 @@
 	c.setOverflowSize(c.overflowSize + len(data))
 }
 
-// setOverflowSize records how much overflow the connection holds.
+// setOverflowSize sets the size of the connection's overflow, and updates the node's total.
 func (c *clientConn) setOverflowSize(size int) {
 	c.node.overflowBytes += size - c.overflowSize
 	c.overflowSize = size
 }
 
-// refillInput moves overflow into the buffer, as far as there is space.
+// refillInput moves overflow into the input buffer, as far as there is space.
 func (c *clientConn) refillInput(receivedAt int64) {
 	if len(c.overflow) > 0 && c.input == nil {
 		c.input = newBuffer()
@@ -90,8 +91,8 @@
 	}
 }
 
-// requestStarted records when a request begins to come in. The first one has been due since the connection was
-// accepted.
+// requestStarted records the arrival of the first bytes of a request, from which its head is timed. The first request
+// of a connection is timed from accept instead.
 func (c *clientConn) requestStarted(receivedAt int64) {
 	c.headCompleteAt = 0
 	if c.hasSentRequest {
@@ -99,7 +100,8 @@
 	}
 }
 
-// parseNextRequest parses the next request once the previous one is answered.
+// parseNextRequest parses the input so far, unless the previous request is still being answered. It handles a complete
+// request, and starts an upload if the request is too large to be buffered.
 func (c *clientConn) parseNextRequest(receivedAt int64) {
 	if c.request != nil || c.writingAnswer || c.state == clientClosed || c.upload != nil {
 		return
@@ -112,7 +114,7 @@
 	if c.headCompleteAt == 0 && c.message.Started() {
 		c.headCompleteAt = receivedAt
 	}
-	if c.input.length = size; size == 0 { // nothing but empty lines
+	if c.input.length = size; size == 0 { // the input consisted of empty lines, which are skipped
 		c.input.release()
 		c.input = nil
 		return
@@ -127,7 +129,7 @@
 		c.handleRequest(receivedAt)
 	case c.message.Started() && (c.message.Length() > protocol.MaxBody || size == protocol.BufferSize):
 		c.startUpload()
-	case len(c.overflow) > 0 && size < protocol.BufferSize: // removing the framing has freed space
+	case len(c.overflow) > 0 && size < protocol.BufferSize: // the parser has removed chunk framing, which freed space
 		c.parseNextRequest(receivedAt)
 	case c.message.Started() && c.message.Expect && !c.continueSent:
 		c.continueSent, c.writingAnswer = true, true
@@ -141,7 +143,8 @@
 	}
 }
 
-// handleRequest admits the request that has just been parsed, or rejects it.
+// handleRequest answers /ready, and admits or rejects any other request that has just been parsed. Input that follows
+// the request moves to a new buffer.
 func (c *clientConn) handleRequest(receivedAt int64) {
 	buf := c.input
 	c.input = nil
@@ -166,7 +169,7 @@
 		}
 		return
 	}
-	if c.node.drain.rejecting || c.node.drain.closingAll { // late in a shutdown no client may wait
+	if c.node.drain.rejecting || c.node.drain.closingAll { // late in a shutdown, no client may be kept waiting
 		c.closeAfterAnswer = true
 		c.writeAnswer(buf, 503, nil, []byte("not in service\n"), 0)
 		return
@@ -178,8 +181,8 @@
 	}
 	req, rejected := c.node.admit(&msg, buf, arrivedAt)
 	if rejected != nil {
-		// A client whose request is invalid loses its connection. An answer to HEAD has no body: the text of a
-		// rejection would be read as the next answer.
+		// The connection closes after the rejection of an invalid request. An answer to HEAD has no body: the client
+		// would read the text of a rejection as the next answer.
 		c.closeAfterAnswer = c.closeAfterAnswer || rejected.status != 503
 		c.writeAnswer(buf, rejected.status, nil, []byte(rejected.reason+"\n"), 0)
 		return
--- a/internal/node/closereason.go
+++ b/internal/node/closereason.go
@@ -1,6 +1,6 @@
 package node
 
-// closeReason is why the node closes a connection.
+// closeReason is the reason why the node closes a connection, as it is logged.
 type closeReason string
 
 // Reasons for closing connections of clients and backends.
@@ -29,11 +29,11 @@
 	closeUnwantedDownload  closeReason = "large answer not needed"
 )
 
-// logClose logs why the node closes a client's connection. A connection with an unanswered request, or a part of one,
-// is worth a warning whoever is at fault; others are logged only if tracing is on.
+// logClose logs why the node closes a client's connection. It warns if a request, or a part of one, is unanswered on
+// it, unless the client itself has closed the connection. Other closes are logged only if tracing is on.
 func (c *clientConn) logClose(reason closeReason) {
 	unanswered := c.request != nil || c.input != nil && c.input.length > 0 || c.upload != nil && !c.upload.forwarderEnded
-	if !unanswered || reason == closePeerEnded || reason == closeLastAnswer { // input behind the last answer is never admitted
+	if !unanswered || reason == closePeerEnded || reason == closeLastAnswer { // input after the last answer is never admitted
 		c.node.traceClient(c, "client connection closed", "reason", string(reason), "unanswered", unanswered)
 		return
 	}
@@ -45,7 +45,7 @@
 		"trace_id", traceID, "received_bytes", c.receivedBytes, "has_sent_request", c.hasSentRequest)
 }
 
-// logClose traces why the node closes a connection to a backend.
+// logClose logs why the node closes a connection to a backend, if tracing is on.
 func (b *backendConn) logClose(reason closeReason) {
 	if b.node.traceRequests && b.endpoint != nil {
 		b.node.log.Debug("backend connection closed", "endpoint", b.endpoint.address,
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -9,22 +9,25 @@
 	"tulipglade/internal/protocol"
 )
 
-// download is an answer that is too large to be buffered: it is forwarded while it is read, with its backend's
-// connection detached from the poller. Its first bytes make it the answer of its request and complete the attempt.
+// download is the state of an answer that is too large to be buffered. It is forwarded while it is read, and its
+// backend's connection is detached from the poller during that time. Once its forwarding starts, it is the answer to
+// its request, and the attempt is completed.
 type download struct {
 	attempt            *attempt
-	awaitingRequestEnd bool     // the connection can't be detached: the request is still being written
-	earlyInput         [][]byte // what came while the connection was being detached
-	earlyInputSize     int
+	awaitingRequestEnd bool     // the request is still being written, so that the connection can't be detached yet
+	earlyInput         [][]byte // input received before the connection was detached
+	earlyInputSize     int      // total size of earlyInput, in bytes
 }
 
-// startDownload detaches the connection from the poller. The input buffer has what has been read of the answer.
+// startDownload starts to forward a large answer, whose beginning is in the input buffer. The connection is detached
+// from the poller as soon as the request has been written. An answer whose body is not needed closes the connection
+// instead.
 func (b *backendConn) startDownload() {
 	n, att := b.node, b.attempt
-	// The body of such an answer is not needed.
+	// The body is not needed if the attempt has failed, the request is done, or this is a health check.
 	if result := answerOutcome(&b.message); result != balancer.OutcomeOK || att.request.isDone() || att.isHealthCheck {
 		if att.isHealthCheck {
-			result = balancer.OutcomeReset // its load report could not be read
+			result = balancer.OutcomeReset // the load report is in the body, which is not read
 		}
 		report := headerLoadReport(&b.message)
 		n.closeBackend(b, closeUnwantedDownload)
@@ -33,24 +36,25 @@
 	}
 	b.download = &download{attempt: att, awaitingRequestEnd: b.state == backendWriting}
 	if b.download.awaitingRequestEnd && att.deadline != noDeadline {
-		b.limiter.setStopped(true) // the writer's report is due, or the attempt's deadline
+		b.limiter.setStopped(true) // until the end of the write is reported, or the attempt's deadline passes
 	}
 	if b.state == backendAwaitingAnswer {
 		b.detachForDownload()
 	}
 }
 
-// detachForDownload starts to detach the connection.
+// detachForDownload starts to detach the connection from the poller, after which the answer is forwarded.
 func (b *backendConn) detachForDownload() {
 	n := b.node
 	b.download.awaitingRequestEnd = false
 	b.detach(func(descriptor *os.File, rest []byte, err error) {
 		n.report(reportDetached, func() { n.startDownloadForwarding(b, descriptor, rest, err) })
-	}) // if the connection has ended, connectionEnded follows
+	}) // if the connection has ended, connectionEnded is called instead
 }
 
-// startDownloadForwarding starts the client's answer. Without a descriptor the backend's connection has ended, and its
-// input so far is all there is.
+// startDownloadForwarding makes a large answer the answer of its request, completes the attempt and starts forwarding
+// to the client. If descriptor is nil, the backend's connection has ended, and the input received so far, of which rest
+// is the last part, is all there is.
 func (n *Node) startDownloadForwarding(conn *backendConn, descriptor *os.File, rest []byte, err error) {
 	current := conn.download
 	att := current.attempt
@@ -85,7 +89,8 @@
 	n.completeAttempt(att, balancer.OutcomeOK, report)
 }
 
-// forwardDownload writes the head of an answer to the client and starts its forwarder, or queues it until there is memory.
+// forwardDownload starts a forwarder that writes the head and the body of an answer to the client. If maxForwarders are
+// active, the start is queued until one of them has ended.
 func (n *Node) forwardDownload(conn *backendConn, client *clientConn, fwd *forwarder) {
 	length := fwd.message.Length()
 	switch {
@@ -123,7 +128,9 @@
 	}
 }
 
-// downloadFinished processes the end of a forwarder that reads from a backend.
+// downloadFinished processes the end of a forwarder that reads from a backend. err is the error of reading
+// or of writing the head, and fwd.writeErr that of writing the body. untilClose means that the client recognizes the end
+// of the answer by the close of its connection.
 func (n *Node) downloadFinished(conn *backendConn, client *clientConn, fwd *forwarder, err error, untilClose bool) {
 	complete := err == nil && fwd.writeErr == nil
 	reusable := complete && fwd.hasNoExcessInput() && fwd.message.KeepAlive && !fwd.message.EndsWithConnection()
@@ -138,7 +145,7 @@
 	case client.state == clientClosed:
 	case !complete:
 		client.abortAnswer(untilClose)
-	case client.closeAfterAnswer && client.upload != nil && !client.upload.forwarderEnded: // the request is still being uploaded
+	case client.closeAfterAnswer && client.upload != nil && !client.upload.forwarderEnded: // its request is still being uploaded
 		client.discardAfterEarlyAnswer()
 	case client.closeAfterAnswer:
 		client.closeGracefully(closeLastAnswer)
@@ -154,7 +161,7 @@
 	n.reattachBackend(conn)
 }
 
-// reattachBackend returns a backend's detached connection to the poller and to the pool.
+// reattachBackend returns a backend's detached connection to the poller and to the pool. It is closed if that fails.
 func (n *Node) reattachBackend(conn *backendConn) {
 	pollerConn, err := attachToPoller(conn.descriptor)
 	if err != nil {
@@ -175,21 +182,23 @@
 	n.releaseConn(conn)
 }
 
-// abortAnswer closes a connection in the middle of an answer, so that its client can tell.
+// abortAnswer closes a connection in the middle of an answer in a way that shows the client that the answer is
+// incomplete.
 func (c *clientConn) abortAnswer(untilClose bool) {
-	// An orderly end would look like that of the answer.
+	// An orderly close would look like the end of a complete answer: the connection is reset.
 	if transport, ok := c.conn.(fdConn); ok && untilClose && c.descriptor == nil {
 		_ = unix.SetsockoptLinger(transport.Fd(), unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 	c.close(closeAnswerTruncated)
 }
 
-// maxEarlyDownloadBytes bounds what is buffered of a large answer while its request is still being uploaded. Where the
-// request is buffered, all of it has usually been written when a backend answers, and only the report of that is due:
-// then nothing more is read until it comes.
+// maxEarlyDownloadBytes bounds how much of a large answer is buffered while its request is still being uploaded. It
+// does not apply if the request is buffered: then all of the request has usually been written by the time the backend
+// answers, and nothing more of the answer is read until the end of the write is reported.
 const maxEarlyDownloadBytes = 1 << 20
 
-// bufferEarlyInput buffers input that comes before the connection has been detached.
+// bufferEarlyInput keeps a copy of input that is received before the connection has been detached. It returns
+// errEarlyLargeAnswer if that exceeds maxEarlyDownloadBytes while the request is still being uploaded.
 func (d *download) bufferEarlyInput(data []byte) error {
 	d.earlyInput = appendCopy(d.earlyInput, data)
 	uploading := d.attempt.deadline == noDeadline
--- a/internal/node/forwarder.go
+++ b/internal/node/forwarder.go
@@ -13,18 +13,19 @@
 	"tulipglade/internal/protocol"
 )
 
-// Limits of a message that is forwarded in pieces.
+// Limits of a large message that is forwarded in pieces.
 const (
-	// forwardIdleTimeout is how long either side may neither send nor accept anything.
+	// forwardIdleTimeout is the longest time for which the sender may send nothing.
 	forwardIdleTimeout = 10 * time.Second
-	// minBodyRate is what a client must send, in bytes a second, once bodyGrace has passed. Time spent on forwarding
-	// does not count.
+	// minBodyRate is the rate at which a client must send a body, in bytes per second, once bodyGrace has passed. Time
+	// that the forwarder spends on writing does not count.
 	minBodyRate = 64_000
 	bodyGrace   = 3 * time.Second
-	// enforcedRateFraction is the part of the rate that is enforced, so that a client which just keeps it is never cut
-	// off.
+	// enforcedRateFraction is the fraction of minBodyRate that is enforced, so that a client which sends at exactly
+	// minBodyRate is never cut off.
 	enforcedRateFraction = 0.9
-	// forwarderMemory is what one forwarder takes: its buffer, and the one in which the request or answer began.
+	// forwarderMemory is the memory that one forwarder occupies, in bytes: its own buffer, and the buffer that holds
+	// the beginning of the request or answer.
 	forwarderMemory = 2 * protocol.BufferSize
 )
 
@@ -34,19 +35,20 @@
 	errMessageTruncated = errors.New("connection ended within a message")
 )
 
-// source is what a forwarder reads from: input from before its connection was detached, then the connection.
+// source is the input of a forwarder: first the input that was read before the connection was detached from the poller,
+// then the connection itself.
 type source struct {
 	buffered     [][]byte
-	descriptor   *os.File // nil: the connection has ended
-	endedInOrder bool     // without a descriptor: it has ended without a reset
+	descriptor   *os.File // the detached connection; nil: it has ended
+	endedInOrder bool     // if descriptor is nil: the connection ended without a reset
 }
 
-// hasBuffered reports whether the next read needs no input from the connection.
+// hasBuffered reports whether the next read returns input from before the connection was detached.
 func (s *source) hasBuffered() bool {
 	return slices.ContainsFunc(s.buffered, func(piece []byte) bool { return len(piece) > 0 })
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. After a reset it returns errMessageTruncated instead of io.EOF.
 func (s *source) Read(dst []byte) (int, error) {
 	for len(s.buffered) > 0 {
 		if n := copy(dst, s.buffered[0]); n > 0 {
@@ -64,26 +66,28 @@
 	return s.descriptor.Read(dst)
 }
 
-// forwarder forwards the rest of a large message piece by piece: the next piece is read once the last has been
-// written. It runs on a goroutine of its own and only posts to the event loop.
+// forwarder forwards the rest of a large message piece by piece: the next piece is read once the last one has been
+// written, so that one buffer suffices. It runs on its own goroutine and passes results to the event loop by posting
+// them.
 type forwarder struct {
 	source          source
-	message         protocol.Message // as protocol.Message.Tail returns it
-	buffer          *buffer          // what has been read and not forwarded
+	message         protocol.Message // parser for the rest of the message
+	buffer          *buffer          // input that has been read and not forwarded
 	write           func(parts ...[]byte) error
-	chunked         bool // write with chunked framing
+	chunked         bool // the body is written with chunked framing
 	enforceMinRate  bool // the sender must keep up minBodyRate
 	receivedBytes   int64
-	fullyRead       atomic.Bool // the last byte has been read
-	maxBytes        int64       // stop reading after so many; 0: unlimited
+	fullyRead       atomic.Bool // the last byte of the message has been read
+	maxBytes        int64       // reading fails after more bytes than this; 0: unlimited
 	startedAt       time.Time
-	lastWaitEndedAt time.Time     // when a read had to wait for its sender for the last time: the last byte was not sent before
+	lastWaitEndedAt time.Time     // end of the last read that waited for the sender; the last byte was not sent earlier
 	writeTime       time.Duration // time spent on writing
-	writeErr        error         // why writing has failed: the rest of the message is discarded
-	onWriteError    func()        // called when writeErr is set
+	writeErr        error         // the error of the first failed write, after which the rest of the message is discarded
+	onWriteError    func()        // called when a write fails
 }
 
-// run forwards the message. It returns why reading failed; writeErr has why writing did.
+// run reads and forwards the message up to its end. It returns the reason if reading failed. A failed write does not
+// end it: its reason is in writeErr.
 func (f *forwarder) run() error {
 	if f.onWriteError == nil {
 		f.onWriteError = func() {}
@@ -120,7 +124,8 @@
 	return len(f.message.Rest(f.buffer.bytes())) == 0 && len(f.source.buffered) == 0
 }
 
-// writePiece writes a piece, and the end of the framing behind the last.
+// writePiece writes a piece of the body, with chunk framing if the message needs it, and the end of the framing after
+// the last piece. After an earlier write error it does nothing.
 func (f *forwarder) writePiece(piece []byte, last bool) error {
 	if f.writeErr != nil {
 		return nil
@@ -146,7 +151,8 @@
 	return f.write(parts...)
 }
 
-// readTimeout is how long the next piece may take: the sender has earned time by what it has sent so far.
+// readTimeout returns the time within which the next piece must arrive. With a minimum rate it is the time that the
+// bytes received so far take at that rate, plus bodyGrace, less the time used so far, and at most forwardIdleTimeout.
 func (f *forwarder) readTimeout(now time.Time) time.Duration {
 	if !f.enforceMinRate {
 		return forwardIdleTimeout
@@ -155,7 +161,7 @@
 	return min(bodyGrace+earned-(now.Sub(f.startedAt)-f.writeTime), forwardIdleTimeout)
 }
 
-// readNotingWait reads from the source, and records when that had to wait for the sender.
+// readNotingWait reads from the source. If the read had to wait for the sender, it records when the wait ended.
 func (f *forwarder) readNotingWait(dst []byte) (int, error) {
 	if f.source.hasBuffered() || f.source.descriptor == nil {
 		return f.source.Read(dst)
@@ -169,7 +175,7 @@
 	return n, err
 }
 
-// readPiece reads the next piece.
+// readPiece reads the next piece into the buffer. It returns errBodyTooSlow if the sender exceeds readTimeout.
 func (f *forwarder) readPiece() error {
 	if f.maxBytes > 0 && f.receivedBytes > f.maxBytes {
 		return errMessageTruncated
--- a/internal/node/forwarderlimit.go
+++ b/internal/node/forwarderlimit.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// maxForwarders is how many large messages may be forwarded at once: a quarter of the memory limit is for them.
+// maxForwarders returns how many large messages may be forwarded at once. They may use a quarter of the memory limit,
+// which is divided between the processes of the node.
 func (n *Node) maxForwarders() int {
 	if n.settings.MemoryLimit <= 0 {
 		return math.MaxInt
@@ -14,7 +15,7 @@
 	return max(limit/max(n.processCount, 1), 4)
 }
 
-// forwarderFinished starts the next forwarder that waits for memory.
+// forwarderFinished counts a forwarder as ended and starts queued forwarders as far as the limit allows.
 func (n *Node) forwarderFinished() {
 	n.activeForwarders--
 	for len(n.queuedForwarders) > 0 && n.activeForwarders < n.maxForwarders() {
--- a/internal/node/readlimit.go
+++ b/internal/node/readlimit.go
@@ -15,24 +15,27 @@
 	"tulipglade/internal/protocol"
 )
 
-// What the poller may read before the event loop has processed it. All of it is counted in buffers of
-// protocol.BufferSize, as each piece that is posted takes a whole one.
+// Limits of the input that the poller may read before the event loop has processed it. Input is counted in buffers of
+// protocol.BufferSize, as each piece that is posted to the event loop occupies a whole buffer.
 const (
-	// maxPostedPieces bounds the pieces of one connection that are posted; one more buffer may have been read.
+	// maxPostedPieces bounds the pieces of one connection that are posted and not processed. Besides these, the poller
+	// may have read one more buffer.
 	maxPostedPieces = 4
-	// unprocessedMemoryDivisor bounds it for all connections, as a part of the node's memory limit.
+	// unprocessedMemoryDivisor determines the limit for all connections together: the node's memory limit is
+	// divided by it.
 	unprocessedMemoryDivisor = 4
-	// defaultUnprocessedMemory is the bound for all connections of a node without a memory limit, in bytes.
+	// defaultUnprocessedMemory is the limit for all connections of a node without a memory limit, in bytes.
 	defaultUnprocessedMemory = 8 << 20
 )
 
-// readBudget bounds what the poller has read for all connections of a node and the event loop has not processed.
+// readBudget limits the input of all connections of a node that the poller has read and the event loop has not
+// processed.
 type readBudget struct {
-	maxBuffers  int64 // how many there may be
-	usedBuffers atomic.Int64
+	maxBuffers  int64        // once this many are used, the poller only reads connections that have unread input
+	usedBuffers atomic.Int64 // sum of chargedBuffers of all limiters
 }
 
-// newReadBudget returns the budget of a node with a memory limit in bytes; 0: it has none.
+// newReadBudget returns the budget of a node whose memory limit is given in bytes; 0: the node has no memory limit.
 func newReadBudget(memoryLimit int64) *readBudget {
 	if memoryLimit <= 0 {
 		memoryLimit = defaultUnprocessedMemory * unprocessedMemoryDivisor
@@ -40,24 +43,25 @@
 	return &readBudget{maxBuffers: memoryLimit / unprocessedMemoryDivisor / protocol.BufferSize}
 }
 
-// readLimiter makes the poller stop reading a connection while the event loop is behind with its input, or has
-// decided that something else will read it. The poller asks it before each read, so that no report to the event loop
-// has to come in time for the memory to stay bounded.
+// readLimiter makes the poller stop reading a connection while the event loop lags behind with its input, or after
+// another reader of the connection has been chosen. The poller asks the limiter before each read, so that memory stays
+// bounded however late the event loop is.
 type readLimiter struct {
 	budget *readBudget
 	conn   netpoll.Connection
 
-	lastDeniedPause uint64 // the count of pauses when the poller was last told not to read it; only the poller uses it
+	lastDeniedPause uint64 // pollerPauseCount when a read was last denied; only the poller uses it
 
 	mu             sync.Mutex
-	unread         int  // bytes that the poller has read and nobody has taken
-	postedPieces   int  // pieces that are posted to the event loop
-	chargedBuffers int  // buffers that count against the budget
-	stopped        bool // nothing more is to be read for now
-	ended          bool // the connection has ended: what is read no longer counts
+	unread         int  // bytes that the poller has read and that have not been posted to the event loop
+	postedPieces   int  // pieces that are posted to the event loop and not processed
+	chargedBuffers int  // buffers that this connection has taken from the budget
+	stopped        bool // the poller must not read until reading is resumed
+	ended          bool // the connection has ended: further input is not counted
 }
 
-// installReadLimiter puts a limiter between the poller and a connection on which no request callback is set.
+// installReadLimiter makes the poller read a connection through a new limiter. No request callback may be set on the
+// connection yet.
 func installReadLimiter(conn netpoll.Connection, budget *readBudget) (*readLimiter, error) {
 	operator, err := operatorOf(conn)
 	if err != nil {
@@ -78,8 +82,10 @@
 	return limiter, nil
 }
 
-// limitInputs returns where the poller may read to, which is nowhere while the connection may not be read. If the peer has
-// ended the connection, all is read, as netpoll drops what it leaves: that is no more than the kernel's buffer.
+// limitInputs replaces the operator's Inputs, which provides the memory that the poller reads into. It returns nil
+// while the connection may not be read, and otherwise limits the size to allowedBytes. If the peer has ended the
+// connection, all input is read, as netpoll drops what it has not read: this is at most the content of the kernel's
+// buffer.
 func (l *readLimiter) limitInputs(inputs func([][]byte) [][]byte, vectors [][]byte) [][]byte {
 	allowed := l.allowedBytes()
 	if allowed > 0 {
@@ -94,7 +100,7 @@
 	return inputs(vectors)
 }
 
-// allowedBytes is how many bytes may be read now.
+// allowedBytes returns how many bytes the poller may read from the connection now.
 func (l *readLimiter) allowedBytes() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +111,7 @@
 	return protocol.BufferSize - l.unread
 }
 
-// recordRead counts what the poller has read.
+// recordRead counts n bytes that the poller has read.
 func (l *readLimiter) recordRead(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,16 +122,16 @@
 	l.updateBudget()
 }
 
-// recordPosted counts a piece of so many bytes as posted to the event loop.
+// recordPosted counts a piece of n bytes as posted to the event loop.
 func (l *readLimiter) recordPosted(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.unread = max(l.unread-n, 0) // what was read before the limiter was there has not been counted
+	l.unread = max(l.unread-n, 0) // input that was read before the limiter was installed has not been counted
 	l.postedPieces++
 	l.updateBudget()
 }
 
-// recordProcessed counts a posted piece as processed.
+// recordProcessed counts a posted piece as processed by the event loop.
 func (l *readLimiter) recordProcessed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,7 +139,7 @@
 	l.updateBudget()
 }
 
-// updateBudget brings the budget up to what this connection holds.
+// updateBudget charges the budget with the buffers that this connection occupies now.
 func (l *readLimiter) updateBudget() {
 	occupied := l.postedPieces + (l.unread+protocol.BufferSize-1)/protocol.BufferSize
 	l.budget.usedBuffers.Add(int64(occupied - l.chargedBuffers))
@@ -147,7 +153,8 @@
 	l.stopped = stopped
 }
 
-// recordEnd returns what nobody will take to the budget. What is posted counts until it is processed.
+// recordEnd returns the connection's unread bytes to the budget after its end, as nobody will read them. Posted pieces
+// count until they are processed.
 func (l *readLimiter) recordEnd() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,15 +162,17 @@
 	l.updateBudget()
 }
 
-// pollerPause is how long the poller waits before it looks again at connections that it may not read. It must not spin:
-// the event loop, on which it waits, may have but a part of one core with it.
+// pollerPause is how long the poller waits before it checks again whether it may read. It must not spin, as the event
+// loop that it waits for may share a part of one core with it.
 const pollerPause = 500 * time.Microsecond
 
-// pollerPauseCount counts the pauses. Only the poller's goroutine uses it, and the counts that limiters keep of it.
+// pollerPauseCount counts the pauses of the poller. It is used on the poller's goroutine only, as is lastDeniedPause of
+// the limiters.
 var pollerPauseCount uint64
 
-// waitForEventLoop is called each time that the connection may not be read. It pauses if the poller has found that before
-// since the last pause: once for all connections in each round of the poller.
+// waitForEventLoop is called whenever a read of the connection is denied. It pauses the poller if a read of this
+// connection has already been denied since the last pause. The poller thus pauses once per round, however many
+// connections it may not read.
 func (l *readLimiter) waitForEventLoop() {
 	if l.lastDeniedPause == pollerPauseCount {
 		time.Sleep(pollerPause)
@@ -172,10 +181,11 @@
 	l.lastDeniedPause = pollerPauseCount
 }
 
-// errNoOperator reports that netpoll's connection has a form that this package does not know.
-var errNoOperator = errors.New("netpoll: a connection without an operator")
+// errNoOperator reports that the internal structure of netpoll's connections is not the one that this package expects.
+var errNoOperator = errors.New("netpoll: connection has no operator of the expected type (unsupported version of netpoll?)")
 
-// operatorOf returns what the poller knows a connection by. netpoll does not export it.
+// operatorOf returns the operator of a connection, which is its registration with the poller. netpoll does not export
+// the field, so that it is read by reflection.
 func operatorOf(conn netpoll.Connection) (*netpoll.FDOperator, error) {
 	connValue := reflect.ValueOf(conn)
 	if connValue.Kind() != reflect.Pointer || connValue.Elem().Kind() != reflect.Struct {
@@ -195,8 +205,8 @@
 	operatorLocked       = 2
 )
 
-// lockOperator keeps the poller from using an operator until unlock is called, in the way in which netpoll's own
-// Release does.
+// lockOperator keeps the poller from using an operator until unlock is called. It sets the operator's state as
+// netpoll's own Release does.
 func lockOperator(operator *netpoll.FDOperator) (unlock func(), err error) {
 	field := reflect.ValueOf(operator).Elem().FieldByName("state")
 	if !field.IsValid() || field.Kind() != reflect.Int32 {
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -5,25 +5,26 @@
 	"tulipglade/internal/protocol"
 )
 
-// request is a request that this node has admitted: it gets exactly one answer.
+// request is a client's request that the node has admitted. It gets exactly one answer, from a backend or from the
+// node itself.
 type request struct {
 	id              balancer.RequestID
-	traceID         string    // given by its client
-	settings        *Settings // under which it was admitted
+	traceID         string    // the client's X-Trace-Id
+	settings        *Settings // in force when the request was admitted
 	message         *protocol.Message
-	buffer          *buffer // message points into it
+	buffer          *buffer // holds the bytes that message points into
 	class           int
 	tenant          int
 	deadline        int64
-	uploadTimeout   int64   // from its last byte to the deadline, while the last byte is still to come
-	upload          *upload // it is forwarded while it is read; nil: it is buffered
+	uploadTimeout   int64   // for a large request: the time from its last byte to its deadline
+	upload          *upload // set for a large request, which is forwarded while it is read; nil: the request is buffered
 	clientConn      *clientConn
 	attempts        []*attempt
-	pendingAttempts int // without an outcome
+	pendingAttempts int // attempts whose outcome the balancer has not been notified of
 	state           requestState
 }
 
-// submitRequest hands a request to the balancer.
+// submitRequest registers an admitted request and passes it to the balancer.
 func (n *Node) submitRequest(req *request) {
 	n.setRequestState(req, requestOpen)
 	n.openRequests++
@@ -43,25 +44,29 @@
 	})
 }
 
-// expireOverdue answers a request that has no answer when its time is over, and releases its trace ID.
+// expireOverdue answers a request that is still unanswered after its deadline and the grace time, and lets its trace ID
+// be used again. The check is repeated while a large request is being uploaded.
 func (n *Node) expireOverdue(id balancer.RequestID, traceID string) {
 	req := n.requests[id]
-	if req != nil && req.upload != nil && !req.isDone() && n.now() < req.deadline { // its deadline counts from its last byte
+	if req != nil && req.upload != nil && !req.isDone() && n.now() < req.deadline {
+		// Its final deadline is set when its last byte arrives.
 		n.scheduleAt(min(req.deadline, n.now()+overdueCheckInterval)+n.settings.OverdueGrace, func() { n.expireOverdue(id, traceID) })
 		return
 	}
 	delete(n.requestIDsInUse, traceID)
-	if req != nil && !req.isDone() { // the balancer should have answered; the client must not wait for ever
+	if req != nil && !req.isDone() { // the balancer should have answered by now; the client must not wait indefinitely
 		n.log.Error("request overdue", "request_id", req.id, "attempts", len(req.attempts))
 		n.answerRequest(req, nil, 504, nil, []byte("overdue\n"), 0)
 		n.balancer.HandleCancellation(n.now(), req.id)
 	}
 }
 
-// overdueCheckInterval is the time between two checks of a request that is still being uploaded, in microseconds.
+// overdueCheckInterval is the time between two checks of whether a request that is still being uploaded is overdue, in
+// microseconds.
 const overdueCheckInterval = 1_000_000
 
-// answerRequest gives a request its one answer; source is the buffer into which fields and body point.
+// answerRequest sends a request's only answer to its client. It takes over one reference to source, the buffer that
+// fields and body point into. An answer to a request that is already done is dropped.
 func (n *Node) answerRequest(req *request, source *buffer, status int, fields []protocol.Field, body []byte, retryAfter int64) {
 	if n.finishRequest(req) {
 		n.traceRequest(req, "request answered", "status", status, "attempts", len(req.attempts))
@@ -71,7 +76,7 @@
 	}
 }
 
-// finishRequest moves a request to state requestDone, and reports whether it was not there before.
+// finishRequest moves a request to the state requestDone. It returns false if the request was done already.
 func (n *Node) finishRequest(req *request) bool {
 	if req.isDone() {
 		return false
@@ -83,9 +88,10 @@
 	return true
 }
 
-// abortPartialWrites prevents the rest of a request from being written after its answer. An attempt without a
-// connection stays, so that its endpoint is held responsible for it, and serveWaiting drops it. The rest of a request
-// that is larger than a connection accepts at once would be written whenever its backend reads on.
+// abortPartialWrites closes connections on which an answered request is still being written, so that the rest of the
+// request is not sent. A request that does not fit into the connection's send buffer would otherwise be written further
+// whenever its backend reads. An attempt that waits for a connection is kept, so that a failure to connect counts
+// against its endpoint; serveWaiting drops it when a connection becomes available.
 func (n *Node) abortPartialWrites(req *request) {
 	for _, att := range req.attempts {
 		if att.isPartlyWritten() {
@@ -95,7 +101,8 @@
 	}
 }
 
-// isPartlyWritten reports whether the end of the attempt's buffered request is not known to have been written.
+// isPartlyWritten reports whether the attempt's request is buffered and the event loop does not know yet that all of it
+// has been written.
 func (a *attempt) isPartlyWritten() bool {
 	return a.state == attemptAssigned &&
 		a.conn.attempt == a &&
@@ -104,7 +111,7 @@
 		a.deadline != noDeadline
 }
 
-// releaseRequest deletes a request that is done and has no attempt in flight.
+// releaseRequest deletes a request and releases its buffer if the request is done and has no pending attempt.
 func (n *Node) releaseRequest(req *request) {
 	if req.state == requestDone && req.pendingAttempts == 0 {
 		n.setRequestState(req, requestReleased)
@@ -122,9 +129,9 @@
 	}
 }
 
-// clientHasDisconnected asks the kernel whether a request's client has disconnected, as the notification of that may
-// be queued behind much else, and an attempt that starts long after is wasted work. If so, the request is cancelled
-// as soon as the balancer's call has returned.
+// clientHasDisconnected asks the kernel whether a request's client has disconnected. The poller's notification of it
+// may be queued behind many other events, and an attempt that starts after the disconnect is wasted work. If the client
+// has disconnected, the request is cancelled as soon as the current call of the balancer has returned.
 func (n *Node) clientHasDisconnected(req *request) bool {
 	if req.clientConn == nil || !req.clientConn.peerHasEnded() {
 		return false
--- a/internal/node/requesttrace.go
+++ b/internal/node/requesttrace.go
@@ -7,7 +7,8 @@
 	"tulipglade/internal/safety"
 )
 
-// traceWithheldAttempt traces an attempt that was decided on and may not start any more.
+// traceWithheldAttempt logs that an attempt which the balancer had decided on was not started, and the reason,
+// if tracing is on.
 func (n *Node) traceWithheldAttempt(att *attempt, reason safety.Reason) {
 	n.traceRequest(att.request, "attempt withheld", "attempt", att.number, "endpoint", att.endpoint.address, "reason", reason.String())
 }
@@ -27,5 +28,5 @@
 	}
 }
 
-// debugEnabled reports whether each step of each request is to be logged.
+// debugEnabled reports whether the logger accepts debug messages, which log each step of each request.
 func debugEnabled(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -10,22 +10,24 @@
 	"tulipglade/internal/protocol"
 )
 
-// upload is a request that is too large to be buffered: it is forwarded while it is read, with its client's
-// connection detached from the poller.
+// upload is the state of a request that is too large to be buffered. It is forwarded while it is read, and its client's
+// connection is detached from the poller during that time.
 type upload struct {
-	earlyInput       [][]byte // what came behind the part of the body that is buffered
-	remainingMessage protocol.Message
-	rejected         bool // the request is invalid: little more of it is read
+	earlyInput       [][]byte         // input received after the buffered part of the body and not forwarded yet
+	remainingMessage protocol.Message // parser for the rest of the body, as protocol.Message.Tail returns it
+	rejected         bool             // the request is invalid: only about maxLingerBytes more of it are read
 	forwarder        *forwarder
 	lastByteTime     lastByteTime
-	bodyConsumed     bool // bytes have been consumed that can't be sent again
-	forwarderEnded   bool // the forwarder has ended
+	bodyConsumed     bool // the forwarder has started to consume the body, so that the request can't be sent again
+	forwarderEnded   bool // the forwarder has ended, whether it succeeded or not
 }
 
-// noDeadline stands for a deadline that is not known yet: that of a request counts from its last byte.
+// noDeadline stands for a time that is unknown or never comes. It is the deadline of a large request until its last
+// byte has been received, from which its deadline counts.
 const noDeadline = math.MaxInt64
 
-// startUpload detaches the connection from the poller. The buffer has what has been read of the request.
+// startUpload starts to detach the connection from the poller. The input buffer holds the part of the request that has
+// been read.
 func (c *clientConn) startUpload() {
 	c.hasSentRequest = true
 	c.setIdle(false)
@@ -35,10 +37,10 @@
 	c.setOverflowSize(0)
 	c.detach(func(descriptor *os.File, rest []byte, err error) {
 		c.node.report(reportDetached, func() { c.uploadDetached(descriptor, rest, err) })
-	}) // if the connection has ended, disconnected follows
+	}) // if the connection has ended, handleDisconnect is called instead
 }
 
-// uploadDetached admits the request, or rejects it.
+// uploadDetached admits or rejects a large request after its client's connection has been detached from the poller.
 func (c *clientConn) uploadDetached(descriptor *os.File, rest []byte, err error) {
 	if err != nil {
 		c.node.warnLimited("detaching client connection failed", "err", err)
@@ -77,8 +79,8 @@
 	n.submitRequest(req)
 }
 
-// forwardUpload forwards what the attempt's first write did not include. From here on the request can't be sent
-// again, and it has no deadline until its last byte has come.
+// forwardUpload forwards the part of the request that the attempt's first write did not include. From here on the
+// request can't be sent again, and it has no deadline until its last byte has been received.
 func (n *Node) forwardUpload(conn *backendConn, att *attempt) {
 	req := att.request
 	client, up := req.clientConn, req.upload
@@ -88,7 +90,7 @@
 	fwd := up.newForwarder(client, func(parts ...[]byte) error { return conn.write(parts) })
 	fwd.onWriteError = func() {
 		n.report(reportForwarded, func() {
-			if !att.isCompleted() { // incomplete: it has never started
+			if !att.isCompleted() { // the backend has received an incomplete request and has not run it
 				n.closeBackend(conn, closeWriteFailed)
 				n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 			}
@@ -106,8 +108,8 @@
 	}()
 }
 
-// discardUpload reads the rest of a request that has been answered: closing while it comes in would reset the
-// connection, and the client might not see the answer.
+// discardUpload reads and discards the rest of a request that has been answered early. Closing the connection while the
+// client is still sending would reset it, and the client might not see the answer.
 func (c *clientConn) discardUpload() {
 	up := c.upload
 	up.bodyConsumed = true
@@ -122,7 +124,7 @@
 	}()
 }
 
-// newForwarder returns a forwarder for the rest of the request.
+// newForwarder returns a forwarder for the rest of the request, which passes the body to write.
 func (u *upload) newForwarder(client *clientConn, write func(...[]byte) error) *forwarder {
 	fwd := &forwarder{
 		source:         source{buffered: u.earlyInput, descriptor: client.descriptor},
@@ -136,8 +138,8 @@
 	return fwd
 }
 
-// uploadFinished processes the end of a forwarder that reads from a client. Without an attempt, the request was being
-// discarded.
+// uploadFinished processes the end of a forwarder that reads from a client. conn and att are nil if the rest of the
+// request was being discarded; err is the reason why reading failed.
 func (n *Node) uploadFinished(client *clientConn, fwd *forwarder, conn *backendConn, att *attempt, err error) {
 	rest := bytes.Clone(fwd.message.Rest(fwd.buffer.bytes()))
 	for _, piece := range fwd.source.buffered {
@@ -149,19 +151,19 @@
 	req := client.request
 	switch {
 	case att == nil:
-	case att.isCompleted(): // answered early, unless its connection has closed
+	case att.isCompleted(): // the request was answered early, or the backend's connection has closed
 		n.earlyAnsweredUploadEnded(conn, att, errors.Join(err, fwd.writeErr))
 	case err == nil:
 		n.uploadSent(conn, att, fwd)
 	}
-	defer func() { // after the client's connection has been reattached
+	defer func() { // deferred until the client's connection has been reattached
 		if conn != nil {
 			conn.processDeferredInput()
 		}
 	}()
 	switch {
 	case client.state == clientClosed:
-	case err != nil && req == nil: // already answered
+	case err != nil && req == nil: // the request has been answered already
 		if !client.writingAnswer {
 			client.close(closeRequestIncomplete)
 		}
@@ -184,7 +186,8 @@
 	}
 }
 
-// uploadSent processes the last byte of a large request: its deadline is known from here on.
+// uploadSent handles the moment at which the last byte of a large request has been read and written, or writing has
+// failed. It sets the deadline of the request, which was unknown until now.
 func (n *Node) uploadSent(conn *backendConn, att *attempt, fwd *forwarder) {
 	now := n.now()
 	req, writeErr := att.request, fwd.writeErr
@@ -206,21 +209,22 @@
 	}
 }
 
-// earlyAnsweredUploadEnded returns the connection of a request that was answered before its last byte to the pool, or
-// closes it if the backend has not received all of the request.
+// earlyAnsweredUploadEnded handles the end of an upload whose request was answered before its last byte had been sent.
+// The backend's connection returns to the pool, or is closed if the backend has not received the whole request.
 func (n *Node) earlyAnsweredUploadEnded(conn *backendConn, att *attempt, err error) {
 	if conn.answerComplete {
 		n.requestSent(conn, att, err)
 	}
 }
 
-// resumeAfterUpload returns the connection to the poller, with the input that followed the request.
+// resumeAfterUpload returns the connection to the poller after an upload, or closes it if it closes after the answer.
+// rest is the input that followed the request.
 func (c *clientConn) resumeAfterUpload(rest []byte) {
 	if c.closeAfterAnswer && c.request == nil && !c.writingAnswer {
 		c.closeGracefully(closeLastAnswer)
 		return
 	}
-	if c.writingAnswer { // an early answer is being written to the descriptor; the connection closes behind it
+	if c.writingAnswer { // an early answer is being written to the descriptor; the connection closes after it
 		return
 	}
 	if !c.rejoinPoller() {
@@ -239,7 +243,8 @@
 	}
 }
 
-// rejoinPoller returns a detached connection to the poller. If that fails, the client counts as disconnected.
+// rejoinPoller returns a detached connection to the poller. If that fails, it handles the client as disconnected and
+// returns false.
 func (c *clientConn) rejoinPoller() bool {
 	conn, err := attachToPoller(c.descriptor)
 	c.upload = nil
@@ -258,7 +263,8 @@
 	return true
 }
 
-// discardAfterEarlyAnswer handles the end of an answer that was written while the request was still being uploaded.
+// discardAfterEarlyAnswer is called when an answer has been written while its request was still being uploaded. It
+// starts to discard the rest of the request, unless a forwarder is reading it already.
 func (c *clientConn) discardAfterEarlyAnswer() {
 	if !c.upload.bodyConsumed {
 		c.discardUpload()
--- a/internal/node/uploaddeadline.go
+++ b/internal/node/uploaddeadline.go
@@ -8,16 +8,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// The time of a request counts from its last byte, and a client has sent it once its own kernel has it. A node sees only
-// what has come: of a large request it knows until when the last byte had certainly not been sent, and by when it had.
+// The deadline of a request counts from the time at which its client sent the last byte, that is, passed it to the
+// client's kernel. The node sees only when input arrives. For a large request it therefore keeps two bounds of that
+// time: the last moment at which the byte had certainly not been sent yet, and the first at which it certainly had.
 
-// lastByteTime bounds when the last byte of a large request was sent, in microseconds of the node's clock.
+// lastByteTime holds the bounds of the time at which the last byte of a large request was sent, in microseconds of the
+// node's clock.
 type lastByteTime struct {
-	earliest int64 // not before this
-	latest   int64 // not after this; 0: it may still be to come
+	earliest int64 // the byte was not sent before this time
+	latest   int64 // the byte was not sent after this time; 0: it may not have been sent yet
 }
 
-// updateLastByteTime looks at how much of the request has come. The event loop calls it while no forwarder reads the connection.
+// updateLastByteTime updates the bounds of the last byte's send time from how much of the request has been received.
+// length is that of the body, negative if it is chunked; bufferedBody is how much of the body is in the request's
+// buffer. The event loop calls it while no forwarder reads from the connection.
 func (u *upload) updateLastByteTime(now int64, descriptor *os.File, length, bufferedBody int) {
 	if u.lastByteTime.latest > 0 {
 		return
@@ -26,7 +30,7 @@
 	if !ok {
 		return
 	}
-	if length < 0 { // the end of a chunked body may be anywhere in what waits
+	if length < 0 { // the end of a chunked body may be anywhere in the unread input
 		if waiting == 0 && !bytes.HasSuffix(bytes.Join(u.earlyInput, nil), endOfChunkedBody) {
 			u.lastByteTime.earliest = now
 		}
@@ -44,14 +48,16 @@
 	}
 }
 
-// endOfChunkedBody is how a chunked body ends, with or without a trailer.
+// endOfChunkedBody is the byte sequence that ends a chunked body, with or without a trailer.
 var endOfChunkedBody = []byte("\r\n\r\n")
 
-// maxUnreadWithOpenWindow is how much unread input, in bytes, certainly leaves the peer free to send more. Beyond it, what is
-// still to come may have been sent and wait in the peer's kernel: then the time counts from when it may have been.
+// maxUnreadWithOpenWindow is the amount of unread input, in bytes, below which the receive window is certainly open, so
+// that data which has not arrived has not been sent either. With more unread input, the rest may have been sent and may
+// wait in the peer's kernel. The deadline then counts from the earliest time at which that is possible.
 const maxUnreadWithOpenWindow = receiveBufferSize / 2
 
-// unreadBytes returns how many bytes the kernel holds for the reader of a descriptor.
+// unreadBytes returns how many bytes the kernel has received on a descriptor that have not been read. ok is false if
+// the kernel can't be asked.
 func unreadBytes(descriptor *os.File) (count int, ok bool) {
 	raw, err := descriptor.SyscallConn()
 	if err != nil {
@@ -63,7 +69,7 @@
 	return count, err == nil
 }
 
-// minRemainingUploadTime is what the client of a large request has left at least, in microseconds.
+// minRemainingUploadTime returns a lower bound of the time until the deadline of a large request, in microseconds.
 func (n *Node) minRemainingUploadTime(req *request) int64 {
 	now := n.now()
 	body := req.message.Body(req.buffer.bytes())
@@ -74,8 +80,8 @@
 	return req.upload.lastByteTime.earliest + req.uploadTimeout - now
 }
 
-// latestDeadline is the latest moment at which the client of a large request may still wait; noDeadline while its last
-// byte may be to come.
+// latestDeadline returns the latest time at which the deadline of a large request may be, or noDeadline while its last
+// byte may not have been sent yet.
 func (u *upload) latestDeadline(timeout int64) int64 {
 	if u.lastByteTime.latest == 0 {
 		return noDeadline
@@ -83,6 +89,6 @@
 	return u.lastByteTime.latest + timeout
 }
 
-// minEmptyReadWait is how long a read must have waited to show that its sender had nothing more to send before: longer than
-// the kernels take to pass on what was sent.
+// minEmptyReadWait is the shortest wait of a read that proves that the data was sent only during the wait. It is longer
+// than the kernels take to pass on data that had already been sent.
 const minEmptyReadWait = time.Millisecond
