--- a/internal/balancer/learned.go
+++ b/internal/balancer/learned.go
@@ -1,6 +1,6 @@
 package balancer
 
-// The learned state, which a process passes on to the next one of its node in a hot restart.
+// The learned state, which a process exports for its successor in a hot restart.
 
 import (
 	"math"
@@ -8,16 +8,16 @@
 	"tulipglade/internal/staleness"
 )
 
-// maxHandoffDuration is how long the learned state may take from one process to the next. The lease on the
-// endpoint list is shortened by it.
+// maxHandoffDuration is the longest time that the learned state may take from a process to its successor. The
+// lease on the endpoint list is shortened by this time.
 const maxHandoffDuration Span = 500_000
 
-// maxLearnedValue bounds what is taken for a sound number.
+// maxLearnedValue is the upper bound of the numbers that are accepted from another process.
 const maxLearnedValue = 1e15
 
-// Learned is what a node has learned, for another process that takes its place. Endpoints are known by their
-// StableKey; classes and tenants are in the order of the configuration that both processes have.
-type Learned struct {
+// LearnedState is the learned state of a node, which a process exports for its successor. Endpoints are keyed
+// by their StableKey; classes and tenants are in the order of the configuration, which both processes share.
+type LearnedState struct {
 	Endpoints    map[uint64]LearnedEndpoint `json:"Hosts"`
 	Classes      []LearnedClass             `json:"Classes"`
 	Tenants      []LearnedTenant            `json:"Tenants"`
@@ -25,11 +25,12 @@
 	AnswerRate   float64                    `json:"Rate"`
 	ModeTime     [2]float64                 `json:"ModeTime"`
 	Overloaded   bool                       `json:"Over"`
-	// ListLeaseLeft is how long requests may still be sent by the endpoint list.
-	ListLeaseLeft Span `json:"ListLeft"`
+	// ListLeaseRemaining is the remaining duration of the lease on the endpoint list, or 0 without a lease.
+	ListLeaseRemaining Span `json:"ListLeft"`
 }
 
-// LearnedEndpoint is what was learned of the endpoint's process that was started at StartedAt.
+// LearnedEndpoint is the learned state of an endpoint. It is valid only for the process of the endpoint that
+// was started at StartedAt.
 type LearnedEndpoint struct {
 	StartedAt           Time    `json:"Started"`
 	Limit               float64 `json:"Limit"`
@@ -39,40 +40,41 @@
 	Ejections           int     `json:"Outs"`
 	EjectedUntil        Time    `json:"OutTill"`
 	SlowStartUpdatedAt  Time    `json:"TokensAt"`
-	Backlog             float64 `json:"Queue"` // by its last report, as the next two
+	Backlog             float64 `json:"Queue"` // of the last load report, like the next two fields
 	Utilization         float64 `json:"Util"`
 	Outstanding         float64 `json:"Holding"`
 }
 
-// LearnedClass is what was learned of a class.
+// LearnedClass is the learned state of a class.
 type LearnedClass struct {
 	BaselineLatency float64 `json:"Base"`
 	MeanLatency     float64 `json:"Mean"`
 }
 
-// LearnedTenant is what was learned of a tenant.
+// LearnedTenant is the learned state of a tenant.
 type LearnedTenant struct {
 	Demand         float64    `json:"Demand"`
 	PredictedQuota float64    `json:"Want"`
 	Utilization    [2]float64 `json:"Used"`
 }
 
-// ExportState returns what was learned. Half of the slow-start tokens that are left go with it.
-func (b *Balancer) ExportState(now Time) Learned {
+// ExportState returns the learned state, for a successor. It includes half of the remaining slow-start
+// tokens; this process keeps the other half.
+func (b *Balancer) ExportState(now Time) LearnedState {
 	b.now = now
-	learned := Learned{
+	learned := LearnedState{
 		Endpoints:    map[uint64]LearnedEndpoint{},
 		MeanInFlight: b.meanInFlight,
 		AnswerRate:   b.answerRate,
 		ModeTime:     b.modeTime,
 		Overloaded:   b.overloadMode,
 	}
-	if b.listLease.Bounded() {
-		learned.ListLeaseLeft = max(b.listLease.Until(b.now)-b.now, 0)
+	if b.listLease.CanExpire() {
+		learned.ListLeaseRemaining = max(b.listLease.ExpiresAt(b.now)-b.now, 0)
 	}
 	for _, endpoint := range b.endpoints {
 		endpoint.slowStart.count /= 2
-		learned.Endpoints[endpoint.stableKey()] = endpoint.export()
+		learned.Endpoints[endpoint.stableKey()] = endpoint.exportState()
 	}
 	for i := range b.classes {
 		latency := &b.classes[i].latency
@@ -89,7 +91,8 @@
 	return learned
 }
 
-func (e *endpointState) export() LearnedEndpoint {
+// exportState returns the learned state of one endpoint.
+func (e *endpointState) exportState() LearnedEndpoint {
 	return LearnedEndpoint{
 		StartedAt:           e.StartedAt,
 		Limit:               e.limit,
@@ -105,61 +108,65 @@
 	}
 }
 
-// ImportState takes up what another process has learned of the listed endpoints. Values that make no sense
-// are left out.
-func (b *Balancer) ImportState(now Time, learned Learned) {
+// ImportState adopts the learned state of another process of the node. It ignores endpoints that are not
+// listed or were started at another time, and values that are invalid.
+func (b *Balancer) ImportState(now Time, learned LearnedState) {
 	b.now = now
 	for _, endpoint := range b.endpoints {
 		state, ok := learned.Endpoints[endpoint.stableKey()]
-		if ok && state.StartedAt == endpoint.StartedAt && state.sound() {
+		if ok && state.StartedAt == endpoint.StartedAt && state.validNumbers() {
 			b.importEndpoint(endpoint, state)
 		}
 	}
 	b.importClasses(learned.Classes)
 	b.importTenants(learned.Tenants)
-	if sound(learned.MeanInFlight, learned.AnswerRate, learned.ModeTime[0], learned.ModeTime[1]) {
+	if validNumbers(learned.MeanInFlight, learned.AnswerRate, learned.ModeTime[0], learned.ModeTime[1]) {
 		b.meanInFlight, b.answerRate = learned.MeanInFlight, learned.AnswerRate
 		b.modeTime, b.overloadMode = learned.ModeTime, learned.Overloaded
 	}
-	b.importListLease(learned.ListLeaseLeft)
+	b.importListLease(learned.ListLeaseRemaining)
 	b.runControl()
 	b.dispatch()
 }
 
+// importEndpoint adopts the learned state of one endpoint, and limits its failures and its ejection to values
+// that this process could have reached.
 func (b *Balancer) importEndpoint(endpoint *endpointState, state LearnedEndpoint) {
 	endpoint.limit = state.Limit
 	endpoint.outlier = outlierState{
 		consecutiveFailures: min(max(state.ConsecutiveFailures, 0), ejectionFailures),
 		errorRate:           state.ErrorRate,
-		ejections:           min(max(state.Ejections, 0), 2*maxDoublings),
-		ejectedUntil:        min(state.EjectedUntil, b.now+b.controlPeriod<<maxDoublings),
+		ejections:           min(max(state.Ejections, 0), 2*maxBackoffExponent),
+		ejectedUntil:        min(state.EjectedUntil, b.now+b.controlPeriod<<maxBackoffExponent),
 	}
 	endpoint.slowStart = slowStartTokens{count: state.SlowStartTokens, updatedAt: b.now}
 	endpoint.reported = reportedLoad{LoadReport: unknownLoad, changedAt: b.now}
-	if sound(state.Backlog, state.Utilization) {
+	if validNumbers(state.Backlog, state.Utilization) {
 		endpoint.reported.LoadReport = LoadReport{state.Outstanding, state.Backlog, state.Utilization}
 	}
 }
 
+// importClasses adopts the learned latencies if both processes have the same number of classes.
 func (b *Balancer) importClasses(classes []LearnedClass) {
 	if len(classes) != len(b.classes) {
 		return
 	}
 	for i, class := range classes {
 		positive := class.BaselineLatency > 0 && class.MeanLatency > 0
-		if positive && sound(class.BaselineLatency, class.MeanLatency) {
+		if positive && validNumbers(class.BaselineLatency, class.MeanLatency) {
 			latency := &b.classes[i].latency
 			latency.baseline, latency.mean = class.BaselineLatency, class.MeanLatency
 		}
 	}
 }
 
+// importTenants adopts the learned quotas if both processes have the same number of tenants.
 func (b *Balancer) importTenants(tenants []LearnedTenant) {
 	if len(tenants) != len(b.tenants) {
 		return
 	}
 	for i, tenant := range tenants {
-		if sound(tenant.Demand, tenant.PredictedQuota, tenant.Utilization[0], tenant.Utilization[1]) {
+		if validNumbers(tenant.Demand, tenant.PredictedQuota, tenant.Utilization[0], tenant.Utilization[1]) {
 			quota := &b.tenants[i].quota
 			quota.demand, quota.predicted = tenant.Demand, tenant.PredictedQuota
 			quota.utilization = tenant.Utilization
@@ -167,7 +174,8 @@
 	}
 }
 
-// importListLease continues the lease on the endpoint list, less the time that the handoff may have taken.
+// importListLease continues the lease on the endpoint list. It shortens the remaining duration by the time
+// that the handoff may have taken, and ignores one that is longer than a whole lease.
 func (b *Balancer) importListLease(left Span) {
 	remaining := left - maxHandoffDuration
 	if remaining > 0 && left <= b.config.ListLease {
@@ -175,13 +183,14 @@
 	}
 }
 
-// sound tells whether the state has values that an endpoint can have.
-func (e *LearnedEndpoint) sound() bool {
-	return sound(e.Limit, e.ErrorRate) && e.Limit != 0 && e.ErrorRate <= 1 && !math.IsNaN(e.SlowStartTokens)
+// validNumbers reports whether the limit, the error rate and the tokens are values that an endpoint can have.
+func (e *LearnedEndpoint) validNumbers() bool {
+	return validNumbers(e.Limit, e.ErrorRate) && e.Limit != 0 && e.ErrorRate <= 1 &&
+		!math.IsNaN(e.SlowStartTokens)
 }
 
-// sound tells whether all values are finite and not negative.
-func sound(values ...float64) bool {
+// validNumbers reports whether all values are finite, not negative and below maxLearnedValue.
+func validNumbers(values ...float64) bool {
 	for _, value := range values {
 		if !(value >= 0 && value < maxLearnedValue) {
 			return false
--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -14,30 +14,30 @@
 // backendConn is a connection to a backend. It carries one request at a time.
 type backendConn struct {
 	socket
-	node              *Node
-	endpoint          *endpoint
-	incarnation       int
-	attempt           *attempt
-	input             *buffer
-	message           protocol.Message
-	state             backendConnState
-	answerComplete    bool      // the complete answer came before the writer had returned
-	download          *download // forwards an answer that is too large to be buffered
-	writeReported     bool      // the event loop has learned that the first write of its request has ended
-	deferredInput     []*buffer // input that came before the event loop learned what had been written
-	peerEndedEarly    bool      // the backend has closed while the request was being written
-	idleElement       *list.Element
-	idleSince         int64
-	idleBeforeAttempt int64 // idle time before the attempt that it carries; 0: the connection is new
-	lastAnswerAt      int64 // when it last brought the answer to a request, which a duplicate may follow; 0: never
+	node               *Node
+	endpoint           *endpoint
+	incarnation        int              // of the endpoint at the time of the dial
+	attempt            *attempt         // the attempt that the connection carries; nil: none
+	input              *buffer          // the part of the answer that has been received; nil: nothing yet
+	message            protocol.Message // the answer, as far as it has been parsed
+	state              backendConnState
+	answerComplete     bool          // the complete answer was received before the writer had returned
+	download           *download     // forwards an answer that is too large to be buffered
+	firstWriteReported bool          // the event loop has processed the result of the first write of the request
+	deferredInput      []*buffer     // input that was received before the event loop knew what had been written
+	peerEndedEarly     bool          // the backend has closed the connection while the request was being written
+	idleElement        *list.Element // in Node.idleBackends; nil: the connection is not idle
+	idleSince          int64         // when the connection last became idle
+	idleBeforeAttempt  int64         // idle time before the current attempt; 0: it has none, or this has been recorded
+	lastAnswerAt       int64         // when it last received the answer to a request, which a duplicate may follow
 }
 
-// onInput passes on what the poller has read.
+// onInput is the poller's callback for input from the backend. It posts the input to the event loop.
 func (b *backendConn) onInput(_ context.Context, conn netpoll.Connection) error {
-	return b.deliver(conn, b.node, b.receive)
+	return b.postInput(conn, b.node, b.receive)
 }
 
-// receive processes input from the backend.
+// receive processes input from the backend on the event loop.
 func (b *backendConn) receive(buf *buffer) {
 	defer buf.release()
 	if b.state == backendClosed {
@@ -52,9 +52,9 @@
 		b.limiter.setStopped(true) // until processDeferredInput
 		return
 	}
-	if b.attempt == nil { // no request is in flight
-		b.endpoint.duplicatesUntil = b.node.now() + observationLifetime
-		b.node.closeBackend(b, closeUnexpectedInput)
+	if b.attempt == nil { // the backend has sent input without a request, which may be a duplicate answer
+		b.endpoint.duplicatesExpectedUntil = b.node.now() + observationLifetime
+		b.node.closeBackendConn(b, closeUnexpectedInput)
 		b.node.dialForWaiting(b.endpoint)
 		return
 	}
@@ -74,11 +74,12 @@
 	}
 }
 
-// awaitsWriteReport reports whether the event loop does not know yet that any byte of a request has been written. Only
-// then can what the backend sends be its answer.
-func (b *backendConn) awaitsWriteReport() bool { return b.attempt != nil && !b.writeReported }
+// awaitsWriteReport reports whether the event loop does not know yet that any byte of the request has been written.
+// What the backend sends before that can't be the answer to the request.
+func (b *backendConn) awaitsWriteReport() bool { return b.attempt != nil && !b.firstWriteReported }
 
-// processDeferredInput processes the input that was deferred until the event loop knew what had been written.
+// processDeferredInput processes the input that was deferred until the event loop knew what had been written, and
+// then the end of the connection if the backend has closed it meanwhile.
 func (b *backendConn) processDeferredInput() {
 	deferred, peerEnded := b.deferredInput, b.peerEndedEarly
 	b.deferredInput, b.peerEndedEarly = nil, false
@@ -94,22 +95,23 @@
 }
 
 // uploadFullyRead reports whether the last byte of a large request has been read from its client, while the event
-// loop has not learned yet that it was written.
+// loop does not know yet whether it was written.
 func (b *backendConn) uploadFullyRead() bool {
 	return b.attempt != nil && b.attempt.deadline == noDeadline && b.attempt.request.upload.forwarder.fullyRead.Load()
 }
 
-// keepDownloadInput buffers input of a large answer until it can be forwarded.
+// keepDownloadInput buffers input of a large answer until its forwarder can read it.
 func (b *backendConn) keepDownloadInput(data []byte) {
 	if err := b.download.bufferEarlyInput(data); err != nil {
 		att := b.download.attempt
 		b.node.warnLimited("malformed answer", "endpoint", b.endpoint.address, "err", err)
-		b.node.closeBackend(b, closeMalformedAnswer)
+		b.node.closeBackendConn(b, closeMalformedAnswer)
 		b.node.completeAttempt(att, balancer.OutcomeReset, nil)
 	}
 }
 
-// parseAnswer parses the input so far; unread is the number of bytes that the buffer had no space for.
+// parseAnswer parses the part of the answer that has been received. unread is the number of received bytes that the
+// buffer had no space for.
 func (b *backendConn) parseAnswer(unread int) {
 	n, att := b.node, b.attempt
 	size, complete, err := b.message.Response(b.input.bytes())
@@ -118,7 +120,7 @@
 	switch {
 	case err != nil:
 		n.warnLimited("malformed answer", "endpoint", b.endpoint.address, "err", err)
-		n.closeBackend(b, closeMalformedAnswer)
+		n.closeBackendConn(b, closeMalformedAnswer)
 		n.completeAttempt(att, balancer.OutcomeReset, nil) // the request may have run
 	case complete:
 		b.finishAnswer(unread > 0)
@@ -127,87 +129,90 @@
 	}
 }
 
-// errEarlyLargeAnswer reports a large answer to a request that has not been written: too much of it would have to be
-// buffered.
-var errEarlyLargeAnswer = errors.New("a large answer before the end of its request")
+// errEarlyLargeAnswer reports a large answer to a request that has not been written completely: more of the answer
+// would have to be buffered than the node allows.
+var errEarlyLargeAnswer = errors.New("too much of a large answer received before the end of its request")
 
-// finishAnswer processes a complete answer; unread says that more input follows it.
+// finishAnswer processes a complete answer. unread says whether bytes were received behind it that the buffer had no
+// space for.
 func (b *backendConn) finishAnswer(unread bool) {
-	n, att, in, msg := b.node, b.attempt, b.input, b.message
+	n, att, buf, msg := b.node, b.attempt, b.input, b.message
 	n.recordIdleOutcome(b.idleBeforeAttempt, false)
 	b.idleBeforeAttempt = 0
 	if !att.isHealthCheck {
 		b.lastAnswerAt = n.now()
 	}
-	duplicate := unread || len(msg.Rest(in.bytes())) > 0
+	duplicate := unread || len(msg.Rest(buf.bytes())) > 0
 	if duplicate {
-		b.endpoint.duplicatesUntil = n.now() + observationLifetime
+		b.endpoint.duplicatesExpectedUntil = n.now() + observationLifetime
 	}
 	reusable := msg.KeepAlive && !b.peerEndedEarly && !duplicate
 	b.attempt, b.input = nil, nil
 	switch {
 	case !reusable:
-		n.closeBackend(b, closeNotReusable)
+		n.closeBackendConn(b, closeNotReusable)
 	case b.state == backendAwaitingAnswer:
 		n.releaseConn(b)
 	default:
 		b.answerComplete = true
 	}
 	report := headerLoadReport(&msg)
-	result := answerOutcome(&msg)
-	if att.isHealthCheck && result == balancer.OutcomeOK {
-		report = healthCheckReport(&msg, msg.Body(in.bytes()))
-	} else if result == balancer.OutcomeOK {
+	outcome := answerOutcome(&msg)
+	if att.isHealthCheck && outcome == balancer.OutcomeOK {
+		report = healthCheckReport(&msg, msg.Body(buf.bytes()))
+	} else if outcome == balancer.OutcomeOK {
 		if msg.NoBody && att.request.clientConn != nil {
 			att.request.clientConn.headContentLength = max(msg.Length(), protocol.UntilClose)
 			if msg.Length() < 0 {
 				att.request.clientConn.headContentLength = protocol.UntilClose
 			}
 		}
-		n.answerRequest(att.request, in.retain(), 200, msg.Fields, msg.Body(in.bytes()), 0)
+		n.answerRequest(att.request, buf.retain(), 200, msg.Fields, msg.Body(buf.bytes()), 0)
 	}
-	n.completeAttempt(att, result, report)
-	in.release()
+	n.completeAttempt(att, outcome, report)
+	buf.release()
 }
 
-// connectionEnded processes the end of the connection.
+// connectionEnded processes the end of the connection after the poller has reported it.
 func (b *backendConn) connectionEnded() {
 	n, att := b.node, b.attempt
 	switch {
-	case b.state == backendClosed || b.state == backendDialing: // dialFinished handles it
+	case b.state == backendClosed || b.state == backendDialing: // in the latter state, dialFinished processes it
 	case b.download != nil && !b.download.awaitingRequestEnd:
 		n.startDownloadForwarding(b, nil, nil, nil)
 	case att == nil:
-		n.closeBackend(b, closePeerEnded)
+		n.closeBackendConn(b, closePeerEnded)
 		n.dialForWaiting(b.endpoint)
 	case b.state == backendWriting && att.deadline == noDeadline && !b.uploadFullyRead():
-		// The request was still being uploaded and is never completed.
-		n.closeBackend(b, closePeerEnded)
+		// The request was still being uploaded: the backend never receives the rest of it and so never starts it.
+		n.closeBackendConn(b, closePeerEnded)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 	case b.state == backendWriting:
-		b.peerEndedEarly = true // requestSent decides, once it is known how much was written
+		b.peerEndedEarly = true // requestWriteFinished decides once it is known how much was written
 	default:
 		n.recordIdleOutcome(b.idleBeforeAttempt, b.input == nil && n.now()-att.startedAt < 2*reuseDelay)
-		n.finishEndedConn(b, att)
+		n.finishAttemptAtConnEnd(b, att)
 	}
 }
 
-// finishEndedConn processes the end of a connection with an answer due. It completes an answer whose head states no
-// length.
-func (n *Node) finishEndedConn(conn *backendConn, att *attempt) {
-	if conn.input != nil && conn.message.EndsWithConnection() && conn.peerClosedInOrder {
+// finishAttemptAtConnEnd ends an attempt whose connection has ended before the answer was known to be complete. If
+// the head of the answer states no length and the backend closed the connection without a reset, the answer is
+// complete; otherwise the attempt fails.
+func (n *Node) finishAttemptAtConnEnd(conn *backendConn, att *attempt) {
+	if conn.input != nil && conn.message.EndsWithConnection() && conn.peerClosedCleanly {
 		conn.message.Finish()
 		conn.message.KeepAlive = false
 		conn.setState(backendAwaitingAnswer)
 		conn.finishAnswer(false)
 		return
 	}
-	n.closeBackend(conn, closePeerEnded)
+	n.closeBackendConn(conn, closePeerEnded)
 	n.completeAttempt(att, balancer.OutcomeReset, nil)
 }
 
-// closeBackend closes a connection. The caller completes an attempt on it.
-func (n *Node) closeBackend(conn *backendConn, reason closeReason) {
+// closeBackendConn closes a connection to a backend. It does not complete the attempt on that connection, which is up
+// to the caller.
+func (n *Node) closeBackendConn(conn *backendConn, reason closeReason) {
 	if conn.state == backendClosed {
 		return
 	}
@@ -222,7 +227,7 @@
 		buf.release()
 	}
 	conn.deferredInput = nil
-	// A connection that is being detached from the poller closes when that is done.
+	// A connection that is being detached from the poller is closed as soon as it is detached.
 	if conn.download == nil || conn.download.awaitingRequestEnd || conn.descriptor != nil {
 		conn.closeTransport()
 	}
--- a/internal/node/clientidle.go
+++ b/internal/node/clientidle.go
@@ -52,9 +52,9 @@
 // mayClose returns safety.Allowed if the connection is between two requests and may be closed, or else the reason why
 // not. Input that has not been parsed may be a request, which must be answered.
 func (c *clientConn) mayClose() safety.Reason {
-	return safety.Close{
+	return safety.CloseConditions{
 		RequestInProgress: c.request != nil || c.writingAnswer || c.upload != nil,
-		UnreadInput:       c.unreadInput() > 0 || !c.isOpenAndDrained(),
+		UnreadInput:       c.unreadInput() > 0 || !c.isOpenWithoutInput(),
 	}.Check()
 }
 
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -30,7 +30,7 @@
 			result = balancer.OutcomeReset // the load report is in the body, which is not read
 		}
 		report := headerLoadReport(&b.message)
-		n.closeBackend(b, closeUnwantedDownload)
+		n.closeBackendConn(b, closeUnwantedDownload)
 		n.completeAttempt(att, result, report)
 		return
 	}
@@ -62,7 +62,7 @@
 		if descriptor != nil {
 			_ = descriptor.Close()
 		}
-		n.closeBackend(conn, closeAnswerTruncated)
+		n.closeBackendConn(conn, closeAnswerTruncated)
 		n.completeAttempt(att, balancer.OutcomeReset, nil)
 		return
 	}
@@ -76,14 +76,14 @@
 	report := headerLoadReport(&msg)
 	if !n.finishRequest(req) {
 		answerBuffer.release()
-		n.closeBackend(conn, closeAttemptAbandoned)
+		n.closeBackendConn(conn, closeAttemptAbandoned)
 		n.completeAttempt(att, balancer.OutcomeOK, report)
 		return
 	}
 	answerSource := source{
 		buffered:     append(current.earlyInput, rest),
 		descriptor:   descriptor,
-		endedInOrder: descriptor == nil && conn.peerClosedInOrder,
+		endedInOrder: descriptor == nil && conn.peerClosedCleanly,
 	}
 	n.forwardDownload(conn, req.clientConn, &forwarder{source: answerSource, message: msg, buffer: answerBuffer})
 	n.completeAttempt(att, balancer.OutcomeOK, report)
@@ -155,7 +155,7 @@
 	}
 	conn.download = nil
 	if !reusable || conn.state == backendClosed || conn.descriptor == nil {
-		n.closeBackend(conn, closeNotReusable)
+		n.closeBackendConn(conn, closeNotReusable)
 		return
 	}
 	n.reattachBackend(conn)
@@ -166,17 +166,17 @@
 	pollerConn, err := attachToPoller(conn.descriptor)
 	if err != nil {
 		conn.descriptor = nil
-		n.closeBackend(conn, closePollerFailed)
+		n.closeBackendConn(conn, closePollerFailed)
 		return
 	}
 	conn.usePollerConn(pollerConn)
 	conn.message = protocol.Message{}
-	err = conn.takeOver(n.readBudget, func() { n.report(reportClosed, conn.connectionEnded) })
+	err = conn.initPollerConn(n.readBudget, func() { n.report(reportClosed, conn.connectionEnded) })
 	if err == nil {
 		err = pollerConn.SetOnRequest(conn.onInput)
 	}
 	if err != nil || !pollerConn.IsActive() {
-		n.closeBackend(conn, closePollerFailed)
+		n.closeBackendConn(conn, closePollerFailed)
 		return
 	}
 	n.releaseConn(conn)
--- a/internal/node/peerstate_test.go
+++ b/internal/node/peerstate_test.go
@@ -26,7 +26,7 @@
 		{"finished", unix.POLLIN | unix.POLLOUT | unix.POLLRDHUP, peerFinished},
 		{"no descriptor", unix.POLLNVAL, peerBroken},
 	} {
-		if got := peerStateOf(c.revents); got != c.want {
+		if got := peerStateFromEvents(c.revents); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -86,7 +86,7 @@
 			_, _ = io.WriteString(c, requestText("once", 5000))
 			conn, _ := backend.acceptRequest()
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf")
-			waitUntil(n, func() bool { return hasReceived(n, "half") })
+			waitUntil(n, func() bool { return backendInputContains(n, "half") })
 			if reset {
 				_ = conn.(*net.TCPConn).SetLinger(0)
 			}
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -91,7 +91,7 @@
 	fwd.onWriteError = func() {
 		n.report(reportForwarded, func() {
 			if !att.isCompleted() { // the backend has received an incomplete request and has not run it
-				n.closeBackend(conn, closeWriteFailed)
+				n.closeBackendConn(conn, closeWriteFailed)
 				n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 			}
 		})
@@ -200,7 +200,7 @@
 	n.scheduleAt(att.deadline, func() { n.checkAttemptDeadline(att) })
 	n.balancer.HandleUpload(now, req.id, false)
 	if writeErr != nil || conn.answerComplete || conn.state == backendClosed {
-		n.requestSent(conn, att, writeErr)
+		n.requestWriteFinished(conn, att, writeErr)
 		return
 	}
 	conn.setState(backendAwaitingAnswer)
@@ -213,7 +213,7 @@
 // The backend's connection returns to the pool, or is closed if the backend has not received the whole request.
 func (n *Node) earlyAnsweredUploadEnded(conn *backendConn, att *attempt, err error) {
 	if conn.answerComplete {
-		n.requestSent(conn, att, err)
+		n.requestWriteFinished(conn, att, err)
 	}
 }
 
@@ -254,7 +254,7 @@
 		return false
 	}
 	c.usePollerConn(conn)
-	if err = c.takeOver(c.node.readBudget, c.onClosed(c.node)); err == nil {
+	if err = c.initPollerConn(c.node.readBudget, c.onClosed(c.node)); err == nil {
 		err = conn.SetOnRequest(c.onInput)
 	}
 	if err != nil || !conn.IsActive() {
