--- a/internal/node/accounting_test.go
+++ b/internal/node/accounting_test.go
@@ -20,17 +20,18 @@
 	"tulipglade/internal/protocol"
 )
 
-// accountingModule counts what passes between a node and its balancer. It is called on the event loop.
+// accountingModule is a decision module that wraps a node's balancer. It records the requests and the attempt outcomes
+// that the node passes to the balancer, and reports duplicates. It is called on the event loop.
 type accountingModule struct {
 	decisionModule
 	fail             func(format string, args ...any)
 	node             *Node
 	accepted         map[balancer.RequestID]bool
-	acceptedTraceIDs map[string]bool // the clients' IDs of those
+	acceptedTraceIDs map[string]bool // X-Trace-Id of each accepted request
 	outcomes         map[[2]uint64]int
 }
 
-// newAccountingModule puts an accountingModule in front of a node's balancer.
+// newAccountingModule installs an accountingModule between a node and its balancer.
 func newAccountingModule(n *Node, fail func(format string, args ...any)) *accountingModule {
 	m := &accountingModule{
 		fail:             fail,
@@ -45,7 +46,7 @@
 
 func (m *accountingModule) HandleRequest(now balancer.Time, request balancer.Request) {
 	if m.accepted[request.ID] {
-		m.fail("request %d is taken twice", request.ID)
+		m.fail("request %d is passed to the balancer twice", request.ID)
 	}
 	m.accepted[request.ID] = true
 	m.acceptedTraceIDs[string(m.node.requests[request.ID].message.Get("x-trace-id"))] = true
@@ -60,19 +61,20 @@
 	m.decisionModule.HandleAttemptResult(now, result)
 }
 
-// backendBehaviors are the ways in which a backend may treat a request, each on a line of docs/account.md.
+// backendBehaviors lists the ways in which a backend may handle a request, each of which has a line in docs/account.md.
+// A behavior that is listed twice is drawn more often.
 var backendBehaviors = []string{
 	"serves", "serves", "serves slowly", "rejects", "unmarked 503", "500", "resets", "truncates", "malformed", "answers twice",
 	"closes after", "never answers", "100 first", "until close",
 }
 
-// scriptedBackend treats its requests by a drawn list of behaviors, again and again, and records what it started.
+// scriptedBackend handles its requests by the behaviors of a drawn list, which it repeats, and counts executions.
 type scriptedBackend struct {
 	net.Listener
 	mu           sync.Mutex
 	behaviors    []string
 	nextBehavior int
-	executions   map[string]int // by trace ID: it started, and may have had an effect
+	executions   map[string]int // by trace ID: how often the request was started and may have had an effect
 }
 
 func (s *scriptedBackend) serve() {
@@ -109,7 +111,7 @@
 		case "serves":
 			write(complete)
 		case "serves slowly":
-			time.Sleep(3 * time.Millisecond) // any time will do: nothing depends on it
+			time.Sleep(3 * time.Millisecond) // no check depends on the duration
 			write(complete)
 		case "rejects":
 			write("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
@@ -131,7 +133,7 @@
 			write(complete)
 			return
 		case "never answers":
-			_, _ = reader.Peek(1) // until the node gives up
+			_, _ = reader.Peek(1) // waits until the node closes the connection
 			return
 		case "100 first":
 			write("HTTP/1.1 100 Continue\r\n\r\n" + complete)
@@ -142,18 +144,18 @@
 	}
 }
 
-// accountingClient sends requests one after the other and checks their answers.
+// accountingClient is a client that sends requests one after the other and checks their answers.
 type accountingClient struct {
 	addr        string
 	fail        func(string, ...any)
-	classes     map[string]string // of the requests that were sent, by trace ID
+	classes     map[string]string // class of each request that was sent, by trace ID
 	conn        net.Conn          // nil: none
 	reader      *bufio.Reader
-	hasAnswered bool // an answer has come on conn: from then on the node may close it between two requests
+	hasAnswered bool // an answer has been received on conn, after which the node may close it between requests
 }
 
-// sendAndCheckRequests sends a drawn list of requests, each in a drawn way, and checks each answer. It returns the class of each
-// request by trace ID.
+// sendAndCheckRequests runs a client that sends one request for each drawn send mode and checks each answer. It returns
+// the class of each request by trace ID.
 func sendAndCheckRequests(addr string, client int, sendModes []string, fail func(string, ...any)) map[string]string {
 	c := &accountingClient{addr: addr, fail: fail, classes: map[string]string{}}
 	defer c.close()
@@ -170,7 +172,7 @@
 	return c.classes
 }
 
-// connect opens a connection if there is none.
+// connect opens a connection if there is none, and reports whether there is one.
 func (c *accountingClient) connect() bool {
 	if c.conn != nil {
 		return true
@@ -192,7 +194,7 @@
 	}
 }
 
-// newRequest is the text of a request, with its trace ID.
+// newRequest returns the text of a new request and its trace ID, and records its class.
 func (c *accountingClient) newRequest(class string) (text, id string) {
 	text = requestText(class, 300)
 	_, id, _ = strings.Cut(text, "X-Trace-Id: ")
@@ -201,7 +203,8 @@
 	return text, id
 }
 
-// send sends a request in one of the drawn ways, and returns the trace IDs of the answers that are due, in their order.
+// send sends a request, or two, in one of clientSendModes. It returns the trace IDs of the requests that must be
+// answered, in the order of the answers.
 func (c *accountingClient) send(class, mode string) (ids []string) {
 	text, id := c.newRequest(class)
 	switch mode {
@@ -228,15 +231,15 @@
 	return []string{id}
 }
 
-// checkRejection reads the answer to a malformed request.
+// checkRejection reads the answer to a malformed request and checks that it is a rejection.
 func (c *accountingClient) checkRejection() {
 	resp, err := http.ReadResponse(c.reader, nil)
 	switch {
 	case c.sawOrderlyClose(err):
 	case err != nil:
-		c.fail("malformed: %v", err)
+		c.fail("malformed request: no answer: %v", err)
 	case resp.StatusCode/100 != 4 && resp.StatusCode != http.StatusHTTPVersionNotSupported:
-		c.fail("malformed: status %d", resp.StatusCode)
+		c.fail("malformed request: status %d", resp.StatusCode)
 	}
 	if err == nil {
 		_ = c.conn.Close() // the rest of the answer does not matter
@@ -244,13 +247,14 @@
 	}
 }
 
-// sawOrderlyClose reports whether the node closed the connection in order, and sent not a byte before that, as it may between
-// two requests.
+// sawOrderlyClose reports whether err of the last read means that the node closed the connection without a reset and
+// before the first byte of an answer, as it may do between two requests.
 func (c *accountingClient) sawOrderlyClose(err error) bool {
 	return c.hasAnswered && errors.Is(err, io.ErrUnexpectedEOF) && c.reader.Buffered() == 0
 }
 
-// checkAnswers reads the answers that are due and reports whether the client can go on.
+// checkAnswers reads and checks the answers to the requests with these trace IDs. It reports whether the client can go
+// on to send requests.
 func (c *accountingClient) checkAnswers(ids []string, mode string) bool {
 	for i, id := range ids {
 		resp, err := http.ReadResponse(c.reader, nil)
@@ -272,26 +276,28 @@
 		case err != nil:
 			c.fail("%s (%s): no complete answer: %v", id, mode, err)
 		case resp.StatusCode == http.StatusOK && string(body) != id:
-			c.fail("%s (%s): the answer to %q", id, mode, body)
+			c.fail("%s (%s): received the answer to %q", id, mode, body)
 		case !slices.Contains(answerStatuses, resp.StatusCode):
 			c.fail("%s (%s): status %d %s", id, mode, resp.StatusCode, body)
 		}
 		if resp.Close {
-			c.fail("%s (%s): its connection closes", id, mode)
+			c.fail("%s (%s): the answer closes the connection", id, mode)
 			return false
 		}
 	}
 	return true
 }
 
-// answerStatuses are those of an admitted request.
+// answerStatuses lists the statuses that an admitted request may be answered with.
 var answerStatuses = []int{http.StatusOK, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout}
 
-// classUnanswered is the class of a request that met the end of its connection: it was never admitted, and must not run.
+// classUnanswered is recorded as the class of a request that was sent while the node closed the connection. Such a
+// request is not admitted and must not run.
 const classUnanswered = "crossed"
 
-// Whatever backends, clients and endpoint lists do: each admitted request gets one complete answer, from a backend or
-// the node; each attempt has one outcome; a non-idempotent request runs at most once; and no state is left at the end.
+// For any behavior of backends, clients and endpoint lists: each admitted request gets one complete answer, from a
+// backend or the node; each attempt has one outcome; a non-idempotent request runs at most once; and no state is left
+// at the end.
 func TestRequestAccounting(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var mu sync.Mutex
@@ -304,7 +310,7 @@
 		backends, targets := drawBackends(rt)
 		n, addr, stop := startStoppableNode(t, targets, func(s *Settings) {
 			s.ConnectTimeout, s.MaxDescriptors = 100_000, rapid.SampledFrom([]int{0, 64}).Draw(rt, "descriptors")
-			s.OverdueGrace = 5_000_000 // an overdue request is the balancer's fault, or this machine's
+			s.OverdueGrace = 5_000_000 // an overdue request shows a fault of the balancer, or a very slow machine
 			for i := range s.Balancer.Classes {
 				s.Balancer.Classes[i].LatencyObjective, s.Balancer.Classes[i].Deadline = 200_000, 300_000
 			}
@@ -330,7 +336,7 @@
 			clientsDone.Store(true)
 		}()
 		for i, event := range rapid.SliceOfN(rapid.SampledFrom(nodeEvents), 0, 6).Draw(rt, "events") {
-			// While backends are busy.
+			// Wait until backends are busy.
 			waitUntil(n, func() bool { return clientsDone.Load() || len(module.accepted) > i && n.openRequests > 0 })
 			applyEvent(n, event, i, targets[i%len(targets)])
 		}
@@ -352,13 +358,14 @@
 	})
 }
 
-// clientSendModes are the ways in which a client may send a request.
+// clientSendModes lists the ways in which a client may send a request.
 var clientSendModes = []string{"plain", "plain", "pieces", "two at once", "disconnects", "malformed"}
 
-// nodeEvents are what may happen to a node while requests are open.
+// nodeEvents lists the changes of endpoints, connections and settings that may occur while requests are open.
 var nodeEvents = []string{"drains", "is removed", "is restored", "restarts", "moves", "idle clients are closed", "settings"}
 
-// drawBackends starts backends with drawn behaviors, and returns them with their entries on the endpoint list.
+// drawBackends starts backends with drawn behaviors, and returns them and their entries of the endpoint list. The list
+// may have one more entry, for an endpoint that refuses connections.
 func drawBackends(rt *rapid.T) (backends []*scriptedBackend, targets []protocol.Target) {
 	for i := range rapid.IntRange(1, 3).Draw(rt, "backends") {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -380,9 +387,9 @@
 	return backends, targets
 }
 
-// applyEvent makes the i-th event happen to the node, and to an endpoint if it concerns one.
+// applyEvent applies the i-th event to the node, and to the endpoint of target if the event concerns an endpoint.
 func applyEvent(n *Node, event string, i int, target protocol.Target) {
-	target.BootMs = int64(i) // another process, unless the event says otherwise
+	target.BootMs = int64(i) // a different process of the backend, unless the event sets the time of its start below
 	switch event {
 	case "idle clients are closed":
 		runOnLoop(n, n.closeIdleClients)
@@ -402,9 +409,10 @@
 	n.UpdateEndpoints(protocol.List{Revision: int64(i + 1), Targets: []protocol.Target{target}}, false)
 }
 
-// remainingState waits until the node holds no state of requests, and describes what is left otherwise.
+// remainingState waits until the node holds no state of requests and returns "". If state is left after 5 s, it returns
+// a description of it.
 func remainingState(n *Node) (state string) {
-	giveUpAt := time.Now().Add(5 * time.Second) // far beyond any timer that is set
+	giveUpAt := time.Now().Add(5 * time.Second) // much later than any timer that is set
 	waitUntil(n, func() bool {
 		state = ""
 		for _, ep := range n.endpoints {
@@ -421,7 +429,8 @@
 	return state
 }
 
-// checkExecutions checks how often the requests of one client ran.
+// checkExecutions checks that the non-idempotent requests of one client ran at most once, and that its unanswered
+// requests were neither admitted nor run.
 func checkExecutions(backends []*scriptedBackend, classesByTraceID map[string]string, accepted map[string]bool, fail func(string, ...any)) {
 	for id, class := range classesByTraceID {
 		ran := 0
--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -10,8 +10,8 @@
 	"tulipglade/internal/protocol"
 )
 
-// The node's own rejections: an unreadable request closes the connection, an unknown class or tenant reaches no
-// backend.
+// The node itself rejects malformed requests and requests with invalid fields. No such request reaches a backend, and
+// the connection closes after the rejection.
 func TestNodeRejections(t *testing.T) {
 	backend := newTestBackend(t, serve)
 	_, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
@@ -45,8 +45,8 @@
 	}
 }
 
-// Input that follows a rejection is discarded, and the client can read the rejection: closing at once would reset the
-// connection under it.
+// Input that follows a rejected request is discarded, and the client can read the rejection. If the node closed the
+// connection at once, the unread input would cause a reset, and the client could lose the rejection.
 func TestRejectionIsReadable(t *testing.T) {
 	_, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve))}, nil)
 	conn := dialNode(t, addr)
@@ -60,11 +60,12 @@
 		t.Error(err)
 	}
 	if b, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the rejection: %q, %v", b, err)
+		t.Errorf("after the rejection: read %q, %v, want the end of the connection", b, err)
 	}
 }
 
-// An incomplete request does not hold a descriptor and a buffer for ever; a connection between two requests may stay.
+// A request that is not completed in time is rejected, as it would otherwise hold a descriptor and a buffer
+// indefinitely. A connection between two requests stays open.
 func TestStalledRequestIsRejected(t *testing.T) {
 	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve))}, nil)
 	idle := dialNode(t, addr)
@@ -75,7 +76,7 @@
 			t.Fatal(err)
 		}
 		waitUntil(n, func() bool {
-			n.closeStalledClients() // its timeout has not passed
+			n.closeStalledClients() // has no effect: the timeout has not passed
 			for c := range n.clients {
 				if c.input != nil && c.input.length == len(half) && !c.writingAnswer {
 					c.requestStartedAt -= headTimeout
@@ -89,16 +90,16 @@
 			return false
 		})
 		if code, _, closing := stalled.readAnswer(); code != 408 || !closing {
-			t.Errorf("%.20q…: %d, closing %v", half, code, closing)
+			t.Errorf("%.20q…: status %d, closing %v", half, code, closing)
 		}
 	}
 	if code, _, _ := idle.exchange(requestText("read", 9000)); code != 200 {
-		t.Errorf("the idle connection: %d", code)
+		t.Errorf("the idle connection: status %d", code)
 	}
 }
 
-// A trace ID that another request has, or had until its time is over, is rejected: a backend would take it for the
-// same request, running twice.
+// A request is rejected if its trace ID belongs to another request, until the deadline of that request has passed. A
+// backend would regard the two as one request that runs twice.
 func TestTraceIDInUseIsRejected(t *testing.T) {
 	backend, arrived, release := newBlockedBackend(t)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
@@ -106,16 +107,16 @@
 	_, _ = io.WriteString(first, req)
 	<-arrived
 	if code, _, closing := dialNode(t, addr).exchange(req); code != 400 || !closing {
-		t.Errorf("the same id: %d, closing %v", code, closing)
+		t.Errorf("a request with the same trace ID: status %d, closing %v", code, closing)
 	}
 	close(release)
 	if code, _, _ := first.readAnswer(); code != 200 {
-		t.Errorf("the first: %d", code)
+		t.Errorf("the first request: status %d", code)
 	}
 	if code, _, _ := dialNode(t, addr).exchange(req); code != 400 || backend.requestCount.Load() != 1 {
-		t.Errorf("the same id after the answer: %d, %d requests came to the backend", code, backend.requestCount.Load())
+		t.Errorf("the same trace ID after the answer: status %d, %d requests at the backend", code, backend.requestCount.Load())
 	}
-	waitUntil(n, func() bool { // nothing of it is left once its time is over
+	waitUntil(n, func() bool { // no state of the request is left after its deadline
 		due := n.timers
 		n.timers = nil
 		for _, t := range due {
@@ -125,7 +126,8 @@
 	})
 }
 
-// A client that keeps sending after its rejection is cut off, and its input takes no memory.
+// The connection of a client that keeps sending after a rejection is closed, and the receive buffer of the kernel stays
+// small.
 func TestEndlessInputAfterRejectionIsCutOff(t *testing.T) {
 	n, addr := startNode(t, nil, nil)
 	conn := dialNode(t, addr)
@@ -133,8 +135,8 @@
 	waitUntil(n, func() bool {
 		for c := range n.clients {
 			size, err := syscall.GetsockoptInt(c.conn.(fdConn).Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF)
-			if err != nil || size > 2*receiveBufferSize { // the kernel doubles it for its own needs
-				t.Errorf("a buffer of %d bytes, %v", size, err)
+			if err != nil || size > 2*receiveBufferSize { // the kernel doubles the size that was set, for its own needs
+				t.Errorf("receive buffer of %d bytes, %v", size, err)
 			}
 			return true
 		}
@@ -150,6 +152,7 @@
 	t.Errorf("%d bytes were read after the rejection", sent)
 }
 
+// Requests beyond MaxInFlight are rejected with 503.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	backend, arrived, release := newBlockedBackend(t)
 	_, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, func(s *Settings) { s.MaxInFlight = 1 })
@@ -157,10 +160,10 @@
 	_, _ = io.WriteString(first, requestText("once", 9000))
 	<-arrived
 	if code, _, _ := dialNode(t, addr).exchange(requestText("once", 9000)); code != 503 {
-		t.Errorf("second: %d", code)
+		t.Errorf("the second request: status %d", code)
 	}
 	close(release)
 	if code, _, _ := first.readAnswer(); code != 200 {
-		t.Errorf("first: %d", code)
+		t.Errorf("the first request: status %d", code)
 	}
 }
--- a/internal/node/backpressure_test.go
+++ b/internal/node/backpressure_test.go
@@ -13,23 +13,24 @@
 	"tulipglade/internal/protocol"
 )
 
-// largeMessageSize and largeUploadCount are far more than a node may hold.
+// Sizes and limits of the tests below. The large messages together are far larger than what a node may hold in memory.
 const (
 	largeMessageSize   = 8 << 20
 	largeUploadCount   = 24
-	largeDownloadCount = 4 // few enough to be in flight at one backend together
-	// maxHeldPerMessage is what the node may hold of each: the pieces that are posted, one buffer that the poller reads,
-	// and as much again, as the poller allocates powers of two.
+	largeDownloadCount = 4 // few enough that one backend may have all of them in flight
+	// maxHeldPerMessage bounds the memory that the node may hold for one message, in bytes: the posted pieces, the
+	// buffer that the poller reads into, and the same amount again, as netpoll rounds allocations up to powers of two.
 	maxHeldPerMessage = 2 * (maxPostedPieces + 1) * protocol.BufferSize
-	// maxHeldPerUpload is what its request takes: the buffers of its first part, of its head and of its forwarder.
+	// maxHeldPerUpload bounds the additional memory for a large request, in bytes: one buffer each for its first part,
+	// for the head sent to the backend and for its forwarder.
 	maxHeldPerUpload = 3 * protocol.BufferSize
 )
 
-// A node that is busy for a moment must not be killed for its memory. It was: the poller read large messages on for
-// as long as the event loop had not told it to stop, and waited for that by 200 yields of its thread only. With each
-// report to the event loop 0 to 5 ms late, as on a busy machine, TestMemoryIsBoundedByBuffers held 104 to 169 MB of
-// 48 messages where 0.4 to 10 MB is usual, and deployments limit a node to 64 to 192 MB. Here the event loop stands
-// still while clients send large requests.
+// A node whose event loop is busy for a moment must not run out of memory. The poller used to read on until the event
+// loop stopped it, and waited for the event loop with only 200 yields of its thread. With each report to the event loop
+// 0 to 5 ms late, as on a busy machine, the node of TestMemoryIsBoundedByBuffers held 104 to 169 MB for 48 messages,
+// where 0.4 to 10 MB is usual. Deployments limit a node to 64 to 192 MB, so that it would have been killed. In this
+// test the event loop is suspended while clients send large requests.
 func TestUploadsAreNotReadAheadOfEventLoop(t *testing.T) {
 	backend := newTestBackend(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
@@ -61,14 +62,14 @@
 	clientsDone.Wait()
 }
 
-// The same with large answers: the event loop stands still while backends send them.
+// The limit also holds for large answers: the event loop is suspended while backends send them.
 func TestDownloadsAreNotReadAheadOfEventLoop(t *testing.T) {
 	var sent atomic.Int64
 	arrived, release := make(chan struct{}, largeDownloadCount), make(chan struct{})
 	backend := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		arrived <- struct{}{}
 		<-release
-		_ = writeCounted(w, &sent) // a missing part is found by the client
+		_ = writeCounted(w, &sent) // the client detects a missing part
 	})
 	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	var wait sync.WaitGroup
@@ -95,7 +96,7 @@
 	wait.Wait()
 }
 
-// suspendEventLoop keeps the event loop from doing anything until resume is called.
+// suspendEventLoop blocks the node's event loop until resume is called or the test ends.
 func suspendEventLoop(t *testing.T, n *Node) (resume func()) {
 	t.Helper()
 	suspended, resumed := make(chan struct{}), make(chan struct{})
@@ -106,12 +107,12 @@
 	return resume
 }
 
-// trackHeapGrowth returns a function that tells by how much the live heap has grown since.
+// trackHeapGrowth returns a function that returns by how many bytes the live heap has grown since this call.
 func trackHeapGrowth() func() int {
 	liveHeap := func() int {
 		var stats runtime.MemStats
 		runtime.GC()
-		runtime.GC() // a sync.Pool keeps what it has through one collection
+		runtime.GC() // the content of a sync.Pool survives one collection
 		runtime.ReadMemStats(&stats)
 		return int(stats.HeapAlloc)
 	}
@@ -119,7 +120,7 @@
 	return func() int { return liveHeap() - before }
 }
 
-// writeCounted writes the body of a large message, and counts what has been accepted.
+// writeCounted writes a body of largeMessageSize, and adds the number of bytes that w has accepted to written.
 func writeCounted(w io.Writer, written *atomic.Int64) error {
 	piece := randomBody(3, 64<<10)
 	for range largeMessageSize / len(piece) {
@@ -132,16 +133,17 @@
 	return nil
 }
 
-// waitUntilWritesStall waits until writers make no progress any more, as what lies behind them is full.
+// waitUntilWritesStall waits until written has not changed for 200 ms: the buffers on the path of the writers are full.
 func waitUntilWritesStall(written *atomic.Int64) {
 	for before := int64(-1); before != written.Load(); time.Sleep(200 * time.Millisecond) {
 		before = written.Load()
 	}
 }
 
-// A large answer may come before the event loop has learned that its request is written. It was taken for an answer
-// to half a request once 1 MB of it had come, and its client got 502: the log said "malformed answer" with "a large
-// answer before the end of its request". The report of the write is 50 ms late here.
+// A large answer may arrive before the end of the write of its request has been reported to the event loop. Once 1 MB
+// of such an answer had been received, the node treated it as an answer to an incomplete request and sent its client
+// 502: the log said "malformed answer" with "a large answer before the end of its request". In this test the report of
+// the write is 50 ms late.
 func TestLargeAnswerBeforeWriteReportIsForwarded(t *testing.T) {
 	var sent atomic.Int64
 	backend := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) { _ = writeCounted(w, &sent) })
@@ -153,8 +155,8 @@
 	}
 }
 
-// The answer to a large request may come before the event loop has learned that the request's last byte is written.
-// All of it was kept in memory until then.
+// The answer to a large request may arrive before the write of the request's last byte has been reported to the event
+// loop. The node used to keep all of the answer in memory until then.
 func TestLargeAnswerBeforeUploadReportIsBounded(t *testing.T) {
 	var sent atomic.Int64
 	backend := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -15,7 +15,8 @@
 	"tulipglade/internal/safety"
 )
 
-// A client that disconnects cancels its attempt: the backend is notified at once by the end of its connection.
+// When a client disconnects, the attempt of its request is cancelled: the node closes the connection to the backend at
+// once.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	disconnected := make(chan struct{}, 1)
 	arrived := make(chan struct{}, 1)
@@ -35,8 +36,8 @@
 	}
 }
 
-// If a client disconnects while its attempt waits for a connection, no attempt starts, whether settings allow
-// cancellation or not, and however it disconnects.
+// If a client disconnects while the attempt of its request waits for a connection, the attempt does not start, whether
+// or not the settings allow cancellation, and whether the client closes or resets its connection.
 func TestClientDisconnectBeforeFirstByte(t *testing.T) {
 	for name, c := range map[string]struct{ cancel, reset bool }{
 		"closes":                       {true, false},
@@ -59,15 +60,16 @@
 	}
 }
 
-// A client may have disconnected before the event loop processes its request, or the connection for it, with the
-// notification queued behind them: no attempt starts.
+// No attempt starts if the client has disconnected before the event loop processes its request, or before a connection
+// becomes available for its attempt. The notification of the disconnect is still queued behind these events then, so
+// that the node must ask the kernel.
 func TestClientDisconnectBeforeRequestIsProcessed(t *testing.T) {
 	t.Run("no attempt yet", func(t *testing.T) {
 		backend := newTestBackend(t, serve)
 		n, addr := startNode(t, backend.targets(), nil)
 		conn := dialNode(t, addr)
 		conn.exchange(requestText("read", 9000))
-		waitUntil(n, func() bool { return n.idleBackends.Len() == 1 }) // so that the next request needs no dial
+		waitUntil(n, func() bool { return n.idleBackends.Len() == 1 }) // so that the next request can use an idle connection
 		recorder := &outcomeRecorder{}
 		runOnLoop(n, func() { recorder.decisionModule, n.balancer = n.balancer, recorder })
 		busy, free := make(chan struct{}), make(chan struct{})
@@ -80,19 +82,20 @@
 		close(free)
 		waitUntil(n, func() bool { return n.lastRequestID == 2 && len(n.clients) == 0 && len(n.requests) == 0 })
 		if !slices.Equal(recorder.outcomes, []balancer.Outcome{balancer.OutcomeNotSent}) {
-			t.Errorf("attempts that ended as %v, want one that never started", recorder.outcomes)
+			t.Errorf("attempt outcomes %v, want one attempt that was not started", recorder.outcomes)
 		}
 	})
 	t.Run("an attempt waits", func(t *testing.T) {
 		queued := newQueuedRequest(t, nil)
-		runOnLoop(queued.node, func() { // the loop is busy as the client disconnects, and a connection is released behind that
+		// The client disconnects while the event loop is busy, and a connection is released after that.
+		runOnLoop(queued.node, func() {
 			_ = queued.second.Close()
 			for _, att := range queued.node.endpoints[1].waitingAttempts {
 				for !att.request.clientConn.peerHasEnded() {
 					runtime.Gosched()
 				}
 				if reason := queued.node.mayStart(att); reason != safety.ClientDisconnected {
-					t.Errorf("may start: %v", reason)
+					t.Errorf("the check before the attempt starts returned %v", reason)
 				}
 			}
 		})
@@ -103,7 +106,7 @@
 	})
 }
 
-// Of the requests that a client pipelines before it disconnects, at most the first is started.
+// If a client pipelines requests and disconnects, at most the first request is started.
 func TestClientDisconnectAfterPipelinedRequests(t *testing.T) {
 	n, addr := startNode(t, newTestBackend(t, serve).targets(), nil)
 	conn := dialNode(t, addr)
@@ -119,13 +122,14 @@
 	waitUntil(n, func() bool { return len(n.clients) == 0 && n.openRequests == 0 })
 	runOnLoop(n, func() {
 		if n.lastRequestID > 1 {
-			t.Errorf("%d requests started", n.lastRequestID)
+			t.Errorf("%d requests were admitted, want at most one", n.lastRequestID)
 		}
 	})
 }
 
-// A client that disconnects while its large request waits for a connection gets no attempt any more. It got one: the
-// connection is detached from the poller by then, and nobody looked whether it had ended. The soak reported
+// If a client disconnects while its large request waits for a connection to a backend, no attempt starts. One did
+// start: the client's connection is detached from the poller by then, and nothing checked whether it had ended. The
+// soak test reported
 //
 //	lost: n3-c1-89 started at backend 1 0.515 s after its client had disconnected
 func TestClientDisconnectBeforeUploadStarts(t *testing.T) {
--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -19,8 +19,8 @@
 	"tulipglade/internal/protocol"
 )
 
-// Large requests and answers are forwarded completely, in any framing and in both directions at once, and the
-// connection is reused after that.
+// Large requests and answers are forwarded completely, in either framing and in both directions at once. The
+// connections are reused after that.
 func TestLargeMessages(t *testing.T) {
 	backend := newTestBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if n, _ := strconv.Atoi(r.URL.Query().Get("size")); n > 0 {
@@ -47,23 +47,24 @@
 				_, _ = conn.Write(wire)
 			}()
 			if code, got, closing := conn.readAnswer(); code != 200 || closing || got != string(body) {
-				t.Fatalf("%s, %s: %d, closing %v, %d bytes of %d", c.name, framing, code, closing, len(got), c.size)
+				t.Fatalf("%s, %s: status %d, closing %v, %d bytes of %d", c.name, framing, code, closing, len(got), c.size)
 			}
 		}
 		_, _ = io.WriteString(conn, strings.Replace(requestText("read", 9000), "?obj=1", "?size="+strconv.Itoa(c.size), 1))
 		if code, got, closing := conn.readAnswer(); code != 200 || closing || got != string(randomBody(9, c.size)) {
-			t.Errorf("%s, an answer: %d, closing %v, %d bytes", c.name, code, closing, len(got))
+			t.Errorf("%s, a large answer: status %d, closing %v, %d bytes", c.name, code, closing, len(got))
 		}
 		if code, _, _ := conn.exchange(requestText("once", 9000)); code != 200 {
-			t.Errorf("%s: the request after: %d", c.name, code)
+			t.Errorf("%s: the next request: status %d", c.name, code)
 		}
 	}
-	if k := backend.connectionCount(); k > 8 { // of 16 requests: one that comes before a connection is reattached uses another
-		t.Errorf("%d connections to the backend: they were not reattached", k)
+	// There are 16 requests. One that arrives before a connection has been reattached uses another connection.
+	if k := backend.connectionCount(); k > 8 {
+		t.Errorf("%d connections to the backend: connections were not reused", k)
 	}
 }
 
-// 100 Continue is sent before a large body is read; a small request behind a large one is served after it.
+// 100 Continue is sent before a large body is read, and requests that are pipelined after the body are served after it.
 func TestExpectAndPipeline(t *testing.T) {
 	_, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, echo))}, nil)
 	conn := dialNode(t, addr)
@@ -82,7 +83,7 @@
 	}
 }
 
-// A byte at a time, slowly and split at every position of the framing, the body is the same.
+// A chunked body arrives unchanged if its end, with the framing, is sent byte by byte.
 func TestSmallPieces(t *testing.T) {
 	_, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, echo))}, nil)
 	conn := dialNode(t, addr)
@@ -97,11 +98,12 @@
 		}
 	}()
 	if code, got, _ := conn.readAnswer(); code != 200 || got != string(body) {
-		t.Errorf("%d, %d bytes of %d", code, len(got), len(body))
+		t.Errorf("status %d, %d bytes of %d", code, len(got), len(body))
 	}
 }
 
-// A large answer that breaks off is truncated so that the client can tell, in each framing, and is not retried.
+// If a backend resets the connection within a large answer, the client sees that the answer is incomplete, in each
+// framing, and the request is not retried.
 func TestLargeAnswerBreaks(t *testing.T) {
 	for _, c := range []struct{ name, head, version string }{
 		{"length", "Content-Length: 3000000\r\n", "1.1"},
@@ -131,18 +133,18 @@
 				t.Fatal(resp, err)
 			}
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil {
-				t.Errorf("%d bytes, and an orderly end", n)
+				t.Errorf("%d bytes, and the answer looks complete", n)
 			}
 			_ = resp.Body.Close() // read to its end
 			if backend.requestCount.Load() != 1 {
-				t.Errorf("%d attempts", backend.requestCount.Load())
+				t.Errorf("%d attempts, want one", backend.requestCount.Load())
 			}
 		})
 	}
 }
 
-// An answer that ends with its connection is complete if that closes in order, also for an HTTP/1.0 client that knows
-// no chunks.
+// An answer without a length is complete when its connection closes without a reset. It is forwarded to HTTP/1.1
+// clients, and to HTTP/1.0 clients, which do not know chunked framing.
 func TestAnswerDelimitedByConnectionClose(t *testing.T) {
 	for _, size := range []int{100, 1 << 20} {
 		for _, version := range []string{"1.1", "1.0"} {
@@ -155,15 +157,14 @@
 			conn := dialNode(t, addr)
 			_, _ = io.WriteString(conn, strings.Replace(requestText("once", 9000), "HTTP/1.1", "HTTP/"+version, 1))
 			if code, got, _ := conn.readAnswer(); code != 200 || got != string(randomBody(1, size)) {
-				t.Errorf("%d bytes to HTTP/%s: %d, %d bytes", size, version, code, len(got))
+				t.Errorf("%d bytes to HTTP/%s: status %d, %d bytes", size, version, code, len(got))
 			}
 		}
 	}
 }
 
-// An answer that comes before the request's last byte reaches the client at once, though it is still sending. A
-// backend that breaks off before the last byte has never run the request, and one that breaks off before the first is
-// replaced.
+// An answer to a request that is still being uploaded is forwarded at once. If a backend ends the connection before the
+// last byte of the request, it has not run the request, and the client gets a rejection.
 func TestAnswerBeforeEndOfUpload(t *testing.T) {
 	body := randomBody(1, 4<<20)
 	for _, c := range []struct {
@@ -188,22 +189,23 @@
 			_, _ = io.WriteString(conn, postRequest("Content-Length: "+strconv.Itoa(len(body))))
 			_, _ = conn.Write(body[:3<<20+100_000])
 			if code, _, _ := conn.readAnswer(); code != c.code {
-				t.Errorf("%d, want %d", code, c.code)
+				t.Errorf("status %d, want %d", code, c.code)
 			}
 			_, _ = conn.Write(body[3<<20+100_000:])
 			if b, err := conn.reader.ReadByte(); err == nil {
-				t.Errorf("behind the answer: %q", b)
+				t.Errorf("after the answer: read %q, want the end of the connection", b)
 			}
 			waitUntil(n, func() bool { return len(n.requests) == 0 && n.activeForwarders == 0 && n.openRequests == 0 })
 		})
 	}
 }
 
-// A client that disconnects, sends a malformed body or stops in the middle releases everything that its request held.
+// If a client disconnects during an upload or sends a malformed or too large body, everything that its request held is
+// released.
 func TestAbortedUploadReleasesResources(t *testing.T) {
 	for _, c := range []struct {
 		name, framing, rest string
-		code                int // 0: none
+		code                int // 0: the client disconnects and gets no answer
 	}{
 		{"disconnects", "Content-Length: 3000000", "", 0},
 		{"malformed chunk", "Transfer-Encoding: chunked", "zz\r\n", 400},
@@ -230,7 +232,7 @@
 				t.Errorf("%d, closing %v, want %d", code, closing, c.code)
 			}
 			if err := <-ended; err == nil {
-				t.Error("the backend got an orderly end")
+				t.Error("the request looks complete to the backend")
 			}
 			waitUntil(n, func() bool {
 				return len(n.requests) == 0 && n.activeForwarders == 0 && n.openRequests == 0 &&
@@ -240,7 +242,8 @@
 	}
 }
 
-// A body that comes too slowly is answered with 408; one that keeps the rate is not, however it is split.
+// The read timeout of a forwarder expires for a body that arrives below the minimum rate, and not for one that arrives
+// at that rate or has just begun.
 func TestSlowBodyIsRejected(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -257,12 +260,12 @@
 	} {
 		f := &forwarder{enforceMinRate: true, receivedBytes: c.received, startedAt: now.Add(-c.elapsed)}
 		if got := f.readTimeout(now) <= 0; got != c.slow {
-			t.Errorf("%s: cut off %v", c.name, got)
+			t.Errorf("%s: timed out %v", c.name, got)
 		}
 	}
 }
 
-// writeRepeatedly writes a piece until so many bytes have been written.
+// writeRepeatedly writes a piece repeatedly until size bytes have been written.
 func writeRepeatedly(w io.Writer, piece []byte, size int) error {
 	for range size / len(piece) {
 		if _, err := w.Write(piece); err != nil {
@@ -272,8 +275,8 @@
 	return nil
 }
 
-// Memory depends on buffers, not on bodies: dozens of large answers whose clients read slowly, and as many bodies
-// that a backend reads slowly.
+// The memory for large messages depends on the number of buffers and not on the size of bodies. The test holds 24 large
+// answers that clients do not read and 24 large requests that a backend does not read.
 func TestMemoryIsBoundedByBuffers(t *testing.T) {
 	const size, count = 8 << 20, 24
 	slow := make(chan struct{})
@@ -319,21 +322,22 @@
 		}
 	}
 	waitUntil(n, func() bool { return n.activeForwarders >= count })
-	time.Sleep(200 * time.Millisecond) // time for memory to grow
+	time.Sleep(200 * time.Millisecond) // time for the memory to grow
 	runtime.GC()
 	runtime.ReadMemStats(&peak)
-	// All messages are 384 MB. 175 MB were seen before the poller waited, 13 to 33 MB since, the most on a busy machine.
+	// All messages together have 384 MB. The node held 175 MB before the poller waited for the event loop, and has held
+	// 13 to 33 MB since, the most on a busy machine.
 	if grown := int(peak.HeapAlloc) - int(before.HeapAlloc); grown > 80<<20 {
-		t.Errorf("%d MB for %d messages of %d MB", grown>>20, 2*count, size>>20)
+		t.Errorf("%d MB held for %d messages of %d MB", grown>>20, 2*count, size>>20)
 	} else {
-		t.Logf("%.1f MB for %d messages of %d MB", float64(grown)/(1<<20), 2*count, size>>20)
+		t.Logf("%.1f MB held for %d messages of %d MB", float64(grown)/(1<<20), 2*count, size>>20)
 	}
 	close(slow)
 	clients.Wait()
 }
 
-// Pipelined input is bounded for each connection and for all; a large request behind one that is not answered is not
-// lost.
+// Pipelined input is bounded for each connection and for all together. A large request that is pipelined within the
+// bounds behind an unanswered one is not lost.
 func TestPipelinedInputIsBounded(t *testing.T) {
 	backend, arrived, release := newBlockedBackend(t)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
@@ -357,18 +361,19 @@
 	close(release)
 	for i := range 2 {
 		if code, _, _ := client.readAnswer(); code != 200 {
-			t.Errorf("answer %d: %d", i, code)
+			t.Errorf("answer %d: status %d", i, code)
 		}
 	}
 	if code, _, closing := floodingClient.readAnswer(); code != 200 || !closing {
-		t.Errorf("the flood's own request: %d, closing %v", code, closing)
+		t.Errorf("the first request of the flooding client: status %d, closing %v", code, closing)
 	}
 	_ = floodingClient.Close()
 	waitUntil(n, func() bool { return n.overflowBytes == 0 })
 }
 
-// A detached connection is out of the poller's set, also if netpoll has run the close callbacks without removing it:
-// later input belongs to the next reader, and the descriptor can come back.
+// The poller does not read a connection after removeFromPollSet, which also covers the case that netpoll runs the close
+// callbacks without removing the connection. Later input belongs to the next reader of the descriptor. Without the
+// removal the poller reads the input.
 func TestDetachedConnectionIsNotRead(t *testing.T) {
 	for name, isRemoved := range map[string]bool{"detached": true, "still in the poller's set": false} {
 		t.Run(name, func(t *testing.T) {
@@ -396,7 +401,7 @@
 				}
 			}
 			if read := conn.Reader().Len() > 0; read == isRemoved {
-				t.Errorf("the poller has read: %v", read)
+				t.Errorf("the poller has read the input: %v", read)
 			}
 		})
 	}
--- a/internal/node/readlimit_test.go
+++ b/internal/node/readlimit_test.go
@@ -6,8 +6,8 @@
 	"tulipglade/internal/protocol"
 )
 
-// All connections of a node share one budget: what each may hold adds up to far more than a deployment's memory limit. A
-// connection that holds nothing may not be read while others hold all of it.
+// All connections of a node share one budget, as the sum of their own limits is far above the memory limit of a
+// deployment. A connection that holds no buffer may not be read while others hold the whole budget.
 func TestReadBudgetIsShared(t *testing.T) {
 	const buffers = 3
 	budget := newReadBudget(buffers * protocol.BufferSize * unprocessedMemoryDivisor)
@@ -22,8 +22,8 @@
 	}
 }
 
-// Whatever becomes of a connection, the budget has all of it back once its posted pieces are processed: what was lost
-// would stop the poller for good.
+// Whatever happens to a connection, all of its buffers are returned to the budget once its posted pieces have been
+// processed. If buffers leaked, the poller would stop reading for good when the budget is used up.
 func TestReadBudgetIsReturned(t *testing.T) {
 	for name, operations := range map[string]func(*readLimiter){
 		"processed": func(l *readLimiter) { l.recordRead(100); l.recordPosted(100); l.recordProcessed() },
@@ -44,21 +44,21 @@
 			limiter := &readLimiter{budget: budget}
 			operations(limiter)
 			if usedBuffers := budget.usedBuffers.Load(); usedBuffers != 0 {
-				t.Errorf("%d buffers are still charged", usedBuffers)
+				t.Errorf("%d buffers are still charged to the budget", usedBuffers)
 			}
 		})
 	}
 }
 
-// A connection that is stopped is not read, and read again once it is resumed.
+// The poller does not read a connection while reading is stopped, and reads it again once reading is resumed.
 func TestStoppedConnectionIsNotRead(t *testing.T) {
 	limiter := &readLimiter{budget: newReadBudget(0)}
 	limiter.setStopped(true)
 	if allowed := limiter.allowedBytes(); allowed != 0 {
-		t.Errorf("%d bytes may be read while it is stopped", allowed)
+		t.Errorf("%d bytes may be read while reading is stopped", allowed)
 	}
 	limiter.setStopped(false)
 	if allowed := limiter.allowedBytes(); allowed != protocol.BufferSize {
-		t.Errorf("%d bytes may be read", allowed)
+		t.Errorf("%d bytes may be read after reading is resumed", allowed)
 	}
 }
--- a/internal/node/sizehint_test.go
+++ b/internal/node/sizehint_test.go
@@ -7,7 +7,7 @@
 	"tulipglade/internal/protocol"
 )
 
-// A size hint reaches the balancer; an invalid one counts as none, and the request is served.
+// A valid size hint is passed to the balancer. A request with an invalid one is served as if it had none.
 func TestSizeHint(t *testing.T) {
 	backend := newTestBackend(t, serve)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
@@ -22,8 +22,10 @@
 	}
 }
 
+// hintedRequestCount numbers the trace IDs of requestWithField.
 var hintedRequestCount int
 
+// requestWithField returns a request of class read with one more header field.
 func requestWithField(field string) string {
 	hintedRequestCount++
 	return fmt.Sprintf("GET /read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: hint%d\r\nX-Customer: t\r\n%s\r\n", hintedRequestCount, field)
--- a/internal/node/testclient_test.go
+++ b/internal/node/testclient_test.go
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// testClient is a client's connection.
+// testClient is a client with one connection to a node.
 type testClient struct {
 	t *testing.T
 	net.Conn
 	reader *bufio.Reader
 }
 
-// dialNode connects a client.
+// dialNode connects a client to the node at an address. The connection is closed when the test ends.
 func dialNode(t *testing.T, addr string) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -33,10 +33,10 @@
 	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
-// lastTraceID numbers the trace IDs: each request has a new one.
+// lastTraceID numbers the trace IDs, so that each request has one of its own.
 var lastTraceID atomic.Int64
 
-// requestText is a small request of a class with a timeout.
+// requestText returns a small request of a class, with a timeout in milliseconds.
 func requestText(class string, timeoutMillis int) string {
 	body, key := "", ""
 	method := "GET"
@@ -50,7 +50,7 @@
 		method, class, lastTraceID.Add(1), class, timeoutMillis, key, map[bool]string{true: "\r\n", false: body}[body == ""])
 }
 
-// readAnswer reads one answer.
+// readAnswer reads one answer. closing reports whether the answer announces the close of the connection.
 func (c *testClient) readAnswer() (code int, body string, closing bool) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.reader, nil)
@@ -65,7 +65,7 @@
 	return resp.StatusCode, string(content), resp.Close
 }
 
-// exchange sends a request and reads its answer.
+// exchange sends a request and reads its answer, as readAnswer does.
 func (c *testClient) exchange(request string) (int, string, bool) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, request); err != nil {
@@ -74,9 +74,10 @@
 	return c.readAnswer()
 }
 
+// readyRequest asks the node whether it is ready, which no backend is needed for.
 const readyRequest = "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// dialWithSmallBuffer connects a client whose kernel buffers little input before it reads.
+// dialWithSmallBuffer connects a client with a small receive buffer, so that answers are accepted only as it reads.
 func dialWithSmallBuffer(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -93,14 +94,15 @@
 	return conn.(*net.TCPConn)
 }
 
-// postRequest is the head of a request with a body, and more behind it.
-// Its class is not idempotent.
+// postRequest returns the head of a request with a body, with the given framing field and other fields, each of which
+// ends with a line break. The class of the request is not idempotent.
 func postRequest(framingField string, otherFields ...string) string {
 	return fmt.Sprintf("POST /once HTTP/1.1\r\nHost: h\r\nX-Trace-Id: id%d\r\nX-Customer: t\r\nX-Expires-In-Ms: 9000\r\n%s\r\n%s\r\n",
 		lastTraceID.Add(1), framingField, strings.Join(otherFields, ""))
 }
 
-// chunkedBody splits a body into chunks of some size, with an extension and a trailer.
+// chunkedBody returns a body in chunked framing, in chunks of a size. Each chunk has an extension, and a trailer
+// follows.
 func chunkedBody(body []byte, size int) []byte {
 	var out []byte
 	for len(body) > 0 {
@@ -111,7 +113,7 @@
 	return append(out, "0\r\nT: 1\r\n\r\n"...)
 }
 
-// randomBody is a body of a length, the same for the same seed.
+// randomBody returns a pseudo-random body of a length, which is the same for the same seed.
 func randomBody(seed uint64, length int) []byte {
 	body := make([]byte, length)
 	source := rand.New(rand.NewPCG(seed, 1))
--- a/internal/node/uploaddeadline_test.go
+++ b/internal/node/uploaddeadline_test.go
@@ -12,23 +12,24 @@
 	"tulipglade/internal/protocol"
 )
 
-// Times of the tests below. Every connection to a backend comes up late by connectDelay.
+// Times of the tests below. Every connection to a backend is established later by connectDelay.
 const (
 	uploadTimeoutMillis = 3000
 	connectDelay        = time.Second
 	uploadSize          = 100_000
-	// statedTimeoutSlackMillis is by how much the time stated to a backend may exceed what the client has left.
+	// statedTimeoutSlackMillis is the tolerance by which the timeout stated to a backend may exceed the client's
+	// remaining time.
 	statedTimeoutSlackMillis = deadlineSlack / 1000
 )
 
-// uploadHead is the head of a large request; framing is its last field.
+// uploadHead returns the head of a large request, which ends with the given framing fields.
 func uploadHead(framing string) string {
 	return fmt.Sprintf("POST /once HTTP/1.1\r\nHost: h\r\nX-Trace-Id: id%d\r\nX-Customer: t\r\nX-Expires-In-Ms: %d\r\n%s\r\n\r\n",
 		lastTraceID.Add(1), uploadTimeoutMillis, framing)
 }
 
-// newTimeoutRecordingBackend is a backend that reads each request, passes on the time that it states, and does not answer
-// before the node gives up.
+// newTimeoutRecordingBackend starts a backend that reads each request, sends the timeout stated in it to statedMillis,
+// and does not answer before the node closes the connection.
 func newTimeoutRecordingBackend(t *testing.T) (backend *testBackend, statedMillis chan int) {
 	t.Helper()
 	statedMillis = make(chan int, 10)
@@ -41,7 +42,7 @@
 	return backend, statedMillis
 }
 
-// startNodeWithSlowConnects starts a node whose connections to backends come up late.
+// startNodeWithSlowConnects starts a node whose connections to backends are established connectDelay late.
 func startNodeWithSlowConnects(t *testing.T, targets []protocol.Target) (*Node, string) {
 	t.Helper()
 	n, addr := startNode(t, targets, func(s *Settings) {
@@ -52,13 +53,14 @@
 	return n, addr
 }
 
-// checkStatedTimeout checks what a backend was told of a request whose last byte was sent at a time, and that the node answers
-// by its deadline and counts no violation.
+// checkStatedTimeout checks that the timeout stated to a backend is not longer than the client's remaining time, given
+// when the last byte of the request was sent. It also checks that the node answers by the deadline and counts no
+// violation of its invariants.
 func checkStatedTimeout(t *testing.T, n *Node, client *testClient, sentAt time.Time, statedMillis int) {
 	t.Helper()
 	remainingMillis := uploadTimeoutMillis - int(time.Since(sentAt).Milliseconds())
 	if statedMillis > remainingMillis+statedTimeoutSlackMillis {
-		t.Errorf("the backend was told %d ms, its client had %d ms left", statedMillis, remainingMillis)
+		t.Errorf("timeout of %d ms stated to the backend, its client had %d ms left", statedMillis, remainingMillis)
 	}
 	client.readAnswer()
 	if waited := time.Since(sentAt); waited > uploadTimeoutMillis*time.Millisecond+300*time.Millisecond {
@@ -71,13 +73,14 @@
 	})
 }
 
-// The time of a large request counts from its last byte, also if that came before the node could send any of it. On the
-// bench, nodes logged
+// The deadline of a large request counts from its last byte, even if that byte was received before the node could send
+// any part of the request. In benchmarks, nodes logged
 //
 //	level=ERROR msg="invariant violated" rule="deadline passed" by_us=1150054
 //
-// and they were right: the time was counted from the head, stated whole to a backend whose connection came up a second
-// later, and counted anew from the last byte that was forwarded, so the node waited too long as well.
+// and the log was right. The node counted the time from the head, stated the full timeout to a backend whose connection
+// was established a second later, and counted the timeout anew from the last byte that it forwarded, so that it also
+// waited too long itself.
 func TestStatedDeadlineOfUploadThatHasCome(t *testing.T) {
 	body := randomBody(1, uploadSize)
 	chunked := string(chunkedBody(body, 10_000))
@@ -97,7 +100,8 @@
 	}
 }
 
-// The same for a request that is pipelined behind another, which takes half a second.
+// The deadline also counts from the last byte for a large request that is pipelined behind another request, which takes
+// half a second.
 func TestStatedDeadlineOfPipelinedUpload(t *testing.T) {
 	t.Parallel()
 	stated := make(chan int, 1)
@@ -120,7 +124,7 @@
 	checkStatedTimeout(t, n, client, sentAt, <-stated)
 }
 
-// The same for a request that is sent again after a connect that failed.
+// The deadline also counts from the last byte for a large request that is retried after a failed connect.
 func TestStatedDeadlineOfRetriedUpload(t *testing.T) {
 	t.Parallel()
 	refused, err := net.Listen("tcp", "127.0.0.1:0")
@@ -138,8 +142,9 @@
 	checkStatedTimeout(t, n, client, sentAt, <-stated)
 }
 
-// A large request whose last byte comes later has its full time from there, also if its head came long before. What has
-// come leaves the kernel space for more, so that the node knows the rest not to have been sent.
+// A large request has its full timeout from the time at which its last byte is sent, even if its head was received long
+// before. The input received first leaves the receive window open, so that the node knows that the rest has not been
+// sent yet.
 func TestStatedDeadlineOfSlowUpload(t *testing.T) {
 	t.Parallel()
 	backend, stated := newTimeoutRecordingBackend(t)
@@ -152,10 +157,10 @@
 	sentAt := time.Now()
 	statedMillis := <-stated
 	if statedMillis < uploadTimeoutMillis-statedTimeoutSlackMillis {
-		t.Errorf("the backend was told %d ms, its client had %d ms left", statedMillis, uploadTimeoutMillis)
+		t.Errorf("timeout of %d ms stated to the backend, its client had %d ms left", statedMillis, uploadTimeoutMillis)
 	}
 	checkStatedTimeout(t, n, client, sentAt, statedMillis)
 	if waited := time.Since(sentAt); waited < uploadTimeoutMillis*time.Millisecond-statedTimeoutSlackMillis*time.Millisecond {
-		t.Errorf("given up after %v", waited)
+		t.Errorf("the node gave up after %v", waited)
 	}
 }
