--- a/internal/node/accounting_test.go
+++ b/internal/node/accounting_test.go
@@ -27,8 +27,8 @@
 	fail             func(format string, args ...any)
 	node             *Node
 	accepted         map[balancer.RequestID]bool
-	acceptedTraceIDs map[string]bool // X-Trace-Id of each accepted request
-	outcomes         map[[2]uint64]int
+	acceptedTraceIDs map[string]bool   // X-Trace-Id of each accepted request
+	outcomes         map[[2]uint64]int // number of outcomes by request ID and attempt number
 }
 
 // newAccountingModule installs an accountingModule between a node and its balancer.
--- a/internal/node/buffer.go
+++ b/internal/node/buffer.go
@@ -10,8 +10,8 @@
 )
 
 // buffer is a reference-counted buffer of a fixed size that is large enough for any message that is not forwarded in
-// pieces. It returns to the pool only after all answers and attempts that use its bytes have been written. The
-// reference count is changed on the event loop only.
+// pieces. It returns to the pool only after all answers and attempts that use its bytes have been written. References
+// are added and dropped on the event loop only.
 type buffer struct {
 	data   [protocol.BufferSize]byte
 	length int
--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -15,35 +15,35 @@
 const writeTimeout = 10 * time.Second
 
 // clientConn is a connection from a client, with the input that has not been parsed and the request that is being
-// processed. Except for the callbacks of the poller, it is used on the event loop only.
+// processed. Apart from those of socket, its fields change on the event loop only.
 type clientConn struct {
 	socket
 	state             clientConnState
 	node              *Node
-	input             *buffer
-	message           protocol.Message
-	request           *request // the request that waits for its answer; nil: none
-	writingAnswer     bool     // an answer, or 100 Continue, is being written
-	closeAfterAnswer  bool     // the connection closes after the current or next answer
-	continueSent      bool     // 100 Continue has been written for the request that is being read
-	discardedBytes    int      // amount of input that was discarded while the connection lingers
-	acceptedOverLimit bool     // the connection was accepted when the descriptor limit was already reached
-	hasSentRequest    bool     // a complete request, or the head of a large one, has been received
-	idleElement       *list.Element
-	idleList          *list.List // the list that holds idleElement: newClients, idleClients or lingeringClients
-	overflow          [][]byte   // pipelined input that the buffer has no space for
-	overflowSize      int        // total size of overflow, in bytes
-	inputTruncated    bool       // input was dropped: input after it can't be parsed
-	receivedBytes     int        // number of bytes received and not dropped
-	arrivals          []arrival
-	upload            *upload      // the current request if it is too large to be buffered; else nil
-	downloadConn      *backendConn // the source of the current answer if it is too large to be buffered; else nil
-	isHTTP10          bool         // the request's version is HTTP/1.0
-	isHeadRequest     bool         // the request is a HEAD: its answer has no body
-	headContentLength int          // the Content-Length of the backend's answer to a HEAD request
-	headCompleteAt    int64        // when the head of the request that is being read was complete; 0: it is incomplete
-	requestStartedAt  int64        // when the request that is being read began; for the first one, the time of accept
-	idleSince         int64
+	input             *buffer          // input that has not been parsed completely; nil: none
+	message           protocol.Message // the request that is being read from input
+	request           *request         // the request that waits for its answer; nil: none
+	writingAnswer     bool             // an answer, or 100 Continue, is being written
+	closeAfterAnswer  bool             // the connection closes after the current or next answer
+	continueSent      bool             // 100 Continue has been written for the request that is being read
+	discardedBytes    int              // amount of input that was discarded while the connection lingers
+	acceptedOverLimit bool             // the connection was accepted when the descriptor limit was already reached
+	hasSentRequest    bool             // a complete request, or the head of a large one, has been received
+	idleElement       *list.Element    // the connection's element of idleList; nil: it is on no list
+	idleList          *list.List       // the list that holds idleElement: newClients, idleClients or lingeringClients
+	overflow          [][]byte         // pipelined input that the buffer has no space for
+	overflowSize      int              // total size of overflow, in bytes
+	inputTruncated    bool             // input was dropped: input after it can't be parsed
+	receivedBytes     int              // number of bytes received and not dropped
+	arrivals          []arrival        // when the input was received; see arrival
+	upload            *upload          // the current request if it is too large to be buffered; else nil
+	downloadConn      *backendConn     // the source of the current answer if it is too large to be buffered; else nil
+	isHTTP10          bool             // the request's version is HTTP/1.0
+	isHeadRequest     bool             // the request is a HEAD: its answer has no body
+	headContentLength int              // the Content-Length of the backend's answer to a HEAD request
+	headCompleteAt    int64            // when the head of the request that is being read was complete; 0: it is incomplete
+	requestStartedAt  int64            // when the request that is being read began; for the first one, the time of accept
+	idleSince         int64            // when the connection was last put on an idle list
 }
 
 // NewClientEventLoop returns netpoll's event loop that accepts the connections of clients. Its Serve method runs it on
--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -242,8 +242,8 @@
 	}
 }
 
-// The read timeout of a forwarder expires for a body that arrives below the minimum rate, and not for one that arrives
-// at that rate or has just begun.
+// A body that arrives below the minimum rate is answered with 408, and one that arrives at that rate or has just begun is
+// not. The test checks the read timeout of the forwarder, whose expiry leads to that answer.
 func TestSlowBodyIsRejected(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -22,8 +22,8 @@
 	forwarderEnded   bool // the forwarder has ended, whether it succeeded or not
 }
 
-// noDeadline stands for a time that is unknown or never comes. It is the deadline of a large request until its last
-// byte has been received, from which its deadline counts.
+// noDeadline stands for a time that is unknown or never comes. It is the deadline of a large request while it is being
+// forwarded: its deadline counts from its last byte, which has not been received yet.
 const noDeadline = math.MaxInt64
 
 // startUpload starts to detach the connection from the poller. The input buffer holds the part of the request that has
