--- a/internal/daemon/hotrestart.go
+++ b/internal/daemon/hotrestart.go
@@ -73,7 +73,7 @@
 	log.Info("handoff received",
 		"rev", inherited.EndpointList.Revision,
 		"backends", len(inherited.EndpointList.Targets),
-		"open", len(inherited.RequestIDs))
+		"open", len(inherited.TraceIDs))
 	return inherited
 }
 
@@ -135,7 +135,7 @@
 	p.log.Info("handoff sent",
 		"rev", state.EndpointList.Revision,
 		"backends", len(state.EndpointList.Targets),
-		"open", len(state.RequestIDs),
+		"open", len(state.TraceIDs),
 		"bytes", len(body))
 	return body, descriptor, nil
 }
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -94,7 +94,7 @@
 	if len(traceID) == 0 {
 		return &rejection{400, "no X-Trace-Id"}
 	}
-	if _, inUse := n.requestIDsInUse[string(traceID)]; inUse {
+	if _, inUse := n.traceIDsInUse[string(traceID)]; inUse {
 		return &rejection{400, "X-Trace-Id is in use"}
 	}
 	return nil
@@ -116,7 +116,7 @@
 // hasTooManyRequests reports whether the node has no capacity for another request.
 func (n *Node) hasTooManyRequests() bool {
 	limit := n.settings.MaxInFlight
-	return limit > 0 && n.openRequests >= limit || len(n.requestIDsInUse) >= maxTraceIDsInUse
+	return limit > 0 && n.openRequests >= limit || len(n.traceIDsInUse) >= maxTraceIDsInUse
 }
 
 // maxTraceIDsInUse bounds the trace IDs that are remembered.
--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -121,7 +121,7 @@
 		for _, t := range due {
 			t.callback()
 		}
-		return len(n.requestIDsInUse) == 0 && len(n.requests) == 0
+		return len(n.traceIDsInUse) == 0 && len(n.requests) == 0
 	})
 }
 
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -13,12 +13,12 @@
 	Classes      []string              `json:"Classes"` // those that Learned refers to, in its order
 	Tenants      []string              `json:"Tenants"`
 	Learned      balancer.LearnedState `json:"Learned"`
-	// RequestIDs are the trace IDs of requests that may be running, with their expiry on the clock that both processes share.
-	RequestIDs map[string]int64 `json:"IDs"`
+	// TraceIDs are the trace IDs of requests that may be running, with their expiry on the clock that both processes share.
+	TraceIDs map[string]int64 `json:"IDs"`
 }
 
-// maxHandedOverIDs bounds the trace IDs that are passed on.
-const maxHandedOverIDs = 1 << 12
+// maxHandedOverTraceIDs bounds the trace IDs that are passed on.
+const maxHandedOverTraceIDs = 1 << 12
 
 // ExportState passes on this node's state, with half of what is left of warming endpoints' budgets.
 func (n *Node) ExportState(deliver func(HotRestartState)) {
@@ -27,7 +27,7 @@
 			EndpointList: protocol.List{Revision: n.listRevision, Full: true},
 			Classes:      n.settings.Classes,
 			Tenants:      n.settings.Tenants,
-			RequestIDs:   map[string]int64{},
+			TraceIDs:     map[string]int64{},
 		}
 		for uid, ep := range n.endpointsByUID {
 			if ep.removedAt == 0 {
@@ -36,8 +36,8 @@
 		}
 		for _, req := range n.requests {
 			expiresAt := min(req.deadline, n.now()+req.settings.Balancer.Classes[req.class].Deadline)
-			if len(state.RequestIDs) < maxHandedOverIDs && req.message != nil {
-				state.RequestIDs[string(req.message.Get("x-trace-id"))] = expiresAt
+			if len(state.TraceIDs) < maxHandedOverTraceIDs && req.message != nil {
+				state.TraceIDs[string(req.message.Get("x-trace-id"))] = expiresAt
 			}
 		}
 		state.Learned = n.balancer.ExportState(n.now())
@@ -53,18 +53,18 @@
 			state.Learned.Classes, state.Learned.Tenants = nil, nil
 		}
 		n.balancer.ImportState(n.now(), state.Learned)
-		for id, expiresAt := range state.RequestIDs {
-			if _, inUse := n.requestIDsInUse[id]; inUse || expiresAt < n.now() || len(n.requestIDsInUse) >= maxTraceIDsInUse {
+		for id, expiresAt := range state.TraceIDs {
+			if _, inUse := n.traceIDsInUse[id]; inUse || expiresAt < n.now() || len(n.traceIDsInUse) >= maxTraceIDsInUse {
 				continue
 			}
-			n.requestIDsInUse[id] = struct{}{}
-			n.scheduleAt(min(expiresAt, n.now()+maxHandedOverIDAge), func() { delete(n.requestIDsInUse, id) })
+			n.traceIDsInUse[id] = struct{}{}
+			n.scheduleAt(min(expiresAt, n.now()+maxHandedOverTraceIDAge), func() { delete(n.traceIDsInUse, id) })
 		}
 	})
 }
 
-// maxHandedOverIDAge is how long a trace ID that was passed on is kept at most, in microseconds.
-const maxHandedOverIDAge = 60_000_000
+// maxHandedOverTraceIDAge is how long a trace ID that was passed on is kept at most, in microseconds.
+const maxHandedOverTraceIDAge = 60_000_000
 
 // SetProcessCount sets how many processes are this node. Each has its part of the descriptors, of the memory for
 // large messages and of warming endpoints' budgets.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -70,7 +70,7 @@
 	classIndex, tenantIndex, zoneIndex map[string]int
 
 	requests          map[balancer.RequestID]*request
-	requestIDsInUse   map[string]struct{} // clients' trace IDs, each until its request's time is over
+	traceIDsInUse     map[string]struct{} // clients' trace IDs, each until its request's time is over
 	lastRequestID     balancer.RequestID
 	openRequests      int // admitted and not answered
 	answersInProgress int // answers that are being written
@@ -124,7 +124,7 @@
 		tenantIndex:        indexByName(settings.Tenants),
 		zoneIndex:          indexByName(settings.Zones),
 		requests:           map[balancer.RequestID]*request{},
-		requestIDsInUse:    map[string]struct{}{},
+		traceIDsInUse:      map[string]struct{}{},
 		endpoints:          map[balancer.EndpointID]*endpoint{},
 		endpointsByUID:     map[string]*endpoint{},
 		listFreshness:      listFreshness{processStartedAt: start.UnixMicro()},
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -30,7 +30,7 @@
 	n.requests[req.id] = req
 	req.traceID = string(req.message.Get("x-trace-id"))
 	id, traceID := req.id, req.traceID
-	n.requestIDsInUse[traceID] = struct{}{}
+	n.traceIDsInUse[traceID] = struct{}{}
 	n.scheduleAt(req.deadline+n.settings.OverdueGrace, func() { n.expireOverdue(id, traceID) })
 	n.balancer.HandleRequest(n.now(), balancer.Request{
 		ID:          req.id,
@@ -50,7 +50,7 @@
 		n.scheduleAt(min(req.deadline, n.now()+overdueCheckInterval)+n.settings.OverdueGrace, func() { n.expireOverdue(id, traceID) })
 		return
 	}
-	delete(n.requestIDsInUse, traceID)
+	delete(n.traceIDsInUse, traceID)
 	if req != nil && !req.isDone() { // the balancer should have answered; the client must not wait for ever
 		n.log.Error("request overdue", "request_id", req.id, "attempts", len(req.attempts))
 		n.answerRequest(req, nil, 504, nil, []byte("overdue\n"), 0)
