--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -89,7 +89,7 @@
 	c.node.pendingAccepts.Add(-1)
 	c.node.clients[c] = struct{}{}
 	c.node.openDescriptors++
-	if !c.node.mayAccept() { // beyond the limit, and no connection is idle
+	if !c.node.reserveForAccepted() { // beyond the limit, and no connection is idle
 		c.node.warnLimited("client connection rejected", "descriptors", c.node.openDescriptors)
 		c.close(closeNoDescriptor)
 		return
--- a/internal/node/clientinput.go
+++ b/internal/node/clientinput.go
@@ -171,7 +171,7 @@
 		c.writeAnswer(buf, 503, nil, []byte("not in service\n"), 0)
 		return
 	}
-	if c.isFull() {
+	if c.mustRejectForDescriptors() {
 		c.closeAfterAnswer = true
 		c.writeAnswer(buf, 503, nil, []byte("no descriptor\n"), 0)
 		return
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -32,22 +32,22 @@
 	return max(n.openDescriptors+more-(limit-reservedDescriptors), 0)
 }
 
-// mayDial reports whether a connection to a backend may be opened: there is a descriptor, or there will be one as soon as
+// reserveForDial reports whether a connection to a backend may be opened: there is a descriptor, or there will be one as soon as
 // the writes of answers are reported.
-func (n *Node) mayDial() bool {
+func (n *Node) reserveForDial() bool {
 	return n.closeIdleConnections(1) ||
 		n.surplusDescriptors(1) <= min(maxSurplusClients, n.answersBeingWritten()) ||
 		n.closeExpendableClients(1)
 }
 
-// mayAccept reports whether a connection that has been accepted may stay.
-func (n *Node) mayAccept() bool {
+// reserveForAccepted reports whether a connection that has been accepted may stay.
+func (n *Node) reserveForAccepted() bool {
 	return n.closeIdleConnections(0) || n.surplusDescriptors(0) <= maxSurplusClients || n.closeExpendableClients(0)
 }
 
-// isFull reports whether a request on a connection that was accepted beyond the descriptor limit must be rejected: all
+// mustRejectForDescriptors reports whether a request on a connection that was accepted beyond the descriptor limit must be rejected: all
 // others are busy, beyond answers that are on their way out.
-func (c *clientConn) isFull() bool {
+func (c *clientConn) mustRejectForDescriptors() bool {
 	if !c.acceptedOverLimit {
 		return false
 	}
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -17,7 +17,7 @@
 		return
 	}
 	spared := ep.hasUnclaimedIdleConn()
-	if !spared && !att.isHealthCheck && !n.mayDial() {
+	if !spared && !att.isHealthCheck && !n.reserveForDial() {
 		n.warnLimited("no descriptor for backend connection", "descriptors", n.openDescriptors)
 		n.completeAttempt(att, balancer.OutcomeConnectFailed, nil)
 		return
@@ -132,7 +132,7 @@
 // dialForWaiting opens connections until there is a pending dial or an idle connection for each waiting attempt, or
 // no descriptor is available for another connection.
 func (n *Node) dialForWaiting(ep *endpoint) {
-	for len(ep.waitingAttempts) > ep.pendingDials+len(ep.idleConns) && n.mayDial() {
+	for len(ep.waitingAttempts) > ep.pendingDials+len(ep.idleConns) && n.reserveForDial() {
 		n.dial(ep)
 	}
 }
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -34,16 +34,16 @@
 		}
 		return noNumber, noNumber
 	})
-	settings.Classes = byNumber(classes, classNames, func(number int) string { return previous.Classes[number] })
-	settings.Balancer.Classes = byNumber(classes, classRules, func(number int) balancer.Class { return previous.Balancer.Classes[number] })
-	settings.Tenants = byNumber(tenants, tenantNames, func(number int) string { return previous.Tenants[number] })
-	settings.Balancer.Tenants = byNumber(tenants, tenantQuotas, func(int) balancer.Tenant { return balancer.Tenant{} })
+	settings.Classes = arrangeByNumber(classes, classNames, func(number int) string { return previous.Classes[number] })
+	settings.Balancer.Classes = arrangeByNumber(classes, classRules, func(number int) balancer.Class { return previous.Balancer.Classes[number] })
+	settings.Tenants = arrangeByNumber(tenants, tenantNames, func(number int) string { return previous.Tenants[number] })
+	settings.Balancer.Tenants = arrangeByNumber(tenants, tenantQuotas, func(int) balancer.Tenant { return balancer.Tenant{} })
 	if err := n.balancer.Reconfigure(n.now(), settings.Balancer, classesFrom, tenantsFrom); err != nil {
 		n.log.Error("settings rejected", "err", err)
 		return
 	}
 	n.settings = &settings
-	n.classIndex, n.tenantIndex = activeIndex(classes, classNames), activeIndex(tenants, tenantNames)
+	n.classIndex, n.tenantIndex = numbersByName(classes, classNames), numbersByName(tenants, tenantNames)
 	n.log.Info("settings applied", "classes", classNames, "attempts", settings.Balancer.MaxAttempts, "tenants", tenantNames)
 }
 
@@ -56,9 +56,9 @@
 	return classes, tenants
 }
 
-// byNumber arranges values by number. A number without a new name, which open requests use or nobody does, keeps its
+// arrangeByNumber arranges values by number. A number without a new name, which open requests use or nobody does, keeps its
 // previous value.
-func byNumber[T any](nameAt []int, values []T, previous func(number int) T) (arranged []T) {
+func arrangeByNumber[T any](nameAt []int, values []T, previous func(number int) T) (arranged []T) {
 	for number, name := range nameAt {
 		if name == noNumber {
 			arranged = append(arranged, previous(number))
@@ -106,8 +106,8 @@
 	return nameAt[:length], learnedFrom[:length]
 }
 
-// activeIndex maps the names that new requests may use to their numbers.
-func activeIndex(nameAt []int, names []string) map[string]int {
+// numbersByName maps the names that new requests may use to their numbers.
+func numbersByName(nameAt []int, names []string) map[string]int {
 	index := make(map[string]int, len(names))
 	for number, name := range nameAt {
 		if name != noNumber {
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -58,7 +58,7 @@
 	up.remainingMessage = msg.Tail()
 	c.closeAfterAnswer = c.closeAfterAnswer || !msg.KeepAlive
 	c.isHTTP10, c.isHeadRequest, c.headCompleteAt = msg.OldVersion(), false, 0
-	if n.drain.rejecting || n.drain.closingAll || n.activeForwarders >= n.maxForwarders() || c.isFull() {
+	if n.drain.rejecting || n.drain.closingAll || n.activeForwarders >= n.maxForwarders() || c.mustRejectForDescriptors() {
 		c.writeAnswer(buf, 503, nil, []byte("no room for a large request\n"), 0)
 		return
 	}
