--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -53,18 +53,18 @@
 func TestIdleConnectionsAreLimited(t *testing.T) {
 	targets := newTestBackend(t, serve).targets()
 	n, addr := startNode(t, targets, func(s *Settings) { s.MaxDescriptors = 10 * idleClientLimitDivisor })
-	callers := make([]*testClient, 15)
-	for i := range callers {
-		callers[i] = dialNode(t, addr)
-		if code, _, _ := callers[i].exchange(requestText("once", 9000)); code != 200 {
+	clients := make([]*testClient, 15)
+	for i := range clients {
+		clients[i] = dialNode(t, addr)
+		if code, _, _ := clients[i].exchange(requestText("once", 9000)); code != 200 {
 			t.Fatal(code)
 		}
 		waitUntil(n, func() bool { return n.idleClients.Len() == min(i+1, 10) })
 	}
-	if _, err := callers[4].reader.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := clients[4].reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the fifth: %v", err)
 	}
-	if code, _, _ := callers[5].exchange(requestText("once", 9000)); code != 200 {
+	if code, _, _ := clients[5].exchange(requestText("once", 9000)); code != 200 {
 		t.Errorf("the sixth: %d", code)
 	}
 }
@@ -106,8 +106,8 @@
 
 // At the limit of descriptors the connection that has been idle longest closes, never one with a request.
 func TestDescriptorsAreCapped(t *testing.T) {
-	a, arrived, release := newBlockedBackend(t)
-	_, addr := startNode(t, []protocol.Target{targetOf("a", a)}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 4 })
+	backend, arrived, release := newBlockedBackend(t)
+	_, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 4 })
 	busy := dialNode(t, addr)
 	_, _ = io.WriteString(busy, requestText("once", 9000))
 	<-arrived
@@ -133,8 +133,8 @@
 // "client connection rejected descriptors=5" and closed the newest without a word. This is TestDescriptorsAreCapped
 // with the report of each write 3 ms late.
 func TestNewConnectionIsServedWhileAnswersAreReported(t *testing.T) {
-	a, arrived, release := newBlockedBackend(t)
-	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 4 })
+	backend, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 4 })
 	delayReports(n, reportWritten, 3*time.Millisecond)
 	busy := dialNode(t, addr)
 	_, _ = io.WriteString(busy, requestText("once", 9000))
@@ -159,8 +159,8 @@
 // Where every connection has a request that is not answered, a new client gets the protocol's answer to a node that is
 // full, 503 in time, instead of the end of its connection.
 func TestRequestBeyondDescriptorLimitIsRejected(t *testing.T) {
-	a, arrived, release := newBlockedBackend(t)
-	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 4 })
+	backend, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 4 })
 	busy := []*testClient{dialNode(t, addr), dialNode(t, addr)} // each has a connection to the backend too
 	for _, client := range busy {
 		_, _ = io.WriteString(client, requestText("once", 9000))
@@ -220,16 +220,16 @@
 func TestLingeringConnectionsReleaseDescriptors(t *testing.T) {
 	targets := newTestBackend(t, serve).targets()
 	n, addr := startNode(t, targets, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + minServingDescriptors })
-	var all []*testClient
+	var testClients []*testClient
 	for range minServingDescriptors {
 		c := dialNode(t, addr)
 		c.exchange(readyRequest)
-		all = append(all, c)
+		testClients = append(testClients, c)
 	}
 	waitUntil(n, func() bool { return len(n.clients) > 0 })
 	runOnLoop(n, func() { n.closeIdleClients() })
-	for k, c := range all { // garbage on each, so that none is drained
-		_, _ = fmt.Fprint(c, "rubbish ", k)
+	for i, c := range testClients { // garbage on each, so that none is drained
+		_, _ = fmt.Fprint(c, "rubbish ", i)
 	}
 	for range minServingDescriptors {
 		c := dialNode(t, addr)
--- a/internal/node/eventloop_test.go
+++ b/internal/node/eventloop_test.go
@@ -12,13 +12,13 @@
 // where its settings state no time between two polls.
 func TestTimersDoNotStarvePostedWork(t *testing.T) {
 	n, _ := startNode(t, nil, nil)
-	var again func()
-	again = func() { n.scheduleAt(n.now(), again) }
-	n.post(again)
-	seen := make(chan struct{})
-	n.post(func() { n.post(func() { close(seen) }) })
+	var reschedule func()
+	reschedule = func() { n.scheduleAt(n.now(), reschedule) }
+	n.post(reschedule)
+	done := make(chan struct{})
+	n.post(func() { n.post(func() { close(done) }) })
 	select {
-	case <-seen:
+	case <-done:
 	case <-time.After(20 * time.Second):
 		t.Error("a posted callback never ran")
 	}
@@ -47,12 +47,12 @@
 func TestOperatorCallsHavePriority(t *testing.T) {
 	n, _ := startNode(t, nil, nil)
 	started, answered := make(chan struct{}), make(chan struct{})
-	var ran atomic.Int64
+	var callbacksRun atomic.Int64
 	go func() {
 		<-started
 		n.Standby(func(error) {
-			if k := ran.Load(); k > 0 {
-				t.Errorf("answered after %d other callbacks", k)
+			if count := callbacksRun.Load(); count > 0 {
+				t.Errorf("answered after %d other callbacks", count)
 			}
 			close(answered)
 		})
@@ -66,7 +66,7 @@
 		}
 	})
 	for range 10_000 {
-		n.post(func() { ran.Add(1) })
+		n.post(func() { callbacksRun.Add(1) })
 	}
 	<-answered
 }
@@ -77,9 +77,9 @@
 	n := &Node{wake: make(chan struct{}, 1)}
 	for range 5000 {
 		go n.postPriority(func() {})
-		for seen := false; !seen; {
+		for visible := false; !visible; {
 			n.mu.Lock()
-			if seen = len(n.priorityPosted) > 0; seen && !n.priorityPending.Load() {
+			if visible = len(n.priorityPosted) > 0; visible && !n.priorityPending.Load() {
 				n.mu.Unlock()
 				t.Fatal("a call is visible without its flag")
 			}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -22,10 +22,10 @@
 func setReportDelay(n *Node, delay func(reportKind) time.Duration) { n.testReportDelay.Store(&delay) }
 
 // delayReports delays reports of one kind.
-func delayReports(n *Node, delayed reportKind, by time.Duration) {
+func delayReports(n *Node, delayed reportKind, delay time.Duration) {
 	setReportDelay(n, func(kind reportKind) time.Duration {
 		if kind == delayed {
-			return by
+			return delay
 		}
 		return 0
 	})
@@ -38,12 +38,12 @@
 	os.Exit(m.Run())
 }
 
-// noDiscovery is a Discovery that is never called.
-type noDiscovery struct{}
+// nopDiscovery is a Discovery that is never called.
+type nopDiscovery struct{}
 
-func (noDiscovery) Watch(bool) {}
+func (nopDiscovery) Watch(bool) {}
 
-func (noDiscovery) Poll() {}
+func (nopDiscovery) Poll() {}
 
 // startNode runs a node on a port of its own that knows these endpoints.
 func startNode(t *testing.T, targets []protocol.Target, change func(*Settings)) (*Node, string) {
@@ -57,7 +57,7 @@
 func startStoppableNode(t *testing.T, targets []protocol.Target, change func(*Settings)) (n *Node, addr string, end func()) {
 	t.Helper()
 	second := int64(time.Second / time.Microsecond)
-	set := Settings{Classes: []string{"read", "once", "keyed"}, Tenants: []string{"t"}, Zones: []string{"z"},
+	settings := Settings{Classes: []string{"read", "once", "keyed"}, Tenants: []string{"t"}, Zones: []string{"z"},
 		ConnectTimeout: second, Keepalive: 30 * second, OverdueGrace: 20_000, Balancer: balancer.Config{PeerCount: 1, MaxAttempts: 3,
 			AllowCancel: true, TickInterval: 1000, Tenants: []balancer.Tenant{{QuotaFraction: 1}}, Classes: []balancer.Class{
 				{LatencyObjective: 10 * second, Deadline: 10 * second},
@@ -66,18 +66,18 @@
 					KeyScope: balancer.ScopeCell, IdempotencyWindow: 5 * second},
 			}}}
 	if change != nil {
-		change(&set)
+		change(&settings)
 	}
 	level := &slog.HandlerOptions{Level: slog.LevelInfo}
 	if os.Getenv("TULIPGLADE_LOG") == "debug" { // a line for each step, to trace a failure
 		level.Level = slog.LevelDebug
 	}
-	n, err := New(set, noDiscovery{}, slog.New(slog.NewTextHandler(t.Output(), level)))
+	n, err := New(settings, nopDiscovery{}, slog.New(slog.NewTextHandler(t.Output(), level)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if most := *maxReportDelay; most > 0 {
-		setReportDelay(n, func(reportKind) time.Duration { return rand.N(most) })
+	if maxDelay := *maxReportDelay; maxDelay > 0 {
+		setReportDelay(n, func(reportKind) time.Duration { return rand.N(maxDelay) })
 	}
 	ln, err := Listen("127.0.0.1:0", false)
 	if err != nil {
@@ -99,40 +99,40 @@
 
 // waitUntil waits for a state that the node is about to reach, by asking on its event loop.
 func waitUntil(n *Node, reached func() bool) {
-	for there := make(chan bool, 1); ; {
-		n.post(func() { there <- reached() })
-		if <-there {
+	for result := make(chan bool, 1); ; {
+		n.post(func() { result <- reached() })
+		if <-result {
 			return
 		}
 	}
 }
 
 // runOnLoop runs f on the node's event loop and waits for it.
-func runOnLoop(n *Node, f func()) {
-	waitUntil(n, func() bool { f(); return true })
+func runOnLoop(n *Node, callback func()) {
+	waitUntil(n, func() bool { callback(); return true })
 }
 
 // waitForPosted waits until so many callbacks are posted that the event loop has not started.
 func waitForPosted(n *Node, posted int) {
-	for there := 0; there < posted; runtime.Gosched() {
+	for pending := 0; pending < posted; runtime.Gosched() {
 		n.mu.Lock()
-		there = len(n.posted)
+		pending = len(n.posted)
 		n.mu.Unlock()
 	}
 }
 
 // operatorCall makes an operator's call and waits for its answer.
-func operatorCall(f func(func(error))) error {
+func operatorCall(call func(func(error))) error {
 	answer := make(chan error, 1)
-	f(func(err error) { answer <- err })
+	call(func(err error) { answer <- err })
 	return <-answer
 }
 
 // advanceDrain moves the start of the current drain back in time, so that no test waits for it.
-func advanceDrain(n *Node, us int64) {
+func advanceDrain(n *Node, micros int64) {
 	done := make(chan struct{})
 	n.post(func() {
-		n.drain.startedAt -= us
+		n.drain.startedAt -= micros
 		n.drainTick(n.drain.generation)
 		close(done)
 	})
@@ -149,23 +149,23 @@
 func reconfigureNode(n *Node, change func(*Settings)) {
 	done := make(chan struct{})
 	n.post(func() {
-		set := Settings{
+		settings := Settings{
 			ConnectTimeout: n.settings.ConnectTimeout,
 			Keepalive:      n.settings.Keepalive,
 			OverdueGrace:   n.settings.OverdueGrace,
 			Zones:          n.settings.Zones,
 			Balancer:       n.settings.Balancer,
 		}
-		set.Balancer.Classes, set.Balancer.Tenants = nil, nil
+		settings.Balancer.Classes, settings.Balancer.Tenants = nil, nil
 		for _, name := range []string{"read", "once", "keyed"} {
-			if i, ok := n.classIndex[name]; ok {
-				set.Classes = append(set.Classes, name)
-				set.Balancer.Classes = append(set.Balancer.Classes, n.settings.Balancer.Classes[i])
+			if number, ok := n.classIndex[name]; ok {
+				settings.Classes = append(settings.Classes, name)
+				settings.Balancer.Classes = append(settings.Balancer.Classes, n.settings.Balancer.Classes[number])
 			}
 		}
-		set.Tenants, set.Balancer.Tenants = []string{"t"}, []balancer.Tenant{{QuotaFraction: 1}}
-		change(&set)
-		n.applySettings(set)
+		settings.Tenants, settings.Balancer.Tenants = []string{"t"}, []balancer.Tenant{{QuotaFraction: 1}}
+		change(&settings)
+		n.applySettings(settings)
 		close(done)
 	})
 	<-done
--- a/internal/node/leak_test.go
+++ b/internal/node/leak_test.go
@@ -22,9 +22,9 @@
 			}
 			go func() {
 				defer func() { _ = conn.Close() }()
-				in := bufio.NewReader(conn)
+				reader := bufio.NewReader(conn)
 				for {
-					request, err := http.ReadRequest(in)
+					request, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
@@ -42,16 +42,16 @@
 // attempt, and at the end of the upload looked for an attempt to complete. It stayed open and unused until the backend
 // closed it, one descriptor for each such upload. All ends of an upload are played here.
 func TestUploadsLeaveNoConnectionBehind(t *testing.T) {
-	const size, first = 1 << 20, 256 << 10
+	const size, firstPart = 1 << 20, 256 << 10
 	body := randomBody(1, size)
 	for name, finish := range map[string]func(*testClient){
 		"sent to its end": func(client *testClient) {
-			_, _ = client.Write(body[first:])
+			_, _ = client.Write(body[firstPart:])
 			client.readAnswer()
 		},
 		"answered first, then sent to its end": func(client *testClient) {
 			client.readAnswer()
-			_, _ = client.Write(body[first:])
+			_, _ = client.Write(body[firstPart:])
 		},
 		"answered first, then abandoned": func(client *testClient) {
 			client.readAnswer()
@@ -64,11 +64,11 @@
 			for range 10 {
 				client := dialNode(t, addr)
 				_, _ = io.WriteString(client, postRequest("Content-Length: "+strconv.Itoa(size)))
-				_, _ = client.Write(body[:first])
+				_, _ = client.Write(body[:firstPart])
 				finish(client)
 			}
 			var descriptors, clients, idle int
-			for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
+			for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 				runOnLoop(n, func() { descriptors, clients, idle = n.openDescriptors, len(n.clients), n.idleBackends.Len() })
 				if descriptors == clients+idle {
 					return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -26,18 +26,20 @@
 // decisionModule is the part of balancer.Balancer that the node calls; tests put a recording one in between.
 type decisionModule interface {
 	HandleEndpointsAsOf(now, asOf balancer.Time, kind balancer.ListKind, list []balancer.Endpoint)
-	HandleRequest(now balancer.Time, a balancer.Request)
+	HandleRequest(now balancer.Time, request balancer.Request)
 	HandleUpload(now balancer.Time, id balancer.RequestID, on bool)
-	HandleAttemptResult(now balancer.Time, s balancer.AttemptResult)
-	HandleHealthCheck(now balancer.Time, id balancer.EndpointID, out balancer.Outcome, took balancer.Span, rep *balancer.LoadReport)
+	HandleAttemptResult(now balancer.Time, result balancer.AttemptResult)
+	HandleHealthCheck(
+		now balancer.Time, id balancer.EndpointID, outcome balancer.Outcome, took balancer.Span, report *balancer.LoadReport,
+	)
 	MayStartAttempt(now balancer.Time, id balancer.RequestID, attempt int) safety.Reason
 	ListCurrent(now balancer.Time) (current bool, until balancer.Time)
 	HandleDiscoveryMoved(now balancer.Time, validity balancer.Span)
 	HandleCancellation(now balancer.Time, id balancer.RequestID)
-	HandleTimer(now balancer.Time, t balancer.TimerID)
+	HandleTimer(now balancer.Time, timer balancer.TimerID)
 	Reconfigure(now balancer.Time, cfg balancer.Config, classes, tenants []int) error
 	ExportState(now balancer.Time) balancer.LearnedState
-	ImportState(now balancer.Time, m balancer.LearnedState)
+	ImportState(now balancer.Time, state balancer.LearnedState)
 	SetProcessCount(processes int)
 }
 
@@ -132,11 +134,11 @@
 		violations:         map[safety.Reason]int{},
 		traceRequests:      debugEnabled(log),
 	}
-	decisions, err := balancer.New(settings.Balancer, settings.Seed, n)
+	newBalancer, err := balancer.New(settings.Balancer, settings.Seed, n)
 	if err != nil {
 		return nil, err
 	}
-	n.balancer = decisions
+	n.balancer = newBalancer
 	return n, nil
 }
 
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -16,8 +16,8 @@
 // A standby makes the node not ready; open requests are answered and their connections closed, idle ones close, and
 // in the end no client is kept. Active undoes all of that, and repeated calls have no effect.
 func TestStandby(t *testing.T) {
-	a, arrived, release := newBlockedBackend(t)
-	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	backend, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	idle, busy := dialNode(t, addr), dialNode(t, addr)
 	idle.exchange(readyRequest)
 	_, _ = io.WriteString(busy, requestText("once", 9000))
@@ -53,10 +53,10 @@
 			t.Error(err)
 		}
 	}
-	back := dialNode(t, addr)
+	client := dialNode(t, addr)
 	go func() { <-arrived }()
 	for _, request := range []string{readyRequest, requestText("read", 9000), readyRequest} {
-		if code, _, closing := back.exchange(request); code != 200 || closing {
+		if code, _, closing := client.exchange(request); code != 200 || closing {
 			t.Errorf("active again: %d, closing %v", code, closing)
 		}
 	}
@@ -82,12 +82,12 @@
 	}
 	done := make(chan struct{})
 	n.Drain(0, func() { close(done) })
-	for name, c := range map[string]struct {
-		ask  func(func(error))
+	for name, test := range map[string]struct {
+		call func(func(error))
 		want error
 	}{"status": {n.Status, errStopping}, "standby": {n.Standby, nil}, "active": {n.Active, errStopping}} {
-		if err := operatorCall(c.ask); !errors.Is(err, c.want) {
-			t.Errorf("%s during a shutdown: %v, want %v", name, err, c.want)
+		if err := operatorCall(test.call); !errors.Is(err, test.want) {
+			t.Errorf("%s during a shutdown: %v, want %v", name, err, test.want)
 		}
 	}
 	<-done
@@ -98,43 +98,43 @@
 func TestStandbyAndActiveAlternateUnderLoad(t *testing.T) {
 	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve)), targetOf("b", newTestBackend(t, serve))}, nil)
 	stop := make(chan struct{})
-	var served, again, lost atomic.Int64
-	var wait sync.WaitGroup
+	var served, resent, lost atomic.Int64
+	var wg sync.WaitGroup
 	for range 8 {
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
-			one := &http.Transport{MaxConnsPerHost: 1}
-			defer one.CloseIdleConnections()
+			defer wg.Done()
+			transport := &http.Transport{MaxConnsPerHost: 1}
+			defer transport.CloseIdleConnections()
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				ok := false
-				for sendings := 0; sendings < 2 && !ok; sendings++ {
+				answered := false
+				for tries := 0; tries < 2 && !answered; tries++ {
 					req, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/once", http.NoBody)
 					req.Header = http.Header{"X-Trace-Id": {fmt.Sprint("turn", lastTraceID.Add(1))}, "X-Customer": {"t"}}
-					if resp, err := one.RoundTrip(req); err == nil {
+					if resp, err := transport.RoundTrip(req); err == nil {
 						_, err = io.Copy(io.Discard, resp.Body)
 						_ = resp.Body.Close()
-						ok = err == nil && resp.StatusCode == http.StatusOK
+						answered = err == nil && resp.StatusCode == http.StatusOK
 					} else {
-						again.Add(1)
+						resent.Add(1)
 					}
 				}
-				if served.Add(1); !ok {
+				if served.Add(1); !answered {
 					lost.Add(1)
 				}
 			}
 		}()
 	}
-	for turn := range 100 {
+	for round := range 100 {
 		if err := operatorCall(n.Standby); err != nil {
 			t.Fatal(err)
 		}
-		if turn%4 == 0 {
+		if round%4 == 0 {
 			advanceDrain(n, idleCloseDelay) // idle connections close at once
 		}
 		for before := served.Load(); served.Load() < before+8; {
@@ -145,8 +145,8 @@
 		}
 	}
 	close(stop)
-	wait.Wait()
-	t.Logf("%d requests in 100 turns, %d sent again, %d lost", served.Load(), again.Load(), lost.Load())
+	wg.Wait()
+	t.Logf("%d requests in 100 turns, %d sent again, %d lost", served.Load(), resent.Load(), lost.Load())
 	if lost.Load() > 0 {
 		t.Error("requests were lost")
 	}
--- a/internal/node/poller.go
+++ b/internal/node/poller.go
@@ -29,11 +29,11 @@
 var configurePollerOnce sync.Once
 
 func configurePoller(log io.Writer) error {
-	return netpoll.Configure(netpoll.Config{PollerNum: 1, LoggerOutput: log, Runner: func(_ context.Context, f func()) {
+	return netpoll.Configure(netpoll.Config{PollerNum: 1, LoggerOutput: log, Runner: func(_ context.Context, handler func()) {
 		pollerBacklog.Add(1)
 		go func() {
 			defer pollerBacklog.Add(-1)
-			f()
+			handler()
 		}()
 		for i := 0; i < maxPollerYields && pollerBacklog.Load() > 0; i++ {
 			runtime.Gosched()
--- a/internal/node/pollerbarrier.go
+++ b/internal/node/pollerbarrier.go
@@ -69,15 +69,15 @@
 
 // onBytes releases as many waiters as bytes have come through.
 func (b *pollerBarrier) onBytes(_ context.Context, conn netpoll.Connection) error {
-	n := conn.Reader().Len()
-	if err := conn.Reader().Skip(n); err != nil {
+	received := conn.Reader().Len()
+	if err := conn.Reader().Skip(received); err != nil {
 		return err
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, passed := range b.waiters[:n] {
+	for _, passed := range b.waiters[:received] {
 		close(passed)
 	}
-	b.waiters = b.waiters[n:]
+	b.waiters = b.waiters[received:]
 	return conn.Reader().Release()
 }
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -18,7 +18,7 @@
 	classNames, classRules := settings.Classes, settings.Balancer.Classes
 	tenantNames, tenantQuotas := settings.Tenants, settings.Balancer.Tenants
 	usedClasses, usedTenants := n.numbersInUse()
-	classes, classesFrom := assignNumbers(usedClasses, classNames, func(class int) (ownNumber, learned int) {
+	classes, classesFrom := assignNumbers(usedClasses, classNames, func(class int) (ownNumber, learnedNumber int) {
 		number, ok := n.classIndex[classNames[class]]
 		switch {
 		case !ok:
@@ -28,7 +28,7 @@
 		}
 		return number, number
 	})
-	tenants, tenantsFrom := assignNumbers(usedTenants, tenantNames, func(tenant int) (ownNumber, learned int) {
+	tenants, tenantsFrom := assignNumbers(usedTenants, tenantNames, func(tenant int) (ownNumber, learnedNumber int) {
 		if number, ok := n.tenantIndex[tenantNames[tenant]]; ok {
 			return number, number
 		}
@@ -75,7 +75,7 @@
 // assignNumbers gives each of the new names a number: its own if origin says that it is kept, else an unused one,
 // else the next higher. For each number, nameAt has the index of the new name that has it, and learnedFrom the old
 // number whose learned state it continues, or noNumber.
-func assignNumbers(used []bool, names []string, origin func(name int) (ownNumber, learned int)) (nameAt, learnedFrom []int) {
+func assignNumbers(used []bool, names []string, origin func(name int) (ownNumber, learnedNumber int)) (nameAt, learnedFrom []int) {
 	nameAt, learnedFrom = make([]int, len(used)), make([]int, len(used))
 	for number := range nameAt {
 		nameAt[number], learnedFrom[number] = noNumber, number
@@ -86,7 +86,7 @@
 		}
 	}
 	for name := range names {
-		ownNumber, learned := origin(name)
+		ownNumber, learnedNumber := origin(name)
 		if ownNumber != noNumber {
 			continue
 		}
@@ -97,7 +97,7 @@
 		if free == len(nameAt) {
 			nameAt, learnedFrom, used = append(nameAt, noNumber), append(learnedFrom, noNumber), append(used, false)
 		}
-		nameAt[free], learnedFrom[free] = name, learned
+		nameAt[free], learnedFrom[free] = name, learnedNumber
 	}
 	length := len(nameAt)
 	for length > 0 && nameAt[length-1] == noNumber && !used[length-1] {
--- a/internal/node/recording_test.go
+++ b/internal/node/recording_test.go
@@ -16,19 +16,19 @@
 }
 
 func (m *recordingModule) HandleHealthCheck(
-	now balancer.Time, id balancer.EndpointID, out balancer.Outcome, took balancer.Span, rep *balancer.LoadReport,
+	now balancer.Time, id balancer.EndpointID, outcome balancer.Outcome, took balancer.Span, report *balancer.LoadReport,
 ) {
-	m.decisionModule.HandleHealthCheck(now, id, out, took, rep)
-	text := fmt.Sprint(out)
-	if rep != nil {
-		text += fmt.Sprint(" ", *rep)
+	m.decisionModule.HandleHealthCheck(now, id, outcome, took, report)
+	text := fmt.Sprint(outcome)
+	if report != nil {
+		text += fmt.Sprint(" ", *report)
 	}
 	m.healthChecks <- text
 }
 
-func (m *recordingModule) HandleRequest(now balancer.Time, a balancer.Request) {
-	m.requests <- a
-	m.decisionModule.HandleRequest(now, a)
+func (m *recordingModule) HandleRequest(now balancer.Time, request balancer.Request) {
+	m.requests <- request
+	m.decisionModule.HandleRequest(now, request)
 }
 
 // recordModule puts a recordingModule in front of the balancer. It must be called before the node gets requests.
@@ -39,14 +39,14 @@
 }
 
 // receiveNext is the next notification of the balancer.
-func receiveNext[T any](t *testing.T, from chan T) (v T) {
+func receiveNext[T any](t *testing.T, notifications chan T) (next T) {
 	t.Helper()
 	select {
-	case v = <-from:
+	case next = <-notifications:
 	case <-time.After(10 * time.Second):
 		t.Fatal("the balancer is not notified")
 	}
-	return v
+	return next
 }
 
 // nextHealthCheck is the outcome of the next health check of which the balancer is notified.
@@ -61,7 +61,7 @@
 	outcomes []balancer.Outcome
 }
 
-func (e *outcomeRecorder) HandleAttemptResult(now balancer.Time, s balancer.AttemptResult) {
-	e.outcomes = append(e.outcomes, s.Outcome)
-	e.decisionModule.HandleAttemptResult(now, s)
+func (r *outcomeRecorder) HandleAttemptResult(now balancer.Time, result balancer.AttemptResult) {
+	r.outcomes = append(r.outcomes, result.Outcome)
+	r.decisionModule.HandleAttemptResult(now, result)
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -39,8 +39,8 @@
 // During a drain the node is not ready, idle connections close after a delay and serve one more request until then;
 // new connections are served, and all admitted requests are answered.
 func TestDrain(t *testing.T) {
-	a, arrived, release := newBlockedBackend(t)
-	n, addr := startNode(t, []protocol.Target{targetOf("a", a)}, nil)
+	backend, arrived, release := newBlockedBackend(t)
+	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	idle, used, busy := dialNode(t, addr), dialNode(t, addr), dialNode(t, addr)
 	for _, c := range []*testClient{idle, used} {
 		if code, _, _ := c.exchange(readyRequest); code != 200 {
@@ -123,11 +123,11 @@
 // follows is read and discarded there, too.
 func TestEarlyAnsweredUploadIsClosedGracefully(t *testing.T) {
 	body := randomBody(1, 4<<20)
-	a := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+	backend := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Never-Ran", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	n, addr := startNode(t, a.targets(), nil)
+	n, addr := startNode(t, backend.targets(), nil)
 	conn := dialNode(t, addr)
 	_, _ = io.WriteString(conn, postRequest("Content-Length: "+strconv.Itoa(len(body))))
 	_, _ = conn.Write(body[:3<<20])
@@ -137,14 +137,14 @@
 	_, _ = conn.Write(body[3<<20:])
 	waitUntil(n, func() bool { return n.lingeringClients.Len() == 1 || len(n.clients) == 0 })
 	_, _ = io.WriteString(conn, requestText("once", 9000))
-	dropped := 0
+	discarded := 0
 	waitUntil(n, func() bool {
 		for c := range n.clients {
-			dropped = c.discardedBytes
+			discarded = c.discardedBytes
 		}
-		return dropped > 0 || len(n.clients) == 0
+		return discarded > 0 || len(n.clients) == 0
 	})
-	if dropped == 0 {
+	if discarded == 0 {
 		t.Error("closed without lingering")
 	}
 	if b, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
@@ -157,8 +157,8 @@
 func TestDrainClosesEveryConnection(t *testing.T) {
 	backend := newTestBackend(t, serve)
 	n, addr := startNode(t, backend.targets(), nil)
-	silent, part := dialNode(t, addr), dialNode(t, addr)
-	_, _ = io.WriteString(part, requestText("once", 9000)[:30])
+	silent, partial := dialNode(t, addr), dialNode(t, addr)
+	_, _ = io.WriteString(partial, requestText("once", 9000)[:30])
 	waitUntil(n, func() bool { return len(n.clients) == 2 && n.hasIncomingRequest() })
 	ended := make(chan struct{})
 	n.Drain(0, func() { close(ended) })
@@ -172,7 +172,7 @@
 	waitUntil(n, func() bool { return n.drain.closingAll })
 	runOnLoop(n, func() { n.drain.generation++ }) // periodic checks must not hide a failure
 	late := dialNode(t, addr)
-	for name, conn := range map[string]*testClient{"without a request": silent, "part of a request": part, "late": late} {
+	for name, conn := range map[string]*testClient{"without a request": silent, "part of a request": partial, "late": late} {
 		if b, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Fatalf("%s: read %q, %v, want the end", name, b, err)
 		}
@@ -191,7 +191,7 @@
 			t.Errorf("%d requests admitted, ended %v, with %d connections", n.openRequests, n.drain.onDrained == nil, len(n.clients))
 		}
 	})
-	for _, conn := range []*testClient{silent, part, late} {
+	for _, conn := range []*testClient{silent, partial, late} {
 		_ = conn.Close()
 	}
 	<-ended
@@ -200,7 +200,7 @@
 // How long a shutdown may take follows from the longest deadline, 3 s at most: 0.7 s after that the process may be
 // killed.
 func TestDrainEndsBeforeKillDeadline(t *testing.T) {
-	for name, test := range map[string]struct{ deadline, killed int64 }{
+	for name, test := range map[string]struct{ deadline, killedAfter int64 }{
 		"short deadlines": {390_000, 1_090_000},
 		"long deadlines":  {10_000_000, 3_700_000},
 	} {
@@ -213,10 +213,10 @@
 			ended := make(chan struct{})
 			n.Drain(0, func() { close(ended) })
 			runOnLoop(n, func() {
-				end := n.drain.answersDueBy - n.drain.stopRequestedAt
-				partly := n.drain.partialRequestsUntil - n.drain.stopRequestedAt
-				if end != test.killed-finalAnswerMargin || partly > test.killed-partialRequestMargin {
-					t.Errorf("ends %d us after its start, waits %d us for incomplete requests", end, partly)
+				dueAfter := n.drain.answersDueBy - n.drain.stopRequestedAt
+				partialWait := n.drain.partialRequestsUntil - n.drain.stopRequestedAt
+				if dueAfter != test.killedAfter-finalAnswerMargin || partialWait > test.killedAfter-partialRequestMargin {
+					t.Errorf("ends %d us after its start, waits %d us for incomplete requests", dueAfter, partialWait)
 				}
 			})
 			<-ended
@@ -227,7 +227,7 @@
 // A request long after the start of a shutdown, on a connection that stayed open, is answered before the process can
 // be killed, whatever its deadline: one of the first 0.7 s may be cut off, no other.
 func TestRequestLateInDrainIsAnsweredInTime(t *testing.T) {
-	for name, after := range map[string]int64{"late": killGrace, "in time": 0} {
+	for name, arrivesAfter := range map[string]int64{"late": killGrace, "in time": 0} {
 		t.Run(name, func(t *testing.T) {
 			backend := newManualBackend(t, 0)
 			n, addr := startNode(t, backend.targets(), nil)
@@ -237,20 +237,20 @@
 			waitUntil(n, func() bool { return n.hasIncomingRequest() })
 			ended := make(chan struct{})
 			n.Drain(0, func() { close(ended) })
-			runOnLoop(n, func() { n.drain.stopRequestedAt, n.drain.answersDueBy = n.now()-after, n.now()+2_000_000 })
+			runOnLoop(n, func() { n.drain.stopRequestedAt, n.drain.answersDueBy = n.now()-arrivesAfter, n.now()+2_000_000 })
 			_, _ = io.WriteString(conn, request[30:])
-			peer, _ := backend.acceptRequest()
+			accepted, _ := backend.acceptRequest()
 			runOnLoop(n, func() {
-				for _, r := range n.requests {
-					if capped := r.deadline == n.drain.answersDueBy; capped != (after > 0) {
-						t.Errorf("has until %d us from the end", r.deadline-n.drain.answersDueBy)
+				for _, req := range n.requests {
+					if capped := req.deadline == n.drain.answersDueBy; capped != (arrivesAfter > 0) {
+						t.Errorf("has until %d us from the end", req.deadline-n.drain.answersDueBy)
 					}
 				}
 			})
-			if after == 0 {
-				writeOK(peer, "served")
+			if arrivesAfter == 0 {
+				writeOK(accepted, "served")
 			} // else the backend never answers
-			if code, _, closing := conn.readAnswer(); (code == 200) != (after == 0) || !closing {
+			if code, _, closing := conn.readAnswer(); (code == 200) != (arrivesAfter == 0) || !closing {
 				t.Errorf("%d, closing %v", code, closing)
 			}
 			<-ended
@@ -309,7 +309,7 @@
 	n, addr := startNode(t, newTestBackend(t, serve).targets(), nil)
 	ended := make(chan struct{})
 	var conn *testClient
-	ending := false
+	requestSent := false
 	runOnLoop(n, func() { // the loop is busy as the client connects and sends its request
 		n.startDraining("draining")
 		n.drain.stopping, n.drain.closingAll = true, true
@@ -324,9 +324,9 @@
 		for unsent := 1; unsent > 0; { // until the kernel on the node's side has it
 			_ = raw.Control(func(fd uintptr) { unsent, _ = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
 		}
-		ending = true
+		requestSent = true
 	})
-	if code, _, closing := conn.readAnswer(); !ending || code != 503 || !closing {
+	if code, _, closing := conn.readAnswer(); !requestSent || code != 503 || !closing {
 		t.Errorf("%d, closing %v", code, closing)
 	}
 	_ = conn.Close()
@@ -336,11 +336,11 @@
 // A shutdown waits for a large request with an early answer: closed under it, the answer would be reset.
 func TestDrainWaitsForEarlyAnsweredUpload(t *testing.T) {
 	body := randomBody(1, 4<<20)
-	a := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+	backend := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Never-Ran", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	n, addr := startNode(t, a.targets(), nil)
+	n, addr := startNode(t, backend.targets(), nil)
 	conn := dialNode(t, addr)
 	_, _ = io.WriteString(conn, postRequest("Content-Length: "+strconv.Itoa(len(body))))
 	_, _ = conn.Write(body[:3<<20])
