--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -13,12 +13,13 @@
 	}
 }
 
-// postPriority queues a callback ahead of all that post has queued: load from clients must not delay an operator's
-// call.
+// postPriority queues a callback that runs before all callbacks queued by post, so that load from clients does not
+// delay an operator's call.
 func (n *Node) postPriority(callback func()) {
 	n.mu.Lock()
 	n.priorityPosted = append(n.priorityPosted, callback)
-	// Set before the caller can observe the call: the loop checks the flag before its next callback.
+	// The flag is set before mu is released, so that the event loop runs the callback before its next ordinary one as
+	// soon as the callback is visible in the queue.
 	n.priorityPending.Store(true)
 	n.mu.Unlock()
 	select {
@@ -42,7 +43,7 @@
 	}
 }
 
-// Run is the event loop: it serves until stop is closed.
+// Run runs the event loop until stop is closed.
 func (n *Node) Run(stop <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -77,8 +78,8 @@
 	}
 }
 
-// runDeferred delivers the results that were queued while the balancer was being called, and those that these cause
-// in turn.
+// runDeferred delivers the results that were queued while the balancer was being called, and any further results that
+// their delivery queues.
 func (n *Node) runDeferred() {
 	for i := 0; i < len(n.deferred); i++ {
 		callback := n.deferred[i]
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -7,22 +7,25 @@
 	"tulipglade/internal/protocol"
 )
 
-// HotRestartState is what a process passes to its successor: to backends and clients the two are one node.
+// HotRestartState is the state that a process hands over to its successor in a hot restart. To backends and clients the
+// two processes are one node.
 type HotRestartState struct {
 	EndpointList protocol.List         `json:"List"`
-	Classes      []string              `json:"Classes"` // those that Learned refers to, in its order
-	Tenants      []string              `json:"Tenants"`
+	Classes      []string              `json:"Classes"` // names of the classes in Learned, in the same order
+	Tenants      []string              `json:"Tenants"` // names of the tenants in Learned, in the same order
 	Learned      balancer.LearnedState `json:"Learned"`
-	// TraceIDs are the trace IDs of requests that may be running, with their expiry on the clock that both processes share.
+	// TraceIDs holds the trace IDs of requests that may still be running on a backend, with the time at which each
+	// expires, in microseconds of Unix time, which both processes use.
 	TraceIDs map[string]int64 `json:"IDs"`
 }
 
-// maxHandedOverTraceIDs bounds the trace IDs that are passed on.
+// maxHandedOverTraceIDs bounds the number of trace IDs that a process hands over.
 const maxHandedOverTraceIDs = 1 << 12
 
-// ExportState passes on this node's state, with half of what is left of warming endpoints' budgets.
+// ExportState calls deliver on the event loop with the state for a successor. The state includes half of the remaining
+// slow-start budgets of endpoints.
 func (n *Node) ExportState(deliver func(HotRestartState)) {
-	n.post(func() { // posted, so that the list with which the process started is included
+	n.post(func() { // runs after the update with the endpoint list that the process loaded at its start
 		state := HotRestartState{
 			EndpointList: protocol.List{Revision: n.listRevision, Full: true},
 			Classes:      n.settings.Classes,
@@ -45,10 +48,11 @@
 	})
 }
 
-// ImportState takes over what an earlier process of this node has learned of the endpoints that this one knows.
+// ImportState adopts the state that the predecessor has exported: what it has learned of the endpoints that this
+// process knows, and the trace IDs of its requests.
 func (n *Node) ImportState(state HotRestartState) {
 	n.post(func() {
-		// What was learned of classes and tenants does not apply if the settings have changed meanwhile.
+		// What was learned of classes and tenants is dropped if the settings now have other ones, or another order.
 		if !slices.Equal(state.Classes, n.settings.Classes) || !slices.Equal(state.Tenants, n.settings.Tenants) {
 			state.Learned.Classes, state.Learned.Tenants = nil, nil
 		}
@@ -63,11 +67,12 @@
 	})
 }
 
-// maxHandedOverTraceIDAge is how long a trace ID that was passed on is kept at most, in microseconds.
+// maxHandedOverTraceIDAge bounds how long a trace ID of the predecessor counts as in use, in microseconds.
 const maxHandedOverTraceIDAge = 60_000_000
 
-// SetProcessCount sets how many processes are this node. Each has its part of the descriptors, of the memory for
-// large messages and of warming endpoints' budgets.
+// SetProcessCount sets how many processes this node consists of, which is more than one during a hot restart. Each
+// process uses its share of the descriptors, of the memory for large messages and of the slow-start budgets of
+// endpoints.
 func (n *Node) SetProcessCount(processes int) {
 	n.postPriority(func() {
 		n.processCount = processes
--- a/internal/node/inheritedlistener.go
+++ b/internal/node/inheritedlistener.go
@@ -8,15 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// inheritedListener is a listening socket of another process. netpoll's own listener would make it blocking for a
-// moment, for both processes; an accept that then finds the queue empty would stop the poller and all connections
-// with it.
+// inheritedListener is a listener whose socket another process has opened and may still use. netpoll's own listener is
+// not used, because it would make the socket blocking for a moment, for both processes: an accept that found the queue
+// empty at that moment would block the poller, and with it all connections.
 type inheritedListener struct {
 	descriptor int
 	address    net.Addr
 }
 
-// InheritListener makes a listener of a descriptor and takes ownership of it.
+// InheritListener returns a listener for the descriptor of a listening TCP socket. Unless there is an error, the
+// listener owns the descriptor.
 func InheritListener(fd int) (netpoll.Listener, error) {
 	name, err := unix.Getsockname(fd)
 	if err != nil {
@@ -24,12 +25,12 @@
 	}
 	addr, ok := tcpAddr(name)
 	if !ok {
-		return nil, errors.New("not a TCP socket")
+		return nil, errors.New("the inherited listener is not a TCP socket")
 	}
 	return &inheritedListener{fd, addr}, unix.SetNonblock(fd, true)
 }
 
-// tcpAddr converts the address of a TCP socket.
+// tcpAddr converts the address of a TCP socket. It reports false for any other address.
 func tcpAddr(address unix.Sockaddr) (*net.TCPAddr, bool) {
 	switch socketAddress := address.(type) {
 	case *unix.SockaddrInet4:
@@ -40,7 +41,7 @@
 	return nil, false
 }
 
-// Accept implements netpoll.Listener: it returns neither a connection nor an error if the queue is empty.
+// Accept implements netpoll.Listener. It returns neither a connection nor an error if no connection is waiting.
 func (l *inheritedListener) Accept() (net.Conn, error) {
 	fd, from, err := unix.Accept(l.descriptor)
 	switch err {
@@ -67,7 +68,8 @@
 // Fd implements netpoll.Listener.
 func (l *inheritedListener) Fd() int { return l.descriptor }
 
-// acceptedConn has what netpoll needs of a connection to make its own of it.
+// acceptedConn is an accepted connection. It has only the methods that netpoll needs to create its own connection from
+// the descriptor.
 type acceptedConn struct {
 	net.Conn
 	descriptor    int
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -10,8 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// receiveBufferSize is how much of a connection's input the kernel may buffer. The poller reads all of it at once, so
-// it also bounds the memory that one connection can take, which otherwise grows to some MB.
+// receiveBufferSize is the size of the kernel's receive buffer of a connection, in bytes. The poller reads all that the
+// kernel has buffered at once, so this also bounds the memory that one connection can use, which would otherwise grow
+// to several MB.
 const receiveBufferSize = 64 << 10
 
 // limitReceiveBuffer sets the size of a socket's receive buffer.
@@ -19,8 +20,8 @@
 	return syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferSize)
 }
 
-// Listen opens the listener for the event loop that Node.Serve returns. Shared lets another process listen on the
-// same port, as in a hot restart.
+// Listen opens a listener for the event loop that Node.NewClientEventLoop returns. If shared is true, other processes
+// may listen on the same port, as in a hot restart.
 func Listen(addr string, shared bool) (netpoll.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,8 +1,9 @@
 // Package node holds the state of a running node: requests and their attempts, connections to clients and backends,
 // endpoints and timers. A Node implements balancer.Commands on real sockets.
 //
-// One goroutine, that of Node.Run, owns the balancer and all state. Everything else (the poller's callbacks, dials, writes,
-// discovery's watch) only posts to it, and nothing on it blocks.
+// A single goroutine, which runs the event loop in Node.Run, owns the balancer and all state. All other goroutines (the
+// poller's callbacks, dials, writes, the watch of discovery) only post callbacks to the event loop, and no callback may
+// block.
 package node
 
 import (
@@ -16,14 +17,16 @@
 	"tulipglade/internal/safety"
 )
 
-// Discovery is how a node asks for changes of the endpoint list. Its methods must not block; results come back
-// through Node.UpdateEndpoints, Node.UpdateEndpointsAsOf and Node.DiscoveryCallFailed.
+// Discovery is the client with which a node requests endpoint lists. Its methods must not block; results are returned
+// by calls of Node.UpdateEndpoints, Node.UpdateEndpointsAsOf and Node.DiscoveryCallFailed.
 type Discovery interface {
+	// Watch starts or stops the watch for changes of the endpoint list.
 	Watch(on bool)
+	// Poll requests the full endpoint list once.
 	Poll()
 }
 
-// decisionModule is the part of balancer.Balancer that the node calls; tests put a recording one in between.
+// decisionModule is the part of balancer.Balancer that the node calls. Tests wrap it to record the calls.
 type decisionModule interface {
 	HandleEndpointsAsOf(now, asOf balancer.Time, kind balancer.ListKind, list []balancer.Endpoint)
 	HandleRequest(now balancer.Time, request balancer.Request)
@@ -43,9 +46,10 @@
 	SetProcessCount(processes int)
 }
 
-// Node forwards clients' requests to backends as the balancer decides.
+// Node is one load balancer node: it accepts requests from clients and forwards them to the backends that the balancer
+// selects.
 type Node struct {
-	settings        *Settings // in force; classes and tenants in the order of the balancer's numbers
+	settings        *Settings // the current settings, with classes and tenants indexed by the balancer's numbers
 	log             *slog.Logger
 	discovery       Discovery
 	balancer        decisionModule
@@ -54,61 +58,61 @@
 
 	mu              sync.Mutex // guards posted and priorityPosted
 	posted          []func()
-	priorityPosted  []func() // operators' calls, which run before what is posted
-	priorityPending atomic.Bool
-	wake            chan struct{}
+	priorityPosted  []func()      // operators' calls, which run before the callbacks in posted
+	priorityPending atomic.Bool   // priorityPosted is not empty
+	wake            chan struct{} // wakes the event loop after a callback was posted
 
 	readBudget     *readBudget
 	pendingAccepts atomic.Int32 // accepted connections that the event loop has not registered
 
-	// What follows belongs to the event loop.
+	// The following fields are only accessed on the event loop.
 
 	deferred           []func() // results for the balancer, which must not be called from within its commands
 	timers             timerHeap
 	lastTimerSequence  uint64
-	invalidTransitions map[invalidTransition]struct{} // those that have been logged
-	warningCounts      map[string]int                 // by message, since the last maintenance
+	invalidTransitions map[invalidTransition]struct{} // invalid state transitions that have been logged
+	warningCounts      map[string]int                 // warnings by message since the last run of runMaintenance
 
 	classIndex, tenantIndex, zoneIndex map[string]int
 
 	requests          map[balancer.RequestID]*request
-	traceIDsInUse     map[string]struct{} // clients' trace IDs, each until its request's time is over
+	traceIDsInUse     map[string]struct{} // requests' trace IDs, each until the request would be overdue
 	lastRequestID     balancer.RequestID
-	openRequests      int // admitted and not answered
-	answersInProgress int // answers that are being written
-	activeForwarders  int // large messages that are being forwarded
-	queuedForwarders  []func()
-	overflowBytes     int // input that clients have sent behind a request that is not answered
+	openRequests      int      // requests that are admitted and not yet answered
+	answersInProgress int      // answers that are being written
+	activeForwarders  int      // large messages that are being forwarded
+	queuedForwarders  []func() // starts of forwarders that wait for one of the active ones to finish
+	overflowBytes     int      // pipelined input that clients have sent while an earlier request is unanswered
 
 	endpoints       map[balancer.EndpointID]*endpoint
 	endpointsByUID  map[string]*endpoint
 	lastEndpointID  balancer.EndpointID
 	tombstones      tombstones
-	listRevision    int64 // of the latest endpoint list
-	endpointsKnown  bool  // at least one endpoint has been listed
+	listRevision    int64 // revision of the latest endpoint list that was in order
+	endpointsKnown  bool  // at least one endpoint has been listed since the start
 	listFreshness   listFreshness
 	openDescriptors int
-	processCount    int // processes that share this node's address; 0: one
+	processCount    int // number of processes that share this node's address; 0 means one
 
 	clients          map[*clientConn]struct{}
-	newClients       list.List // of *clientConn: those that have never sent a request, oldest first
-	idleClients      list.List // of *clientConn: the others without a request, oldest first
-	lingeringClients list.List // of *clientConn: those in state clientLingering, oldest first
+	newClients       list.List // of *clientConn: connections that have never sent a request, oldest first
+	idleClients      list.List // of *clientConn: connections that are between two requests, idle for longest first
+	lingeringClients list.List // of *clientConn: connections in state clientLingering, oldest first
 
-	idleBackends          list.List // of *backendConn, oldest first
-	idleOutcomes          [64]idleOutcome
-	learnedIdleLimit      int64 // idle time after which backend connections break
-	learnedIdleLimitUntil int64 // when learnedIdleLimit expires
+	idleBackends          list.List       // of *backendConn, idle for longest first
+	idleOutcomes          [64]idleOutcome // by idle time, two entries for each doubling of it
+	learnedIdleLimit      int64           // observed idle time after which backend connections break
+	learnedIdleLimitUntil int64           // when learnedIdleLimit expires
 
 	drain          drainState
-	violations     map[safety.Reason]int // by the audit
+	violations     map[safety.Reason]int // invariant violations that the audit has found, by reason
 	traceRequests  bool                  // log each step of each request
-	testWriteDelay int64                 // set by tests: delay of every first byte
-	// testReportDelay is set by tests: how long the result of a system call waits for its post.
+	testWriteDelay int64                 // set by tests: simulated delay of the first byte of attempts, in microseconds
+	// testReportDelay is set by tests. It returns the delay before the result of a system call is posted.
 	testReportDelay atomic.Pointer[func(reportKind) time.Duration]
 }
 
-// New returns a Node that has not started. Run must be called before anything else has an effect.
+// New returns a Node that is not running: what is posted to it takes effect once Run is called.
 func New(settings Settings, discovery Discovery, log *slog.Logger) (*Node, error) {
 	start := time.Now()
 	settings.addDefaultTenant()
@@ -142,7 +146,7 @@
 	return n, nil
 }
 
-// indexByName maps each name to its position.
+// indexByName maps each name to its position in the slice.
 func indexByName(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, name := range names {
@@ -151,11 +155,11 @@
 	return m
 }
 
-// now reads the node's clock: microseconds that run monotonically from the Unix time of the start. Unix times from
-// elsewhere, such as a backend's start, so need no conversion.
+// now returns the time of the node's clock, in microseconds. The clock begins at the Unix time of the node's start and
+// advances monotonically, so Unix times from other sources, such as the start of a backend, need no conversion.
 func (n *Node) now() int64 { return n.startedAtMicros + time.Since(n.startedAt).Microseconds() }
 
-// nodeTime converts a time of this process to the node's clock.
+// nodeTime converts a time that this process has taken to the node's clock.
 func (n *Node) nodeTime(t time.Time) int64 {
 	return n.startedAtMicros + t.Sub(n.startedAt).Microseconds()
 }
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -2,14 +2,14 @@
 
 import "errors"
 
-// Errors that operators get.
+// Errors with which operators' calls are answered.
 var (
 	errNoEndpoints = errors.New("no backend has been named yet")
 	errStopping    = errors.New("the process is stopping")
 )
 
-// Status reports whether this process can serve: an endpoint is known, and no shutdown is in progress. A standby
-// makes no difference.
+// Status calls reply with nil if this process can serve: at least one endpoint has been listed, and no shutdown is in
+// progress. A node in standby can serve. Otherwise it calls reply with the reason.
 func (n *Node) Status(reply func(error)) {
 	n.postPriority(func() {
 		switch {
@@ -23,7 +23,7 @@
 	})
 }
 
-// Standby drains the node until Active is called. It has no effect on a drain in progress.
+// Standby drains the node until Active is called. If a drain is in progress already, it only calls reply.
 func (n *Node) Standby(reply func(error)) {
 	n.postPriority(func() {
 		n.startDraining("standby")
@@ -31,7 +31,8 @@
 	})
 }
 
-// Active ends a standby at any point of it. A shutdown can't be revoked.
+// Active ends a standby, however far its drain has progressed. During a shutdown, which can't be revoked, it calls
+// reply with an error.
 func (n *Node) Active(reply func(error)) {
 	n.postPriority(func() {
 		if n.drain.stopping {
--- a/internal/node/poller.go
+++ b/internal/node/poller.go
@@ -10,22 +10,22 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// pollerBacklog counts what the poller has caused and the node has not processed: running handlers, input posted to
-// the event loop, connections that are being detached.
+// pollerBacklog counts the work that the poller has started and the node has not finished: running handlers, input
+// that is posted to the event loop, and connections that are being detached.
 var pollerBacklog atomic.Int64
 
-// maxPollerYields bounds how long the poller waits for that.
+// maxPollerYields bounds how many times the poller yields to the scheduler while there is a backlog.
 const maxPollerYields = 200
 
-// ConfigurePoller sets up the one poller that all nodes of this process share. It waits a little for what it has
-// caused: as it reads all there is, it would otherwise buffer some MB of a large message before the node could stop
-// it.
+// ConfigurePoller configures the single poller that all nodes of this process share. After each handler that it starts,
+// the poller waits a little for its backlog to be processed: since it reads all input that is available, it would
+// otherwise buffer several MB of a large message before the node could stop it. Calls after the first have no effect.
 func ConfigurePoller(log io.Writer) (err error) {
 	configurePollerOnce.Do(func() { err = configurePoller(log) })
 	return err
 }
 
-// configurePollerOnce guards the configuration, as the poller runs after the first one.
+// configurePollerOnce ensures that the poller is configured once, since it is running afterwards.
 var configurePollerOnce sync.Once
 
 func configurePoller(log io.Writer) error {
--- a/internal/node/pollerbarrier.go
+++ b/internal/node/pollerbarrier.go
@@ -12,21 +12,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// pollerBarrier waits until the poller has processed all events that it has taken from the kernel: a byte written to
-// a pipe that it polls comes behind them.
+// pollerBarrier waits until the poller has processed all events that it has already received from the kernel. To do so
+// it writes a byte to a pipe that the poller polls too: the event for that byte comes after those events.
 type pollerBarrier struct {
 	mu      sync.Mutex
 	pipe    *os.File
-	waiters []chan struct{}
+	waiters []chan struct{} // one for each byte that the poller has not passed on, in the order of the bytes
 }
 
-// sharedPollerBarrier is the only one: netpoll has one set of pollers in a process, which a node limits to one.
+// sharedPollerBarrier is the only barrier of the process: netpoll has one set of pollers in a process, and
+// ConfigurePoller limits it to one poller.
 var sharedPollerBarrier pollerBarrier
 
-// barrierTimeout bounds the wait: a poller that takes longer hangs.
+// barrierTimeout bounds the wait. A poller that takes longer is assumed to hang.
 const barrierTimeout = 2 * time.Second
 
-// wait returns once the poller has processed the events that it has taken from the kernel.
+// wait returns once the poller has processed all events that it had received from the kernel before the call, or fails
+// after barrierTimeout.
 func (b *pollerBarrier) wait() error {
 	passed := make(chan struct{})
 	b.mu.Lock()
@@ -48,15 +50,15 @@
 	case <-passed:
 		return nil
 	case <-timeout.C:
-		return errors.New("the poller does not answer")
+		return errors.New("the poller did not process its pending events in time")
 	}
 }
 
-// open creates the pipe when it is first needed.
+// open creates the pipe and adds its read end to the poller.
 func (b *pollerBarrier) open() error {
 	var fds [2]int
 	if err := unix.Pipe2(fds[:], unix.O_CLOEXEC|unix.O_NONBLOCK); err != nil {
-		return fmt.Errorf("pipe: %w", err)
+		return fmt.Errorf("create pipe to the poller: %w", err)
 	}
 	conn, err := netpoll.NewFDConnection(fds[0])
 	if err != nil {
@@ -67,7 +69,7 @@
 	return conn.SetOnRequest(b.onBytes)
 }
 
-// onBytes releases as many waiters as bytes have come through.
+// onBytes runs when the poller has read from the pipe. It releases one waiter for each byte, the oldest first.
 func (b *pollerBarrier) onBytes(_ context.Context, conn netpoll.Connection) error {
 	received := conn.Reader().Len()
 	if err := conn.Reader().Skip(received); err != nil {
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -2,15 +2,17 @@
 
 import "tulipglade/internal/balancer"
 
-// Reconfigure puts new settings in force. They must be valid: balancer.New accepts their Balancer part. Open requests
-// and what follows from them keep the settings under which they were admitted. What was learned of a class or tenant
-// is kept under its name.
+// Reconfigure replaces the settings. They must be valid, which means that balancer.New accepts their Balancer part.
+// Open requests and their attempts keep the settings under which they were admitted. What was learned of a class or
+// tenant is kept as long as its name stays in the settings. Zones, Seed, MaxDescriptors and MemoryLimit keep the values
+// with which the node was created.
 func (n *Node) Reconfigure(settings Settings) {
 	n.post(func() { n.applySettings(settings) })
 }
 
-// applySettings gives each class and tenant a number. A class that stays the same keeps its number; one that changes
-// gets another, as open requests of it keep the old rules; numbers that only open requests use stay the same.
+// applySettings assigns a number to each class and tenant and passes the settings to the balancer. A class whose rules
+// are unchanged keeps its number. A class whose rules change gets another number, because its open requests keep the
+// old rules. Numbers that only open requests still use are kept.
 func (n *Node) applySettings(settings Settings) {
 	previous := n.settings
 	settings.addDefaultTenant()
@@ -47,7 +49,7 @@
 	n.log.Info("settings applied", "classes", classNames, "attempts", settings.Balancer.MaxAttempts, "tenants", tenantNames)
 }
 
-// numbersInUse marks the numbers of classes and tenants that requests use.
+// numbersInUse reports, by number, which classes and tenants the requests in n.requests use.
 func (n *Node) numbersInUse() (classes, tenants []bool) {
 	classes, tenants = make([]bool, len(n.settings.Classes)), make([]bool, len(n.settings.Tenants))
 	for _, req := range n.requests {
@@ -56,8 +58,9 @@
 	return classes, tenants
 }
 
-// arrangeByNumber arranges values by number. A number without a new name, which open requests use or nobody does, keeps its
-// previous value.
+// arrangeByNumber returns values, which are in the order of the new names, in the order of their numbers; nameAt is a
+// result of assignNumbers. A number without a new name, whether open requests still use it or not, keeps its previous
+// value.
 func arrangeByNumber[T any](nameAt []int, values []T, previous func(number int) T) (arranged []T) {
 	for number, name := range nameAt {
 		if name == noNumber {
@@ -69,13 +72,17 @@
 	return arranged
 }
 
-// noNumber stands for no number or no name.
+// noNumber stands for the lack of a number, or of the index of a name.
 const noNumber = -1
 
-// assignNumbers gives each of the new names a number: its own if origin says that it is kept, else an unused one,
-// else the next higher. For each number, nameAt has the index of the new name that has it, and learnedFrom the old
-// number whose learned state it continues, or noNumber.
-func assignNumbers(used []bool, names []string, origin func(name int) (ownNumber, learnedNumber int)) (nameAt, learnedFrom []int) {
+// assignNumbers assigns a number to each of the new names, of classes or of tenants. origin returns the number that a
+// name keeps and the old number whose learned state it continues, each of which may be noNumber. A name that keeps no
+// number gets the lowest unused one, or the next higher if all are in use. In the results, which are indexed by number,
+// nameAt holds the index of the new name with that number, and learnedFrom the old number whose learned state it
+// continues, or noNumber.
+func assignNumbers(
+	used []bool, names []string, origin func(name int) (ownNumber, learnedNumber int),
+) (nameAt, learnedFrom []int) {
 	nameAt, learnedFrom = make([]int, len(used)), make([]int, len(used))
 	for number := range nameAt {
 		nameAt[number], learnedFrom[number] = noNumber, number
@@ -106,7 +113,7 @@
 	return nameAt[:length], learnedFrom[:length]
 }
 
-// numbersByName maps the names that new requests may use to their numbers.
+// numbersByName returns the number of each name in names. New requests are only admitted for these names.
 func numbersByName(nameAt []int, names []string) map[string]int {
 	index := make(map[string]int, len(names))
 	for number, name := range nameAt {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -7,47 +7,49 @@
 	"tulipglade/internal/safety"
 )
 
-// Steps of a drain, which a standby and the end of the process have in common, in microseconds from its start.
-// Clients are sent elsewhere; what has been admitted is answered.
+// Steps of a drain, in microseconds from its start. A standby and the shutdown of the process drain in the same way:
+// clients are directed to other nodes, and all requests that were admitted are answered.
 const (
-	// idleCloseDelay is when idle connections are closed. Until then each answer closes its own: a close that crosses
-	// a request rejects it, and the front end takes 0.3 s to send new connections elsewhere.
+	// idleCloseDelay is the time after which idle connections are closed. Until then a connection is only closed after
+	// an answer on it: a request that crosses the close of its connection gets no answer, and the frontend takes 0.3 s
+	// to direct new connections to other nodes.
 	idleCloseDelay = 500_000
-	// rejectDelay is when new requests are rejected: 4 s after the start no client may be kept waiting, nor one whose
-	// request came in the last 2 s of these.
+	// rejectDelay is the time after which new requests are rejected. 4 s after the start no client may still be waiting
+	// for an answer, not even one whose request arrived in the last 2 s of that time.
 	rejectDelay = 1_500_000
-	// drainCheckInterval is the time between two checks of idle connections.
+	// drainCheckInterval is the time between two checks for idle connections.
 	drainCheckInterval = 100_000
-	// partialRequestGrace bounds the wait for incomplete requests at the end of the process.
+	// partialRequestGrace bounds how long a shutdown waits for the rest of incomplete requests.
 	partialRequestGrace = 2_000_000
 )
 
-// A process that has been told to end is killed no sooner than after the longest deadline, 3 s at most, and 0.7 s
-// more (see the figures of the protocol), in microseconds. A request of the first 0.7 s may be unanswered then; a
-// later one must be answered.
+// Limits of a shutdown, in microseconds. A process that was told to end is killed no sooner than 0.7 s after the
+// longest deadline of a request, which counts as 3 s at most (see the figures of the protocol). A request that arrives
+// in the first 0.7 s may still be unanswered then; one that arrives later must be answered.
 const (
 	killDeadline         = 3_000_000
 	killGrace            = 700_000
-	finalAnswerMargin    = 100_000 // for the transmission of the last answers
-	partialRequestMargin = 300_000 // so long before it, connections with an incomplete request are closed
+	finalAnswerMargin    = 100_000 // time before the kill that is reserved for the transmission of the last answers
+	partialRequestMargin = 300_000 // time before the kill at which connections with an incomplete request are closed
 )
 
-// drainState is the progress of a graceful shutdown, or of a standby.
+// drainState is the progress of a graceful shutdown or of a standby.
 type drainState struct {
-	active               bool // /ready answers 503, and each answer closes its connection
+	active               bool // a drain is in progress: /ready answers 503, and each answer closes its connection
 	rejecting            bool // new requests are rejected
-	stopping             bool // the process ends; otherwise this is a standby
+	stopping             bool // this is a shutdown; otherwise it is a standby
 	startedAt            int64
-	generation           int   // counts drains: the timers of an earlier one have no effect
-	stopRequestedAt      int64 // when the process was told to end
-	partialRequestsUntil int64 // until when the end of the process waits for incomplete requests
-	answersDueBy         int64 // when all requests must be answered, and all answers read
-	closingAll           bool  // all requests are answered: every connection is being closed
-	onDrained            func()
+	generation           int    // number of drains so far: timers of an earlier drain have no effect
+	stopRequestedAt      int64  // when the process was told to end
+	partialRequestsUntil int64  // until when a shutdown waits for incomplete requests
+	answersDueBy         int64  // when all requests must be answered, and all answers read by the clients
+	closingAll           bool   // all requests are answered, and every connection is being closed
+	onDrained            func() // called at the end of a shutdown; nil: not to be called yet, or called already
 }
 
-// Drain starts a graceful shutdown: it drains as Standby does and calls done, at the earliest after grace, once all
-// admitted requests are answered.
+// Drain starts a graceful shutdown. It drains the node as Standby does, and calls done once all admitted requests are
+// answered and clients have closed their connections or the time for that is over, but not before grace and
+// idleCloseDelay have passed.
 func (n *Node) Drain(grace time.Duration, done func()) {
 	n.postPriority(func() {
 		if n.drain.stopping {
@@ -61,7 +63,7 @@
 	})
 }
 
-// setDeadlines derives the deadlines of a shutdown from its start and the longest deadline of a request.
+// setDeadlines sets the deadlines of a shutdown that starts now; longestDeadline is the longest deadline of a request.
 func (d *drainState) setDeadlines(now, longestDeadline int64) {
 	killedAt := now + min(longestDeadline, killDeadline) + killGrace
 	d.stopRequestedAt = now
@@ -69,7 +71,7 @@
 	d.partialRequestsUntil = min(now+partialRequestGrace, killedAt-partialRequestMargin)
 }
 
-// startDraining begins a drain unless one is in progress.
+// startDraining begins a drain and logs the message, unless a drain is in progress.
 func (n *Node) startDraining(message string) {
 	if n.drain.active {
 		return
@@ -80,7 +82,8 @@
 	n.scheduleAt(n.drain.startedAt+idleCloseDelay, func() { n.drainTick(generation) })
 }
 
-// drainTick closes idle connections, again and again until the drain is over.
+// drainTick closes idle connections and, after rejectDelay, starts rejecting new requests. It reschedules itself until
+// the drain with this generation is over.
 func (n *Node) drainTick(generation int) {
 	if !n.drain.active || n.drain.generation != generation {
 		return
@@ -91,8 +94,8 @@
 	n.scheduleAt(now+drainCheckInterval, func() { n.drainTick(generation) })
 }
 
-// closeIdleClients closes connections that hold no request, not even a part of one, except new ones on which the
-// first request is expected.
+// closeIdleClients closes client connections on which no request is in progress, not even an incomplete one. Until new
+// requests are rejected, it spares new connections, on which the first request is expected.
 func (n *Node) closeIdleClients() {
 	for _, conns := range []*list.List{&n.newClients, &n.idleClients} {
 		for element := conns.Front(); element != nil; {
@@ -105,9 +108,10 @@
 	}
 }
 
-// checkDrained ends a graceful shutdown in this order: all requests are answered; every connection is closed
-// gracefully, new ones too; all clients have seen that and closed their side. What crosses this is never read, and
-// its client sees an orderly end of the connection: the end of the process would reset it.
+// checkDrained advances a graceful shutdown, in this order: all requests are answered; all connections are closed
+// gracefully, including new ones; all clients have noticed this and closed their side. A request that crosses the close
+// is never processed, and its client sees an orderly end of the connection, whereas the end of the process would reset
+// it.
 func (n *Node) checkDrained() {
 	now := n.now()
 	if n.drain.onDrained == nil || n.openRequests > 0 || n.answersInProgress > 0 {
@@ -126,8 +130,9 @@
 	onDrained()
 }
 
-// closeClientsGracefully closes all connections on which no request or answer is in progress, and returns the number
-// of the others. A request that came before its connection could be closed is rejected, not dropped.
+// closeClientsGracefully closes all client connections on which no request or answer is in progress, and returns the
+// number of connections that are still busy. A request that arrived before its connection could be closed is rejected
+// rather than dropped.
 func (n *Node) closeClientsGracefully() (busy int) {
 	for client := range n.clients {
 		switch {
@@ -141,8 +146,8 @@
 	return busy
 }
 
-// answerDeadline is when a request whose last byte came at a time must be answered: by its deadline, and during a
-// shutdown before the process is killed.
+// answerDeadline returns when a request must be answered whose last byte arrived at receivedAt: by its deadline, and if
+// it arrived killGrace or more after the start of a shutdown, also before the process can be killed.
 func (n *Node) answerDeadline(receivedAt, deadline int64) int64 {
 	if n.drain.stopping && receivedAt >= n.drain.stopRequestedAt+killGrace {
 		return min(deadline, n.drain.answersDueBy)
@@ -150,7 +155,7 @@
 	return deadline
 }
 
-// longestDeadline is the longest deadline of any class.
+// longestDeadline returns the longest deadline of all classes.
 func (n *Node) longestDeadline() (longest int64) {
 	for i := range n.settings.Balancer.Classes {
 		longest = max(longest, n.settings.Balancer.Classes[i].Deadline)
@@ -158,7 +163,8 @@
 	return longest
 }
 
-// hasIncomingRequest reports whether a part of a request has come from a client, or is expected on a new connection.
+// hasIncomingRequest reports whether any client has sent a part of a request, or has just connected and is expected to
+// send one.
 func (n *Node) hasIncomingRequest() bool {
 	for client := range n.clients {
 		if client.state != clientLingering && (client.input != nil || client.unreadInput() > 0 || client.upload != nil || client.isNew()) {
@@ -168,7 +174,7 @@
 	return false
 }
 
-// isNew reports whether the connection was accepted a short time ago and has not sent a request yet.
+// isNew reports whether the connection was accepted less than idleCloseDelay ago and no request has arrived on it yet.
 func (c *clientConn) isNew() bool {
 	return !c.hasSentRequest && c.node.now()-c.requestStartedAt < idleCloseDelay
 }
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// timer is a callback that is due at a time of the node's clock.
+// timer is a callback and the time of the node's clock at which it runs.
 type timer struct {
 	dueAt    int64
-	sequence uint64 // timers due at the same time fire in the order in which they were set
+	sequence uint64 // orders timers that are due at the same time by when they were set
 	callback func()
 }
 
@@ -38,15 +38,15 @@
 	return t
 }
 
-// scheduleAt runs a callback on the event loop at a time of the node's clock.
+// scheduleAt sets a timer that runs a callback on the event loop when the node's clock reaches dueAt.
 func (n *Node) scheduleAt(dueAt int64, callback func()) {
 	n.lastTimerSequence++
 	heap.Push(&n.timers, timer{dueAt, n.lastTimerSequence, callback})
 }
 
-// runDueTimers runs the timers that are due and returns the delay until the next one. A timer that they set for a
-// moment later waits for the next round, behind all that has been posted meanwhile: one that reschedules itself with
-// next to no delay would otherwise starve requests and answers.
+// runDueTimers runs the timers that are due when it is called, and returns the delay until the next one. A timer that
+// becomes due while it runs waits for the event loop's next iteration, behind all callbacks posted meanwhile: a timer
+// that reschedules itself with almost no delay would otherwise starve requests and answers.
 func (n *Node) runDueTimers() time.Duration {
 	for now := n.now(); len(n.timers) > 0 && n.timers[0].dueAt <= now; {
 		n.runPriority()
