--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -11,8 +11,9 @@
 	"tulipglade/internal/protocol"
 )
 
-// A client that connects and sends nothing is closed in time; a connection between two requests stays until there are
-// more than clients need. Without that, hundreds of unused connections would take every descriptor.
+// A connection on which no request arrives must be closed after headTimeout. A connection between two requests must
+// stay open until clients hold more than their share of the descriptors. Otherwise hundreds of unused connections would
+// use up all descriptors.
 func TestUnusedConnectionsAreClosed(t *testing.T) {
 	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve))}, func(s *Settings) { s.MaxDescriptors = 1000 })
 	used, silent := dialNode(t, addr), dialNode(t, addr)
@@ -21,7 +22,7 @@
 		if n.newClients.Len() != 1 || n.idleClients.Len() != 1 {
 			return false
 		}
-		n.closeStalledClients() // no timeout has passed
+		n.closeStalledClients() // must not close anything: no timeout has passed
 		for c := range n.clients {
 			c.requestStartedAt, c.idleSince = c.requestStartedAt-headTimeout, c.idleSince-headTimeout
 		}
@@ -32,7 +33,7 @@
 		t.Errorf("the silent connection: %v", err)
 	}
 	if code, _, _ := used.exchange(requestText("once", 9000)); code != 200 {
-		t.Errorf("the used one: %d", code)
+		t.Errorf("the used connection: %d", code)
 	}
 	waitUntil(n, func() bool {
 		if n.idleClients.Len() != 1 {
@@ -44,12 +45,12 @@
 		return true
 	})
 	if _, err := used.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the used one, whose descriptor is needed: %v", err)
+		t.Errorf("the used connection, whose descriptor is needed: %v", err)
 	}
 }
 
-// Clients that send one request and keep their connection do not keep others out: of the connections between two
-// requests, those idle for longest close once there are many.
+// Clients that send one request and keep their connection must not keep others out. Once too many connections are
+// between two requests, those that have been idle for longest are closed.
 func TestIdleConnectionsAreLimited(t *testing.T) {
 	targets := newTestBackend(t, serve).targets()
 	n, addr := startNode(t, targets, func(s *Settings) { s.MaxDescriptors = 10 * idleClientLimitDivisor })
@@ -62,14 +63,15 @@
 		waitUntil(n, func() bool { return n.idleClients.Len() == min(i+1, 10) })
 	}
 	if _, err := clients[4].reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the fifth: %v", err)
+		t.Errorf("the fifth connection: %v", err)
 	}
 	if code, _, _ := clients[5].exchange(requestText("once", 9000)); code != 200 {
-		t.Errorf("the sixth: %d", code)
+		t.Errorf("the sixth connection: %d", code)
 	}
 }
 
-// If descriptors are short, unused client connections close before backend connections that the next requests need.
+// If descriptors are short, unused client connections must be closed before backend connections, which the next
+// requests need.
 func TestUnusedConnectionsReleaseDescriptors(t *testing.T) {
 	targets := newTestBackend(t, serve).targets()
 	n, addr := startNode(t, targets, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 3 })
@@ -90,8 +92,8 @@
 	}
 }
 
-// The poller does not run ahead of the event loop, which frees descriptors for new connections: a burst would use
-// them up before the first is registered.
+// The poller must not accept connections much faster than the event loop registers them, because the event loop frees
+// descriptors for them. Otherwise a burst of connections would use up all descriptors before the first is registered.
 func TestAcceptBurstIsThrottled(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	n, _ := startNode(t, nil, nil)
@@ -99,12 +101,12 @@
 		n.pendingAccepts.Add(1)
 		n.post(func() { n.pendingAccepts.Add(-1) })
 		if n.throttleAccepts(); n.pendingAccepts.Load() >= maxPendingAccepts {
-			t.Fatalf("%d connections ahead", n.pendingAccepts.Load())
+			t.Fatalf("%d accepted connections are not registered", n.pendingAccepts.Load())
 		}
 	}
 }
 
-// At the limit of descriptors the connection that has been idle longest closes, never one with a request.
+// At the limit of descriptors the connection that has been idle for longest must be closed, never one with a request.
 func TestDescriptorsAreCapped(t *testing.T) {
 	backend, arrived, release := newBlockedBackend(t)
 	_, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 4 })
@@ -123,15 +125,15 @@
 	}
 	close(release)
 	if code, _, _ := busy.readAnswer(); code != 200 {
-		t.Errorf("the busy one: %d", code)
+		t.Errorf("the busy connection: %d", code)
 	}
 }
 
-// A new connection must not be closed because the connections that have just been answered are not known to be idle
-// yet. It was: the client has read its whole answer, but the report of its write has not reached the event loop, so
-// the connection counts as one with a request in progress. With all connections in that state or busy, the node logged
-// "client connection rejected descriptors=5" and closed the newest without a word. This is TestDescriptorsAreCapped
-// with the report of each write 3 ms late.
+// A new connection must not be closed because connections that have just been answered are not known to be idle yet.
+// After a client has read its whole answer, its connection counts as one with a request in progress until the report of
+// the write reaches the event loop. When all connections were in that state or busy, the node logged
+// "client connection rejected descriptors=5" and closed the newest one without an answer. This is
+// TestDescriptorsAreCapped with the report of each write delayed by 3 ms.
 func TestNewConnectionIsServedWhileAnswersAreReported(t *testing.T) {
 	backend, arrived, release := newBlockedBackend(t)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 4 })
@@ -152,16 +154,16 @@
 	waitUntil(n, func() bool { return !n.exceedsDescriptorLimit(0) })
 	close(release)
 	if code, _, _ := busy.readAnswer(); code != 200 {
-		t.Errorf("the busy one: %d", code)
+		t.Errorf("the busy connection: %d", code)
 	}
 }
 
-// Where every connection has a request that is not answered, a new client gets the protocol's answer to a node that is
-// full, 503 in time, instead of the end of its connection.
+// If every connection has an unanswered request and no descriptor is left, the request of a new client must be rejected
+// in time with the protocol's answer of a node that is full, 503, rather than by a close of its connection.
 func TestRequestBeyondDescriptorLimitIsRejected(t *testing.T) {
 	backend, arrived, release := newBlockedBackend(t)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 4 })
-	busy := []*testClient{dialNode(t, addr), dialNode(t, addr)} // each has a connection to the backend too
+	busy := []*testClient{dialNode(t, addr), dialNode(t, addr)} // each also uses a connection to the backend
 	for _, client := range busy {
 		_, _ = io.WriteString(client, requestText("once", 9000))
 		<-arrived
@@ -169,7 +171,7 @@
 	for range 3 * maxSurplusClients {
 		client := dialNode(t, addr)
 		if code, _, closing := client.exchange(requestText("read", 9000)); code != 503 || !closing {
-			t.Errorf("%d, closing %v", code, closing)
+			t.Errorf("a new client: %d, closing %v", code, closing)
 		}
 	}
 	large := dialNode(t, addr)
@@ -185,12 +187,13 @@
 	close(release)
 	for _, client := range busy {
 		if code, _, _ := client.readAnswer(); code != 200 {
-			t.Errorf("a busy one: %d", code)
+			t.Errorf("a busy connection: %d", code)
 		}
 	}
 }
 
-// A connection on which half a request has come is closed for its descriptor only if no other can be.
+// A connection on which a part of a request has arrived must be closed for its descriptor only if no other connection
+// can be closed.
 func TestPartialRequestKeepsDescriptor(t *testing.T) {
 	targets := newTestBackend(t, serve).targets()
 	n, addr := startNode(t, targets, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + 2 })
@@ -212,11 +215,12 @@
 		t.Errorf("the idle connection: %v", err)
 	}
 	if code, _, _ := partial.exchange(request[20:]); code != 200 {
-		t.Errorf("the one with half a request: %d", code)
+		t.Errorf("the connection with a part of a request: %d", code)
 	}
 }
 
-// Lingering connections are closed like others if descriptors are short, last of all.
+// If descriptors are short, lingering connections must be closed too, so that new clients are served. Here all
+// descriptors for clients and backends are held by lingering connections.
 func TestLingeringConnectionsReleaseDescriptors(t *testing.T) {
 	targets := newTestBackend(t, serve).targets()
 	n, addr := startNode(t, targets, func(s *Settings) { s.MaxDescriptors = reservedDescriptors + minServingDescriptors })
@@ -228,7 +232,7 @@
 	}
 	waitUntil(n, func() bool { return len(n.clients) > 0 })
 	runOnLoop(n, func() { n.closeIdleClients() })
-	for i, c := range testClients { // garbage on each, so that none is drained
+	for i, c := range testClients { // while this input is unread, a connection is not closed as an idle one
 		_, _ = fmt.Fprint(c, "rubbish ", i)
 	}
 	for range minServingDescriptors {
--- a/internal/node/eventloop_test.go
+++ b/internal/node/eventloop_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A timer that reschedules itself with next to no delay does not keep posted work out. The balancer sets such timers
-// where its settings state no time between two polls.
+// A timer that reschedules itself with almost no delay must not starve posted callbacks. The balancer sets such timers
+// if its settings define no time between two polls.
 func TestTimersDoNotStarvePostedWork(t *testing.T) {
 	n, _ := startNode(t, nil, nil)
 	var reschedule func()
@@ -24,7 +24,8 @@
 	}
 }
 
-// Warnings that a peer can cause at any rate do not fill the log.
+// Warnings that a peer can cause at any rate must not flood the log: each message is logged a limited number of times
+// between two runs of runMaintenance, which logs how many were suppressed.
 func TestWarningsAreRateLimited(t *testing.T) {
 	n, _ := startNode(t, nil, nil)
 	var out strings.Builder
@@ -39,11 +40,11 @@
 	})
 	got := strings.Count(out.String(), "msg=\"malformed answer\"")
 	if got != maxWarningsPerInterval+1 || !strings.Contains(out.String(), "count=995") {
-		t.Errorf("%d lines, and %.300s", got, out.String())
+		t.Errorf("%d warnings were logged: %.300s", got, out.String())
 	}
 }
 
-// Operators' calls run before everything that clients have caused, however much that is.
+// Operators' calls must run before all callbacks that are already posted, however many of these there are.
 func TestOperatorCallsHavePriority(t *testing.T) {
 	n, _ := startNode(t, nil, nil)
 	started, answered := make(chan struct{}), make(chan struct{})
@@ -52,14 +53,14 @@
 		<-started
 		n.Standby(func(error) {
 			if count := callbacksRun.Load(); count > 0 {
-				t.Errorf("answered after %d other callbacks", count)
+				t.Errorf("the call was answered after %d other callbacks", count)
 			}
 			close(answered)
 		})
 	}()
 	n.post(func() {
 		close(started)
-		for visible := false; !visible; { // until the call is visible
+		for visible := false; !visible; { // wait until the call is queued
 			n.mu.Lock()
 			visible = len(n.priorityPosted) > 0
 			n.mu.Unlock()
@@ -71,8 +72,8 @@
 	<-answered
 }
 
-// Once an operator's call is visible, so is the flag that tells the event loop: in between, it would go on with
-// clients' work.
+// As soon as an operator's call is in the queue, the flag that makes the event loop look there must be set. If it were
+// set later, the event loop would run more of the clients' callbacks first.
 func TestPriorityFlagIsSetBeforeCallIsVisible(t *testing.T) {
 	n := &Node{wake: make(chan struct{}, 1)}
 	for range 5000 {
@@ -81,7 +82,7 @@
 			n.mu.Lock()
 			if visible = len(n.priorityPosted) > 0; visible && !n.priorityPending.Load() {
 				n.mu.Unlock()
-				t.Fatal("a call is visible without its flag")
+				t.Fatal("a call is queued, but the flag is not set")
 			}
 			n.mu.Unlock()
 		}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -15,13 +15,13 @@
 	"tulipglade/internal/protocol"
 )
 
-// maxReportDelay plays all tests with the results of system calls coming late, as on a busy machine.
-var maxReportDelay = flag.Duration("report-delay", 0, "delay each report of a system call to the event loop by up to this")
+// maxReportDelay makes all tests run with the results of system calls arriving late, as on a busy machine.
+var maxReportDelay = flag.Duration("report-delay", 0, "maximum random delay of each report of a system call to the event loop")
 
-// setReportDelay delays the node's reports from now on.
+// setReportDelay sets the function that returns the delay of each of the node's reports.
 func setReportDelay(n *Node, delay func(reportKind) time.Duration) { n.testReportDelay.Store(&delay) }
 
-// delayReports delays reports of one kind.
+// delayReports delays the node's reports of one kind, and no others.
 func delayReports(n *Node, delayed reportKind, delay time.Duration) {
 	setReportDelay(n, func(kind reportKind) time.Duration {
 		if kind == delayed {
@@ -38,14 +38,15 @@
 	os.Exit(m.Run())
 }
 
-// nopDiscovery is a Discovery that is never called.
+// nopDiscovery is a Discovery whose methods do nothing. Tests update the endpoint list themselves.
 type nopDiscovery struct{}
 
 func (nopDiscovery) Watch(bool) {}
 
 func (nopDiscovery) Poll() {}
 
-// startNode runs a node on a port of its own that knows these endpoints.
+// startNode runs a node on a free port with an endpoint list of these targets. It returns the node and its address, and
+// stops the node at the end of the test. change modifies the settings, unless it is nil.
 func startNode(t *testing.T, targets []protocol.Target, change func(*Settings)) (*Node, string) {
 	t.Helper()
 	n, addr, stop := startStoppableNode(t, targets, change)
@@ -53,7 +54,7 @@
 	return n, addr
 }
 
-// startStoppableNode is startNode for a test that stops the node itself.
+// startStoppableNode does as startNode does, but leaves it to the test to stop the node by calling end.
 func startStoppableNode(t *testing.T, targets []protocol.Target, change func(*Settings)) (n *Node, addr string, end func()) {
 	t.Helper()
 	second := int64(time.Second / time.Microsecond)
@@ -69,7 +70,7 @@
 		change(&settings)
 	}
 	level := &slog.HandlerOptions{Level: slog.LevelInfo}
-	if os.Getenv("TULIPGLADE_LOG") == "debug" { // a line for each step, to trace a failure
+	if os.Getenv("TULIPGLADE_LOG") == "debug" { // logs each step of each request, to find the cause of a failure
 		level.Level = slog.LevelDebug
 	}
 	n, err := New(settings, nopDiscovery{}, slog.New(slog.NewTextHandler(t.Output(), level)))
@@ -97,7 +98,7 @@
 	}
 }
 
-// waitUntil waits for a state that the node is about to reach, by asking on its event loop.
+// waitUntil calls reached on the node's event loop until it returns true.
 func waitUntil(n *Node, reached func() bool) {
 	for result := make(chan bool, 1); ; {
 		n.post(func() { result <- reached() })
@@ -107,12 +108,12 @@
 	}
 }
 
-// runOnLoop runs f on the node's event loop and waits for it.
+// runOnLoop runs a callback on the node's event loop and waits until it has returned.
 func runOnLoop(n *Node, callback func()) {
 	waitUntil(n, func() bool { callback(); return true })
 }
 
-// waitForPosted waits until so many callbacks are posted that the event loop has not started.
+// waitForPosted waits until at least the given number of callbacks are posted that the event loop has not picked up.
 func waitForPosted(n *Node, posted int) {
 	for pending := 0; pending < posted; runtime.Gosched() {
 		n.mu.Lock()
@@ -121,14 +122,14 @@
 	}
 }
 
-// operatorCall makes an operator's call and waits for its answer.
+// operatorCall makes an operator's call, such as Node.Standby, and returns its answer.
 func operatorCall(call func(func(error))) error {
 	answer := make(chan error, 1)
 	call(func(err error) { answer <- err })
 	return <-answer
 }
 
-// advanceDrain moves the start of the current drain back in time, so that no test waits for it.
+// advanceDrain moves the start of the current drain back in time, so that tests need not wait for its next step.
 func advanceDrain(n *Node, micros int64) {
 	done := make(chan struct{})
 	n.post(func() {
@@ -139,13 +140,14 @@
 	<-done
 }
 
-// requireListLease configures a node to send nothing by a list that is not known to be current.
+// requireListLease configures a node to start no attempts while its endpoint list is not known to be current.
 func requireListLease(s *Settings) {
 	s.Balancer.PollDiscovery, s.Balancer.PollInterval, s.Balancer.ListLease = true, 10_000_000, balancer.NotificationDeadline
 	s.DrainGrace = 500_000
 }
 
-// reconfigureNode applies the node's own settings again, changed.
+// reconfigureNode applies settings that keep the current values of what startNode sets, with its classes in their
+// original order. Most other settings become zero. change modifies the settings before they are applied.
 func reconfigureNode(n *Node, change func(*Settings)) {
 	done := make(chan struct{})
 	n.post(func() {
--- a/internal/node/leak_test.go
+++ b/internal/node/leak_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// newEarlyBackend is a backend that answers each request as soon as it has its head, keeps the connection, and then
-// reads the body.
+// newEarlyBackend starts a backend that answers each request as soon as it has received its head, keeps the connection
+// open, and then reads the body.
 func newEarlyBackend(t *testing.T) *manualBackend {
 	t.Helper()
 	backend := newManualBackend(t, 0)
@@ -37,10 +37,11 @@
 	return backend
 }
 
-// Every descriptor that the node holds belongs to a client, or to a connection that the next request can use. The
-// connection of a large upload that was answered before its end belonged to nobody: the event loop had completed its
-// attempt, and at the end of the upload looked for an attempt to complete. It stayed open and unused until the backend
-// closed it, one descriptor for each such upload. All ends of an upload are played here.
+// Every descriptor that the node holds must belong to a client connection or to an idle backend connection. The test
+// guards against a leak: if a large upload was answered before its end, the event loop had already completed its
+// attempt, and at the end of the upload found no attempt to complete. The backend connection then stayed open and
+// unused until the backend closed it, one descriptor for each such upload. The test covers all ways in which an upload
+// can end.
 func TestUploadsLeaveNoConnectionBehind(t *testing.T) {
 	const size, firstPart = 1 << 20, 256 << 10
 	body := randomBody(1, size)
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -13,8 +13,9 @@
 	"tulipglade/internal/protocol"
 )
 
-// A standby makes the node not ready; open requests are answered and their connections closed, idle ones close, and
-// in the end no client is kept. Active undoes all of that, and repeated calls have no effect.
+// In standby the node must not be ready. It answers open requests and closes their connections, closes idle
+// connections, and finally rejects new requests and closes new connections. Active must end all of this, and a repeated
+// call of either must have no effect.
 func TestStandby(t *testing.T) {
 	backend, arrived, release := newBlockedBackend(t)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
@@ -38,11 +39,11 @@
 	}
 	close(release)
 	if code, _, closing := busy.readAnswer(); code != 200 || !closing {
-		t.Errorf("before the start: %d, closing %v", code, closing)
+		t.Errorf("a request from before the standby: %d, closing %v", code, closing)
 	}
 	advanceDrain(n, rejectDelay)
 	if code, _, closing := dialNode(t, addr).exchange(requestText("read", 9000)); code != 503 || !closing {
-		t.Errorf("long after the call: %d, closing %v", code, closing)
+		t.Errorf("a request late in the standby: %d, closing %v", code, closing)
 	}
 	silent := dialNode(t, addr)
 	if _, err := silent.reader.ReadByte(); !errors.Is(err, io.EOF) {
@@ -57,13 +58,13 @@
 	go func() { <-arrived }()
 	for _, request := range []string{readyRequest, requestText("read", 9000), readyRequest} {
 		if code, _, closing := client.exchange(request); code != 200 || closing {
-			t.Errorf("active again: %d, closing %v", code, closing)
+			t.Errorf("after the end of the standby: %d, closing %v", code, closing)
 		}
 	}
 }
 
-// A shutdown during a standby, calls during a shutdown, and calls before any endpoint is known have answers of their
-// own.
+// Operators' calls must be answered according to the node's state: before any endpoint is known, in standby, and during
+// a shutdown that starts in standby.
 func TestOperatorCallsInOtherStates(t *testing.T) {
 	n, addr := startNode(t, nil, nil)
 	if err := operatorCall(n.Status); !errors.Is(err, errNoEndpoints) {
@@ -78,7 +79,7 @@
 		t.Errorf("status with a list: %v", err)
 	}
 	if code, _, _ := dialNode(t, addr).exchange(readyRequest); code != 503 {
-		t.Errorf("a standby from before the list: ready %d", code)
+		t.Errorf("ready in a standby that began before the list: %d", code)
 	}
 	done := make(chan struct{})
 	n.Drain(0, func() { close(done) })
@@ -93,8 +94,8 @@
 	<-done
 }
 
-// Standby and active alternate under load: each request gets its answer. One that crosses the close of its connection
-// is sent again on a new one, as clients do; these are counted.
+// While standby and active alternate under load, each request must be answered. A request that crosses the close of its
+// connection gets no answer; as clients do, the test sends it once more, on a new connection, and counts these cases.
 func TestStandbyAndActiveAlternateUnderLoad(t *testing.T) {
 	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve)), targetOf("b", newTestBackend(t, serve))}, nil)
 	stop := make(chan struct{})
@@ -135,7 +136,7 @@
 			t.Fatal(err)
 		}
 		if round%4 == 0 {
-			advanceDrain(n, idleCloseDelay) // idle connections close at once
+			advanceDrain(n, idleCloseDelay) // idle connections are closed at once
 		}
 		for before := served.Load(); served.Load() < before+8; {
 			time.Sleep(time.Millisecond)
@@ -146,8 +147,8 @@
 	}
 	close(stop)
 	wg.Wait()
-	t.Logf("%d requests in 100 turns, %d sent again, %d lost", served.Load(), resent.Load(), lost.Load())
+	t.Logf("%d requests in 100 rounds, %d sent again, %d not answered", served.Load(), resent.Load(), lost.Load())
 	if lost.Load() > 0 {
-		t.Error("requests were lost")
+		t.Error("requests were not answered")
 	}
 }
--- a/internal/node/reconfigure_test.go
+++ b/internal/node/reconfigure_test.go
@@ -14,8 +14,9 @@
 	"tulipglade/internal/protocol"
 )
 
-// A request is open while its class is removed, and added again as an idempotent one: it is not sent again; a new one
-// is. The class's old number becomes free only with its last request.
+// If a class is removed and added again as an idempotent one while a request of it is open, that request must keep the
+// old rules and not be retried, whereas a new request is retried. The class's old number must stay reserved until the
+// class has no open request any more.
 func TestClassChangeWithOpenRequests(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	handler, attempts := handleFirst(func(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +34,7 @@
 	}
 	reconfigureNode(n, removeClass)
 	if code, _, closing := dialNode(t, addr).exchange(requestText("once", 9000)); code != 400 || !closing {
-		t.Errorf("a class that was removed: %d, closing %v", code, closing)
+		t.Errorf("a request of a removed class: %d, closing %v", code, closing)
 	}
 	addClass := func(s *Settings) {
 		s.Classes = append(s.Classes, "once")
@@ -48,12 +49,12 @@
 	})
 	close(release)
 	if code, _, _ := client.readAnswer(); code != 502 || attempts.Load() != 1 {
-		t.Errorf("under the old rules: %d after %d attempts", code, attempts.Load())
+		t.Errorf("a request under the old rules: %d after %d attempts", code, attempts.Load())
 	}
 	attempts.Store(0) // the next request is reset as well
 	go func() { <-arrived }()
 	if code, _, _ := dialNode(t, addr).exchange(requestText("once", 9000)); code != 200 || attempts.Load() != 2 {
-		t.Errorf("under the new rules: %d after %d attempts", code, attempts.Load())
+		t.Errorf("a request under the new rules: %d after %d attempts", code, attempts.Load())
 	}
 	waitUntil(n, func() bool { return len(n.requests) == 0 })
 	reconfigureNode(n, func(*Settings) {})
@@ -72,8 +73,8 @@
 	})
 }
 
-// Reducing the maximum of attempts below what an open request has used does not end it; new requests have the new
-// maximum.
+// If the maximum number of attempts is reduced below the number that an open request has used, the request must keep
+// the old maximum. The new one applies to new requests.
 func TestReducedMaxAttempts(t *testing.T) {
 	var attempts atomic.Int32
 	arrived, release := make(chan struct{}), make(chan struct{})
@@ -100,14 +101,15 @@
 	reconfigureNode(n, func(s *Settings) { s.Balancer.MaxAttempts = 1 })
 	close(release)
 	if code, _, _ := client.readAnswer(); code != 200 || attempts.Load() != 3 {
-		t.Errorf("by the old number: %d after %d attempts", code, attempts.Load())
+		t.Errorf("a request under the old maximum: %d after %d attempts", code, attempts.Load())
 	}
 	if code, _, _ := dialNode(t, addr).exchange(requestText("read", 9000)); code != 503 || attempts.Load() != 4 {
-		t.Errorf("by the new one: %d after %d attempts", code, attempts.Load()-3)
+		t.Errorf("a request under the new maximum: %d after %d attempts", code, attempts.Load()-3)
 	}
 }
 
-// Settings change again and again under load: each request is answered, and the table of classes does not grow.
+// While settings change repeatedly under load, each request must be answered, and the numbers of classes must not
+// increase without bound.
 func TestReconfigureUnderLoad(t *testing.T) {
 	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve)), targetOf("b", newTestBackend(t, serve))}, nil)
 	stop := make(chan struct{})
@@ -149,14 +151,14 @@
 	wg.Wait()
 	waitUntil(n, func() bool {
 		if len(n.settings.Classes) > 6 {
-			t.Errorf("%d classes: %s", len(n.settings.Classes), strings.Join(n.settings.Classes, " "))
+			t.Errorf("%d numbers of classes are in use: %s", len(n.settings.Classes), strings.Join(n.settings.Classes, " "))
 		}
 		return true
 	})
 }
 
-// Where tenants are introduced or removed while requests are open, no tenant inherits the number of those: quotas and
-// requests in flight are counted apart.
+// If tenants are added to the settings or removed while requests are open, no tenant must get the number of a tenant of
+// open requests: otherwise their quotas and requests in flight would be counted together.
 func TestTenantsChangeWithOpenRequests(t *testing.T) {
 	backend, arrived, release := newBlockedBackend(t)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, func(s *Settings) { s.Tenants, s.Balancer.Tenants = nil, nil })
@@ -190,6 +192,6 @@
 	reconfigureNode(n, func(*Settings) {})
 	unknownTenant := strings.Replace(requestText("read", 9000), "X-Customer: t", "X-Customer: any", 1)
 	if code, _, _ := dialNode(t, addr).exchange(unknownTenant); code != 400 {
-		t.Errorf("an unknown tenant got %d", code)
+		t.Errorf("a request of an unknown tenant: %d", code)
 	}
 }
--- a/internal/node/recording_test.go
+++ b/internal/node/recording_test.go
@@ -8,7 +8,8 @@
 	"tulipglade/internal/balancer"
 )
 
-// recordingModule records the health checks and requests of which the balancer is notified.
+// recordingModule is a decision module that passes all calls to another one, and records the outcomes of health checks
+// and the requests.
 type recordingModule struct {
 	decisionModule
 	healthChecks chan string
@@ -31,31 +32,33 @@
 	m.decisionModule.HandleRequest(now, request)
 }
 
-// recordModule puts a recordingModule in front of the balancer. It must be called before the node gets requests.
+// recordModule makes the node call its balancer through a recordingModule, which it returns. It must be called before
+// the node receives requests.
 func recordModule(n *Node) *recordingModule {
 	m := &recordingModule{healthChecks: make(chan string, 100), requests: make(chan balancer.Request, 100)}
 	runOnLoop(n, func() { m.decisionModule, n.balancer = n.balancer, m })
 	return m
 }
 
-// receiveNext is the next notification of the balancer.
+// receiveNext returns the next recorded notification, and fails the test if there is none within 10 s.
 func receiveNext[T any](t *testing.T, notifications chan T) (next T) {
 	t.Helper()
 	select {
 	case next = <-notifications:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the balancer is not notified")
+		t.Fatal("the balancer was not notified")
 	}
 	return next
 }
 
-// nextHealthCheck is the outcome of the next health check of which the balancer is notified.
+// nextHealthCheck returns the outcome of the next health check of which the balancer is notified, followed by the load
+// report if there is one.
 func nextHealthCheck(t *testing.T, m *recordingModule) string {
 	t.Helper()
 	return receiveNext(t, m.healthChecks)
 }
 
-// outcomeRecorder records the outcomes of attempts.
+// outcomeRecorder is a decision module that passes all calls to another one, and records the outcomes of attempts.
 type outcomeRecorder struct {
 	decisionModule
 	outcomes []balancer.Outcome
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -13,8 +13,8 @@
 	"tulipglade/internal/protocol"
 )
 
-// A connection whose answer is being written as a drain begins closes behind that answer: a later request on it would
-// be lost at the end of the process.
+// A connection whose answer is being written when a drain begins must be closed after that answer. A later request on
+// it would be lost at the end of the process.
 func TestDrainDuringAnAnswer(t *testing.T) {
 	n, addr := startNode(t, nil, nil)
 	conn := dialNode(t, addr)
@@ -31,20 +31,20 @@
 		t.Errorf("%d, closing %v", code, closing)
 	}
 	if _, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("behind the answer: %v", err)
+		t.Errorf("the connection after the answer: %v", err)
 	}
 	<-done
 }
 
-// During a drain the node is not ready, idle connections close after a delay and serve one more request until then;
-// new connections are served, and all admitted requests are answered.
+// During a drain the node must not be ready. It must close idle connections after a delay, until which each of them
+// serves one more request, serve new connections, and answer all admitted requests.
 func TestDrain(t *testing.T) {
 	backend, arrived, release := newBlockedBackend(t)
 	n, addr := startNode(t, []protocol.Target{targetOf("a", backend)}, nil)
 	idle, used, busy := dialNode(t, addr), dialNode(t, addr), dialNode(t, addr)
 	for _, c := range []*testClient{idle, used} {
 		if code, _, _ := c.exchange(readyRequest); code != 200 {
-			t.Fatalf("ready: %d", code)
+			t.Fatalf("ready before the drain: %d", code)
 		}
 	}
 	_, _ = io.WriteString(busy, requestText("once", 9000))
@@ -64,19 +64,20 @@
 	}
 	select {
 	case <-done:
-		t.Error("done with unanswered requests")
+		t.Error("the drain ended with unanswered requests")
 	default:
 	}
 	close(release)
 	for _, c := range []*testClient{busy, late, used} {
 		if code, _, closing := c.readAnswer(); code != 200 || !closing {
-			t.Errorf("admitted before the close: %d, closing %v", code, closing)
+			t.Errorf("a request from before the close of idle connections: %d, closing %v", code, closing)
 		}
 	}
 	<-done
 }
 
-// A shutdown waits a little for an incomplete request: rejected, its client would have to send it again.
+// A shutdown must wait a little for the rest of an incomplete request. If the request were rejected, its client would
+// have to send it again.
 func TestDrainWaitsForPartialRequest(t *testing.T) {
 	n, addr := startNode(t, []protocol.Target{targetOf("a", newTestBackend(t, serve))}, nil)
 	conn := dialNode(t, addr)
@@ -92,13 +93,14 @@
 	<-done
 }
 
-// The end of a process resets what its clients have not read: a shutdown waits for that, but not for clients that
-// never read.
+// A shutdown must wait until clients have read their last answers, because the end of the process resets connections
+// with unread data. It waits for a lingering connection until its client closes it, though not for clients that never
+// read.
 func TestDrainWaitsUntilLastAnswersAreRead(t *testing.T) {
 	n, addr := startNode(t, newTestBackend(t, serve).targets(), nil)
 	conn := dialNode(t, addr)
 	conn.exchange(readyRequest)
-	waitUntil(n, func() bool { return n.idleClients.Len() == 1 }) // the answer may come before the writer has returned
+	waitUntil(n, func() bool { return n.idleClients.Len() == 1 }) // the answer may arrive before its write is reported
 	ended := make(chan struct{})
 	runOnLoop(n, func() {
 		n.startDraining("draining")
@@ -107,20 +109,20 @@
 		n.drain.onDrained = func() { close(ended) }
 		n.checkDrained()
 		if n.drain.onDrained == nil {
-			t.Error("a lingering connection is not waited for")
+			t.Error("the shutdown does not wait for a lingering connection")
 		}
 	})
 	_ = conn.Close()
-	<-ended // once its client has closed it
+	<-ended // the client has closed the connection
 	runOnLoop(n, func() {
 		if n.lingeringClients.Len() > 0 {
-			t.Error("ended before")
+			t.Error("the shutdown ended before the connection was closed")
 		}
 	})
 }
 
-// A connection that closes after a large request with an early answer has been reattached to the poller by then: what
-// follows is read and discarded there, too.
+// A connection on which a large request was answered before its end is closed gracefully as well. It has been
+// reattached to the poller by then, which must read and discard the input that follows.
 func TestEarlyAnsweredUploadIsClosedGracefully(t *testing.T) {
 	body := randomBody(1, 4<<20)
 	backend := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -145,15 +147,16 @@
 		return discarded > 0 || len(n.clients) == 0
 	})
 	if discarded == 0 {
-		t.Error("closed without lingering")
+		t.Error("the connection was closed without lingering")
 	}
 	if b, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("read %q, %v, want the end", b, err)
+		t.Errorf("read %q, %v, want the end of the connection", b, err)
 	}
 }
 
-// Before the process ends, every client connection is closed in order: one without a request yet, one with a part of
-// a request, one that is being accepted. None is reset, and no request that crosses the close is forwarded.
+// Before the process ends, every client connection must be closed gracefully: one without a request so far, one with an
+// incomplete request, and one that is just being accepted. None may be reset, and no request that crosses the close may
+// be forwarded.
 func TestDrainClosesEveryConnection(t *testing.T) {
 	backend := newTestBackend(t, serve)
 	n, addr := startNode(t, backend.targets(), nil)
@@ -164,7 +167,7 @@
 	n.Drain(0, func() { close(ended) })
 	advanceDrain(n, idleCloseDelay)
 	runOnLoop(n, func() {
-		for c := range n.clients { // they were accepted long ago
+		for c := range n.clients { // as if they had been accepted long ago
 			c.requestStartedAt -= idleCloseDelay
 		}
 		n.drain.partialRequestsUntil, n.drain.answersDueBy = 0, n.now()+3_600_000_000
@@ -174,7 +177,7 @@
 	late := dialNode(t, addr)
 	for name, conn := range map[string]*testClient{"without a request": silent, "part of a request": partial, "late": late} {
 		if b, err := conn.reader.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Fatalf("%s: read %q, %v, want the end", name, b, err)
+			t.Fatalf("%s: read %q, %v, want the end of the connection", name, b, err)
 		}
 		_, _ = io.WriteString(conn, requestText("once", 9000))
 	}
@@ -188,7 +191,7 @@
 	})
 	runOnLoop(n, func() {
 		if n.openRequests > 0 || backend.requestCount.Load() > 0 || n.drain.onDrained == nil {
-			t.Errorf("%d requests admitted, ended %v, with %d connections", n.openRequests, n.drain.onDrained == nil, len(n.clients))
+			t.Errorf("%d open requests, shutdown ended %v, %d connections", n.openRequests, n.drain.onDrained == nil, len(n.clients))
 		}
 	})
 	for _, conn := range []*testClient{silent, partial, late} {
@@ -197,8 +200,8 @@
 	<-ended
 }
 
-// How long a shutdown may take follows from the longest deadline, 3 s at most: 0.7 s after that the process may be
-// killed.
+// A shutdown must end before the process may be killed: 0.7 s after the longest deadline of a request, which counts as
+// 3 s at most.
 func TestDrainEndsBeforeKillDeadline(t *testing.T) {
 	for name, test := range map[string]struct{ deadline, killedAfter int64 }{
 		"short deadlines": {390_000, 1_090_000},
@@ -216,7 +219,7 @@
 				dueAfter := n.drain.answersDueBy - n.drain.stopRequestedAt
 				partialWait := n.drain.partialRequestsUntil - n.drain.stopRequestedAt
 				if dueAfter != test.killedAfter-finalAnswerMargin || partialWait > test.killedAfter-partialRequestMargin {
-					t.Errorf("ends %d us after its start, waits %d us for incomplete requests", dueAfter, partialWait)
+					t.Errorf("the shutdown ends after %d us at the latest, waits %d us for incomplete requests", dueAfter, partialWait)
 				}
 			})
 			<-ended
@@ -224,8 +227,8 @@
 	}
 }
 
-// A request long after the start of a shutdown, on a connection that stayed open, is answered before the process can
-// be killed, whatever its deadline: one of the first 0.7 s may be cut off, no other.
+// A request that arrives late in a shutdown, on a connection that stayed open, must be answered before the process can
+// be killed, whatever its deadline. Only a request of the first 0.7 s may be cut off.
 func TestRequestLateInDrainIsAnsweredInTime(t *testing.T) {
 	for name, arrivesAfter := range map[string]int64{"late": killGrace, "in time": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -243,7 +246,7 @@
 			runOnLoop(n, func() {
 				for _, req := range n.requests {
 					if capped := req.deadline == n.drain.answersDueBy; capped != (arrivesAfter > 0) {
-						t.Errorf("has until %d us from the end", req.deadline-n.drain.answersDueBy)
+						t.Errorf("the deadline is %d us after the end of the shutdown", req.deadline-n.drain.answersDueBy)
 					}
 				}
 			})
@@ -258,8 +261,8 @@
 	}
 }
 
-// Endpoint lists and settings that come during a shutdown are applied: a queued request is sent by a list that comes
-// later, under the settings with which it was admitted.
+// Endpoint lists and settings that arrive during a shutdown must be applied. A request that was queued for lack of
+// endpoints is sent to an endpoint of the new list, under the settings with which it was admitted.
 func TestDrainAppliesUpdates(t *testing.T) {
 	backend := newTestBackend(t, serve)
 	n, addr := startNode(t, nil, nil)
@@ -277,8 +280,8 @@
 	<-ended
 }
 
-// A shutdown waits for a connection that was just accepted, on which a request is expected: closed at that moment,
-// the request would not be read.
+// A shutdown must wait for a connection that was just accepted, on which a request is expected. If the node closed it
+// at that moment, the request would not be read.
 func TestDrainWaitsForNewConnection(t *testing.T) {
 	n, addr := startNode(t, newTestBackend(t, serve).targets(), nil)
 	conn := dialNode(t, addr)
@@ -294,7 +297,7 @@
 	waitUntil(n, func() bool { return n.drain.onDrained != nil })
 	runOnLoop(n, func() {
 		if n.checkDrained(); n.drain.closingAll {
-			t.Error("does not wait")
+			t.Error("the shutdown does not wait for the new connection")
 		}
 	})
 	if code, _, closing := conn.exchange(requestText("read", 9000)); code != 200 || !closing {
@@ -303,14 +306,14 @@
 	<-ended
 }
 
-// A client that connects as a shutdown ends, and has sent a request before its connection could be closed, is
-// rejected: dropped, the request would be lost.
+// If a client connects while a shutdown ends, and its request arrives before the node can close the connection, the
+// request must be rejected. If it were dropped, it would be lost.
 func TestRequestAtEndOfDrainIsRejected(t *testing.T) {
 	n, addr := startNode(t, newTestBackend(t, serve).targets(), nil)
 	ended := make(chan struct{})
 	var conn *testClient
 	requestSent := false
-	runOnLoop(n, func() { // the loop is busy as the client connects and sends its request
+	runOnLoop(n, func() { // keeps the event loop busy while the client connects and sends its request
 		n.startDraining("draining")
 		n.drain.stopping, n.drain.closingAll = true, true
 		n.drain.onDrained, n.drain.answersDueBy = func() { close(ended) }, n.now()+3_600_000_000
@@ -321,7 +324,7 @@
 			t.Error(err)
 			return
 		}
-		for unsent := 1; unsent > 0; { // until the kernel on the node's side has it
+		for unsent := 1; unsent > 0; { // wait until the kernel on the node's side has received the request
 			_ = raw.Control(func(fd uintptr) { unsent, _ = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
 		}
 		requestSent = true
@@ -333,7 +336,8 @@
 	<-ended
 }
 
-// A shutdown waits for a large request with an early answer: closed under it, the answer would be reset.
+// A shutdown must wait for the rest of a large request that was answered early. If its connection were closed during
+// the upload, the answer could be lost in a reset.
 func TestDrainWaitsForEarlyAnsweredUpload(t *testing.T) {
 	body := randomBody(1, 4<<20)
 	backend := newTestBackend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -354,13 +358,13 @@
 	waitUntil(n, func() bool { return n.drain.onDrained != nil })
 	runOnLoop(n, func() {
 		if n.checkDrained(); n.drain.closingAll {
-			t.Error("does not wait")
+			t.Error("the shutdown does not wait for the upload")
 		}
-		n.drain.partialRequestsUntil = 0 // the wait is over; a connection with a forwarder is not closed under it
+		n.drain.partialRequestsUntil = 0 // ends the wait; a connection with a forwarder must still not be closed
 		n.checkDrained()
 		for c := range n.clients {
 			if c.state == clientLingering {
-				t.Error("closed while its request is being uploaded")
+				t.Error("the connection was closed while its request is being uploaded")
 			}
 		}
 	})
