--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -151,23 +151,23 @@
 func reconfigureNode(n *Node, change func(*Settings)) {
 	done := make(chan struct{})
 	n.post(func() {
-		settings := Settings{
+		changed := Settings{
 			ConnectTimeout: n.settings.ConnectTimeout,
 			Keepalive:      n.settings.Keepalive,
 			OverdueGrace:   n.settings.OverdueGrace,
 			Zones:          n.settings.Zones,
 			Balancer:       n.settings.Balancer,
 		}
-		settings.Balancer.Classes, settings.Balancer.Tenants = nil, nil
+		changed.Balancer.Classes, changed.Balancer.Tenants = nil, nil
 		for _, name := range []string{"read", "once", "keyed"} {
 			if number, ok := n.classIndex[name]; ok {
-				settings.Classes = append(settings.Classes, name)
-				settings.Balancer.Classes = append(settings.Balancer.Classes, n.settings.Balancer.Classes[number])
+				changed.Classes = append(changed.Classes, name)
+				changed.Balancer.Classes = append(changed.Balancer.Classes, n.settings.Balancer.Classes[number])
 			}
 		}
-		settings.Tenants, settings.Balancer.Tenants = []string{"t"}, []balancer.Tenant{{QuotaFraction: 1}}
-		change(&settings)
-		n.applySettings(settings)
+		changed.Tenants, changed.Balancer.Tenants = []string{"t"}, []balancer.Tenant{{QuotaFraction: 1}}
+		change(&changed)
+		n.applySettings(changed)
 		close(done)
 	})
 	<-done
