--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -78,9 +78,9 @@
 	return n.closeIdleConnections(more) || n.closeExpendableClients(more)
 }
 
-// closeIdleConnections does as reserveDescriptors does, but closes only connections whose loss affects no request.
-// Connections that clients have not used for a while are closed before idle backend connections, because a new backend
-// connection costs the backend work and delays the next request.
+// closeIdleConnections is the first step of reserveDescriptors: it closes only connections whose loss affects no
+// request. Connections that clients have not used for a while are closed before idle backend connections, because a new
+// backend connection costs the backend work and delays the next request.
 func (n *Node) closeIdleConnections(more int) bool {
 	for n.exceedsDescriptorLimit(more) {
 		if client := n.oldestIdleClient(&n.newClients, newConnGrace); client != nil {
@@ -100,8 +100,8 @@
 	return true
 }
 
-// closeExpendableClients does as reserveDescriptors does, but closes only connections of clients that may be about to
-// send a request, have not read the end of their last answer, or have sent an incomplete request, in this order.
+// closeExpendableClients is the second step of reserveDescriptors: it closes connections of clients that may be about
+// to send a request, have not read the end of their last answer, or have sent an incomplete request, in this order.
 func (n *Node) closeExpendableClients(more int) bool {
 	for n.exceedsDescriptorLimit(more) {
 		if client := n.oldestIdleClient(&n.newClients, 0); client != nil {
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -54,7 +54,7 @@
 	return n, addr
 }
 
-// startStoppableNode does as startNode does, but leaves it to the test to stop the node by calling end.
+// startStoppableNode starts a node as startNode does, but the test must stop the node by calling end.
 func startStoppableNode(t *testing.T, targets []protocol.Target, change func(*Settings)) (n *Node, addr string, end func()) {
 	t.Helper()
 	second := int64(time.Second / time.Microsecond)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -81,7 +81,7 @@
 	openRequests      int      // requests that are admitted and not yet answered
 	answersInProgress int      // answers that are being written
 	activeForwarders  int      // large messages that are being forwarded
-	queuedForwarders  []func() // starts of forwarders that wait for one of the active ones to finish
+	queuedForwarders  []func() // callbacks that start the forwarders which wait for memory, oldest first
 	overflowBytes     int      // pipelined input that clients have sent while an earlier request is unanswered
 
 	endpoints       map[balancer.EndpointID]*endpoint
@@ -159,7 +159,7 @@
 // advances monotonically, so Unix times from other sources, such as the start of a backend, need no conversion.
 func (n *Node) now() int64 { return n.startedAtMicros + time.Since(n.startedAt).Microseconds() }
 
-// nodeTime converts a time that this process has taken to the node's clock.
+// nodeTime converts a time that was read in this process to the node's clock.
 func (n *Node) nodeTime(t time.Time) int64 {
 	return n.startedAtMicros + t.Sub(n.startedAt).Microseconds()
 }
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -59,8 +59,8 @@
 }
 
 // arrangeByNumber returns values, which are in the order of the new names, in the order of their numbers; nameAt is a
-// result of assignNumbers. A number without a new name, whether open requests still use it or not, keeps its previous
-// value.
+// result of assignNumbers. A number without a new name, whether open requests still use it or not, gets the value that
+// previous returns.
 func arrangeByNumber[T any](nameAt []int, values []T, previous func(number int) T) (arranged []T) {
 	for number, name := range nameAt {
 		if name == noNumber {
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -6,7 +6,7 @@
 // never modified once they are applied, because open requests keep the settings under which they were admitted.
 type Settings struct {
 	Balancer       balancer.Config
-	Seed           uint64
+	Seed           uint64   // seed of the balancer's random decisions
 	Classes        []string // names by number, as in balancer.Config.Classes
 	Tenants        []string // names by number, as in balancer.Config.Tenants
 	Zones          []string // names by number
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -14,8 +14,8 @@
 	// an answer on it: a request that crosses the close of its connection gets no answer, and the frontend takes 0.3 s
 	// to direct new connections to other nodes.
 	idleCloseDelay = 500_000
-	// rejectDelay is the time after which new requests are rejected. 4 s after the start no client may still be waiting
-	// for an answer, not even one whose request arrived in the last 2 s of that time.
+	// rejectDelay is the time after which new requests are rejected, because 4 s after the start no client may still be
+	// waiting for an answer, not even one whose request arrived in the last 2 s of that time.
 	rejectDelay = 1_500_000
 	// drainCheckInterval is the time between two checks for idle connections.
 	drainCheckInterval = 100_000
@@ -42,7 +42,7 @@
 	generation           int    // number of drains so far: timers of an earlier drain have no effect
 	stopRequestedAt      int64  // when the process was told to end
 	partialRequestsUntil int64  // until when a shutdown waits for incomplete requests
-	answersDueBy         int64  // when all requests must be answered, and all answers read by the clients
+	answersDueBy         int64  // when all requests must be answered and clients must have read their answers
 	closingAll           bool   // all requests are answered, and every connection is being closed
 	onDrained            func() // called at the end of a shutdown; nil: not to be called yet, or called already
 }
