--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -92,7 +92,7 @@
 	c.node.pendingAccepts.Add(-1)
 	c.node.clients[c] = struct{}{}
 	c.node.openDescriptors++
-	if !c.node.mayAccept() { // over the limit, and no idle connection can be closed instead
+	if !c.node.reserveForAccepted() { // over the limit, and no idle connection can be closed instead
 		c.node.warnLimited("client connection rejected", "descriptors", c.node.openDescriptors)
 		c.close(closeNoDescriptor)
 		return
