--- a/cmd/tulipctl/rollout.go
+++ b/cmd/tulipctl/rollout.go
@@ -101,7 +101,7 @@
 	}
 	// Finished nodes learn the new token, so that they reject the former holder if it is still running.
 	for _, n := range fleet.Node {
-		for _, name := range r.rollout.Finished() {
+		for _, name := range r.rollout.DoneNodes() {
 			if n.Name == name && note != "" {
 				if err := r.put(ctx, n, "active"); err != nil {
 					return negativeAnswer("rollout: %v", err)
@@ -145,7 +145,7 @@
 			failed = errors.Join(failed, err)
 			r.mu.Lock()
 			for _, t := range tasks {
-				r.rollout.Failed(t.Name)
+				r.rollout.RecordFailure(t.Name)
 			}
 			r.mu.Unlock()
 			tasks = nil
@@ -160,10 +160,10 @@
 		r.mu.Lock()
 		if finished.err != nil {
 			failed = errors.Join(failed, fmt.Errorf("%s: %w", finished.Name, finished.err))
-			r.rollout.Failed(finished.Name)
+			r.rollout.RecordFailure(finished.Name)
 		} else {
-			r.rollout.Done(finished.Name)
-			writef(r.cmd.Root().Writer, "%s: done, %d of %d\n", finished.Name, len(r.rollout.Finished()), nodeCount)
+			r.rollout.RecordDone(finished.Name)
+			writef(r.cmd.Root().Writer, "%s: done, %d of %d\n", finished.Name, len(r.rollout.DoneNodes()), nodeCount)
 		}
 		r.mu.Unlock()
 	}
@@ -177,7 +177,7 @@
 func (r *rolloutRunner) running() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rollout.Running()
+	return r.rollout.RunningTasks()
 }
 
 // note changes the rollout's state, and stores it in the lease's note before it returns.
@@ -230,7 +230,7 @@
 	if err := pause(ctx, r.cmd.Duration("drain-delay")); err != nil {
 		return err
 	}
-	return r.note(ctx, func() { r.rollout.Reached(t.Name, rollout.Change) })
+	return r.note(ctx, func() { r.rollout.RecordStep(t.Name, rollout.Change) })
 }
 
 // change runs the command for a node.
@@ -241,20 +241,20 @@
 	env := []string{
 		"TULIP_NODE=" + t.Name,
 		"TULIP_SITE=" + t.Site,
-		"TULIP_OPERATOR=" + t.Admin,
-		"TULIP_LISTEN=" + t.Listen,
+		"TULIP_OPERATOR=" + t.AdminAddress,
+		"TULIP_LISTEN=" + t.ClientAddress,
 	}
 	if err := underLease(ctx, r.cmd, r.lease, env, r.args); err != nil {
 		return fmt.Errorf("command: %w", err)
 	}
-	return r.note(ctx, func() { r.rollout.Reached(t.Name, rollout.Resume) })
+	return r.note(ctx, func() { r.rollout.RecordStep(t.Name, rollout.Resume) })
 }
 
 // awaitServing waits until a node answers at its admin address.
 func (r *rolloutRunner) awaitServing(ctx context.Context, t rollout.Task) error {
 	timeout := r.cmd.Duration("ready-timeout")
 	deadline := time.Now().Add(timeout)
-	for !r.succeeds(ctx, "GET", "http://"+t.Admin+"/status") {
+	for !r.succeeds(ctx, "GET", "http://"+t.AdminAddress+"/status") {
 		if time.Now().After(deadline) {
 			return fmt.Errorf("it does not serve within %v after the command", timeout)
 		}
@@ -269,8 +269,8 @@
 func (r *rolloutRunner) currentStep(ctx context.Context, n rollout.Node) rollout.Step {
 	for range maxReadyPolls { // a new process needs its endpoint list before it is ready
 		switch {
-		case !r.succeeds(ctx, "GET", "http://"+n.Admin+"/status"):
-		case r.succeeds(ctx, "GET", "http://"+n.Listen+"/ready"):
+		case !r.succeeds(ctx, "GET", "http://"+n.AdminAddress+"/status"):
+		case r.succeeds(ctx, "GET", "http://"+n.ClientAddress+"/ready"):
 			return rollout.Resume
 		default:
 			return rollout.Change
@@ -318,7 +318,7 @@
 		if err != nil {
 			return err
 		}
-		status, text, err := r.call(ctx, "PUT", withLeaseToken(g, "http://"+n.Admin+"/"+what))
+		status, text, err := r.call(ctx, "PUT", withLeaseToken(g, "http://"+n.AdminAddress+"/"+what))
 		switch {
 		case err == nil && status == 200:
 			return nil
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -10,10 +10,10 @@
 
 // Node is a node of the fleet.
 type Node struct {
-	Name   string `toml:"name"`
-	Site   string `toml:"site"`
-	Admin  string `toml:"operator"` // admin address
-	Listen string `toml:"listen"`   // address for clients
+	Name          string `toml:"name"`
+	Site          string `toml:"site"`
+	AdminAddress  string `toml:"operator"` // admin address
+	ClientAddress string `toml:"listen"`   // address for clients
 }
 
 // Step is what is being done with a node.
@@ -138,34 +138,35 @@
 	return Task{Node: node, Step: r.progress.InProgress[node.Name], Retry: retry}
 }
 
-// Reached records that a node is about to be at a step. Note must be saved before it is.
-func (r *Rollout) Reached(node string, step Step) {
+// RecordStep records that a node is about to be at a step. Note must be saved before it is.
+func (r *Rollout) RecordStep(node string, step Step) {
 	if _, ok := r.progress.InProgress[node]; ok {
 		r.progress.InProgress[node] = step
 	}
 }
 
-// Done records that a node takes clients again.
-func (r *Rollout) Done(node string) {
+// RecordDone records that a node takes clients again.
+func (r *Rollout) RecordDone(node string) {
 	delete(r.progress.InProgress, node)
 	delete(r.running, node)
 	r.progress.Done = append(r.progress.Done, node)
 }
 
-// Failed records that a node's task has failed. No more tasks are started; the note keeps those in progress for the next process.
-func (r *Rollout) Failed(node string) {
+// RecordFailure records that a node's task has failed. No more tasks are started; the note keeps those in progress for the next
+// process.
+func (r *Rollout) RecordFailure(node string) {
 	delete(r.running, node)
 	r.failed = true
 }
 
-// Running returns how many tasks this process has.
-func (r *Rollout) Running() int { return len(r.running) }
+// RunningTasks returns how many tasks this process has.
+func (r *Rollout) RunningTasks() int { return len(r.running) }
 
 // Complete reports whether all nodes are done.
 func (r *Rollout) Complete() bool { return r.progress.Complete }
 
-// Finished returns the names of the nodes that are done.
-func (r *Rollout) Finished() []string { return r.progress.Done }
+// DoneNodes returns the names of the nodes that are done.
+func (r *Rollout) DoneNodes() []string { return r.progress.Done }
 
 // Note returns the progress in the form that New reads. That of a complete change names no nodes.
 func (r *Rollout) Note() string { return r.progress.note() }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -71,16 +71,16 @@
 	case Standby:
 		d.unavailable[task.Name] = true
 		task.Step = Change
-		r.Reached(task.Name, Change)
+		r.RecordStep(task.Name, Change)
 	case Change:
 		if d.unavailable[task.Name] && d.changed[task.Name] == 0 { // the command finds out whether the node has changed
 			d.changed[task.Name]++
 		}
 		task.Step = Resume
-		r.Reached(task.Name, Resume)
+		r.RecordStep(task.Name, Resume)
 	case Resume:
 		delete(d.unavailable, task.Name)
-		r.Done(task.Name)
+		r.RecordDone(task.Name)
 		return true
 	}
 	return false
@@ -131,7 +131,7 @@
 	if _, err := New(nodes, 1, "v2", r.Note()); !errors.Is(err, ErrInProgress) || !strings.Contains(err.Error(), "v1") {
 		t.Error(err)
 	}
-	r.Failed("a")
+	r.RecordFailure("a")
 	if tasks := r.Next(); len(tasks) != 0 || r.Complete() {
 		t.Error("after a failure:", tasks)
 	}
@@ -143,7 +143,7 @@
 		if len(tasks) != 1 || tasks[0].Name != want || tasks[0].Retry != (want == "a") {
 			t.Fatal(tasks)
 		}
-		r.Done(want)
+		r.RecordDone(want)
 	}
 	if r.Next(); !r.Complete() {
 		t.Error("not complete")
@@ -174,11 +174,11 @@
 	for !r.Complete() {
 		for _, task := range r.Next() {
 			largest = max(largest, len(r.Note()))
-			r.Done(task.Name)
+			r.RecordDone(task.Name)
 		}
 	}
-	if len(r.Finished()) != len(nodes) || largest > lease.MaxNoteBytes {
-		t.Errorf("%d nodes done, notes of %d bytes where %d fit", len(r.Finished()), largest, lease.MaxNoteBytes)
+	if len(r.DoneNodes()) != len(nodes) || largest > lease.MaxNoteBytes {
+		t.Errorf("%d nodes done, notes of %d bytes where %d fit", len(r.DoneNodes()), largest, lease.MaxNoteBytes)
 	}
 }
 
