--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -152,7 +152,7 @@
 		{"acquire", lease.Command{Name: "x", Holder: "a", RequestID: 1, Ticks: 50}},
 		{"renew", lease.Command{Name: "x", Token: 7, Ticks: 50}},
 		{"most", lease.Command{Name: "x", MaxHolders: 2}},
-		{"note", lease.Command{Name: "x", Token: 7, Text: "words"}},
+		{"note", lease.Command{Name: "x", Token: 7, NoteText: "words"}},
 	} {
 		if _, err := client.Do(ctx, call.verb, call.command); err != nil {
 			t.Fatal(err)
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -240,7 +240,7 @@
 // SetNote replaces the note for the next holder.
 func (l *Lease) SetNote(ctx context.Context, text string) error {
 	grant, _ := l.Grant()
-	_, err := l.client.Do(ctx, verbSetNote, lease.Command{Name: grant.Name, Token: grant.Token, Text: text})
+	_, err := l.client.Do(ctx, verbSetNote, lease.Command{Name: grant.Name, Token: grant.Token, NoteText: text})
 	return err
 }
 
@@ -266,5 +266,5 @@
 func (l *Lease) actionsOver() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.guard.ActionsOver(l.options.Clock())
+	return l.guard.ActionsEnded(l.options.Clock())
 }
--- a/internal/agent/storage.go
+++ b/internal/agent/storage.go
@@ -203,7 +203,7 @@
 }
 
 func saveEntries(log *bbolt.Bucket, update consensus.StorageUpdate) error {
-	lastDeleted := update.CompactBefore
+	lastDeleted := update.CompactIndex
 	if update.ReplaceLog {
 		lastDeleted = math.MaxUint64
 	}
--- a/internal/agent/storage_test.go
+++ b/internal/agent/storage_test.go
@@ -80,7 +80,7 @@
 		update.HardState = &pb.HardState{Term: proto.Uint64(term), Commit: proto.Uint64(l.compacted)}
 	case 1: // a snapshot of this member
 		l.compacted = rapid.Uint64Range(l.compacted, l.last).Draw(t, "before")
-		update.CompactBefore = l.compacted
+		update.CompactIndex = l.compacted
 		update.Snapshot = testSnapshot(l.last)
 	case 2: // a snapshot of another member
 		l.last += rapid.Uint64Range(1, 300).Draw(t, "ahead")
--- a/internal/consensus/encoding_test.go
+++ b/internal/consensus/encoding_test.go
@@ -57,7 +57,7 @@
 	checkEncoding(t, storedAcquire, proposal{key, acquire})
 	checkEncoding(t, storedRenew, proposal{key, lease.Command{Kind: lease.Renew, Name: "rollout", Token: 2, Ticks: 9}})
 	checkEncoding(t, storedMaximum, proposal{key, lease.Command{Kind: lease.SetMaxHolders, Name: "rollout", MaxHolders: 2}})
-	checkEncoding(t, storedNote, proposal{key, lease.Command{Kind: lease.SetNote, Name: "rollout", Token: 2, Text: "a note"}})
+	checkEncoding(t, storedNote, proposal{key, lease.Command{Kind: lease.SetNote, Name: "rollout", Token: 2, NoteText: "a note"}})
 	checkEncoding(t, storedTick, proposal{tickKey, lease.Command{Kind: lease.Tick}})
 }
 
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -76,14 +76,14 @@
 	}
 	m.snapshotIndex = m.appliedIndex
 	m.membersChanged = false
-	compactBefore := m.appliedIndex - min(m.appliedIndex, trailingEntries)
-	if err := m.options.Storage.Save(StorageUpdate{Snapshot: created, CompactBefore: compactBefore}); err != nil {
+	compactIndex := m.appliedIndex - min(m.appliedIndex, trailingEntries)
+	if err := m.options.Storage.Save(StorageUpdate{Snapshot: created, CompactIndex: compactIndex}); err != nil {
 		return err
 	}
-	if first, err := m.raftStorage.FirstIndex(); err != nil || compactBefore < first {
+	if first, err := m.raftStorage.FirstIndex(); err != nil || compactIndex < first {
 		return err
 	}
-	return m.raftStorage.Compact(compactBefore)
+	return m.raftStorage.Compact(compactIndex)
 }
 
 // updateRaftStorage applies an update that has been saved to raft's own copy of the log.
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -27,7 +27,7 @@
 		Leader:  m.Leader(),
 		Term:    m.Term(),
 		Applied: m.appliedIndex,
-		Tick:    m.leases.Now(),
+		Tick:    m.leases.TickCount(),
 		Terms:   m.terms,
 		Members: maps.Clone(m.members),
 		Leases:  m.leases.List(),
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -13,11 +13,11 @@
 
 // StorageUpdate is a change of a member's durable state. It must be applied atomically.
 type StorageUpdate struct {
-	HardState     *pb.HardState // nil: unchanged
-	Snapshot      *pb.Snapshot  // nil: unchanged
-	ReplaceLog    bool          // the snapshot came from another member and replaces all entries
-	Entries       []*pb.Entry   // they replace all entries from the first one's index on
-	CompactBefore uint64        // entries up to and including this index may be deleted
+	HardState    *pb.HardState // nil: unchanged
+	Snapshot     *pb.Snapshot  // nil: unchanged
+	ReplaceLog   bool          // the snapshot came from another member and replaces all entries
+	Entries      []*pb.Entry   // they replace all entries from the first one's index on
+	CompactIndex uint64        // entries up to and including this index may be deleted
 }
 
 // Storage persists a member's durable state. Once Save has returned nil the update must survive a crash of the machine. After an error
@@ -46,7 +46,7 @@
 		earlier := s.Entries[:s.position(update.Entries[0].GetIndex())]
 		s.Entries = append(slices.Clip(earlier), update.Entries...)
 	}
-	s.Entries = s.Entries[s.position(update.CompactBefore+1):]
+	s.Entries = s.Entries[s.position(update.CompactIndex+1):]
 	return s
 }
 
--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -12,7 +12,7 @@
 	Renew                     // Name, Token, Ticks: expire no sooner than this many ticks from now
 	Release                   // Name, Token
 	SetMaxHolders             // Name, MaxHolders: 1 unless it has been set
-	SetNote                   // Name, Token, Text: a note for the next holder, such as how far a task got; empty: none
+	SetNote                   // Name, Token, NoteText: a note for the next holder, such as how far a task got; empty: none
 )
 
 // Command is an operation on the State. Its JSON form is stored and sent over HTTP.
@@ -24,7 +24,7 @@
 	Token      Token  `json:"token,omitempty"`
 	Ticks      uint64 `json:"ticks,omitempty"`
 	MaxHolders int    `json:"most,omitempty"`
-	Text       string `json:"text,omitempty"`
+	NoteText   string `json:"text,omitempty"`
 }
 
 // Reasons why a command is rejected. A rejected command changes nothing. Agents send the texts to their clients.
@@ -55,5 +55,5 @@
 		len(c.Name) <= maxNameBytes &&
 		len(c.Holder) <= maxNameBytes &&
 		c.Ticks <= maxGrantTicks &&
-		len(c.Text) <= MaxNoteBytes
+		len(c.NoteText) <= MaxNoteBytes
 }
--- a/internal/lease/guard.go
+++ b/internal/lease/guard.go
@@ -57,9 +57,9 @@
 // Grant returns the current grant, to be renewed or released.
 func (g *Guard) Grant() (Grant, bool) { return g.grant, g.granted }
 
-// ActionsOver reports whether all actions that were begun must be over. The lease must not be released before that: the next holder would
-// begin while an action of this one is still in progress.
-func (g *Guard) ActionsOver(now time.Duration) bool { return now >= g.busyUntil }
+// ActionsEnded reports whether all actions that were begun must be over. The lease must not be released before that: the next holder
+// would begin while an action of this one is still in progress.
+func (g *Guard) ActionsEnded(now time.Duration) bool { return now >= g.busyUntil }
 
 // Remaining returns for how long the lease is guaranteed to last.
 func (g *Guard) Remaining(now time.Duration) time.Duration {
@@ -69,8 +69,8 @@
 	return max(g.expiresAt-now, 0)
 }
 
-// Drop forgets the grant, after a release or a rejected renewal.
-func (g *Guard) Drop() {
+// DropGrant forgets the grant, after a release or a rejected renewal.
+func (g *Guard) DropGrant() {
 	if g.granted {
 		g.granted = false
 		g.droppedToken = g.grant.Token
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -130,14 +130,14 @@
 	g.RecordGrant(Grant{Token: 5}, 11, 0) // guaranteed until 10 s, whenever the answer came
 	checkBegin(8*s, 2*s, 5)
 	checkBegin(8*s, 2*s+1, 0)
-	if g.ActionsOver(10*s-1) || !g.ActionsOver(10*s) {
+	if g.ActionsEnded(10*s-1) || !g.ActionsEnded(10*s) {
 		t.Error("expired before its action is over, or not after")
 	}
 	g.RecordGrant(Grant{Token: 5}, 11, 4*s)
 	g.RecordGrant(Grant{Token: 5}, 11, 2*s) // the late answer to an earlier request
 	checkBegin(13*s, s, 5)
 	checkBegin(13*s, s+1, 0)
-	g.Drop()
+	g.DropGrant()
 	g.RecordGrant(Grant{Token: 5}, 11, 12*s) // the answer crossed the release
 	checkBegin(13*s, s, 0)
 	g.RecordGrant(Grant{Token: 7}, 11, 20*s)
@@ -163,7 +163,7 @@
 	}
 	setNote := func(name string, token Token, text string, want error) {
 		t.Helper()
-		if _, err := s.Apply(Command{Kind: SetNote, Name: name, Token: token, Text: text}); !errors.Is(err, want) {
+		if _, err := s.Apply(Command{Kind: SetNote, Name: name, Token: token, NoteText: text}); !errors.Is(err, want) {
 			t.Errorf("%s: %v, want %v", name, err, want)
 		}
 	}
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -123,10 +123,10 @@
 	if i < 0 {
 		return Grant{}, ErrNotGranted
 	}
-	if r.Note == "" && command.Text != "" && s.countNotes() >= maxNotes {
+	if r.Note == "" && command.NoteText != "" && s.countNotes() >= maxNotes {
 		return Grant{}, ErrFull
 	}
-	r.Note = command.Text
+	r.Note = command.NoteText
 	return r.Grants[i], nil
 }
 
@@ -206,5 +206,5 @@
 	return false
 }
 
-// Now returns the number of ticks that have been applied.
-func (s *State) Now() uint64 { return s.tick }
+// TickCount returns the number of ticks that have been applied.
+func (s *State) TickCount() uint64 { return s.tick }
--- a/internal/simulation/leasesim/holder.go
+++ b/internal/simulation/leasesim/holder.go
@@ -85,8 +85,8 @@
 			h.handleResponse(command, response, err, requestedAt)
 		})
 	})
-	if granted && s.chance(0.1) && (h.guard.ActionsOver(h.clock()) || s.without.ReleaseWait) { // all its actions are over
-		h.guard.Drop()
+	if granted && s.chance(0.1) && (h.guard.ActionsEnded(h.clock()) || s.without.ReleaseWait) { // all its actions are over
+		h.guard.DropGrant()
 		release := lease.Command{Kind: lease.Release, Name: leaseName, Token: grant.Token}
 		s.request(h, release, func(lease.Grant, error) {})
 	}
@@ -101,7 +101,7 @@
 	}
 	current, granted := h.guard.Grant()
 	if command.Kind == lease.Renew && granted && current.Token == command.Token {
-		h.guard.Drop()
+		h.guard.DropGrant()
 	}
 }
 
--- a/internal/simulation/leasesim/singlestate.go
+++ b/internal/simulation/leasesim/singlestate.go
@@ -65,7 +65,7 @@
 		if g.leader == 0 {
 			return
 		}
-		before := g.state.Now()
+		before := g.state.TickCount()
 		grant, err := g.state.Apply(command)
 		if command.Kind == lease.Acquire && err == nil && grant.ExpiresAt == before+command.Ticks {
 			s.outcome.Grants++
