--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -52,16 +52,16 @@
 		t.Errorf("%d writes of an idle group", group.storages[1].writes-writes)
 	}
 	grantLongLease(group, leader)
-	var at []time.Duration
-	for tick := leader.Status().Tick; len(at) < 20; {
+	var tickTimes []time.Duration
+	for tick := leader.Status().Tick; len(tickTimes) < 20; {
 		if group.runTicks(1); leader.Status().Tick != tick {
 			tick = leader.Status().Tick
-			at = append(at, group.now)
+			tickTimes = append(tickTimes, group.now)
 		}
 	}
-	for i := range at[1:] {
-		if at[i+1]-at[i] < interval {
-			t.Errorf("ticks at %v and %v", at[i], at[i+1])
+	for i := range tickTimes[1:] {
+		if tickTimes[i+1]-tickTimes[i] < interval {
+			t.Errorf("ticks at %v and %v", tickTimes[i], tickTimes[i+1])
 		}
 	}
 }
@@ -241,7 +241,7 @@
 		result := group.changeMembers(leader, map[uint64]string{added: address(added)}, self)
 		removed := func() bool { return leader.Removed() }
 		for range 60 {
-			if led := leader.IsLeader(); !led && removed() {
+			if isLeader := leader.IsLeader(); !isLeader && removed() {
 				break
 			}
 			group.runTicks(1)
@@ -251,8 +251,8 @@
 		}
 		delete(group.members, self) // at once
 		successor := group.awaitLeader()
-		if v := successor.Status(); len(v.Members) != n || v.Members[self] != "" {
-			t.Errorf("group of %d: %v", n, v.Members)
+		if status := successor.Status(); len(status.Members) != n || status.Members[self] != "" {
+			t.Errorf("group of %d: %v", n, status.Members)
 		}
 		if _, err := group.propose(successor, acquire("x")); err != nil {
 			t.Errorf("group of %d: %v", n, err)
@@ -279,11 +279,11 @@
 	others := maps.Clone(group.members)
 	delete(others, leader.Status().ID)
 	group.members = map[uint64]*Member{leader.Status().ID: leader}
-	var got error
-	leader.Propose(acquire("x"), func(_ lease.Grant, err error) { got = err })
+	var replyErr error
+	leader.Propose(acquire("x"), func(_ lease.Grant, err error) { replyErr = err })
 	group.runTicks(30)
-	if !errors.Is(got, ErrOutcomeUnknown) || leader.IsLeader() {
-		t.Error(got, leader.IsLeader())
+	if !errors.Is(replyErr, ErrOutcomeUnknown) || leader.IsLeader() {
+		t.Error(replyErr, leader.IsLeader())
 	}
 	maps.Copy(group.members, others)
 	leader = group.awaitLeader()
@@ -291,10 +291,10 @@
 		t.Error(g, err)
 	}
 	group.storages[leader.Status().ID].err = errors.New("no sync")
-	got = nil
-	leader.Propose(acquire("z"), func(_ lease.Grant, err error) { got = err })
-	if err := leader.Flush(); err == nil || !errors.Is(got, ErrOutcomeUnknown) {
-		t.Error("after a failed write:", err, got)
+	replyErr = nil
+	leader.Propose(acquire("z"), func(_ lease.Grant, err error) { replyErr = err })
+	if err := leader.Flush(); err == nil || !errors.Is(replyErr, ErrOutcomeUnknown) {
+		t.Error("after a failed write:", err, replyErr)
 	}
 	if leader.Tick(); leader.Flush() == nil {
 		t.Error("the member goes on")
--- a/internal/consensus/encoding_test.go
+++ b/internal/consensus/encoding_test.go
@@ -16,13 +16,13 @@
 
 // What commit f2517d9 wrote into the log and into snapshots, byte for byte.
 const (
-	storedAcquire = `{"by":1,"life":15205841957720470382,"seq":4,"kind":1,"name":"rollout","who":"a","ask":463172840997,"ticks":308}`
-	storedRenew   = `{"by":1,"life":15205841957720470382,"seq":4,"kind":2,"name":"rollout","token":2,"ticks":9}`
-	storedMaximum = `{"by":1,"life":15205841957720470382,"seq":4,"kind":4,"name":"rollout","most":2}`
-	storedNote    = `{"by":1,"life":15205841957720470382,"seq":4,"kind":5,"name":"rollout","token":2,"text":"a note"}`
-	storedTick    = `{"by":1,"life":15205841957720470382,"seq":0,"kind":0}`
-	storedChange  = `{"by":1,"life":15205841957720470382,"seq":4,"add":{"4":"127.0.0.1:17104","5":"127.0.0.1:17105"},"leave":[1,2]}`
-	storedNextOne = `{"by":0,"life":0,"seq":0}` // a later step of a change of members
+	storedAcquire       = `{"by":1,"life":15205841957720470382,"seq":4,"kind":1,"name":"rollout","who":"a","ask":463172840997,"ticks":308}`
+	storedRenew         = `{"by":1,"life":15205841957720470382,"seq":4,"kind":2,"name":"rollout","token":2,"ticks":9}`
+	storedSetMaxHolders = `{"by":1,"life":15205841957720470382,"seq":4,"kind":4,"name":"rollout","most":2}`
+	storedNote          = `{"by":1,"life":15205841957720470382,"seq":4,"kind":5,"name":"rollout","token":2,"text":"a note"}`
+	storedTick          = `{"by":1,"life":15205841957720470382,"seq":0,"kind":0}`
+	storedChange        = `{"by":1,"life":15205841957720470382,"seq":4,"add":{"4":"127.0.0.1:17104","5":"127.0.0.1:17105"},"leave":[1,2]}`
+	storedLaterStep     = `{"by":0,"life":0,"seq":0}` // a later step of a change of members
 
 	storedSnapshot = `{"version":1,"terms":{"Interval":200000000,"Drift":0.01},` +
 		`"members":{"1":"127.0.0.1:17101","2":"127.0.0.1:17102","3":"127.0.0.1:17103"},"highest":3,"leaving":[1,2],` +
@@ -56,7 +56,7 @@
 	acquire := lease.Command{Kind: lease.Acquire, Name: "rollout", Holder: "a", RequestID: 463172840997, Ticks: 308}
 	checkEncoding(t, storedAcquire, proposal{key, acquire})
 	checkEncoding(t, storedRenew, proposal{key, lease.Command{Kind: lease.Renew, Name: "rollout", Token: 2, Ticks: 9}})
-	checkEncoding(t, storedMaximum, proposal{key, lease.Command{Kind: lease.SetMaxHolders, Name: "rollout", MaxHolders: 2}})
+	checkEncoding(t, storedSetMaxHolders, proposal{key, lease.Command{Kind: lease.SetMaxHolders, Name: "rollout", MaxHolders: 2}})
 	checkEncoding(t, storedNote, proposal{key, lease.Command{Kind: lease.SetNote, Name: "rollout", Token: 2, NoteText: "a note"}})
 	checkEncoding(t, storedTick, proposal{tickKey, lease.Command{Kind: lease.Tick}})
 }
@@ -67,7 +67,7 @@
 		Add:        map[uint64]string{4: "127.0.0.1:17104", 5: "127.0.0.1:17105"},
 		Remove:     []uint64{1, 2},
 	})
-	checkEncoding(t, storedNextOne, membershipChange{})
+	checkEncoding(t, storedLaterStep, membershipChange{})
 }
 
 // A member that starts from a stored snapshot writes the same bytes when it makes its own.
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -56,7 +56,7 @@
 	electionTimeout    int // in ticks without a leader
 	isLeader           bool
 
-	lastLeaseTick     time.Duration // when a tick of the leases was last applied here
+	lastLeaseTickAt   time.Duration // when a tick of the leases was last applied here
 	leaseTickInFlight bool          // this leader has proposed one that is not yet applied
 	promotionInFlight bool          // this leader has proposed to complete a change of members
 	membersChanged    bool          // since the last snapshot
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -32,7 +32,7 @@
 		reply(err)
 		return
 	}
-	if m.isChanging(add, remove) {
+	if m.conflictsWithEarlierChange(add, remove) {
 		reply(ErrBusy)
 		return
 	}
@@ -83,9 +83,9 @@
 	return changes, nil
 }
 
-// isChanging reports whether an earlier change is in progress that excludes this one. A change that waits for its learners can only be
-// cancelled, by the removal of all of them.
-func (m *Member) isChanging(add map[uint64]string, remove []uint64) bool {
+// conflictsWithEarlierChange reports whether an earlier change is in progress that excludes this one. A change that waits for its
+// learners can only be cancelled, by the removal of all of them.
+func (m *Member) conflictsWithEarlierChange(add map[uint64]string, remove []uint64) bool {
 	if m.promotionInFlight || len(m.confState.GetVotersOutgoing()) > 0 {
 		return true
 	}
--- a/internal/consensus/proposal.go
+++ b/internal/consensus/proposal.go
@@ -54,9 +54,9 @@
 // proposeLeaseTick proposes that an interval has passed, at the earliest one interval after the last such entry was applied here. Only
 // one is in flight at a time, and a new leader first applies an entry of its own term, and with it all ticks of its predecessors.
 func (m *Member) proposeLeaseTick() {
-	hasOwnTerm := m.appliedTerm == m.node.BasicStatus().GetTerm()
-	due := m.options.Clock() >= m.lastLeaseTick+m.terms.Interval
-	if m.leaseTickInFlight || !hasOwnTerm || !m.leases.HasGrants() || !due {
+	appliedOwnTerm := m.appliedTerm == m.node.BasicStatus().GetTerm()
+	intervalPassed := m.options.Clock() >= m.lastLeaseTickAt+m.terms.Interval
+	if m.leaseTickInFlight || !appliedOwnTerm || !m.leases.HasGrants() || !intervalPassed {
 		return
 	}
 	m.leaseTickInFlight = m.propose(0, lease.Command{Kind: lease.Tick}) == nil
@@ -153,7 +153,7 @@
 	}
 	grant, err := m.leases.Apply(p.Command)
 	if p.Kind == lease.Tick {
-		m.lastLeaseTick = m.options.Clock()
+		m.lastLeaseTickAt = m.options.Clock()
 		m.leaseTickInFlight = m.leaseTickInFlight && !m.isOwn(p.requestKey)
 	}
 	if m.isOwn(p.requestKey) {
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -49,7 +49,7 @@
 	m.appliedIndex = metadata.GetIndex()
 	m.snapshotIndex = metadata.GetIndex()
 	m.appliedTerm = metadata.GetTerm()
-	m.lastLeaseTick = m.options.Clock() // the snapshot's last tick may have been applied just now
+	m.lastLeaseTickAt = m.options.Clock() // the snapshot's last tick may have been applied just now
 	return nil
 }
 
--- a/internal/lease/guard.go
+++ b/internal/lease/guard.go
@@ -32,9 +32,9 @@
 // came. Answers may come late or repeatedly: they never shorten the lease, nor extend it wrongly.
 func (g *Guard) RecordGrant(grant Grant, ticks uint64, sentAt time.Duration) {
 	expiresAt := sentAt + g.Terms.GuaranteedDuration(ticks)
-	isEarlier := grant.Token <= g.droppedToken || g.granted && grant.Token < g.grant.Token
+	isObsolete := grant.Token <= g.droppedToken || g.granted && grant.Token < g.grant.Token
 	switch {
-	case isEarlier:
+	case isObsolete:
 	case g.granted && grant.Token == g.grant.Token:
 		g.expiresAt = max(g.expiresAt, expiresAt)
 	default:
@@ -45,8 +45,8 @@
 }
 
 // BeginAction reports whether an action may begin that takes at most this long until its effect is complete, and under which grant.
-func (g *Guard) BeginAction(now, longest time.Duration) (Grant, bool) {
-	end := now + time.Duration(float64(longest)*(1+g.Terms.Drift))
+func (g *Guard) BeginAction(now, maxDuration time.Duration) (Grant, bool) {
+	end := now + time.Duration(float64(maxDuration)*(1+g.Terms.Drift))
 	if !g.granted || end > g.expiresAt {
 		return Grant{}, false
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -118,34 +118,34 @@
 
 // The duration counts from when the request was sent; an answer that comes late, repeatedly or after a release restores nothing.
 func TestGuardAllowsActionsOnlyWithinGuaranteedDuration(t *testing.T) {
-	const s = time.Second
-	g := Guard{Terms: Terms{Interval: s, Drift: 0}}
-	checkBegin := func(now, longest time.Duration, want Token) {
+	const second = time.Second
+	g := Guard{Terms: Terms{Interval: second, Drift: 0}}
+	checkBegin := func(now, maxDuration time.Duration, want Token) {
 		t.Helper()
-		if grant, ok := g.BeginAction(now, longest); ok != (want > 0) || grant.Token != want {
-			t.Errorf("at %v for %v: %v %v, want %d", now, longest, grant.Token, ok, want)
+		if grant, ok := g.BeginAction(now, maxDuration); ok != (want > 0) || grant.Token != want {
+			t.Errorf("at %v for %v: %v %v, want %d", now, maxDuration, grant.Token, ok, want)
 		}
 	}
 	checkBegin(0, 0, 0)
 	g.RecordGrant(Grant{Token: 5}, 11, 0) // guaranteed until 10 s, whenever the answer came
-	checkBegin(8*s, 2*s, 5)
-	checkBegin(8*s, 2*s+1, 0)
-	if g.ActionsEnded(10*s-1) || !g.ActionsEnded(10*s) {
+	checkBegin(8*second, 2*second, 5)
+	checkBegin(8*second, 2*second+1, 0)
+	if g.ActionsEnded(10*second-1) || !g.ActionsEnded(10*second) {
 		t.Error("expired before its action is over, or not after")
 	}
-	g.RecordGrant(Grant{Token: 5}, 11, 4*s)
-	g.RecordGrant(Grant{Token: 5}, 11, 2*s) // the late answer to an earlier request
-	checkBegin(13*s, s, 5)
-	checkBegin(13*s, s+1, 0)
+	g.RecordGrant(Grant{Token: 5}, 11, 4*second)
+	g.RecordGrant(Grant{Token: 5}, 11, 2*second) // the late answer to an earlier request
+	checkBegin(13*second, second, 5)
+	checkBegin(13*second, second+1, 0)
 	g.DropGrant()
-	g.RecordGrant(Grant{Token: 5}, 11, 12*s) // the answer crossed the release
-	checkBegin(13*s, s, 0)
-	g.RecordGrant(Grant{Token: 7}, 11, 20*s)
-	checkBegin(21*s, s, 7)
-	if remaining := g.Remaining(25 * s); remaining != 5*s {
+	g.RecordGrant(Grant{Token: 5}, 11, 12*second) // the answer crossed the release
+	checkBegin(13*second, second, 0)
+	g.RecordGrant(Grant{Token: 7}, 11, 20*second)
+	checkBegin(21*second, second, 7)
+	if remaining := g.Remaining(25 * second); remaining != 5*second {
 		t.Error(remaining)
 	}
-	if guaranteed := (Terms{Interval: s, Drift: 0.5}).GuaranteedDuration(4); guaranteed != s {
+	if guaranteed := (Terms{Interval: second, Drift: 0.5}).GuaranteedDuration(4); guaranteed != second {
 		t.Errorf("three intervals with a drift of 0.5: %v, want a third of them", guaranteed)
 	}
 }
@@ -179,13 +179,13 @@
 	if s, err = Restore(raw); err != nil {
 		t.Fatal(err)
 	}
-	if all := s.List(); len(all) != 1 || all[0].Note != "half done" || s.HasGrants() {
-		t.Errorf("%+v", all)
+	if listed := s.List(); len(listed) != 1 || listed[0].Note != "half done" || s.HasGrants() {
+		t.Errorf("%+v", listed)
 	}
 	setNote("x", acquire("x"), "", nil)
 	_, _ = s.Apply(Command{Kind: Tick})
-	if all := s.List(); len(all) != 0 {
-		t.Errorf("unused leases are not forgotten: %+v", all)
+	if listed := s.List(); len(listed) != 0 {
+		t.Errorf("unused leases are not forgotten: %+v", listed)
 	}
 	for i := range maxNotes {
 		name := string(rune('a'+i%26)) + string(rune('a'+i/26))
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -31,11 +31,11 @@
 	if !command.withinBounds() {
 		return Grant{}, ErrInvalid
 	}
-	r, err := s.find(command)
+	r, err := s.findOrAdd(command)
 	if err != nil {
 		return Grant{}, err
 	}
-	defer s.forgetUnused(command.Name)
+	defer s.deleteIfUnused(command.Name)
 	switch command.Kind {
 	case Acquire:
 		return s.acquire(r, command)
@@ -56,17 +56,18 @@
 	s.tick++
 	for name, r := range s.leases {
 		r.Grants = slices.DeleteFunc(r.Grants, func(g Grant) bool { return g.ExpiresAt <= s.tick })
-		s.forgetUnused(name)
+		s.deleteIfUnused(name)
 	}
 }
 
-// find returns the lease of a command. A new one is added, to be removed again by forgetUnused if the command leaves it as it is.
-func (s *State) find(command Command) (*record, error) {
+// findOrAdd returns the lease of a command. A new one is added, to be removed again by deleteIfUnused if the command leaves it as it
+// is.
+func (s *State) findOrAdd(command Command) (*record, error) {
 	if r := s.leases[command.Name]; r != nil {
 		return r, nil
 	}
-	mayStay := command.Kind == Acquire || command.Kind == SetMaxHolders
-	if mayStay && len(s.leases) >= maxLeases {
+	mayAddLease := command.Kind == Acquire || command.Kind == SetMaxHolders
+	if mayAddLease && len(s.leases) >= maxLeases {
 		return nil, ErrFull
 	}
 	r := &record{MaxHolders: 1}
@@ -139,8 +140,8 @@
 	return count
 }
 
-// forgetUnused deletes a lease that is as one that was never named.
-func (s *State) forgetUnused(name string) {
+// deleteIfUnused deletes a lease that is as one that was never named.
+func (s *State) deleteIfUnused(name string) {
 	r := s.leases[name]
 	if r != nil && len(r.Grants) == 0 && r.MaxHolders == 1 && r.Note == "" {
 		delete(s.leases, name)
@@ -183,17 +184,17 @@
 
 // List returns all leases that have a grant, a note or a MaxHolders of their own, sorted by name.
 func (s *State) List() []Lease {
-	all := make([]Lease, 0, len(s.leases))
+	listed := make([]Lease, 0, len(s.leases))
 	for name, r := range s.leases {
-		all = append(all, Lease{
+		listed = append(listed, Lease{
 			Name:       name,
 			MaxHolders: r.MaxHolders,
 			Grants:     slices.Clone(r.Grants),
 			Note:       r.Note,
 		})
 	}
-	slices.SortFunc(all, func(a, b Lease) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(listed, func(a, b Lease) int { return cmp.Compare(a.Name, b.Name) })
+	return listed
 }
 
 // HasGrants reports whether any grant exists. Ticks are needed only while one does.
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -39,8 +39,8 @@
 	return string(raw)
 }
 
-// keepOnly removes nodes that are not listed any more.
-func (p *progress) keepOnly(names map[string]bool) {
+// removeUnlisted removes nodes that are not listed any more.
+func (p *progress) removeUnlisted(names map[string]bool) {
 	p.Done = slices.DeleteFunc(p.Done, func(name string) bool { return !names[name] })
 	maps.DeleteFunc(p.InProgress, func(name string, _ Step) bool { return !names[name] })
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -47,7 +47,7 @@
 
 // New starts a change, or continues it if the note says that it was started. A change that is complete is not started again.
 func New(nodes []Node, maxUnavailable int, change, note string) (*Rollout, error) {
-	names, err := namesOf(nodes)
+	names, err := uniqueNames(nodes)
 	if err != nil {
 		return nil, err
 	}
@@ -60,24 +60,24 @@
 	if note == "" {
 		return r, nil
 	}
-	last, err := parseNote(note)
+	previous, err := parseNote(note)
 	if err != nil {
 		return nil, err
 	}
-	if last.Change == change {
-		last.keepOnly(names)
-		r.progress = last
+	if previous.Change == change {
+		previous.removeUnlisted(names)
+		r.progress = previous
 		return r, nil
 	}
-	if !last.Complete {
+	if !previous.Complete {
 		return nil, fmt.Errorf("%w: %q, with %d nodes done and %d in progress",
-			ErrInProgress, last.Change, len(last.Done), len(last.InProgress))
+			ErrInProgress, previous.Change, len(previous.Done), len(previous.InProgress))
 	}
 	return r, nil
 }
 
-// namesOf returns the nodes' names, which must be unique.
-func namesOf(nodes []Node) (map[string]bool, error) {
+// uniqueNames returns the nodes' names, which must be unique.
+func uniqueNames(nodes []Node) (map[string]bool, error) {
 	names := map[string]bool{}
 	for _, node := range nodes {
 		if node.Name == "" || names[node.Name] {
@@ -95,7 +95,7 @@
 	}
 	for _, node := range r.nodes { // what an earlier process has started
 		if r.isInProgress(node) && !r.running[node.Name] {
-			tasks = append(tasks, r.start(node, true))
+			tasks = append(tasks, r.startTask(node, true))
 		}
 	}
 	site, unavailable := r.currentSite()
@@ -110,7 +110,7 @@
 		}
 		unavailable++
 		r.progress.InProgress[node.Name] = Standby
-		tasks = append(tasks, r.start(node, false))
+		tasks = append(tasks, r.startTask(node, false))
 	}
 	r.progress.Complete = len(r.progress.InProgress) == 0
 	return tasks
@@ -132,8 +132,8 @@
 	return ok
 }
 
-// start returns the task for a node.
-func (r *Rollout) start(node Node, retry bool) Task {
+// startTask returns the task for a node.
+func (r *Rollout) startTask(node Node, retry bool) Task {
 	r.running[node.Name] = true
 	return Task{Node: node, Step: r.progress.InProgress[node.Name], Retry: retry}
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -11,19 +11,19 @@
 	"tulipglade/internal/lease"
 )
 
-// drawnRollout runs a rollout of drawn nodes with processes that crash.
-type drawnRollout struct {
+// randomRollout runs a rollout of drawn nodes with processes that crash.
+type randomRollout struct {
 	nodes          []Node
 	sites          map[string]string // by node
 	maxUnavailable int
-	note           string // as it was saved last
+	savedNote      string // as it was saved last
 	unavailable    map[string]bool
 	changed        map[string]int
 }
 
-func newDrawnRollout(t *rapid.T) *drawnRollout {
+func newRandomRollout(t *rapid.T) *randomRollout {
 	t.Helper()
-	d := &drawnRollout{sites: map[string]string{}, unavailable: map[string]bool{}, changed: map[string]int{}}
+	d := &randomRollout{sites: map[string]string{}, unavailable: map[string]bool{}, changed: map[string]int{}}
 	for i := range rapid.IntRange(1, 9).Draw(t, "nodes") {
 		node := Node{Name: fmt.Sprint("n", i), Site: rapid.SampledFrom([]string{"", "s1", "s2"}).Draw(t, "site")}
 		d.nodes = append(d.nodes, node)
@@ -35,38 +35,38 @@
 
 // runProcess runs one process until the rollout is complete, or it crashes: after this many steps (below 0: never), or before it saves the
 // note of a step. It reports whether the rollout is complete.
-func (d *drawnRollout) runProcess(t *rapid.T, crashAfter int) bool {
+func (d *randomRollout) runProcess(t *rapid.T, crashAfter int) bool {
 	t.Helper()
-	r, err := New(d.nodes, d.maxUnavailable, "v2", d.note)
+	r, err := New(d.nodes, d.maxUnavailable, "v2", d.savedNote)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var open []Task
+	var openTasks []Task
 	for step := 0; step != crashAfter; step++ {
-		open = append(open, r.Next()...)
-		d.note = r.Note()
-		if len(open) == 0 {
+		openTasks = append(openTasks, r.Next()...)
+		d.savedNote = r.Note()
+		if len(openTasks) == 0 {
 			if !r.Complete() {
 				t.Fatal("no task is left, and the rollout is not complete")
 			}
 			return true
 		}
-		i := rapid.IntRange(0, len(open)-1).Draw(t, "task")
-		if d.advance(r, &open[i]) {
-			open = append(open[:i], open[i+1:]...)
+		i := rapid.IntRange(0, len(openTasks)-1).Draw(t, "task")
+		if d.advance(r, &openTasks[i]) {
+			openTasks = append(openTasks[:i], openTasks[i+1:]...)
 		}
 		d.checkUnavailable(t)
 		isSaved := rapid.Bool().Draw(t, "note saved")
 		if !isSaved && crashAfter >= 0 {
 			break
 		}
-		d.note = r.Note()
+		d.savedNote = r.Note()
 	}
-	return r.Complete() && len(open) == 0
+	return r.Complete() && len(openTasks) == 0
 }
 
 // advance does the step of a task, and reports whether the task is done.
-func (d *drawnRollout) advance(r *Rollout, task *Task) bool {
+func (d *randomRollout) advance(r *Rollout, task *Task) bool {
 	switch task.Step {
 	case Standby:
 		d.unavailable[task.Name] = true
@@ -87,7 +87,7 @@
 }
 
 // checkUnavailable checks that the unavailable nodes are of one site, and not too many.
-func (d *drawnRollout) checkUnavailable(t *rapid.T) {
+func (d *randomRollout) checkUnavailable(t *rapid.T) {
 	t.Helper()
 	sites := map[string]int{}
 	for name := range d.unavailable {
@@ -104,7 +104,7 @@
 // too many of one; each node's steps come in order; and in the end all nodes are done.
 func TestRolloutContinuesAfterCrashAtAnyPoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDrawnRollout(t)
+		d := newRandomRollout(t)
 		for process := 0; ; process++ {
 			crashAfter := -1
 			if process < 5 {
