--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -1,6 +1,7 @@
-// Package consensus is one member of the group that agrees on leases: etcd's raft with lease.State as its state machine. It has no
-// I/O. Messages, clock ticks and requests go in; out come storage updates and, once those are durable, messages and replies.
-// docs/lease-design.md says what holds and why.
+// Package consensus implements one member of the group that agrees on leases. It runs etcd's raft with lease.State as
+// the state machine. The package does no I/O of its own: the caller passes in messages, clock ticks and requests, and
+// the member passes storage updates to its Storage and, once those are durable, messages and replies to callbacks.
+// docs/lease-design.md describes the guarantees and the reasons for them.
 package consensus
 
 import (
@@ -11,27 +12,29 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Options are the settings and dependencies of a Member.
+// Options holds the settings and dependencies of a Member.
 type Options struct {
 	ID                  uint64
-	Clock               func() time.Duration // monotonic, from any origin
-	Rand                *rand.Rand
+	Clock               func() time.Duration // a monotonic clock; its origin does not matter
+	Rand                *rand.Rand           // source of the incarnation and of election timeouts
 	Storage             Storage
-	Send                func(to string, m *pb.Message) // to a member's address; the message may be lost
-	ElectionTicks       int                            // an election starts after this many to twice as many ticks without a leader
-	SnapshotEntries     uint64                         // entries between two snapshots
-	RequestTimeoutTicks int                            // ticks until a request without an outcome fails
+	Send                func(to string, m *pb.Message) // sends a message to a member's address; it may be lost
+	ElectionTicks       int                            // ticks without a leader until an election: this to twice this number
+	SnapshotEntries     uint64                         // number of entries applied between two snapshots
+	RequestTimeoutTicks int                            // a request that has no outcome by then gets ErrOutcomeUnknown
 }
 
-// Reasons why a request gets neither a grant nor an error of package lease.
+// Errors that a member itself replies with, in addition to those of package lease. Agents send the texts to their
+// clients.
 var (
 	ErrOutcomeUnknown = errors.New("not known whether it was carried out: ask again")
 	ErrBusy           = errors.New("too many requests at a time, or another change of members")
 	ErrInvalidChange  = errors.New("no such change of members")
 )
 
-// NotLeaderError is the reply of a member that is not the leader. Address is the leader's, or empty if no leader is known.
+// NotLeaderError is the reply to a request to a member that is not the leader. Address is the leader's address, or
+// empty if the member knows no leader.
 type NotLeaderError struct{ Address string }
 
-// Error implements error. Agents send the text to their clients.
+// Error implements the error interface. Agents send the text to their clients.
 func (n NotLeaderError) Error() string { return "this member does not lead; leader: " + n.Address }
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -12,7 +12,7 @@
 	"tulipglade/internal/lease"
 )
 
-// Only the leader grants a lease; the lease survives a change of leader, and expires by ticks.
+// Only the leader grants a lease. The lease is kept when the leader changes, and it expires after its number of ticks.
 func TestLeaseSurvivesLeaderChangeAndExpires(t *testing.T) {
 	group := newNetwork(t, 3)
 	leader := group.awaitLeader()
@@ -32,24 +32,25 @@
 	delete(group.members, leader.Status().ID)
 	leader = group.awaitLeader()
 	if _, err := group.propose(leader, lease.Command{Kind: lease.Renew, Name: "x", Token: 1, Ticks: 4}); err != nil {
-		t.Error("lost with its leader:", err)
+		t.Error("the lease was lost with its leader:", err)
 	}
 	group.runTicks(20)
 	if _, err := group.propose(leader, lease.Command{Kind: lease.Renew, Name: "x", Token: 1, Ticks: 4}); !errors.Is(err, lease.ErrNotGranted) {
-		t.Error("not expired:", err)
+		t.Error("the lease has not expired:", err)
 	}
 	if g, err := group.propose(leader, acquire("x")); err != nil || g.Token != 2 {
 		t.Error(g, err)
 	}
 }
 
-// Lease ticks are at least an interval apart, and a group without leases writes nothing.
+// Lease ticks are applied at least one interval apart, and a group that has granted no lease writes nothing to its
+// storage.
 func TestLeaseTicksAreOneIntervalApart(t *testing.T) {
 	group := newNetwork(t, 3)
 	leader := group.awaitLeader()
 	writes := group.storages[1].writes
 	if group.runTicks(100); group.storages[1].writes != writes {
-		t.Errorf("%d writes of an idle group", group.storages[1].writes-writes)
+		t.Errorf("%d writes to the storage of an idle group", group.storages[1].writes-writes)
 	}
 	grantLongLease(group, leader)
 	var tickTimes []time.Duration
@@ -61,19 +62,20 @@
 	}
 	for i := range tickTimes[1:] {
 		if tickTimes[i+1]-tickTimes[i] < interval {
-			t.Errorf("ticks at %v and %v", tickTimes[i], tickTimes[i+1])
+			t.Errorf("lease ticks at %v and %v are less than an interval apart", tickTimes[i], tickTimes[i+1])
 		}
 	}
 }
 
-// While a lease tick waits for its quorum, no other is proposed: all of them would be applied at once, and expire leases early.
+// While a lease tick waits for a quorum, the leader proposes no other one. Otherwise all of them would be applied at
+// once when the quorum responds, and leases would expire too early.
 func TestOnlyOneLeaseTickInFlight(t *testing.T) {
 	group := newNetwork(t, 3)
 	leader := group.awaitLeader()
 	grantLongLease(group, leader)
 	group.runTicks(10)
 	tick := leader.Status().Tick
-	for range 8 { // four intervals without any response
+	for range 8 { // four intervals in which no other member responds
 		group.now += interval / 2
 		leader.Tick()
 		if err := leader.Flush(); err != nil {
@@ -85,8 +87,9 @@
 	}
 }
 
-// The leader stops after its last tick was committed, and its successor does not know that yet: it must apply that tick before it
-// proposes one of its own.
+// A new leader applies the lease ticks of its predecessor before it proposes one of its own. Here the predecessor stops
+// right after its last tick was committed, and its successor has the entry but not the commit index. If it proposed a
+// tick at once, the two ticks would be applied together and leases would expire too early.
 func TestNewLeaderAppliesPredecessorsTickFirst(t *testing.T) {
 	group := newNetwork(t, 3)
 	predecessor := group.awaitLeader()
@@ -95,7 +98,7 @@
 	tick := predecessor.Status().Tick
 	group.now += 2 * interval
 	predecessor.Tick()
-	// The others get the entry, but not the commit index.
+	// The other members receive the entry, but not the commit index.
 	group.deliver(func(msg *pb.Message) bool { return len(msg.GetEntries()) > 0 || msg.GetType() == pb.MsgAppResp })
 	delete(group.members, predecessor.Status().ID)
 	group.inFlight = nil
@@ -103,11 +106,11 @@
 	for _, id := range slices.Sorted(maps.Keys(group.members)) {
 		successor = group.members[id]
 		for range 10 {
-			successor.node.TickQuiesced() // a member that has just received a leader's message does not vote
+			successor.node.TickQuiesced() // a member that has recently heard from a leader does not vote for another
 		}
 	}
 	if predecessor.Status().Tick != tick+1 || successor.Status().Tick != tick {
-		t.Fatalf("the leader is at tick %d, its successor at %d, want %d and %d",
+		t.Fatalf("the predecessor is at tick %d, its successor at %d, want %d and %d",
 			predecessor.Status().Tick, successor.Status().Tick, tick+1, tick)
 	}
 	if err := successor.node.Campaign(); err != nil {
@@ -126,7 +129,8 @@
 	}
 }
 
-// A member that starts from a snapshot does not know when the last tick in it was applied, so it waits for a whole interval.
+// A member that starts from a snapshot does not know when the last lease tick in it was applied. It must wait for a
+// whole interval before it proposes one, or that interval would be too short.
 func TestNoLeaseTickRightAfterRestoringSnapshot(t *testing.T) {
 	group := newNetwork(t, 1)
 	leader := group.awaitLeader()
@@ -148,16 +152,16 @@
 		t.Fatal("not the leader")
 	}
 	if group.deliverAll(); restarted.Status().Tick != tick {
-		t.Errorf("tick %d right after tick %d", restarted.Status().Tick, tick)
+		t.Errorf("lease tick %d was applied right after tick %d", restarted.Status().Tick, tick)
 	}
 }
 
-// An added member has no vote before it has caught up, for which a snapshot from before it was added is not enough. Meanwhile the group
-// goes on without it, accepts no other change, and can remove it again.
+// An added member becomes a voter only once it has caught up, for which a snapshot from before its addition is not
+// enough. Until then the group works without it, accepts no other change of members, and can remove it again.
 func TestAddedMemberJoinsAfterCatchingUp(t *testing.T) {
 	group := newNetwork(t, 3)
 	leader := group.awaitLeader()
-	for i := range uint64(60) { // so that a new member needs a snapshot
+	for i := range uint64(60) { // enough entries that a new member needs a snapshot
 		command := lease.Command{Kind: lease.Acquire, Name: "y", Holder: "w", RequestID: i, Ticks: 1}
 		if _, err := group.propose(leader, command); err != nil && !errors.Is(err, lease.ErrNoFreeSlot) {
 			t.Fatal(err)
@@ -165,22 +169,22 @@
 	}
 	replaced := leader.Status().ID%3 + 1
 	if err := *group.changeMembers(leader, map[uint64]string{3: "c"}); !errors.Is(err, ErrInvalidChange) {
-		t.Error("an id that was used before:", err)
+		t.Error("adding a member with an ID that was used before:", err)
 	}
 	first := group.changeMembers(leader, map[uint64]string{4: "d"}, replaced)
-	delete(group.members, leader.Status().ID%3+1) // were the added member a voter, two of four would be no quorum
+	delete(group.members, leader.Status().ID%3+1) // two running members would be no quorum of four voters
 	group.runTicks(40)
 	if _, err := group.propose(leader, acquire("x")); err != nil {
-		t.Error("the group waits for a member that has not started:", err)
+		t.Error("the group does not work without the added member, which has not started:", err)
 	}
 	if err := *group.changeMembers(leader, map[uint64]string{5: "e"}); !errors.Is(err, ErrBusy) {
-		t.Error("a second change:", err)
+		t.Error("a second change while the first is in progress:", err)
 	}
 	if err := *group.changeMembers(leader, nil, 4); err != nil {
 		t.Error("the added member can't be removed:", err)
 	}
 	if !errors.Is(*first, ErrOutcomeUnknown) {
-		t.Error("the first change:", *first)
+		t.Error("the first change, after it was cancelled:", *first)
 	}
 	group.start(replaced)
 	group.storages[5] = &memoryStorage{DurableState: EmptyState()}
@@ -188,19 +192,20 @@
 	second := group.changeMembers(leader, map[uint64]string{5: "e"}, replaced)
 	group.runTicks(20)
 	if *second != nil {
-		t.Fatal("a change with all members running:", *second)
+		t.Fatal("a change while all members are running:", *second)
 	}
 	added := group.members[5].Status()
 	if len(added.Members) != 3 || added.Members[5] != "e" || added.Members[replaced] != "" || added.Applied != leader.Status().Applied {
-		t.Errorf("the added member: %+v", added)
+		t.Errorf("status of the added member: %+v", added)
 	}
 	if !group.members[replaced].Removed() {
 		t.Error("the removed member does not know that it is removed")
 	}
 }
 
-// Of two concurrent changes the second is rejected. A change that raft drops, because another that this member does not know of is in
-// the log, is never reported as done when that other one is.
+// The second of two concurrent changes of members is rejected. Raft drops a change that is proposed while the log holds
+// another one, even if this member has no request for that one. The dropped change must not be reported as done when
+// the other one completes.
 func TestConcurrentMembershipChangeIsRejected(t *testing.T) {
 	group := newNetwork(t, 3)
 	leader := group.awaitLeader()
@@ -211,7 +216,7 @@
 		t.Error(first, second)
 	}
 	if n := len(leader.Status().Members); n != 2 {
-		t.Errorf("%d members", n)
+		t.Errorf("%d members, want 2", n)
 	}
 	if err := leader.proposeChange(membershipChange{}, []*pb.ConfChangeSingle{confChange(pb.ConfChangeAddLearnerNode, 8)}); err != nil {
 		t.Fatal(err)
@@ -229,8 +234,9 @@
 	}
 }
 
-// A leader never removes itself: it transfers the leadership first, if need be to the member that was just added. Otherwise none of
-// those that stay might know of the removal, and all would wait for the removed member's vote.
+// A leader never removes itself. It transfers the leadership first, if necessary to the member that was just added. If
+// it removed itself and stopped, the remaining members might not know of the removal, and would wait forever for the
+// removed member's vote.
 func TestRemovedLeaderTransfersLeadershipFirst(t *testing.T) {
 	for n := 1; n <= 3; n += 2 {
 		group := newNetwork(t, n)
@@ -249,7 +255,7 @@
 		if !errors.Is(*result, ErrOutcomeUnknown) || !removed() {
 			t.Errorf("group of %d: %v, removed %v", n, *result, removed())
 		}
-		delete(group.members, self) // at once
+		delete(group.members, self) // the removed member stops at once
 		successor := group.awaitLeader()
 		if status := successor.Status(); len(status.Members) != n || status.Members[self] != "" {
 			t.Errorf("group of %d: %v", n, status.Members)
@@ -263,16 +269,17 @@
 	var notLeader NotLeaderError
 	err := *group.changeMembers(leader, nil, leader.Status().ID)
 	if !errors.As(err, &notLeader) || notLeader.Address == "" || leader.IsLeader() || len(leader.Status().Members) != 3 {
-		t.Errorf("a removal without an added member: %v, is leader %v", err, leader.IsLeader())
+		t.Errorf("removal of the leader without an added member: %v, is leader %v", err, leader.IsLeader())
 	}
 	leader = group.awaitLeader()
-	leader.pendingRemovals = []uint64{leader.Status().ID} // as while the leadership is being transferred
+	leader.pendingRemovals = []uint64{leader.Status().ID} // the state while the leadership is being transferred
 	if err := *group.changeMembers(leader, map[uint64]string{9: "i"}); !errors.Is(err, ErrBusy) {
 		t.Error("a change while a removal is pending:", err)
 	}
 }
 
-// An isolated leader steps down, and the outcome of its requests is unknown. A failed write stops the member before any reply.
+// An isolated leader steps down and answers its requests with ErrOutcomeUnknown. A member whose write to the storage
+// fails stops, and does not report the request as done.
 func TestIsolatedLeaderStepsDownAndFailedWriteStopsMember(t *testing.T) {
 	group := newNetwork(t, 3)
 	leader := group.awaitLeader()
@@ -297,11 +304,11 @@
 		t.Error("after a failed write:", err, replyErr)
 	}
 	if leader.Tick(); leader.Flush() == nil {
-		t.Error("the member goes on")
+		t.Error("the member keeps running after a failed write")
 	}
 }
 
-// ReadIndex shows what was agreed on before it.
+// Once ReadIndex has called back, Status includes the proposals that were committed before the call.
 func TestReadIndexSeesEarlierProposals(t *testing.T) {
 	group := newNetwork(t, 3)
 	leader := group.awaitLeader()
--- a/internal/consensus/encoding_test.go
+++ b/internal/consensus/encoding_test.go
@@ -14,7 +14,8 @@
 	"tulipglade/internal/lease"
 )
 
-// What commit f2517d9 wrote into the log and into snapshots, byte for byte.
+// Log entries and a snapshot, byte for byte as commit f2517d9 wrote them. Groups hold data in this form, and members of
+// older builds read it.
 const (
 	storedAcquire       = `{"by":1,"life":15205841957720470382,"seq":4,"kind":1,"name":"rollout","who":"a","ask":463172840997,"ticks":308}`
 	storedRenew         = `{"by":1,"life":15205841957720470382,"seq":4,"kind":2,"name":"rollout","token":2,"ticks":9}`
@@ -22,7 +23,7 @@
 	storedNote          = `{"by":1,"life":15205841957720470382,"seq":4,"kind":5,"name":"rollout","token":2,"text":"a note"}`
 	storedTick          = `{"by":1,"life":15205841957720470382,"seq":0,"kind":0}`
 	storedChange        = `{"by":1,"life":15205841957720470382,"seq":4,"add":{"4":"127.0.0.1:17104","5":"127.0.0.1:17105"},"leave":[1,2]}`
-	storedLaterStep     = `{"by":0,"life":0,"seq":0}` // a later step of a change of members
+	storedLaterStep     = `{"by":0,"life":0,"seq":0}` // a later step of a change of members has no request
 
 	storedSnapshot = `{"version":1,"terms":{"Interval":200000000,"Drift":0.01},` +
 		`"members":{"1":"127.0.0.1:17101","2":"127.0.0.1:17102","3":"127.0.0.1:17103"},"highest":3,"leaving":[1,2],` +
@@ -70,10 +71,11 @@
 	checkEncoding(t, storedLaterStep, membershipChange{})
 }
 
-// A member that starts from a stored snapshot writes the same bytes when it makes its own.
+// A member that starts from a stored snapshot writes the same bytes when it creates its own snapshot.
 func TestStoredSnapshotKeepsItsEncoding(t *testing.T) {
 	index := proto.Uint64(7)
-	// The entry of a new leader, which changes nothing: a new snapshot must be of a later index.
+	// A new snapshot needs a later index than the stored one, so an empty entry, as a new leader appends it, follows.
+	// It changes nothing.
 	entry := &pb.Entry{Index: proto.Uint64(8), Term: proto.Uint64(1), Type: pb.EntryNormal.Enum()}
 	storage := &memoryStorage{DurableState: DurableState{
 		HardState: &pb.HardState{Term: proto.Uint64(1), Commit: index},
--- a/internal/consensus/logger.go
+++ b/internal/consensus/logger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// discardLogger keeps raft's own messages out of the log: the agent logs what an operator should know. Fatal and Panic panic, as raft
-// expects them not to return.
+// discardLogger is the raft.Logger of a member. It discards raft's own messages, since the agent itself logs the events
+// that matter to an operator. Fatal and Panic panic, because raft expects that they do not return.
 type discardLogger struct{}
 
 // Debug discards its arguments.
@@ -30,14 +30,14 @@
 // Warningf discards its arguments.
 func (discardLogger) Warningf(string, ...any) {}
 
-// Fatal panics.
+// Fatal panics with its arguments as the message.
 func (discardLogger) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
 
-// Fatalf panics.
+// Fatalf panics with a formatted message.
 func (discardLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
 
-// Panic panics.
+// Panic panics with its arguments as the message.
 func (discardLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
 
-// Panicf panics.
+// Panicf panics with a formatted message.
 func (discardLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -14,58 +14,61 @@
 	"tulipglade/internal/lease"
 )
 
-// maxProvisionalAddresses bounds the addresses that are remembered for senders that are not known as members.
+// maxProvisionalAddresses is the maximum number of addresses kept for senders that are not in the member list.
 const maxProvisionalAddresses = 64
 
-// Limits of raft itself.
+// Limits that are passed to raft.
 const (
 	maxMessageBytes     = 256 << 10
 	maxInFlightMessages = 64
 	maxUncommittedBytes = 4 << 20
 )
 
-// Member is one member of a group. All its methods must be called from one goroutine.
+// Member is one member of a group. It is not safe for concurrent use: all its methods must be called from the same
+// goroutine.
 type Member struct {
 	options     Options
 	node        *raft.RawNode
 	raftStorage *raft.MemoryStorage
-	err         error // the first failure; the member does nothing after it
+	err         error // the first failure, after which the member has stopped
 
-	// The state machine, as of appliedIndex.
+	// The state machine after the entry at appliedIndex was applied.
 	appliedIndex    uint64
 	appliedTerm     uint64
-	snapshotIndex   uint64 // of the last snapshot
+	snapshotIndex   uint64 // the index of the last snapshot
 	terms           lease.Terms
 	leases          *lease.State
-	members         map[uint64]string // addresses by ID
-	highestID       uint64            // the highest ID that was ever given to a member
-	pendingRemovals []uint64          // voters that are removed once the learners have caught up
+	members         map[uint64]string // the address of each member, by ID
+	highestID       uint64            // the highest ID that any member has ever had
+	pendingRemovals []uint64          // voters to remove once all learners have caught up
 	confState       *pb.ConfState
 
-	// provisionalAddresses are those of senders that are not known as members: this member may be the one that is behind.
+	// provisionalAddresses holds the addresses of senders that are not in members, by ID. Such a sender may be a member
+	// all the same, if this member has not yet applied the change that added it.
 	provisionalAddresses map[uint64]string
 
-	incarnation     uint64 // random; tells this process's requests from an earlier one's
-	lastSequence    uint64 // of the requests
+	incarnation     uint64 // random; tells this process's requests from those of an earlier process
+	lastSequence    uint64 // the sequence number of the newest request
 	pendingRequests map[uint64]*request
 	pendingReads    []pendingRead
-	changeSequence  uint64 // the request that waits for a change of members to complete; 0: none
+	changeSequence  uint64 // of the request whose change of members is not complete; 0: no such request
 
 	tickCount          int
-	ticksWithoutLeader int // since a message of the leader, or a vote for a candidate
-	electionTimeout    int // in ticks without a leader
+	ticksWithoutLeader int // ticks since a message from the leader, or since this member voted for a candidate
+	electionTimeout    int // ticks without a leader after which this member starts an election
 	isLeader           bool
 
-	lastLeaseTickAt   time.Duration // when a tick of the leases was last applied here
-	leaseTickInFlight bool          // this leader has proposed one that is not yet applied
-	promotionInFlight bool          // this leader has proposed to complete a change of members
-	membersChanged    bool          // since the last snapshot
+	lastLeaseTickAt   time.Duration // when this member last applied a lease tick
+	leaseTickInFlight bool          // this leader has proposed a lease tick that is not yet applied
+	promotionInFlight bool          // this leader has proposed a later step of a change of members, not yet applied
+	membersChanged    bool          // the members have changed since the last snapshot
 }
 
-// New returns a Member that continues from its durable state.
+// New returns a Member that starts from durable, the state that its Storage has kept. The state of a new member is that
+// of Bootstrap or EmptyState.
 func New(options Options, durable DurableState) (*Member, error) {
 	if durable.HardState == nil {
-		return nil, errors.New("no durable state: not a member of any group")
+		return nil, errors.New("no durable state: this process has not been set up as a member of a group")
 	}
 	m := &Member{
 		options:              options,
@@ -100,7 +103,7 @@
 	return m, err
 }
 
-// load fills raft's storage and the state machine from the durable state.
+// load initializes raft's storage and the state machine from the durable state.
 func (m *Member) load(durable DurableState) error {
 	if durable.Snapshot != nil {
 		if err := errors.Join(m.restore(durable.Snapshot), m.raftStorage.ApplySnapshot(durable.Snapshot)); err != nil {
@@ -114,13 +117,13 @@
 	return m.raftStorage.Append(slices.DeleteFunc(slices.Clone(durable.Entries), inSnapshot))
 }
 
-// Step handles a message of another member, which gives its address.
+// Step handles a message that another member has sent. From is the sender's address.
 func (m *Member) Step(from string, msg *pb.Message) error {
 	if m.err != nil {
 		return m.err
 	}
 	if msg.GetTo() != m.options.ID || raft.IsLocalMsg(msg.GetType()) {
-		return fmt.Errorf("message %v to %d: not for this member", msg.GetType(), msg.GetTo())
+		return fmt.Errorf("message %v to member %d: this member does not accept it", msg.GetType(), msg.GetTo())
 	}
 	if m.members[msg.GetFrom()] == "" && len(m.provisionalAddresses) < maxProvisionalAddresses {
 		m.provisionalAddresses[msg.GetFrom()] = from
@@ -135,7 +138,8 @@
 	return nil
 }
 
-// postponesElection reports whether a message came from the current leader, or from a candidate that it won this member's vote for.
+// postponesElection reports whether a message restarts this member's election timer. It does if it came from the
+// current leader, or if it is the vote request of a candidate that has just received this member's vote.
 func postponesElection(msg *pb.Message, before, after raft.BasicStatus) bool {
 	switch msg.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
@@ -147,7 +151,9 @@
 	return false
 }
 
-// Tick advances the clock that measures how long there has been no leader.
+// Tick advances the member's clock by one tick. A leader sends heartbeats, proposes a lease tick when one is due, and
+// continues a change of members. Any other member starts an election if there has been no leader for too long. Requests
+// that have waited too long are answered with ErrOutcomeUnknown.
 func (m *Member) Tick() {
 	if m.err != nil {
 		return
@@ -163,25 +169,26 @@
 	m.expireRequests()
 }
 
-// tickFollower starts an election once there has been no leader for too long. Raft would draw the timeout from the system's random
-// source, which can't be seeded.
+// tickFollower starts an election once there has been no leader for electionTimeout ticks. This member measures the
+// time itself, because raft would draw the timeout from the system's random source, which can't be seeded.
 func (m *Member) tickFollower() {
 	m.node.TickQuiesced()
 	m.ticksWithoutLeader++
 	if m.ticksWithoutLeader >= m.electionTimeout {
 		m.resetElectionTimer()
-		_ = m.node.Campaign() // fails for a member that may not become leader, which then remains a follower
+		_ = m.node.Campaign() // returns an error if this member may not become the leader; it then remains a follower
 	}
 }
 
-// resetElectionTimer draws a new timeout, so that members seldom start an election at the same time.
+// resetElectionTimer restarts the election timer with a new random timeout, so that members seldom start an election at
+// the same time.
 func (m *Member) resetElectionTimer() {
 	m.ticksWithoutLeader = 0
 	m.electionTimeout = m.options.ElectionTicks + m.options.Rand.IntN(m.options.ElectionTicks)
 }
 
-// Flush saves, then sends and applies, until nothing is left to do. After an error the member is of no further use: the content of
-// its storage is not known.
+// Flush saves raft's new state, sends its messages and applies its committed entries, until raft has nothing more to
+// do. After an error the member has stopped and must be discarded, because the content of its storage is unknown.
 func (m *Member) Flush() error {
 	for m.err == nil && m.node.HasReady() {
 		m.handleReady(m.node.Ready())
@@ -192,7 +199,7 @@
 	return m.err
 }
 
-// handleReady carries out what raft asks for, in the order in which raft needs it. A failure is left in m.err.
+// handleReady processes one Ready of raft, in the order that raft requires. It records a failure in m.err.
 func (m *Member) handleReady(ready raft.Ready) {
 	if m.err = m.save(ready); m.err != nil {
 		return
@@ -208,13 +215,14 @@
 	if m.err != nil {
 		return
 	}
-	// A snapshot follows a change of members at once: a new member refuses a snapshot in which it is no member.
+	// A change of members is followed by a snapshot at once: a new member rejects a snapshot that does not list it as a
+	// member.
 	if m.membersChanged || m.appliedIndex >= m.snapshotIndex+m.options.SnapshotEntries {
 		m.err = m.compact()
 	}
 }
 
-// save makes raft's new state durable, and then visible to raft.
+// save writes raft's new state to the Storage and then updates raft's copy of the log in memory.
 func (m *Member) save(ready raft.Ready) error {
 	update := StorageUpdate{HardState: ready.HardState, Entries: ready.Entries}
 	if !raft.IsEmptySnap(ready.Snapshot) {
@@ -229,7 +237,7 @@
 	return m.updateRaftStorage(update)
 }
 
-// sendMessages sends each message whose recipient's address is known.
+// sendMessages sends the messages, except those to recipients whose address is unknown.
 func (m *Member) sendMessages(messages []*pb.Message) {
 	for _, msg := range messages {
 		address := cmp.Or(m.members[msg.GetTo()], m.provisionalAddresses[msg.GetTo()])
@@ -239,8 +247,8 @@
 	}
 }
 
-// setLeader records that this member has become the leader, or is none any more. In the second case the outcome of all pending
-// requests is unknown.
+// setLeader records whether this member is the leader. When it stops being the leader, all pending requests are
+// answered with ErrOutcomeUnknown.
 func (m *Member) setLeader(isLeader bool) {
 	if isLeader == m.isLeader {
 		return
@@ -257,10 +265,10 @@
 	}
 }
 
-// ReportUnreachable reports that a message to a member was lost.
+// ReportUnreachable informs raft that a message to a member was lost.
 func (m *Member) ReportUnreachable(id uint64) { m.node.ReportUnreachable(id) }
 
-// ReportSnapshot reports whether a snapshot has reached a member.
+// ReportSnapshot informs raft whether a snapshot has reached a member.
 func (m *Member) ReportSnapshot(id uint64, ok bool) {
 	status := raft.SnapshotFailure
 	if ok {
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -12,20 +12,22 @@
 	"tulipglade/internal/lease"
 )
 
-// maxLearnerLag is by how many entries a learner may be behind the commit index to count as caught up.
+// maxLearnerLag is the number of entries that a learner may be behind the commit index and still count as caught up.
 const maxLearnerLag = 16
 
-// membershipChange is the context of a configuration change in the log. Its JSON form is stored and sent to other members.
+// membershipChange is the context of a raft configuration change in the log. Its JSON form is stored and sent to other
+// members.
 type membershipChange struct {
 	requestKey
 	Add    map[uint64]string `json:"add,omitempty"`
-	Remove []uint64          `json:"leave,omitempty"` // removed once the added ones have caught up
+	Remove []uint64          `json:"leave,omitempty"` // members to remove once the added ones have caught up
 }
 
-// ChangeMembers adds members, by ID and address, and removes others in one step by joint consensus. Added members are learners until
-// they have caught up; until then nobody is removed, and the only other change that is accepted is to remove the learners again. The
-// reply comes once the removed members have no vote any more. Where this member is to be removed, another becomes the leader before
-// that, and the outcome is not known here.
+// ChangeMembers adds members, by ID and address, and removes others in one step by joint consensus. Added members are
+// learners until they have caught up. Until then no member is removed, and the only other change that is accepted is
+// the removal of all the learners. The reply is called once the removed members have no vote any more. If this member
+// itself is to be removed, it transfers the leadership before that, and the reply is ErrOutcomeUnknown or, if no
+// members are added, NotLeaderError.
 func (m *Member) ChangeMembers(add map[uint64]string, remove []uint64, reply func(error)) {
 	changes, err := m.configurationChanges(add, remove)
 	if err != nil {
@@ -37,7 +39,7 @@
 		return
 	}
 	if m.isLeader && len(add) == 0 && slices.Contains(remove, m.options.ID) {
-		reply(NotLeaderError{m.transferLeadership(remove)}) // nothing was proposed: the next leader does it when asked
+		reply(NotLeaderError{m.transferLeadership(remove)}) // nothing was proposed: the client asks the next leader
 		return
 	}
 	sequence, err := m.register(request{reply: func(_ lease.Grant, err error) { reply(err) }})
@@ -58,8 +60,8 @@
 	}
 }
 
-// configurationChanges validates a change and returns raft's form of its first step: to add learners or, if none are added, to remove
-// members.
+// configurationChanges validates a change of members and returns its first step in raft's form. The first step adds the
+// new members as learners or, if there are none, removes members.
 func (m *Member) configurationChanges(add map[uint64]string, remove []uint64) ([]*pb.ConfChangeSingle, error) {
 	var changes []*pb.ConfChangeSingle
 	for _, id := range slices.Sorted(maps.Keys(add)) {
@@ -83,8 +85,9 @@
 	return changes, nil
 }
 
-// conflictsWithEarlierChange reports whether an earlier change is in progress that excludes this one. A change that waits for its
-// learners can only be cancelled, by the removal of all of them.
+// conflictsWithEarlierChange reports whether an earlier change is in progress, so that this one must be rejected. While
+// a change waits for its learners to catch up, the only change that does not conflict with it is the removal of all of
+// them, which cancels it.
 func (m *Member) conflictsWithEarlierChange(add map[uint64]string, remove []uint64) bool {
 	if m.promotionInFlight || len(m.confState.GetVotersOutgoing()) > 0 {
 		return true
@@ -118,8 +121,10 @@
 	})
 }
 
-// completeChange makes voters of the learners, once all of them have caught up, and removes the members that are to be removed. A leader
-// never removes itself: the one that completes the change stays, and knows that the others have been removed, whatever becomes of them.
+// completeChange proposes the next step of a change of members that is in progress. Once all learners have caught up,
+// it promotes them to voters and removes the members that are to be removed. A leader never removes itself. If it is to
+// be removed, it transfers the leadership, and the next leader removes it. So the leader that completes the change
+// remains a member and knows of the removals, even if the removed members stop at once.
 func (m *Member) completeChange() {
 	pending := len(m.confState.GetLearners()) + len(m.pendingRemovals)
 	if m.promotionInFlight || len(m.confState.GetVotersOutgoing()) > 0 || pending == 0 {
@@ -147,8 +152,8 @@
 	m.promotionInFlight = m.proposeChange(membershipChange{}, changes) == nil
 }
 
-// transferLeadership makes another member the leader that is none of the excluded ones: the one that is least behind. It returns that
-// member's address, or an empty one if there is none.
+// transferLeadership starts a transfer of the leadership to the active voter with the most complete log, apart from
+// this member and the excluded ones. It returns that voter's address, or an empty one if there is no such voter.
 func (m *Member) transferLeadership(excluded []uint64) string {
 	status := m.node.Status()
 	best, bestMatch := uint64(0), uint64(0)
@@ -167,7 +172,7 @@
 	return m.members[best]
 }
 
-// applyChange applies a committed change of members.
+// applyChange applies a committed configuration change to raft and to the member list.
 func (m *Member) applyChange(entry *pb.Entry) error {
 	var confChange pb.ConfChangeV2
 	if err := proto.Unmarshal(entry.Data, &confChange); err != nil {
@@ -189,7 +194,7 @@
 		m.members[id] = address
 		m.highestID = max(m.highestID, id)
 	}
-	if change.Sequence != 0 { // 0: a later step of the change that is in progress
+	if change.Sequence != 0 { // 0 stands for a later step of the change that is in progress
 		m.pendingRemovals = change.Remove
 	}
 	if len(m.confState.GetVotersOutgoing()) == 0 {
@@ -198,7 +203,8 @@
 	return nil
 }
 
-// finishJointConfiguration drops removed members, and answers the request if nothing of its change is left to do.
+// finishJointConfiguration forgets the members that are neither voters nor learners any more. If that completes the
+// change of members, it answers the request.
 func (m *Member) finishJointConfiguration() {
 	clear(m.provisionalAddresses)
 	maps.DeleteFunc(m.members, func(id uint64, _ string) bool { return !m.isConfigured(id) })
@@ -207,7 +213,8 @@
 	if len(m.confState.GetLearners())+len(m.pendingRemovals) > 0 {
 		return
 	}
-	// Raft drops a change that is proposed while another one is in the log: that request is not answered by the other's end.
+	// Raft drops a change that is proposed while another one is in the log. The request for a dropped change is never
+	// committed, and must not be answered when the other change completes.
 	if r := m.pendingRequests[m.changeSequence]; r != nil && r.committed {
 		m.answer(m.changeSequence, lease.Grant{}, nil)
 	}
--- a/internal/consensus/network_test.go
+++ b/internal/consensus/network_test.go
@@ -13,7 +13,7 @@
 	"tulipglade/internal/lease"
 )
 
-// interval is the tick interval of the leases, two ticks of the members' clock.
+// interval is the interval between two lease ticks. It is as long as two ticks of the members' clock.
 const interval = 100 * time.Millisecond
 
 var errNoReply = errors.New("no reply")
@@ -31,7 +31,8 @@
 	return s.err
 }
 
-// network connects the members of a group without delay, and has the clock that they share.
+// network is a simulated network that connects the members of a group without delay, together with the clock that they
+// share.
 type network struct {
 	t        *testing.T
 	now      time.Duration // only the test advances it
@@ -40,7 +41,7 @@
 	inFlight []*pb.Message
 }
 
-// newNetwork starts the members 1 to count of a new group.
+// newNetwork starts a new group whose members have the IDs 1 to count.
 func newNetwork(t *testing.T, count int) *network {
 	t.Helper()
 	n := &network{t: t, members: map[uint64]*Member{}, storages: map[uint64]*memoryStorage{}}
@@ -59,10 +60,10 @@
 	return n
 }
 
-// address returns a member's address: a for member 1, b for member 2.
+// address returns a member's address: "a" for member 1, "b" for member 2, and so on.
 func address(id uint64) string { return string(rune('a' + id - 1)) }
 
-// start starts a member from its storage.
+// start starts or restarts a member from the state in its storage.
 func (n *network) start(id uint64) {
 	n.t.Helper()
 	member, err := New(Options{
@@ -81,10 +82,11 @@
 	n.members[id] = member
 }
 
-// deliverAll delivers messages until no member sends any more.
+// deliverAll delivers all messages, until no member sends another one.
 func (n *network) deliverAll() { n.deliver(func(*pb.Message) bool { return true }) }
 
-// deliver delivers the wanted messages, also those that members send in response, and leaves the others in flight.
+// deliver delivers the messages for which wanted returns true, including those that members send in response. It leaves
+// the others in flight. A member whose Flush fails is removed from the network.
 func (n *network) deliver(wanted func(*pb.Message) bool) {
 	for {
 		for _, id := range slices.Sorted(maps.Keys(n.members)) {
@@ -100,7 +102,7 @@
 		n.inFlight = slices.Delete(n.inFlight, next, next+1)
 		recipient := n.members[msg.GetTo()]
 		if recipient != nil {
-			_ = recipient.Step(address(msg.GetFrom()), msg) // a member that has stopped rejects it
+			_ = recipient.Step(address(msg.GetFrom()), msg) // a member that has stopped returns an error
 		}
 		if sender := n.members[msg.GetFrom()]; msg.GetType() == pb.MsgSnap && sender != nil {
 			sender.ReportSnapshot(msg.GetTo(), recipient != nil)
@@ -108,7 +110,7 @@
 	}
 }
 
-// runTicks runs the members' clock, and delivers all messages after each tick.
+// runTicks advances the members' clock by count ticks, and delivers all messages after each tick.
 func (n *network) runTicks(count int) {
 	for range count {
 		n.now += interval / 2
@@ -119,7 +121,7 @@
 	}
 }
 
-// awaitLeader runs the clock until a member is the leader.
+// awaitLeader advances the clock until a member is the leader, and returns that member.
 func (n *network) awaitLeader() *Member {
 	n.t.Helper()
 	for range 100 {
@@ -134,7 +136,7 @@
 	return nil
 }
 
-// propose proposes a command and returns the reply.
+// propose proposes a command at a member, delivers all messages and returns the reply.
 func (n *network) propose(member *Member, command lease.Command) (grant lease.Grant, err error) {
 	err = errNoReply
 	member.Propose(command, func(g lease.Grant, e error) { grant, err = g, e })
@@ -142,7 +144,8 @@
 	return grant, err
 }
 
-// changeMembers proposes a change. The reply may come after it has returned: until then the result is errNoReply.
+// changeMembers requests a change of members and delivers all messages. The result is errNoReply until the reply comes,
+// which may be after changeMembers has returned.
 func (n *network) changeMembers(member *Member, add map[uint64]string, remove ...uint64) *error {
 	result := errNoReply
 	member.ChangeMembers(add, remove, func(err error) { result = err })
@@ -150,12 +153,13 @@
 	return &result
 }
 
-// acquire returns a command that acquires a lease for four ticks.
+// acquire returns a command that acquires a lease for 4 ticks.
 func acquire(name string) lease.Command {
 	return lease.Command{Kind: lease.Acquire, Name: name, Holder: "w", RequestID: 1, Ticks: 4}
 }
 
-// grantLongLease grants a lease for long: the leader proposes lease ticks only while a lease is held.
+// grantLongLease grants a lease that lasts for the whole test, because the leader proposes lease ticks only while a
+// lease is held.
 func grantLongLease(n *network, leader *Member) {
 	n.t.Helper()
 	command := acquire("x")
--- a/internal/consensus/proposal.go
+++ b/internal/consensus/proposal.go
@@ -11,31 +11,34 @@
 	"tulipglade/internal/lease"
 )
 
-// maxPendingRequests bounds the requests that wait for an outcome.
+// maxPendingRequests is the maximum number of requests that wait for an outcome.
 const maxPendingRequests = 4096
 
-// requestKey lets a member recognize its own proposals. Its JSON form is stored and sent to other members.
+// requestKey identifies a request of a member, so that the member recognizes its own proposals in the log. Its JSON
+// form is stored and sent to other members.
 type requestKey struct {
 	Member      uint64 `json:"by"`
 	Incarnation uint64 `json:"life"`
 	Sequence    uint64 `json:"seq"`
 }
 
-// proposal is a command on the leases in a log entry.
+// proposal is the content of a log entry with a lease command. Its JSON form is stored and sent to other members.
 type proposal struct {
 	requestKey
 	lease.Command
 }
 
-// request is a call of Propose, ReadIndex or ChangeMembers that waits for its outcome. Exactly one of the replies is set.
+// request is a call of Propose, ReadIndex or ChangeMembers that waits for its outcome. Exactly one of the replies is
+// set.
 type request struct {
 	reply        func(lease.Grant, error)
 	readReply    func(error)
-	registeredAt int  // the tick count
-	committed    bool // a change of members that has been agreed on: it does not time out
+	registeredAt int  // the member's tick count at the call
+	committed    bool // the first step of a change of members is committed, so it no longer times out
 }
 
-// Propose has the group carry out a command. The reply is called once, perhaps before Propose returns.
+// Propose proposes a lease command to the group. The reply is called exactly once, with the outcome, and possibly
+// before Propose returns.
 func (m *Member) Propose(command lease.Command, reply func(lease.Grant, error)) {
 	if command.Kind == lease.Tick {
 		reply(lease.Grant{}, lease.ErrInvalid)
@@ -51,8 +54,9 @@
 	}
 }
 
-// proposeLeaseTick proposes that an interval has passed, at the earliest one interval after the last such entry was applied here. Only
-// one is in flight at a time, and a new leader first applies an entry of its own term, and with it all ticks of its predecessors.
+// proposeLeaseTick proposes a lease tick, at the earliest one interval after this member last applied one. At most one
+// lease tick is in flight at a time. A new leader proposes none before it has applied an entry of its own term, and
+// with it all ticks of its predecessors.
 func (m *Member) proposeLeaseTick() {
 	appliedOwnTerm := m.appliedTerm == m.node.BasicStatus().GetTerm()
 	intervalPassed := m.options.Clock() >= m.lastLeaseTickAt+m.terms.Interval
@@ -62,29 +66,29 @@
 	m.leaseTickInFlight = m.propose(0, lease.Command{Kind: lease.Tick}) == nil
 }
 
-// propose appends a command to the log. Sequence 0 is a proposal that nobody waits for.
+// propose passes a command to raft for the log. Sequence 0 means that no request waits for the outcome.
 func (m *Member) propose(sequence uint64, command lease.Command) error {
 	data, err := json.Marshal(proposal{m.requestKey(sequence), command})
 	if err != nil {
 		return err
 	}
 	if err := m.node.Propose(data); err != nil {
-		return ErrBusy // raft has not appended it
+		return ErrBusy // raft has dropped the proposal
 	}
 	return nil
 }
 
-// requestKey returns the key of one of this member's requests.
+// requestKey returns the key of this member's request with a sequence number.
 func (m *Member) requestKey(sequence uint64) requestKey {
 	return requestKey{Member: m.options.ID, Incarnation: m.incarnation, Sequence: sequence}
 }
 
-// isOwn reports whether a key is of a request of this process.
+// isOwn reports whether a key belongs to a request of this process.
 func (m *Member) isOwn(key requestKey) bool {
 	return key.Member == m.options.ID && key.Incarnation == m.incarnation
 }
 
-// register adds a request to those that wait, and returns its sequence number.
+// register adds a request to the pending ones and returns its sequence number.
 func (m *Member) register(r request) (uint64, error) {
 	switch {
 	case m.err != nil:
@@ -100,7 +104,7 @@
 	return m.lastSequence, nil
 }
 
-// answer replies to a request, if it still waits.
+// answer replies to a request unless it has been answered already.
 func (m *Member) answer(sequence uint64, grant lease.Grant, err error) {
 	r := m.pendingRequests[sequence]
 	if r == nil {
@@ -117,17 +121,17 @@
 	}
 }
 
-// expireRequests answers the requests that have waited for too long.
+// expireRequests answers the requests that have waited for more than RequestTimeoutTicks with ErrOutcomeUnknown.
 func (m *Member) expireRequests() {
 	for _, sequence := range slices.Sorted(maps.Keys(m.pendingRequests)) {
-		r := m.pendingRequests[sequence] // nil where an earlier reply has led to its answer
+		r := m.pendingRequests[sequence] // nil if answering an earlier request has led to the answer of this one
 		if r != nil && !r.committed && m.tickCount-r.registeredAt > m.options.RequestTimeoutTicks {
 			m.answer(sequence, lease.Grant{}, ErrOutcomeUnknown)
 		}
 	}
 }
 
-// applyEntries applies committed entries until one fails.
+// applyEntries applies committed entries in order. It stops at the first one that fails.
 func (m *Member) applyEntries(entries []*pb.Entry) error {
 	for _, entry := range entries {
 		if err := m.apply(entry); err != nil {
@@ -144,7 +148,7 @@
 	if entry.GetType() != pb.EntryNormal {
 		return m.applyChange(entry)
 	}
-	if len(entry.Data) == 0 { // the first entry of a new leader
+	if len(entry.Data) == 0 { // a new leader appends an empty entry first
 		return nil
 	}
 	var p proposal
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -10,10 +10,11 @@
 	"tulipglade/internal/lease"
 )
 
-// pendingRead is a read that may be answered once an index has been applied.
+// pendingRead is a read that may be answered once the entry at index has been applied.
 type pendingRead struct{ sequence, index uint64 }
 
-// ReadIndex calls back once Status shows everything that was agreed on before this call.
+// ReadIndex performs a linearizable read. It calls reply with nil once Status includes everything that the group agreed
+// on before this call, or with an error if this member can't establish that.
 func (m *Member) ReadIndex(reply func(error)) {
 	sequence, err := m.register(request{readReply: reply})
 	if err != nil {
@@ -23,7 +24,7 @@
 	m.node.ReadIndex(fmt.Appendf(nil, "%d-%d", m.incarnation, sequence))
 }
 
-// addReadStates takes the indexes that raft has confirmed for this process's reads.
+// addReadStates adds the reads of this process that raft has confirmed, each with its index, to the pending ones.
 func (m *Member) addReadStates(states []raft.ReadState) {
 	for _, state := range states {
 		incarnation, number, _ := strings.Cut(string(state.RequestCtx), "-")
@@ -34,7 +35,8 @@
 	}
 }
 
-// answerReads answers the reads whose index has been applied. Raft confirms reads in the order of their indexes.
+// answerReads answers the pending reads whose index has been applied. They are sorted by index, because raft confirms
+// reads in that order.
 func (m *Member) answerReads() {
 	for len(m.pendingReads) > 0 && m.appliedIndex >= m.pendingReads[0].index {
 		sequence := m.pendingReads[0].sequence
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -12,28 +12,29 @@
 
 const (
 	snapshotVersion = 1
-	// trailingEntries are left in the log before a snapshot, so that members that are a little behind need no snapshot.
+	// trailingEntries is the number of entries before a snapshot that stay in the log, so that a member that is only a
+	// little behind can catch up from the log and needs no snapshot.
 	trailingEntries = 256
 )
 
-// snapshot is the state machine in a raft snapshot. Its JSON form is stored and sent to other members.
+// snapshot is the content of a raft snapshot: the state machine. Its JSON form is stored and sent to other members.
 type snapshot struct {
 	Version  int               `json:"version"`
 	Terms    lease.Terms       `json:"terms"`
 	Members  map[uint64]string `json:"members"`
-	Highest  uint64            `json:"highest"` // the highest ID that was ever given to a member
+	Highest  uint64            `json:"highest"` // the highest ID that any member has ever had
 	Removing []uint64          `json:"leaving,omitempty"`
 	Leases   json.RawMessage   `json:"leases"`
 }
 
-// restore replaces the state machine by that of a snapshot.
+// restore replaces the state machine with the content of a snapshot.
 func (m *Member) restore(from *pb.Snapshot) error {
 	var decoded snapshot
 	if err := json.Unmarshal(from.Data, &decoded); err != nil {
-		return fmt.Errorf("snapshot of the group: %w", err)
+		return fmt.Errorf("decode snapshot of the group: %w", err)
 	}
 	if decoded.Version != snapshotVersion {
-		return fmt.Errorf("snapshot of the group: version %d, this program reads %d", decoded.Version, snapshotVersion)
+		return fmt.Errorf("snapshot of the group has version %d, but this program reads only version %d", decoded.Version, snapshotVersion)
 	}
 	leases, err := lease.Restore(decoded.Leases)
 	if err != nil {
@@ -49,11 +50,11 @@
 	m.appliedIndex = metadata.GetIndex()
 	m.snapshotIndex = metadata.GetIndex()
 	m.appliedTerm = metadata.GetTerm()
-	m.lastLeaseTickAt = m.options.Clock() // the snapshot's last tick may have been applied just now
+	m.lastLeaseTickAt = m.options.Clock() // when its last tick was applied is unknown: assume just now
 	return nil
 }
 
-// compact saves a snapshot of the applied state and deletes the log entries that are well before it.
+// compact saves a snapshot of the applied state, and deletes the log entries before it except the last trailingEntries.
 func (m *Member) compact() error {
 	leases, err := m.leases.Snapshot()
 	if err != nil {
@@ -86,7 +87,7 @@
 	return m.raftStorage.Compact(compactIndex)
 }
 
-// updateRaftStorage applies an update that has been saved to raft's own copy of the log.
+// updateRaftStorage applies an update to raft's copy of the log in memory. The update must have been saved before.
 func (m *Member) updateRaftStorage(update StorageUpdate) error {
 	if update.Snapshot != nil {
 		if err := errors.Join(m.restore(update.Snapshot), m.raftStorage.ApplySnapshot(update.Snapshot)); err != nil {
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -11,17 +11,17 @@
 	"tulipglade/internal/lease"
 )
 
-// StorageUpdate is a change of a member's durable state. It must be applied atomically.
+// StorageUpdate is a change to a member's durable state. It must be applied atomically.
 type StorageUpdate struct {
 	HardState    *pb.HardState // nil: unchanged
 	Snapshot     *pb.Snapshot  // nil: unchanged
 	ReplaceLog   bool          // the snapshot came from another member and replaces all entries
-	Entries      []*pb.Entry   // they replace all entries from the first one's index on
+	Entries      []*pb.Entry   // they replace all stored entries from the index of the first one on
 	CompactIndex uint64        // entries up to and including this index may be deleted
 }
 
-// Storage persists a member's durable state. Once Save has returned nil the update must survive a crash of the machine. After an error
-// the content of the storage is unknown, and the member stops.
+// Storage persists a member's durable state. Once Save has returned nil, the update must survive a crash of the
+// machine. If Save returns an error, the content of the storage is unknown and the member stops.
 type Storage interface{ Save(StorageUpdate) error }
 
 // DurableState is the content of a Storage. Entries up to the snapshot's index are ignored.
@@ -31,7 +31,7 @@
 	Entries   []*pb.Entry
 }
 
-// Apply returns the state after an update.
+// Apply returns the state that results from applying an update to s.
 func (s DurableState) Apply(update StorageUpdate) DurableState {
 	if update.HardState != nil {
 		s.HardState = update.HardState
@@ -50,12 +50,14 @@
 	return s
 }
 
-// position returns where in Entries the first one with at least this index is.
+// position returns the position in Entries of the first entry whose index is at least this one, or the number of
+// entries if there is none.
 func (s DurableState) position(index uint64) int {
 	return sort.Search(len(s.Entries), func(i int) bool { return s.Entries[i].GetIndex() >= index })
 }
 
-// Bootstrap returns the initial state of a new group. All of its first members must start from the same members and terms.
+// Bootstrap returns the durable state from which a first member of a new group starts. All first members must be
+// started with the same members and terms.
 func Bootstrap(members map[uint64]string, terms lease.Terms) (DurableState, error) {
 	leases, err := lease.New().Snapshot()
 	if err != nil {
@@ -86,5 +88,5 @@
 	}, nil
 }
 
-// EmptyState returns the initial state of a member that joins an existing group.
+// EmptyState returns the durable state from which a member that is added to an existing group starts.
 func EmptyState() DurableState { return DurableState{HardState: &pb.HardState{}} }
