--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -2,20 +2,20 @@
 
 import "errors"
 
-// Kind says what a Command does.
+// Kind is the kind of operation that a Command performs.
 type Kind uint8
 
-// The kinds of commands, with the fields that they use.
+// The kinds of commands. Each comment lists the fields that the command uses.
 const (
-	Tick          Kind = iota // an interval has passed
-	Acquire                   // Name, Holder, RequestID, Ticks: grant a slot, if one is free
-	Renew                     // Name, Token, Ticks: expire no sooner than this many ticks from now
-	Release                   // Name, Token
-	SetMaxHolders             // Name, MaxHolders: 1 unless it has been set
-	SetNote                   // Name, Token, NoteText: a note for the next holder, such as how far a task got; empty: none
+	Tick          Kind = iota // none: advance the time by one tick, after an interval has passed
+	Acquire                   // Name, Holder, RequestID, Ticks: grant a free slot for this many ticks
+	Renew                     // Name, Token, Ticks: let the grant expire no sooner than this many ticks from now
+	Release                   // Name, Token: end the grant
+	SetMaxHolders             // Name, MaxHolders: set the number of slots, which is 1 by default
+	SetNote                   // Name, Token, NoteText: set the note for the next holder, or delete it if empty
 )
 
-// Command is an operation on the State. Its JSON form is stored and sent over HTTP.
+// Command is an operation on a State. Its JSON form is stored and sent over HTTP.
 type Command struct {
 	Kind       Kind   `json:"kind"`
 	Name       string `json:"name,omitempty"`
@@ -27,7 +27,7 @@
 	NoteText   string `json:"text,omitempty"`
 }
 
-// Reasons why a command is rejected. A rejected command changes nothing. Agents send the texts to their clients.
+// Errors with which a command is rejected. A rejected command changes nothing. Agents send the texts to their clients.
 var (
 	ErrNoFreeSlot  = errors.New("all seats are held")
 	ErrNotGranted  = errors.New("no such grant: it has ended, or never was")
@@ -36,20 +36,22 @@
 	ErrFull        = errors.New("too many leases")
 )
 
-// MaxNoteBytes bounds a note. That of a rollout names up to 1,024 nodes, each by up to maxNameBytes. Notes of maxNotes leases take 20 MB
-// in memory, and more in a snapshot that has to escape them.
+// MaxNoteBytes is the maximum length of a note, which holds the progress of a holder's task, for example. The note of a
+// rollout holds the names of up to 1,024 nodes, each of up to maxNameBytes. The notes of maxNotes leases take up to 20
+// MB in memory, and more in a snapshot, where JSON has to escape them.
 const MaxNoteBytes = 160 << 10
 
-// Bounds of a State.
+// Limits of a State.
 const (
-	maxNameBytes  = 128     // of Name and Holder
-	maxNotes      = 128     // leases with a note
-	maxLeases     = 4096    // leases with a grant, or with a MaxHolders of their own
-	maxSlots      = 1024    // of one lease
-	maxGrantTicks = 1 << 20 // duration of a grant
+	maxNameBytes  = 128     // length of Name and of Holder
+	maxNotes      = 128     // number of leases with a note
+	maxLeases     = 4096    // number of leases that are stored
+	maxSlots      = 1024    // number of slots of one lease
+	maxGrantTicks = 1 << 20 // duration of a grant, in ticks
 )
 
-// withinBounds reports whether all fields of a command other than Tick are within their bounds.
+// withinBounds reports whether the fields of a command are within the limits above, apart from MaxHolders, which
+// setMaxHolders checks. A Tick has no name and must not be checked.
 func (c Command) withinBounds() bool {
 	return c.Name != "" &&
 		len(c.Name) <= maxNameBytes &&
--- a/internal/lease/guard.go
+++ b/internal/lease/guard.go
@@ -2,14 +2,16 @@
 
 import "time"
 
-// Terms are what a group and its holders agree on in advance.
+// Terms holds the timing assumptions that a group and all its holders must share. They are fixed when the group is
+// created.
 type Terms struct {
-	Interval time.Duration `json:"Interval"` // between two ticks, by the leader's clock
-	Drift    float64       `json:"Drift"`    // by which fraction a clock may be fast or slow; below 1
+	Interval time.Duration `json:"Interval"` // the least time between two ticks, by the leader's clock
+	Drift    float64       `json:"Drift"`    // the fraction by which a clock may be fast or slow; below 1
 }
 
-// GuaranteedDuration returns how long, by the holder's own clock, a grant of this many ticks lasts at least. The first tick may follow the
-// grant at once; the leader's clock may be fast, so that intervals are short, and the holder's slow.
+// GuaranteedDuration returns the time, by the holder's own clock, for which a grant of this many ticks is guaranteed to
+// last. It assumes the worst case: the first tick follows the grant at once, the leader's clock is fast, so that
+// intervals are short, and the holder's clock is slow.
 func (t Terms) GuaranteedDuration(ticks uint64) time.Duration {
 	if ticks == 0 {
 		return 0
@@ -17,19 +19,20 @@
 	return time.Duration(float64(ticks-1) * float64(t.Interval) * (1 - t.Drift) / (1 + t.Drift))
 }
 
-// Guard tells a holder whether it may act. Times are those of the holder's own monotonic clock, from any origin. The zero Guard, with
-// Terms set, has no grant.
+// Guard keeps a holder's grant and decides whether an action may begin under it. All times are those of the holder's
+// own monotonic clock, whose origin does not matter. A Guard whose only set field is Terms has no grant.
 type Guard struct {
 	Terms        Terms
 	grant        Grant
 	granted      bool
-	expiresAt    time.Duration // when the grant may expire
-	busyUntil    time.Duration // until when actions that were begun may go on
-	droppedToken Token         // the answer to a renewal that crossed a release must not bring its grant back
+	expiresAt    time.Duration // the earliest time at which the grant may expire
+	busyUntil    time.Duration // the time by which all actions that were begun have ended
+	droppedToken Token         // token of the last dropped grant: a late answer to a renewal must not restore it
 }
 
-// RecordGrant records the answer to an acquisition or renewal of this many ticks. SentAt is when the request was sent, not when the answer
-// came. Answers may come late or repeatedly: they never shorten the lease, nor extend it wrongly.
+// RecordGrant records the grant in the answer to a request that acquired or renewed a lease for this many ticks. SentAt
+// is the time when the request was sent, not when the answer arrived. Answers may arrive late, repeatedly or out of
+// order: they never shorten the lease, and never extend it beyond what the group guarantees.
 func (g *Guard) RecordGrant(grant Grant, ticks uint64, sentAt time.Duration) {
 	expiresAt := sentAt + g.Terms.GuaranteedDuration(ticks)
 	isObsolete := grant.Token <= g.droppedToken || g.granted && grant.Token < g.grant.Token
@@ -44,7 +47,8 @@
 	}
 }
 
-// BeginAction reports whether an action may begin that takes at most this long until its effect is complete, and under which grant.
+// BeginAction reports whether an action may begin whose effect is complete after at most maxDuration. If so, it returns
+// the grant under which the action runs.
 func (g *Guard) BeginAction(now, maxDuration time.Duration) (Grant, bool) {
 	end := now + time.Duration(float64(maxDuration)*(1+g.Terms.Drift))
 	if !g.granted || end > g.expiresAt {
@@ -54,14 +58,14 @@
 	return g.grant, true
 }
 
-// Grant returns the current grant, to be renewed or released.
+// Grant returns the current grant, for a renewal or release, and whether there is one. The grant may have expired.
 func (g *Guard) Grant() (Grant, bool) { return g.grant, g.granted }
 
-// ActionsEnded reports whether all actions that were begun must be over. The lease must not be released before that: the next holder
-// would begin while an action of this one is still in progress.
+// ActionsEnded reports whether all actions that were begun must have ended by now. The lease must not be released
+// before that, or the next holder could begin an action while one of this holder is still in progress.
 func (g *Guard) ActionsEnded(now time.Duration) bool { return now >= g.busyUntil }
 
-// Remaining returns for how long the lease is guaranteed to last.
+// Remaining returns the time for which the grant is still guaranteed to last; 0 if there is no grant.
 func (g *Guard) Remaining(now time.Duration) time.Duration {
 	if !g.granted {
 		return 0
@@ -69,7 +73,7 @@
 	return max(g.expiresAt-now, 0)
 }
 
-// DropGrant forgets the grant, after a release or a rejected renewal.
+// DropGrant forgets the current grant. The holder calls it after a release or a rejected renewal.
 func (g *Guard) DropGrant() {
 	if g.granted {
 		g.granted = false
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,20 +1,22 @@
-// Package lease implements leases on tasks that at most a given number of processes of a fleet may do at a time. It has no I/O: State is
-// the state machine that a group of agents replicates, Guard is the holder's side, and package fencing is the side of what is acted
-// upon. docs/lease-design.md says what holds and why.
+// Package lease implements leases. A lease limits how many processes of a fleet may perform a task at the same time.
+// The package does no I/O: State is the state machine that a group of agents replicates, and Guard is used by the
+// holder of a lease. Package fencing is used by the target of the holder's actions. docs/lease-design.md describes the
+// guarantees and the reasons for them.
 package lease
 
 import "tulipglade/internal/fencing"
 
-// Token is a fencing token. It stands in package fencing, which a node can link without the rest.
+// Token is a fencing token. The type is declared in package fencing, so that a node can use it without linking this
+// package.
 type Token = fencing.Token
 
-// Grant is a slot of a lease that somebody holds.
+// Grant is a holder's right to one slot of a lease. The type is declared in package fencing for the same reason.
 type Grant = fencing.Grant
 
-// Lease is a lease with its grants.
+// Lease describes a lease: the number of its slots, its current grants and its note. Its JSON form is sent over HTTP.
 type Lease struct {
 	Name       string  `json:"name"`
 	MaxHolders int     `json:"most"`
-	Grants     []Grant `json:"held"` // by slot
+	Grants     []Grant `json:"held"` // sorted by slot
 	Note       string  `json:"note,omitempty"`
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -22,20 +22,20 @@
 		{Command{Kind: Acquire, Name: "roll", Holder: "a", RequestID: 1, Ticks: 9}, nil, 1, 3}, // repeated: not extended
 		{Command{Kind: Acquire, Name: "roll", Holder: "a", RequestID: 2, Ticks: 3}, ErrNoFreeSlot, 0, 0},
 		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 3}, nil, 1, 4},
-		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 1}, nil, 1, 4}, // never sooner
+		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 1}, nil, 1, 4}, // a renewal never shortens the grant
 		{Command{Kind: Renew, Name: "other", Token: 1, Ticks: 3}, ErrNotGranted, 0, 0},
 		{Command{Kind: Tick}, nil, 0, 0},
 		{Command{Kind: Tick}, nil, 0, 0},
 		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 1}, nil, 1, 4},
 		{Command{Kind: Tick}, nil, 0, 0},
-		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 3}, ErrNotGranted, 0, 0}, // it has expired
+		{Command{Kind: Renew, Name: "roll", Token: 1, Ticks: 3}, ErrNotGranted, 0, 0}, // the grant has expired
 		{Command{Kind: Acquire, Name: "roll", Holder: "b", RequestID: 1, Ticks: 3}, nil, 2, 7},
-		{Command{Kind: Release, Name: "roll", Token: 1}, ErrNotGranted, 0, 0}, // late: the lease has another holder
+		{Command{Kind: Release, Name: "roll", Token: 1}, ErrNotGranted, 0, 0}, // too late: another holder has the lease
 		{Command{Kind: Release, Name: "roll", Token: 2}, nil, 2, 7},
 		{Command{Kind: SetMaxHolders, Name: "roll", MaxHolders: 2}, nil, 0, 0},
 		{Command{Kind: Acquire, Name: "roll", Holder: "a", RequestID: 3, Ticks: 9}, nil, 3, 13},
 		{Command{Kind: Acquire, Name: "roll", Holder: "b", RequestID: 2, Ticks: 9}, nil, 4, 13},
-		{Command{Kind: SetMaxHolders, Name: "roll", MaxHolders: 1}, nil, 0, 0}, // while two hold
+		{Command{Kind: SetMaxHolders, Name: "roll", MaxHolders: 1}, nil, 0, 0}, // while there are two holders
 		{Command{Kind: Renew, Name: "roll", Token: 3, Ticks: 10}, nil, 3, 14},
 		{Command{Kind: Renew, Name: "roll", Token: 4, Ticks: 10}, ErrSlotRemoved, 4, 13},
 		{Command{Kind: Release, Name: "roll", Token: 3}, nil, 3, 14},
@@ -56,8 +56,8 @@
 	}
 }
 
-// For any commands in any order: tokens only grow, slots are unique, rejected commands change nothing, leases without holders are
-// forgotten, and a State that is restored from a snapshot behaves as the original does.
+// For any commands in any order, tokens only grow, each slot has at most one grant, rejected commands change nothing,
+// unused leases are deleted, and a State that was restored from a snapshot behaves like the original.
 func TestApplyKeepsInvariantsForAnyCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s, newest := New(), Token(0)
@@ -84,21 +84,21 @@
 			after, _ := s.Snapshot()
 			copiedAfter, _ := copied.Snapshot()
 			if g != copiedGrant || !errors.Is(copiedErr, err) || string(after) != string(copiedAfter) {
-				rt.Fatalf("%+v: %+v %v, after a snapshot %+v %v", c, g, err, copiedGrant, copiedErr)
+				rt.Fatalf("%+v: %+v %v, on the restored State %+v %v", c, g, err, copiedGrant, copiedErr)
 			}
 			if err != nil && string(before) != string(after) {
-				rt.Fatalf("%+v is rejected, and changes %s to %s", c, before, after)
+				rt.Fatalf("%+v is rejected, but changes %s to %s", c, before, after)
 			}
 			if c.Kind == Acquire && err == nil && g.Token > newest {
 				newest = g.Token
 			}
 			for name, l := range s.leases {
 				if len(l.Grants) == 0 && l.MaxHolders == 1 {
-					rt.Fatalf("unused lease %s is not forgotten", name)
+					rt.Fatalf("unused lease %s is not deleted", name)
 				}
 				for i, g := range l.Grants {
 					if g.Token > newest || g.ExpiresAt <= s.tick || i > 0 && l.Grants[i-1].Slot >= g.Slot {
-						rt.Fatalf("%+v among %+v at tick %d", g, l.Grants, s.tick)
+						rt.Fatalf("invalid grant %+v among %+v at tick %d", g, l.Grants, s.tick)
 					}
 				}
 			}
@@ -116,7 +116,8 @@
 	}
 }
 
-// The duration counts from when the request was sent; an answer that comes late, repeatedly or after a release restores nothing.
+// A Guard allows an action only if it ends within the guaranteed duration, which counts from when the request was sent.
+// An answer that arrives late or repeatedly, or after the grant was dropped, allows nothing more.
 func TestGuardAllowsActionsOnlyWithinGuaranteedDuration(t *testing.T) {
 	const second = time.Second
 	g := Guard{Terms: Terms{Interval: second, Drift: 0}}
@@ -127,18 +128,18 @@
 		}
 	}
 	checkBegin(0, 0, 0)
-	g.RecordGrant(Grant{Token: 5}, 11, 0) // guaranteed until 10 s, whenever the answer came
+	g.RecordGrant(Grant{Token: 5}, 11, 0) // guaranteed until 10 s, whenever the answer arrived
 	checkBegin(8*second, 2*second, 5)
 	checkBegin(8*second, 2*second+1, 0)
 	if g.ActionsEnded(10*second-1) || !g.ActionsEnded(10*second) {
-		t.Error("expired before its action is over, or not after")
+		t.Error("the actions count as ended before the end of the last one, or not from then on")
 	}
 	g.RecordGrant(Grant{Token: 5}, 11, 4*second)
 	g.RecordGrant(Grant{Token: 5}, 11, 2*second) // the late answer to an earlier request
 	checkBegin(13*second, second, 5)
 	checkBegin(13*second, second+1, 0)
 	g.DropGrant()
-	g.RecordGrant(Grant{Token: 5}, 11, 12*second) // the answer crossed the release
+	g.RecordGrant(Grant{Token: 5}, 11, 12*second) // the answer to a renewal arrives after the release
 	checkBegin(13*second, second, 0)
 	g.RecordGrant(Grant{Token: 7}, 11, 20*second)
 	checkBegin(21*second, second, 7)
@@ -150,7 +151,8 @@
 	}
 }
 
-// A note stays for the next holder, only the current holder may change it, and the number of notes is bounded.
+// A note is kept for the next holder when its lease expires. Only the current holder may change it, and the number of
+// notes is limited.
 func TestNoteOutlivesItsHolder(t *testing.T) {
 	s := New()
 	acquire := func(name string) Token {
@@ -170,7 +172,7 @@
 	first := acquire("x")
 	setNote("x", first, "half done", nil)
 	setNote("x", first, string(make([]byte, MaxNoteBytes+1)), ErrInvalid)
-	_, _ = s.Apply(Command{Kind: Tick}) // a tick is never rejected
+	_, _ = s.Apply(Command{Kind: Tick}) // Apply never rejects a tick
 	setNote("x", first, "mine", ErrNotGranted)
 	raw, err := s.Snapshot()
 	if err != nil {
@@ -185,7 +187,7 @@
 	setNote("x", acquire("x"), "", nil)
 	_, _ = s.Apply(Command{Kind: Tick})
 	if listed := s.List(); len(listed) != 0 {
-		t.Errorf("unused leases are not forgotten: %+v", listed)
+		t.Errorf("unused leases are not deleted: %+v", listed)
 	}
 	for i := range maxNotes {
 		name := string(rune('a'+i%26)) + string(rune('a'+i/26))
--- a/internal/lease/snapshot.go
+++ b/internal/lease/snapshot.go
@@ -7,7 +7,7 @@
 
 const snapshotVersion = 1
 
-// snapshot is the stored form of a State.
+// snapshot is a State in the form in which it is stored, as JSON.
 type snapshot struct {
 	Version int                `json:"version"`
 	Tick    uint64             `json:"tick"`
@@ -15,7 +15,8 @@
 	Leases  map[string]*record `json:"leases"`
 }
 
-// Snapshot encodes the whole State. Equal States have equal snapshots: JSON maps are written in the order of their keys.
+// Snapshot encodes the whole State. Equal States have equal snapshots, because encoding/json writes maps in the order
+// of their keys.
 func (s *State) Snapshot() ([]byte, error) {
 	return json.Marshal(snapshot{
 		Version: snapshotVersion,
@@ -25,19 +26,19 @@
 	})
 }
 
-// Restore decodes a Snapshot, and checks that it is consistent.
+// Restore returns the State that Snapshot has encoded. It returns an error if the snapshot is inconsistent.
 func Restore(raw []byte) (*State, error) {
 	var decoded snapshot
 	if err := json.Unmarshal(raw, &decoded); err != nil {
-		return nil, fmt.Errorf("snapshot of leases: %w", err)
+		return nil, fmt.Errorf("decode snapshot of leases: %w", err)
 	}
 	if decoded.Version != snapshotVersion {
-		return nil, fmt.Errorf("snapshot of leases: version %d, this program reads %d", decoded.Version, snapshotVersion)
+		return nil, fmt.Errorf("snapshot of leases has version %d, but this program reads only version %d", decoded.Version, snapshotVersion)
 	}
 	s := &State{tick: decoded.Tick, lastToken: decoded.Token, leases: map[string]*record{}}
 	for name, r := range decoded.Leases {
 		if r == nil || r.MaxHolders < 1 {
-			return nil, fmt.Errorf("snapshot of leases: %q: missing, or without slots", name)
+			return nil, fmt.Errorf("snapshot of leases: lease %q has no state or no slots", name)
 		}
 		if err := s.checkGrants(name, r.Grants); err != nil {
 			return nil, err
@@ -47,12 +48,13 @@
 	return s, nil
 }
 
-// checkGrants checks the grants of one lease of a snapshot.
+// checkGrants returns an error if the grants of one lease in a snapshot are invalid: they must belong to this lease,
+// have been granted and not have expired, and be sorted by slot, with at most one for each.
 func (s *State) checkGrants(name string, grants []Grant) error {
 	for i, g := range grants {
 		isSorted := i == 0 || g.Slot > grants[i-1].Slot
 		if g.Name != name || g.Token > s.lastToken || g.ExpiresAt <= s.tick || !isSorted {
-			return fmt.Errorf("snapshot of leases: %q: invalid grant of slot %d", name, g.Slot)
+			return fmt.Errorf("snapshot of leases: lease %q has an invalid grant of slot %d", name, g.Slot)
 		}
 	}
 	return nil
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
-// record is the state of one lease.
+// record is the state of one lease. Its JSON form is stored.
 type record struct {
 	MaxHolders int     `json:"most"`
-	Grants     []Grant `json:"held"` // by slot
+	Grants     []Grant `json:"held"` // sorted by slot
 	Note       string  `json:"note,omitempty"`
 }
 
-// State is the replicated state machine. The same commands in the same order give the same State and the same results.
+// State is the replicated state machine. It is deterministic: the same commands in the same order lead to the same
+// State and return the same results.
 type State struct {
 	tick      uint64
 	lastToken Token
@@ -22,7 +23,8 @@
 // New returns a State without leases.
 func New() *State { return &State{leases: map[string]*record{}} }
 
-// Apply applies the next command.
+// Apply applies the next command and returns the grant that it concerns, if any. A command that is rejected with an
+// error changes nothing.
 func (s *State) Apply(command Command) (Grant, error) {
 	if command.Kind == Tick {
 		s.applyTick()
@@ -51,7 +53,7 @@
 	return Grant{}, ErrInvalid
 }
 
-// applyTick advances the time, and removes the grants that have expired.
+// applyTick advances the time by one tick, and removes the grants that have expired.
 func (s *State) applyTick() {
 	s.tick++
 	for name, r := range s.leases {
@@ -60,8 +62,9 @@
 	}
 }
 
-// findOrAdd returns the lease of a command. A new one is added, to be removed again by deleteIfUnused if the command leaves it as it
-// is.
+// findOrAdd returns the lease that a command names. If there is none, it adds one, which the caller must remove with
+// deleteIfUnused if the command does not change it. Commands of the kinds that can leave a new lease behind are
+// rejected when there are maxLeases.
 func (s *State) findOrAdd(command Command) (*record, error) {
 	if r := s.leases[command.Name]; r != nil {
 		return r, nil
@@ -75,7 +78,8 @@
 	return r, nil
 }
 
-// acquire grants a free slot. A repeated request returns the grant that it already has, and does not extend it.
+// acquire grants a free slot to a holder. A repeated request returns the grant that the holder already has, and does
+// not extend it.
 func (s *State) acquire(r *record, command Command) (Grant, error) {
 	if command.Holder == "" || command.Ticks == 0 {
 		return Grant{}, ErrInvalid
@@ -102,7 +106,8 @@
 	return grant, nil
 }
 
-// renew extends a grant, unless its slot is beyond a MaxHolders that has been lowered.
+// renew extends a grant. It rejects the renewal if MaxHolders has been lowered and the lease no longer has the grant's
+// slot.
 func (s *State) renew(r *record, command Command) (Grant, error) {
 	if command.Ticks == 0 {
 		return Grant{}, ErrInvalid
@@ -118,7 +123,7 @@
 	return r.Grants[i], nil
 }
 
-// setNote replaces the note of a lease, which only a holder may do.
+// setNote replaces the note of a lease. Only a current holder may do that.
 func (s *State) setNote(r *record, command Command) (Grant, error) {
 	i := r.indexOf(command.Token)
 	if i < 0 {
@@ -140,7 +145,8 @@
 	return count
 }
 
-// deleteIfUnused deletes a lease that is as one that was never named.
+// deleteIfUnused deletes a lease that differs in nothing from a new one: it has no grants, no note and the default
+// MaxHolders.
 func (s *State) deleteIfUnused(name string) {
 	r := s.leases[name]
 	if r != nil && len(r.Grants) == 0 && r.MaxHolders == 1 && r.Note == "" {
@@ -166,12 +172,12 @@
 	return nil
 }
 
-// indexOf returns the index of the grant with a token, or -1.
+// indexOf returns the index of the grant with this token, or -1 if there is none.
 func (r *record) indexOf(token Token) int {
 	return slices.IndexFunc(r.Grants, func(g Grant) bool { return g.Token == token })
 }
 
-// firstFreeSlot returns the lowest slot without a grant.
+// firstFreeSlot returns the lowest slot without a grant. It may be beyond the last slot of the lease.
 func (r *record) firstFreeSlot() int {
 	slot := 0
 	for _, g := range r.Grants { // sorted by slot
@@ -182,7 +188,7 @@
 	return slot
 }
 
-// List returns all leases that have a grant, a note or a MaxHolders of their own, sorted by name.
+// List returns all leases that have a grant, a note or a MaxHolders other than the default, sorted by name.
 func (s *State) List() []Lease {
 	listed := make([]Lease, 0, len(s.leases))
 	for name, r := range s.leases {
@@ -197,7 +203,7 @@
 	return listed
 }
 
-// HasGrants reports whether any grant exists. Ticks are needed only while one does.
+// HasGrants reports whether any lease has a grant. Ticks are needed only while that is the case.
 func (s *State) HasGrants() bool {
 	for _, r := range s.leases {
 		if len(r.Grants) > 0 {
