--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -19,7 +19,7 @@
 	Rand                *rand.Rand           // source of the incarnation and of election timeouts
 	Storage             Storage
 	Send                func(to string, m *pb.Message) // sends a message to a member's address; it may be lost
-	ElectionTicks       int                            // ticks without a leader until an election: this to twice this number
+	ElectionTicks       int                            // an election starts after n to 2n ticks without a leader
 	SnapshotEntries     uint64                         // number of entries applied between two snapshots
 	RequestTimeoutTicks int                            // a request that has no outcome by then gets ErrOutcomeUnknown
 }
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -222,7 +222,7 @@
 	}
 }
 
-// save writes raft's new state to the Storage and then updates raft's copy of the log in memory.
+// save writes raft's new state to the Storage, and then updates the copy in memory.
 func (m *Member) save(ready raft.Ready) error {
 	update := StorageUpdate{HardState: ready.HardState, Entries: ready.Entries}
 	if !raft.IsEmptySnap(ready.Snapshot) {
--- a/internal/consensus/proposal.go
+++ b/internal/consensus/proposal.go
@@ -88,7 +88,8 @@
 	return key.Member == m.options.ID && key.Incarnation == m.incarnation
 }
 
-// register adds a request to the pending ones and returns its sequence number.
+// register adds a request to the pending ones and returns its sequence number. It rejects the request if this member is
+// not the leader, has stopped, or has too many pending requests.
 func (m *Member) register(r request) (uint64, error) {
 	switch {
 	case m.err != nil:
@@ -121,7 +122,8 @@
 	}
 }
 
-// expireRequests answers the requests that have waited for more than RequestTimeoutTicks with ErrOutcomeUnknown.
+// expireRequests answers the requests that have waited for more than RequestTimeoutTicks with ErrOutcomeUnknown, except
+// committed changes of members.
 func (m *Member) expireRequests() {
 	for _, sequence := range slices.Sorted(maps.Keys(m.pendingRequests)) {
 		r := m.pendingRequests[sequence] // nil if answering an earlier request has led to the answer of this one
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -87,7 +87,8 @@
 	return m.raftStorage.Compact(compactIndex)
 }
 
-// updateRaftStorage applies an update to raft's copy of the log in memory. The update must have been saved before.
+// updateRaftStorage applies an update to raft's copy of the log in memory, and a snapshot also to the state machine.
+// The update must have been saved before.
 func (m *Member) updateRaftStorage(update StorageUpdate) error {
 	if update.Snapshot != nil {
 		if err := errors.Join(m.restore(update.Snapshot), m.raftStorage.ApplySnapshot(update.Snapshot)); err != nil {
