--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -1,35 +1,38 @@
-// Package fencing is the side of a lease that is acted upon: it rejects actions of earlier holders. docs/lease-design.md says why.
+// Package fencing protects the target of actions that are performed under a lease: it rejects the actions of earlier
+// holders. docs/lease-design.md describes the reasons.
 package fencing
 
 import "errors"
 
-// Token is a fencing token. A later grant of a group has a larger token than all earlier ones.
+// Token is a fencing token. Each grant of a group has a larger token than all earlier grants of that group, whatever
+// their lease.
 type Token uint64
 
-// Grant is a slot of a lease that somebody holds. Its JSON form is stored and sent over HTTP.
+// Grant is a holder's right to one slot of a lease. Its JSON form is stored and sent over HTTP.
 type Grant struct {
 	Name      string `json:"name"`
-	Slot      int    `json:"seat"` // from 0; each is fenced separately
+	Slot      int    `json:"seat"` // numbered from 0; a Fence treats each slot separately
 	Holder    string `json:"who,omitempty"`
-	RequestID uint64 `json:"ask,omitempty"` // the holder's number of the request that was answered by this grant
+	RequestID uint64 `json:"ask,omitempty"` // the number that the holder gave to the request for this grant
 	Token     Token  `json:"token"`
-	ExpiresAt uint64 `json:"till,omitempty"` // a tick
+	ExpiresAt uint64 `json:"till,omitempty"` // the tick at which the grant expires, unless it is renewed
 }
 
-// Reasons why a Fence rejects an action.
+// Errors with which a Fence rejects an action. They are sent to clients over HTTP.
 var (
 	ErrStaleToken = errors.New("the token is older than one that was seen")
 	ErrBusy       = errors.New("an act of an older token is not over")
 )
 
-// maxSlots bounds the slots whose tokens a Fence remembers.
+// maxSlots is the maximum number of slots whose tokens a Fence remembers.
 const maxSlots = 1024
 
-// Fence rejects the actions of earlier holders, whatever those believe, and begins none for a later holder before the earlier one's is
-// over. It is not durable: a new Fence knows no tokens, unless it gets a MinToken or those of its predecessor. It is not safe for
-// concurrent use.
+// Fence decides which actions a target accepts. It rejects the actions of an earlier holder, even if that holder
+// believes that it still has the lease, and it rejects those of a later holder while an action of the earlier one is
+// running. A Fence is not durable: a new one knows no tokens, unless it is given a MinToken or the tokens of its
+// predecessor. It is not safe for concurrent use.
 type Fence struct {
-	MinToken Token // smaller tokens are rejected for slots that are not remembered
+	MinToken Token // for slots that are not remembered, smaller tokens are rejected
 	slots    map[slotKey]*slotState
 }
 
@@ -39,14 +42,15 @@
 	slot int
 }
 
-// slotState is what is remembered of a slot.
+// slotState holds the tokens of a slot and the number of its running actions.
 type slotState struct {
 	newestToken    Token
-	runningToken   Token // of the running actions, or of those that ran last
+	runningToken   Token // the token of the running actions, or of the last ones that ran
 	runningActions int
 }
 
-// Begin begins an action under a grant. Each action that was begun without an error must be ended by End.
+// Begin begins an action under a grant, or returns the error with which the action is rejected. The caller must call
+// End once an action that was begun without an error has ended.
 func (f *Fence) Begin(grant Grant) error {
 	key := slotKey{grant.Name, grant.Slot}
 	state := f.slots[key]
@@ -60,7 +64,7 @@
 	case grant.Token < state.newestToken:
 		return ErrStaleToken
 	}
-	state.newestToken = grant.Token // even if ErrBusy follows: from now on the earlier holder can't begin anything
+	state.newestToken = grant.Token // even if ErrBusy follows, so that the earlier holder can begin no further action
 	if state.runningActions > 0 && state.runningToken != grant.Token {
 		return ErrBusy
 	}
@@ -69,7 +73,7 @@
 	return nil
 }
 
-// End ends an action that was begun.
+// End records that an action under a grant has ended.
 func (f *Fence) End(grant Grant) {
 	state := f.slots[slotKey{grant.Name, grant.Slot}]
 	if state != nil && state.runningToken == grant.Token && state.runningActions > 0 {
@@ -77,7 +81,8 @@
 	}
 }
 
-// SeenTokens returns the newest token of each remembered slot, for the Fence that takes this one's place.
+// SeenTokens returns the newest token of each remembered slot. The Fence that replaces this one must be given them by
+// RestoreTokens.
 func (f *Fence) SeenTokens() []Grant {
 	var seen []Grant
 	for key, state := range f.slots {
@@ -86,7 +91,8 @@
 	return seen
 }
 
-// RestoreTokens takes over what SeenTokens of another Fence returned.
+// RestoreTokens adds the tokens that SeenTokens of another Fence has returned. It never lowers a token that this Fence
+// has seen.
 func (f *Fence) RestoreTokens(seen []Grant) {
 	for _, grant := range seen {
 		key := slotKey{grant.Name, grant.Slot}
@@ -98,8 +104,9 @@
 	}
 }
 
-// evictOldest makes room for one slot. It forgets the idle slot with the smallest token, and raises MinToken to that token: since tokens
-// grow over all leases of a group, no stale token of the forgotten slot can be accepted later.
+// evictOldest makes room for one more slot if maxSlots are remembered. It forgets the idle slot with the smallest token
+// and raises MinToken to that token. Since tokens grow over all leases of a group, no stale token of the forgotten slot
+// can be accepted later. If no slot is idle, all of them stay.
 func (f *Fence) evictOldest() {
 	if f.slots == nil {
 		f.slots = map[slotKey]*slotState{}
--- a/internal/fencing/fencing_test.go
+++ b/internal/fencing/fencing_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A Fence rejects older tokens, begins nothing while an older action is running, and forgets slots without accepting older tokens.
+// A Fence rejects tokens older than the newest one of the slot, and rejects a newer one while an action of an older one
+// is running. When it forgets a slot to stay within maxSlots, it still accepts no stale token of that slot.
 func TestFenceRejectsStaleTokens(t *testing.T) {
 	var f Fence
 	grant := func(name string, slot int, token Token) Grant { return Grant{Name: name, Slot: slot, Token: token} }
@@ -30,17 +31,18 @@
 		f.End(g)
 	}
 	if len(f.slots) > maxSlots {
-		t.Errorf("%d slots remembered", len(f.slots))
+		t.Errorf("%d slots are remembered, which is more than the maximum", len(f.slots))
 	}
-	checkBegin(grant("z", 0, 99), ErrStaleToken) // of a slot that may have been forgotten
-	checkBegin(grant("x", 0, 7), ErrStaleToken)  // its action is running: it is not forgotten
+	checkBegin(grant("z", 0, 99), ErrStaleToken) // the slot may have been forgotten
+	checkBegin(grant("x", 0, 7), ErrStaleToken)  // an action is running, so this slot is not forgotten
 	checkBegin(grant("z", 0, 5000), nil)
 	if f.MinToken < 100 {
 		t.Error(f.MinToken)
 	}
 }
 
-// A Fence that takes another's place rejects what that one would have rejected, and accepts newer tokens.
+// A Fence that replaces another one and has been given its tokens rejects the same stale tokens, and accepts newer
+// ones.
 func TestRestoredTokensAreRejectedByNextFence(t *testing.T) {
 	var predecessor, successor Fence
 	for _, g := range []Grant{{Name: "x", Token: 7}, {Name: "x", Slot: 1, Token: 5}, {Name: "y", Token: 6}} {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,5 +1,6 @@
-// Package rollout plans a rolling change of a fleet's nodes: site by site, with a limit of nodes at a time. It has no I/O. Its progress is
-// recorded in a note before each step, so that another process can continue from there. docs/lease-design.md explains the design.
+// Package rollout plans a rolling change of a fleet's nodes. It changes the nodes site by site, and limits how many are
+// unavailable at the same time. The package does no I/O. The caller saves the progress in a note before each step, so
+// that another process can continue from there. docs/lease-design.md explains the design.
 package rollout
 
 import (
@@ -8,44 +9,46 @@
 	"slices"
 )
 
-// Node is a node of the fleet.
+// Node identifies a node of the fleet and holds its addresses.
 type Node struct {
 	Name          string `toml:"name"`
 	Site          string `toml:"site"`
-	AdminAddress  string `toml:"operator"` // admin address
-	ClientAddress string `toml:"listen"`   // address for clients
+	AdminAddress  string `toml:"operator"` // address of the node's admin server
+	ClientAddress string `toml:"listen"`   // address at which the node serves clients
 }
 
-// Step is what is being done with a node.
+// Step is a step in the change of one node.
 type Step string
 
-// The steps, in order. Their values are stored.
+// The steps of a node's change, in order. Their values are stored.
 const (
-	Standby Step = "standby" // the node sends its clients to others
-	Change  Step = "change"  // the command runs
-	Resume  Step = "back"    // the node runs again, and is to take clients
+	Standby Step = "standby" // the node is told to send its clients to other nodes
+	Change  Step = "change"  // the command that changes the node runs
+	Resume  Step = "back"    // the command has ended, and the node must serve clients again
 )
 
-// Task is a node and the step to continue with. Retry says that an earlier process has been at that step.
+// Task is a node's change, which is to continue with Step. Retry means that an earlier process may have begun that step
+// already.
 type Task struct {
 	Node
 	Step  Step
 	Retry bool
 }
 
-// ErrInProgress is returned while another change is not complete.
+// ErrInProgress is returned by New if the note is that of another change that is not complete.
 var ErrInProgress = errors.New("another change is under way")
 
-// Rollout is a rolling change. It is not safe for concurrent use.
+// Rollout is a rolling change of a fleet's nodes. It is not safe for concurrent use.
 type Rollout struct {
 	nodes          []Node
 	maxUnavailable int
 	progress       progress
-	running        map[string]bool // nodes that this process has a task for
+	running        map[string]bool // names of the nodes for which this process has a task
 	failed         bool
 }
 
-// New starts a change, or continues it if the note says that it was started. A change that is complete is not started again.
+// New returns a Rollout that starts a change or, if the note is that of the same change, continues it. A change that is
+// complete according to its note is not started again. An empty note means that there was no earlier change.
 func New(nodes []Node, maxUnavailable int, change, note string) (*Rollout, error) {
 	names, err := uniqueNames(nodes)
 	if err != nil {
@@ -76,7 +79,7 @@
 	return r, nil
 }
 
-// uniqueNames returns the nodes' names, which must be unique.
+// uniqueNames returns the set of the nodes' names, or an error if a node has no name or two nodes have the same one.
 func uniqueNames(nodes []Node) (map[string]bool, error) {
 	names := map[string]bool{}
 	for _, node := range nodes {
@@ -88,12 +91,13 @@
 	return names, nil
 }
 
-// Next returns the tasks to start now, if any. Note must be saved before they are started.
+// Next returns the tasks to start now, if any. The caller must save Note before it starts them. When no node is left,
+// Next marks the change as complete.
 func (r *Rollout) Next() (tasks []Task) {
 	if r.failed || r.progress.Complete {
 		return nil
 	}
-	for _, node := range r.nodes { // what an earlier process has started
+	for _, node := range r.nodes { // continue with the nodes that an earlier process has started
 		if r.isInProgress(node) && !r.running[node.Name] {
 			tasks = append(tasks, r.startTask(node, true))
 		}
@@ -116,7 +120,7 @@
 	return tasks
 }
 
-// currentSite returns the site of the nodes that are in progress, and how many they are.
+// currentSite returns the site of the nodes whose change is in progress, and the number of these nodes.
 func (r *Rollout) currentSite() (site string, unavailable int) {
 	for _, node := range r.nodes {
 		if r.isInProgress(node) {
@@ -132,41 +136,42 @@
 	return ok
 }
 
-// startTask returns the task for a node.
+// startTask records that this process has a task for a node, and returns the task.
 func (r *Rollout) startTask(node Node, retry bool) Task {
 	r.running[node.Name] = true
 	return Task{Node: node, Step: r.progress.InProgress[node.Name], Retry: retry}
 }
 
-// RecordStep records that a node is about to be at a step. Note must be saved before it is.
+// RecordStep records that a step of a node's change is about to begin. The caller must save Note before it begins the
+// step.
 func (r *Rollout) RecordStep(node string, step Step) {
 	if _, ok := r.progress.InProgress[node]; ok {
 		r.progress.InProgress[node] = step
 	}
 }
 
-// RecordDone records that a node takes clients again.
+// RecordDone records that a node's change is done and the node serves clients again.
 func (r *Rollout) RecordDone(node string) {
 	delete(r.progress.InProgress, node)
 	delete(r.running, node)
 	r.progress.Done = append(r.progress.Done, node)
 }
 
-// RecordFailure records that a node's task has failed. No more tasks are started; the note keeps those in progress for the next
-// process.
+// RecordFailure records that a node's task has failed. Next returns no more tasks after that. The note keeps the nodes
+// in progress, so that the next process continues with them.
 func (r *Rollout) RecordFailure(node string) {
 	delete(r.running, node)
 	r.failed = true
 }
 
-// RunningTasks returns how many tasks this process has.
+// RunningTasks returns the number of tasks that this process has started and that have neither been done nor failed.
 func (r *Rollout) RunningTasks() int { return len(r.running) }
 
-// Complete reports whether all nodes are done.
+// Complete reports whether the change is complete. Next determines that, once all nodes are done.
 func (r *Rollout) Complete() bool { return r.progress.Complete }
 
-// DoneNodes returns the names of the nodes that are done.
+// DoneNodes returns the names of the nodes whose change is done.
 func (r *Rollout) DoneNodes() []string { return r.progress.Done }
 
-// Note returns the progress in the form that New reads. That of a complete change names no nodes.
+// Note returns the progress in the form that New accepts. The note of a complete change names no nodes.
 func (r *Rollout) Note() string { return r.progress.note() }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -11,12 +11,12 @@
 	"tulipglade/internal/lease"
 )
 
-// randomRollout runs a rollout of drawn nodes with processes that crash.
+// randomRollout is a rollout of randomly drawn nodes, which is run by processes that may crash.
 type randomRollout struct {
 	nodes          []Node
-	sites          map[string]string // by node
+	sites          map[string]string // the site of each node, by name
 	maxUnavailable int
-	savedNote      string // as it was saved last
+	savedNote      string // the note that was saved last
 	unavailable    map[string]bool
 	changed        map[string]int
 }
@@ -33,8 +33,9 @@
 	return d
 }
 
-// runProcess runs one process until the rollout is complete, or it crashes: after this many steps (below 0: never), or before it saves the
-// note of a step. It reports whether the rollout is complete.
+// runProcess runs one process until the rollout is complete or the process crashes. It crashes after crashAfter steps
+// (never, if that is negative), or before it saves the note of a step. RunProcess reports whether the rollout is
+// complete.
 func (d *randomRollout) runProcess(t *rapid.T, crashAfter int) bool {
 	t.Helper()
 	r, err := New(d.nodes, d.maxUnavailable, "v2", d.savedNote)
@@ -47,7 +48,7 @@
 		d.savedNote = r.Note()
 		if len(openTasks) == 0 {
 			if !r.Complete() {
-				t.Fatal("no task is left, and the rollout is not complete")
+				t.Fatal("no task is left, but the rollout is not complete")
 			}
 			return true
 		}
@@ -65,7 +66,7 @@
 	return r.Complete() && len(openTasks) == 0
 }
 
-// advance does the step of a task, and reports whether the task is done.
+// advance performs the current step of a task, and reports whether the task is done.
 func (d *randomRollout) advance(r *Rollout, task *Task) bool {
 	switch task.Step {
 	case Standby:
@@ -73,7 +74,7 @@
 		task.Step = Change
 		r.RecordStep(task.Name, Change)
 	case Change:
-		if d.unavailable[task.Name] && d.changed[task.Name] == 0 { // the command finds out whether the node has changed
+		if d.unavailable[task.Name] && d.changed[task.Name] == 0 { // the command skips a changed node
 			d.changed[task.Name]++
 		}
 		task.Step = Resume
@@ -86,7 +87,8 @@
 	return false
 }
 
-// checkUnavailable checks that the unavailable nodes are of one site, and not too many.
+// checkUnavailable checks that the unavailable nodes belong to one site and that there are at most maxUnavailable of
+// them.
 func (d *randomRollout) checkUnavailable(t *rapid.T) {
 	t.Helper()
 	sites := map[string]int{}
@@ -95,13 +97,14 @@
 	}
 	for site, count := range sites {
 		if len(sites) > 1 || count > d.maxUnavailable {
-			t.Fatalf("unavailable: %v, site %s", d.unavailable, site)
+			t.Fatalf("too many unavailable nodes or sites: %v, site %s", d.unavailable, site)
 		}
 	}
 }
 
-// A process crashes at any point, and another continues from the last saved note: nodes of two sites are never unavailable at a time, nor
-// too many of one; each node's steps come in order; and in the end all nodes are done.
+// When a process crashes at any point and another one continues from the last saved note, nodes of two sites are never
+// unavailable at the same time, nor too many of one site. Each node goes through its steps in order, and in the end all
+// nodes are done.
 func TestRolloutContinuesAfterCrashAtAnyPoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newRandomRollout(t)
@@ -120,8 +123,8 @@
 	})
 }
 
-// The note of another change stops this one unless that is complete; a complete change is not started again; after a failure nothing more
-// is started.
+// New rejects the note of another change, unless that change is complete. A complete change is not started again. After
+// a failure no more tasks are started, and a later process continues with the failed node.
 func TestNewReadsNoteOfEarlierRollout(t *testing.T) {
 	nodes := []Node{{Name: "a", Site: "x"}, {Name: "b", Site: "x"}}
 	r, err := New(nodes, 1, "v1", "")
@@ -133,7 +136,7 @@
 	}
 	r.RecordFailure("a")
 	if tasks := r.Next(); len(tasks) != 0 || r.Complete() {
-		t.Error("after a failure:", tasks)
+		t.Error("tasks after a failure, or the rollout is complete:", tasks)
 	}
 	if r, err = New(nodes, 1, "v1", r.Note()); err != nil {
 		t.Fatal(err)
@@ -146,21 +149,22 @@
 		r.RecordDone(want)
 	}
 	if r.Next(); !r.Complete() {
-		t.Error("not complete")
+		t.Error("the rollout is not complete after its last node")
 	}
 	if repeated, err := New(nodes, 1, "v1", r.Note()); err != nil || len(repeated.Next()) > 0 || !repeated.Complete() {
-		t.Error("a complete change starts again:", err)
+		t.Error("a complete change is started again:", err)
 	}
 	if next, err := New(nodes, 1, "v2", r.Note()); err != nil || len(next.Next()) != 1 {
-		t.Error("the next change:", err)
+		t.Error("the next change does not start:", err)
 	}
 	if _, err := New([]Node{{Name: "a"}, {Name: "a"}}, 1, "v1", ""); err == nil {
-		t.Error("two nodes of one name are accepted")
+		t.Error("two nodes with the same name are accepted")
 	}
 }
 
-// The note of a rollout of 1,024 nodes with names of the greatest length fits into a lease at every step. Regression: notes were limited to
-// 32 KB, enough for 250 such names or 900 of 35 bytes, and the rollout stopped there.
+// The note of a rollout of 1,024 nodes with names of the maximum length fits into a lease at every step. Regression:
+// notes were limited to 32 KB, which is enough for 250 such names or 900 names of 35 bytes, and larger rollouts stopped
+// at that point.
 func TestNoteOfManyNodesFitsIntoLease(t *testing.T) {
 	var nodes []Node
 	for i := range 1024 {
@@ -178,12 +182,13 @@
 		}
 	}
 	if len(r.DoneNodes()) != len(nodes) || largest > lease.MaxNoteBytes {
-		t.Errorf("%d nodes done, notes of %d bytes where %d fit", len(r.DoneNodes()), largest, lease.MaxNoteBytes)
+		t.Errorf("%d nodes done, notes of up to %d bytes, where at most %d fit", len(r.DoneNodes()), largest, lease.MaxNoteBytes)
 	}
 }
 
-// Nodes without a site are one site, and the limit holds for them. They were all started at once, whatever the limit, and
-// so the whole fleet restarted together: an empty site stood for "no node is in progress".
+// Nodes without a site form one site, and the limit applies to them. Regression: an empty site was taken to mean that
+// no node is in progress, so all nodes without a site were started at once, whatever the limit, and the whole fleet
+// restarted together.
 func TestLimitHoldsForNodesWithoutSite(t *testing.T) {
 	nodes := []Node{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d", Site: "s1"}}
 	r, err := New(nodes, 2, "v2", "")
