--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -172,7 +172,8 @@
 		t.Error("adding a member with an ID that was used before:", err)
 	}
 	first := group.changeMembers(leader, map[uint64]string{4: "d"}, replaced)
-	delete(group.members, leader.Status().ID%3+1) // two running members would be no quorum of four voters
+	// Two of the three voters remain, which is a quorum. If the added member were a voter, two of four would be none.
+	delete(group.members, leader.Status().ID%3+1)
 	group.runTicks(40)
 	if _, err := group.propose(leader, acquire("x")); err != nil {
 		t.Error("the group does not work without the added member, which has not started:", err)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -34,8 +34,7 @@
 }
 
 // runProcess runs one process until the rollout is complete or the process crashes. It crashes after crashAfter steps
-// (never, if that is negative), or before it saves the note of a step. RunProcess reports whether the rollout is
-// complete.
+// (never, if that is negative), or before it saves the note of a step. It reports whether the rollout is complete.
 func (d *randomRollout) runProcess(t *rapid.T, crashAfter int) bool {
 	t.Helper()
 	r, err := New(d.nodes, d.maxUnavailable, "v2", d.savedNote)
