--- a/internal/daemon/hotrestart.go
+++ b/internal/daemon/hotrestart.go
@@ -18,8 +18,8 @@
 	"tulipglade/internal/node"
 )
 
-// errNodeBusy is a node that has not exported its state in time for a hot restart.
-var errNodeBusy = errors.New("the node did not answer in time")
+// errExportTimeout is a node that has not exported its state in time for a hot restart.
+var errExportTimeout = errors.New("the node did not answer in time")
 
 // noDescriptor stands for a listener that could not be passed on.
 const noDescriptor = -1
@@ -37,13 +37,13 @@
 	listener netpoll.Listener
 }
 
-// handoffPath is the path of the Unix socket for handoffs between processes of this node, or nothing: only processes with an
+// handoffSocketPath is the path of the Unix socket for handoffs between processes of this node, or nothing: only processes with an
 // admin address are restarted hot.
-func handoffPath(config *Config, log *slog.Logger) string {
+func handoffSocketPath(config *Config, log *slog.Logger) string {
 	if config.Admin == "" {
 		return ""
 	}
-	path, err := hotrestart.Path(os.Getenv("TMPDIR"), config.Name, config.Listen)
+	path, err := hotrestart.SocketPath(os.Getenv("TMPDIR"), config.Name, config.Listen)
 	if err != nil {
 		log.Warn("handoff unavailable", "err", err)
 	}
@@ -62,11 +62,11 @@
 	err = jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(handoff.Body, &inherited.handoffState)
 	handoff.Body = nil // it may be large, and is not needed any more
 	if err == nil {
-		inherited.listener, err = node.InheritListener(handoff.Listener)
+		inherited.listener, err = node.InheritListener(handoff.ListenerFD)
 	}
 	if err != nil {
 		log.Warn("no handoff received", "err", err)
-		_ = syscall.Close(handoff.Listener) // the error above is the one that counts
+		_ = syscall.Close(handoff.ListenerFD) // the error above is the one that counts
 		_ = handoff.Close()
 		return nil
 	}
@@ -91,20 +91,20 @@
 
 // offerHandoff offers the listener and the state to a successor, until the server is closed.
 func (s *server) offerHandoff() {
-	s.predecessor = &predecessor{node: s.node, admin: s.admin, listener: s.listener, group: s.group, log: s.log}
-	if s.handoffPath == "" {
+	s.predecessorRole = &predecessorRole{node: s.node, admin: s.admin, listener: s.listener, group: s.group, log: s.log}
+	if s.handoffSocketPath == "" {
 		return
 	}
-	offer, err := hotrestart.NewOffer(s.handoffPath, s.predecessor)
+	offer, err := hotrestart.NewOffer(s.handoffSocketPath, s.predecessorRole)
 	if err != nil {
-		s.log.Warn("handoff unavailable", "err", fmt.Errorf("%s: %w", s.handoffPath, err))
+		s.log.Warn("handoff unavailable", "err", fmt.Errorf("%s: %w", s.handoffSocketPath, err))
 		return
 	}
 	s.onClose(func() { _ = offer.Close() }) // the process ends with it
 }
 
-// predecessor is this process as the older side of a hot restart.
-type predecessor struct {
+// predecessorRole is this process as the older side of a hot restart.
+type predecessorRole struct {
 	node     *node.Node
 	admin    *admin.Server
 	listener *node.GatedListener
@@ -116,8 +116,8 @@
 	stopping         bool
 }
 
-// State implements hotrestart.Predecessor.
-func (p *predecessor) State() (body []byte, descriptor int, err error) {
+// ExportHandoff implements hotrestart.Predecessor.
+func (p *predecessorRole) ExportHandoff() (body []byte, descriptor int, err error) {
 	state, err := p.exportState()
 	if err != nil {
 		return nil, noDescriptor, err
@@ -141,20 +141,20 @@
 }
 
 // exportState asks the node's goroutine for its state.
-func (p *predecessor) exportState() (node.HotRestartState, error) {
+func (p *predecessorRole) exportState() (node.HotRestartState, error) {
 	exported := make(chan node.HotRestartState, 1)
 	p.node.ExportState(func(state node.HotRestartState) { exported <- state })
 	select {
 	case state := <-exported:
 		return state, nil
-	case <-time.After(hotrestart.Timeout):
-		return node.HotRestartState{}, errNodeBusy
+	case <-time.After(hotrestart.HandoffTimeout):
+		return node.HotRestartState{}, errExportTimeout
 	}
 }
 
 // SuccessorServing implements hotrestart.Predecessor. From here on new clients reach the successor, as soon as this
 // process shuts down.
-func (p *predecessor) SuccessorServing() {
+func (p *predecessorRole) SuccessorServing() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.successorServing = true
@@ -165,7 +165,7 @@
 }
 
 // SuccessorExited implements hotrestart.Predecessor.
-func (p *predecessor) SuccessorExited() {
+func (p *predecessorRole) SuccessorExited() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.stopping && p.successorServing {
@@ -177,7 +177,7 @@
 }
 
 // startShutdown stops accepting clients if a successor accepts them.
-func (p *predecessor) startShutdown() {
+func (p *predecessorRole) startShutdown() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.stopping = true
--- a/internal/daemon/hotrestart_test.go
+++ b/internal/daemon/hotrestart_test.go
@@ -169,8 +169,8 @@
 			}))
 			defer discovery.Close()
 			defer discovery.CloseClientConnections()
-			var atRemoved atomic.Int32
-			backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { atRemoved.Add(1) }))
+			var removedBackendRequests atomic.Int32
+			backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { removedBackendRequests.Add(1) }))
 			defer backend.Close()
 			text := strings.NewReplacer("127.0.0.1:1\"", backend.Listener.Addr().String()+"\"", `"listen"`, `"operator":"127.0.0.1:0","listen"`,
 				"127.0.0.1:8500", discovery.Listener.Addr().String()).Replace(validConfig)
@@ -189,7 +189,7 @@
 					t.Error(status, err)
 				}
 			}
-			if n := atRemoved.Load(); n > 0 {
+			if n := removedBackendRequests.Load(); n > 0 {
 				t.Errorf("%d requests at the removed backend", n)
 			}
 			successor.stop(t)
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -58,15 +58,15 @@
 	settings  node.Settings
 	endpoints protocol.List // known before discovery has answered
 
-	handoffPath string          // of the Unix socket for handoffs; empty: no hot restart
-	inherited   *inheritedState // of the predecessor; nil: none
-	watch       *watch
-	node        *node.Node
-	admin       *admin.Server // nil: no admin address
-	listener    *node.GatedListener
-	eventLoop   netpoll.EventLoop
-	group       *processGroup
-	predecessor *predecessor
+	handoffSocketPath string          // of the Unix socket for handoffs; empty: no hot restart
+	inherited         *inheritedState // of the predecessor; nil: none
+	watch             *watch
+	node              *node.Node
+	admin             *admin.Server // nil: no admin address
+	listener          *node.GatedListener
+	eventLoop         netpoll.EventLoop
+	group             *processGroup
+	predecessorRole   *predecessorRole
 
 	stopNode    chan struct{} // ends the node's goroutine
 	nodeStopped chan struct{} // closed when the node's goroutine has ended
@@ -83,7 +83,7 @@
 		return err
 	}
 	s.settings.MaxDescriptors = descriptors
-	s.inherit()
+	s.inheritState()
 	if err := s.createNode(); err != nil {
 		return err
 	}
@@ -103,15 +103,15 @@
 	}
 }
 
-// inherit receives the state of a predecessor, where there is one. Its endpoint list counts, also without endpoints, unless
+// inheritState receives the state of a predecessor, where there is one. Its endpoint list counts, also without endpoints, unless
 // the configured one is newer and the predecessor's was not known to be current.
-func (s *server) inherit() {
+func (s *server) inheritState() {
 	s.endpoints = s.config.Endpoints
-	s.handoffPath = handoffPath(s.config, s.log)
-	if s.handoffPath == "" {
+	s.handoffSocketPath = handoffSocketPath(s.config, s.log)
+	if s.handoffSocketPath == "" {
 		return
 	}
-	s.inherited = receiveHandoff(s.handoffPath, s.log)
+	s.inherited = receiveHandoff(s.handoffSocketPath, s.log)
 	if s.inherited == nil {
 		return
 	}
@@ -124,12 +124,12 @@
 
 func (s *server) createNode() error {
 	s.watch = newWatch(s.config.Discovery, s.endpoints.Revision, s.log)
-	created, err := node.New(s.settings, s.watch, s.log)
+	newNode, err := node.New(s.settings, s.watch, s.log)
 	if err != nil {
 		return err
 	}
-	s.node = created
-	s.watch.listener = created
+	s.node = newNode
+	s.watch.listener = newNode
 	return nil
 }
 
@@ -138,14 +138,14 @@
 	if s.config.Admin == "" {
 		return nil
 	}
-	opened, err := admin.Listen(s.config.Admin, s.node, s.log)
+	adminServer, err := admin.Listen(s.config.Admin, s.node, s.log)
 	if err != nil {
 		return err
 	}
-	s.admin = opened
-	s.onClose(func() { _ = opened.Close() }) // the process ends with it
+	s.admin = adminServer
+	s.onClose(func() { _ = adminServer.Close() }) // the process ends with it
 	if s.inherited != nil {
-		opened.RestoreTokens(s.inherited.Fence)
+		adminServer.RestoreTokens(s.inherited.Fence)
 	}
 	return nil
 }
@@ -211,7 +211,7 @@
 
 // shutDown drains the node, waits until it has answered every accepted request, or for shutdownTimeout, and stops it.
 func (s *server) shutDown() {
-	s.predecessor.startShutdown()
+	s.predecessorRole.startShutdown()
 	drained := make(chan struct{})
 	s.node.Drain(newRequestGrace, func() { close(drained) })
 	select {
--- a/internal/hotrestart/handoff.go
+++ b/internal/hotrestart/handoff.go
@@ -18,8 +18,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Timeout bounds all that the successor waits for.
-const Timeout = 500 * time.Millisecond
+// HandoffTimeout bounds all that the successor waits for.
+const HandoffTimeout = 500 * time.Millisecond
 
 // The form of the exchange. A successor of another version sends another greeting, and gets nothing.
 const (
@@ -27,7 +27,7 @@
 	magic         = "TGH1"
 	lengthSize    = 4
 	checksumSize  = 8
-	headSize      = len(magic) + lengthSize + checksumSize
+	headerSize    = len(magic) + lengthSize + checksumSize
 	maxBodySize   = 8 << 20
 	servingReport = 'S'
 )
@@ -39,14 +39,14 @@
 const noDescriptor = -1
 
 var (
-	errNoDirectory  = errors.New("no folder: $TMPDIR is not set")
-	errVersion      = errors.New("handoff of another version")
-	errChecksum     = errors.New("handoff damaged: the checksum differs")
-	errNoDescriptor = errors.New("handoff without a descriptor")
+	errNoDirectory      = errors.New("no folder: $TMPDIR is not set")
+	errVersionMismatch  = errors.New("handoff of another version")
+	errChecksumMismatch = errors.New("handoff damaged: the checksum differs")
+	errNoDescriptor     = errors.New("handoff without a descriptor")
 )
 
-// Path is where a node offers its handoff, by its name and address: other nodes may share the directory.
-func Path(dir, name, listen string) (string, error) {
+// SocketPath is where a node offers its handoff, by its name and address: other nodes may share the directory.
+func SocketPath(dir, name, listen string) (string, error) {
 	if dir == "" {
 		return "", errNoDirectory
 	}
@@ -58,19 +58,19 @@
 	return path, nil
 }
 
-// encodeHead returns the head in front of a body.
-func encodeHead(body []byte) []byte {
-	head := make([]byte, 0, headSize)
-	head = append(head, magic...)
-	head = binary.BigEndian.AppendUint32(head, uint32(len(body)))
-	return binary.BigEndian.AppendUint64(head, xxhash.Sum64(body))
+// encodeHeader returns the head in front of a body.
+func encodeHeader(body []byte) []byte {
+	header := make([]byte, 0, headerSize)
+	header = append(header, magic...)
+	header = binary.BigEndian.AppendUint32(header, uint32(len(body)))
+	return binary.BigEndian.AppendUint64(header, xxhash.Sum64(body))
 }
 
-// decodeHead returns the length and the checksum of the body behind a head.
-func decodeHead(head []byte) (length int, checksum uint64, err error) {
-	size := binary.BigEndian.Uint32(head[len(magic):])
-	if string(head[:len(magic)]) != magic || size > maxBodySize {
-		return 0, 0, errVersion
+// decodeHeader returns the length and the checksum of the body behind a head.
+func decodeHeader(header []byte) (length int, checksum uint64, err error) {
+	size := binary.BigEndian.Uint32(header[len(magic):])
+	if string(header[:len(magic)]) != magic || size > maxBodySize {
+		return 0, 0, errVersionMismatch
 	}
-	return int(size), binary.BigEndian.Uint64(head[len(magic)+lengthSize:]), nil
+	return int(size), binary.BigEndian.Uint64(header[len(magic)+lengthSize:]), nil
 }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -24,39 +24,39 @@
 	serving, exited chan struct{}
 }
 
-func (o *fakePredecessor) State() ([]byte, int, error) {
-	if o.err != nil {
-		return nil, -1, o.err
+func (p *fakePredecessor) ExportHandoff() ([]byte, int, error) {
+	if p.err != nil {
+		return nil, -1, p.err
 	}
 	fd, err := -1, error(nil)
-	raw, _ := o.listener.(*net.TCPListener).SyscallConn()
+	raw, _ := p.listener.(*net.TCPListener).SyscallConn()
 	_ = raw.Control(func(old uintptr) { fd, err = unix.Dup(int(old)) })
-	return o.body, fd, err
+	return p.body, fd, err
 }
 
-// blocking reports whether a listener's socket is blocking, for all processes that have it.
-func blocking(ln net.Listener) (is bool) {
+// isBlocking reports whether a listener's socket is blocking, for all processes that have it.
+func isBlocking(ln net.Listener) (blocking bool) {
 	raw, _ := ln.(*net.TCPListener).SyscallConn()
 	_ = raw.Control(func(fd uintptr) {
 		flags, err := unix.FcntlInt(fd, unix.F_GETFL, 0)
-		is = err != nil || flags&unix.O_NONBLOCK == 0
+		blocking = err != nil || flags&unix.O_NONBLOCK == 0
 	})
-	return is
+	return blocking
 }
 
-func (o *fakePredecessor) SuccessorServing() { o.serving <- struct{}{} }
-func (o *fakePredecessor) SuccessorExited()  { o.exited <- struct{}{} }
+func (p *fakePredecessor) SuccessorServing() { p.serving <- struct{}{} }
+func (p *fakePredecessor) SuccessorExited()  { p.exited <- struct{}{} }
 
 func newFakePredecessor(t *testing.T) *fakePredecessor {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = ln.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	return &fakePredecessor{
 		body:     bytes.Repeat([]byte("what is known "), 20_000),
-		listener: ln,
+		listener: listener,
 		serving:  make(chan struct{}, 9),
 		exited:   make(chan struct{}, 9),
 	}
@@ -64,19 +64,19 @@
 
 func testPath(t *testing.T) string {
 	t.Helper()
-	p, err := Path(t.TempDir(), "n3", "127.0.0.1:1")
+	path, err := SocketPath(t.TempDir(), "n3", "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return path
 }
 
-func awaitSignal(t *testing.T, c chan struct{}, what string) {
+func awaitSignal(t *testing.T, signal chan struct{}, event string) {
 	t.Helper()
 	select {
-	case <-c:
+	case <-signal:
 	case <-time.After(10 * time.Second):
-		t.Fatal("never: " + what)
+		t.Fatal("never: " + event)
 	}
 }
 
@@ -101,10 +101,10 @@
 	if err != nil || !bytes.Equal(handoff.Body, first.body) {
 		t.Fatal(err, len(handoff.Body))
 	}
-	if blocking(first.listener) { // an accept that finds the queue empty would stop the poller of either process
+	if isBlocking(first.listener) { // an accept that finds the queue empty would stop the poller of either process
 		t.Error("the handoff has set the socket to blocking")
 	}
-	file := os.NewFile(uintptr(handoff.Listener), "listener")
+	file := os.NewFile(uintptr(handoff.ListenerFD), "listener")
 	listener, err := net.FileListener(file)
 	if err != nil {
 		t.Fatal(err)
@@ -134,15 +134,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = unix.Close(third.Listener)
+	_ = unix.Close(third.ListenerFD)
 	_ = third.Close() // it dies before it serves
 	awaitSignal(t, second.exited, "a predecessor notices the end of a successor that has never served")
 	_ = secondOffer.Close()
 }
 
-// relay listens at a path between the two processes, and forwards the first so many bytes that the predecessor sends,
+// startRelay listens at a path between the two processes, and forwards the first so many bytes that the predecessor sends,
 // changed.
-func relay(t *testing.T, target, path string, maxBytes int, change func([]byte)) {
+func startRelay(t *testing.T, target, path string, maxBytes int, modify func([]byte)) {
 	t.Helper()
 	listener, err := net.Listen("unix", path)
 	if err != nil {
@@ -164,13 +164,13 @@
 		buf := make([]byte, 1<<16)
 		control := make([]byte, 64)
 		for relayed := 0; relayed < maxBytes; {
-			n, k, _, _, err := predecessor.(*net.UnixConn).ReadMsgUnix(buf, control)
+			n, controlLength, _, _, err := predecessor.(*net.UnixConn).ReadMsgUnix(buf, control)
 			if err != nil || n == 0 {
 				return
 			}
 			n = min(n, maxBytes-relayed)
-			change(buf[:n])
-			if _, _, err := conn.(*net.UnixConn).WriteMsgUnix(buf[:n], control[:k], nil); err != nil {
+			modify(buf[:n])
+			if _, _, err := conn.(*net.UnixConn).WriteMsgUnix(buf[:n], control[:controlLength], nil); err != nil {
 				return
 			}
 			relayed += n
@@ -189,20 +189,20 @@
 	}
 	defer func() { _ = offer.Close() }()
 	dir, attempts := t.TempDir(), 0
-	attempt := func(name string, maxBytes int, change func([]byte)) {
+	attempt := func(name string, maxBytes int, modify func([]byte)) {
 		attempts++
 		relayPath := filepath.Join(dir, strconv.Itoa(attempts)) // the one before is removed as its listener closes
-		relay(t, path, relayPath, maxBytes, change)
+		startRelay(t, path, relayPath, maxBytes, modify)
 		if got, err := Receive(relayPath); err == nil {
 			t.Errorf("%s: received %q", name, got.Body)
 		}
 		awaitSignal(t, predecessor.exited, "the predecessor notices that the handoff failed")
 	}
-	for cut := 1; cut < headSize+len(predecessor.body); cut++ {
+	for cut := 1; cut < headerSize+len(predecessor.body); cut++ {
 		attempt("cut", cut, func([]byte) {})
 	}
-	attempt("damaged", 1<<20, func(relayPath []byte) { relayPath[len(relayPath)-1]++ })
-	attempt("another version", 1<<20, func(relayPath []byte) { relayPath[0]++ })
+	attempt("damaged", 1<<20, func(message []byte) { message[len(message)-1]++ })
+	attempt("another version", 1<<20, func(message []byte) { message[0]++ })
 	relayPath := filepath.Join(dir, "silent.sock")
 	silent, err := net.Listen("unix", relayPath)
 	if err != nil {
@@ -219,10 +219,10 @@
 	if _, err := Receive(path); err == nil {
 		t.Error("no state: received")
 	}
-	if _, err := Path("", "n", "l"); err == nil {
+	if _, err := SocketPath("", "n", "l"); err == nil {
 		t.Error("no directory: a path")
 	}
-	if _, err := Path("/"+strings.Repeat("x", 100), "n", "l"); err == nil {
+	if _, err := SocketPath("/"+strings.Repeat("x", 100), "n", "l"); err == nil {
 		t.Error("a path that is too long")
 	}
 	if _, err := NewOffer("/nowhere/at/all", predecessor); err == nil {
--- a/internal/hotrestart/offer.go
+++ b/internal/hotrestart/offer.go
@@ -13,10 +13,10 @@
 
 // Predecessor is the process that is replaced. Its methods are called from goroutines of an Offer.
 type Predecessor interface {
-	// State returns the body of the handoff, and a descriptor of the listening socket, which the Offer closes. It is a bare
+	// ExportHandoff returns the body of the handoff, and a descriptor of the listening socket, which the Offer closes. It is a bare
 	// descriptor: os.File's Fd sets a socket to blocking, for all processes that have it. From here on two processes
 	// share the limits of one.
-	State() (body []byte, listener int, err error)
+	ExportHandoff() (body []byte, listener int, err error)
 	// SuccessorServing is called when the successor accepts connections.
 	SuccessorServing()
 	// SuccessorExited is called when the successor has ended, whether or not it has served.
@@ -29,9 +29,9 @@
 	predecessor Predecessor
 	accepting   sync.WaitGroup
 
-	mutex  sync.Mutex
-	conn   *net.UnixConn
-	closed bool
+	mutex         sync.Mutex
+	successorConn *net.UnixConn
+	closed        bool
 }
 
 // NewOffer starts to wait at path. A file that an earlier process has left there is removed.
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	o := &Offer{listener: listener, predecessor: predecessor}
-	o.accepting.Go(o.accept)
+	o.accepting.Go(o.acceptSuccessors)
 	return o, nil
 }
 
@@ -58,59 +58,59 @@
 	err := o.listener.Close()
 	o.mutex.Lock()
 	o.closed = true
-	if o.conn != nil {
-		_ = o.conn.Close() // the handoff is over
+	if o.successorConn != nil {
+		_ = o.successorConn.Close() // the handoff is over
 	}
 	o.mutex.Unlock()
 	o.accepting.Wait()
 	return err
 }
 
-// accept serves one successor after the other: there is one at a time.
-func (o *Offer) accept() {
+// acceptSuccessors serves one successor after the other: there is one at a time.
+func (o *Offer) acceptSuccessors() {
 	for {
 		conn, err := o.listener.AcceptUnix()
 		if err != nil {
 			return // closed
 		}
-		o.serve(conn)
+		o.serveSuccessor(conn)
 	}
 }
 
-// serve sends the handoff to one successor, and keeps the connection until that has ended.
-func (o *Offer) serve(conn *net.UnixConn) {
+// serveSuccessor sends the handoff to one successor, and keeps the connection until that has ended.
+func (o *Offer) serveSuccessor(conn *net.UnixConn) {
 	defer func() { _ = conn.Close() }() // the successor has ended, or failed
-	if !o.register(conn) {
+	if !o.setConn(conn) {
 		return
 	}
-	_ = conn.SetDeadline(time.Now().Add(Timeout)) // an open connection takes any deadline
+	_ = conn.SetDeadline(time.Now().Add(HandoffTimeout)) // an open connection takes any deadline
 	received := make([]byte, len(greeting))
 	if _, err := io.ReadFull(conn, received); err != nil || string(received) != greeting {
 		return
 	}
-	body, listener, err := o.predecessor.State()
+	body, listener, err := o.predecessor.ExportHandoff()
 	if err != nil {
 		return // the predecessor has logged it
 	}
 	defer o.predecessor.SuccessorExited()
-	if err := send(conn, body, listener); err != nil {
+	if err := sendHandoff(conn, body, listener); err != nil {
 		return
 	}
 	_ = conn.SetDeadline(time.Time{})
-	o.awaitReports(conn)
+	o.forwardReports(conn)
 }
 
-// register makes conn the connection that Close closes. It returns false where the offer has been closed.
-func (o *Offer) register(conn *net.UnixConn) bool {
+// setConn makes conn the connection that Close closes. It returns false where the offer has been closed.
+func (o *Offer) setConn(conn *net.UnixConn) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.conn = conn
+	o.successorConn = conn
 	return !o.closed
 }
 
-// send sends the head, which carries the listener, and the body. It closes the descriptor of the listener.
-func send(conn *net.UnixConn, body []byte, listener int) error {
-	_, _, err := conn.WriteMsgUnix(encodeHead(body), unix.UnixRights(listener), nil)
+// sendHandoff sends the head, which carries the listener, and the body. It closes the descriptor of the listener.
+func sendHandoff(conn *net.UnixConn, body []byte, listener int) error {
+	_, _, err := conn.WriteMsgUnix(encodeHeader(body), unix.UnixRights(listener), nil)
 	_ = unix.Close(listener) // the successor has a descriptor of its own
 	if err != nil {
 		return err
@@ -119,8 +119,8 @@
 	return err
 }
 
-// awaitReports passes on what the successor reports, until the connection ends.
-func (o *Offer) awaitReports(conn *net.UnixConn) {
+// forwardReports passes on what the successor reports, until the connection ends.
+func (o *Offer) forwardReports(conn *net.UnixConn) {
 	report := make([]byte, 1)
 	for {
 		if _, err := conn.Read(report); err != nil {
--- a/internal/hotrestart/receive.go
+++ b/internal/hotrestart/receive.go
@@ -14,13 +14,13 @@
 
 // Handoff is what a successor has received.
 type Handoff struct {
-	Body     []byte
-	Listener int // a descriptor, which the receiver closes
-	conn     *net.UnixConn
+	Body       []byte
+	ListenerFD int // a descriptor, which the receiver closes
+	conn       *net.UnixConn
 }
 
 // Receive asks the process that offers a handoff at path. It returns within Timeout.
-func Receive(path string) (*Handoff, error) { return receive(path, Timeout) }
+func Receive(path string) (*Handoff, error) { return receive(path, HandoffTimeout) }
 
 func receive(path string, timeout time.Duration) (*Handoff, error) {
 	deadline := time.Now().Add(timeout)
@@ -28,9 +28,9 @@
 	if err != nil {
 		return nil, err
 	}
-	handoff := &Handoff{Listener: noDescriptor, conn: dialled.(*net.UnixConn)}
+	handoff := &Handoff{ListenerFD: noDescriptor, conn: dialled.(*net.UnixConn)}
 	_ = handoff.conn.SetDeadline(deadline) // an open connection takes any deadline
-	if err := handoff.read(); err != nil {
+	if err := handoff.readHandoff(); err != nil {
 		handoff.discard()
 		return nil, err
 	}
@@ -41,21 +41,21 @@
 // discard releases a handoff that could not be read.
 func (h *Handoff) discard() {
 	_ = h.conn.Close() // the error that has come before is the one that counts
-	if h.Listener != noDescriptor {
-		_ = unix.Close(h.Listener)
+	if h.ListenerFD != noDescriptor {
+		_ = unix.Close(h.ListenerFD)
 	}
 }
 
-// read sends the greeting and reads the listener and the body.
-func (h *Handoff) read() error {
+// readHandoff sends the greeting and reads the listener and the body.
+func (h *Handoff) readHandoff() error {
 	if _, err := io.WriteString(h.conn, greeting); err != nil {
 		return err
 	}
-	head := make([]byte, headSize)
-	if err := h.readHead(head); err != nil {
+	header := make([]byte, headerSize)
+	if err := h.readHeader(header); err != nil {
 		return err
 	}
-	length, checksum, err := decodeHead(head)
+	length, checksum, err := decodeHeader(header)
 	if err != nil {
 		return err
 	}
@@ -64,28 +64,28 @@
 		return err
 	}
 	if xxhash.Sum64(h.Body) != checksum {
-		return errChecksum
+		return errChecksumMismatch
 	}
 	return nil
 }
 
-// readHead reads the head and the descriptor that comes with its first byte.
-func (h *Handoff) readHead(head []byte) error {
+// readHeader reads the head and the descriptor that comes with its first byte.
+func (h *Handoff) readHeader(header []byte) error {
 	control := make([]byte, unix.CmsgSpace(descriptorSize))
-	n, controlLength, _, _, err := h.conn.ReadMsgUnix(head, control)
+	n, controlLength, _, _, err := h.conn.ReadMsgUnix(header, control)
 	if err != nil {
 		return err
 	}
-	h.Listener, err = descriptor(control[:controlLength])
+	h.ListenerFD, err = parseDescriptor(control[:controlLength])
 	if err != nil {
 		return err
 	}
-	_, err = io.ReadFull(h.conn, head[n:])
+	_, err = io.ReadFull(h.conn, header[n:])
 	return err
 }
 
-// descriptor returns the descriptor in a control message.
-func descriptor(control []byte) (int, error) {
+// parseDescriptor returns the descriptor in a control message.
+func parseDescriptor(control []byte) (int, error) {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
 		return noDescriptor, err
