--- a/internal/daemon/calllog.go
+++ b/internal/daemon/calllog.go
@@ -21,10 +21,10 @@
 	callOverloaded                     // the same, after a wait in discovery's queue
 	callTimedOut                       // no complete answer in time
 	callAbandoned                      // the address of discovery changed
-	callOutcomes
+	numCallOutcomes
 )
 
-var callOutcomeNames = [callOutcomes]string{
+var callOutcomeNames = [numCallOutcomes]string{
 	callAnswered:    "answered",
 	callEmpty:       "empty",
 	callInvalid:     "invalid",
@@ -37,7 +37,7 @@
 
 // String names the outcome as logs do.
 func (o callOutcome) String() string {
-	if o < callOutcomes {
+	if o < numCallOutcomes {
 		return callOutcomeNames[o]
 	}
 	return "unknown"
@@ -73,7 +73,7 @@
 // callLog logs each call to discovery at debug level, and counts the calls by their outcome. The watch's goroutine uses it.
 type callLog struct {
 	log    *slog.Logger
-	counts [callOutcomes]int
+	counts [numCallOutcomes]int
 }
 
 // record counts a call and logs it, with the revision that the watch had before.
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -46,7 +46,7 @@
 	if len(bytes.TrimSpace(bytes.Trim(raw, "\x00"))) == 0 {
 		return nil, errEmptyConfig
 	}
-	config, err := parse(raw, getenv)
+	config, err := parseAndCheck(raw, getenv)
 	if err != nil {
 		return nil, &oneLineError{err}
 	}
@@ -67,7 +67,7 @@
 // Unwrap returns the error itself.
 func (e *oneLineError) Unwrap() error { return e.err }
 
-func parse(raw []byte, getenv func(string) string) (*Config, error) {
+func parseAndCheck(raw []byte, getenv func(string) string) (*Config, error) {
 	var file configFile
 	if err := decodeJSON(raw, &file); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
--- a/internal/daemon/configfile.go
+++ b/internal/daemon/configfile.go
@@ -35,11 +35,11 @@
 
 // nodeSettingsFile is the part of the settings that the node reads itself. Times are in microseconds.
 type nodeSettingsFile struct {
-	Tenants []namedEntry   `json:"orgs"`
-	Classes []namedEntry   `json:"profiles"`
-	Zones   []string       `json:"zones"`
-	Limits  nodeLimitsFile `json:"limits"`
-	Rules   nodeRulesFile  `json:"rules"`
+	Tenants []namedEntryFile `json:"orgs"`
+	Classes []namedEntryFile `json:"profiles"`
+	Zones   []string         `json:"zones"`
+	Limits  nodeLimitsFile   `json:"limits"`
+	Rules   nodeRulesFile    `json:"rules"`
 }
 
 type nodeLimitsFile struct {
@@ -54,7 +54,7 @@
 	DrainGrace   int64 `json:"drain_grace_us"`
 }
 
-type namedEntry struct {
+type namedEntryFile struct {
 	Name string `json:"name"`
 }
 
@@ -165,7 +165,7 @@
 }
 
 // uniqueNames returns the names of the entries of a field, none of which may be empty or a duplicate.
-func uniqueNames(field string, entries []namedEntry) ([]string, error) {
+func uniqueNames(field string, entries []namedEntryFile) ([]string, error) {
 	var names []string
 	seen := map[string]bool{}
 	for i, entry := range entries {
--- a/internal/daemon/configshape.go
+++ b/internal/daemon/configshape.go
@@ -21,8 +21,8 @@
 // dataKeys are the parts that hold data and not settings. They may differ in shape, and are checked by parsers of their own.
 var dataKeys = []string{"known"}
 
-func kindChanged(field string, was, is any) error {
-	return settings.FieldErrorf(field, "is %s, was %s", jsonKind(is), jsonKind(was))
+func kindChangedError(field string, previous, current any) error {
+	return settings.FieldErrorf(field, "is %s, was %s", jsonKind(current), jsonKind(previous))
 }
 
 // checkShape checks that a new configuration has all that the running one has: each key, with a value of the same kind,
@@ -33,7 +33,7 @@
 		if loaded == nil {
 			return settings.FieldErrorf(path, "missing")
 		}
-		return kindChanged(path, running, loaded)
+		return kindChangedError(path, running, loaded)
 	}
 	switch running := running.(type) {
 	case map[string]any:
@@ -103,7 +103,7 @@
 func checkElementKinds(example any, elements []any, path string) error {
 	for i, element := range elements {
 		if jsonKind(element) != jsonKind(example) {
-			return kindChanged(fmt.Sprintf("%s[%d]", path, i), example, element)
+			return kindChangedError(fmt.Sprintf("%s[%d]", path, i), example, element)
 		}
 	}
 	return nil
--- a/internal/daemon/configshape_test.go
+++ b/internal/daemon/configshape_test.go
@@ -18,8 +18,8 @@
 	return checkShape(running.document, loaded.document, "")
 }
 
-// withoutEachKey calls visit, for each key below value, while the key is missing and while it is null.
-func withoutEachKey(value any, path string, visit func(path string)) {
+// forEachMissingKey calls visit, for each key below value, while the key is missing and while it is null.
+func forEachMissingKey(value any, path string, visit func(path string)) {
 	switch value := value.(type) {
 	case map[string]any:
 		for key, field := range value {
@@ -29,12 +29,12 @@
 			visit(path + "." + key + " null")
 			value[key] = field
 			if path+"."+key != ".known" {
-				withoutEachKey(field, path+"."+key, visit)
+				forEachMissingKey(field, path+"."+key, visit)
 			}
 		}
 	case []any:
 		for _, element := range value {
-			withoutEachKey(element, path+"[]", visit)
+			forEachMissingKey(element, path+"[]", visit)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	keys := 0
-	withoutEachKey(document, "", func(path string) {
+	forEachMissingKey(document, "", func(path string) {
 		keys++
 		text, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalToString(document)
 		if err != nil {
--- a/internal/daemon/discoveryconn.go
+++ b/internal/daemon/discoveryconn.go
@@ -181,10 +181,10 @@
 		case <-c.addressChanged:
 			return nil, false, errAddressChanged
 		case <-deadline:
-			return nil, false, c.incomplete(errNoAnswer)
+			return nil, false, c.incompleteError(errNoAnswer)
 		case <-c.disconnected:
 			if !c.response.EndsWithConnection() {
-				return nil, false, c.incomplete(errConnectionEnded)
+				return nil, false, c.incompleteError(errConnectionEnded)
 			}
 			c.response.Finish() // whether the body is complete shows as it is parsed
 			return c.response.Body(c.buffer), false, checkStatus(c.response.Status)
@@ -202,9 +202,9 @@
 	}
 }
 
-// incomplete returns the error for a call that has ended without a complete response. One that had begun shows that
+// incompleteError returns the error for a call that has ended without a complete response. One that had begun shows that
 // discovery is there: it was an answer, and cannot be used.
-func (c *discoveryConn) incomplete(cause error) error {
+func (c *discoveryConn) incompleteError(cause error) error {
 	if c.response.Started() && c.response.Status == protocol.StatusOK {
 		return fmt.Errorf("%w: %w", errInvalidList, cause)
 	}
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -52,20 +52,20 @@
 	node     *node.Node
 	memoryMB int
 
-	mutex  sync.Mutex
-	others int
+	mutex          sync.Mutex
+	otherProcesses int
 }
 
 // addProcess counts one more process beside this one.
-func (g *processGroup) addProcess() { g.add(1) }
+func (g *processGroup) addProcess() { g.adjustCount(1) }
 
 // removeProcess counts one process less.
-func (g *processGroup) removeProcess() { g.add(-1) }
+func (g *processGroup) removeProcess() { g.adjustCount(-1) }
 
-func (g *processGroup) add(others int) {
+func (g *processGroup) adjustCount(delta int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.others += others
-	g.node.SetProcessCount(g.others + 1)
-	setMemoryLimit(g.memoryMB, g.others+1)
+	g.otherProcesses += delta
+	g.node.SetProcessCount(g.otherProcesses + 1)
+	setMemoryLimit(g.memoryMB, g.otherProcesses+1)
 }
--- a/internal/daemon/logwriter.go
+++ b/internal/daemon/logwriter.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// logQueue is how many lines may wait to be written.
-const logQueue = 1024
+// logQueueCapacity is how many lines may wait to be written.
+const logQueueCapacity = 1024
 
 // LogWriter passes lines to a writer without ever waiting for it: a node whose log nobody reads must go on
 // serving. Lines that do not fit into the queue are dropped, and a line says how many.
@@ -25,7 +25,7 @@
 
 // NewLogWriter returns a LogWriter in front of out. Its goroutine runs until the process ends.
 func NewLogWriter(out io.Writer) *LogWriter {
-	w := &LogWriter{lines: make(chan logLine, logQueue)}
+	w := &LogWriter{lines: make(chan logLine, logQueueCapacity)}
 	go w.run(out)
 	return w
 }
@@ -57,14 +57,14 @@
 
 // Flush waits until the lines so far have been written, but for no longer than timeout.
 func (w *LogWriter) Flush(timeout time.Duration) {
-	written, end := make(chan struct{}), time.After(timeout)
+	written, expired := make(chan struct{}), time.After(timeout)
 	select {
 	case w.lines <- logLine{written: written}:
-	case <-end:
+	case <-expired:
 		return
 	}
 	select {
 	case <-written:
-	case <-end:
+	case <-expired:
 	}
 }
--- a/internal/daemon/logwriter_test.go
+++ b/internal/daemon/logwriter_test.go
@@ -13,9 +13,9 @@
 	strings.Builder
 }
 
-func (s *blockedWriter) Write(p []byte) (int, error) {
-	<-s.unblock
-	return s.Builder.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.unblock
+	return w.Builder.Write(p)
 }
 
 // A log that nobody reads does not block the goroutine that writes it: that is the one which serves all requests.
@@ -23,7 +23,7 @@
 func TestUnreadLogDoesNotBlockWriter(t *testing.T) {
 	out := &blockedWriter{unblock: make(chan struct{})}
 	w := NewLogWriter(out)
-	for i := range logQueue + 100 {
+	for i := range logQueueCapacity + 100 {
 		if n, err := fmt.Fprintln(w, "line", i); n == 0 || err != nil {
 			t.Fatal(n, err)
 		}
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -42,9 +42,9 @@
 	revision            int64         // of the last answer
 	revisions           staleness.RevisionTracker
 	needsFullList       bool // the next call fetches the full list: revisions of another address may mean nothing here
-	running             bool
+	loopRunning         bool
 	active              bool
-	wanted              bool // what Watch was last called with; active ends with a failure, this does not
+	watchRequested      bool // what Watch was last called with; active ends with a failure, this does not
 	lastCallStart       time.Time
 	consecutiveTimeouts int // calls in a row that do not wait and timed out
 }
@@ -91,14 +91,14 @@
 func (w *watch) Watch(on bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.wanted = on
+	w.watchRequested = on
 	w.setActive(on)
 }
 
 func (w *watch) setActive(active bool) {
 	w.active = active
-	if active && !w.running {
-		w.running = true
+	if active && !w.loopRunning {
+		w.loopRunning = true
 		go w.run()
 	}
 }
@@ -115,7 +115,7 @@
 	w.listener.DiscoveryAddressChanged(listValidityAfterAddressChange)
 	close(w.addressChanged)
 	w.addressChanged = make(chan struct{})
-	if w.wanted {
+	if w.watchRequested {
 		w.setActive(true)
 	}
 }
@@ -141,6 +141,6 @@
 	if errors.Is(err, errAddressChanged) {
 		return false
 	}
-	w.report(callResult{address: connection.address, answer: received, err: err, start: start})
+	w.notifyListener(callResult{address: connection.address, answer: received, err: err, start: start})
 	return true
 }
--- a/internal/daemon/watch_loop.go
+++ b/internal/daemon/watch_loop.go
@@ -32,11 +32,11 @@
 		}
 		connection = next.connection
 		time.Sleep(next.delay)
-		result := next.do()
+		result := next.execute()
 		result.err = w.classify(result)
 		w.calls.record(result, next.revision)
 		if errors.Is(result.err, errAddressChanged) {
-			go w.finishCall(connection)
+			go w.finishAbandonedCall(connection)
 			connection = &discoveryConn{}
 			continue
 		}
@@ -52,7 +52,7 @@
 		if result.err != nil && !w.endAfterFailure(result.address) {
 			continue
 		}
-		w.report(result)
+		w.notifyListener(result)
 		if result.err != nil {
 			return
 		}
@@ -60,9 +60,9 @@
 	}
 }
 
-// finishCall waits for the answer to a call that a change of address has ended: what the earlier address writes counts as
+// finishAbandonedCall waits for the answer to a call that a change of address has ended: what the earlier address writes counts as
 // notified. It proves nothing of the list at the new one, and of it only what it restricts holds.
-func (w *watch) finishCall(connection *discoveryConn) {
+func (w *watch) finishAbandonedCall(connection *discoveryConn) {
 	received, err := connection.finishCall(earlierAddressTimeout)
 	if err != nil || !received.list.Full && len(received.list.Targets) == 0 {
 		return
@@ -82,8 +82,8 @@
 	delay       time.Duration // before the call
 }
 
-// do makes the call.
-func (p plannedCall) do() callResult {
+// execute makes the call.
+func (p plannedCall) execute() callResult {
 	start := time.Now()
 	received, err := p.connection.roundTrip(p.request(), p.wait+p.slack)
 	return callResult{address: p.connection.address, answer: received, err: err, start: start, wait: p.wait}
@@ -102,7 +102,7 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if !w.active {
-		w.running = false
+		w.loopRunning = false
 		return plannedCall{}, false
 	}
 	next := plannedCall{connection: last, revision: w.revision, fullList: w.needsFullList, slack: w.callTimeout}
@@ -159,12 +159,12 @@
 	if address != w.address {
 		return false
 	}
-	w.running, w.active = false, false
+	w.loopRunning, w.active = false, false
 	return true
 }
 
-// report passes a call's result to the listener.
-func (w *watch) report(result callResult) {
+// notifyListener passes a call's result to the listener.
+func (w *watch) notifyListener(result callResult) {
 	if result.err != nil {
 		asOf := time.Now() // discovery rejected the call in this moment
 		if errors.Is(result.err, errNoAnswer) || errors.Is(result.err, errOverloaded) {
--- a/internal/daemon/watch_test.go
+++ b/internal/daemon/watch_test.go
@@ -161,7 +161,7 @@
 	}))
 	defer server.Close()
 	defer server.CloseClientConnections()
-	received := make(orders, 10)
+	received := make(revisionOrders, 10)
 	w := newWatch(server.Listener.Addr().String(), 41, slog.New(slog.DiscardHandler))
 	w.listener, w.waitJitter = received, 0
 	w.Watch(true)
@@ -182,16 +182,16 @@
 	}
 }
 
-// orders collects how answers relate to those before.
-type orders chan staleness.RevisionOrder
+// revisionOrders collects how answers relate to those before.
+type revisionOrders chan staleness.RevisionOrder
 
-func (o orders) UpdateEndpointsAsOf(_ protocol.List, _ time.Time, order staleness.RevisionOrder) {
+func (o revisionOrders) UpdateEndpointsAsOf(_ protocol.List, _ time.Time, order staleness.RevisionOrder) {
 	o <- order
 }
 
-func (o orders) DiscoveryAddressChanged(time.Duration) {}
+func (o revisionOrders) DiscoveryAddressChanged(time.Duration) {}
 
-func (o orders) DiscoveryCallFailed(error, balancer.ListKind, time.Time) {}
+func (o revisionOrders) DiscoveryCallFailed(error, balancer.ListKind, time.Time) {}
 
 // A full list counts whatever it says: also where it has no endpoints, or only terminated ones.
 func TestFullListWithoutLiveEndpointsIsAccepted(t *testing.T) {
@@ -220,10 +220,12 @@
 	asOf       chan time.Time
 }
 
-func (m addressNotifications) DiscoveryAddressChanged(within time.Duration) { m.validities <- within }
+func (n addressNotifications) DiscoveryAddressChanged(validity time.Duration) {
+	n.validities <- validity
+}
 
-func (m addressNotifications) UpdateEndpointsAsOf(_ protocol.List, asOf time.Time, _ staleness.RevisionOrder) {
-	m.asOf <- asOf
+func (n addressNotifications) UpdateEndpointsAsOf(_ protocol.List, asOf time.Time, _ staleness.RevisionOrder) {
+	n.asOf <- asOf
 }
 
 // A change of address is reported at once, also before the first call: the list received before is valid for 4 s at most.
@@ -252,13 +254,13 @@
 		{"late", "127.0.0.1:2", start.Add(time.Second + answerLatencyTolerance)},
 		{"from the old address", "127.0.0.1:1", time.Time{}},
 	} {
-		w.report(callResult{address: c.address, answer: answer{list: protocol.List{Revision: 42}}, start: start, wait: time.Second})
+		w.notifyListener(callResult{address: c.address, answer: answer{list: protocol.List{Revision: 42}}, start: start, wait: time.Second})
 		if got := <-received.asOf; !got.Equal(c.want) {
 			t.Errorf("%s: as of %v, want %v", c.name, got, c.want)
 		}
 	}
 	before := time.Now()
-	w.report(callResult{address: "127.0.0.1:2", answer: answer{list: protocol.List{Revision: 43}}, start: before, wait: time.Hour})
+	w.notifyListener(callResult{address: "127.0.0.1:2", answer: answer{list: protocol.List{Revision: 43}}, start: before, wait: time.Hour})
 	if got := <-received.asOf; got.Before(before) || got.After(time.Now()) {
 		t.Errorf("a prompt answer: as of %v", got)
 	}
