--- a/internal/daemon/discoveryconn.go
+++ b/internal/daemon/discoveryconn.go
@@ -70,8 +70,8 @@
 	return c.readAnswer(deadline.C)
 }
 
-// finishCall waits for the answer to the call that a change of address has ended, and closes the connection.
-func (c *discoveryConn) finishCall(timeout time.Duration) (answer, error) {
+// finishAbandonedCall waits for the answer to the call that a change of address has ended, and closes the connection.
+func (c *discoveryConn) finishAbandonedCall(timeout time.Duration) (answer, error) {
 	defer c.close()
 	if c.conn == nil {
 		return answer{}, errAddressChanged // the call has not begun
--- a/internal/daemon/watch_loop.go
+++ b/internal/daemon/watch_loop.go
@@ -63,7 +63,7 @@
 // finishAbandonedCall waits for the answer to a call that a change of address has ended: what the earlier address writes counts as
 // notified. It proves nothing of the list at the new one, and of it only what it restricts holds.
 func (w *watch) finishAbandonedCall(connection *discoveryConn) {
-	received, err := connection.finishCall(earlierAddressTimeout)
+	received, err := connection.finishAbandonedCall(earlierAddressTimeout)
 	if err != nil || !received.list.Full && len(received.list.Targets) == 0 {
 		return
 	}
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -49,14 +49,14 @@
 
 func newFakePredecessor(t *testing.T) *fakePredecessor {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	return &fakePredecessor{
 		body:     bytes.Repeat([]byte("what is known "), 20_000),
-		listener: listener,
+		listener: ln,
 		serving:  make(chan struct{}, 9),
 		exited:   make(chan struct{}, 9),
 	}
--- a/internal/hotrestart/offer.go
+++ b/internal/hotrestart/offer.go
@@ -29,9 +29,9 @@
 	predecessor Predecessor
 	accepting   sync.WaitGroup
 
-	mutex         sync.Mutex
-	successorConn *net.UnixConn
-	closed        bool
+	mutex  sync.Mutex
+	conn   *net.UnixConn
+	closed bool
 }
 
 // NewOffer starts to wait at path. A file that an earlier process has left there is removed.
@@ -58,8 +58,8 @@
 	err := o.listener.Close()
 	o.mutex.Lock()
 	o.closed = true
-	if o.successorConn != nil {
-		_ = o.successorConn.Close() // the handoff is over
+	if o.conn != nil {
+		_ = o.conn.Close() // the handoff is over
 	}
 	o.mutex.Unlock()
 	o.accepting.Wait()
@@ -104,7 +104,7 @@
 func (o *Offer) setConn(conn *net.UnixConn) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.successorConn = conn
+	o.conn = conn
 	return !o.closed
 }
 
