--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// fakePredecessor is a process that offers a handoff.
+// fakePredecessor implements Predecessor with a fixed body and signals each call on a channel.
 type fakePredecessor struct {
 	body            []byte
 	err             error
@@ -34,7 +34,8 @@
 	return p.body, fd, err
 }
 
-// isBlocking reports whether a listener's socket is blocking, for all processes that have it.
+// isBlocking reports whether the socket of a listener is in blocking mode. The mode applies to all processes that share
+// the socket.
 func isBlocking(ln net.Listener) (blocking bool) {
 	raw, _ := ln.(*net.TCPListener).SyscallConn()
 	_ = raw.Control(func(fd uintptr) {
@@ -76,23 +77,25 @@
 	select {
 	case <-signal:
 	case <-time.After(10 * time.Second):
-		t.Fatal("never: " + event)
+		t.Fatal("did not happen: " + event)
 	}
 }
 
-// The successor gets the body and the socket, with the connections that wait in its queue; each notices the end of
-// the other. Of two hot restarts in a row, the second finds the newest process.
+// A successor receives the body and the listening socket, including the connections in its accept queue, and each
+// process detects the exit of the other. With two hot restarts in a row, the second reaches the newest process. Guards
+// against a handoff that sets the shared socket to blocking mode: an accept on an empty queue would then block the
+// poller.
 func TestHandoffPassesListenerAndBody(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	first, path := newFakePredecessor(t), testPath(t)
-	if err := os.WriteFile(path, nil, 0o600); err != nil { // left by an earlier process
+	if err := os.WriteFile(path, nil, 0o600); err != nil { // as a file left by an earlier process
 		t.Fatal(err)
 	}
 	firstOffer, err := NewOffer(path, first)
 	if err != nil {
 		t.Fatal(err)
 	}
-	client, err := net.Dial("tcp", first.listener.Addr().String()) // nobody has accepted it
+	client, err := net.Dial("tcp", first.listener.Addr().String()) // stays in the accept queue
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,8 +104,8 @@
 	if err != nil || !bytes.Equal(handoff.Body, first.body) {
 		t.Fatal(err, len(handoff.Body))
 	}
-	if isBlocking(first.listener) { // an accept that finds the queue empty would stop the poller of either process
-		t.Error("the handoff has set the socket to blocking")
+	if isBlocking(first.listener) { // an accept on an empty queue would block the poller of either process
+		t.Error("the handoff has set the socket to blocking mode")
 	}
 	file := os.NewFile(uintptr(handoff.ListenerFD), "listener")
 	listener, err := net.FileListener(file)
@@ -112,7 +115,7 @@
 	_ = file.Close()
 	exited := make(chan struct{}, 1)
 	handoff.ReportServing(func() { exited <- struct{}{} })
-	awaitSignal(t, first.serving, "the predecessor learns that the successor serves")
+	awaitSignal(t, first.serving, "the predecessor is told that the successor serves")
 	second := newFakePredecessor(t)
 	secondOffer, err := NewOffer(path, second)
 	if err != nil {
@@ -122,9 +125,9 @@
 	if err := firstOffer.Close(); err != nil {
 		t.Error(err)
 	}
-	awaitSignal(t, exited, "the successor notices the end of the predecessor")
-	awaitSignal(t, first.exited, "the predecessor notices the end of the successor")
-	conn, err := listener.Accept() // a connection from the predecessor's queue is served
+	awaitSignal(t, exited, "the successor detects the exit of the predecessor")
+	awaitSignal(t, first.exited, "the predecessor detects the exit of the successor")
+	conn, err := listener.Accept() // the connection from before the handoff
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,13 +138,14 @@
 		t.Fatal(err)
 	}
 	_ = unix.Close(third.ListenerFD)
-	_ = third.Close() // it dies before it serves
-	awaitSignal(t, second.exited, "a predecessor notices the end of a successor that has never served")
+	_ = third.Close() // the successor exits before it serves
+	awaitSignal(t, second.exited, "a predecessor detects the exit of a successor that has never served")
 	_ = secondOffer.Close()
 }
 
-// startRelay listens at a path between the two processes, and forwards the first so many bytes that the predecessor sends,
-// changed.
+// startRelay listens at path as a proxy between a successor and the predecessor at target. It forwards the successor's
+// bytes unchanged, and the first maxBytes bytes of the predecessor after modify has changed them. It then closes the
+// connections.
 func startRelay(t *testing.T, target, path string, maxBytes int, modify func([]byte)) {
 	t.Helper()
 	listener, err := net.Listen("unix", path)
@@ -178,7 +182,9 @@
 	}()
 }
 
-// A handoff that is cut at any byte, damaged, of another version, or never answered ends in time and yields nothing.
+// A handoff that is truncated at any byte, corrupted, of another version or never answered returns an error in time,
+// and the predecessor is told that the successor has gone. An invalid path, and a predecessor without a state, are
+// errors too.
 func TestFailedHandoffYieldsNothing(t *testing.T) {
 	predecessor := newFakePredecessor(t)
 	predecessor.body = []byte("short")
@@ -191,12 +197,12 @@
 	dir, attempts := t.TempDir(), 0
 	attempt := func(name string, maxBytes int, modify func([]byte)) {
 		attempts++
-		relayPath := filepath.Join(dir, strconv.Itoa(attempts)) // the one before is removed as its listener closes
+		relayPath := filepath.Join(dir, strconv.Itoa(attempts)) // new each time: closing a listener removes its file
 		startRelay(t, path, relayPath, maxBytes, modify)
 		if got, err := Receive(relayPath); err == nil {
 			t.Errorf("%s: received %q", name, got.Body)
 		}
-		awaitSignal(t, predecessor.exited, "the predecessor notices that the handoff failed")
+		awaitSignal(t, predecessor.exited, "the predecessor detects that the handoff has failed")
 	}
 	for cut := 1; cut < headerSize+len(predecessor.body); cut++ {
 		attempt("cut", cut, func([]byte) {})
@@ -210,22 +216,22 @@
 	}
 	defer func() { _ = silent.Close() }()
 	if _, err := receive(relayPath, 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a process that does not answer: %v", err)
+		t.Errorf("a process that does not answer: %v, want a timeout", err)
 	}
 	if _, err := Receive(filepath.Join(dir, "nobody.sock")); err == nil {
-		t.Error("no process: received")
+		t.Error("no process listens: received a handoff")
 	}
 	predecessor.err = errors.New("no")
 	if _, err := Receive(path); err == nil {
-		t.Error("no state: received")
+		t.Error("no state to export: received a handoff")
 	}
 	if _, err := SocketPath("", "n", "l"); err == nil {
-		t.Error("no directory: a path")
+		t.Error("no directory: no error")
 	}
 	if _, err := SocketPath("/"+strings.Repeat("x", 100), "n", "l"); err == nil {
-		t.Error("a path that is too long")
+		t.Error("a path that is too long: no error")
 	}
 	if _, err := NewOffer("/nowhere/at/all", predecessor); err == nil {
-		t.Error("a directory that does not exist")
+		t.Error("a directory that does not exist: no error")
 	}
 }
--- a/internal/hotrestart/receive.go
+++ b/internal/hotrestart/receive.go
@@ -9,17 +9,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// descriptorSize is the size of one descriptor in a control message.
+// descriptorSize is the size in bytes of one file descriptor in a control message.
 const descriptorSize = 4
 
-// Handoff is what a successor has received.
+// Handoff holds what a successor has received, and the connection to its predecessor.
 type Handoff struct {
 	Body       []byte
-	ListenerFD int // a descriptor, which the receiver closes
+	ListenerFD int // file descriptor of the listening socket; the receiver must close it
 	conn       *net.UnixConn
 }
 
-// Receive asks the process that offers a handoff at path. It returns within Timeout.
+// Receive requests the handoff from the process that offers it at path. It returns within HandoffTimeout.
 func Receive(path string) (*Handoff, error) { return receive(path, HandoffTimeout) }
 
 func receive(path string, timeout time.Duration) (*Handoff, error) {
@@ -29,7 +29,7 @@
 		return nil, err
 	}
 	handoff := &Handoff{ListenerFD: noDescriptor, conn: dialled.(*net.UnixConn)}
-	_ = handoff.conn.SetDeadline(deadline) // an open connection takes any deadline
+	_ = handoff.conn.SetDeadline(deadline) // cannot fail on an open connection
 	if err := handoff.readHandoff(); err != nil {
 		handoff.discard()
 		return nil, err
@@ -38,15 +38,15 @@
 	return handoff, nil
 }
 
-// discard releases a handoff that could not be read.
+// discard closes the connection and the descriptor of a handoff that could not be read.
 func (h *Handoff) discard() {
-	_ = h.conn.Close() // the error that has come before is the one that counts
+	_ = h.conn.Close() // the error of readHandoff is returned
 	if h.ListenerFD != noDescriptor {
 		_ = unix.Close(h.ListenerFD)
 	}
 }
 
-// readHandoff sends the greeting and reads the listener and the body.
+// readHandoff sends the greeting, and reads the descriptor of the listening socket and the body.
 func (h *Handoff) readHandoff() error {
 	if _, err := io.WriteString(h.conn, greeting); err != nil {
 		return err
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// readHeader reads the head and the descriptor that comes with its first byte.
+// readHeader fills header, and receives the descriptor that arrives with the first byte.
 func (h *Handoff) readHeader(header []byte) error {
 	control := make([]byte, unix.CmsgSpace(descriptorSize))
 	n, controlLength, _, _, err := h.conn.ReadMsgUnix(header, control)
@@ -84,7 +84,7 @@
 	return err
 }
 
-// parseDescriptor returns the descriptor in a control message.
+// parseDescriptor returns the file descriptor in a control message, and marks it as close-on-exec.
 func parseDescriptor(control []byte) (int, error) {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
@@ -100,13 +100,13 @@
 	return noDescriptor, errNoDescriptor
 }
 
-// ReportServing reports to the predecessor that this process accepts connections, and calls exited when the predecessor
-// has ended.
+// ReportServing reports to the predecessor that this process accepts clients, and calls exited once the connection to
+// the predecessor has ended.
 func (h *Handoff) ReportServing(exited func()) {
-	_, _ = h.conn.Write([]byte{servingReport}) // a predecessor that has ended needs no report
+	_, _ = h.conn.Write([]byte{servingReport}) // a predecessor that has exited needs no report
 	go func() {
 		_, _ = io.Copy(io.Discard, h.conn)
-		_ = h.conn.Close() // the predecessor has ended
+		_ = h.conn.Close() // the predecessor has exited
 		exited()
 	}()
 }
