--- a/internal/daemon/calllog.go
+++ b/internal/daemon/calllog.go
@@ -9,18 +9,18 @@
 	"tulipglade/internal/protocol"
 )
 
-// callOutcome is how a call to discovery ended.
+// callOutcome is the way in which a call to discovery ended, as the debug log names and counts it.
 type callOutcome uint8
 
 const (
-	callAnswered    callOutcome = iota // with a list on which there are live endpoints, or with changes
-	callEmpty                          // with a full list without live endpoints
-	callInvalid                        // with what is not a list
-	callUnreachable                    // no connection could be opened
-	callRejected                       // 503, another status, a reset or an early end
-	callOverloaded                     // the same, after a wait in discovery's queue
-	callTimedOut                       // no complete answer in time
-	callAbandoned                      // the address of discovery changed
+	callAnswered    callOutcome = iota // answered with changes, or with a full list that has live endpoints
+	callEmpty                          // answered with a full list that has no live endpoints
+	callInvalid                        // the answer was not a valid list
+	callUnreachable                    // the connection could not be opened
+	callRejected                       // answered with 503 or another status, reset, or closed early
+	callOverloaded                     // as callRejected, but after the call had waited in discovery's queue
+	callTimedOut                       // no complete answer before the timeout
+	callAbandoned                      // given up as the address of discovery had changed
 	numCallOutcomes
 )
 
@@ -35,7 +35,7 @@
 	callAbandoned:   "abandoned",
 }
 
-// String names the outcome as logs do.
+// String returns the name of the outcome in the log.
 func (o callOutcome) String() string {
 	if o < numCallOutcomes {
 		return callOutcomeNames[o]
@@ -43,7 +43,7 @@
 	return "unknown"
 }
 
-// outcome returns how the call ended.
+// outcome classifies the result by its error and its list.
 func (r callResult) outcome() callOutcome {
 	switch {
 	case r.err == nil && r.list.Full && !hasLiveEndpoint(r.list):
@@ -70,13 +70,14 @@
 	})
 }
 
-// callLog logs each call to discovery at debug level, and counts the calls by their outcome. The watch's goroutine uses it.
+// callLog logs each call to discovery at debug level and counts the calls by outcome. Only the goroutine of watch.run
+// records calls.
 type callLog struct {
 	log    *slog.Logger
 	counts [numCallOutcomes]int
 }
 
-// record counts a call and logs it, with the revision that the watch had before.
+// record counts a call and logs it. revisionBefore is the revision that the watch had before the call.
 func (l *callLog) record(result callResult, revisionBefore int64) {
 	outcome := result.outcome()
 	l.counts[outcome]++
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -16,23 +16,26 @@
 	"tulipglade/internal/settings"
 )
 
-// Config is the configuration of a node.
+// Config is the parsed and checked configuration of a node.
 type Config struct {
-	Name       string
-	Listen     string // the clients' address
-	Discovery  string // the address of discovery
-	Admin      string // the address that operators call; empty: none
-	Cores      float64
-	MemoryMB   int
-	Endpoints  protocol.List // known before discovery has answered
-	Node       node.Settings
-	DrainGrace int64 // after notification that an endpoint drains or is removed, for what is still sent to it, in microseconds
+	Name      string
+	Listen    string // the address on which clients are accepted
+	Discovery string // the address of discovery
+	Admin     string // the admin address; empty: none
+	Cores     float64
+	MemoryMB  int
+	Endpoints protocol.List // the endpoint list that is used until discovery has answered
+	Node      node.Settings
+	// DrainGrace is the time, in microseconds, during which attempts may still be sent to an endpoint after the
+	// notification that it is draining or removed.
+	DrainGrace int64
 
-	document any // the file as it stands, with which the next one is compared
+	document any // the decoded JSON of the whole file; a reload compares the new file with it
 }
 
-// Load reads the configuration file and checks it. Listen and discovery may be given in the environment
-// instead, as GW_LISTEN, GW_DISCOVERY and GW_OPERATOR; so may the name, as GW_NAME. An error names the field at fault.
+// Load reads the configuration file at path and checks it. The environment provides the fields that are empty in the
+// file: GW_LISTEN the listen address, GW_DISCOVERY the address of discovery, GW_OPERATOR the admin address, and GW_NAME
+// the name of the node. An error names the invalid field.
 func Load(path string, getenv func(string) string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -41,7 +44,7 @@
 	return Parse(raw, getenv)
 }
 
-// Parse is Load on the file's text.
+// Parse does the same as Load for the text of a configuration file.
 func Parse(raw []byte, getenv func(string) string) (*Config, error) {
 	if len(bytes.TrimSpace(bytes.Trim(raw, "\x00"))) == 0 {
 		return nil, errEmptyConfig
@@ -53,20 +56,23 @@
 	return config, nil
 }
 
-// errEmptyConfig is a configuration of nothing but white space or zero bytes, as a crash may leave one.
+// errEmptyConfig reports a file that holds only white space or zero bytes, which is what a crash during a write may
+// leave.
 var errEmptyConfig = errors.New("configuration: empty")
 
-// oneLineError puts an error's text on one line: a JSON error quotes the text around it, line breaks and all.
+// oneLineError formats an error on one line of the log. A JSON error quotes the surrounding text, including line
+// breaks.
 type oneLineError struct {
 	err error
 }
 
-// Error returns the text with each run of white space replaced by a blank.
+// Error returns the text with each run of white space replaced by a single space.
 func (e *oneLineError) Error() string { return strings.Join(strings.Fields(e.err.Error()), " ") }
 
-// Unwrap returns the error itself.
+// Unwrap returns the original error.
 func (e *oneLineError) Unwrap() error { return e.err }
 
+// parseAndCheck decodes raw, fills empty fields from the environment and checks the result.
 func parseAndCheck(raw []byte, getenv func(string) string) (*Config, error) {
 	var file configFile
 	if err := decodeJSON(raw, &file); err != nil {
@@ -120,7 +126,7 @@
 	}, nil
 }
 
-// decodeJSON decodes raw into target. A value of the wrong type is an error that names the field by its path in the file.
+// decodeJSON decodes raw into target. For a value of the wrong type, the error names the field by its path in raw.
 func decodeJSON(raw []byte, target any) error {
 	err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, target)
 	if err == nil {
@@ -133,7 +139,8 @@
 	return err
 }
 
-// settings returns the settings of the node; the file has been checked.
+// settings returns the settings of the node. The caller has checked the file. It returns an error if the names of the
+// classes or tenants are empty or not unique, or if there are no classes.
 func (f *nodeSettingsFile) settings(deployment settings.Deployment) (node.Settings, error) {
 	module := deployment.Balancer
 	if module.PollDiscovery {
@@ -144,7 +151,7 @@
 		return node.Settings{}, err
 	}
 	if len(classes) == 0 {
-		return node.Settings{}, settings.FieldErrorf("settings.profiles", "no classes of request")
+		return node.Settings{}, settings.FieldErrorf("settings.profiles", "no request classes")
 	}
 	tenants, err := uniqueNames("settings.orgs", f.Tenants)
 	if err != nil {
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -15,7 +15,8 @@
 "limits":{"connect_timeout_us":250000,"keepalive_us":30000000,"max_attempts":6,"max_open":20000},
 "rules":{"ask_every_us":10000000,"grace_to_answer_us":20000},"tick_us":5000}}`
 
-// An error is one line that names the field.
+// A valid file is parsed completely. The error for an invalid one is a single line that names the invalid field. The
+// environment provides the addresses that the file lacks.
 func TestParseConfig(t *testing.T) {
 	c, err := Parse([]byte(validConfig), noEnvironment)
 	if err != nil {
@@ -64,7 +65,7 @@
 	env := func(name string) string { return map[string]string{"GW_DISCOVERY": "127.0.0.1:9"}[name] }
 	withoutDiscovery := strings.Replace(validConfig, `"discovery":"127.0.0.1:8500",`, ``, 1)
 	if c, err := Parse([]byte(withoutDiscovery), env); err != nil || c.Discovery != "127.0.0.1:9" {
-		t.Errorf("from the environment: %v", err)
+		t.Errorf("the address of discovery from the environment: %v", err)
 	}
 	env = func(name string) string { return map[string]string{"GW_OPERATOR": "127.0.0.1:7"}[name] }
 	if c, err := Parse([]byte(validConfig), env); err != nil || c.Admin != "127.0.0.1:7" {
--- a/internal/daemon/configfile.go
+++ b/internal/daemon/configfile.go
@@ -12,10 +12,10 @@
 	"tulipglade/internal/settings"
 )
 
-// minDescriptors is the least limit of descriptors with which a node can serve at all.
+// minDescriptors is the lowest limit of file descriptors with which a node can serve.
 const minDescriptors = 64
 
-// configFile is the JSON form of the configuration.
+// configFile is the JSON form of the configuration file.
 type configFile struct {
 	Name      string              `json:"name"`
 	Listen    string              `json:"listen"`
@@ -33,7 +33,8 @@
 	MaxDescriptors int     `json:"sockets"`
 }
 
-// nodeSettingsFile is the part of the settings that the node reads itself. Times are in microseconds.
+// nodeSettingsFile is the part of the settings that the node reads itself, apart from what the settings package reads
+// for the balancer. Times are in microseconds.
 type nodeSettingsFile struct {
 	Tenants []namedEntryFile `json:"orgs"`
 	Classes []namedEntryFile `json:"profiles"`
@@ -58,7 +59,7 @@
 	Name string `json:"name"`
 }
 
-// applyEnvironment fills empty fields from the environment.
+// applyEnvironment fills the empty fields of the file from environment variables.
 func (f *configFile) applyEnvironment(getenv func(string) string) {
 	f.Name = firstNonEmpty(f.Name, getenv("GW_NAME"))
 	f.Listen = firstNonEmpty(f.Listen, getenv("GW_LISTEN"))
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// seed returns the seed, which is written in hexadecimal; 0 where it is left out.
+// seed parses the seed, which is written in hexadecimal. It returns 0 if the file has no seed.
 func (f *configFile) seed() (uint64, error) {
 	if f.Seed == "" {
 		return 0, nil
@@ -118,7 +119,8 @@
 	return seed, nil
 }
 
-// endpoints returns the endpoint list that is known before discovery has answered.
+// endpoints parses the endpoint list that the node uses until discovery has answered. Without one in the file, it
+// returns an empty full list.
 func (f *configFile) endpoints() (protocol.List, error) {
 	if len(f.Known) == 0 {
 		return protocol.List{Full: true}, nil
@@ -130,7 +132,7 @@
 	return list, nil
 }
 
-// check checks the numbers, also those that the decision module reads.
+// check checks the ranges of the numbers, including those that the balancer reads, which module holds.
 func (f *nodeSettingsFile) check(module balancer.Config) error {
 	if err := checkPositive("settings.limits.connect_timeout_us", f.Limits.ConnectTimeout); err != nil {
 		return err
@@ -152,7 +154,7 @@
 	}
 	if module.PollDiscovery && module.PollInterval <= 0 {
 		return settings.FieldErrorf("settings.rules.ask_every_us",
-			"%d is not above 0, and discovery must be polled", module.PollInterval)
+			"%d is not above 0, but discovery is polled at this interval", module.PollInterval)
 	}
 	return nil
 }
@@ -164,7 +166,8 @@
 	return nil
 }
 
-// uniqueNames returns the names of the entries of a field, none of which may be empty or a duplicate.
+// uniqueNames returns the names of entries, which are the value of the named field. It returns an error if a name is
+// empty or occurs twice.
 func uniqueNames(field string, entries []namedEntryFile) ([]string, error) {
 	var names []string
 	seen := map[string]bool{}
@@ -178,6 +181,7 @@
 	return names, nil
 }
 
+// firstNonEmpty returns first, or second if first is empty.
 func firstNonEmpty(first, second string) string {
 	if first != "" {
 		return first
--- a/internal/daemon/configshape.go
+++ b/internal/daemon/configshape.go
@@ -9,8 +9,8 @@
 	"tulipglade/internal/settings"
 )
 
-// optionalKeys may be present or absent, as the description of the settings says. All others that the running
-// configuration has must be in a new one.
+// optionalKeys are the keys that the description of the settings lets a file omit. A new configuration must have every
+// other key of the running one.
 var optionalKeys = []string{
 	"settings.profiles[].aim_stretch",
 	"settings.specifics.passes_deadline",
@@ -18,16 +18,19 @@
 	"settings.prices.fleet",
 }
 
-// dataKeys are the parts that hold data and not settings. They may differ in shape, and are checked by parsers of their own.
+// dataKeys are the keys whose values are data rather than settings. Their shape may differ from the running
+// configuration; parsers of their own check them.
 var dataKeys = []string{"known"}
 
+// kindChangedError reports that the JSON kind of a field differs between the running and the new configuration.
 func kindChangedError(field string, previous, current any) error {
-	return settings.FieldErrorf(field, "is %s, was %s", jsonKind(current), jsonKind(previous))
+	return settings.FieldErrorf(field, "is %s, but %s in the running configuration", jsonKind(current), jsonKind(previous))
 }
 
-// checkShape checks that a new configuration has all that the running one has: each key, with a value of the same kind,
-// and no list emptied. A file that was cut short or lacks a key would otherwise count as one that omits it on purpose,
-// and its defaults would come into force.
+// checkShape checks that a new configuration has each key of the running one, with a value of the same JSON kind, and
+// that no list has become empty. Otherwise a file that was truncated or lacks a key would be read as one that omits the
+// key on purpose, and the default of that key would be applied. path is the path of the two values in the file, for
+// errors.
 func checkShape(running, loaded any, path string) error {
 	if jsonKind(running) != jsonKind(loaded) {
 		if loaded == nil {
@@ -45,7 +48,7 @@
 }
 
 func checkObject(running, loaded map[string]any, path string) error {
-	for _, key := range slices.Sorted(maps.Keys(running)) { // sorted: the first problem is the same each time
+	for _, key := range slices.Sorted(maps.Keys(running)) { // sorted, so that the same problem is always reported first
 		field := strings.TrimPrefix(path+"."+key, ".")
 		value, present := loaded[key]
 		if !present && slices.Contains(optionalKeys, field) {
@@ -61,7 +64,8 @@
 	return nil
 }
 
-// checkArray checks that each new element has the keys that all running ones have.
+// checkArray checks that a list has not become empty, and that each of its new elements has the keys that all running
+// elements share. Elements that are not objects must have the JSON kind of the first running one.
 func checkArray(running, loaded []any, path string) error {
 	if len(running) == 0 {
 		return nil
@@ -81,8 +85,8 @@
 	return nil
 }
 
-// commonKeys returns the keys, with an example of their values, that all elements have with the same kind of value, but
-// for the optional ones.
+// commonKeys returns the keys that all elements have with a value of the same JSON kind, each with the value of the
+// first element as an example. Optional keys are left out.
 func commonKeys(elements []any, path string) map[string]any {
 	common := map[string]any{}
 	for key, value := range elements[0].(map[string]any) {
@@ -109,19 +113,19 @@
 	return nil
 }
 
-// jsonKind names the kind of a JSON value, for error texts.
+// jsonKind returns the name of the kind of a JSON value, for comparison and for error messages.
 func jsonKind(value any) string {
 	switch value.(type) {
 	case nil:
-		return "nothing"
+		return "null"
 	case map[string]any:
 		return "an object"
 	case []any:
 		return "a list"
 	case string:
-		return "a text"
+		return "a string"
 	case bool:
-		return "true or false"
+		return "a boolean"
 	}
 	return "a number"
 }
--- a/internal/daemon/configshape_test.go
+++ b/internal/daemon/configshape_test.go
@@ -7,7 +7,7 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// compareWithRunning checks a new configuration against validConfig as the running one.
+// compareWithRunning parses text as a new configuration and checks its shape against validConfig as the running one.
 func compareWithRunning(t *testing.T, text string) error {
 	t.Helper()
 	running := parseConfig(t, validConfig)
@@ -18,7 +18,8 @@
 	return checkShape(running.document, loaded.document, "")
 }
 
-// forEachMissingKey calls visit, for each key below value, while the key is missing and while it is null.
+// forEachMissingKey removes each key below value in turn and calls visit, then sets the key to null and calls visit
+// again. It restores the key afterwards.
 func forEachMissingKey(value any, path string, visit func(path string)) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -39,7 +40,7 @@
 	}
 }
 
-// A file that is cut short at any byte is rejected.
+// Guards against a reload that applies a truncated file: whichever byte it ends at, the file is rejected.
 func TestNewConfigurationCutShortIsRejected(t *testing.T) {
 	for i := range validConfig {
 		if err := compareWithRunning(t, validConfig[:i]); err == nil {
@@ -48,7 +49,8 @@
 	}
 }
 
-// A file that lacks any key of the running one is rejected.
+// Guards against a reload that applies defaults for lost keys: a file that lacks any key of the running configuration,
+// or has null in its place, is rejected.
 func TestNewConfigurationNeedsEveryKeyOfRunningOne(t *testing.T) {
 	var document any
 	if err := jsoniter.UnmarshalFromString(validConfig, &document); err != nil {
@@ -66,11 +68,12 @@
 		}
 	})
 	if keys < 40 {
-		t.Errorf("only %d keys tried", keys)
+		t.Errorf("only %d keys were tried", keys)
 	}
 }
 
-// Optional keys, and data, may differ; the kinds of values may not, and no list may become empty.
+// Added keys, added list elements and another endpoint list are accepted. A value of another JSON kind, a list that has
+// become empty and a new element without a common key are rejected.
 func TestNewConfigurationNeedsShapeOfRunningOne(t *testing.T) {
 	for _, c := range []struct{ name, from, to, message string }{
 		{"the same", "", "", ""},
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// maxDescriptors caps the system's limit, which may be unlimited.
+	// maxDescriptors caps the limit of file descriptors that the operating system reports, which may be unlimited.
 	maxDescriptors = 1 << 20
-	// bytesPerMB converts limits.memory_mb.
+	// bytesPerMB converts limits.memory_mb to bytes.
 	bytesPerMB = 1 << 20
 )
 
-// applyProcessLimits keeps the process within its configured limits: one thread of Go code per core and one poller, and a
-// garbage collector that works harder before memory runs out. It returns the limit of descriptors: the system's own
-// where that is lower.
+// applyProcessLimits keeps the process within its configured limits: it sets GOMAXPROCS to the number of cores, sets
+// the garbage collector's memory limit, and configures the poller. It returns the limit of file descriptors, which is
+// the lower one of the configured limit and that of the operating system.
 func applyProcessLimits(config *Config, log *slog.Logger) (descriptors int, err error) {
 	if config.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Cores))))
@@ -29,7 +29,7 @@
 	setMemoryLimit(config.MemoryMB, 1)
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return 0, fmt.Errorf("limit of descriptors: %w", err)
+		return 0, fmt.Errorf("file descriptor limit: %w", err)
 	}
 	descriptors = int(min(limit.Cur, maxDescriptors))
 	if config.Node.MaxDescriptors > 0 {
@@ -39,27 +39,29 @@
 	return descriptors, node.ConfigurePoller(pollerLog)
 }
 
-// setMemoryLimit has the garbage collector work harder from three quarters of this process's part of the memory on: so
-// many processes share it.
+// setMemoryLimit sets the garbage collector's memory limit to three quarters of this process's share of the memory, so
+// that it collects more often before the memory is used up. The memory is divided evenly among the given number of
+// processes.
 func setMemoryLimit(memoryMB, processes int) {
 	if memoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryMB) * bytesPerMB * 3 / 4 / int64(processes))
 	}
 }
 
-// processGroup counts the processes that serve as this node during a hot restart, and divides the limits among them.
+// processGroup counts the processes that serve as one node during a hot restart, and divides the node's limits among
+// them.
 type processGroup struct {
 	node     *node.Node
 	memoryMB int
 
 	mutex          sync.Mutex
-	otherProcesses int
+	otherProcesses int // processes other than this one
 }
 
-// addProcess counts one more process beside this one.
+// addProcess adds one process besides this one.
 func (g *processGroup) addProcess() { g.adjustCount(1) }
 
-// removeProcess counts one process less.
+// removeProcess removes one process besides this one.
 func (g *processGroup) removeProcess() { g.adjustCount(-1) }
 
 func (g *processGroup) adjustCount(delta int) {
--- a/internal/daemon/logwriter.go
+++ b/internal/daemon/logwriter.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// logQueueCapacity is how many lines may wait to be written.
+// logQueueCapacity is the maximum number of lines that wait to be written.
 const logQueueCapacity = 1024
 
-// LogWriter passes lines to a writer without ever waiting for it: a node whose log nobody reads must go on
-// serving. Lines that do not fit into the queue are dropped, and a line says how many.
+// LogWriter passes lines to a writer in the background, so that a caller of Write never waits for that writer: a node
+// must go on serving if nobody reads its log. Lines that do not fit into the queue are dropped, and a later line in the
+// log gives their number.
 type LogWriter struct {
 	lines   chan logLine
 	dropped atomic.Int64
@@ -20,17 +21,17 @@
 
 type logLine struct {
 	text    []byte
-	written chan<- struct{} // of a Flush: closed once all earlier lines have been written
+	written chan<- struct{} // set by Flush, instead of text: closed once all earlier lines have been written
 }
 
-// NewLogWriter returns a LogWriter in front of out. Its goroutine runs until the process ends.
+// NewLogWriter returns a LogWriter that writes to out. Its goroutine runs until the process exits.
 func NewLogWriter(out io.Writer) *LogWriter {
 	w := &LogWriter{lines: make(chan logLine, logQueueCapacity)}
 	go w.run(out)
 	return w
 }
 
-// run writes the queued lines. Errors are dropped: there is nowhere to report that a log cannot be written.
+// run writes the queued lines. It ignores errors, as there is no other place to report that the log cannot be written.
 func (w *LogWriter) run(out io.Writer) {
 	for line := range w.lines {
 		if n := w.dropped.Swap(0); n > 0 {
@@ -45,7 +46,7 @@
 	}
 }
 
-// Write queues one line. It never blocks and never fails.
+// Write queues one line, or drops it if the queue is full. It never blocks and never returns an error.
 func (w *LogWriter) Write(p []byte) (int, error) {
 	select {
 	case w.lines <- logLine{text: bytes.Clone(p)}:
@@ -55,7 +56,7 @@
 	return len(p), nil
 }
 
-// Flush waits until the lines so far have been written, but for no longer than timeout.
+// Flush waits until all lines that were queued before it have been written, or until timeout has passed.
 func (w *LogWriter) Flush(timeout time.Duration) {
 	written, expired := make(chan struct{}), time.After(timeout)
 	select {
--- a/internal/daemon/logwriter_test.go
+++ b/internal/daemon/logwriter_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// blockedWriter is a log that nobody reads, until unblock is closed.
+// blockedWriter blocks each Write until unblock is closed, like a log that nobody reads.
 type blockedWriter struct {
 	unblock chan struct{}
 	strings.Builder
@@ -18,8 +18,8 @@
 	return w.Builder.Write(p)
 }
 
-// A log that nobody reads does not block the goroutine that writes it: that is the one which serves all requests.
-// Dropped lines are counted in the log.
+// Guards against a node that stops serving because nobody reads its log: the goroutine that serves all requests also
+// writes the log, so a write must not block. The lines that are dropped meanwhile are counted in the log.
 func TestUnreadLogDoesNotBlockWriter(t *testing.T) {
 	out := &blockedWriter{unblock: make(chan struct{})}
 	w := NewLogWriter(out)
@@ -28,10 +28,10 @@
 			t.Fatal(n, err)
 		}
 	}
-	w.Flush(time.Millisecond) // gives up
+	w.Flush(time.Millisecond) // returns at its timeout
 	close(out.unblock)
 	w.Flush(time.Minute)
 	if got := out.String(); !strings.Contains(got, "line 0\n") || !strings.Contains(got, "log lines dropped") {
-		t.Errorf("written: %.40q…, %d bytes, or nothing on what was dropped", got, len(got))
+		t.Errorf("written: %.40q…, %d bytes; the first line or the number of dropped lines is missing", got, len(got))
 	}
 }
