--- a/internal/daemon/discoveryconn.go
+++ b/internal/daemon/discoveryconn.go
@@ -11,41 +11,42 @@
 	"tulipglade/internal/protocol"
 )
 
-// discoveryConn is a connection to discovery that is reused from one call to the next. One goroutine uses it; others end
-// its call by closing addressChanged.
+// discoveryConn is a connection to discovery that is reused from one call to the next. Only one goroutine uses it.
+// Other goroutines can abort its call by closing addressChanged.
 type discoveryConn struct {
 	address        string
 	addressChanged <-chan struct{}
 	conn           netpoll.Connection
-	received       chan []byte   // bytes as they arrive
-	disconnected   chan struct{} // closed when the connection has ended and all bytes that arrived have been taken
+	received       chan []byte   // bytes that the poller has read
+	disconnected   chan struct{} // closed once the connection has ended and all its bytes have been received
 	closed         chan struct{} // closed by close
 
-	response protocol.Message // of the call in flight
-	buffer   []byte           // what has arrived of it
+	response protocol.Message // the response to the call in flight, as parsed so far
+	buffer   []byte           // the bytes of that response
 }
 
 func newDiscoveryConn(address string, addressChanged <-chan struct{}) *discoveryConn {
 	return &discoveryConn{address: address, addressChanged: addressChanged}
 }
 
+// close closes the connection, if there is one. The next call opens a new one.
 func (c *discoveryConn) close() {
 	if c.conn == nil {
 		return
 	}
 	close(c.closed)
-	_ = c.conn.Close() // nothing is lost: an answer that is wanted has been read
+	_ = c.conn.Close() // an answer that is needed has been read by now
 	c.conn = nil
 }
 
-// answer is what discovery has answered: a list, and why entries of it could not be read.
+// answer is the parsed answer of discovery: a list, and the reasons why some of its entries could not be parsed.
 type answer struct {
 	list    protocol.List
 	invalid []error
 }
 
-// roundTrip makes one call and reads its answer within the timeout. After an error the connection is closed, but for
-// errAddressChanged: the answer may be on its way, and finishCall waits for it.
+// roundTrip makes one call and reads its answer within the timeout. After an error it closes the connection, except
+// after errAddressChanged: the answer may still arrive, and finishAbandonedCall waits for it.
 func (c *discoveryConn) roundTrip(request []byte, timeout time.Duration) (answer, error) {
 	received, err := c.call(request, timeout)
 	if err != nil {
@@ -70,11 +71,12 @@
 	return c.readAnswer(deadline.C)
 }
 
-// finishAbandonedCall waits for the answer to the call that a change of address has ended, and closes the connection.
+// finishAbandonedCall waits for the answer to a call that was abandoned because the address of discovery changed. It
+// then closes the connection.
 func (c *discoveryConn) finishAbandonedCall(timeout time.Duration) (answer, error) {
 	defer c.close()
 	if c.conn == nil {
-		return answer{}, errAddressChanged // the call has not begun
+		return answer{}, errAddressChanged // no request has been sent
 	}
 	deadline := time.NewTimer(timeout)
 	defer deadline.Stop()
@@ -82,6 +84,7 @@
 	return c.readAnswer(deadline.C)
 }
 
+// readAnswer reads the response to the call in flight and parses the list in its body.
 func (c *discoveryConn) readAnswer(deadline <-chan time.Time) (answer, error) {
 	body, keepAlive, err := c.readResponse(deadline)
 	if err != nil {
@@ -97,30 +100,31 @@
 	return answer{list, invalid}, nil
 }
 
-// connect opens the connection unless the last one is still open.
+// connect opens a connection, unless the one of the previous call is still open.
 func (c *discoveryConn) connect(timeout time.Duration) error {
 	if c.conn != nil && c.conn.IsActive() {
 		return nil
 	}
-	c.close() // discovery has closed it between two calls
+	c.close() // discovery may have closed it after the previous call
 	return c.dial(timeout)
 }
 
 func (c *discoveryConn) send(request []byte, timeout time.Duration) error {
-	_ = c.conn.SetWriteTimeout(timeout) // never fails; the deadline of the call bounds it in any case
+	_ = c.conn.SetWriteTimeout(timeout) // never fails; the deadline of the call bounds the write too
 	if _, err := c.conn.Writer().WriteBinary(request); err != nil {
 		return err
 	}
 	return c.conn.Writer().Flush()
 }
 
-// dialResult is the outcome of one attempt to connect.
+// dialResult is the connection that a dial has established, or its error.
 type dialResult struct {
 	conn netpoll.Connection
 	err  error
 }
 
-// dial opens the connection. One that is established after the address has changed is closed.
+// dial opens a connection to c.address. If the address of discovery changes before the connection is established, dial
+// returns errAddressChanged, and the connection is closed once it is established.
 func (c *discoveryConn) dial(timeout time.Duration) error {
 	results := make(chan dialResult)
 	start := time.Now()
@@ -130,7 +134,7 @@
 		case results <- dialResult{conn, err}:
 		case <-c.addressChanged:
 			if err == nil {
-				_ = conn.Close() // nobody uses it
+				_ = conn.Close() // dial has returned, so the connection has no user
 			}
 		}
 	}()
@@ -138,7 +142,7 @@
 	case <-c.addressChanged:
 		return errAddressChanged
 	case result := <-results:
-		if result.err != nil && time.Since(start) >= timeout { // netpoll's own error for a timeout has no type
+		if result.err != nil && time.Since(start) >= timeout { // netpoll has no error type for a timeout
 			return fmt.Errorf("%w: %w", errNoAnswer, result.err)
 		}
 		if result.err != nil {
@@ -148,13 +152,15 @@
 	}
 }
 
-// attach uses an established connection for the next calls, and has the poller pass on what arrives.
+// attach makes conn the connection of the next calls, and registers callbacks by which the poller passes on the bytes
+// that arrive and the end of the connection.
 func (c *discoveryConn) attach(conn netpoll.Connection) error {
 	received := make(chan []byte)
 	disconnected := make(chan struct{})
 	closed := make(chan struct{})
 	c.conn, c.received, c.disconnected, c.closed = conn, received, disconnected, closed
-	// The poller ends a connection only while the request handler is not running, so no bytes are lost at its end.
+	// The poller calls the close callback only while the request handler is not running, so no bytes are lost when the
+	// connection ends.
 	_ = conn.AddCloseCallback(func(netpoll.Connection) error { // never fails
 		close(disconnected)
 		return nil
@@ -165,7 +171,7 @@
 		if err != nil {
 			return err
 		}
-		_ = reader.Release() // ReadBinary has copied
+		_ = reader.Release() // ReadBinary has copied the bytes
 		select {
 		case received <- bytes:
 		case <-closed:
@@ -174,7 +180,7 @@
 	})
 }
 
-// readResponse reads a complete response of status 200.
+// readResponse reads a complete response. Any status other than 200 is an error.
 func (c *discoveryConn) readResponse(deadline <-chan time.Time) (body []byte, keepAlive bool, err error) {
 	for {
 		select {
@@ -186,7 +192,7 @@
 			if !c.response.EndsWithConnection() {
 				return nil, false, c.incompleteError(errConnectionEnded)
 			}
-			c.response.Finish() // whether the body is complete shows as it is parsed
+			c.response.Finish() // a truncated body is found when the list is parsed
 			return c.response.Body(c.buffer), false, checkStatus(c.response.Status)
 		case bytes := <-c.received:
 			c.buffer = append(c.buffer, bytes...)
@@ -202,8 +208,8 @@
 	}
 }
 
-// incompleteError returns the error for a call that has ended without a complete response. One that had begun shows that
-// discovery is there: it was an answer, and cannot be used.
+// incompleteError returns the error of a call that has ended without a complete response because of cause. If the body
+// of a response with status 200 had begun, discovery did answer, so the error is an invalid list.
 func (c *discoveryConn) incompleteError(cause error) error {
 	if c.response.Started() && c.response.Status == protocol.StatusOK {
 		return fmt.Errorf("%w: %w", errInvalidList, cause)
--- a/internal/daemon/hotrestart.go
+++ b/internal/daemon/hotrestart.go
@@ -18,27 +18,27 @@
 	"tulipglade/internal/node"
 )
 
-// errExportTimeout is a node that has not exported its state in time for a hot restart.
-var errExportTimeout = errors.New("the node did not answer in time")
+// errExportTimeout reports that the node has not exported its state in time for a hot restart.
+var errExportTimeout = errors.New("the node did not export its state in time")
 
-// noDescriptor stands for a listener that could not be passed on.
+// noDescriptor is returned as the descriptor when the listener cannot be handed over.
 const noDescriptor = -1
 
-// handoffState is what one process sends to its successor.
+// handoffState is the state that a process sends to its successor, as JSON.
 type handoffState struct {
 	node.HotRestartState
-	Fence []fencing.Grant `json:"Fence"` // the newest fencing tokens that operators' calls have presented
+	Fence []fencing.Grant `json:"Fence"` // the newest token that admin calls have presented for each lease
 }
 
-// inheritedState is what a process has received from its predecessor.
+// inheritedState is the state and the listener that a process has received from its predecessor.
 type inheritedState struct {
 	*hotrestart.Handoff
 	handoffState
 	listener netpoll.Listener
 }
 
-// handoffSocketPath is the path of the Unix socket for handoffs between processes of this node, or nothing: only processes with an
-// admin address are restarted hot.
+// handoffSocketPath returns the path of the Unix socket for handoffs between processes of this node. It returns an
+// empty path if the path is invalid or the node has no admin address: hot restarts need an admin address.
 func handoffSocketPath(config *Config, log *slog.Logger) string {
 	if config.Admin == "" {
 		return ""
@@ -50,8 +50,8 @@
 	return path
 }
 
-// receiveHandoff asks a predecessor at path for its listener and state. It returns nil where there is none or it does not
-// answer: the process starts on its own.
+// receiveHandoff requests the listener and the state of a predecessor that listens at path. It returns nil if there is
+// no predecessor or the handoff fails. The process then starts with a listener and state of its own.
 func receiveHandoff(path string, log *slog.Logger) *inheritedState {
 	handoff, err := hotrestart.Receive(path)
 	if err != nil {
@@ -60,13 +60,13 @@
 	}
 	inherited := &inheritedState{Handoff: handoff}
 	err = jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(handoff.Body, &inherited.handoffState)
-	handoff.Body = nil // it may be large, and is not needed any more
+	handoff.Body = nil // frees the body, which may be large
 	if err == nil {
 		inherited.listener, err = node.InheritListener(handoff.ListenerFD)
 	}
 	if err != nil {
 		log.Warn("no handoff received", "err", err)
-		_ = syscall.Close(handoff.ListenerFD) // the error above is the one that counts
+		_ = syscall.Close(handoff.ListenerFD) // only the error above is logged
 		_ = handoff.Close()
 		return nil
 	}
@@ -77,7 +77,8 @@
 	return inherited
 }
 
-// reportServing tells the predecessor, where there is one, that this process accepts clients.
+// reportServing reports to the predecessor, if there is one, that this process accepts clients. Until the predecessor
+// has exited, both processes share the limits of the node.
 func (s *server) reportServing() {
 	if s.inherited == nil {
 		return
@@ -89,7 +90,7 @@
 	})
 }
 
-// offerHandoff offers the listener and the state to a successor, until the server is closed.
+// offerHandoff starts to offer the listener and the state to successors, until the server is closed.
 func (s *server) offerHandoff() {
 	s.predecessorRole = &predecessorRole{node: s.node, admin: s.admin, listener: s.listener, group: s.group, log: s.log}
 	if s.handoffSocketPath == "" {
@@ -100,10 +101,10 @@
 		s.log.Warn("handoff unavailable", "err", fmt.Errorf("%s: %w", s.handoffSocketPath, err))
 		return
 	}
-	s.onClose(func() { _ = offer.Close() }) // the process ends with it
+	s.onClose(func() { _ = offer.Close() }) // the process exits, whether or not this fails
 }
 
-// predecessorRole is this process as the older side of a hot restart.
+// predecessorRole is the part that this process has in a hot restart when a successor replaces it.
 type predecessorRole struct {
 	node     *node.Node
 	admin    *admin.Server
@@ -113,10 +114,11 @@
 
 	mutex            sync.Mutex
 	successorServing bool // a successor accepts clients
-	stopping         bool
+	stopping         bool // the shutdown of this process has started
 }
 
-// ExportHandoff implements hotrestart.Predecessor.
+// ExportHandoff implements hotrestart.Predecessor. It returns the state of the node as JSON and a duplicate of the
+// listener's descriptor.
 func (p *predecessorRole) ExportHandoff() (body []byte, descriptor int, err error) {
 	state, err := p.exportState()
 	if err != nil {
@@ -140,7 +142,8 @@
 	return body, descriptor, nil
 }
 
-// exportState asks the node's goroutine for its state.
+// exportState requests the state from the node's goroutine, and waits for it until hotrestart.HandoffTimeout has
+// passed.
 func (p *predecessorRole) exportState() (node.HotRestartState, error) {
 	exported := make(chan node.HotRestartState, 1)
 	p.node.ExportState(func(state node.HotRestartState) { exported <- state })
@@ -152,8 +155,8 @@
 	}
 }
 
-// SuccessorServing implements hotrestart.Predecessor. From here on new clients reach the successor, as soon as this
-// process shuts down.
+// SuccessorServing implements hotrestart.Predecessor. Both processes accept clients from here on. Once the shutdown of
+// this process has started, it stops accepting, and new clients reach the successor.
 func (p *predecessorRole) SuccessorServing() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -164,19 +167,19 @@
 	}
 }
 
-// SuccessorExited implements hotrestart.Predecessor.
+// SuccessorExited implements hotrestart.Predecessor. This process has all limits of the node to itself again.
 func (p *predecessorRole) SuccessorExited() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.stopping && p.successorServing {
-		return // neither process accepts any more, and this one is about to end
+		return // neither process accepts clients any more, and this one is about to exit
 	}
 	p.successorServing = false
 	p.group.removeProcess()
 	p.log.Info("successor exited")
 }
 
-// startShutdown stops accepting clients if a successor accepts them.
+// startShutdown marks this process as stopping. It stops accepting clients if a successor accepts them.
 func (p *predecessorRole) startShutdown() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/daemon/hotrestart_test.go
+++ b/internal/daemon/hotrestart_test.go
@@ -13,16 +13,17 @@
 	"time"
 )
 
-// restartLoad sends non-idempotent requests to a node while it is restarted, and counts what becomes of them.
+// restartLoad sends non-idempotent requests to a node while it is restarted, and counts their outcomes.
 type restartLoad struct {
 	address  string
 	stop     chan struct{}
 	workers  sync.WaitGroup
 	sent     atomic.Int64
-	rejected atomic.Int64 // no answer
-	failed   atomic.Int64 // an answer other than a complete 200
+	rejected atomic.Int64 // requests without an answer
+	failed   atomic.Int64 // requests with an answer other than a complete one with status 200
 }
 
+// startRestartLoad starts workers that each send one request after another to address, until stop is closed.
 func startRestartLoad(t *testing.T, address string, workers int) *restartLoad {
 	t.Helper()
 	load := &restartLoad{address: address, stop: make(chan struct{})}
@@ -56,7 +57,7 @@
 	}
 }
 
-// executionCounter is a backend that counts how often each request is executed.
+// executionCounter is a backend that counts the executions of each request by its trace ID.
 type executionCounter struct {
 	mutex sync.Mutex
 	byID  map[string]int
@@ -69,7 +70,7 @@
 	respond(w, "served")
 }
 
-// duplicates counts the requests that were executed more than once.
+// duplicates returns the number of requests that were executed more than once.
 func (c *executionCounter) duplicates() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -82,7 +83,7 @@
 	return duplicates
 }
 
-// freeAddress returns an address that nobody listens at.
+// freeAddress returns an address on which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -93,7 +94,7 @@
 	return listener.Addr().String()
 }
 
-// activate calls /active under a lease, and checks the status of the answer.
+// activate calls /active at the admin address with a lease and its fencing token, and checks the status of the answer.
 func activate(t *testing.T, admin string, token, want int) {
 	t.Helper()
 	url := fmt.Sprintf("http://%s/active?lease=roll&token=%d", admin, token)
@@ -106,12 +107,13 @@
 		t.Fatal(err)
 	}
 	if status != want {
-		t.Errorf("token %d: %d, want %d", token, status, want)
+		t.Errorf("token %d: status %d, want %d", token, status, want)
 	}
 }
 
-// Hot restarts under load: a new process takes the place of the old one, again and again. No request is lost or rejected,
-// and none runs twice. Without a handoff, as where no directory is set, that holds but for connections that the system resets.
+// Guards against hot restarts that lose requests: under load, a new process replaces the old one several times. No
+// request is rejected or fails, and none is executed twice. Without a handoff, for example without a directory for its
+// socket, the same would hold except for requests on connections that the operating system resets.
 func TestHotRestartsUnderLoadLoseNoRequest(t *testing.T) {
 	executions := &executionCounter{byID: map[string]int{}}
 	backend := httptest.NewServer(executions)
@@ -123,13 +125,13 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	process, address, admin := startTestProcess(t, text)
 	load := startRestartLoad(t, address, 6)
-	const restarts = 20 // each takes the 0.75 s of a shutdown
+	const restarts = 20 // each waits for a shutdown, which takes 0.75 s
 	var longestStart time.Duration
 	activate(t, admin, 10, http.StatusOK)
 	for i := range restarts {
 		start := time.Now()
 		successor, _, admin := startTestProcess(t, text)
-		activate(t, admin, 9+i, http.StatusConflict) // a token that was stale before the restart is rejected after it, too
+		activate(t, admin, 9+i, http.StatusConflict) // a token that was stale before the restart stays stale
 		activate(t, admin, 11+i, http.StatusOK)
 		status, err := send(http.DefaultTransport, http.MethodGet, "http://"+admin+"/status", "status")
 		if err != nil || status != http.StatusOK {
@@ -145,14 +147,16 @@
 	load.workers.Wait()
 	process.stop(t)
 	duplicates := executions.duplicates()
-	t.Logf("%d restarts, %d requests: %d rejected, %d failed, %d run twice; at most %v from start to acceptance",
+	t.Logf("%d restarts, %d requests: %d rejected, %d failed, %d executed twice; at most %v until the admin address serves",
 		restarts, load.sent.Load(), load.rejected.Load(), load.failed.Load(), duplicates, longestStart.Round(time.Millisecond))
 	if load.rejected.Load()+load.failed.Load() > 0 || duplicates > 0 {
-		t.Error("requests were rejected, failed or ran twice")
+		t.Error("requests were rejected, failed or executed twice")
 	}
 }
 
-// The list of the predecessor counts also where it is empty or restricted, as the lease on it is passed on.
+// Guards against a successor that falls back to the endpoint list of its configuration although the predecessor has a
+// newer list without endpoints, or a confirmed one with a lower revision: requests would then reach removed endpoints.
+// The lease on the predecessor's list is handed over with the list.
 func TestSuccessorInheritsListWithoutEndpoints(t *testing.T) {
 	for name, lists := range map[string][]string{
 		"empty": {`{"rev":50,"all":true,"targets":[]}`},
@@ -165,7 +169,7 @@
 					respond(w, lists[call-1])
 					return
 				}
-				<-r.Context().Done() // nothing more is heard, also not by the successor
+				<-r.Context().Done() // no further call is answered, including those of the successor
 			}))
 			defer discovery.Close()
 			defer discovery.CloseClientConnections()
@@ -177,7 +181,7 @@
 			t.Setenv("TMPDIR", t.TempDir())
 			process, _, _ := startTestProcess(t, text)
 			for end := time.Now().Add(testTimeout); int(calls.Load()) <= len(lists) && time.Now().Before(end); {
-				time.Sleep(time.Millisecond) // the call after the last list shows that it was taken
+				time.Sleep(time.Millisecond) // the next call shows that the last list was applied
 			}
 			successor, address, _ := startTestProcess(t, text)
 			process.log.await(t, "successor serving")
@@ -190,7 +194,7 @@
 				}
 			}
 			if n := removedBackendRequests.Load(); n > 0 {
-				t.Errorf("%d requests at the removed backend", n)
+				t.Errorf("%d requests reached the removed backend", n)
 			}
 			successor.stop(t)
 			process.stop(t)
@@ -198,7 +202,7 @@
 	}
 }
 
-// startIdleDiscovery starts a discovery on which nothing changes.
+// startIdleDiscovery starts a discovery service that reports no changes.
 func startIdleDiscovery(t *testing.T) *httptest.Server {
 	t.Helper()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -213,8 +217,8 @@
 	return discovery
 }
 
-// A successor inherits the listener and the endpoint list with its revision. The predecessor serves on when the successor
-// fails to start.
+// Guards against a hot restart that leaves no serving process: if the successor receives the handoff and then fails to
+// start, the predecessor continues to accept and serve. The handoff includes the endpoint list with its revision.
 func TestPredecessorServesOnAfterFailedHotRestart(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { respond(w, "served") }))
 	defer backend.Close()
@@ -223,18 +227,18 @@
 		`"listen"`, `"operator":"127.0.0.1:0","listen"`).Replace(validConfig)
 	t.Setenv("TMPDIR", t.TempDir())
 	process, address, admin := startTestProcess(t, text)
-	broken := strings.Replace(text, `"operator":"127.0.0.1:0"`, `"operator":"`+admin+`"`, 1) // in use
+	broken := strings.Replace(text, `"operator":"127.0.0.1:0"`, `"operator":"`+admin+`"`, 1) // already in use
 	config := parseConfig(t, strings.Replace(broken, `"rev":41`, `"rev":7`, 1))
 	log := make(logLines, 100)
 	if err := Serve(context.Background(), config, nil, nil, log.logger()); err == nil {
-		t.Error("it has started")
+		t.Error("a successor started, although its admin address is in use")
 	}
 	if line := log.await(t, "handoff received"); !strings.Contains(line, "rev=41 backends=1") {
 		t.Error(line)
 	}
 	process.log.await(t, "handoff sent")
 	process.log.await(t, "successor exited")
-	transport := &http.Transport{DisableKeepAlives: true} // each request is on a new connection
+	transport := &http.Transport{DisableKeepAlives: true} // each request opens a new connection
 	for i := range 20 {
 		status, err := send(transport, http.MethodGet, "http://"+address+"/read", fmt.Sprint("f", i))
 		if err != nil || status != http.StatusOK {
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -20,7 +20,7 @@
 )
 
 // applyProcessLimits keeps the process within its configured limits: it sets GOMAXPROCS to the number of cores, sets
-// the garbage collector's memory limit, and configures the poller. It returns the limit of file descriptors, which is
+// the garbage collector's memory limit, and sets up the one poller. It returns the limit of file descriptors, which is
 // the lower one of the configured limit and that of the operating system.
 func applyProcessLimits(config *Config, log *slog.Logger) (descriptors int, err error) {
 	if config.Cores > 0 {
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// testTimeout bounds a wait for what is certain to come.
+// testTimeout bounds the wait for an event that must occur.
 const testTimeout = 10 * time.Second
 
+// noEnvironment is a getenv function of an empty environment.
 func noEnvironment(string) string { return "" }
 
 func parseConfig(t *testing.T, text string) *Config {
@@ -24,10 +25,10 @@
 	return config
 }
 
-// respond writes a response's body. A client that has disconnected is not this side's fault.
+// respond writes the body of a response. It ignores errors, as the client may have disconnected.
 func respond(w http.ResponseWriter, body string) { _, _ = io.WriteString(w, body) }
 
-// logLines collects lines of a log, as far as there is capacity.
+// logLines collects the lines of a log. It drops lines when its channel is full.
 type logLines chan string
 
 func (l logLines) Write(p []byte) (int, error) {
@@ -40,7 +41,7 @@
 
 func (l logLines) logger() *slog.Logger { return slog.New(slog.NewTextHandler(l, nil)) }
 
-// await returns the next line that contains a phrase.
+// await returns the next line that contains phrase. It skips the lines before it.
 func (l logLines) await(t *testing.T, phrase string) string {
 	t.Helper()
 	for timeout := time.After(testTimeout); ; {
@@ -50,26 +51,26 @@
 				return line
 			}
 		case <-timeout:
-			t.Fatalf("no line says %s", phrase)
+			t.Fatalf("no log line contains %q", phrase)
 		}
 	}
 }
 
-// logField returns the value of an attribute in a line of a log.
+// logField returns the value of the named attribute in a log line.
 func logField(line, name string) string {
 	_, after, _ := strings.Cut(line, name+"=")
 	value, _, _ := strings.Cut(after, " ")
 	return value
 }
 
-// testProcess is a node that a test starts and stops; its signals are the context's.
+// testProcess is a node that runs within the test process. Canceling its context stands for a signal to stop.
 type testProcess struct {
 	cancel func()
 	ended  chan error
 	log    logLines
 }
 
-// startTestProcess starts a node and returns once it serves.
+// startTestProcess starts a node with the configuration text, and returns once it serves.
 func startTestProcess(t *testing.T, text string) (p *testProcess, clientAddress, adminAddress string) {
 	t.Helper()
 	config := parseConfig(t, text)
@@ -80,7 +81,7 @@
 	return p, logField(line, "listen"), logField(line, "operator")
 }
 
-// stop ends the node and waits for its end.
+// stop stops the node and waits until it has stopped.
 func (p *testProcess) stop(t *testing.T) {
 	t.Helper()
 	p.cancel()
@@ -89,7 +90,7 @@
 	}
 }
 
-// send sends a request of tenant t with an ID of its own and returns the status.
+// send sends a request of the tenant named t with the given trace ID, and returns the status of the response.
 func send(client http.RoundTripper, method, url, requestID string) (status int, err error) {
 	request, err := http.NewRequest(method, url, http.NoBody)
 	if err != nil {
@@ -99,13 +100,13 @@
 	return roundTrip(client, request)
 }
 
-// roundTrip sends a request and returns the status once the body has been read.
+// roundTrip sends a request and returns the status of the response once its body has been read.
 func roundTrip(client http.RoundTripper, request *http.Request) (status int, err error) {
 	response, err := client.RoundTrip(request)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	_, err = io.Copy(io.Discard, response.Body)
 	return response.StatusCode, err
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -12,15 +12,17 @@
 	"tulipglade/internal/node"
 )
 
-// NotifyReload catches SIGHUP from here on; before that, the signal ends the process. A program calls it before it reads
-// its configuration: a SIGHUP that comes during the start stands for a file that is newer than the one already read.
+// NotifyReload returns a channel that receives SIGHUP from here on. Without it, the signal terminates the process. A
+// program must call it before it reads its configuration: a SIGHUP that arrives during the start then causes a reload,
+// as the file may have changed after it was read.
 func NotifyReload() <-chan os.Signal {
-	signals := make(chan os.Signal, 1) // one pending signal stands for all behind it: the file is read after them
+	signals := make(chan os.Signal, 1) // one pending signal is enough: the file is read after those dropped
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals
 }
 
-// reloadOnSignal reloads the configuration at each signal until the node has stopped, so also while it drains.
+// reloadOnSignal reloads the configuration at each signal until the node has stopped, which includes the time while it
+// drains.
 func (s *server) reloadOnSignal(load func() (*Config, error), signals <-chan os.Signal) {
 	running := s.config
 	for {
@@ -33,8 +35,8 @@
 	}
 }
 
-// reload applies a new configuration, and returns the one in force from here on. Where the new one is not valid, the
-// running one stays in force unchanged.
+// reload loads a new configuration and applies it. It returns the configuration that is in force afterwards, which is
+// the running one, unchanged, if the new one is invalid.
 func reload(running *Config, load func() (*Config, error), endpointWatch *watch, runningNode *node.Node, log *slog.Logger) *Config {
 	loaded, err := load()
 	if err == nil {
@@ -59,9 +61,9 @@
 	return next
 }
 
-// keepRestartOnlyFields returns the loaded configuration with the running one's values for what takes a restart. The list
-// of endpoints and the seed are for the start alone: a list in a file is older than what discovery has sent since, and
-// would bring back endpoints that have been removed.
+// keepRestartOnlyFields returns the loaded configuration, with the running values of the fields that only a restart can
+// change. The endpoint list and the seed are used only at the start: the list in a file is older than the lists that
+// discovery has sent since, and would bring back endpoints that have been removed.
 func keepRestartOnlyFields(running, loaded *Config) *Config {
 	next := *loaded
 	next.Name = running.Name
@@ -80,8 +82,8 @@
 	return &next
 }
 
-// restartOnlyChanges names the fields that differ and that a running node does not change. The endpoint list and the seed
-// are not among them: both matter at the start alone.
+// restartOnlyChanges returns the names of the fields that differ but that only a restart can change. It ignores the
+// endpoint list and the seed, which are used only at the start.
 func restartOnlyChanges(running, loaded *Config) []string {
 	limitsDiffer := running.Cores != loaded.Cores ||
 		running.MemoryMB != loaded.MemoryMB ||
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -10,13 +10,13 @@
 	"testing"
 )
 
-// startRecordingDiscovery starts a discovery service that passes each call, after its own name, to calls. It answers calls
-// that do not wait, and leaves the others open.
+// startRecordingDiscovery starts a discovery service that sends its name, followed by the URI of the call, to calls for
+// each call. It answers calls with a wait of 0, and does not answer others.
 func startRecordingDiscovery(t *testing.T, name string, calls chan<- string) *httptest.Server {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- name + r.RequestURI
-		if strings.HasSuffix(r.RequestURI, "timeout_ms=0") { // a node that has just started forwards nothing before this
+		if strings.HasSuffix(r.RequestURI, "timeout_ms=0") { // a starting node forwards no request before this answer
 			respond(w, `{"rev":41,"all":false,"targets":[]}`)
 			return
 		}
@@ -29,7 +29,7 @@
 	return server
 }
 
-// startBlockingBackend starts a backend that sends to arrived for each request, and answers once release is closed.
+// startBlockingBackend starts a backend that signals each request on arrived, and answers it once release is closed.
 func startBlockingBackend(t *testing.T, arrived chan<- struct{}, release <-chan struct{}) (address string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -41,9 +41,10 @@
 	return server.Listener.Addr().String()
 }
 
-// SIGHUP, several in a row: a valid file changes the address of discovery, an invalid one is a line that names the field
-// and changes nothing, other differences are named, and a list in the file does not count. The node serves all along,
-// also a request that was in flight.
+// Several reloads in a row by SIGHUP: a valid file changes the address of discovery. For an invalid file, the log names
+// the invalid field, and the running configuration stays in force. For a field that only a restart can change, the log
+// names the field. The endpoint list in the file is ignored. The node keeps serving, and a request that is in flight is
+// answered.
 func TestReloadOnSIGHUP(t *testing.T) {
 	calls := make(chan string, 100)
 	first := startRecordingDiscovery(t, "first", calls)
@@ -64,7 +65,7 @@
 	}
 	answered := make(chan int, 1)
 	go func() {
-		status, _ := send(http.DefaultTransport, http.MethodGet, "http://"+address+"/read", "1") // the status shows a failure
+		status, _ := send(http.DefaultTransport, http.MethodGet, "http://"+address+"/read", "1") // 0 on error
 		answered <- status
 	}()
 	<-arrived
@@ -84,7 +85,7 @@
 		log.await(t, step.phrase)
 	}
 	got := <-calls
-	for strings.HasPrefix(got, "first/v1/endpoints?since=41&timeout_ms=") { // watch calls from before the reload
+	for strings.HasPrefix(got, "first/v1/endpoints?since=41&timeout_ms=") { // watch calls before the reload
 		got = <-calls
 	}
 	if got != "second/v1/endpoints" {
@@ -96,7 +97,7 @@
 	}
 	stop()
 	log.await(t, "msg=draining")
-	files <- text // a reload during the shutdown is safe, too
+	files <- text // a reload during the shutdown must be safe
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	log.await(t, "configuration reloaded")
 	if err := <-ended; err != nil {
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -1,4 +1,5 @@
-// Package daemon starts and stops a node: its configuration, the listener, discovery's watch, and signals.
+// Package daemon runs a node as a process: it reads the configuration, opens the listeners, polls and watches
+// discovery, handles signals, and takes part in hot restarts.
 package daemon
 
 import (
@@ -17,15 +18,16 @@
 	"tulipglade/internal/protocol"
 )
 
-// newRequestGrace is for how long after SIGTERM clients may still send new requests that must be answered: 0.7 s, and the
-// tolerance that applies to all limits.
+// newRequestGrace is the time after SIGTERM in which clients may still send new requests that must be answered: 0.7 s,
+// plus the tolerance that applies to all time limits.
 const newRequestGrace = 750 * time.Millisecond
 
-// shutdownTimeout bounds a graceful shutdown: by then every request's deadline has passed.
+// shutdownTimeout bounds a graceful shutdown. After this time the deadline of every request has passed.
 const shutdownTimeout = 15 * time.Second
 
-// Serve runs a node until ctx ends or a signal to stop comes, and returns once every accepted request has been
-// answered. At each of reloadSignals it applies the configuration that load returns then; see reload.
+// Serve runs a node until ctx ends or the process receives SIGTERM or SIGINT. It returns once every accepted request
+// has been answered, or after shutdownTimeout. At each signal from reloadSignals it calls load and applies the
+// configuration; see reload.
 func Serve(
 	ctx context.Context, config *Config, load func() (*Config, error), reloadSignals <-chan os.Signal, log *slog.Logger,
 ) error {
@@ -51,31 +53,32 @@
 	return nil
 }
 
-// server is a node with the listeners, the watch and the hot restart that belong to it.
+// server is a node together with its listeners, its watch of discovery and its part in hot restarts.
 type server struct {
 	config    *Config
 	log       *slog.Logger
-	settings  node.Settings
-	endpoints protocol.List // known before discovery has answered
+	settings  node.Settings // the configured settings, with the effective limit of file descriptors
+	endpoints protocol.List // the endpoint list that is used until discovery has answered
 
-	handoffSocketPath string          // of the Unix socket for handoffs; empty: no hot restart
-	inherited         *inheritedState // of the predecessor; nil: none
+	handoffSocketPath string          // path of the Unix socket for handoffs; empty: no hot restart
+	inherited         *inheritedState // received from the predecessor; nil: no handoff was received
 	watch             *watch
 	node              *node.Node
-	admin             *admin.Server // nil: no admin address
+	admin             *admin.Server // nil: no admin address is configured
 	listener          *node.GatedListener
 	eventLoop         netpoll.EventLoop
 	group             *processGroup
 	predecessorRole   *predecessorRole
 
-	stopNode    chan struct{} // ends the node's goroutine
+	stopNode    chan struct{} // closed to end the node's goroutine
 	nodeStopped chan struct{} // closed when the node's goroutine has ended
-	serveFailed chan error    // why the event loop ended
+	serveFailed chan error    // receives the error with which the event loop ended
 
-	closers []func() // what close calls, last first
+	closers []func() // functions that close calls, in reverse order
 }
 
-// open acquires all that the node needs. No client is accepted before it returns.
+// open applies the process limits, receives a handoff, creates the node and opens its listeners. No client is accepted
+// before it has returned.
 func (s *server) open() error {
 	s.settings = s.config.Node
 	descriptors, err := applyProcessLimits(s.config, s.log)
@@ -93,18 +96,19 @@
 	return s.openListener()
 }
 
-// onClose has close call release, before all that was registered earlier.
+// onClose registers release to be called by close, before the functions that were registered earlier.
 func (s *server) onClose(release func()) { s.closers = append(s.closers, release) }
 
-// close releases what the steps of open, and offerHandoff, have registered.
+// close calls the functions that open and offerHandoff have registered, the last one first.
 func (s *server) close() {
 	for i := len(s.closers) - 1; i >= 0; i-- {
 		s.closers[i]()
 	}
 }
 
-// inheritState receives the state of a predecessor, where there is one. Its endpoint list counts, also without endpoints, unless
-// the configured one is newer and the predecessor's was not known to be current.
+// inheritState receives the state of a predecessor, if there is one. The predecessor's endpoint list replaces the
+// configured one, even if it is empty. The configured list is kept only if it has a higher revision and the
+// predecessor had no valid lease on its list.
 func (s *server) inheritState() {
 	s.endpoints = s.config.Endpoints
 	s.handoffSocketPath = handoffSocketPath(s.config, s.log)
@@ -115,13 +119,14 @@
 	if s.inherited == nil {
 		return
 	}
-	s.onClose(func() { _ = s.inherited.Close() }) // the connection has served its purpose
+	s.onClose(func() { _ = s.inherited.Close() }) // the handoff is over
 	list := s.inherited.EndpointList
 	if list.Revision >= s.endpoints.Revision || s.inherited.Learned.ListLeaseRemaining > 0 {
 		s.endpoints = list
 	}
 }
 
+// createNode creates the watch of discovery and the node, which use each other.
 func (s *server) createNode() error {
 	s.watch = newWatch(s.config.Discovery, s.endpoints.Revision, s.log)
 	newNode, err := node.New(s.settings, s.watch, s.log)
@@ -133,7 +138,8 @@
 	return nil
 }
 
-// openAdmin opens the admin address. It comes before the clients' listener: where it fails, a predecessor serves on.
+// openAdmin opens the admin address, if one is configured. It runs before openListener, so that a predecessor continues
+// to serve if it fails.
 func (s *server) openAdmin() error {
 	if s.config.Admin == "" {
 		return nil
@@ -143,15 +149,16 @@
 		return err
 	}
 	s.admin = adminServer
-	s.onClose(func() { _ = adminServer.Close() }) // the process ends with it
+	s.onClose(func() { _ = adminServer.Close() }) // the process exits, whether or not this fails
 	if s.inherited != nil {
 		adminServer.RestoreTokens(s.inherited.Fence)
 	}
 	return nil
 }
 
-// openListener opens the clients' address, or takes the predecessor's socket. A shutdown that has answered every request
-// closes it; after an error it ends with the process.
+// openListener opens the address for clients, or uses the listening socket of the predecessor, and creates the event
+// loop for clients. shutDown closes the listener; after an error of Serve, the listener is closed when the process
+// exits.
 func (s *server) openListener() error {
 	listener, err := s.listen()
 	if err != nil {
@@ -165,6 +172,7 @@
 	return nil
 }
 
+// listen returns the inherited listener, or else a new one at the configured address.
 func (s *server) listen() (netpoll.Listener, error) {
 	if s.inherited != nil {
 		return s.inherited.listener, nil
@@ -172,12 +180,13 @@
 	return node.Listen(s.config.Listen, s.config.Admin != "")
 }
 
-// start hands the node what is known so far, and has it run and accept clients.
+// start passes the known endpoint list and the inherited state to the node, and starts the goroutines that run the node
+// and accept clients.
 func (s *server) start() {
 	s.node.UpdateEndpoints(s.endpoints, true)
 	if !s.config.Node.Balancer.PollDiscovery {
 		s.watch.startPushed(s.config.DrainGrace, func(err error) {
-			s.log.Warn("agent does not answer", "err", err)
+			s.log.Warn("call to the agent failed", "err", err)
 		})
 	}
 	if s.inherited != nil {
@@ -222,5 +231,5 @@
 	}
 	close(s.stopNode)
 	<-s.nodeStopped
-	_ = s.listener.Close() // the process ends with it
+	_ = s.listener.Close() // the process exits, whether or not this fails
 }
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -12,12 +12,13 @@
 	"testing"
 )
 
-// From the configuration to an answered request and a shutdown at SIGTERM.
+// A node serves a request and calls to its admin address, and stops listening after SIGTERM. A listen address that is
+// in use is an error.
 func TestServeUntilSIGTERM(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { respond(w, "served") }))
 	defer backend.Close()
 	config := parseConfig(t, strings.NewReplacer("127.0.0.1:1\"", backend.Listener.Addr().String()+"\"",
-		"600000", "60000000", "1500000", "60000000").Replace(validConfig)) // long deadlines, for a busy machine
+		"600000", "60000000", "1500000", "60000000").Replace(validConfig)) // long deadlines, as the machine may be busy
 	config.Admin = "127.0.0.1:0"
 	log, ended := make(logLines, 100), make(chan error, 1)
 	go func() { ended <- Serve(context.Background(), config, nil, nil, log.logger()) }()
@@ -53,7 +54,7 @@
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", address); err == nil {
-		t.Error("still listening after the end")
+		t.Error("the address accepts connections after the shutdown")
 	}
 	inUse, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -11,42 +11,47 @@
 	"tulipglade/internal/staleness"
 )
 
-// endpointListener receives what calls to discovery bring.
+// endpointListener is notified of the results of calls to discovery. The node implements it.
 type endpointListener interface {
-	// UpdateEndpointsAsOf is an answer, the time at which it was current, and how it relates to those before.
+	// UpdateEndpointsAsOf receives an answer, the time at which it was current, and how its revision relates to those
+	// of earlier answers. The zero time says that it is not known when the answer was current.
 	UpdateEndpointsAsOf(list protocol.List, asOf time.Time, order staleness.RevisionOrder)
-	// DiscoveryCallFailed is a failed call, and the time as of which nothing newer could be had.
+	// DiscoveryCallFailed receives the error of a failed call, its kind, and the latest time at which the call shows
+	// that no newer list was available.
 	DiscoveryCallFailed(err error, kind balancer.ListKind, asOf time.Time)
-	// DiscoveryAddressChanged limits for how long the list received so far stays valid.
+	// DiscoveryAddressChanged limits the time for which lists received from the old address remain valid.
 	DiscoveryAddressChanged(validity time.Duration)
 }
 
-// watch polls discovery for the endpoint list, watches it for changes, or both. Each Watch and each Poll leads to at least
-// one list or failure at the listener. SetAddress may be called at any time.
+// watch calls discovery: Poll fetches the full endpoint list once, and Watch starts calls that wait for changes. Each
+// call of Watch(true) or Poll leads to at least one list or failure for the listener. SetAddress may be called at any
+// time.
 type watch struct {
 	listener          endpointListener
-	maxWait           time.Duration // a watch call waits for events for so long at most
-	callTimeout       time.Duration // of a call that does not wait
-	queueingThreshold time.Duration // a call that does not wait and fails after so long was queued by discovery
-	watchSlack        time.Duration // a watch call is given up so long after its wait
-	waitJitter        time.Duration // a watch call waits up to so much less than maxWait
-	minCallInterval   time.Duration
-	onPushFailure     func(error) // where lists are pushed: the watch never ends, and the first of failures in a row is passed to this
+	maxWait           time.Duration // maximum time for which a watch call asks discovery to wait for events
+	callTimeout       time.Duration // timeout of a call that does not wait for events
+	queueingThreshold time.Duration // a call that does not wait and fails after this time was queued by discovery
+	watchSlack        time.Duration // time after its wait at which a watch call is given up
+	waitJitter        time.Duration // each watch call shortens maxWait by a random time up to this
+	minCallInterval   time.Duration // minimum time from the start of one call of run to the next
+	// onPushFailure is set if lists are pushed to an agent. A failure then does not end the watch; the first one of
+	// several in a row is passed to this function.
+	onPushFailure func(error)
 
-	calls     callLog   // of run's goroutine
-	startedAt time.Time // the origin of the times that revisions gets
+	calls     callLog   // its counts are used by the goroutine of run alone
+	startedAt time.Time // the origin of the times that are passed to revisions
 
 	mutex               sync.Mutex
 	address             string
-	addressChanged      chan struct{} // closed, and replaced, as address changes
-	revision            int64         // of the last answer
+	addressChanged      chan struct{} // closed and replaced when address changes
+	revision            int64         // revision of the last answer
 	revisions           staleness.RevisionTracker
-	needsFullList       bool // the next call fetches the full list: revisions of another address may mean nothing here
-	loopRunning         bool
-	active              bool
-	watchRequested      bool // what Watch was last called with; active ends with a failure, this does not
-	lastCallStart       time.Time
-	consecutiveTimeouts int // calls in a row that do not wait and timed out
+	needsFullList       bool      // the next call fetches the full list: changes since revision would not do
+	loopRunning         bool      // the goroutine of run exists
+	active              bool      // run goes on with another call; a failure resets it
+	watchRequested      bool      // the argument of the last call of Watch; a failure does not reset it
+	lastCallStart       time.Time // when the latest call was scheduled to start
+	consecutiveTimeouts int       // number of calls in a row that did not wait for events and timed out
 }
 
 func newWatch(address string, revision int64, log *slog.Logger) *watch {
@@ -66,18 +71,19 @@
 	}
 }
 
-// startPushed watches an agent, which answers at no cost with the lists that are pushed to it, from now to the end of
-// the process. What the agent has counts as notified, so the watch does not wait for the decision module to call Watch
-// again, and a call that the agent does not answer is given up well within drainGrace, in microseconds.
+// startPushed starts to watch an agent, which receives the pushed lists and answers calls at no cost. The watch runs
+// until the process exits. The node counts as notified of a change as soon as the agent has it. The watch therefore
+// continues after a failure without waiting for the balancer to call Watch again, and a call that the agent does not
+// answer is given up well within drainGrace, which is in microseconds.
 func (w *watch) startPushed(drainGrace int64, onFailure func(error)) {
-	w.waitJitter = 0 // the agent is on this machine and serves this node alone
+	w.waitJitter = 0 // no jitter is needed: the agent is on this machine and serves this node alone
 	w.onPushFailure = onFailure
 	w.setDrainGrace(drainGrace)
 	w.Watch(true)
 }
 
-// setDrainGrace sets how long calls to an agent may take, from the next one on, where the node must notice a draining
-// endpoint within drainGrace, in microseconds.
+// setDrainGrace sets the wait and the timeout of calls to an agent, from the next call on. Each is a quarter of
+// drainGrace, in microseconds, within bounds, as the node must be notified of a draining endpoint within drainGrace.
 func (w *watch) setDrainGrace(drainGrace int64) {
 	quarter := time.Duration(drainGrace) * time.Microsecond / 4
 	w.mutex.Lock()
@@ -87,7 +93,7 @@
 	w.watchSlack = w.callTimeout
 }
 
-// Watch starts the watch, or ends it once the call in flight has returned.
+// Watch starts the watch if on is true. Otherwise it ends the watch once the call in flight has returned.
 func (w *watch) Watch(on bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -95,6 +101,7 @@
 	w.setActive(on)
 }
 
+// setActive sets active, and starts the goroutine of run if it is needed. The caller holds w.mutex.
 func (w *watch) setActive(active bool) {
 	w.active = active
 	if active && !w.loopRunning {
@@ -103,8 +110,8 @@
 	}
 }
 
-// SetAddress changes the address of discovery. A call in flight is given up, and a watch continues at the new address at
-// once, also one that has failed: the decision module would restart it only after its backoff.
+// SetAddress changes the address of discovery. It aborts the call in flight, and the watch continues at the new address
+// immediately. A watch that has failed is restarted too, as the balancer would restart it only after its backoff.
 func (w *watch) SetAddress(address string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -120,7 +127,7 @@
 	}
 }
 
-// Poll fetches the full list once.
+// Poll fetches the full list once, in the background. It repeats the call if the address changes meanwhile.
 func (w *watch) Poll() {
 	go func() {
 		for done := false; !done; {
@@ -129,8 +136,8 @@
 	}()
 }
 
-// pollOnce makes one call for the full list. It returns false where the address changed during the call, which then must be
-// repeated.
+// pollOnce makes one call for the full list. It returns false if the address changed during the call, which must then
+// be repeated.
 func (w *watch) pollOnce() bool {
 	w.mutex.Lock()
 	connection, timeout := newDiscoveryConn(w.address, w.addressChanged), w.callTimeout
--- a/internal/daemon/watch_errors.go
+++ b/internal/daemon/watch_errors.go
@@ -9,26 +9,27 @@
 )
 
 var (
-	// errNoAnswer is a call that had no complete answer in time. A discovery without capacity for a call rejects it, with 503 or a reset.
+	// errNoAnswer reports a call without a complete answer before its timeout. It does not mean that discovery is
+	// overloaded: a discovery service without capacity for a call rejects it with status 503 or a reset.
 	errNoAnswer = errors.New("no answer in time")
-	// errOverloaded is a call that was queued by discovery, and then rejected or reset.
-	errOverloaded = errors.New("too many callers")
-	// errInvalidList is an answer that is not a valid list, or not valid HTTP, whenever it came.
+	// errOverloaded reports a call that discovery queued, and then rejected or reset.
+	errOverloaded = errors.New("discovery is overloaded")
+	// errInvalidList reports an answer that is not a valid list or not valid HTTP, however long the call took.
 	errInvalidList = errors.New("invalid list")
-	// errUnreachable is a call whose connection could not be opened: refused, or no route.
+	// errUnreachable reports that the connection could not be opened, as it was refused or there is no route.
 	errUnreachable = errors.New("unreachable")
-	// errAddressChanged ends a call to an address of discovery that is no longer configured.
+	// errAddressChanged aborts a call to an address of discovery that is no longer configured.
 	errAddressChanged = errors.New("address of discovery changed")
-	// errConnectionEnded is a connection that discovery closed before its answer was complete.
+	// errConnectionEnded reports that discovery closed the connection before its answer was complete.
 	errConnectionEnded = errors.New("connection closed before the answer was complete")
 )
 
-// statusError is an answer of discovery with a status other than 200.
+// statusError reports an answer of discovery with a status other than 200.
 type statusError struct {
 	status int
 }
 
-// Error gives the status.
+// Error returns a text with the status.
 func (e *statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
 
 // checkStatus returns a statusError unless the status is 200.
@@ -39,7 +40,7 @@
 	return &statusError{status: status}
 }
 
-// failureKind is what a failed call means to the decision module.
+// failureKind returns the kind of failure that the balancer distinguishes for the error of a call.
 func failureKind(err error) balancer.ListKind {
 	switch {
 	case errors.Is(err, errInvalidList):
--- a/internal/daemon/watch_errors_test.go
+++ b/internal/daemon/watch_errors_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// resetCall ends a call without an answer.
+// resetCall closes the connection of a call without an answer.
 func resetCall(w http.ResponseWriter) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
@@ -18,13 +18,14 @@
 	}
 }
 
-// A call that is rejected at once has met a discovery that is down; one that was queued first has met an overloaded one,
-// and the next is spread over time; an answer that cannot be used is neither, whenever it comes.
+// A call that is rejected or reset immediately means that discovery is down. One that is rejected or reset after it was
+// queued means that discovery is overloaded, and the balancer then spreads its next call over time. An answer that is
+// not a valid list is a failure of its own kind, however long the call took.
 func TestFailedCallIsClassified(t *testing.T) {
 	reject := func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 	for _, c := range []struct {
 		name              string
-		queueingThreshold time.Duration // a call that fails after so long was queued
+		queueingThreshold time.Duration // a call that fails after this time counts as queued
 		fail              func(http.ResponseWriter)
 		want              string
 	}{
@@ -51,9 +52,9 @@
 	}
 }
 
-// A call whose connection never comes up has had no answer.
+// A call whose connection is never established counts as a call without an answer.
 func TestCallWithoutConnectionHasNoAnswer(t *testing.T) {
-	full, err := net.Listen("tcp", "127.0.0.1:0") // nobody accepts: once its queue is full, connections are not established
+	full, err := net.Listen("tcp", "127.0.0.1:0") // never accepts: a full accept queue blocks connections
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for { // until one does not
+	for { // fills the accept queue, until a connection is not established
 		conn, err := net.DialTimeout("tcp", full.Addr().String(), 100*time.Millisecond)
 		if err != nil {
 			break
--- a/internal/daemon/watch_loop.go
+++ b/internal/daemon/watch_loop.go
@@ -10,17 +10,17 @@
 	"tulipglade/internal/staleness"
 )
 
-// callResult is what one call to discovery has brought.
+// callResult is the outcome of one call to discovery: an answer or an error.
 type callResult struct {
 	address string
 	answer
 	err   error
 	start time.Time
-	wait  time.Duration // how long discovery was allowed to wait for events
+	wait  time.Duration // the time for which the call asked discovery to wait for events
 }
 
-// run makes one call after the other until one fails. The first fetches what has been missed and does not wait, so that
-// it shows at once whether discovery answers.
+// run makes one call after another until one fails or Watch ends the watch. The first call fetches the changes that
+// were missed and does not wait for events, so that it shows immediately whether discovery answers.
 func (w *watch) run() {
 	connection := &discoveryConn{}
 	defer func() { connection.close() }()
@@ -60,29 +60,30 @@
 	}
 }
 
-// finishAbandonedCall waits for the answer to a call that a change of address has ended: what the earlier address writes counts as
-// notified. It proves nothing of the list at the new one, and of it only what it restricts holds.
+// finishAbandonedCall waits for the answer to a call that was abandoned because the address of discovery changed, since
+// the node counts as notified of what the old address still sends. Such an answer is no evidence that the list at the
+// new address is current, and only its restrictions apply.
 func (w *watch) finishAbandonedCall(connection *discoveryConn) {
 	received, err := connection.finishAbandonedCall(earlierAddressTimeout)
 	if err != nil || !received.list.Full && len(received.list.Targets) == 0 {
 		return
 	}
 	w.mutex.Lock()
-	w.needsFullList = true // it says what the new address knows of endpoints that this list restricts
+	w.needsFullList = true // shows the state at the new address of the endpoints that this list restricts
 	w.mutex.Unlock()
 	w.listener.UpdateEndpointsAsOf(received.list, time.Time{}, staleness.Behind)
 }
 
-// plannedCall is the next call of a watch.
+// plannedCall holds the parameters of the next call of a watch.
 type plannedCall struct {
 	connection  *discoveryConn
 	revision    int64
-	fullList    bool          // the full list, and not the changes since revision
-	wait, slack time.Duration // discovery may wait so long for events, and then take so long to answer
-	delay       time.Duration // before the call
+	fullList    bool          // request the full list instead of the changes since revision
+	wait, slack time.Duration // time that discovery may wait for events, and then take to answer
+	delay       time.Duration // time to wait before the call
 }
 
-// execute makes the call.
+// execute makes the call and returns its result. The caller must wait for p.delay first.
 func (p plannedCall) execute() callResult {
 	start := time.Now()
 	received, err := p.connection.roundTrip(p.request(), p.wait+p.slack)
@@ -96,8 +97,9 @@
 	return protocol.AppendWatchRequest(nil, p.connection.address, p.revision, p.wait.Milliseconds())
 }
 
-// planCall plans the next call, on a new connection where the address has changed since the last. Discovery may wait for
-// events where mayWait says that the last call was answered. It returns false where the watch has been ended.
+// planCall plans the next call. The call uses the connection last, or a new one if the address has changed. It asks
+// discovery to wait for events only if mayWait is set, which means that the previous call was answered. planCall
+// returns false if the watch has been ended.
 func (w *watch) planCall(last *discoveryConn, mayWait bool) (plannedCall, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -118,13 +120,15 @@
 		next.wait = w.maxWait - rand.N(w.waitJitter+1)
 		next.slack = w.watchSlack
 	}
-	// A discovery that answers or fails at once must not be called in a tight loop, whoever restarts the watch.
+	// A discovery service that answers or fails immediately must not be called in a tight loop, whoever restarts the
+	// watch.
 	next.delay = w.minCallInterval - time.Since(w.lastCallStart)
 	w.lastCallStart = time.Now().Add(max(next.delay, 0))
 	return next, true
 }
 
-// countTimeouts counts calls in a row that do not wait and time out. A watch call that times out was lost, not slow.
+// countTimeouts counts the calls in a row that do not wait for events and time out. It does not count a watch call that
+// times out, as the reason is a lost call and not a slow discovery service.
 func (w *watch) countTimeouts(result callResult) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -136,7 +140,8 @@
 	}
 }
 
-// classify returns the error that a call's result stands for: a queued call that failed has met an overloaded discovery.
+// classify returns the error of a call. It wraps the error in errOverloaded if discovery had queued the call before it
+// failed.
 func (w *watch) classify(result callResult) error {
 	err := result.err
 	if err == nil {
@@ -151,8 +156,9 @@
 	return err
 }
 
-// endAfterFailure ends the watch, before the decision module learns of the failure and may restart it. It returns false
-// where the address has changed in this moment.
+// endAfterFailure ends the watch after a failed call to address. It must be called before the balancer is notified of
+// the failure, upon which it may restart the watch. It returns false, and the watch goes on, if the address has changed
+// meanwhile.
 func (w *watch) endAfterFailure(address string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -163,12 +169,12 @@
 	return true
 }
 
-// notifyListener passes a call's result to the listener.
+// notifyListener passes the result of a call to the listener.
 func (w *watch) notifyListener(result callResult) {
 	if result.err != nil {
-		asOf := time.Now() // discovery rejected the call in this moment
+		asOf := time.Now() // discovery has just rejected the call
 		if errors.Is(result.err, errNoAnswer) || errors.Is(result.err, errOverloaded) {
-			asOf = result.start // it let the call wait, and may have answered others meanwhile
+			asOf = result.start // discovery held the call, and may have answered others meanwhile
 		}
 		w.listener.DiscoveryCallFailed(result.err, failureKind(result.err), asOf)
 		return
@@ -180,9 +186,10 @@
 	w.listener.UpdateEndpointsAsOf(result.list, asOf, order)
 }
 
-// acceptRevision takes over the list's revision, and returns the time at which the list was current and how it relates to
-// the answers before. Of an answer from an earlier address only what it restricts holds: its revision does not count at the
-// new one, and it proves no time.
+// acceptRevision records the revision of the list for the next call. It returns the time at which the list was current
+// and how its revision relates to those of earlier answers. An answer from an earlier address is Behind, so that only
+// its restrictions apply: its revision has no meaning at the new address, and the time at which it was current is
+// unknown.
 func (w *watch) acceptRevision(result callResult) (asOf time.Time, order staleness.RevisionOrder) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -198,6 +205,7 @@
 	return earlierOf(time.Now(), result.start.Add(result.wait+answerLatencyTolerance)), order
 }
 
+// earlierOf returns the earlier one of two times.
 func earlierOf(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
--- a/internal/daemon/watch_push_test.go
+++ b/internal/daemon/watch_push_test.go
@@ -12,9 +12,10 @@
 	"time"
 )
 
-// Where lists are pushed the watch starts by itself and never ends: an agent that fails, does not answer, sends what is no
-// list or changes its address is called again without a report to the decision module, which did not start the watch. The
-// first failure in a row is passed on, and no other.
+// With pushed lists, the watch runs without a call of Watch by the balancer and never ends. If the agent fails, does
+// not answer, sends an invalid list or changes its address, it is called again, and the failure is not reported to the
+// balancer, which did not start the watch. Only the first of several failures in a row is passed to the failure
+// handler.
 func TestPushedWatchRetriesForEver(t *testing.T) {
 	answers := make(chan string, 10)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -36,7 +37,7 @@
 	defer server.CloseClientConnections()
 	next := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.RequestURI, "since=") {
-			<-r.Context().Done() // no events
+			<-r.Context().Done() // there are no changes
 			return
 		}
 		respond(w, `{"rev":7,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"in_service"}]}`)
@@ -52,18 +53,18 @@
 	}
 	w.startPushed((400 * time.Millisecond).Microseconds(), func(error) { received <- "failing" })
 	if w.maxWait != 100*time.Millisecond || w.callTimeout != w.maxWait {
-		t.Errorf("waits %v, times out %v after that", w.maxWait, w.callTimeout)
+		t.Errorf("calls wait %v and time out %v later", w.maxWait, w.callTimeout)
 	}
 	for _, want := range []string{"failing", "list 42 false", "failing", "list 43 true"} {
 		received.want(t, want)
 	}
-	server.CloseClientConnections() // the agent dies, and no call is in flight there
+	server.CloseClientConnections() // the agent exits, and no call to it is in flight
 	w.SetAddress(next.Listener.Addr().String())
 	for got := ""; got != "list 7 true"; {
 		select {
 		case got = <-received:
 		case <-time.After(testTimeout):
-			t.Fatal("nothing from the agent at the new address")
+			t.Fatal("no list from the agent at the new address")
 		}
 		if got != "failing" && got != "list 7 true" {
 			t.Fatal(got)
@@ -72,11 +73,11 @@
 	w.Watch(false)
 }
 
-// A node to which lists are pushed is notified of a draining endpoint without having polled.
+// A node to which lists are pushed is notified of a draining endpoint without polling discovery.
 func TestNodeReceivesPushedLists(t *testing.T) {
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.RequestURI, "since=9000") {
-			<-r.Context().Done() // no events
+			<-r.Context().Done() // there are no changes
 			return
 		}
 		respond(w, `{"rev":9000,"all":false,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"terminating"}]}`)
@@ -95,8 +96,8 @@
 	}
 }
 
-// Where lists are pushed, how long calls to the agent may wait follows from the drain grace, also from one that SIGHUP
-// brings.
+// With pushed lists, calls to the agent wait for a quarter of the drain grace, also after a reload has changed the
+// drain grace.
 func TestReloadAppliesDrainGraceToPushedWatch(t *testing.T) {
 	waits := make(chan string, 100)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -117,7 +118,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended, reloads := make(chan error, 1), make(chan os.Signal, 1)
 	go func() { ended <- Serve(ctx, config, load, reloads, slog.New(slog.DiscardHandler)) }()
-	for _, want := range []string{"500", "150"} { // a quarter, in milliseconds
+	for _, want := range []string{"500", "150"} { // a quarter of each drain grace, in milliseconds
 		for end, got := time.After(testTimeout), ""; got != want; {
 			select {
 			case got = <-waits:
--- a/internal/daemon/watch_test.go
+++ b/internal/daemon/watch_test.go
@@ -16,7 +16,7 @@
 	"tulipglade/internal/staleness"
 )
 
-// notifications collects what a watch passes to its listener.
+// notifications is an endpointListener that records each list and each failure as a text.
 type notifications chan string
 
 func (n notifications) UpdateEndpointsAsOf(list protocol.List, _ time.Time, _ staleness.RevisionOrder) {
@@ -34,6 +34,7 @@
 	}[kind]
 }
 
+// want checks that the next notification is the given text.
 func (n notifications) want(t *testing.T, want string) {
 	t.Helper()
 	select {
@@ -46,8 +47,9 @@
 	}
 }
 
-// The first call does not wait, so that it shows at once whether discovery answers; the next ones carry the revision last
-// received. A failure ends the watch and is reported once; Watch restarts it.
+// The first call does not wait for events, so that it shows immediately whether discovery answers. The calls after it
+// wait and carry the revision of the last answer. A failure ends the watch and is reported once. Watch restarts the
+// watch.
 func TestWatchCallsFollowEachOther(t *testing.T) {
 	calls := make(chan string, 10)
 	answers := make(chan string, 10)
@@ -68,7 +70,7 @@
 	w := newWatch(server.Listener.Addr().String(), 41, slog.New(slog.DiscardHandler))
 	w.listener, w.waitJitter = received, 0
 	w.Watch(true)
-	w.Watch(true) // already watching: no second call
+	w.Watch(true) // the watch is already running: no second call
 	answers <- `{"rev":41,"all":false,"targets":[]}`
 	received.want(t, "list 41 false")
 	answers <- `{"rev":43,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"in_service"}]}`
@@ -91,14 +93,14 @@
 	}
 }
 
-// A change of address gives up the call in flight without reporting a failure, and fetches the full list from the new
-// address at once, which counts also where it is empty. A change of address restarts a failed watch too: the decision
-// module would restart it only after its backoff.
+// A change of address aborts the call in flight without reporting a failure, and fetches the full list from the new
+// address immediately. That list is accepted even if it is empty. A change of address also restarts a watch that has
+// failed, as the balancer would restart it only after its backoff.
 func TestWatchFollowsChangedAddress(t *testing.T) {
 	oldCalls, calls := make(chan string, 10), make(chan string, 10)
 	old := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		oldCalls <- r.RequestURI
-		<-r.Context().Done() // until the call is given up
+		<-r.Context().Done() // until the call is aborted
 		oldCalls <- "given up"
 	}))
 	defer old.Close()
@@ -117,7 +119,7 @@
 	defer next.CloseClientConnections()
 	received := make(notifications, 10)
 	w := newWatch(old.Listener.Addr().String(), 41, slog.New(slog.DiscardHandler))
-	w.listener, w.waitJitter, w.callTimeout = received, 0, time.Minute // longer than this test takes
+	w.listener, w.waitJitter, w.callTimeout = received, 0, time.Minute // longer than this test runs
 	w.Watch(true)
 	if got := <-oldCalls; got != "/v1/endpoints?since=41&timeout_ms=0" {
 		t.Error(got)
@@ -126,16 +128,16 @@
 	select {
 	case <-oldCalls:
 	case <-time.After(testTimeout):
-		t.Fatal("the call in flight goes on")
+		t.Fatal("the call in flight was not aborted")
 	}
-	received.want(t, "list 47 true") // the empty list, and nothing before it
+	received.want(t, "list 47 true") // the empty list, with no failure before it
 	if got := <-calls; got != "/v1/endpoints" {
 		t.Error(got)
 	}
 	if got := <-calls; got != "/v1/endpoints?since=47&timeout_ms=4000" {
 		t.Error(got)
 	}
-	w.SetAddress("127.0.0.1:1") // nobody is there
+	w.SetAddress("127.0.0.1:1") // nothing listens at this address
 	received.want(t, "failed")
 	w.SetAddress(next.Listener.Addr().String())
 	received.want(t, "list 47 true")
@@ -148,7 +150,8 @@
 	}
 }
 
-// A revision that goes back is confirmed by a second call for the full list, at once; the watch goes on from there.
+// An answer with a lower revision is confirmed immediately by a call for the full list. The watch then continues from
+// the lower revision.
 func TestWatchConfirmsLowerRevision(t *testing.T) {
 	calls := make(chan string, 10)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -182,7 +185,7 @@
 	}
 }
 
-// revisionOrders collects how answers relate to those before.
+// revisionOrders is an endpointListener that records the revision order of each answer.
 type revisionOrders chan staleness.RevisionOrder
 
 func (o revisionOrders) UpdateEndpointsAsOf(_ protocol.List, _ time.Time, order staleness.RevisionOrder) {
@@ -193,7 +196,8 @@
 
 func (o revisionOrders) DiscoveryCallFailed(error, balancer.ListKind, time.Time) {}
 
-// A full list counts whatever it says: also where it has no endpoints, or only terminated ones.
+// An answer is accepted whatever endpoints it contains: also an empty full list, and lists of only terminated or draining
+// endpoints.
 func TestFullListWithoutLiveEndpointsIsAccepted(t *testing.T) {
 	for list, want := range map[string]string{
 		`{"rev":7,"all":true,"targets":[]}`:                                                           "list 7 true",
@@ -213,7 +217,8 @@
 	}
 }
 
-// addressNotifications records for how long lists stay valid after a change of address, and as of when answers were current.
+// addressNotifications also records the time for which lists remain valid after a change of address, and the times at
+// which answers were current.
 type addressNotifications struct {
 	notifications
 	validities chan time.Duration
@@ -228,23 +233,23 @@
 	n.asOf <- asOf
 }
 
-// A change of address is reported at once, also before the first call: the list received before is valid for 4 s at most.
-// An answer from the old address proves nothing of the list at the new one, and a late one proves no more than it would
-// have when it was due.
+// A change of address is reported immediately, even before the first call, and limits the validity of the list received
+// before to 4 s. An answer from the old address is no evidence of the age of the list at the new address. A late answer
+// counts as current at the time at which it was due, and not when it arrives.
 func TestAddressChangeAndLateAnswersLimitListValidity(t *testing.T) {
 	received := addressNotifications{make(notifications, 10), make(chan time.Duration, 1), make(chan time.Time, 1)}
 	w := newWatch("127.0.0.1:1", 41, slog.New(slog.DiscardHandler))
 	w.listener = received
 	w.SetAddress("127.0.0.1:2")
-	if len(received.validities) == 0 { // it is reported within the call
+	if len(received.validities) == 0 { // SetAddress reports the change before it returns
 		t.Fatal("a change of address is not reported")
 	}
 	if got := <-received.validities; got != listValidityAfterAddressChange {
-		t.Errorf("the list is valid for %v", got)
+		t.Errorf("the list remains valid for %v", got)
 	}
-	w.SetAddress("127.0.0.1:2") // no change
+	w.SetAddress("127.0.0.1:2") // the address is the same
 	if len(received.validities) > 0 {
-		t.Error("reported without a change of address")
+		t.Error("a change was reported for the same address")
 	}
 	start := time.Now().Add(-10 * time.Second)
 	for _, c := range []struct {
--- a/internal/daemon/watch_timing.go
+++ b/internal/daemon/watch_timing.go
@@ -4,37 +4,43 @@
 
 // Timing of calls to discovery.
 //
-// A discovery service that is cut off, or has lost a call, sends nothing, and its connections look alive; so each call is
-// given up some slack after the wait that it asked for. What such a call misses counts as notified 6 s after discovery
-// stopped answering, or 2 s after the call's wait where that is later. By then a new call must have been answered, so
-// at most 5 s may pass until a timeout is noticed.
+// A discovery service that is cut off from the network, or has lost a call, sends nothing, while its connections look
+// alive. Each call is therefore given up some slack after the end of the wait that it asked for. The node counts as
+// notified of a change that such a call misses 6 s after discovery stopped answering, or 2 s after the end of the
+// call's wait if that is later. A new call must have been answered by then, so a timeout must be detected within 5 s.
 const (
-	// maxWatchWait is how long a watch call may wait for events. Each call draws its wait from the upper half: all nodes
-	// are answered at the moment of a change, and without jitter their next calls would time out in the same moment too.
+	// maxWatchWait is the maximum time that a watch call waits for events. Each call draws a random wait from the upper
+	// half of this time: discovery answers all nodes at the moment of a change, and without jitter their next calls
+	// would also time out at the same moment.
 	maxWatchWait = 4 * time.Second
-	// watchTimeoutSlack is how long after its wait a watch call is given up. Ending one takes discovery no processing slot.
+	// watchTimeoutSlack is the time from the end of its wait until a watch call is given up. It may be short, as
+	// discovery needs no processing slot to end a watch call.
 	watchTimeoutSlack = time.Second
-	// immediateCallTimeout is for calls that do not wait. Discovery queues these, and itself rejects one that has been
-	// queued for 2 or 3 s.
+	// immediateCallTimeout is the timeout of calls that do not wait for events. Discovery queues these calls, and
+	// rejects a call itself once it has been queued for 2 or 3 s.
 	immediateCallTimeout = 3200 * time.Millisecond
-	// queueingThreshold tells a queued call from one that failed at once: rejected after so long, it met too many callers.
+	// queueingThreshold distinguishes a call that was queued from one that failed immediately. A call that fails after
+	// this time has met an overloaded discovery service.
 	queueingThreshold = time.Second
-	// minCallInterval is the least time from one call to the next. Discovery drops a watch after 200 ms without a call.
+	// minCallInterval is the minimum time from the start of one call to the start of the next. Discovery drops a watch
+	// after 200 ms without a call.
 	minCallInterval = 100 * time.Millisecond
-	// dialTimeout bounds the opening of a connection to discovery.
+	// dialTimeout bounds the time to open a connection to discovery.
 	dialTimeout = time.Second
-	// maxTimeoutDoublings bounds how far the timeout grows after calls without an answer: a discovery that takes longer
-	// than one call allows would otherwise never be received.
+	// maxTimeoutDoublings bounds the growth of the timeout, which doubles after each call without an answer. Without
+	// the growth, a discovery service that always answers later than the first timeout would never be heard.
 	maxTimeoutDoublings = 2
-	// listValidityAfterAddressChange is for how long the list from the old address still counts (protocol, new configurations).
+	// listValidityAfterAddressChange is the time for which the list from the old address remains valid (protocol, new
+	// configurations).
 	listValidityAfterAddressChange = 4 * time.Second
-	// earlierAddressTimeout is how long after a change of address the answer to a call in flight there is waited for: by then
-	// discovery has closed its connections (protocol, new configurations).
+	// earlierAddressTimeout is the time after a change of address for which the node waits for the answer to the call
+	// in flight at the old address. By then discovery has closed its connections (protocol, new configurations).
 	earlierAddressTimeout = 1500 * time.Millisecond
-	// answerLatencyTolerance is by how much an answer may exceed the wait of its call and still count as written on
-	// arrival. A later one was held up in the network, or this process was.
+	// answerLatencyTolerance is the time after the end of its call's wait within which an answer counts as written when
+	// it arrives. A later answer was delayed by the network or by this process, and counts as written at the end of
+	// this time.
 	answerLatencyTolerance = 200 * time.Millisecond
 )
 
-// maxListBytes bounds the body of one answer of discovery.
+// maxListBytes is the maximum size of the body of an answer of discovery.
 const maxListBytes = 4 << 20
--- a/internal/daemon/watch_timing_test.go
+++ b/internal/daemon/watch_timing_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A discovery that answers at once, whatever the call, is not called in a tight loop.
+// Guards against a tight loop of calls to a discovery service that answers every call immediately.
 func TestImmediateAnswersDoNotCauseTightLoop(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		respond(w, `{"rev":1,"all":false,"targets":[]}`)
@@ -30,8 +30,8 @@
 	}
 }
 
-// Nor is one that fails at once, however often the watch is restarted: without a time between its calls, the
-// decision module would restart it as soon as it learns of the failure.
+// Guards against a tight loop of calls to a discovery service that fails immediately: without a minimum interval
+// between calls, the balancer could restart the watch as soon as it is notified of the failure.
 func TestFailingDiscoveryIsNotCalledInTightLoop(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,8 +51,8 @@
 	}
 }
 
-// A discovery that is cut off accepts the call and never answers; its connection looks alive. Each call has a
-// timeout of its own, so that the decision module learns of it.
+// A discovery service that is cut off from the network accepts the call and never answers, while its connection looks
+// alive. Each call has a timeout, so that the balancer is notified of the failure.
 func TestUnansweredCallTimesOut(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,12 +66,13 @@
 	received.want(t, "timeout")
 }
 
-// Guards: a watch without an answer was noticed 7 s after its call, and what it had missed counts as notified 6 s after
-// discovery stopped answering, or 2 s after the call's wait. And one change synchronized all nodes for ever after: their
-// calls would also time out together where discovery stops answering all.
+// Guards against two failures. An unanswered watch call was detected only 7 s after its start, although the node counts
+// as notified of a missed change 6 s after discovery stopped answering, or 2 s after the end of the call's wait. And
+// one change synchronized the watch calls of all nodes permanently, so that all of them timed out together if discovery
+// stopped answering.
 func TestUnansweredWatchTimesOutWithJitteredWaits(t *testing.T) {
 	if maxWatchWait+watchTimeoutSlack > 5*time.Second || watchTimeoutSlack > time.Second {
-		t.Errorf("a timeout is noticed after up to %v, %v after the wait: too late for a new call",
+		t.Errorf("a timeout is detected up to %v after the start of a call and %v after its wait: too late for a new call",
 			maxWatchWait+watchTimeoutSlack, watchTimeoutSlack)
 	}
 	waits := make(chan int, 40)
@@ -80,7 +81,7 @@
 		select {
 		case waits <- ms:
 			respond(w, `{"rev":41,"all":false,"targets":[]}`)
-		default: // from now on it does not answer
+		default: // it does not answer any further calls
 			<-r.Context().Done()
 		}
 	}))
@@ -94,24 +95,24 @@
 	for range cap(waits) {
 		received.want(t, "list 41 false")
 	}
-	received.want(t, "timeout") // after the slack of a call that waits
+	received.want(t, "timeout") // at the end of watchSlack, as the call waits
 	if first := <-waits; first != 0 {
-		t.Errorf("the first call waits %d ms", first)
+		t.Errorf("the first call waits %d ms, want 0", first)
 	}
 	seen := map[int]bool{}
 	for range cap(waits) - 1 {
 		ms := <-waits
 		if seen[ms] = true; ms < 100 || ms > 200 {
-			t.Errorf("a call waits %d ms", ms)
+			t.Errorf("a call waits %d ms, want 100 to 200", ms)
 		}
 	}
 	if len(seen) < 10 {
-		t.Errorf("%d calls wait %d different times", cap(waits)-1, len(seen))
+		t.Errorf("%d calls wait for only %d different times", cap(waits)-1, len(seen))
 	}
 }
 
-// A discovery that takes longer for an answer than one call allows is received all the same: the timeout grows from call
-// to call, until one is answered.
+// Guards against a discovery service that is never heard because it answers later than the first timeout: the timeout
+// grows from call to call until a call is answered.
 func TestTimeoutGrowsUntilSlowDiscoveryAnswers(t *testing.T) {
 	waited := make(chan bool, 10)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -135,6 +136,6 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.consecutiveTimeouts != 0 {
-		t.Errorf("%d consecutive timeouts after a call that was answered", w.consecutiveTimeouts)
+		t.Errorf("%d consecutive timeouts after an answered call, want 0", w.consecutiveTimeouts)
 	}
 }
