--- a/internal/daemon/hotrestart.go
+++ b/internal/daemon/hotrestart.go
@@ -18,40 +18,40 @@
 	"tulipglade/internal/node"
 )
 
-// errNodeBusy is a node that has not exported its state in time for a hot restart.
-var errNodeBusy = errors.New("the node did not answer in time")
+// errExportTimeout reports that the node has not exported its state in time for a hot restart.
+var errExportTimeout = errors.New("the node did not export its state in time")
 
-// noDescriptor stands for a listener that could not be passed on.
+// noDescriptor is returned as the descriptor when the listener cannot be handed over.
 const noDescriptor = -1
 
-// handoffState is what one process sends to its successor.
+// handoffState is the state that a process sends to its successor, as JSON.
 type handoffState struct {
 	node.HotRestartState
-	Fence []fencing.Grant `json:"Fence"` // the newest fencing tokens that operators' calls have presented
+	Fence []fencing.Grant `json:"Fence"` // the newest token that admin calls have presented for each lease
 }
 
-// inheritedState is what a process has received from its predecessor.
+// inheritedState is the state and the listener that a process has received from its predecessor.
 type inheritedState struct {
 	*hotrestart.Handoff
 	handoffState
 	listener netpoll.Listener
 }
 
-// handoffPath is the path of the Unix socket for handoffs between processes of this node, or nothing: only processes with an
-// admin address are restarted hot.
-func handoffPath(config *Config, log *slog.Logger) string {
+// handoffSocketPath returns the path of the Unix socket for handoffs between processes of this node. It returns an
+// empty path if the path is invalid or the node has no admin address: hot restarts need an admin address.
+func handoffSocketPath(config *Config, log *slog.Logger) string {
 	if config.Admin == "" {
 		return ""
 	}
-	path, err := hotrestart.Path(os.Getenv("TMPDIR"), config.Name, config.Listen)
+	path, err := hotrestart.SocketPath(os.Getenv("TMPDIR"), config.Name, config.Listen)
 	if err != nil {
 		log.Warn("handoff unavailable", "err", err)
 	}
 	return path
 }
 
-// receiveHandoff asks a predecessor at path for its listener and state. It returns nil where there is none or it does not
-// answer: the process starts on its own.
+// receiveHandoff requests the listener and the state of a predecessor that listens at path. It returns nil if there is
+// no predecessor or the handoff fails. The process then starts with a listener and state of its own.
 func receiveHandoff(path string, log *slog.Logger) *inheritedState {
 	handoff, err := hotrestart.Receive(path)
 	if err != nil {
@@ -60,13 +60,13 @@
 	}
 	inherited := &inheritedState{Handoff: handoff}
 	err = jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(handoff.Body, &inherited.handoffState)
-	handoff.Body = nil // it may be large, and is not needed any more
+	handoff.Body = nil // frees the body, which may be large
 	if err == nil {
-		inherited.listener, err = node.InheritListener(handoff.Listener)
+		inherited.listener, err = node.InheritListener(handoff.ListenerFD)
 	}
 	if err != nil {
 		log.Warn("no handoff received", "err", err)
-		_ = syscall.Close(handoff.Listener) // the error above is the one that counts
+		_ = syscall.Close(handoff.ListenerFD) // only the error above is logged
 		_ = handoff.Close()
 		return nil
 	}
@@ -77,7 +77,8 @@
 	return inherited
 }
 
-// reportServing tells the predecessor, where there is one, that this process accepts clients.
+// reportServing reports to the predecessor, if there is one, that this process accepts clients. Until the predecessor
+// has exited, both processes share the limits of the node.
 func (s *server) reportServing() {
 	if s.inherited == nil {
 		return
@@ -89,22 +90,22 @@
 	})
 }
 
-// offerHandoff offers the listener and the state to a successor, until the server is closed.
+// offerHandoff starts to offer the listener and the state to successors, until the server is closed.
 func (s *server) offerHandoff() {
-	s.predecessor = &predecessor{node: s.node, admin: s.admin, listener: s.listener, group: s.group, log: s.log}
-	if s.handoffPath == "" {
+	s.predecessorRole = &predecessorRole{node: s.node, admin: s.admin, listener: s.listener, group: s.group, log: s.log}
+	if s.handoffSocketPath == "" {
 		return
 	}
-	offer, err := hotrestart.NewOffer(s.handoffPath, s.predecessor)
+	offer, err := hotrestart.NewOffer(s.handoffSocketPath, s.predecessorRole)
 	if err != nil {
-		s.log.Warn("handoff unavailable", "err", fmt.Errorf("%s: %w", s.handoffPath, err))
+		s.log.Warn("handoff unavailable", "err", fmt.Errorf("%s: %w", s.handoffSocketPath, err))
 		return
 	}
-	s.onClose(func() { _ = offer.Close() }) // the process ends with it
+	s.onClose(func() { _ = offer.Close() }) // the process exits, whether or not this fails
 }
 
-// predecessor is this process as the older side of a hot restart.
-type predecessor struct {
+// predecessorRole is the part that this process has in a hot restart when a successor replaces it.
+type predecessorRole struct {
 	node     *node.Node
 	admin    *admin.Server
 	listener *node.GatedListener
@@ -113,11 +114,12 @@
 
 	mutex            sync.Mutex
 	successorServing bool // a successor accepts clients
-	stopping         bool
+	stopping         bool // the shutdown of this process has started
 }
 
-// State implements hotrestart.Predecessor.
-func (p *predecessor) State() (body []byte, descriptor int, err error) {
+// ExportHandoff implements hotrestart.Predecessor. It returns the state of the node as JSON and a duplicate of the
+// listener's descriptor.
+func (p *predecessorRole) ExportHandoff() (body []byte, descriptor int, err error) {
 	state, err := p.exportState()
 	if err != nil {
 		return nil, noDescriptor, err
@@ -140,21 +142,22 @@
 	return body, descriptor, nil
 }
 
-// exportState asks the node's goroutine for its state.
-func (p *predecessor) exportState() (node.HotRestartState, error) {
+// exportState requests the state from the node's goroutine, and waits for it until hotrestart.HandoffTimeout has
+// passed.
+func (p *predecessorRole) exportState() (node.HotRestartState, error) {
 	exported := make(chan node.HotRestartState, 1)
 	p.node.ExportState(func(state node.HotRestartState) { exported <- state })
 	select {
 	case state := <-exported:
 		return state, nil
-	case <-time.After(hotrestart.Timeout):
-		return node.HotRestartState{}, errNodeBusy
+	case <-time.After(hotrestart.HandoffTimeout):
+		return node.HotRestartState{}, errExportTimeout
 	}
 }
 
-// SuccessorServing implements hotrestart.Predecessor. From here on new clients reach the successor, as soon as this
-// process shuts down.
-func (p *predecessor) SuccessorServing() {
+// SuccessorServing implements hotrestart.Predecessor. Both processes accept clients from here on. Once the shutdown of
+// this process has started, it stops accepting, and new clients reach the successor.
+func (p *predecessorRole) SuccessorServing() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.successorServing = true
@@ -164,20 +167,20 @@
 	}
 }
 
-// SuccessorExited implements hotrestart.Predecessor.
-func (p *predecessor) SuccessorExited() {
+// SuccessorExited implements hotrestart.Predecessor. This process has all limits of the node to itself again.
+func (p *predecessorRole) SuccessorExited() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.stopping && p.successorServing {
-		return // neither process accepts any more, and this one is about to end
+		return // neither process accepts clients any more, and this one is about to exit
 	}
 	p.successorServing = false
 	p.group.removeProcess()
 	p.log.Info("successor exited")
 }
 
-// startShutdown stops accepting clients if a successor accepts them.
-func (p *predecessor) startShutdown() {
+// startShutdown marks this process as stopping. It stops accepting clients if a successor accepts them.
+func (p *predecessorRole) startShutdown() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.stopping = true
