--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -100,7 +100,7 @@
 			}
 			return request{}, nil, errDisconnected
 		}
-		size, complete, err := message.Request(buffer[:len(buffer)+n])
+		size, complete, err := message.ParseRequest(buffer[:len(buffer)+n])
 		if err != nil {
 			return request{}, &answer{protocol.RejectionStatus(err), err.Error()}, nil
 		}
--- a/internal/daemon/discoveryconn.go
+++ b/internal/daemon/discoveryconn.go
@@ -191,7 +191,7 @@
 		case bytes := <-c.received:
 			c.buffer = append(c.buffer, bytes...)
 		}
-		n, complete, err := c.response.Response(c.buffer)
+		n, complete, err := c.response.ParseResponse(c.buffer)
 		if err != nil {
 			return nil, false, fmt.Errorf("%w: %w", errInvalidList, err)
 		}
@@ -205,7 +205,7 @@
 // incomplete returns the error for a call that has ended without a complete response. One that had begun shows that
 // discovery is there: it was an answer, and cannot be used.
 func (c *discoveryConn) incomplete(cause error) error {
-	if c.response.Started() && c.response.Status == protocol.StatusOK {
+	if c.response.InBody() && c.response.Status == protocol.StatusOK {
 		return fmt.Errorf("%w: %w", errInvalidList, cause)
 	}
 	return cause
--- a/internal/fake/backend_conn.go
+++ b/internal/fake/backend_conn.go
@@ -141,7 +141,7 @@
 // can be read from the connection.
 func (c *backendConn) readRequest(message *protocol.Message, buf []byte) ([]byte, bool) {
 	for {
-		size, complete, err := message.Request(buf)
+		size, complete, err := message.ParseRequest(buf)
 		if err != nil {
 			c.reject(http.StatusBadRequest)
 			return nil, false
--- a/internal/fake/nullserver.go
+++ b/internal/fake/nullserver.go
@@ -100,7 +100,7 @@
 			return
 		}
 		arrived := time.Now()
-		size, complete, err := message.Request(buf[:len(buf)+count])
+		size, complete, err := message.ParseRequest(buf[:len(buf)+count])
 		if err != nil {
 			return
 		}
@@ -115,7 +115,7 @@
 			if len(buf) == 0 {
 				break
 			}
-			if size, complete, err = message.Request(buf); err != nil {
+			if size, complete, err = message.ParseRequest(buf); err != nil {
 				return
 			}
 			buf = buf[:size]
--- a/internal/load/connection.go
+++ b/internal/load/connection.go
@@ -161,7 +161,7 @@
 		buf = buf[:len(buf)+n]
 		received, complete := len(buf) > 0, false
 		if err == nil {
-			n, complete, err = message.Response(buf)
+			n, complete, err = message.ParseResponse(buf)
 			buf = buf[:n]
 		}
 		if err != nil {
--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -114,9 +114,9 @@
 // buffer had no space for.
 func (b *backendConn) parseAnswer(unread int) {
 	n, att := b.node, b.attempt
-	size, complete, err := b.message.Response(b.input.bytes())
+	size, complete, err := b.message.ParseResponse(b.input.bytes())
 	b.input.length = size
-	large := b.message.Started() && (b.message.Length() > protocol.MaxBody || size == protocol.BufferSize)
+	large := b.message.InBody() && (b.message.ContentLength() > protocol.MaxBody || size == protocol.BufferSize)
 	switch {
 	case err != nil:
 		n.warnLimited("malformed answer", "endpoint", b.endpoint.address, "err", err)
@@ -162,8 +162,8 @@
 		report = healthCheckReport(&msg, msg.Body(buf.bytes()))
 	} else if outcome == balancer.OutcomeOK {
 		if msg.NoBody && att.request.clientConn != nil {
-			att.request.clientConn.headContentLength = max(msg.Length(), protocol.UntilClose)
-			if msg.Length() < 0 {
+			att.request.clientConn.headContentLength = max(msg.ContentLength(), protocol.UntilClose)
+			if msg.ContentLength() < 0 {
 				att.request.clientConn.headContentLength = protocol.UntilClose
 			}
 		}
--- a/internal/node/clientinput.go
+++ b/internal/node/clientinput.go
@@ -108,8 +108,8 @@
 	if c.input == nil || c.input.length == 0 {
 		return
 	}
-	size, complete, err := c.message.Request(c.input.bytes())
-	if c.headCompleteAt == 0 && c.message.Started() {
+	size, complete, err := c.message.ParseRequest(c.input.bytes())
+	if c.headCompleteAt == 0 && c.message.InBody() {
 		c.headCompleteAt = receivedAt
 	}
 	if c.input.length = size; size == 0 { // nothing but empty lines
@@ -125,11 +125,11 @@
 		c.setIdle(false)
 		c.closeAfterAnswer = c.closeAfterAnswer || !c.message.KeepAlive
 		c.handleRequest(receivedAt)
-	case c.message.Started() && (c.message.Length() > protocol.MaxBody || size == protocol.BufferSize):
+	case c.message.InBody() && (c.message.ContentLength() > protocol.MaxBody || size == protocol.BufferSize):
 		c.startUpload()
 	case len(c.overflow) > 0 && size < protocol.BufferSize: // removing the framing has freed space
 		c.parseNextRequest(receivedAt)
-	case c.message.Started() && c.message.Expect && !c.continueSent:
+	case c.message.InBody() && c.message.Expect && !c.continueSent:
 		c.continueSent, c.writingAnswer = true, true
 		c.node.write(&c.socket, func(err error) {
 			if c.writingAnswer = false; err != nil {
@@ -155,7 +155,7 @@
 	}
 	msg := c.message
 	c.message, c.continueSent = protocol.Message{}, false
-	c.isHTTP10, c.isHeadRequest = msg.OldVersion(), string(msg.Method) == "HEAD"
+	c.isHTTP10, c.isHeadRequest = msg.IsHTTP10(), string(msg.Method) == "HEAD"
 	c.headContentLength = protocol.UntilClose
 	if string(msg.Path()) == "/ready" {
 		buf.release()
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -87,7 +87,7 @@
 
 // forwardDownload writes the head of an answer to the client and starts its forwarder, or queues it until there is memory.
 func (n *Node) forwardDownload(conn *backendConn, client *clientConn, fwd *forwarder) {
-	length := fwd.message.Length()
+	length := fwd.message.ContentLength()
 	switch {
 	case length < 0 && client.isHTTP10:
 		length = protocol.UntilClose
--- a/internal/node/forwarder.go
+++ b/internal/node/forwarder.go
@@ -90,7 +90,7 @@
 	}
 	f.startedAt = time.Now()
 	for {
-		size, complete, err := f.message.More(f.buffer.bytes())
+		size, complete, err := f.message.ParseBody(f.buffer.bytes())
 		if f.buffer.length = size; err != nil {
 			return err
 		}
@@ -99,7 +99,7 @@
 			f.writeErr = err
 			f.onWriteError()
 		}
-		f.buffer.length = f.message.Shift(f.buffer.bytes())
+		f.buffer.length = f.message.ConsumeBody(f.buffer.bytes())
 		if complete {
 			return nil
 		}
--- a/internal/node/sendrequest.go
+++ b/internal/node/sendrequest.go
@@ -46,7 +46,7 @@
 	body := req.message.Body(req.buffer.bytes())
 	length, remaining := len(body), att.deadline-n.now()
 	if req.upload != nil {
-		length, remaining = req.message.Length(), n.minRemainingUploadTime(req)
+		length, remaining = req.message.ContentLength(), n.minRemainingUploadTime(req)
 	}
 	remaining = statedTimeout(remaining)
 	start := attemptStart{statedTimeout: remaining, deadline: att.deadline}
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -55,9 +55,9 @@
 	msg := c.message
 	c.input, c.message = nil, protocol.Message{}
 	up.earlyInput = append([][]byte{bytes.Clone(msg.Rest(buf.bytes()))}, append(up.earlyInput, rest)...)
-	up.remainingMessage = msg.Tail()
+	up.remainingMessage = msg.Remainder()
 	c.closeAfterAnswer = c.closeAfterAnswer || !msg.KeepAlive
-	c.isHTTP10, c.isHeadRequest, c.headCompleteAt = msg.OldVersion(), false, 0
+	c.isHTTP10, c.isHeadRequest, c.headCompleteAt = msg.IsHTTP10(), false, 0
 	if n.drain.rejecting || n.drain.closingAll || n.activeForwarders >= n.maxForwarders() || c.isFull() {
 		c.writeAnswer(buf, 503, nil, []byte("no room for a large request\n"), 0)
 		return
@@ -70,7 +70,7 @@
 	}
 	req.upload, req.clientConn, c.request = up, c, req
 	req.uploadTimeout = req.deadline - up.lastByteTime.earliest
-	up.updateLastByteTime(n.now(), descriptor, msg.Length(), len(msg.Body(buf.bytes())))
+	up.updateLastByteTime(n.now(), descriptor, msg.ContentLength(), len(msg.Body(buf.bytes())))
 	if up.lastByteTime.latest == 0 {
 		req.deadline = n.answerDeadline(n.now(), up.lastByteTime.earliest+req.uploadTimeout)
 	}
@@ -129,7 +129,7 @@
 		message:        u.remainingMessage,
 		buffer:         newBuffer(),
 		write:          write,
-		chunked:        u.remainingMessage.Length() < 0,
+		chunked:        u.remainingMessage.ContentLength() < 0,
 		enforceMinRate: true,
 	}
 	u.earlyInput, u.forwarder = nil, fwd
--- a/internal/node/uploaddeadline.go
+++ b/internal/node/uploaddeadline.go
@@ -67,7 +67,7 @@
 func (n *Node) minRemainingUploadTime(req *request) int64 {
 	now := n.now()
 	body := req.message.Body(req.buffer.bytes())
-	req.upload.updateLastByteTime(now, req.clientConn.descriptor, req.message.Length(), len(body))
+	req.upload.updateLastByteTime(now, req.clientConn.descriptor, req.message.ContentLength(), len(body))
 	if req.upload.lastByteTime.earliest >= now {
 		return req.uploadTimeout
 	}
--- a/internal/protocol/framing.go
+++ b/internal/protocol/framing.go
@@ -32,7 +32,7 @@
 			m.phase = inChunkEnd
 		case inBodyUntilClose:
 			m.bodyEnd += available
-			if m.shiftedBody+m.bodyEnd-m.headLength > m.bodyLimit() {
+			if m.consumedBody+m.bodyEnd-m.headLength > m.bodyLimit() {
 				return len(buf), false, ErrBodyTooLarge
 			}
 			return m.bodyEnd, false, nil
@@ -105,7 +105,7 @@
 		m.phase = inTrailer
 		return nil
 	}
-	if m.shiftedBody+m.bodyEnd-m.headLength+size > m.bodyLimit() {
+	if m.consumedBody+m.bodyEnd-m.headLength+size > m.bodyLimit() {
 		return ErrBodyTooLarge
 	}
 	m.phase, m.remaining = inChunk, size
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -53,7 +53,7 @@
 	interimResponses int // informational responses skipped
 	headLength       int
 	bodyEnd          int // offset of the end of the body so far
-	shiftedBody      int // bytes of the body that Shift has taken out
+	consumedBody      int // bytes of the body that Shift has taken out
 	remaining        int // bytes of the body, or of this chunk, still to come
 	trailerLength    int
 }
@@ -64,14 +64,14 @@
 // Rest is what arrived behind the message.
 func (m *Message) Rest(buf []byte) []byte { return buf[m.bodyEnd:] }
 
-// Started reports whether the head is complete and the body is not.
-func (m *Message) Started() bool { return m.phase != inHead && m.phase != complete }
+// InBody reports whether the head is complete and the body is not.
+func (m *Message) InBody() bool { return m.phase != inHead && m.phase != complete }
 
-// Length is the length of the body that the head gives, or -1 where it gives none.
-func (m *Message) Length() int { return m.contentLength }
+// ContentLength is the length of the body that the head gives, or -1 where it gives none.
+func (m *Message) ContentLength() int { return m.contentLength }
 
-// OldVersion reports that the sender uses HTTP/1.0, which has no chunks.
-func (m *Message) OldVersion() bool { return m.minorVersion == 0 }
+// IsHTTP10 reports that the sender uses HTTP/1.0, which has no chunks.
+func (m *Message) IsHTTP10() bool { return m.minorVersion == 0 }
 
 // EndsWithConnection reports that the body ends with the connection: then Finish is called, if the connection ended in order.
 func (m *Message) EndsWithConnection() bool { return m.phase == inBodyUntilClose }
@@ -79,26 +79,26 @@
 // Finish marks a message whose body ends with the connection as complete.
 func (m *Message) Finish() { m.phase = complete }
 
-// Shift takes the body read so far out of buf, and moves what arrived behind it to the front. It returns how much that is.
+// ConsumeBody takes the body read so far out of buf, and moves what arrived behind it to the front. It returns how much that is.
 // What Method, Target and Fields point to may be overwritten.
-func (m *Message) Shift(buf []byte) int {
+func (m *Message) ConsumeBody(buf []byte) int {
 	n := copy(buf, buf[m.bodyEnd:])
-	m.shiftedBody += m.bodyEnd - m.headLength
+	m.consumedBody += m.bodyEnd - m.headLength
 	m.headLength, m.bodyEnd = 0, 0
 	return n
 }
 
-// Tail is the message as it is after Shift, for another buffer that takes the remaining bytes. m and its buffer do not
+// Remainder is the message as it is after Shift, for another buffer that takes the remaining bytes. m and its buffer do not
 // change.
-func (m *Message) Tail() Message {
+func (m *Message) Remainder() Message {
 	tail := *m
-	tail.shiftedBody += tail.bodyEnd - tail.headLength
+	tail.consumedBody += tail.bodyEnd - tail.headLength
 	tail.headLength, tail.bodyEnd = 0, 0
 	return tail
 }
 
-// More continues to read buf after Shift or Tail, as Request and Response do.
-func (m *Message) More(buf []byte) (int, bool, error) { return m.readBody(buf) }
+// ParseBody continues to read buf after Shift or Tail, as Request and Response do.
+func (m *Message) ParseBody(buf []byte) (int, bool, error) { return m.readBody(buf) }
 
 // bodyLimit returns the limit of the body in force.
 func (m *Message) bodyLimit() int {
--- a/internal/protocol/message_test.go
+++ b/internal/protocol/message_test.go
@@ -96,7 +96,7 @@
 		{"large body", post + "Content-Length: 50331649\r\n\r\n", parsed{}, false, ErrBodyTooLarge},
 		{"large head", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", MaxHead), parsed{}, false, ErrHeadTooLarge},
 		{"many fields", "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", maxFields+1) + "\r\n", parsed{}, false, ErrHeadTooLarge},
-	}, (*Message).Request)
+	}, (*Message).ParseRequest)
 }
 
 func TestResponseParsing(t *testing.T) {
@@ -121,14 +121,14 @@
 		{"bad status", "HTTP/1.1 2000 OK\r\n\r\n", parsed{}, false, ErrMalformed},
 		{"not HTTP", "SSH-2.0-x\r\n\r\n", parsed{}, false, ErrMalformed},
 		{"large body", "HTTP/1.1 200 OK\r\nContent-Length: 50331649\r\n\r\n", parsed{}, false, ErrBodyTooLarge},
-	}, (*Message).Response)
+	}, (*Message).ParseResponse)
 }
 
 func TestAppendedHeads(t *testing.T) {
 	var m Message
 	in := "POST /ride-start?obj=7 HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: 9b1f\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\n" +
 		"X-Expires-In-Ms: 900\r\nIdempotency-Key: 5c\r\nContent-Length: 2\r\n\r\nhi"
-	if _, complete, err := m.Request([]byte(in)); !complete || err != nil {
+	if _, complete, err := m.ParseRequest([]byte(in)); !complete || err != nil {
 		t.Fatal(complete, err)
 	}
 	for _, c := range []struct{ name, got, want string }{
@@ -150,7 +150,7 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), 3)
 	f.Add([]byte("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na"), 1)
 	f.Fuzz(func(t *testing.T, in []byte, piece int) {
-		for _, next := range []func(*Message, []byte) (int, bool, error){(*Message).Request, (*Message).Response} {
+		for _, next := range []func(*Message, []byte) (int, bool, error){(*Message).ParseRequest, (*Message).ParseResponse} {
 			atOnce, inPieces := 0, 0
 			if got, ok, _ := readInPieces(string(in), len(in)+1, next); ok {
 				atOnce = len(got.Body) + 1
@@ -197,7 +197,7 @@
 			m    Message
 			buf  = make([]byte, 0, 600) // the longest line of the framing fits
 			got  []byte
-			next = m.Response
+			next = m.ParseResponse
 		)
 		for len(in) > 0 {
 			k := min(rapid.IntRange(1, 200).Draw(t, "piece"), cap(buf)-len(buf), len(in))
@@ -207,12 +207,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if buf = buf[:n]; !m.Started() && !complete {
+			if buf = buf[:n]; !m.InBody() && !complete {
 				continue
 			}
-			next = m.More
+			next = m.ParseBody
 			got = append(got, m.Body(buf)...)
-			buf = buf[:m.Shift(buf)]
+			buf = buf[:m.ConsumeBody(buf)]
 			if complete {
 				if rest := string(buf) + string(in); rest != string(behind) {
 					t.Fatalf("behind the message: %q, want %q", rest, behind)
@@ -223,8 +223,8 @@
 		if m.EndsWithConnection() {
 			m.Finish()
 		}
-		if string(got) != string(body) || m.Started() {
-			t.Fatalf("%d bytes of %d, complete %v", len(got), len(body), !m.Started())
+		if string(got) != string(body) || m.InBody() {
+			t.Fatalf("%d bytes of %d, complete %v", len(got), len(body), !m.InBody())
 		}
 	})
 }
@@ -234,7 +234,7 @@
 	for _, head := range []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"} {
 		m := Message{MaxBody: 1000}
 		buf := []byte(head)
-		next := m.Response
+		next := m.ParseResponse
 		var err error
 		for round := 0; err == nil; round++ {
 			var n int
@@ -243,9 +243,9 @@
 				t.Fatal("no end")
 			}
 			if err == nil {
-				next = m.More
+				next = m.ParseBody
 				full := make([]byte, n)
-				buf = full[:m.Shift(full)]
+				buf = full[:m.ConsumeBody(full)]
 			}
 		}
 		if !errors.Is(err, ErrBodyTooLarge) {
@@ -253,12 +253,12 @@
 		}
 	}
 	var m Message
-	_, complete, err := m.Request([]byte("GET http://h:80/a?b HTTP/1.1\r\n\r\n"))
+	_, complete, err := m.ParseRequest([]byte("GET http://h:80/a?b HTTP/1.1\r\n\r\n"))
 	if !complete || err != nil || string(m.Target) != "/a?b" || string(m.Path()) != "/a" {
 		t.Error(complete, err, string(m.Target))
 	}
 	m = Message{NoBody: true}
-	if _, complete, err := m.Response([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")); !complete || err != nil || m.Length() != 9 {
-		t.Error(complete, err, m.Length())
+	if _, complete, err := m.ParseResponse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")); !complete || err != nil || m.ContentLength() != 9 {
+		t.Error(complete, err, m.ContentLength())
 	}
 }
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -8,9 +8,9 @@
 // httpScheme starts a target in absolute form.
 const httpScheme = "http://"
 
-// Request continues to read buf, which holds all that has arrived since the message started. It takes the framing of
+// ParseRequest continues to read buf, which holds all that has arrived since the message started. It takes the framing of
 // chunks out of buf in place and returns the new length of buf, and whether the message is complete.
-func (m *Message) Request(buf []byte) (int, bool, error) {
+func (m *Message) ParseRequest(buf []byte) (int, bool, error) {
 	if m.phase == inHead {
 		for !m.startLineRead && bytes.HasPrefix(buf, []byte("\r\n")) { // empty lines before a request are skipped
 			buf = buf[:copy(buf, buf[2:])]
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -9,9 +9,9 @@
 // maxInterimResponses bounds the number of informational responses before a response.
 const maxInterimResponses = 8
 
-// Response is Request's counterpart. Informational responses are skipped. The body of one that gives no length ends with
+// ParseResponse is Request's counterpart. Informational responses are skipped. The body of one that gives no length ends with
 // the connection; see UntilEnd.
-func (m *Message) Response(buf []byte) (int, bool, error) {
+func (m *Message) ParseResponse(buf []byte) (int, bool, error) {
 	for m.phase == inHead {
 		found, err := m.parseHead(buf, m.parseStatusLine)
 		if !found || err != nil {
