--- a/internal/daemon/discoveryconn.go
+++ b/internal/daemon/discoveryconn.go
@@ -90,7 +90,7 @@
 	if !keepAlive {
 		c.close()
 	}
-	list, invalid, err := protocol.ParseAnswer(body)
+	list, invalid, err := protocol.ParseListLenient(body)
 	if err != nil {
 		return answer{}, fmt.Errorf("%w: %w, %d bytes", errInvalidList, err, len(body))
 	}
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -21,7 +21,7 @@
 	case "CONNECT", "TRACE", "OPTIONS":
 		return nil, &rejection{405, "method not allowed"}
 	}
-	if duplicate := msg.HasDuplicate("x-trace-id", "x-qos", "x-customer", "x-expires-in-ms", "idempotency-key"); duplicate != "" {
+	if duplicate := msg.FirstDuplicate("x-trace-id", "x-qos", "x-customer", "x-expires-in-ms", "idempotency-key"); duplicate != "" {
 		return nil, &rejection{400, duplicate + " is there twice"} // a backend might use the other value
 	}
 	class, invalid := n.requestedClass(msg)
--- a/internal/node/clientinput.go
+++ b/internal/node/clientinput.go
@@ -129,7 +129,7 @@
 		c.startUpload()
 	case len(c.overflow) > 0 && size < protocol.BufferSize: // removing the framing has freed space
 		c.parseNextRequest(receivedAt)
-	case c.message.InBody() && c.message.Expect && !c.continueSent:
+	case c.message.InBody() && c.message.ExpectContinue && !c.continueSent:
 		c.continueSent, c.writingAnswer = true, true
 		c.node.write(&c.socket, func(err error) {
 			if c.writingAnswer = false; err != nil {
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -94,7 +94,7 @@
 			}
 		})
 	}
-	expect := req.message.Expect && !client.continueSent
+	expect := req.message.ExpectContinue && !client.continueSent
 	client.continueSent = false
 	n.activeForwarders++
 	go func() {
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -23,8 +23,8 @@
 // restriction orders the states by how little may be sent to a backend.
 var restriction = map[State]int{InService: 0, Terminating: 1, Unknown: 1, Terminated: 2}
 
-// RestrictedBy returns the more restrictive of two states that a list gives for one backend, the first of equals.
-func (s State) RestrictedBy(other State) State {
+// MoreRestrictive returns the more restrictive of two states that a list gives for one backend, the first of equals.
+func (s State) MoreRestrictive(other State) State {
 	if restriction[other] > restriction[s] {
 		return other
 	}
@@ -82,7 +82,7 @@
 
 // ParseList parses a list of which every entry must be valid, as in a configuration. An error names the field at fault.
 func ParseList(raw []byte) (List, error) {
-	list, invalid, err := ParseAnswer(raw)
+	list, invalid, err := ParseListLenient(raw)
 	if err == nil && len(invalid) > 0 {
 		err = invalid[0]
 	}
@@ -92,10 +92,10 @@
 	return list, nil
 }
 
-// ParseAnswer parses an answer of discovery. An entry that cannot be read does not spoil the others: its backend is listed
+// ParseListLenient parses an answer of discovery. An entry that cannot be read does not spoil the others: its backend is listed
 // in state Unknown if the entry has a UID, and left out if not, and invalid says why. If a full list has unlike entries
 // for one backend, its state is the more restrictive one. Only what is not a list at all is an error.
-func ParseAnswer(raw []byte) (list List, invalid []error, err error) {
+func ParseListLenient(raw []byte) (list List, invalid []error, err error) {
 	document, undecodable, err := decodeList(raw)
 	if err != nil {
 		return List{}, nil, fmt.Errorf("list of backends: %w", err)
@@ -124,7 +124,7 @@
 		}
 		invalid = append(invalid, fmt.Errorf("targets[%d].uid: %q is there twice, and not alike", i, target.UID))
 		earlier := &list.Targets[position]
-		earlier.State = earlier.State.RestrictedBy(target.State)
+		earlier.State = earlier.State.MoreRestrictive(target.State)
 	}
 	return list, invalid, nil
 }
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestParseAnswerUsesTheOtherEntries has entries that cannot be read, or contradict each other.
-func TestParseAnswerUsesTheOtherEntries(t *testing.T) {
+// TestParseListLenientSkipsInvalidEntries has entries that cannot be read, or contradict each other.
+func TestParseListLenientSkipsInvalidEntries(t *testing.T) {
 	const good = `{"uid":"good","endpoint":"127.0.0.1:3000","state":"in_service"}`
 	read := Target{UID: "good", Endpoint: "127.0.0.1:3000"}
 	unknown := Target{UID: "odd", State: Unknown}
@@ -67,7 +67,7 @@
 		{"twice, the other way round", strings.Replace(good, "in_service", "terminating", 1) + "," + good, []Target{draining}, "targets[1].uid"},
 		{"twice, alike", good + "," + good, []Target{read, read}, ""},
 	} {
-		got, invalid, err := ParseAnswer([]byte(`{"rev":41,"all":true,"targets":[` + c.entries + `]}`))
+		got, invalid, err := ParseListLenient([]byte(`{"rev":41,"all":true,"targets":[` + c.entries + `]}`))
 		if diff := cmp.Diff(List{41, true, c.want}, got); diff != "" || err != nil {
 			t.Errorf("%s: %v\n%s", c.name, err, diff)
 		}
@@ -76,7 +76,7 @@
 		}
 	}
 	for _, raw := range []string{``, `[]`, `{"rev":1,"all":true,"targets":{}}`, `{"rev":"x","all":true,"targets":[]}`, `{"rev":1,"all":1,"targets":[]}`} {
-		if _, _, err := ParseAnswer([]byte(raw)); err == nil {
+		if _, _, err := ParseListLenient([]byte(raw)); err == nil {
 			t.Errorf("%s: taken for a list", raw)
 		}
 	}
--- a/internal/protocol/head.go
+++ b/internal/protocol/head.go
@@ -15,7 +15,7 @@
 	Status         int    // of a response
 	Fields         []Field
 	KeepAlive      bool // the sender keeps the connection open after this message
-	Expect         bool // the sender waits for 100 Continue before it sends the body
+	ExpectContinue bool // the sender waits for 100 Continue before it sends the body
 
 	minorVersion  int
 	contentLength int // -1: not given
@@ -38,8 +38,8 @@
 	return path
 }
 
-// HasDuplicate returns the first of the names, in lower case, that more than one field has, or nothing.
-func (h *Head) HasDuplicate(names ...string) string {
+// FirstDuplicate returns the first of the names, in lower case, that more than one field has, or nothing.
+func (h *Head) FirstDuplicate(names ...string) string {
 	for _, name := range names {
 		n := 0
 		for _, f := range h.Fields {
@@ -152,7 +152,7 @@
 		if !equalFold(value, "100-continue") {
 			return fmt.Errorf("%w: expectation", ErrUnsupported)
 		}
-		m.Expect = true
+		m.ExpectContinue = true
 	}
 	return nil
 }
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -53,7 +53,7 @@
 	interimResponses int // informational responses skipped
 	headLength       int
 	bodyEnd          int // offset of the end of the body so far
-	consumedBody      int // bytes of the body that Shift has taken out
+	consumedBody     int // bytes of the body that Shift has taken out
 	remaining        int // bytes of the body, or of this chunk, still to come
 	trailerLength    int
 }
