--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -127,7 +127,7 @@
 		return nil
 	}
 	var fieldError *settings.FieldError
-	if errors.As(settings.NameField(json.Unmarshal(raw, target)), &fieldError) {
+	if errors.As(settings.ConvertTypeError(json.Unmarshal(raw, target)), &fieldError) {
 		return fieldError
 	}
 	return err
--- a/internal/faultinject/check.go
+++ b/internal/faultinject/check.go
@@ -21,10 +21,10 @@
 func (f Fault) Check(path string, scope Scope) error {
 	t, ok := traits[f.Kind]
 	if !ok {
-		return tomlfile.Invalidf(path+".kind", "%q is none of %v", f.Kind, Kinds())
+		return tomlfile.FieldErrorf(path+".kind", "%q is none of %v", f.Kind, Kinds())
 	}
 	invalid := func(field, format string, args ...any) error {
-		return tomlfile.Invalidf(path+"."+field, format, args...)
+		return tomlfile.FieldErrorf(path+"."+field, format, args...)
 	}
 	if err := f.checkAmounts(t, invalid); err != nil {
 		return err
--- a/internal/faultinject/random.go
+++ b/internal/faultinject/random.go
@@ -23,13 +23,13 @@
 func (d RandomFaults) Check(path string) error {
 	switch {
 	case d.Count < 0 || d.Count > maxRandomFaults:
-		return tomlfile.Invalidf(path+".count", "%d is not within 0 and %d", d.Count, maxRandomFaults)
+		return tomlfile.FieldErrorf(path+".count", "%d is not within 0 and %d", d.Count, maxRandomFaults)
 	case d.Count > 0 && (d.MinMs <= 0 || d.MaxMs < d.MinMs):
-		return tomlfile.Invalidf(path+".max_ms", "min_ms %d and max_ms %d are no range above 0", d.MinMs, d.MaxMs)
+		return tomlfile.FieldErrorf(path+".max_ms", "min_ms %d and max_ms %d are no range above 0", d.MinMs, d.MaxMs)
 	}
 	for i, kind := range d.Kinds {
 		if t, ok := traits[kind]; !ok || t.target == targetProcesses {
-			return tomlfile.Invalidf(path+".kinds", "%q at place %d is none of %v", kind, i, Kinds())
+			return tomlfile.FieldErrorf(path+".kinds", "%q at place %d is none of %v", kind, i, Kinds())
 		}
 	}
 	return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -58,7 +58,7 @@
 func Parse(raw []byte) (Deployment, error) {
 	var document settingsJSON
 	if err := json.Unmarshal(raw, &document); err != nil {
-		return Deployment{}, NameField(err)
+		return Deployment{}, ConvertTypeError(err)
 	}
 	if err := document.check(); err != nil {
 		return Deployment{}, err
@@ -77,9 +77,9 @@
 	return Deployment{Balancer: config, LoadReportFields: document.Report.Fields}, nil
 }
 
-// NameField returns an error of encoding/json as a FieldError where it is a value of the wrong type, so that it names the
+// ConvertTypeError returns an error of encoding/json as a FieldError where it is a value of the wrong type, so that it names the
 // field by its path in the file and not by a type of ours. It returns any other error as it is.
-func NameField(err error) error {
+func ConvertTypeError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if !errors.As(err, &wrongType) || wrongType.Field == "" {
 		return err
--- a/internal/simulation/experiment/sweep.go
+++ b/internal/simulation/experiment/sweep.go
@@ -27,22 +27,22 @@
 // Check sets the default policy, and returns an error for the first invalid field.
 func (s *Sweep) Check() error {
 	if s.Scenario == "" {
-		return tomlfile.Invalidf("scenario", "none is named")
+		return tomlfile.FieldErrorf("scenario", "none is named")
 	}
 	if s.Seeds < 1 || s.Seeds > 10000 {
-		return tomlfile.Invalidf("seeds", "%d is not within 1 and 10000", s.Seeds)
+		return tomlfile.FieldErrorf("seeds", "%d is not within 1 and 10000", s.Seeds)
 	}
 	if len(s.Policies) == 0 {
 		s.Policies = []string{policy.Module}
 	}
 	for _, p := range s.Policies {
 		if _, err := policy.Find(p); err != nil {
-			return tomlfile.Invalidf("policies", "%v", err)
+			return tomlfile.FieldErrorf("policies", "%v", err)
 		}
 	}
 	for _, path := range s.paths() {
 		if len(s.Grid[path]) == 0 {
-			return tomlfile.Invalidf("grid."+path, "no values")
+			return tomlfile.FieldErrorf("grid."+path, "no values")
 		}
 	}
 	return nil
@@ -124,7 +124,7 @@
 		}
 		points = next
 		if len(points)*s.Seeds*len(s.Policies) > maxRuns {
-			return nil, tomlfile.Invalidf("grid", "more than a million runs")
+			return nil, tomlfile.FieldErrorf("grid", "more than a million runs")
 		}
 	}
 	return points, nil
--- a/internal/simulation/scenario/check.go
+++ b/internal/simulation/scenario/check.go
@@ -44,7 +44,7 @@
 // within checks the bounds of a number.
 func within(path string, x, least, most float64) error {
 	if math.IsNaN(x) || x < least || x > most {
-		return tomlfile.Invalidf(path, "%g is not within %g and %g", x, least, most)
+		return tomlfile.FieldErrorf(path, "%g is not within %g and %g", x, least, most)
 	}
 	return nil
 }
@@ -52,10 +52,10 @@
 // ordered checks the order and the bounds of a range.
 func ordered(path string, r Range, least, most float64) error {
 	if len(r) != 2 {
-		return tomlfile.Invalidf(path, "a range has two ends, not %d", len(r))
+		return tomlfile.FieldErrorf(path, "a range has two ends, not %d", len(r))
 	}
 	if !(r[0] >= least && r[0] <= r[1] && r[1] <= most) {
-		return tomlfile.Invalidf(path, "%g to %g is no range within %g and %g", r[0], r[1], least, most)
+		return tomlfile.FieldErrorf(path, "%g to %g is no range within %g and %g", r[0], r[1], least, most)
 	}
 	return nil
 }
@@ -172,11 +172,11 @@
 func (s *Scenario) checkSites() error {
 	sites := s.Fleet.Sites
 	if len(sites) == 0 || len(sites) > maxSites {
-		return tomlfile.Invalidf("fleet.sites", "%d sites are not within 1 and %d", len(sites), maxSites)
+		return tomlfile.FieldErrorf("fleet.sites", "%d sites are not within 1 and %d", len(sites), maxSites)
 	}
 	for i, name := range sites {
 		if name == "" || slices.Index(sites, name) != i {
-			return tomlfile.Invalidf("fleet.sites", "%q at place %d is empty or there twice", name, i)
+			return tomlfile.FieldErrorf("fleet.sites", "%q at place %d is empty or there twice", name, i)
 		}
 	}
 	return nil
@@ -186,18 +186,18 @@
 	report := &s.Fleet.Report
 	for i, field := range report.Fields {
 		if !slices.Contains(reportFields, field) {
-			return tomlfile.Invalidf(fmt.Sprintf("fleet.report.fields[%d]", i), "%q is none of %v", field, reportFields)
+			return tomlfile.FieldErrorf(fmt.Sprintf("fleet.report.fields[%d]", i), "%q is none of %v", field, reportFields)
 		}
 	}
 	if report.SentBy != "answers" && report.SentBy != "probes" {
-		return tomlfile.Invalidf("fleet.report.by", "%q is neither answers nor probes", report.SentBy)
+		return tomlfile.FieldErrorf("fleet.report.by", "%q is neither answers nor probes", report.SentBy)
 	}
 	return nil
 }
 
 func (s *Scenario) checkHints() error {
 	if !slices.Contains(hintKinds, s.Clients.Hints) {
-		return tomlfile.Invalidf("clients.hints", "%q is none of none, rough, exact", s.Clients.Hints)
+		return tomlfile.FieldErrorf("clients.hints", "%q is none of none, rough, exact", s.Clients.Hints)
 	}
 	return nil
 }
@@ -206,13 +206,13 @@
 	load := &s.Load
 	switch {
 	case !slices.Contains(loadShapes, load.Shape):
-		return tomlfile.Invalidf("load.shape", "%q is none of %v", load.Shape, loadShapes)
+		return tomlfile.FieldErrorf("load.shape", "%q is none of %v", load.Shape, loadShapes)
 	case load.Shape == "trace" && load.Trace == "":
-		return tomlfile.Invalidf("load.trace", "the shape trace needs a file")
+		return tomlfile.FieldErrorf("load.trace", "the shape trace needs a file")
 	case load.Shape == "surge" && !(load.From >= 0 && load.From < load.Until):
-		return tomlfile.Invalidf("load.till_s", "a surge from %g to %g s has no length", load.From, load.Until)
+		return tomlfile.FieldErrorf("load.till_s", "a surge from %g to %g s has no length", load.From, load.Until)
 	case load.Level == 0 && load.PerS == 0 && load.Shape != "trace":
-		return tomlfile.Invalidf("load.level", "neither level nor per_s is above 0")
+		return tomlfile.FieldErrorf("load.level", "neither level nor per_s is above 0")
 	}
 	return nil
 }
@@ -262,16 +262,16 @@
 		return err
 	}
 	if !slices.Contains(workDists, c.Dist) {
-		return tomlfile.Invalidf(path+"dist", "%q is none of exp, lognormal, constant", c.Dist)
+		return tomlfile.FieldErrorf(path+"dist", "%q is none of exp, lognormal, constant", c.Dist)
 	}
 	if c.Dist == "lognormal" && c.VariationCoefficient == 0 {
-		return tomlfile.Invalidf(path+"cv", "a lognormal needs one above 0")
+		return tomlfile.FieldErrorf(path+"cv", "a lognormal needs one above 0")
 	}
 	if _, ok := idempotencies[c.Idempotency]; !ok {
-		return tomlfile.Invalidf(path+"effect", "%q is none of repeatable, by_key, once", c.Idempotency)
+		return tomlfile.FieldErrorf(path+"effect", "%q is none of repeatable, by_key, once", c.Idempotency)
 	}
 	if _, ok := scopes[c.KeyScope]; !ok && (c.KeyScope != "" || c.Idempotency == "by_key") {
-		return tomlfile.Invalidf(path+"scope", "%q is none of all, site, rack", c.KeyScope)
+		return tomlfile.FieldErrorf(path+"scope", "%q is none of all, site, rack", c.KeyScope)
 	}
 	return nil
 }
@@ -310,7 +310,7 @@
 
 func positiveSum(path string, sum float64) error {
 	if sum <= 0 {
-		return tomlfile.Invalidf(path, "the shares sum to %g", sum)
+		return tomlfile.FieldErrorf(path, "the shares sum to %g", sum)
 	}
 	return nil
 }
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -12,18 +12,18 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Invalid is a field that the owner of a value rejects. Path is the field's dotted path, with the index of an array of
+// FieldError is a field that the owner of a value rejects. Path is the field's dotted path, with the index of an array of
 // tables as in "fault[2].at_ms".
-type Invalid struct {
+type FieldError struct {
 	Path, Reason string
 }
 
 // Error names the field first.
-func (e *Invalid) Error() string { return e.Path + ": " + e.Reason }
+func (e *FieldError) Error() string { return e.Path + ": " + e.Reason }
 
-// Invalidf returns an *Invalid.
-func Invalidf(path, format string, args ...any) error {
-	return &Invalid{Path: path, Reason: fmt.Sprintf(format, args...)}
+// FieldErrorf returns an *Invalid.
+func FieldErrorf(path, format string, args ...any) error {
+	return &FieldError{Path: path, Reason: fmt.Sprintf(format, args...)}
 }
 
 // Checker is a value that can check itself; an *Invalid names the field at fault.
@@ -46,7 +46,7 @@
 		return locateDecodeError(file, err)
 	}
 	if checker, ok := value.(Checker); ok {
-		return locateInvalid(file, raw, checker.Check())
+		return locateFieldError(file, raw, checker.Check())
 	}
 	return nil
 }
@@ -71,13 +71,13 @@
 	return fmt.Errorf("%s: %w", file, err)
 }
 
-// locateInvalid adds file and line to an *Invalid, and returns any other error as it is.
-func locateInvalid(file string, raw []byte, err error) error {
-	var invalid *Invalid
+// locateFieldError adds file and line to an *Invalid, and returns any other error as it is.
+func locateFieldError(file string, raw []byte, err error) error {
+	var invalid *FieldError
 	if !errors.As(err, &invalid) {
 		return err
 	}
-	if line := Line(raw, invalid.Path); line > 0 {
+	if line := FieldLine(raw, invalid.Path); line > 0 {
 		return fmt.Errorf("%s:%d: %w", file, line, invalid)
 	}
 	return fmt.Errorf("%s: %w", file, invalid)
--- a/internal/tomlfile/line.go
+++ b/internal/tomlfile/line.go
@@ -7,8 +7,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Line is the line on which the field of that path is set, or the nearest table around it; 0 if neither is there.
-func Line(raw []byte, path string) int {
+// FieldLine is the line on which the field of that path is set, or the nearest table around it; 0 if neither is there.
+func FieldLine(raw []byte, path string) int {
 	lines := lineIndex(raw)
 	for path != "" {
 		if line, ok := lines[path]; ok {
--- a/internal/tomlfile/set.go
+++ b/internal/tomlfile/set.go
@@ -36,7 +36,7 @@
 	}
 	table, ok := container.(map[string]any)
 	if !ok {
-		return Invalidf(a.path, "%q is not a table", strings.Join(a.steps[:depth], "."))
+		return FieldErrorf(a.path, "%q is not a table", strings.Join(a.steps[:depth], "."))
 	}
 	last := depth == len(a.steps)-1
 	if step.indexed {
@@ -55,7 +55,7 @@
 func (a assignment) applyToElement(table map[string]any, step pathStep, depth int, last bool) error {
 	list, _ := table[step.name].([]any)
 	if step.index >= len(list) {
-		return Invalidf(a.path, "there are only %d of %q", len(list), step.name)
+		return FieldErrorf(a.path, "there are only %d of %q", len(list), step.name)
 	}
 	if last {
 		list[step.index] = a.value
@@ -79,7 +79,7 @@
 	}
 	index, err := strconv.Atoi(step[open+1 : len(step)-1])
 	if err != nil || index < 0 {
-		return pathStep{}, Invalidf(a.path, "%q is no index", step[open:])
+		return pathStep{}, FieldErrorf(a.path, "%q is no index", step[open:])
 	}
 	return pathStep{name: step[:open], indexed: true, index: index}, nil
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -18,11 +18,11 @@
 
 func (d *document) Check() error {
 	if d.Load.Level < 0 {
-		return Invalidf("load.level", "%g is below 0", d.Load.Level)
+		return FieldErrorf("load.level", "%g is below 0", d.Load.Level)
 	}
 	for i, f := range d.Faults {
 		if f.At < 0 {
-			return Invalidf("fault["+string(rune('0'+i))+"].at_ms", "%d is below 0", f.At)
+			return FieldErrorf("fault["+string(rune('0'+i))+"].at_ms", "%d is below 0", f.At)
 		}
 	}
 	return nil
