--- a/cmd/tulipctl/lease.go
+++ b/cmd/tulipctl/lease.go
@@ -174,7 +174,7 @@
 	if len(args) < 2 {
 		return errors.New("lease run: NAME -- COMMAND, please")
 	}
-	if shortest := 2*deadlineexec.TerminationNotice + margin; cmd.Duration("for") < shortest {
+	if shortest := 2*deadlineexec.GracePeriod + margin; cmd.Duration("for") < shortest {
 		return fmt.Errorf("--for: %v is below %v", cmd.Duration("for"), shortest)
 	}
 	c := agent.NewClient(cmd.StringSlice("agents"), nil)
@@ -244,7 +244,7 @@
 			case <-ended:
 				return
 			case <-ctx.Done():
-				p.End()
+				p.Terminate()
 				return
 			case <-time.After(100 * time.Millisecond):
 				p.ExtendDeadline(deadline())
--- a/internal/deadlineexec/deadlineexec.go
+++ b/internal/deadlineexec/deadlineexec.go
@@ -15,11 +15,11 @@
 	"time"
 )
 
-// TerminationNotice is how long before the deadline a command gets SIGTERM. At the deadline it gets SIGKILL.
-const TerminationNotice = time.Second
+// GracePeriod is how long before the deadline a command gets SIGTERM. At the deadline it gets SIGKILL.
+const GracePeriod = time.Second
 
-// Killed is the exit status of a command that was ended.
-const Killed = 124
+// ExitKilled is the exit status of a command that was ended.
+const ExitKilled = 124
 
 // deadlineEnv has the first deadline of a supervisor process.
 const deadlineEnv = "TULIP_LEASH"
@@ -68,8 +68,8 @@
 	_, _ = fmt.Fprintln(c.deadlines, formatTime(deadline)) // fails if the supervisor has exited
 }
 
-// End ends the command, with SIGTERM first.
-func (c *Cmd) End() {
+// Terminate ends the command, with SIGTERM first.
+func (c *Cmd) Terminate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_ = c.deadlines.Close()
@@ -78,9 +78,9 @@
 // Wait waits until the command and its process group have ended.
 func (c *Cmd) Wait() error {
 	err := c.supervisor.Wait()
-	c.End()
+	c.Terminate()
 	var exit *exec.ExitError
-	if errors.As(err, &exit) && exit.ExitCode() == Killed {
+	if errors.As(err, &exit) && exit.ExitCode() == ExitKilled {
 		return ErrKilled
 	}
 	return err
--- a/internal/deadlineexec/deadlineexec_test.go
+++ b/internal/deadlineexec/deadlineexec_test.go
@@ -57,12 +57,12 @@
 	var out bytes.Buffer
 	started := clock()
 	script := "trap 'echo got SIGTERM' TERM; (trap '' TERM; sleep 100) & while :; do sleep 0.05; done"
-	err := start(t, TerminationNotice+300*time.Millisecond, &out, "sh", "-c", script).Wait()
+	err := start(t, GracePeriod+300*time.Millisecond, &out, "sh", "-c", script).Wait()
 	took := clock() - started
 	if !errors.Is(err, ErrKilled) || !strings.Contains(out.String(), "got SIGTERM") {
 		t.Errorf("%v %q", err, out.String())
 	}
-	if took < TerminationNotice+300*time.Millisecond {
+	if took < GracePeriod+300*time.Millisecond {
 		t.Errorf("killed after %v, before its deadline", took)
 	}
 }
@@ -70,15 +70,15 @@
 // The deadline is extended, and then the parent ends the command.
 func TestDeadlineIsExtendedUntilEnd(t *testing.T) {
 	var out bytes.Buffer
-	c := start(t, 2*TerminationNotice, &out, "sh", "-c", "sleep 0.3; echo there; sleep 100")
+	c := start(t, 2*GracePeriod, &out, "sh", "-c", "sleep 0.3; echo there; sleep 100")
 	c.ExtendDeadline(clock() + time.Hour)
 	c.ExtendDeadline(clock()) // an earlier deadline changes nothing
-	time.AfterFunc(2*TerminationNotice+300*time.Millisecond, c.End)
+	time.AfterFunc(2*GracePeriod+300*time.Millisecond, c.Terminate)
 	started := clock()
 	if err := c.Wait(); !errors.Is(err, ErrKilled) || out.String() != "there\n" {
 		t.Errorf("%v %q", err, out.String())
 	}
-	if took := clock() - started; took < 2*TerminationNotice+300*time.Millisecond {
+	if took := clock() - started; took < 2*GracePeriod+300*time.Millisecond {
 		t.Errorf("killed after %v, in spite of the extension", took)
 	}
 }
--- a/internal/deadlineexec/supervisor.go
+++ b/internal/deadlineexec/supervisor.go
@@ -65,27 +65,27 @@
 		if now >= deadline {
 			signalGroup(command, syscall.SIGKILL)
 			<-exited
-			return Killed
+			return ExitKilled
 		}
 		wait := deadline - now
-		if !terminated && wait <= TerminationNotice {
+		if !terminated && wait <= GracePeriod {
 			terminated = true
 			signalGroup(command, syscall.SIGTERM)
 		} else if !terminated {
-			wait -= TerminationNotice
+			wait -= GracePeriod
 		}
 		select {
 		case <-exited:
 			if terminated {
 				signalGroup(command, syscall.SIGKILL) // what is left of its group
-				return Killed
+				return ExitKilled
 			}
 			return exitStatus(command.ProcessState)
 		case extended := <-extensions:
 			deadline = max(deadline, extended)
 		case <-parentClosed:
 			parentClosed = nil
-			deadline = min(deadline, now+TerminationNotice)
+			deadline = min(deadline, now+GracePeriod)
 		case <-time.After(min(wait, maxWait)):
 		}
 	}
