--- a/internal/protocol/affinity.go
+++ b/internal/protocol/affinity.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// AffinityKey is a hash of the object that a request concerns: the value of obj in its target's query, not decoded. It is
-// 0 where there is none.
+// AffinityKey returns a hash of the object that a request concerns: the value of the query parameter obj in the request
+// target, without percent-decoding. It returns 0 if the target has no such parameter or the value is empty.
 func AffinityKey(target []byte) uint64 {
 	_, query, _ := bytes.Cut(target, []byte("?"))
 	for part := range bytes.SplitSeq(query, []byte("&")) {
--- a/internal/protocol/affinity_test.go
+++ b/internal/protocol/affinity_test.go
@@ -9,7 +9,7 @@
 func TestAffinityKey(t *testing.T) {
 	for _, c := range []struct {
 		name, target string
-		obj          string // "": none
+		obj          string // value that must be hashed; "" if the key must be 0
 	}{
 		{"alone", "/read?obj=7f3a", "7f3a"},
 		{"among others", "/read?a=1&obj=7f3a&b=2", "7f3a"},
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -8,22 +8,24 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// State is the state of a backend at discovery.
+// State is the state of a backend as discovery reports it.
 type State uint8
 
-// The states of a backend.
+// The states that a backend in a list can have.
 const (
 	InService State = iota
 	Terminating
 	Terminated
-	// Unknown is the state of a backend whose entry in a list cannot be read. It gets no new requests until a list states it again.
+	// Unknown is the state of a backend whose entry in a list is invalid. The backend gets no new requests until a
+	// later list has a valid entry for it.
 	Unknown
 )
 
-// restriction orders the states by how little may be sent to a backend.
+// restriction ranks the states: the higher the rank, the less traffic may be sent to the backend.
 var restriction = map[State]int{InService: 0, Terminating: 1, Unknown: 1, Terminated: 2}
 
-// MoreRestrictive returns the more restrictive of two states that a list gives for one backend, the first of equals.
+// MoreRestrictive returns the more restrictive of two states that a list gives for one backend, and s if both are
+// equally restrictive.
 func (s State) MoreRestrictive(other State) State {
 	if restriction[other] > restriction[s] {
 		return other
@@ -31,14 +33,14 @@
 	return s
 }
 
-// statesByName are the names of the states on the wire.
+// statesByName maps the names of the states on the wire to the states. Unknown has no name there.
 var statesByName = map[string]State{
 	"in_service":  InService,
 	"terminating": Terminating,
 	"terminated":  Terminated,
 }
 
-// Target is one backend in discovery's list.
+// Target is one backend in a list of discovery.
 type Target struct {
 	UID      string  `json:"UID"`
 	Endpoint string  `json:"Endpoint"`
@@ -46,30 +48,31 @@
 	Cell     int     `json:"Cell"`
 	State    State   `json:"State"`
 	Weight   float64 `json:"Weight"`
-	BootMs   int64   `json:"BootMs"` // Unix time of its last start; 0: long ago
+	BootMs   int64   `json:"BootMs"` // Unix time of the last start in milliseconds; 0 if it started long ago
 }
 
-// List is an answer of discovery: all backends, or those that changed.
+// List is a response of discovery: all backends if Full, otherwise only those that have changed.
 type List struct {
 	Revision int64    `json:"Rev"`
 	Full     bool     `json:"All"`
 	Targets  []Target `json:"Targets"`
 }
 
-// maxTargets bounds a list that discovery sends.
+// maxTargets bounds the number of entries in a list that discovery sends.
 const maxTargets = 1 << 14
 
-// maxBootMs bounds a time that discovery sends, so that it does not overflow in microseconds.
+// maxBootMs bounds the start times that discovery sends, so that they do not overflow when converted to microseconds.
 const maxBootMs = 1 << 50
 
-// listJSON is the form of a list on the wire. It is an alias, as is targetJSON, so that errors of the decoder name fields
-// without a type of ours.
+// listJSON is the JSON form of a list on the wire. It and targetJSON are aliases of unnamed types, so that errors of
+// the decoder name the field without the name of a Go type.
 type listJSON = struct {
 	Rev     int64        `json:"rev"`
 	All     bool         `json:"all"`
 	Targets []targetJSON `json:"targets"`
 }
 
+// targetJSON is the JSON form of an entry of a list.
 type targetJSON = struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -80,7 +83,8 @@
 	BootMs   int64   `json:"boot_ms"`
 }
 
-// ParseList parses a list of which every entry must be valid, as in a configuration. An error names the field at fault.
+// ParseList parses a list in which every entry must be valid, such as one in a configuration. An error about an entry
+// names the invalid field.
 func ParseList(raw []byte) (List, error) {
 	list, invalid, err := ParseListLenient(raw)
 	if err == nil && len(invalid) > 0 {
@@ -92,9 +96,10 @@
 	return list, nil
 }
 
-// ParseListLenient parses an answer of discovery. An entry that cannot be read does not spoil the others: its backend is listed
-// in state Unknown if the entry has a UID, and left out if not, and invalid says why. If a full list has unlike entries
-// for one backend, its state is the more restrictive one. Only what is not a list at all is an error.
+// ParseListLenient parses a response of discovery. An invalid entry does not invalidate the others: its backend is
+// listed in state Unknown if the entry has a UID, and is left out otherwise, and invalid gets an error with the reason.
+// If a full list has differing entries for one backend, the first entry stays, with the more restrictive of the states.
+// An error is returned only if the response as a whole is not a list or has too many entries.
 func ParseListLenient(raw []byte) (list List, invalid []error, err error) {
 	document, undecodable, err := decodeList(raw)
 	if err != nil {
@@ -117,7 +122,9 @@
 			continue
 		}
 		position, duplicate := positions[target.UID]
-		if !list.Full || !duplicate || list.Targets[position] == target { // among changes the last one counts
+		// A list of changes may have several entries for one backend; they are applied in order and the last one
+		// counts.
+		if !list.Full || !duplicate || list.Targets[position] == target {
 			positions[target.UID] = len(list.Targets)
 			list.Targets = append(list.Targets, target)
 			continue
@@ -129,8 +136,8 @@
 	return list, invalid, nil
 }
 
-// decodeList decodes a list from its form on the wire. Where it cannot be decoded as a whole, it is entry by entry: those
-// that cannot be decoded have no more than a UID, and undecodable says why, by their index.
+// decodeList decodes a list from its JSON form. If it cannot be decoded as a whole, its entries are decoded one by one:
+// an entry that cannot be decoded keeps its UID at most, and undecodable maps its index to the error.
 func decodeList(raw []byte) (document listJSON, undecodable map[int]error, err error) {
 	decoder := jsoniter.ConfigCompatibleWithStandardLibrary
 	if err = decoder.Unmarshal(raw, &document); err == nil {
@@ -157,7 +164,7 @@
 	return document, undecodable, nil
 }
 
-// entryUID returns the UID of an entry that cannot be decoded as a whole, or nothing.
+// entryUID returns the UID of an entry that cannot be decoded as a whole, or "" if it has no readable UID.
 func entryUID(raw []byte) string {
 	var entry struct {
 		UID string `json:"uid"`
@@ -168,7 +175,8 @@
 	return entry.UID
 }
 
-// convertTarget checks the entry at an index and converts it. Beside an error, it returns what is known of the backend.
+// convertTarget validates the entry at the given index of a list and converts it. With an error it returns a target in
+// state Unknown, or the zero value if the entry has no UID.
 func convertTarget(entry targetJSON, index int) (Target, error) {
 	if entry.UID == "" {
 		return Target{}, fmt.Errorf("targets[%d].uid: empty", index)
@@ -192,14 +200,15 @@
 	}, nil
 }
 
-// AppendListRequest appends a request for the full list.
+// AppendListRequest appends a request to discovery for the full list.
 func AppendListRequest(dst []byte, host string) []byte {
 	dst = append(dst, "GET /v1/endpoints HTTP/1.1\r\nHost: "...)
 	dst = append(dst, host...)
 	return append(dst, "\r\n\r\n"...)
 }
 
-// AppendWatchRequest appends a request for what has changed since a revision, which discovery may hold for waitMs.
+// AppendWatchRequest appends a request to discovery for the changes since a revision. Discovery may hold the request
+// for up to waitMs until there is a change (long polling).
 func AppendWatchRequest(dst []byte, host string, since, waitMs int64) []byte {
 	dst = append(dst, "GET /v1/endpoints?since="...)
 	dst = strconv.AppendInt(dst, since, 10)
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// TestParseListLenientSkipsInvalidEntries has entries that cannot be read, or contradict each other.
+// An invalid entry, or two contradictory entries for one backend, must not keep the valid entries of the same list from
+// being used.
 func TestParseListLenientSkipsInvalidEntries(t *testing.T) {
 	const good = `{"uid":"good","endpoint":"127.0.0.1:3000","state":"in_service"}`
 	read := Target{UID: "good", Endpoint: "127.0.0.1:3000"}
@@ -53,7 +54,7 @@
 	for _, c := range []struct {
 		name, entries string
 		want          []Target
-		invalid       string // of the first entry at fault
+		invalid       string // expected in the error of the first invalid entry; "" if all are valid
 	}{
 		{"unknown state", `{"uid":"odd","endpoint":"127.0.0.1:1","state":"idle"},` + good, []Target{unknown, read}, `targets[0].state: unknown state "idle"`},
 		{"no state", good + `,{"uid":"odd","endpoint":"127.0.0.1:1"}`, []Target{read, unknown}, "targets[1].state"},
@@ -77,7 +78,7 @@
 	}
 	for _, raw := range []string{``, `[]`, `{"rev":1,"all":true,"targets":{}}`, `{"rev":"x","all":true,"targets":[]}`, `{"rev":1,"all":1,"targets":[]}`} {
 		if _, _, err := ParseListLenient([]byte(raw)); err == nil {
-			t.Errorf("%s: taken for a list", raw)
+			t.Errorf("%s: parsed as a list, want an error", raw)
 		}
 	}
 }
--- a/internal/protocol/framing.go
+++ b/internal/protocol/framing.go
@@ -5,22 +5,24 @@
 	"fmt"
 )
 
-// maxChunkSizeDigits bounds a chunk size to 32 bits.
+// maxChunkSizeDigits bounds the hexadecimal digits of a chunk size, and with them the size to 32 bits.
 const maxChunkSizeDigits = 8
 
-// readBody continues to read the body. It moves what belongs to the body to its end, over the framing that has been read.
+// readBody continues to parse the body. It removes the chunked framing that it has parsed from buf, by moving the body
+// bytes behind it forward so that the body is contiguous. It returns the new length of buf and whether the message is
+// complete.
 func (m *Message) readBody(buf []byte) (int, bool, error) {
-	read := m.bodyEnd // offset of the next byte to read; the body so far ends at m.bodyEnd
+	readOffset := m.bodyEnd // offset of the next byte to parse; the body parsed so far ends at m.bodyEnd
 	for {
-		available := len(buf) - read
+		available := len(buf) - readOffset
 		switch m.phase {
 		case inBody, inChunk:
 			n := min(available, m.remaining)
-			if m.bodyEnd != read {
-				copy(buf[m.bodyEnd:], buf[read:read+n])
+			if m.bodyEnd != readOffset {
+				copy(buf[m.bodyEnd:], buf[readOffset:readOffset+n])
 			}
 			m.bodyEnd += n
-			read += n
+			readOffset += n
 			m.remaining -= n
 			if m.remaining > 0 {
 				return m.bodyEnd, false, nil
@@ -37,22 +39,22 @@
 			}
 			return m.bodyEnd, false, nil
 		case complete:
-			n := copy(buf[m.bodyEnd:], buf[read:])
+			n := copy(buf[m.bodyEnd:], buf[readOffset:])
 			return m.bodyEnd + n, true, nil
-		default: // a line of the chunked framing
-			lineLength := bytes.IndexByte(buf[read:], '\n')
+		default: // in a line of the chunked framing
+			lineLength := bytes.IndexByte(buf[readOffset:], '\n')
 			if lineLength < 0 && available > maxChunkLine || lineLength > maxChunkLine {
 				return len(buf), false, fmt.Errorf("%w: chunk line", ErrMalformed)
 			}
 			if lineLength < 0 {
-				n := copy(buf[m.bodyEnd:], buf[read:])
+				n := copy(buf[m.bodyEnd:], buf[readOffset:])
 				return m.bodyEnd + n, false, nil
 			}
-			line, hasCR := bytes.CutSuffix(buf[read:read+lineLength], []byte("\r"))
+			line, hasCR := bytes.CutSuffix(buf[readOffset:readOffset+lineLength], []byte("\r"))
 			if !hasCR {
 				return len(buf), false, fmt.Errorf("%w: chunk line", ErrMalformed)
 			}
-			read += lineLength + 1
+			readOffset += lineLength + 1
 			if err := m.parseChunkLine(line); err != nil {
 				return len(buf), false, err
 			}
@@ -60,7 +62,7 @@
 	}
 }
 
-// parseChunkLine parses one line of the chunked framing, without its end.
+// parseChunkLine parses one line of the chunked framing. The line comes without its CRLF.
 func (m *Message) parseChunkLine(line []byte) error {
 	switch m.phase {
 	case inChunkEnd:
@@ -68,7 +70,7 @@
 			return fmt.Errorf("%w: chunk longer than its size", ErrMalformed)
 		}
 		m.phase = inChunkSize
-	case inTrailer: // trailers are read and dropped
+	case inTrailer: // trailer fields are discarded
 		m.trailerLength += len(line)
 		if m.trailerLength > MaxHead {
 			return ErrHeadTooLarge
@@ -82,6 +84,7 @@
 	return nil
 }
 
+// parseChunkSize parses the line that starts a chunk. A size of 0 ends the body.
 func (m *Message) parseChunkSize(line []byte) error {
 	if i := bytes.IndexByte(line, ';'); i >= 0 { // extensions are ignored
 		line = line[:i]
@@ -112,6 +115,7 @@
 	return nil
 }
 
+// hexDigit returns the value of a hexadecimal digit, and false if c is not one.
 func hexDigit(c byte) (int, bool) {
 	switch {
 	case c >= '0' && c <= '9':
--- a/internal/protocol/head.go
+++ b/internal/protocol/head.go
@@ -6,10 +6,10 @@
 	"strconv"
 )
 
-// Field is one header line. Both parts point into the buffer that the message was read from.
+// Field is one header field. Name and Value are slices of the buffer from which the message was parsed.
 type Field struct{ Name, Value []byte }
 
-// Head is the part of a message before its body.
+// Head is the part of a message before its body: the start line and the header fields.
 type Head struct {
 	Method, Target []byte // of a request
 	Status         int    // of a response
@@ -18,11 +18,12 @@
 	ExpectContinue bool // the sender waits for 100 Continue before it sends the body
 
 	minorVersion  int
-	contentLength int // -1: not given
+	contentLength int // of the Content-Length field; -1 if there is none
 	chunked       bool
 }
 
-// Get returns the value of the first field with that name, in any case, or nil. The name is in lower case.
+// Get returns the value of the first field with the given name, or nil. Names are compared without regard to case; name
+// must be in lower case.
 func (h *Head) Get(name string) []byte {
 	for _, f := range h.Fields {
 		if equalFold(f.Name, name) {
@@ -32,35 +33,37 @@
 	return nil
 }
 
-// Path is the target of a request up to its query.
+// Path returns the target of a request without its query.
 func (h *Head) Path() []byte {
 	path, _, _ := bytes.Cut(h.Target, []byte("?"))
 	return path
 }
 
-// FirstDuplicate returns the first of the names, in lower case, that more than one field has, or nothing.
+// FirstDuplicate returns the first of the given names that occurs in more than one field, or "" if there is none. The
+// names must be in lower case.
 func (h *Head) FirstDuplicate(names ...string) string {
 	for _, name := range names {
-		n := 0
+		count := 0
 		for _, f := range h.Fields {
 			if equalFold(f.Name, name) {
-				n++
+				count++
 			}
 		}
-		if n > 1 {
+		if count > 1 {
 			return name
 		}
 	}
 	return ""
 }
 
-// parseHead parses the head line by line, as far as it has arrived, so that a malformed one is detected at once: its
-// sender may never send more, or never end.
-func (m *Message) parseHead(buf []byte, first func([]byte) error) (bool, error) {
+// parseHead parses the complete lines of the head that have arrived and reports whether the head is complete. It does
+// not wait for the whole head, so that a malformed one is detected at once: its sender may send nothing more, or send
+// without end.
+func (m *Message) parseHead(buf []byte, parseStartLine func([]byte) error) (bool, error) {
 	for {
 		i := bytes.Index(buf[m.scanned:], []byte("\r\n"))
 		if i < 0 {
-			m.scanned = max(m.lineStart, len(buf)-1) // a CR at the end may be half of the line's end
+			m.scanned = max(m.lineStart, len(buf)-1) // a CR at the end may be the first half of a CRLF
 			if len(buf) > MaxHead {
 				return false, ErrHeadTooLarge
 			}
@@ -74,7 +77,7 @@
 		m.lineStart, m.scanned = end+2, end+2
 		switch {
 		case !m.startLineRead:
-			if err := first(line); err != nil {
+			if err := parseStartLine(line); err != nil {
 				return false, err
 			}
 			m.startLineRead, m.contentLength, m.KeepAlive = true, -1, m.minorVersion > 0
@@ -93,8 +96,8 @@
 	}
 }
 
-// checkPartialLine checks that a line without an end may still become a valid one: no control characters, but for a CR that
-// the other half of the end may follow.
+// checkPartialLine checks that a line whose end has not arrived may still become valid: it must not contain control
+// characters, except for a final CR, which may be the first half of a CRLF.
 func (m *Message) checkPartialLine(line []byte) error {
 	line = bytes.TrimSuffix(line, []byte("\r"))
 	for _, c := range line {
@@ -105,6 +108,7 @@
 	return nil
 }
 
+// parseVersion parses the HTTP version of the start line; only 1.0 and 1.1 are accepted.
 func (m *Message) parseVersion(version []byte) error {
 	switch string(version) {
 	case "HTTP/1.1":
@@ -117,7 +121,7 @@
 	return nil
 }
 
-// parseField parses one header line.
+// parseField parses one header line and applies the field.
 func (m *Message) parseField(line []byte) error {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok || !isToken(name) {
@@ -136,7 +140,7 @@
 	return m.applyField(name, value)
 }
 
-// applyField takes over what a field says of the message's framing or connection.
+// applyField updates the message from a field that concerns its framing or its connection, and ignores other fields.
 func (m *Message) applyField(name, value []byte) error {
 	switch {
 	case equalFold(name, "content-length"):
@@ -157,6 +161,7 @@
 	return nil
 }
 
+// applyContentLength rejects a value that is not a number of at most 31 bits or that contradicts an earlier field.
 func (m *Message) applyContentLength(value []byte) error {
 	n, err := strconv.ParseUint(string(value), 10, 31)
 	if err != nil || value[0] == '+' || m.contentLength >= 0 && m.contentLength != int(n) {
@@ -166,6 +171,8 @@
 	return nil
 }
 
+// applyConnection updates KeepAlive from the options of a Connection field. HTTP/1.1 keeps connections by default, so
+// keep-alive only has an effect with HTTP/1.0.
 func (m *Message) applyConnection(value []byte) {
 	for option := range bytes.SplitSeq(value, []byte(",")) {
 		option = bytes.TrimSpace(option)
@@ -190,7 +197,7 @@
 // isControl reports whether c is a control character other than a tab.
 func isControl(c byte) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
-// equalFold compares a name with one in lower case.
+// equalFold reports whether name equals lower, which is in lower case, without regard to the case of ASCII letters.
 func equalFold(name []byte, lower string) bool {
 	if len(name) != len(lower) {
 		return false
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -1,24 +1,24 @@
-// Package protocol holds the forms of the wire: HTTP/1.1 heads and framing in both directions, load
-// reports and discovery's lists. All of it is functions on bytes, bounded in time and memory; there are no
-// sockets here.
+// Package protocol parses and formats everything that is sent over connections: HTTP/1.1 heads and message framing in
+// both directions, load reports and the lists of discovery. Its functions work on byte slices, are bounded in time and
+// memory, and do no I/O.
 package protocol
 
 import (
 	"errors"
 )
 
-// The bounds of a message. One with a body of up to MaxBody, the framing of its chunks included, fits into BufferSize; a
-// larger one is read in pieces, with Shift between them.
+// Bounds of a message. A message whose body has up to MaxBody bytes, including the framing of its chunks, fits into a
+// buffer of BufferSize. A larger one is read in pieces, with a call of ConsumeBody after each.
 const (
 	MaxHead         = 8 << 10
 	MaxBody         = 64 << 10
-	MaxStreamedBody = 48 << 20 // half as much again as the 32 MB that bodies and answers have at most
+	MaxStreamedBody = 48 << 20 // 1.5 times the 32 MB that the bodies of requests and responses have at most
 	BufferSize      = MaxHead + MaxBody + 4<<10
 	maxFields       = 64
-	maxChunkLine    = 256 // bytes of a chunk's size line, or of one line of the trailer
+	maxChunkLine    = 256 // maximum bytes of a chunk size line or of one trailer line
 )
 
-// What can be wrong with a message.
+// Reasons for which a message is rejected.
 var (
 	ErrMalformed    = errors.New("malformed message")
 	ErrHeadTooLarge = errors.New("head too large")
@@ -26,61 +26,63 @@
 	ErrUnsupported  = errors.New("unsupported framing")
 )
 
-// phase is the part of a message that comes next.
+// phase is the part of a message that is parsed next.
 type phase uint8
 
 const (
 	inHead phase = iota
-	inBody
+	inBody       // of a known length
 	inChunkSize
 	inChunk
-	inChunkEnd
+	inChunkEnd // the CRLF behind a chunk's data
 	inTrailer
-	inBodyUntilClose // until the connection ends
+	inBodyUntilClose // the body ends when the connection closes
 	complete
 )
 
-// Message reads one request or response out of a buffer that grows as bytes arrive. The zero value is ready.
+// Message parses one request or response from a buffer that grows as bytes arrive. The zero value is ready to use.
 type Message struct {
 	Head
-	MaxBody int  // 0: MaxBulk
-	NoBody  bool // it answers a HEAD: whatever the head says, no body follows
+	MaxBody int  // maximum length of the body; 0: MaxStreamedBody
+	NoBody  bool // the message answers a HEAD request: no body follows, whatever length the head gives
 
 	phase            phase
 	startLineRead    bool
-	lineStart        int // offset of the next line of the head
-	scanned          int // offset up to which that line has no end
-	interimResponses int // informational responses skipped
+	lineStart        int // offset of the next line of the head to parse
+	scanned          int // offset up to which that line has been searched for its CRLF
+	interimResponses int // number of informational responses skipped
 	headLength       int
-	bodyEnd          int // offset of the end of the body so far
-	consumedBody     int // bytes of the body that Shift has taken out
-	remaining        int // bytes of the body, or of this chunk, still to come
+	bodyEnd          int // offset of the end of the body parsed so far
+	consumedBody     int // bytes of the body that ConsumeBody has removed from the buffer
+	remaining        int // bytes of the body, or of the current chunk, not yet parsed
 	trailerLength    int
 }
 
-// Body is the body read so far out of the same buffer.
+// Body returns the part of the body in buf that has been parsed. buf must be the buffer of the last parsing call.
 func (m *Message) Body(buf []byte) []byte { return buf[m.headLength:m.bodyEnd] }
 
-// Rest is what arrived behind the message.
+// Rest returns the bytes in buf behind the parsed part of the message; if the message is complete, they belong to the
+// next one.
 func (m *Message) Rest(buf []byte) []byte { return buf[m.bodyEnd:] }
 
-// InBody reports whether the head is complete and the body is not.
+// InBody reports whether the head has been parsed completely and the body has not.
 func (m *Message) InBody() bool { return m.phase != inHead && m.phase != complete }
 
-// ContentLength is the length of the body that the head gives, or -1 where it gives none.
+// ContentLength returns the length of the body that the head gives, or -1 if it gives none.
 func (m *Message) ContentLength() int { return m.contentLength }
 
-// IsHTTP10 reports that the sender uses HTTP/1.0, which has no chunks.
+// IsHTTP10 reports whether the sender uses HTTP/1.0, which has no chunked framing.
 func (m *Message) IsHTTP10() bool { return m.minorVersion == 0 }
 
-// EndsWithConnection reports that the body ends with the connection: then Finish is called, if the connection ended in order.
+// EndsWithConnection reports whether the body has no given length and ends when the connection closes. The caller then
+// calls Finish once the connection has closed without an error.
 func (m *Message) EndsWithConnection() bool { return m.phase == inBodyUntilClose }
 
-// Finish marks a message whose body ends with the connection as complete.
+// Finish marks a message as complete whose body ends with the connection.
 func (m *Message) Finish() { m.phase = complete }
 
-// ConsumeBody takes the body read so far out of buf, and moves what arrived behind it to the front. It returns how much that is.
-// What Method, Target and Fields point to may be overwritten.
+// ConsumeBody removes the head and the part of the body that has been parsed from buf, moves the bytes behind them to
+// the front and returns their number. This may overwrite the bytes that Method, Target and Fields refer to.
 func (m *Message) ConsumeBody(buf []byte) int {
 	n := copy(buf, buf[m.bodyEnd:])
 	m.consumedBody += m.bodyEnd - m.headLength
@@ -88,8 +90,8 @@
 	return n
 }
 
-// Remainder is the message as it is after Shift, for another buffer that takes the remaining bytes. m and its buffer do not
-// change.
+// Remainder returns the state that the message has after ConsumeBody, to parse the rest of the message in another
+// buffer. m and its buffer do not change.
 func (m *Message) Remainder() Message {
 	tail := *m
 	tail.consumedBody += tail.bodyEnd - tail.headLength
@@ -97,10 +99,11 @@
 	return tail
 }
 
-// ParseBody continues to read buf after Shift or Tail, as Request and Response do.
+// ParseBody continues to parse the message in buf after ConsumeBody or Remainder. Its results are those of ParseRequest
+// and ParseResponse.
 func (m *Message) ParseBody(buf []byte) (int, bool, error) { return m.readBody(buf) }
 
-// bodyLimit returns the limit of the body in force.
+// bodyLimit returns the maximum length of the body.
 func (m *Message) bodyLimit() int {
 	if m.MaxBody > 0 {
 		return m.MaxBody
--- a/internal/protocol/message_test.go
+++ b/internal/protocol/message_test.go
@@ -10,19 +10,20 @@
 	"pgregory.net/rapid"
 )
 
-// parsed is what the tables compare.
+// parsed is the part of a parsed message that the tests compare.
 type parsed struct {
-	First, Body, Rest string
-	Fields            int
-	Keep              bool
+	StartLine, Body, Rest string
+	Fields                int
+	KeepAlive             bool
 }
 
-// readInPieces feeds input to a message in pieces of some size, as a connection would.
-func readInPieces(input string, piece int, next func(*Message, []byte) (int, bool, error)) (parsed, bool, error) {
+// readInPieces parses input with next while it arrives in pieces of the given size, as from a connection. It returns
+// the parsed message and whether it is complete.
+func readInPieces(input string, pieceSize int, next func(*Message, []byte) (int, bool, error)) (parsed, bool, error) {
 	var m Message
 	var buf []byte
 	for len(input) > 0 {
-		k := min(piece, len(input))
+		k := min(pieceSize, len(input))
 		buf = append(buf, input[:k]...)
 		input = input[k:]
 		n, complete, err := next(&m, buf)
@@ -30,11 +31,11 @@
 			return parsed{}, false, err
 		}
 		if buf = buf[:n]; complete {
-			first := string(m.Method) + " " + string(m.Target)
+			startLine := string(m.Method) + " " + string(m.Target)
 			if m.Status > 0 {
-				first = reasonPhrase(m.Status)
+				startLine = reasonPhrase(m.Status)
 			}
-			return parsed{first, string(m.Body(buf)), string(m.Rest(buf)) + input, len(m.Fields), m.KeepAlive}, true, nil
+			return parsed{startLine, string(m.Body(buf)), string(m.Rest(buf)) + input, len(m.Fields), m.KeepAlive}, true, nil
 		}
 	}
 	return parsed{}, false, nil
@@ -50,10 +51,10 @@
 func checkMessages(t *testing.T, cases []messageCase, next func(*Message, []byte) (int, bool, error)) {
 	t.Helper()
 	for _, c := range cases {
-		for _, piece := range []int{1, 3, 1 << 20} { // where a message is cut must make no difference
-			got, complete, err := readInPieces(c.input, piece, next)
+		for _, pieceSize := range []int{1, 3, 1 << 20} { // the result must not depend on where the input is split
+			got, complete, err := readInPieces(c.input, pieceSize, next)
 			if diff := cmp.Diff(c.want, got); diff != "" || complete != c.complete || !errors.Is(err, c.err) {
-				t.Errorf("%s, %d bytes at a time: complete %v, %v, want %v, %v\n%s", c.name, piece, complete, err, c.complete, c.err, diff)
+				t.Errorf("%s, %d bytes at a time: complete %v, %v, want %v, %v\n%s", c.name, pieceSize, complete, err, c.complete, c.err, diff)
 			}
 		}
 	}
@@ -145,17 +146,17 @@
 	}
 }
 
-// No input may crash the parser, and the sizes of the pieces in which it arrives make no difference.
+// No input may crash the parser, and the result must not depend on the sizes of the pieces in which the input arrives.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), 3)
 	f.Add([]byte("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na"), 1)
-	f.Fuzz(func(t *testing.T, in []byte, piece int) {
+	f.Fuzz(func(t *testing.T, in []byte, pieceSize int) {
 		for _, next := range []func(*Message, []byte) (int, bool, error){(*Message).ParseRequest, (*Message).ParseResponse} {
 			atOnce, inPieces := 0, 0
 			if got, ok, _ := readInPieces(string(in), len(in)+1, next); ok {
 				atOnce = len(got.Body) + 1
 			}
-			if got, ok, _ := readInPieces(string(in), max(1, piece%64), next); ok {
+			if got, ok, _ := readInPieces(string(in), max(1, pieceSize%64), next); ok {
 				inPieces = len(got.Body) + 1
 			}
 			if atOnce != inPieces {
@@ -165,8 +166,8 @@
 	})
 }
 
-// A message of any framing, read through a buffer far smaller than itself and in pieces of any size, gives the same body
-// as one read whole.
+// A message of any framing must have the same body whether it is read whole, or in pieces of any size through a buffer
+// far smaller than the message, from which the body is consumed piece by piece.
 func TestMessageInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "body")
@@ -195,7 +196,7 @@
 		in := append(wire, behind...)
 		var (
 			m    Message
-			buf  = make([]byte, 0, 600) // the longest line of the framing fits
+			buf  = make([]byte, 0, 600) // large enough for the longest line of the framing
 			got  []byte
 			next = m.ParseResponse
 		)
@@ -229,7 +230,8 @@
 	})
 }
 
-// A body without an end is rejected at the limit, also where no length is given; targets in absolute form are accepted.
+// A body that never ends must be rejected at the limit across pieces, with chunked framing as well as without a length.
+// Also checked: a target in absolute form, and a response to HEAD, whose length announces no body.
 func TestBodyLimitHoldsAcrossPieces(t *testing.T) {
 	for _, head := range []string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"} {
 		m := Message{MaxBody: 1000}
@@ -240,7 +242,7 @@
 			var n int
 			n, _, err = next(append(buf, "64\r\n"+strings.Repeat("x", 100)+"\r\n"...))
 			if round > 12 {
-				t.Fatal("no end")
+				t.Fatal("no error after more than 12 pieces, want ErrBodyTooLarge")
 			}
 			if err == nil {
 				next = m.ParseBody
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -5,11 +5,12 @@
 	"fmt"
 )
 
-// httpScheme starts a target in absolute form.
+// httpScheme is the start of a request target in absolute form.
 const httpScheme = "http://"
 
-// ParseRequest continues to read buf, which holds all that has arrived since the message started. It takes the framing of
-// chunks out of buf in place and returns the new length of buf, and whether the message is complete.
+// ParseRequest continues to parse a request in buf, which holds everything that has arrived since the message started.
+// It removes the chunked framing from buf in place, and returns the new length of buf and whether the message is
+// complete.
 func (m *Message) ParseRequest(buf []byte) (int, bool, error) {
 	if m.phase == inHead {
 		for !m.startLineRead && bytes.HasPrefix(buf, []byte("\r\n")) { // empty lines before a request are skipped
@@ -28,11 +29,12 @@
 	return m.readBody(buf)
 }
 
+// parseRequestLine parses and checks the first line of a request. The line comes without its CRLF.
 func (m *Message) parseRequestLine(line []byte) error {
 	method, rest, hasTarget := bytes.Cut(line, []byte(" "))
 	target, version, hasVersion := bytes.Cut(rest, []byte(" "))
 	if len(target) > len(httpScheme) && equalFold(target[:len(httpScheme)], httpScheme) {
-		// RFC 9112, 3.2.2: in absolute form, the part behind the authority counts.
+		// RFC 9112, 3.2.2: the authority of a target in absolute form is skipped.
 		i := bytes.IndexByte(target[len(httpScheme):], '/')
 		if i < 1 {
 			return fmt.Errorf("%w: request line", ErrMalformed)
@@ -46,7 +48,7 @@
 	return m.parseVersion(version)
 }
 
-// isTarget reports whether text holds no blank or control character.
+// isTarget reports whether text contains neither blanks nor control characters.
 func isTarget(text []byte) bool {
 	for _, c := range text {
 		if c <= ' ' || c == 0x7f {
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -6,11 +6,11 @@
 	"strconv"
 )
 
-// maxInterimResponses bounds the number of informational responses before a response.
+// maxInterimResponses bounds the number of informational (1xx) responses before the final response.
 const maxInterimResponses = 8
 
-// ParseResponse is Request's counterpart. Informational responses are skipped. The body of one that gives no length ends with
-// the connection; see UntilEnd.
+// ParseResponse parses a response as ParseRequest parses a request. Informational responses are skipped. The body of a
+// response without a given length ends with the connection; see EndsWithConnection.
 func (m *Message) ParseResponse(buf []byte) (int, bool, error) {
 	for m.phase == inHead {
 		found, err := m.parseHead(buf, m.parseStatusLine)
@@ -39,6 +39,7 @@
 	return m.readBody(buf)
 }
 
+// parseStatusLine parses and checks the first line of a response. The line comes without its CRLF.
 func (m *Message) parseStatusLine(line []byte) error {
 	version, rest, _ := bytes.Cut(line, []byte(" "))
 	code, _, _ := bytes.Cut(rest, []byte(" "))
--- a/internal/protocol/status.go
+++ b/internal/protocol/status.go
@@ -2,7 +2,8 @@
 
 import "errors"
 
-// Statuses of responses. They stand here because the node does not link net/http, which would cost it memory.
+// Status codes of responses. They are declared here because the node does not link net/http, which would cost it
+// memory.
 const (
 	StatusSwitchingProtocols   = 101
 	StatusOK                   = 200
@@ -20,7 +21,7 @@
 	StatusGatewayTimeout       = 504
 )
 
-// reasonPhrase returns the text behind the status in a response.
+// reasonPhrase returns the reason phrase for the status line of a response, or "Answer" for a status without one here.
 func reasonPhrase(status int) string {
 	switch status {
 	case StatusOK:
@@ -49,7 +50,7 @@
 	return "Answer"
 }
 
-// RejectionStatus is the status with which a request that could not be parsed is rejected.
+// RejectionStatus returns the status of the response to a request that ParseRequest has rejected with err.
 func RejectionStatus(err error) int {
 	switch {
 	case errors.Is(err, ErrHeadTooLarge):
--- a/internal/protocol/writer.go
+++ b/internal/protocol/writer.go
@@ -5,22 +5,22 @@
 	"strconv"
 )
 
-// Lengths of a body, for AppendRequest and AppendResponse, that are not known.
+// Values for the body length of AppendRequest and AppendResponse when the length is not known.
 const (
-	Chunked    = -1 // sent in chunks
-	UntilClose = -2 // the receiver can't read chunks: the body ends with the connection
+	Chunked    = -1 // the body is sent with chunked framing
+	UntilClose = -2 // the receiver does not support chunked framing: the body ends with the connection
 )
 
 const microsecondsPerSecond = 1e6
 
-// hopByHopFields names the fields that concern one connection alone and are never forwarded.
+// hopByHopFields are the names of the fields that concern a single connection or its framing and are never forwarded.
 var hopByHopFields = []string{"connection", "keep-alive", "proxy-connection", "transfer-encoding", "te", "trailer",
 	"upgrade", "content-length", "expect"}
 
-// appendFields appends the end-to-end fields, without those named.
-func appendFields(dst []byte, fields []Field, without ...string) []byte {
+// appendFields appends the end-to-end fields, except for those named in excluded.
+func appendFields(dst []byte, fields []Field, excluded ...string) []byte {
 	for _, field := range fields {
-		if listedInConnection(fields, field.Name) || isAnyOf(field.Name, hopByHopFields) || isAnyOf(field.Name, without) {
+		if listedInConnection(fields, field.Name) || isAnyOf(field.Name, hopByHopFields) || isAnyOf(field.Name, excluded) {
 			continue
 		}
 		dst = append(dst, field.Name...)
@@ -31,7 +31,7 @@
 	return dst
 }
 
-// isAnyOf reports whether a field's name is one of names, which are in lower case.
+// isAnyOf reports whether fieldName, in any case, is one of names, which are in lower case.
 func isAnyOf(fieldName []byte, names []string) bool {
 	for _, name := range names {
 		if equalFold(fieldName, name) {
@@ -41,13 +41,14 @@
 	return false
 }
 
-// listedInConnection reports whether the sender's Connection field names this field, which then concerns the connection alone.
+// listedInConnection reports whether a Connection field among fields lists the field with the given name, which then
+// concerns this connection alone (RFC 9110, 7.6.1).
 func listedInConnection(fields []Field, name []byte) bool {
-	for _, f := range fields {
-		if !equalFold(f.Name, "connection") {
+	for _, field := range fields {
+		if !equalFold(field.Name, "connection") {
 			continue
 		}
-		for part := range bytes.SplitSeq(f.Value, []byte(",")) {
+		for part := range bytes.SplitSeq(field.Value, []byte(",")) {
 			if bytes.EqualFold(bytes.TrimSpace(part), name) {
 				return true
 			}
@@ -56,9 +57,9 @@
 	return false
 }
 
-// AppendRequest appends the head with which a client's request is forwarded to a backend: method, target and
-// end-to-end fields unchanged, with the time for which this node will wait.
-func AppendRequest(dst []byte, head *Head, body int, expiresMs int64) []byte {
+// AppendRequest appends the head of a client's request as it is forwarded to a backend: method, target and end-to-end
+// fields are unchanged, but X-Expires-In-Ms gives the time for which this node waits for the response.
+func AppendRequest(dst []byte, head *Head, bodyLength int, expiresMs int64) []byte {
 	dst = append(dst, head.Method...)
 	dst = append(dst, ' ')
 	dst = append(dst, head.Target...)
@@ -67,27 +68,28 @@
 	dst = append(dst, "X-Expires-In-Ms: "...)
 	dst = strconv.AppendInt(dst, expiresMs, 10)
 	dst = append(dst, "\r\n"...)
-	if body != 0 || string(head.Method) != "GET" && string(head.Method) != "HEAD" {
-		dst = appendLength(dst, body)
+	if bodyLength != 0 || string(head.Method) != "GET" && string(head.Method) != "HEAD" {
+		dst = appendLength(dst, bodyLength)
 	}
 	return append(dst, "\r\n"...)
 }
 
-// appendLength appends the field that gives the length of a body, which may be Chunked or UntilClose.
-func appendLength(dst []byte, body int) []byte {
-	switch body {
+// appendLength appends the header field that gives the length of a body. It appends none if the length is UntilClose.
+func appendLength(dst []byte, bodyLength int) []byte {
+	switch bodyLength {
 	case UntilClose:
 		return dst
 	case Chunked:
 		return append(dst, "Transfer-Encoding: chunked\r\n"...)
 	}
 	dst = append(dst, "Content-Length: "...)
-	dst = strconv.AppendInt(dst, int64(body), 10)
+	dst = strconv.AppendInt(dst, int64(bodyLength), 10)
 	return append(dst, "\r\n"...)
 }
 
-// AppendResponse appends the head of an answer to a client, with the end-to-end fields of the backend's.
-func AppendResponse(dst []byte, status int, fields []Field, body int, keepAlive bool, retryAfterUs int64) []byte {
+// AppendResponse appends the head of a response to a client, with the end-to-end fields of the backend's response. It
+// adds Retry-After if retryAfterUs is above 0, and Connection: close unless keepAlive is set.
+func AppendResponse(dst []byte, status int, fields []Field, bodyLength int, keepAlive bool, retryAfterUs int64) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
@@ -102,6 +104,6 @@
 	if !keepAlive {
 		dst = append(dst, "Connection: close\r\n"...)
 	}
-	dst = appendLength(dst, body)
+	dst = appendLength(dst, bodyLength)
 	return append(dst, "\r\n"...)
 }
