--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -10,55 +10,56 @@
 	"tulipglade/internal/protocol"
 )
 
-// Bounds of a call.
+// Limits of a call.
 const (
 	maxCallSize     = protocol.MaxHead
 	initialCallSize = 1024
-	// callReadTimeout is how long a call may take to arrive. An incomplete call is owed no answer, but a late and
-	// complete one is.
+	// callReadTimeout is how long a call may take to arrive. Callers may not rely on an answer to an incomplete call,
+	// but a complete one must be answered even if it has arrived slowly.
 	callReadTimeout = 3 * time.Second
-	// nodeTimeout bounds the wait for the node: the answer is due 1 s after the call.
+	// nodeTimeout bounds the wait for the node's reply. Callers must have their answer 1 s after the call.
 	nodeTimeout = 900 * time.Millisecond
-	// closeTimeout is how long a caller may take to close after it has its answer.
+	// closeTimeout is how long the server waits for the caller to close the connection after the answer.
 	closeTimeout = 200 * time.Millisecond
-	// maxDiscarded bounds what is read behind a call, so that closing the connection does not reset it.
+	// maxDiscarded bounds the bytes behind a call that are read and discarded, so that closing the connection does not
+	// reset it.
 	maxDiscarded = 8 * maxCallSize
 )
 
-// Methods of calls.
+// HTTP methods of calls.
 const (
 	methodGet = "GET"
 	methodPut = "PUT"
 )
 
-// errNodeTimeout is the answer to a call that the node has not answered in time.
+// errNodeTimeout is sent as the answer to a call to which the node has not replied within nodeTimeout.
 var errNodeTimeout = errors.New("the node did not answer in time")
 
-// errDisconnected is a caller that has disconnected before its call was complete.
+// errDisconnected means that the caller has disconnected before its call was complete.
 var errDisconnected = errors.New("the caller has disconnected")
 
-// answer is the response to a call: a status and a line of text.
+// answer is the response to a call: a status code and a line of text.
 type answer struct {
 	status int
 	text   string
 }
 
-// request is a call that has arrived.
+// request is a call that has arrived completely.
 type request struct {
 	method, path, query string
 }
 
-// serve answers one call.
+// serve reads the call of a connection, answers it and waits until the caller closes the connection.
 func (s *Server) serve(c *connection) {
-	_ = c.SetDeadline(time.Now().Add(s.readTimeout)) // an open connection takes any deadline
-	message, rejection, err := s.read(c)
+	_ = c.SetDeadline(time.Now().Add(s.readTimeout)) // cannot fail on an open connection
+	message, rejection, err := s.readCall(c)
 	if err != nil {
 		return
 	}
 	response := rejection
 	if response == nil {
-		s.setReceived(c)
-		response = s.perform(message)
+		s.markCallComplete(c)
+		response = s.handleCall(message)
 	}
 	_ = c.SetDeadline(time.Now().Add(nodeTimeout))
 	body := response.text + "\n"
@@ -69,20 +70,20 @@
 	c.awaitClose()
 }
 
-// awaitClose waits for the caller to close. To close while more arrives would reset the connection, and the caller might
-// not see the answer.
+// awaitClose waits for the caller to close the connection. If the server closed it while input is unread or still
+// arrives, the connection would be reset and the caller might not receive the answer.
 func (c *connection) awaitClose() {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil {
 		return
 	}
 	_ = c.SetDeadline(time.Now().Add(closeTimeout))
-	_, _ = io.CopyN(io.Discard, c, maxDiscarded) // ends in any case: by the close, the limit or the deadline
+	_, _ = io.CopyN(io.Discard, c, maxDiscarded) // ends when the caller closes, or at the limit or the deadline
 }
 
-// read reads a call. It returns an answer instead where the call is malformed, too large or not complete in time, and an
-// error where there is nobody to answer.
-func (s *Server) read(c *connection) (request, *answer, error) {
+// readCall reads a call. If the call is malformed, too large or not complete in time, it returns the answer that
+// rejects it instead. It returns an error if the caller has disconnected, so that no answer can be sent.
+func (s *Server) readCall(c *connection) (request, *answer, error) {
 	var message protocol.Message
 	buffer := make([]byte, 0, initialCallSize)
 	for {
@@ -112,13 +113,14 @@
 	}
 }
 
-// operation is what one path stands for.
+// operation is an operation of the node that can be called: its HTTP method and the function that starts it.
 type operation struct {
 	method string
 	invoke func(reply func(error))
 }
 
-func (s *Server) operation(path string) (operation, bool) {
+// operationFor returns the operation at a path, and false if there is none.
+func (s *Server) operationFor(path string) (operation, bool) {
 	switch path {
 	case "/status":
 		return operation{methodGet, s.node.Status}, true
@@ -130,19 +132,20 @@
 	return operation{}, false
 }
 
-// perform passes a call to the node and returns the answer.
-func (s *Server) perform(call request) *answer {
-	target, ok := s.operation(call.path)
+// handleCall checks a call, passes it to the node and returns the answer. A call that changes the node's state is
+// rejected if it names a lease under which the fence admits no call; see beginUnderLease.
+func (s *Server) handleCall(call request) *answer {
+	target, ok := s.operationFor(call.path)
 	if !ok {
 		return &answer{protocol.StatusNotFound, "no such call"}
 	}
 	if call.method != target.method {
 		return &answer{protocol.StatusMethodNotAllowed, "this call is a " + target.method}
 	}
-	end := func() {}
+	endLease := func() {}
 	if call.method == methodPut {
 		var err error
-		end, err = s.beginUnderLease(call.query)
+		endLease, err = s.beginUnderLease(call.query)
 		if errors.Is(err, errIncompleteLease) {
 			return &answer{protocol.StatusBadRequest, err.Error()}
 		}
@@ -150,7 +153,7 @@
 			return &answer{protocol.StatusConflict, err.Error()}
 		}
 	}
-	err := awaitReply(target.invoke, end)
+	err := awaitReply(target.invoke, endLease)
 	switch {
 	case err == nil:
 		return &answer{protocol.StatusOK, "ok"}
@@ -161,12 +164,12 @@
 	}
 }
 
-// awaitReply invokes an operation of the node and returns its reply, or errNodeTimeout. It calls end with the reply, also
-// with one that is too late for an answer: until then the operation may still take effect.
-func awaitReply(invoke func(reply func(error)), end func()) error {
+// awaitReply invokes an operation of the node and returns its reply, or errNodeTimeout. It calls onReply when the reply
+// arrives, even if that is after the timeout: until then the operation may still take effect.
+func awaitReply(invoke func(reply func(error)), onReply func()) error {
 	replies := make(chan error, 1)
 	invoke(func(err error) {
-		end()
+		onReply()
 		replies <- err
 	})
 	timeout := time.NewTimer(nodeTimeout)
--- a/internal/admin/lease.go
+++ b/internal/admin/lease.go
@@ -9,24 +9,28 @@
 	"tulipglade/internal/fencing"
 )
 
-// errIncompleteLease is a call that names a lease, but not all that belongs to it.
+// errIncompleteLease rejects a call whose query has some of the lease parameters but lacks the lease or the token, or
+// has an invalid value.
 var errIncompleteLease = errors.New("a call under a lease needs lease, seat and token")
 
-// SeenTokens is the newest token that calls have presented for each lease, for the successor of this process.
+// SeenTokens returns the newest token that calls have presented for each slot of a lease. A hot restart hands them to
+// the successor.
 func (s *Server) SeenTokens() []fencing.Grant {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.fence.SeenTokens()
 }
 
-// RestoreTokens takes over what SeenTokens of the predecessor has returned.
+// RestoreTokens restores the tokens that SeenTokens of the predecessor has returned.
 func (s *Server) RestoreTokens(seen []fencing.Grant) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fence.RestoreTokens(seen)
 }
 
-// parseGrant reads under which lease a call is made, if any: lease=NAME&seat=N&token=N, in any order, among anything else.
+// parseGrant parses the lease, if any, under which a call is made. The query gives it as lease=NAME&seat=N&token=N, in
+// any order and among other parameters; a missing seat is slot 0. present reports whether the query names a lease or a
+// token.
 func parseGrant(query string) (grant fencing.Grant, present bool, err error) {
 	var slot, token string
 	for part := range strings.SplitSeq(query, "&") {
@@ -53,7 +57,8 @@
 	return grant, true, nil
 }
 
-// beginUnderLease admits a call unless its token is stale. The caller must call end once the call can have no more effect.
+// beginUnderLease admits a call unless it names a lease with a stale token, or a call with an older token may still
+// take effect. If the call is admitted, the caller must call end once it can have no further effect.
 func (s *Server) beginUnderLease(query string) (end func(), err error) {
 	grant, present, err := parseGrant(query)
 	if err != nil || !present {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,8 +1,9 @@
-// Package admin answers operators' calls at an address of its own. It passes them to the node and decides
-// nothing. HTTP/1.1, one call to a connection.
+// Package admin serves the calls of operators at the admin address. It passes them to the node and makes no decisions
+// of its own, except that a fence may reject calls that name a lease. The protocol is HTTP/1.1 with one call per
+// connection.
 //
-// It does not use netpoll, as clients' connections do: the one poller there waits for the node's goroutine during a
-// burst, and a call must be answered whatever clients do.
+// Unlike the connections of clients, those of operators do not use netpoll: its only poller waits for the node's
+// goroutine during a burst of client traffic, but a call must be answered whatever clients do.
 package admin
 
 import (
@@ -17,20 +18,20 @@
 	"tulipglade/internal/fencing"
 )
 
-// MaxConns bounds the connections that are open at once; they come out of the descriptors that a node reserves.
+// MaxConns is the maximum number of open connections. They use file descriptors from those that a node reserves.
 const MaxConns = 8
 
-// acceptBackoff is the pause after a failed accept, as at the limit of descriptors.
+// acceptBackoff is the pause after a failed accept, for example when the process has no file descriptors left.
 const acceptBackoff = 50 * time.Millisecond
 
-// Node is the node that calls are passed to. Each method returns at once, and reply is called once, from any goroutine:
-// nil is yes.
+// Node is the node to which calls are passed. Each method returns at once and later calls reply exactly once, from any
+// goroutine: with nil if the operation has succeeded, otherwise with the reason.
 type Node interface {
-	// Status reports whether this process can serve.
+	// Status replies with nil if this process can serve requests.
 	Status(reply func(error))
-	// Standby has the node send its clients away until Active.
+	// Standby starts a standby: the node sends its clients away until Active is called.
 	Standby(reply func(error))
-	// Active ends a standby.
+	// Active ends a standby, so that the node serves clients again.
 	Active(reply func(error))
 }
 
@@ -42,50 +43,52 @@
 	readTimeout time.Duration
 
 	mutex       sync.Mutex
-	connections []*connection // oldest first
+	connections []*connection // in the order in which they were accepted, oldest first
 	closed      bool
-	fence       fencing.Fence // of calls that name a lease
+	fence       fencing.Fence // checks the tokens of calls that name a lease
 	goroutines  sync.WaitGroup
 }
 
-// connection is a connection with one call.
+// connection is the connection of an operator, which carries one call.
 type connection struct {
 	net.Conn
-	received bool // the call is complete
+	callComplete bool // the call has arrived completely
 }
 
-// Listen opens the address. Calls are answered from here on.
+// Listen opens a listener at addr and starts to answer calls.
 func Listen(addr string, node Node, log *slog.Logger) (*Server, error) {
 	return listen(addr, node, log, callReadTimeout)
 }
 
+// listen is Listen with a choice of the time that a call may take to arrive.
 func listen(addr string, node Node, log *slog.Logger, readTimeout time.Duration) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("operator: %w", err)
 	}
 	s := &Server{node: node, log: log, listener: listener, readTimeout: readTimeout}
-	s.goroutines.Go(s.accept)
+	s.goroutines.Go(s.acceptConnections)
 	return s, nil
 }
 
-// Addr is the address that it listens at.
+// Addr returns the address at which the server listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Close ends the listener and all calls, and returns once they have ended.
+// Close closes the listener and all connections, and returns once the goroutines of the server have ended.
 func (s *Server) Close() error {
 	err := s.listener.Close()
 	s.mutex.Lock()
 	s.closed = true
 	for _, c := range s.connections {
-		_ = c.Close() // its caller gets no answer, whether or not that succeeds
+		_ = c.Close() // the caller gets no answer, whether or not closing succeeds
 	}
 	s.mutex.Unlock()
 	s.goroutines.Wait()
 	return err
 }
 
-func (s *Server) accept() {
+// acceptConnections accepts connections until the listener is closed, and serves each on a goroutine of its own.
+func (s *Server) acceptConnections() {
 	for {
 		accepted, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -97,39 +100,41 @@
 			continue
 		}
 		c := &connection{Conn: accepted}
-		if !s.add(c) {
-			_ = accepted.Close() // rejected
+		if !s.addConnection(c) {
+			_ = accepted.Close() // the server is closed or at MaxConns
 			continue
 		}
 		s.goroutines.Go(func() {
-			defer s.remove(c)
+			defer s.removeConnection(c)
 			s.serve(c)
 		})
 	}
 }
 
-// add registers a connection, unless the server is closed or full of complete calls. Where it is full, the oldest
-// connection without a complete call is closed: a caller that sends nothing must not block others.
-func (s *Server) add(c *connection) bool {
+// addConnection registers a connection and reports whether it is accepted. If MaxConns connections are open, it closes
+// the oldest one whose call is not complete, since a caller that sends nothing must not block others. It rejects the
+// new connection if the server is closed or if all open connections have complete calls.
+func (s *Server) addConnection(c *connection) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
 		return false
 	}
 	if len(s.connections) >= MaxConns {
-		oldest := slices.IndexFunc(s.connections, func(other *connection) bool { return !other.received })
+		oldest := slices.IndexFunc(s.connections, func(other *connection) bool { return !other.callComplete })
 		if oldest < 0 {
 			return false
 		}
-		_ = s.connections[oldest].Close() // its caller has not completed a call
+		_ = s.connections[oldest].Close() // the caller has not sent a complete call
 		s.connections = slices.Delete(s.connections, oldest, oldest+1)
 	}
 	s.connections = append(s.connections, c)
 	return true
 }
 
-func (s *Server) remove(c *connection) {
-	_ = c.Close() // it has been served, or has been closed before
+// removeConnection closes a connection and removes it from the open ones.
+func (s *Server) removeConnection(c *connection) {
+	_ = c.Close() // the call has been served, or the connection was closed before
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if i := slices.Index(s.connections, c); i >= 0 {
@@ -137,8 +142,9 @@
 	}
 }
 
-func (s *Server) setReceived(c *connection) {
+// markCallComplete records that the call of a connection is complete, so that addConnection does not close it.
+func (s *Server) markCallComplete(c *connection) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	c.received = true
+	c.callComplete = true
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -12,11 +12,11 @@
 	"go.uber.org/goleak"
 )
 
-// fakeNode answers as a test sets it.
+// fakeNode is a node whose reply a test sets. It records the calls that it gets.
 type fakeNode struct {
 	calls  chan string
-	err    error
-	silent bool // it never answers
+	err    error // reply to every call
+	silent bool  // never reply
 }
 
 func (n *fakeNode) call(name string, reply func(error)) {
@@ -29,6 +29,8 @@
 func (n *fakeNode) Standby(reply func(error)) { n.call("standby", reply) }
 func (n *fakeNode) Active(reply func(error))  { n.call("active", reply) }
 
+// startServer starts a server for the test and returns its address. The server must leave no goroutine when it is
+// closed.
 func startServer(t *testing.T, n *fakeNode, readTimeout time.Duration) string {
 	t.Helper()
 	ignore := goleak.IgnoreCurrent()
@@ -44,6 +46,7 @@
 	return s.Addr().String()
 }
 
+// send opens a connection, writes text and returns the connection.
 func send(t *testing.T, addr, text string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -58,9 +61,10 @@
 	return conn
 }
 
+// readAnswer reads the answer to a call and returns its status code and reason phrase.
 func readAnswer(t *testing.T, conn net.Conn) string {
 	t.Helper()
-	all, err := io.ReadAll(conn) // to the close that follows each answer
+	all, err := io.ReadAll(conn) // the server closes the connection after each answer
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +73,7 @@
 }
 
 func TestCallsAreAnswered(t *testing.T) {
-	no := errors.New("no")
+	errRefused := errors.New("no")
 	for _, c := range []struct {
 		name, call string
 		err        error
@@ -77,12 +81,12 @@
 		want       string
 	}{
 		{"status", "GET /status HTTP/1.1\r\nHost: h\r\n\r\n", nil, "status", "200 OK"},
-		{"status, no", "GET /status HTTP/1.1\r\n\r\n", no, "status", "503 Service Unavailable"},
+		{"status, no", "GET /status HTTP/1.1\r\n\r\n", errRefused, "status", "503 Service Unavailable"},
 		{"standby", "PUT /standby HTTP/1.1\r\nContent-Length: 0\r\n\r\n", nil, "standby", "200 OK"},
 		{"standby, with a body", "PUT /standby HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", nil, "standby", "200 OK"},
 		{"standby, chunked", "PUT /standby HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", nil, "standby", "200 OK"},
 		{"active", "PUT /active?now HTTP/1.1\r\n\r\n", nil, "active", "200 OK"},
-		{"active, no", "PUT /active HTTP/1.0\r\n\r\n", no, "active", "409 Conflict"},
+		{"active, no", "PUT /active HTTP/1.0\r\n\r\n", errRefused, "active", "409 Conflict"},
 		{"another path", "GET /ready HTTP/1.1\r\n\r\n", nil, "", "404 Not Found"},
 		{"another method", "GET /standby HTTP/1.1\r\n\r\n", nil, "", "405 Method Not Allowed"},
 		{"not HTTP", "what?\r\n\r\n", nil, "", "400 Bad Request"},
@@ -107,7 +111,8 @@
 	}
 }
 
-// A call with a stale token is rejected; one without a lease is not.
+// A call whose token is older than one that the node has seen for the same lease and slot must be rejected: its caller
+// no longer holds the lease. Calls without a lease and calls that change nothing are not checked.
 func TestStaleTokensAreRejected(t *testing.T) {
 	n := &fakeNode{}
 	addr := startServer(t, n, callReadTimeout)
@@ -133,12 +138,13 @@
 	}
 	calls := len(n.calls)
 	if calls != 6 {
-		t.Errorf("%d calls to the node", calls)
+		t.Errorf("%d calls to the node, want 6", calls)
 	}
 }
 
-// Callers that send nothing, or half a call, and keep the connection do not block others: the oldest connection is closed.
-// Each has its timeout as well.
+// Callers that keep their connections open without a complete call must not use up all MaxConns and so block others:
+// the oldest such connection is closed. The read timeout is too long here to end them; TestIncompleteCallTimesOut
+// covers it.
 func TestSilentCallersDoNotBlockOthers(t *testing.T) {
 	n := &fakeNode{}
 	addr := startServer(t, n, time.Hour)
@@ -152,10 +158,11 @@
 		}
 	}
 	if all, _ := io.ReadAll(silent[0]); len(all) > 0 {
-		t.Errorf("the oldest received %q", all)
+		t.Errorf("the oldest connection received %q, want it closed without an answer", all)
 	}
 }
 
+// An incomplete call must be rejected at the read timeout and not hold its connection forever.
 func TestIncompleteCallTimesOut(t *testing.T) {
 	addr := startServer(t, &fakeNode{}, 50*time.Millisecond)
 	if got := readAnswer(t, send(t, addr, "GET /status HT")); got != "408 Request Timeout" {
@@ -163,14 +170,14 @@
 	}
 }
 
-// A node that does not answer leads to a rejection, and in time.
+// If the node does not reply, the caller must get a rejection once nodeTimeout has passed, and not wait forever.
 func TestNodeTimeoutIsAnswered(t *testing.T) {
 	addr := startServer(t, &fakeNode{silent: true}, callReadTimeout)
-	began := time.Now()
+	startedAt := time.Now()
 	if got := readAnswer(t, send(t, addr, "GET /status HTTP/1.1\r\n\r\n")); got != "503 Service Unavailable" {
 		t.Error(got)
 	}
-	if took := time.Since(began); took < nodeTimeout/2 {
-		t.Errorf("after %v: without a wait for the node", took)
+	if elapsed := time.Since(startedAt); elapsed < nodeTimeout/2 {
+		t.Errorf("answered after %v, without a wait for the node's reply", elapsed)
 	}
 }
