--- a/internal/deadlineexec/deadlineexec_test.go
+++ b/internal/deadlineexec/deadlineexec_test.go
@@ -12,9 +12,10 @@
 	"golang.org/x/sys/unix"
 )
 
+// clock is a clock that all processes of the machine share.
 func clock() time.Duration {
 	var ts unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) // the clock always exists
+	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) // cannot fail: the clock always exists
 	return time.Duration(ts.Nano())
 }
 
@@ -23,17 +24,18 @@
 	os.Exit(m.Run())
 }
 
-// start starts a command with a deadline from now on.
-func start(t *testing.T, within time.Duration, out *bytes.Buffer, args ...string) *Cmd {
+// start starts a command whose deadline is the given time from now. Its output and errors go to out.
+func start(t *testing.T, remaining time.Duration, out *bytes.Buffer, args ...string) *Cmd {
 	t.Helper()
-	c, err := Start(clock()+within, os.Environ(), out, out, args...)
+	c, err := Start(clock()+remaining, os.Environ(), out, out, args...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// A command that ends by itself has its own exit status, and does not inherit the supervisor's environment.
+// A command that ends before its deadline must keep its own exit status, and must not inherit the environment variable
+// that makes a process a supervisor.
 func TestCommandExitsWithItsOwnStatus(t *testing.T) {
 	var out bytes.Buffer
 	if err := start(t, time.Hour, &out, "sh", "-c", "echo hello $"+deadlineEnv).Wait(); err != nil || out.String() != "hello\n" {
@@ -51,23 +53,24 @@
 	}
 }
 
-// The deadline is not extended, as when the parent is stopped: the command gets SIGTERM a second before, and is killed at the deadline with
-// the processes that it has started, though they ignore SIGTERM. Wait returns only when all of them have closed the pipe of the output.
+// A command whose deadline is not extended, for example because the parent is stopped, must get SIGTERM one second
+// before the deadline and be killed at the deadline, together with a child that ignores SIGTERM. If the child survived,
+// it would keep the pipe of the output open, and Wait would not return before it ends.
 func TestCommandIsKilledAtDeadline(t *testing.T) {
 	var out bytes.Buffer
 	started := clock()
 	script := "trap 'echo got SIGTERM' TERM; (trap '' TERM; sleep 100) & while :; do sleep 0.05; done"
 	err := start(t, GracePeriod+300*time.Millisecond, &out, "sh", "-c", script).Wait()
-	took := clock() - started
+	elapsed := clock() - started
 	if !errors.Is(err, ErrKilled) || !strings.Contains(out.String(), "got SIGTERM") {
 		t.Errorf("%v %q", err, out.String())
 	}
-	if took < GracePeriod+300*time.Millisecond {
-		t.Errorf("killed after %v, before its deadline", took)
+	if elapsed < GracePeriod+300*time.Millisecond {
+		t.Errorf("killed after %v, before its deadline", elapsed)
 	}
 }
 
-// The deadline is extended, and then the parent ends the command.
+// A command must run past its first deadline once that is extended, and until the parent calls Terminate.
 func TestDeadlineIsExtendedUntilEnd(t *testing.T) {
 	var out bytes.Buffer
 	c := start(t, 2*GracePeriod, &out, "sh", "-c", "sleep 0.3; echo there; sleep 100")
--- a/internal/deadlineexec/supervisor.go
+++ b/internal/deadlineexec/supervisor.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Exit statuses of a supervisor that could not run its command, and the offset of that of a command that a signal has ended; all as a
-// shell has them.
+// Exit statuses of a supervisor, as those of a shell: for wrong arguments, for a command that could not be started, and
+// the offset that is added to the number of a signal that has ended the command.
 const (
 	exitUsage        = 2
 	exitNotStarted   = 127
@@ -19,13 +19,15 @@
 )
 
 const (
-	// deadlinesFD is the first of the extra files that Start passes on.
+	// deadlinesFD is the file descriptor of the first of the ExtraFiles that Start passes: the pipe with the deadlines.
 	deadlinesFD = 3
-	// maxWait bounds the time between two looks at the clock, which may not be the one of timers.
-	maxWait = 50 * time.Millisecond
+	// maxClockInterval bounds the time between two readings of the clock. The clock may differ from the one that Go's
+	// timers use, so that a timer for the whole wait could fire too late.
+	maxClockInterval = 50 * time.Millisecond
 )
 
-// RunSupervisor must be called first in main. In a process that Start has started as a supervisor it runs the command, and does not return.
+// RunSupervisor must be called first in main. In a process that Start has started as a supervisor, it runs the command
+// and exits with the status of the command; in any other process it returns at once.
 func RunSupervisor(clock func() time.Duration) {
 	raw := os.Getenv(deadlineEnv)
 	if raw == "" {
@@ -33,7 +35,7 @@
 	}
 	deadline, err := parseTime(raw)
 	if err == nil {
-		err = os.Unsetenv(deadlineEnv) // the command must not inherit it
+		err = os.Unsetenv(deadlineEnv) // the command must not inherit the variable
 	}
 	if err != nil || len(os.Args) < 2 {
 		fmt.Fprintln(os.Stderr, deadlineEnv, err)
@@ -42,9 +44,10 @@
 	os.Exit(supervise(clock, deadline, os.Args[1:]))
 }
 
-// supervise runs a command until it ends or the deadline has come, and returns the exit status.
+// supervise runs a command until it ends or the deadline has passed, and returns the exit status for the supervisor.
 func supervise(clock func() time.Duration, deadline time.Duration, args []string) int {
-	// Only the deadline and the parent end a supervisor. Signals are caught, since the command would inherit that they are ignored.
+	// Only the deadline and the parent end a supervisor, so it must survive these signals. They are caught and not
+	// ignored, since the command would inherit ignored signals.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGTERM, syscall.SIGINT)
 	extensions, parentClosed := readDeadlines()
 	command := exec.Command(args[0], args[1:]...)
@@ -56,7 +59,7 @@
 	}
 	exited := make(chan struct{})
 	go func() {
-		_ = command.Wait() // ProcessState has the result
+		_ = command.Wait() // the result is in command.ProcessState
 		close(exited)
 	}()
 	terminated := false
@@ -77,7 +80,7 @@
 		select {
 		case <-exited:
 			if terminated {
-				signalGroup(command, syscall.SIGKILL) // what is left of its group
+				signalGroup(command, syscall.SIGKILL) // the processes that are left of the command's group
 				return ExitKilled
 			}
 			return exitStatus(command.ProcessState)
@@ -86,20 +89,21 @@
 		case <-parentClosed:
 			parentClosed = nil
 			deadline = min(deadline, now+GracePeriod)
-		case <-time.After(min(wait, maxWait)):
+		case <-time.After(min(wait, maxClockInterval)):
 		}
 	}
 }
 
-// readDeadlines reads the deadlines that the parent sends. The second channel is closed when the parent has closed the pipe or exited.
+// readDeadlines returns a channel with the deadlines that the parent sends, and a channel that is closed when the
+// parent has closed the pipe or exited.
 func readDeadlines() (<-chan time.Duration, <-chan struct{}) {
 	deadlines := make(chan time.Duration)
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		lines := bufio.NewScanner(os.NewFile(deadlinesFD, "deadlines"))
-		for lines.Scan() {
-			if deadline, err := parseTime(lines.Text()); err == nil {
+		scanner := bufio.NewScanner(os.NewFile(deadlinesFD, "deadlines"))
+		for scanner.Scan() {
+			if deadline, err := parseTime(scanner.Text()); err == nil {
 				deadlines <- deadline
 			}
 		}
@@ -107,10 +111,12 @@
 	return deadlines, closed
 }
 
-// signalGroup sends a signal to a command's process group. It fails if no process is left.
-func signalGroup(command *exec.Cmd, s syscall.Signal) { _ = syscall.Kill(-command.Process.Pid, s) }
+// signalGroup sends a signal to the process group of a command. The error is ignored: no process of the group may be
+// left.
+func signalGroup(command *exec.Cmd, sig syscall.Signal) { _ = syscall.Kill(-command.Process.Pid, sig) }
 
-// exitStatus returns the status of a command that ended by itself.
+// exitStatus returns the exit status for a command that the supervisor has not ended: its own, or exitSignalOffset plus
+// the number of the signal that has ended it.
 func exitStatus(state *os.ProcessState) int {
 	if status, ok := state.Sys().(syscall.WaitStatus); ok && status.Signaled() {
 		return exitSignalOffset + int(status.Signal())
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback rejects addresses off the loopback interface: fakes and agents do not authenticate their callers, and
-// must never be reached, nor connect, over a network.
+// Package loopback rejects addresses that are not on the loopback interface. The fakes and the agents do not
+// authenticate their callers, so they must neither be reachable nor connect over a network.
 package loopback
 
 import (
@@ -8,10 +8,11 @@
 	"net"
 )
 
-// ErrNotLoopback is an address off the loopback interface.
+// ErrNotLoopback is returned for an address that is not on the loopback interface.
 var ErrNotLoopback = errors.New("not a loopback address")
 
-// Check returns an error, ErrNot or one of the form, unless address is host:port on the loopback interface.
+// Check returns nil if address is host:port with an IP address of the loopback interface as its host. Otherwise it
+// returns an error: ErrNotLoopback, or that of net.SplitHostPort if the address does not have this form.
 func Check(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -1,6 +1,6 @@
 package settings
 
-// settingsJSON is the JSON form of the settings. Its tags are the protocol's names; times are in microseconds.
+// settingsJSON is the JSON form of the settings. The tags are the keys of the protocol; times are in microseconds.
 type settingsJSON struct {
 	Discovery    string        `json:"discovery"`
 	Zone         int           `json:"my_zone"`
@@ -17,11 +17,13 @@
 	Report       reportJSON    `json:"report"`
 }
 
+// tenantJSON is the JSON form of a balancer.Tenant.
 type tenantJSON struct {
 	QuotaFraction  float64 `json:"share"`
 	QuotaPerSecond float64 `json:"quota_per_s"`
 }
 
+// classJSON is the JSON form of a balancer.Class.
 type classJSON struct {
 	LatencyObjective  int64   `json:"aim_us"`
 	Deadline          int64   `json:"deadline_us"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads the settings of a deployment, in the form in which the simulator and the configuration of a node give them.
+// Package settings parses the settings of a deployment from their JSON form. The simulator sends them in this form, and
+// the configuration of a node contains them in it.
 package settings
 
 import (
@@ -9,24 +10,26 @@
 	"tulipglade/internal/balancer"
 )
 
-// Deployment is the settings of a deployment as far as the decision module reads them.
+// Deployment holds those settings of a deployment that the load-balancing decisions use.
 type Deployment struct {
 	Balancer         balancer.Config
-	LoadReportFields []string // names of the values in a load report, in their order
+	LoadReportFields []string // names of the values in a load report, in the order of the report
 }
 
 // Values of the key "discovery".
 const (
-	discoveryPush = "push" // lists are pushed to the node
-	discoveryPoll = "ask"  // the node polls for lists
+	discoveryPush = "push" // discovery pushes lists to the node
+	discoveryPoll = "ask"  // the node polls discovery for lists
 )
 
+// idempotencies maps the values of the key "effect".
 var idempotencies = map[string]balancer.Idempotency{
 	"repeatable": balancer.Idempotent,
 	"by_key":     balancer.IdempotentByKey,
 	"once":       balancer.NonIdempotent,
 }
 
+// keyScopes maps the values of the key "key_scope"; "" stands for a missing key.
 var keyScopes = map[string]balancer.KeyScope{
 	"":     balancer.ScopeAll,
 	"all":  balancer.ScopeAll,
@@ -34,13 +37,15 @@
 	"cell": balancer.ScopeCell,
 }
 
-// FieldError is a value that the settings may not have.
+// FieldError reports a field with an invalid value.
 type FieldError struct {
-	Field   string // path of the field or of its object, such as "profiles[0]"; empty where the problem names it
+	// Field is the path of the field or of the object that has it, such as "profiles[0]". It is empty if Problem names
+	// the field.
+	Field   string
 	Problem string
 }
 
-// Error names the field first, where there is one.
+// Error returns the problem, with the field before it if Field is set.
 func (e *FieldError) Error() string {
 	if e.Field == "" {
 		return e.Problem
@@ -48,27 +53,27 @@
 	return e.Field + ": " + e.Problem
 }
 
-// FieldErrorf returns a *FieldError.
+// FieldErrorf returns a *FieldError with a formatted problem.
 func FieldErrorf(field, format string, args ...any) error {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Parse reads settings from their JSON form. Unknown keys are skipped; a missing optional key leaves its zero value, of
-// which balancer.Config says what it means.
+// Parse parses settings from their JSON form. Unknown keys are ignored. A missing optional key leaves the zero value of
+// its field; balancer.Config documents what that means.
 func Parse(raw []byte) (Deployment, error) {
 	var document settingsJSON
 	if err := json.Unmarshal(raw, &document); err != nil {
 		return Deployment{}, ConvertTypeError(err)
 	}
-	if err := document.check(); err != nil {
+	if err := document.validate(); err != nil {
 		return Deployment{}, err
 	}
-	config := document.config()
+	config := document.balancerConfig()
 	for _, tenant := range document.Tenants {
 		config.Tenants = append(config.Tenants, tenant.tenant())
 	}
-	for i, profile := range document.Classes {
-		class, err := profile.class(fmt.Sprintf("profiles[%d]", i))
+	for i, classDocument := range document.Classes {
+		class, err := classDocument.class(fmt.Sprintf("profiles[%d]", i))
 		if err != nil {
 			return Deployment{}, err
 		}
@@ -77,8 +82,9 @@
 	return Deployment{Balancer: config, LoadReportFields: document.Report.Fields}, nil
 }
 
-// ConvertTypeError returns an error of encoding/json as a FieldError where it is a value of the wrong type, so that it names the
-// field by its path in the file and not by a type of ours. It returns any other error as it is.
+// ConvertTypeError converts an error of encoding/json about a value of the wrong type to a *FieldError, so that the
+// message names the field by its path in the document and not by a Go type of this program. It returns any other error
+// unchanged.
 func ConvertTypeError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if !errors.As(err, &wrongType) || wrongType.Field == "" {
@@ -87,7 +93,8 @@
 	return FieldErrorf(wrongType.Field, "%s is not of type %s", wrongType.Value, wrongType.Type)
 }
 
-func (s *settingsJSON) check() error {
+// validate checks the fields that neither the decoder nor class checks.
+func (s *settingsJSON) validate() error {
 	if s.Discovery != discoveryPush && s.Discovery != discoveryPoll {
 		return FieldErrorf("", "discovery %q is neither %s nor %s", s.Discovery, discoveryPush, discoveryPoll)
 	}
@@ -97,8 +104,8 @@
 	return nil
 }
 
-// config returns all but the tenants and the classes.
-func (s *settingsJSON) config() balancer.Config {
+// balancerConfig returns the configuration of the balancer without its tenants and classes, which Parse adds.
+func (s *settingsJSON) balancerConfig() balancer.Config {
 	config := balancer.Config{
 		Zone:               s.Zone,
 		PeerCount:          s.PeerCount,
@@ -129,6 +136,7 @@
 	return balancer.Tenant{QuotaFraction: t.QuotaFraction, QuotaPerSecond: t.QuotaPerSecond}
 }
 
+// class converts the class. An error names field, the path of the class in the document.
 func (c classJSON) class(field string) (balancer.Class, error) {
 	idempotency, ok := idempotencies[c.Idempotency]
 	if !ok {
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -1,5 +1,6 @@
-// Package tomlfile reads TOML files strictly: an unknown key, a value of the wrong type or a value that its owner
-// rejects is one error that names file, line, field and reason.
+// Package tomlfile reads TOML files strictly: an unknown key, a value of the wrong type, or a value that the Check
+// method of the decoded document rejects, is an error of one line that names the file, the line, the field and the
+// reason.
 package tomlfile
 
 import (
@@ -12,24 +13,24 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// FieldError is a field that the owner of a value rejects. Path is the field's dotted path, with the index of an array of
-// tables as in "fault[2].at_ms".
+// FieldError reports a field whose value a Checker rejects. Path is the dotted path of the field, with the index of an
+// element of an array of tables as in "fault[2].at_ms".
 type FieldError struct {
 	Path, Reason string
 }
 
-// Error names the field first.
+// Error returns the path and the reason.
 func (e *FieldError) Error() string { return e.Path + ": " + e.Reason }
 
-// FieldErrorf returns an *Invalid.
+// FieldErrorf returns a *FieldError with a formatted reason.
 func FieldErrorf(path, format string, args ...any) error {
 	return &FieldError{Path: path, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Checker is a value that can check itself; an *Invalid names the field at fault.
+// Checker is a document that validates itself. Check returns a *FieldError for an invalid field.
 type Checker interface{ Check() error }
 
-// Load reads the file into value and checks it.
+// Load reads the file and decodes it into value; see Decode.
 func Load(file string, value any) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -38,7 +39,7 @@
 	return Decode(file, raw, value)
 }
 
-// Decode reads raw, the contents of the named file, into value and checks value if it is a Checker.
+// Decode decodes raw, the contents of the named file, into value, and calls Check if value is a Checker.
 func Decode(file string, raw []byte, value any) error {
 	decoder := toml.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
@@ -51,11 +52,11 @@
 	return nil
 }
 
-// locateDecodeError adds file, line and field to an error of the decoder.
+// locateDecodeError adds the file, the line and the field to an error of the decoder, as far as the error has them.
 func locateDecodeError(file string, err error) error {
-	var unknown *toml.StrictMissingError
-	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
-		first := unknown.Errors[0]
+	var unknownField *toml.StrictMissingError
+	if errors.As(err, &unknownField) && len(unknownField.Errors) > 0 {
+		first := unknownField.Errors[0]
 		row, _ := first.Position()
 		return fmt.Errorf("%s:%d: %s: there is no such field", file, row, strings.Join(first.Key(), "."))
 	}
@@ -71,7 +72,7 @@
 	return fmt.Errorf("%s: %w", file, err)
 }
 
-// locateFieldError adds file and line to an *Invalid, and returns any other error as it is.
+// locateFieldError adds the file and the line to a *FieldError, and returns any other error unchanged.
 func locateFieldError(file string, raw []byte, err error) error {
 	var invalid *FieldError
 	if !errors.As(err, &invalid) {
--- a/internal/tomlfile/line.go
+++ b/internal/tomlfile/line.go
@@ -7,7 +7,9 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// FieldLine is the line on which the field of that path is set, or the nearest table around it; 0 if neither is there.
+// FieldLine returns the number of the line that sets the field at path; for an array of tables, that of its first
+// element. If no line sets the field, it returns the line of the innermost enclosing table that the document has, or 0
+// if there is none.
 func FieldLine(raw []byte, path string) int {
 	lines := lineIndex(raw)
 	for path != "" {
@@ -17,25 +19,25 @@
 		if line, ok := lines[withIndex(path, 0)]; ok {
 			return line
 		}
-		cut := strings.LastIndexAny(path, ".[")
-		if cut < 0 {
+		lastSeparator := strings.LastIndexAny(path, ".[")
+		if lastSeparator < 0 {
 			break
 		}
-		path = path[:cut]
+		path = path[:lastSeparator]
 	}
 	return 0
 }
 
-// lineIndex maps the path of each key and table to its line.
+// lineIndex maps the path of each key and each table in the document to the number of its line.
 func lineIndex(raw []byte) map[string]int {
 	parser := unstable.Parser{}
 	parser.Reset(raw)
 	lines := map[string]int{}
-	lastElements := map[string]int{} // index of the last element of each array of tables
+	lastElements := map[string]int{} // index of the last element so far of each array of tables
 	table := ""
 	for parser.NextExpression() {
 		expression := parser.Expression()
-		names, position := keyOf(expression)
+		names, position := keyParts(expression)
 		if len(names) == 0 {
 			continue
 		}
@@ -60,8 +62,8 @@
 	return lines
 }
 
-// keyOf returns the parts of an expression's key, and the position of the last.
-func keyOf(expression *unstable.Node) (names []string, position unstable.Range) {
+// keyParts returns the names that make up the dotted key of an expression, and the position of the last name.
+func keyParts(expression *unstable.Node) (names []string, position unstable.Range) {
 	for parts := expression.Key(); parts.Next(); {
 		names = append(names, string(parts.Node().Data))
 		position = parts.Node().Raw
@@ -69,7 +71,8 @@
 	return names, position
 }
 
-// tablePath returns the path of a table, within the last elements of the arrays of tables on the way to it.
+// tablePath returns the path of the table with the given names. A name before the last that denotes an array of tables
+// gets the index of the array's last element so far, since TOML adds the table to that element.
 func tablePath(names []string, lastElements map[string]int) string {
 	path := ""
 	for i, name := range names {
@@ -81,8 +84,10 @@
 	return path
 }
 
+// withIndex returns the path of an element of an array of tables.
 func withIndex(array string, index int) string { return array + "[" + strconv.Itoa(index) + "]" }
 
+// joinPath returns the path of a name in a table; the path of the root table is empty.
 func joinPath(table, name string) string {
 	if table == "" {
 		return name
--- a/internal/tomlfile/set.go
+++ b/internal/tomlfile/set.go
@@ -7,29 +7,30 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Set returns raw with the field at the dotted path set to value; missing tables are added. An element of
-// an array of tables is named by its index, as in "class[1].work_ms".
+// Set returns the document raw with the field at the dotted path set to value. Missing tables are added. An element of
+// an array of tables is named by its index, as in "class[1].work_ms", and must exist.
 func Set(raw []byte, path string, value any) ([]byte, error) {
 	document := map[string]any{}
 	if err := toml.Unmarshal(raw, &document); err != nil {
 		return nil, err
 	}
-	a := assignment{path: path, steps: strings.Split(path, "."), value: value}
-	if err := a.apply(document, 0); err != nil {
+	assign := assignment{path: path, steps: strings.Split(path, "."), value: value}
+	if err := assign.applyAt(document, 0); err != nil {
 		return nil, err
 	}
 	return toml.Marshal(document)
 }
 
-// assignment sets one field of a document.
+// assignment is the assignment of a value to one field of a document.
 type assignment struct {
 	path  string
-	steps []string // of the path
+	steps []string // parts of path between the dots
 	value any
 }
 
-// apply makes the assignment below container, which the steps before depth have led to.
-func (a assignment) apply(container any, depth int) error {
+// applyAt makes the assignment in or below container, to which the first depth steps of the path lead. It returns an
+// error if container is not a table.
+func (a assignment) applyAt(container any, depth int) error {
 	step, err := a.parseStep(depth)
 	if err != nil {
 		return err
@@ -39,7 +40,7 @@
 		return FieldErrorf(a.path, "%q is not a table", strings.Join(a.steps[:depth], "."))
 	}
 	last := depth == len(a.steps)-1
-	if step.indexed {
+	if step.hasIndex {
 		return a.applyToElement(table, step, depth, last)
 	}
 	if last {
@@ -49,9 +50,10 @@
 	if table[step.name] == nil {
 		table[step.name] = map[string]any{}
 	}
-	return a.apply(table[step.name], depth+1)
+	return a.applyAt(table[step.name], depth+1)
 }
 
+// applyToElement makes the assignment in or below an element of an array in table, which step names by its index.
 func (a assignment) applyToElement(table map[string]any, step pathStep, depth int, last bool) error {
 	list, _ := table[step.name].([]any)
 	if step.index >= len(list) {
@@ -61,25 +63,26 @@
 		list[step.index] = a.value
 		return nil
 	}
-	return a.apply(list[step.index], depth+1)
+	return a.applyAt(list[step.index], depth+1)
 }
 
-// pathStep is one part of a dotted path.
+// pathStep is one step of a path: a name, and the index of an element if the path gives one.
 type pathStep struct {
-	name    string
-	indexed bool // the element with the index, not the whole value
-	index   int
+	name     string
+	hasIndex bool // the step is the element at index, not the value with the name
+	index    int
 }
 
+// parseStep parses the step of the path at the given depth.
 func (a assignment) parseStep(depth int) (pathStep, error) {
 	step := a.steps[depth]
-	open := strings.IndexByte(step, '[')
-	if open <= 0 || !strings.HasSuffix(step, "]") {
+	bracket := strings.IndexByte(step, '[')
+	if bracket <= 0 || !strings.HasSuffix(step, "]") {
 		return pathStep{name: step}, nil
 	}
-	index, err := strconv.Atoi(step[open+1 : len(step)-1])
+	index, err := strconv.Atoi(step[bracket+1 : len(step)-1])
 	if err != nil || index < 0 {
-		return pathStep{}, FieldErrorf(a.path, "%q is no index", step[open:])
+		return pathStep{}, FieldErrorf(a.path, "%q is not a valid index", step[bracket:])
 	}
-	return pathStep{name: step[:open], indexed: true, index: index}, nil
+	return pathStep{name: step[:bracket], hasIndex: true, index: index}, nil
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// document is a value with a check of its own.
+// document is a Checker.
 type document struct {
 	Name string `toml:"name"`
 	Load struct {
