--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -119,8 +119,8 @@
 	invoke func(reply func(error))
 }
 
-// operationFor returns the operation at a path, and false if there is none.
-func (s *Server) operationFor(path string) (operation, bool) {
+// operation returns the operation at a path, and false if there is none.
+func (s *Server) operation(path string) (operation, bool) {
 	switch path {
 	case "/status":
 		return operation{methodGet, s.node.Status}, true
@@ -135,7 +135,7 @@
 // handleCall checks a call, passes it to the node and returns the answer. A call that changes the node's state is
 // rejected if it names a lease under which the fence admits no call; see beginUnderLease.
 func (s *Server) handleCall(call request) *answer {
-	target, ok := s.operationFor(call.path)
+	target, ok := s.operation(call.path)
 	if !ok {
 		return &answer{protocol.StatusNotFound, "no such call"}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -68,7 +68,7 @@
 	if err := document.validate(); err != nil {
 		return Deployment{}, err
 	}
-	config := document.balancerConfig()
+	config := document.config()
 	for _, tenant := range document.Tenants {
 		config.Tenants = append(config.Tenants, tenant.tenant())
 	}
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// balancerConfig returns the configuration of the balancer without its tenants and classes, which Parse adds.
-func (s *settingsJSON) balancerConfig() balancer.Config {
+// config returns the configuration of the balancer without its tenants and classes, which Parse adds.
+func (s *settingsJSON) config() balancer.Config {
 	config := balancer.Config{
 		Zone:               s.Zone,
 		PeerCount:          s.PeerCount,
