--- a/internal/deadlineexec/deadlineexec_test.go
+++ b/internal/deadlineexec/deadlineexec_test.go
@@ -71,7 +71,7 @@
 }
 
 // A command must run past its first deadline once that is extended, and until the parent calls Terminate.
-func TestDeadlineIsExtendedUntilEnd(t *testing.T) {
+func TestCommandRunsUntilTerminateAfterExtension(t *testing.T) {
 	var out bytes.Buffer
 	c := start(t, 2*GracePeriod, &out, "sh", "-c", "sleep 0.3; echo there; sleep 100")
 	c.ExtendDeadline(clock() + time.Hour)
@@ -81,7 +81,7 @@
 	if err := c.Wait(); !errors.Is(err, ErrKilled) || out.String() != "there\n" {
 		t.Errorf("%v %q", err, out.String())
 	}
-	if took := clock() - started; took < 2*GracePeriod+300*time.Millisecond {
-		t.Errorf("killed after %v, in spite of the extension", took)
+	if elapsed := clock() - started; elapsed < 2*GracePeriod+300*time.Millisecond {
+		t.Errorf("killed after %v, in spite of the extension", elapsed)
 	}
 }
