--- a/internal/daemon/discoveryconn.go
+++ b/internal/daemon/discoveryconn.go
@@ -93,7 +93,7 @@
 	if !keepAlive {
 		c.close()
 	}
-	list, invalid, err := protocol.ParseAnswer(body)
+	list, invalid, err := protocol.ParseListLenient(body)
 	if err != nil {
 		return answer{}, fmt.Errorf("%w: %w, %d bytes", errInvalidList, err, len(body))
 	}
@@ -197,7 +197,7 @@
 		case bytes := <-c.received:
 			c.buffer = append(c.buffer, bytes...)
 		}
-		n, complete, err := c.response.Response(c.buffer)
+		n, complete, err := c.response.ParseResponse(c.buffer)
 		if err != nil {
 			return nil, false, fmt.Errorf("%w: %w", errInvalidList, err)
 		}
@@ -211,7 +211,7 @@
 // incompleteError returns the error of a call that has ended without a complete response because of cause. If the body
 // of a response with status 200 had begun, discovery did answer, so the error is an invalid list.
 func (c *discoveryConn) incompleteError(cause error) error {
-	if c.response.Started() && c.response.Status == protocol.StatusOK {
+	if c.response.InBody() && c.response.Status == protocol.StatusOK {
 		return fmt.Errorf("%w: %w", errInvalidList, cause)
 	}
 	return cause
--- a/internal/node/download.go
+++ b/internal/node/download.go
@@ -92,7 +92,7 @@
 // forwardDownload starts a forwarder that writes the head and the body of an answer to the client. If maxForwarders are
 // active, the start is queued until one of them has ended.
 func (n *Node) forwardDownload(conn *backendConn, client *clientConn, fwd *forwarder) {
-	length := fwd.message.Length()
+	length := fwd.message.ContentLength()
 	switch {
 	case length < 0 && client.isHTTP10:
 		length = protocol.UntilClose
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -44,8 +44,9 @@
 	}
 }
 
-// TestParseAnswerUsesTheOtherEntries has entries that cannot be read, or contradict each other.
-func TestParseAnswerUsesTheOtherEntries(t *testing.T) {
+// An invalid entry, or two contradictory entries for one backend, must not keep the valid entries of the same list from
+// being used.
+func TestParseListLenientSkipsInvalidEntries(t *testing.T) {
 	const good = `{"uid":"good","endpoint":"127.0.0.1:3000","state":"in_service"}`
 	read := Target{UID: "good", Endpoint: "127.0.0.1:3000"}
 	unknown := Target{UID: "odd", State: Unknown}
@@ -53,7 +54,7 @@
 	for _, c := range []struct {
 		name, entries string
 		want          []Target
-		invalid       string // of the first entry at fault
+		invalid       string // expected in the error of the first invalid entry; "" if all are valid
 	}{
 		{"unknown state", `{"uid":"odd","endpoint":"127.0.0.1:1","state":"idle"},` + good, []Target{unknown, read}, `targets[0].state: unknown state "idle"`},
 		{"no state", good + `,{"uid":"odd","endpoint":"127.0.0.1:1"}`, []Target{read, unknown}, "targets[1].state"},
@@ -67,7 +68,7 @@
 		{"twice, the other way round", strings.Replace(good, "in_service", "terminating", 1) + "," + good, []Target{draining}, "targets[1].uid"},
 		{"twice, alike", good + "," + good, []Target{read, read}, ""},
 	} {
-		got, invalid, err := ParseAnswer([]byte(`{"rev":41,"all":true,"targets":[` + c.entries + `]}`))
+		got, invalid, err := ParseListLenient([]byte(`{"rev":41,"all":true,"targets":[` + c.entries + `]}`))
 		if diff := cmp.Diff(List{41, true, c.want}, got); diff != "" || err != nil {
 			t.Errorf("%s: %v\n%s", c.name, err, diff)
 		}
@@ -76,8 +77,8 @@
 		}
 	}
 	for _, raw := range []string{``, `[]`, `{"rev":1,"all":true,"targets":{}}`, `{"rev":"x","all":true,"targets":[]}`, `{"rev":1,"all":1,"targets":[]}`} {
-		if _, _, err := ParseAnswer([]byte(raw)); err == nil {
-			t.Errorf("%s: taken for a list", raw)
+		if _, _, err := ParseListLenient([]byte(raw)); err == nil {
+			t.Errorf("%s: parsed as a list, want an error", raw)
 		}
 	}
 }
