--- a/cmd/tulipglade/list_forms_test.go
+++ b/cmd/tulipglade/list_forms_test.go
@@ -289,14 +289,14 @@
 	}
 	play.discovery.backends = strings.NewReplacer(replacements...)
 	first := play.serveDiscovery(t, !form.moved)
-	config := fleetNode{
+	config := nodeConfig{
 		fleetSize:      1,
 		discovery:      first,
 		endpoints:      endpoints,
 		class:          readClass,
 		connectTimeout: 250 * time.Millisecond,
 		pollInterval:   10 * time.Second,
-	}.config()
+	}.json()
 	play.process = newProcess(t, config)
 	play.process.start(t)
 	t.Cleanup(play.process.kill)
--- a/cmd/tulipglade/main.go
+++ b/cmd/tulipglade/main.go
@@ -26,13 +26,13 @@
 var reloadSignals = daemon.NotifyReload()
 
 func main() {
-	if err := command().Run(context.Background(), os.Args); err != nil {
+	if err := newCommand().Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "tulipglade:", err)
 		os.Exit(1)
 	}
 }
 
-func command() *cli.Command {
+func newCommand() *cli.Command {
 	config := &cli.StringFlag{Name: "config", Aliases: []string{"c"}, Usage: "configuration `FILE`",
 		Sources: cli.EnvVars("GW_CONFIG"), Required: true}
 	return &cli.Command{
@@ -47,15 +47,15 @@
 }
 
 func serve(ctx context.Context, cmd *cli.Command) error {
-	load := func() (*daemon.Config, error) { return daemon.Load(cmd.String("config"), os.Getenv) }
-	config, err := load()
+	loadConfig := func() (*daemon.Config, error) { return daemon.Load(cmd.String("config"), os.Getenv) }
+	config, err := loadConfig()
 	if err != nil {
 		return err
 	}
 	writer := daemon.NewLogWriter(os.Stderr)
 	defer writer.Flush(logFlushTimeout)
 	log := slog.New(slog.NewTextHandler(writer, &slog.HandlerOptions{Level: logLevel()}))
-	return daemon.Serve(ctx, config, load, reloadSignals, log)
+	return daemon.Serve(ctx, config, loadConfig, reloadSignals, log)
 }
 
 func check(_ context.Context, cmd *cli.Command) error {
@@ -69,16 +69,16 @@
 }
 
 func version(_ context.Context, cmd *cli.Command) error {
-	number, revision := "(devel)", ""
+	moduleVersion, revision := "(devel)", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
-		number = info.Main.Version
+		moduleVersion = info.Main.Version
 		for _, setting := range info.Settings {
 			if setting.Key == "vcs.revision" {
 				revision = " " + setting.Value
 			}
 		}
 	}
-	_, err := fmt.Fprintf(cmd.Root().Writer, "tulipglade %s%s\n", number, revision)
+	_, err := fmt.Fprintf(cmd.Root().Writer, "tulipglade %s%s\n", moduleVersion, revision)
 	return err
 }
 
--- a/cmd/tulipglade/main_test.go
+++ b/cmd/tulipglade/main_test.go
@@ -26,7 +26,7 @@
 		{"check --config " + invalid + ".none", "", "configuration: "},
 	} {
 		var output bytes.Buffer
-		cmd := command()
+		cmd := newCommand()
 		cmd.Writer = &output
 		err := cmd.Run(context.Background(), append([]string{"tulipglade"}, strings.Fields(c.args)...))
 		if !strings.HasPrefix(output.String(), c.wantOut) || (err == nil) != (c.wantErr == "") ||
--- a/cmd/tulipglade/outage_test.go
+++ b/cmd/tulipglade/outage_test.go
@@ -191,7 +191,7 @@
 		server := httptest.NewServer(discovery.handler(i))
 		defer server.Close()
 		defer server.CloseClientConnections()
-		p := newProcess(t, fleetNode{
+		p := newProcess(t, nodeConfig{
 			index:          i,
 			fleetSize:      fleetSize,
 			discovery:      server.Listener.Addr().String(),
@@ -199,7 +199,7 @@
 			class:          readClass,
 			connectTimeout: 250 * time.Millisecond,
 			pollInterval:   9 * time.Second,
-		}.config())
+		}.json())
 		processes = append(processes, p)
 		p.start(t)
 		defer p.kill()
--- a/cmd/tulipglade/process_test.go
+++ b/cmd/tulipglade/process_test.go
@@ -40,15 +40,15 @@
 
 // runProgram serves under a limit of descriptors, as the platform sets one.
 func runProgram(configPath string) error {
-	limit := uint64(environmentNumber(envMaxDescriptors, maxDescriptors))
+	limit := uint64(intFromEnvironment(envMaxDescriptors, maxDescriptors))
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
 		return err
 	}
-	return command().Run(context.Background(), []string{"tulipglade", "serve", "--config", configPath})
+	return newCommand().Run(context.Background(), []string{"tulipglade", "serve", "--config", configPath})
 }
 
-// environmentNumber returns the number in an environment variable, or the default where there is none.
-func environmentNumber(name string, defaultValue int) int {
+// intFromEnvironment returns the number in an environment variable, or the default where there is none.
+func intFromEnvironment(name string, defaultValue int) int {
 	if value, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return value
 	}
@@ -139,15 +139,15 @@
 
 // awaitServing returns the addresses of clients and of operators, from the line that the process logs when it serves. It
 // returns false where there is no such line within the timeout.
-func (p *process) awaitServing(timeout time.Duration) (clients, admin string, ok bool) {
+func (p *process) awaitServing(timeout time.Duration) (clientAddress, adminAddress string, ok bool) {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		line := servingLine.FindString(p.output.String())
 		if found := listenField.FindStringSubmatch(line); found != nil {
-			clients = found[1]
+			clientAddress = found[1]
 			if found := adminField.FindStringSubmatch(line); found != nil {
-				admin = found[1]
+				adminAddress = found[1]
 			}
-			return clients, admin, true
+			return clientAddress, adminAddress, true
 		}
 	}
 	return "", "", false
@@ -156,15 +156,15 @@
 // clientAddress is where clients reach the process, once it serves.
 func (p *process) clientAddress(t *testing.T) string {
 	t.Helper()
-	clients, _, ok := p.awaitServing(startupTimeout)
+	address, _, ok := p.awaitServing(startupTimeout)
 	if !ok {
 		t.Fatalf("it does not serve: %s", p.output)
 	}
-	return clients
+	return address
 }
 
-// fleetNode is what differs between the configurations of the nodes of a test fleet.
-type fleetNode struct {
+// nodeConfig is what differs between the configurations of the nodes of a test fleet.
+type nodeConfig struct {
 	index, fleetSize int
 	discovery        string
 	endpoints        map[string]string // addresses by UID
@@ -176,12 +176,12 @@
 // A class of requests that may be repeated.
 const readClass = `{"name":"read","aim_us":600000,"deadline_us":1500000,"effect":"repeatable"}`
 
-// config returns the configuration in its JSON form.
-func (n fleetNode) config() string {
+// json returns the configuration in its JSON form.
+func (c nodeConfig) json() string {
 	var targets []string
-	for _, uid := range slices.Sorted(maps.Keys(n.endpoints)) {
+	for _, uid := range slices.Sorted(maps.Keys(c.endpoints)) {
 		targets = append(targets, fmt.Sprintf(
-			`{"uid":%q,"endpoint":%q,"az":"z","state":"in_service","capacity_hint":1}`, uid, n.endpoints[uid]))
+			`{"uid":%q,"endpoint":%q,"az":"z","state":"in_service","capacity_hint":1}`, uid, c.endpoints[uid]))
 	}
 	return fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,
 		"limits":{"cores":1,"memory_mb":192,"sockets":%d},
@@ -190,6 +190,6 @@
 		"profiles":[%s],
 		"limits":{"connect_timeout_us":%d,"keepalive_us":30000000,"max_attempts":3,"max_open":20000},
 		"rules":{"ask_every_us":%d,"grace_to_answer_us":20000,"drain_grace_us":500000}}}`,
-		n.index, n.discovery, maxDescriptors, strings.Join(targets, ","), n.index, n.fleetSize, n.class,
-		n.connectTimeout.Microseconds(), n.pollInterval.Microseconds())
+		c.index, c.discovery, maxDescriptors, strings.Join(targets, ","), c.index, c.fleetSize, c.class,
+		c.connectTimeout.Microseconds(), c.pollInterval.Microseconds())
 }
--- a/cmd/tulipglade/reload_test.go
+++ b/cmd/tulipglade/reload_test.go
@@ -16,15 +16,15 @@
 	"limits":{"connect_timeout_us":250000,"keepalive_us":30000000,"max_attempts":%d,"max_open":20000},
 	"rules":{"ask_every_us":9000000,"grace_to_answer_us":20000,"drain_grace_us":500000}}}`
 
-// await waits until a condition holds, as long as the process runs and the timeout has not passed.
-func (p *process) await(t *testing.T, what string, timeout <-chan time.Time, condition func() bool) {
+// waitUntil waits until a condition holds, as long as the process runs and the timeout has not passed.
+func (p *process) waitUntil(t *testing.T, description string, timeout <-chan time.Time, condition func() bool) {
 	t.Helper()
 	for !condition() {
 		select {
 		case <-p.ended:
-			t.Fatalf("the process has ended before %s: %v, %s", what, p.cmd.ProcessState, p.output)
+			t.Fatalf("the process has ended before %s: %v, %s", description, p.cmd.ProcessState, p.output)
 		case <-timeout:
-			t.Fatalf("not %s: %s", what, p.output)
+			t.Fatalf("not %s: %s", description, p.output)
 		default:
 		}
 	}
@@ -41,11 +41,11 @@
 	p.start(t)
 	defer p.kill()
 	timeout := time.After(startupTimeout)
-	// write writes a configuration once the process opens the pipe, after a call of beforeWrite.
-	write := func(attempts int, beforeWrite func()) {
+	// writeConfig writes a configuration once the process opens the pipe, after a call of beforeWrite.
+	writeConfig := func(attempts int, beforeWrite func()) {
 		t.Helper()
 		var file *os.File
-		p.await(t, "the file is opened", timeout, func() bool {
+		p.waitUntil(t, "the file is opened", timeout, func() bool {
 			var err error
 			file, err = os.OpenFile(pipe, os.O_WRONLY|syscall.O_NONBLOCK, 0) // succeeds as soon as there is a reader
 			return err == nil
@@ -54,14 +54,14 @@
 		_, _ = fmt.Fprintf(file, reloadConfig, attempts) // a failure shows in what the process logs
 		_ = file.Close()
 	}
-	write(3, func() {
+	writeConfig(3, func() {
 		if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	})
-	p.await(t, "it serves", timeout, func() bool { return p.output.contains("msg=serving") }) // it has read all of the first file
-	write(2, func() {})
-	p.await(t, "the newer file is applied", timeout, func() bool {
+	p.waitUntil(t, "it serves", timeout, func() bool { return p.output.contains("msg=serving") }) // it has read all of the first file
+	writeConfig(2, func() {})
+	p.waitUntil(t, "the newer file is applied", timeout, func() bool {
 		return p.output.contains("settings applied") && p.output.contains("attempts=2")
 	})
 }
--- a/cmd/tulipglade/shutdown_test.go
+++ b/cmd/tulipglade/shutdown_test.go
@@ -161,7 +161,7 @@
 	var clients []*persistentClient
 	var running sync.WaitGroup
 	for i := range fleetSize {
-		p := newProcess(t, fleetNode{
+		p := newProcess(t, nodeConfig{
 			index:          i,
 			fleetSize:      fleetSize,
 			discovery:      discovery.Listener.Addr().String(),
@@ -169,7 +169,7 @@
 			class:          payClass,
 			connectTimeout: 5 * time.Second,
 			pollInterval:   9 * time.Second,
-		}.config())
+		}.json())
 		p.start(t)
 		defer p.kill()
 		processes = append(processes, p)
--- a/cmd/tulipglade/soak_test.go
+++ b/cmd/tulipglade/soak_test.go
@@ -24,9 +24,9 @@
 
 func playSoakSeeds(t *testing.T, varyLists bool) {
 	t.Helper()
-	first := environmentNumber("SOAK_FIRST", 1)
-	seeds := environmentNumber("SOAK_SEEDS", soakSeeds)
-	nodes := environmentNumber("SOAK_NODES", 10)
+	first := intFromEnvironment("SOAK_FIRST", 1)
+	seeds := intFromEnvironment("SOAK_SEEDS", soakSeeds)
+	nodes := intFromEnvironment("SOAK_NODES", 10)
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
--- a/cmd/tulipglade/stale_list_test.go
+++ b/cmd/tulipglade/stale_list_test.go
@@ -116,7 +116,7 @@
 		server := httptest.NewServer(discovery.handler(i))
 		defer server.Close()
 		defer server.CloseClientConnections()
-		p := newProcess(t, fleetNode{
+		p := newProcess(t, nodeConfig{
 			index:          i,
 			fleetSize:      fleetSize,
 			discovery:      server.Listener.Addr().String(),
@@ -124,7 +124,7 @@
 			class:          readClass,
 			connectTimeout: 250 * time.Millisecond,
 			pollInterval:   10 * time.Second,
-		}.config())
+		}.json())
 		p.start(t)
 		defer p.kill()
 		client := steadyClient{address: p.clientAddress(t), process: i, answered: &answered, rejected: &rejected}
--- a/cmd/tulipglade/start_fault_test.go
+++ b/cmd/tulipglade/start_fault_test.go
@@ -154,14 +154,14 @@
 		}
 	}))
 	defer removed.Close()
-	p := newProcess(t, fleetNode{
+	p := newProcess(t, nodeConfig{
 		fleetSize:      10,
 		discovery:      discovery.address,
 		endpoints:      map[string]string{"a": inService.Listener.Addr().String(), "b": removed.Listener.Addr().String()},
 		class:          readClass,
 		connectTimeout: 250 * time.Millisecond,
 		pollInterval:   10 * time.Second,
-	}.config())
+	}.json())
 	p.start(t)
 	defer p.kill()
 	var clients sync.WaitGroup
@@ -192,7 +192,7 @@
 
 // A list from before a removal is not used at a start, unless discovery cannot be reached for long; it serves within 10 s.
 func TestStartBeforeFaultyDiscovery(t *testing.T) {
-	starts := environmentNumber("STARTS_PER_FAULT", startsPerFault)
+	starts := intFromEnvironment("STARTS_PER_FAULT", startsPerFault)
 	for _, fault := range startFaults {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
