--- a/cmd/tulipglade/golden_test.go
+++ b/cmd/tulipglade/golden_test.go
@@ -19,11 +19,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// goldenWire is what a process of commit f2517d9 sent to each of its peers; TULIPGLADE_WRITE_GOLDEN=1 writes it anew.
-const goldenWire = "testdata/wire.golden"
+// goldenFile is what a process of commit f2517d9 sent to each of its peers; TULIPGLADE_WRITE_GOLDEN=1 writes it anew.
+const goldenFile = "testdata/wire.golden"
 
-// recordedPeer is a server on raw TCP that records each request byte for byte and sends a fixed response.
-type recordedPeer struct {
+// recordingPeer is a server on raw TCP that records each request byte for byte and sends a fixed response.
+type recordingPeer struct {
 	listener net.Listener
 	respond  func(request string) string
 
@@ -31,14 +31,14 @@
 	requests []string
 }
 
-func newRecordedPeer(t *testing.T, respond func(request string) string) *recordedPeer {
+func newRecordingPeer(t *testing.T, respond func(request string) string) *recordingPeer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	p := &recordedPeer{listener: listener, respond: respond}
+	p := &recordingPeer{listener: listener, respond: respond}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -51,7 +51,7 @@
 	return p
 }
 
-func (p *recordedPeer) serve(conn net.Conn) {
+func (p *recordingPeer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -72,8 +72,8 @@
 	}
 }
 
-// recorded returns the distinct requests so far, normalized, in the order of their first arrival.
-func (p *recordedPeer) recorded(normalize func(string) string) []string {
+// distinctRequests returns the distinct requests so far, normalized, in the order of their first arrival.
+func (p *recordingPeer) distinctRequests(normalize func(string) string) []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var distinct []string
@@ -113,12 +113,12 @@
 	return text.String(), err
 }
 
-func withLength(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// goldenCalls are what clients send, each on a connection of its own.
-var goldenCalls = []struct{ name, request string }{
+// goldenRequests are what clients send, each on a connection of its own.
+var goldenRequests = []struct{ name, request string }{
 	{"idempotent", "GET /read/a?b=c HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t1\r\nX-Customer: o\r\nX-Extra: kept\r\n\r\n"},
 	{"own deadline", "GET /read HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t2\r\nX-Customer: o\r\nX-Expires-In-Ms: 900\r\n\r\n"},
 	{"with a body", "POST /pay HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t3\r\nX-Customer: o\r\nContent-Length: 4\r\n\r\nbody"},
@@ -155,8 +155,8 @@
 	addresses *strings.Replacer
 }
 
-// varyingFields are the fields whose values differ between two runs.
-var varyingFields = []struct {
+// varyingValues are the fields whose values differ between two runs.
+var varyingValues = []struct {
 	pattern     *regexp.Regexp
 	placeholder string
 }{
@@ -166,19 +166,19 @@
 
 func (w *wireRecord) normalize(text string) string {
 	text = w.addresses.Replace(text)
-	for _, field := range varyingFields {
-		text = field.pattern.ReplaceAllString(text, field.placeholder)
+	for _, value := range varyingValues {
+		text = value.pattern.ReplaceAllString(text, value.placeholder)
 	}
 	return text
 }
 
-func (w *wireRecord) add(title, text string) {
+func (w *wireRecord) addSection(title, text string) {
 	text = strings.ReplaceAll(w.normalize(text), "\r", `\r`)
 	_, _ = fmt.Fprintf(&w.text, "== %s\n%s\n", title, text) // never fails
 }
 
-// exchange sends a request on a connection of its own and returns the response byte for byte.
-func exchange(t *testing.T, address, request string) string {
+// sendRequest sends a request on a connection of its own and returns the response byte for byte.
+func sendRequest(t *testing.T, address, request string) string {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", address, 10*time.Second)
 	if err != nil {
@@ -196,11 +196,11 @@
 	return response
 }
 
-// numbers match the values of a hot restart's state that differ from run to run; its keys do not.
-var numbers = regexp.MustCompile(`-?\d+(\.\d+)?(e[-+]?\d+)?`)
+// numberPattern match the values of a hot restart's state that differ from run to run; its keys do not.
+var numberPattern = regexp.MustCompile(`-?\d+(\.\d+)?(e[-+]?\d+)?`)
 
-// hotRestartState connects as a successor would and returns the state that the process sends.
-func hotRestartState(t *testing.T, dir string) string {
+// requestHandoffState connects as a successor would and returns the state that the process sends.
+func requestHandoffState(t *testing.T, dir string) string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.sock"))
 	if err != nil || len(paths) != 1 {
@@ -223,7 +223,7 @@
 	if _, err := io.ReadFull(conn, body); err != nil {
 		t.Fatal(err)
 	}
-	return string(head[:4]) + numbers.ReplaceAllString(string(body), "N")
+	return string(head[:4]) + numberPattern.ReplaceAllString(string(body), "N")
 }
 
 // goldenConfig is the configuration of the process that the golden file is about.
@@ -246,69 +246,69 @@
 // TestWireFormsAreUnchanged compares every message that a process sends with what commit f2517d9 sent: polls and watches, requests to
 // backends, answers to clients and operators, and the state that goes to a successor at a hot restart.
 func TestWireFormsAreUnchanged(t *testing.T) {
-	backend := newRecordedPeer(t, backendResponse)
+	backend := newRecordingPeer(t, backendResponse)
 	list := fmt.Sprintf(goldenList, backend.listener.Addr())
-	discovery := newRecordedPeer(t, func(request string) string {
+	discovery := newRecordingPeer(t, func(request string) string {
 		if strings.Contains(request, "since=4") && !strings.Contains(request, "timeout_ms=0") {
 			return ""
 		}
-		return withLength(list)
+		return okResponse(list)
 	})
 	handoffDir := t.TempDir()
 	p := newProcess(t, fmt.Sprintf(goldenConfig, discovery.listener.Addr().String()))
 	p.start(t, "TMPDIR="+handoffDir)
 	defer p.kill()
-	clients, admin, ok := p.awaitServing(startupTimeout)
+	clientAddress, adminAddress, ok := p.awaitServing(startupTimeout)
 	if !ok {
 		t.Fatalf("it does not serve: %s", p.output)
 	}
 	record := &wireRecord{addresses: strings.NewReplacer(discovery.listener.Addr().String(), "DISCOVERY",
-		backend.listener.Addr().String(), "BACKEND", clients, "CLIENTS", admin, "ADMIN")}
-	if !awaitReady(clients, startupTimeout) {
+		backend.listener.Addr().String(), "BACKEND", clientAddress, "CLIENTS", adminAddress, "ADMIN")}
+	if !awaitReady(clientAddress, startupTimeout) {
 		t.Fatalf("not ready: %s", p.output)
 	}
-	record.addClients(t, clients)
-	record.addPeer("backend: request", backend)
-	for end := time.Now().Add(startupTimeout); len(discovery.recorded(record.normalize)) < 2 && time.Now().Before(end); {
+	record.addClientResponses(t, clientAddress)
+	record.addPeerRequests("backend: request", backend)
+	for end := time.Now().Add(startupTimeout); len(discovery.distinctRequests(record.normalize)) < 2 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond) // the watch follows the first poll
 	}
-	record.addPeer("discovery: call", discovery)
-	record.addAdmin(t, admin)
-	record.add("hot restart", hotRestartState(t, handoffDir))
+	record.addPeerRequests("discovery: call", discovery)
+	record.addAdminResponses(t, adminAddress)
+	record.addSection("hot restart", requestHandoffState(t, handoffDir))
 	compareWithGolden(t, record.text.String())
 }
 
-// addClients records the answer to each of goldenCalls.
-func (w *wireRecord) addClients(t *testing.T, address string) {
+// addClientResponses records the answer to each of goldenCalls.
+func (w *wireRecord) addClientResponses(t *testing.T, address string) {
 	t.Helper()
-	for _, call := range goldenCalls {
-		w.add("client: "+call.name, exchange(t, address, call.request))
+	for _, golden := range goldenRequests {
+		w.addSection("client: "+golden.name, sendRequest(t, address, golden.request))
 	}
 }
 
-// addAdmin records the answers to operators.
-func (w *wireRecord) addAdmin(t *testing.T, address string) {
+// addAdminResponses records the answers to operators.
+func (w *wireRecord) addAdminResponses(t *testing.T, address string) {
 	t.Helper()
-	for _, call := range []string{"GET /status", "PUT /none", "GET /status?lease=x&token=1", "PUT /standby", "PUT /active"} {
-		w.add("admin: "+call, exchange(t, address, call+" HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"))
+	for _, requestLine := range []string{"GET /status", "PUT /none", "GET /status?lease=x&token=1", "PUT /standby", "PUT /active"} {
+		w.addSection("admin: "+requestLine, sendRequest(t, address, requestLine+" HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"))
 	}
 }
 
-// addPeer records what a peer has received.
-func (w *wireRecord) addPeer(title string, peer *recordedPeer) {
-	for i, request := range peer.recorded(w.normalize) {
-		w.add(fmt.Sprintf("%s %d", title, i), request)
+// addPeerRequests records what a peer has received.
+func (w *wireRecord) addPeerRequests(title string, peer *recordingPeer) {
+	for i, request := range peer.distinctRequests(w.normalize) {
+		w.addSection(fmt.Sprintf("%s %d", title, i), request)
 	}
 }
 
 func compareWithGolden(t *testing.T, got string) {
 	t.Helper()
 	if os.Getenv("TULIPGLADE_WRITE_GOLDEN") != "" {
-		if err := os.WriteFile(goldenWire, []byte(got), 0o600); err != nil {
+		if err := os.WriteFile(goldenFile, []byte(got), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want, err := os.ReadFile(goldenWire)
+	want, err := os.ReadFile(goldenFile)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/tulipglade/list_forms_test.go
+++ b/cmd/tulipglade/list_forms_test.go
@@ -289,15 +289,15 @@
 	}
 	play.discovery.backends = strings.NewReplacer(replacements...)
 	first := play.serveDiscovery(t, !form.moved)
-	config := nodeConfig{
+	configJSON := nodeConfig{
 		fleetSize:      1,
 		discovery:      first,
 		endpoints:      endpoints,
 		class:          readClass,
 		connectTimeout: 250 * time.Millisecond,
 		pollInterval:   10 * time.Second,
-	}.json()
-	play.process = newProcess(t, config)
+	}.configJSON()
+	play.process = newProcess(t, configJSON)
 	play.process.start(t)
 	t.Cleanup(play.process.kill)
 	play.address = play.process.clientAddress(t)
--- a/cmd/tulipglade/outage_test.go
+++ b/cmd/tulipglade/outage_test.go
@@ -199,7 +199,7 @@
 			class:          readClass,
 			connectTimeout: 250 * time.Millisecond,
 			pollInterval:   9 * time.Second,
-		}.json())
+		}.configJSON())
 		processes = append(processes, p)
 		p.start(t)
 		defer p.kill()
--- a/cmd/tulipglade/process_test.go
+++ b/cmd/tulipglade/process_test.go
@@ -176,8 +176,8 @@
 // A class of requests that may be repeated.
 const readClass = `{"name":"read","aim_us":600000,"deadline_us":1500000,"effect":"repeatable"}`
 
-// json returns the configuration in its JSON form.
-func (c nodeConfig) json() string {
+// configJSON returns the configuration in its JSON form.
+func (c nodeConfig) configJSON() string {
 	var targets []string
 	for _, uid := range slices.Sorted(maps.Keys(c.endpoints)) {
 		targets = append(targets, fmt.Sprintf(
--- a/cmd/tulipglade/shutdown_test.go
+++ b/cmd/tulipglade/shutdown_test.go
@@ -169,7 +169,7 @@
 			class:          payClass,
 			connectTimeout: 5 * time.Second,
 			pollInterval:   9 * time.Second,
-		}.json())
+		}.configJSON())
 		p.start(t)
 		defer p.kill()
 		processes = append(processes, p)
--- a/cmd/tulipglade/stale_list_test.go
+++ b/cmd/tulipglade/stale_list_test.go
@@ -124,7 +124,7 @@
 			class:          readClass,
 			connectTimeout: 250 * time.Millisecond,
 			pollInterval:   10 * time.Second,
-		}.json())
+		}.configJSON())
 		p.start(t)
 		defer p.kill()
 		client := steadyClient{address: p.clientAddress(t), process: i, answered: &answered, rejected: &rejected}
--- a/cmd/tulipglade/start_fault_test.go
+++ b/cmd/tulipglade/start_fault_test.go
@@ -161,7 +161,7 @@
 		class:          readClass,
 		connectTimeout: 250 * time.Millisecond,
 		pollInterval:   10 * time.Second,
-	}.json())
+	}.configJSON())
 	p.start(t)
 	defer p.kill()
 	var clients sync.WaitGroup
