--- a/cmd/tulipglade/list_forms_test.go
+++ b/cmd/tulipglade/list_forms_test.go
@@ -272,23 +272,23 @@
 
 func newListFormRun(t *testing.T, form listForm) *listFormRun {
 	t.Helper()
-	run := &listFormRun{arrivals: map[string]*atomic.Int32{}, pastGrace: map[string]*atomic.Int32{}}
-	run.discovery = &listFormDiscovery{form: form, removalStarted: make(chan struct{}), restored: make(chan struct{})}
+	formRun := &listFormRun{arrivals: map[string]*atomic.Int32{}, pastGrace: map[string]*atomic.Int32{}}
+	formRun.discovery = &listFormDiscovery{form: form, removalStarted: make(chan struct{}), restored: make(chan struct{})}
 	endpoints, replacements := map[string]string{}, []string{}
 	for _, uid := range []string{"a", "b", "c"} {
-		run.arrivals[uid], run.pastGrace[uid] = &atomic.Int32{}, &atomic.Int32{}
+		formRun.arrivals[uid], formRun.pastGrace[uid] = &atomic.Int32{}, &atomic.Int32{}
 		backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-			run.arrivals[uid].Add(1)
-			if run.discovery.pastGrace() {
-				run.pastGrace[uid].Add(1)
+			formRun.arrivals[uid].Add(1)
+			if formRun.discovery.pastGrace() {
+				formRun.pastGrace[uid].Add(1)
 			}
 		}))
 		t.Cleanup(backend.Close)
 		endpoints[uid] = backend.Listener.Addr().String()
 		replacements = append(replacements, "{"+uid+"}", endpoints[uid])
 	}
-	run.discovery.backends = strings.NewReplacer(replacements...)
-	firstAddress := run.serveDiscovery(t, !form.moved)
+	formRun.discovery.backends = strings.NewReplacer(replacements...)
+	firstAddress := formRun.serveDiscovery(t, !form.moved)
 	configJSON := nodeConfig{
 		fleetSize:      1,
 		discovery:      firstAddress,
@@ -297,11 +297,11 @@
 		connectTimeout: 250 * time.Millisecond,
 		pollInterval:   10 * time.Second,
 	}.configJSON()
-	run.process = newProcess(t, configJSON)
-	run.process.start(t)
-	t.Cleanup(run.process.kill)
-	run.address = run.process.clientAddress(t)
-	return run
+	formRun.process = newProcess(t, configJSON)
+	formRun.process.start(t)
+	t.Cleanup(formRun.process.kill)
+	formRun.address = formRun.process.clientAddress(t)
+	return formRun
 }
 
 func (r *listFormRun) serveDiscovery(t *testing.T, servesRemoval bool) (address string) {
@@ -348,34 +348,34 @@
 
 func testListForm(t *testing.T, form listForm) {
 	t.Helper()
-	run := newListFormRun(t, form)
+	formRun := newListFormRun(t, form)
 	var answered, rejected atomic.Int32
 	var clients sync.WaitGroup
 	stop := make(chan struct{})
 	for i := range 4 {
-		client := steadyClient{address: run.address, process: i, answered: &answered, rejected: &rejected, pause: 2 * time.Millisecond}
+		client := sequentialClient{address: formRun.address, process: i, answered: &answered, rejected: &rejected, pause: 2 * time.Millisecond}
 		clients.Go(func() { client.run(t, stop) })
 	}
 	for end := time.Now().Add(startupTimeout); answered.Load() < 100 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	before := answered.Load()
-	run.startRemoval(t)
+	formRun.startRemoval(t)
 	time.Sleep(removalObservation)
 	close(stop)
 	clients.Wait()
-	if before < 100 || run.discovery.firstWrittenAt.IsZero() {
-		t.Fatalf("%d answered before the removal, which was written at %v: %s", before, run.discovery.firstWrittenAt, run.process.output)
+	if before < 100 || formRun.discovery.firstWrittenAt.IsZero() {
+		t.Fatalf("%d answered before the removal, which was written at %v: %s", before, formRun.discovery.firstWrittenAt, formRun.process.output)
 	}
-	for uid, pastGrace := range run.pastGrace {
+	for uid, pastGrace := range formRun.pastGrace {
 		if n := pastGrace.Load(); strings.Contains(form.removedUIDs, uid) && n > 0 {
-			t.Errorf("%s: %d requests over %v after its removal was written, of %d in all", uid, n, removalGrace, run.arrivals[uid].Load())
+			t.Errorf("%s: %d requests over %v after its removal was written, of %d in all", uid, n, removalGrace, formRun.arrivals[uid].Load())
 		} else if !strings.Contains(form.removedUIDs, uid) && n == 0 && !form.movedMidResponse {
 			t.Errorf("%s is in service and gets nothing", uid)
 		}
 	}
 	if t.Failed() {
-		t.Log(run.process.output)
+		t.Log(formRun.process.output)
 	}
 }
 
@@ -388,8 +388,8 @@
 	} {
 		t.Run(form.name, func(t *testing.T) {
 			t.Parallel()
-			run := newListFormRun(t, form)
-			client := steadyClient{address: run.address, process: 0}
+			formRun := newListFormRun(t, form)
+			client := sequentialClient{address: formRun.address, process: 0}
 			awaitStatus := func(want int, timeout time.Duration) (took time.Duration) {
 				t.Helper()
 				began := time.Now()
@@ -406,17 +406,17 @@
 			if took := awaitStatus(http.StatusOK, startupTimeout); took > startupTimeout {
 				t.Fatal("it does not serve")
 			}
-			run.discovery.startRemoval()
+			formRun.discovery.startRemoval()
 			awaitStatus(http.StatusServiceUnavailable, startupTimeout)
 			for range 5 {
 				if took := awaitStatus(http.StatusServiceUnavailable, 0); took > 750*time.Millisecond {
 					t.Errorf("rejected after %v of 1.5 s", took)
 				}
 			}
-			if !awaitReady(run.address, time.Second) {
+			if !awaitReady(formRun.address, time.Second) {
 				t.Error("it is not ready")
 			}
-			close(run.discovery.restored)
+			close(formRun.discovery.restored)
 			if took := awaitStatus(http.StatusOK, startupTimeout); took > recoveryTimeLimit {
 				t.Errorf("served %v after backends were back", took)
 			}
--- a/cmd/tulipglade/outage_test.go
+++ b/cmd/tulipglade/outage_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// drainingChange is the change of the endpoint list that discovery has for every process.
-const drainingChange = `{"rev":9,"all":false,"targets":[
+// drainingList is the change of the endpoint list that discovery has for every process.
+const drainingList = `{"rev":9,"all":false,"targets":[
 	{"uid":"b","endpoint":"127.0.0.1:1","az":"z","state":"terminating","capacity_hint":1}]}`
 
 // isUpToDate reports whether a call asks for changes after the only one that there is.
@@ -22,17 +22,17 @@
 type discoveryState uint8
 
 const (
-	discoveryUp           discoveryState = iota // answers
-	discoveryDown                               // resets connections
-	discoveryRejecting                          // rejects at once, with 503
-	discoverySlowRejected                       // rejects with 503 after queueingTime
+	discoveryUp              discoveryState = iota // answers
+	discoveryDown                                  // resets connections
+	discoveryRejecting                             // rejects at once, with 503
+	discoveryRejectingSlowly                       // rejects with 503 after queueingTime
 )
 
 // queueingTime is how long an overloaded discovery queues a call before it rejects it.
 const queueingTime = 2 * time.Second
 
-// rejectionsEach is how often each process is rejected: so often that a doubling backoff would have grown beyond any bound.
-const rejectionsEach = 5
+// rejectionsPerProcess is how often each process is rejected: so often that a doubling backoff would have grown beyond any bound.
+const rejectionsPerProcess = 5
 
 // notificationTimeout is how long a change may take to count as notified.
 const notificationTimeout = 6 * time.Second
@@ -51,12 +51,12 @@
 
 func newFaultyDiscovery(processes int, state discoveryState) *faultyDiscovery {
 	d := &faultyDiscovery{processes: processes}
-	d.set(state)
+	d.setState(state)
 	return d
 }
 
-// set changes what becomes of calls from here on, and starts to count anew.
-func (d *faultyDiscovery) set(state discoveryState) {
+// setState changes what becomes of calls from here on, and starts to count anew.
+func (d *faultyDiscovery) setState(state discoveryState) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.state = state
@@ -64,7 +64,7 @@
 	d.notified, d.allNotified = map[int]bool{}, make(chan struct{})
 }
 
-func (d *faultyDiscovery) current() discoveryState {
+func (d *faultyDiscovery) currentState() discoveryState {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.state
@@ -72,13 +72,13 @@
 
 func (d *faultyDiscovery) handler(process int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		switch d.current() {
+		switch d.currentState() {
 		case discoveryDown:
 			resetConnection(w)
 		case discoveryRejecting:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			d.countRejection(process)
-		case discoverySlowRejected:
+		case discoveryRejectingSlowly:
 			select {
 			case <-time.After(queueingTime):
 			case <-r.Context().Done():
@@ -90,7 +90,7 @@
 				<-r.Context().Done() // a watch, and nothing changes
 				return
 			}
-			_, _ = io.WriteString(w, drainingChange) // a process that has ended calls again
+			_, _ = io.WriteString(w, drainingList) // a process that has ended calls again
 			d.countNotification(process)
 		}
 	}
@@ -110,11 +110,11 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.rejections[process]++
-	if d.rejections[process] != rejectionsEach {
+	if d.rejections[process] != rejectionsPerProcess {
 		return
 	}
 	for i := range d.processes {
-		if d.rejections[i] < rejectionsEach {
+		if d.rejections[i] < rejectionsPerProcess {
 			return
 		}
 	}
@@ -134,14 +134,14 @@
 }
 
 // checkAllNotified checks that all processes receive the change in time.
-func (d *faultyDiscovery) checkAllNotified(t *testing.T, since string) {
+func (d *faultyDiscovery) checkAllNotified(t *testing.T, event string) {
 	t.Helper()
 	select {
 	case <-d.allNotified:
 	case <-time.After(notificationTimeout):
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
-		t.Errorf("%d of %d notified %v after discovery %s", len(d.notified), d.processes, notificationTimeout, since)
+		t.Errorf("%d of %d notified %v after discovery %s", len(d.notified), d.processes, notificationTimeout, event)
 	}
 }
 
@@ -207,7 +207,7 @@
 	if n := countReady(processes, readyTimeout); n < wantReady {
 		t.Fatalf("%d of %d ready without discovery", n, fleetSize)
 	}
-	discovery.set(discoveryRejecting)
+	discovery.setState(discoveryRejecting)
 	select {
 	case <-discovery.allRejected:
 	case <-time.After(time.Minute):
@@ -222,9 +222,9 @@
 			defer func() { _ = conn.Close() }()
 		}
 	}
-	discovery.set(discoveryUp)
+	discovery.setState(discoveryUp)
 	discovery.checkAllNotified(t, "was back")
-	discovery.set(discoverySlowRejected)
+	discovery.setState(discoveryRejectingSlowly)
 	for _, p := range processes {
 		p.kill()
 	}
@@ -234,6 +234,6 @@
 	if n := countReady(processes, readyTimeout); n < wantReady {
 		t.Errorf("%d of %d ready again before an overloaded discovery", n, fleetSize)
 	}
-	discovery.set(discoveryUp)
+	discovery.setState(discoveryUp)
 	discovery.checkAllNotified(t, "had capacity again")
 }
--- a/cmd/tulipglade/shutdown_test.go
+++ b/cmd/tulipglade/shutdown_test.go
@@ -25,12 +25,12 @@
 // persistentClient sends one request after the other, on a connection that it reuses as long as that stays open, until the
 // process does not answer any more.
 type persistentClient struct {
-	address, name  string
-	blockedRequest int      // the number of the request that its backend blocks; below 0: none
-	onRejected     func()   // called when a request is rejected by a process that shuts down
-	answered       int      // requests
-	unanswered     []string // IDs of requests that met the end of their connection, without a byte of an answer
-	violation      string   // what must not happen
+	address, name string
+	blockedNumber int      // the number of the request that its backend blocks; below 0: none
+	onRejected    func()   // called when a request is rejected by a process that shuts down
+	answered      int      // requests
+	unanswered    []string // IDs of requests that met the end of their connection, without a byte of an answer
+	violation     string   // what must not happen
 }
 
 func (c *persistentClient) run() {
@@ -57,7 +57,7 @@
 	for number := first; ; number++ {
 		id := fmt.Sprintf("%s-%d", c.name, number)
 		extraField := ""
-		if number == c.blockedRequest {
+		if number == c.blockedNumber {
 			extraField = "X-Block: 1\r\n"
 		}
 		_, sendErr := fmt.Fprintf(conn, payRequest, id, extraField)
@@ -125,8 +125,8 @@
 	_, _ = io.WriteString(w, id) // a client without an answer is noticed there
 }
 
-// checkClients checks that each request of the clients has its complete answer, or has not been executed.
-func (b *blockingBackend) checkClients(t *testing.T, clients []*persistentClient) {
+// checkAnsweredOrNotExecuted checks that each request of the clients has its complete answer, or has not been executed.
+func (b *blockingBackend) checkAnsweredOrNotExecuted(t *testing.T, clients []*persistentClient) {
 	t.Helper()
 	answered, unanswered := 0, 0
 	for _, client := range clients {
@@ -149,7 +149,7 @@
 // itself, without an error; each request has its complete answer, or has met the end of its connection and was never
 // executed.
 func TestProcessesShutDownGracefullyUnderLoad(t *testing.T) {
-	const fleetSize, clientsEach, blockedRequest = 3, 6, 20
+	const fleetSize, clientsPerProcess, blockedNumber = 3, 6, 20
 	backend := newBlockingBackend(fleetSize)
 	release := sync.OnceFunc(func() { close(backend.released) })
 	backendServer := httptest.NewServer(backend)
@@ -173,10 +173,10 @@
 		p.start(t)
 		defer p.kill()
 		processes = append(processes, p)
-		for k := range clientsEach {
-			client := &persistentClient{address: p.clientAddress(t), name: fmt.Sprintf("n%d-c%d", i, k), blockedRequest: -1, onRejected: release}
+		for k := range clientsPerProcess {
+			client := &persistentClient{address: p.clientAddress(t), name: fmt.Sprintf("n%d-c%d", i, k), blockedNumber: -1, onRejected: release}
 			if k == 0 {
-				client.blockedRequest = blockedRequest
+				client.blockedNumber = blockedNumber
 			}
 			clients = append(clients, client)
 			running.Go(client.run)
@@ -198,5 +198,5 @@
 		}
 	}
 	running.Wait()
-	backend.checkClients(t, clients)
+	backend.checkAnsweredOrNotExecuted(t, clients)
 }
--- a/cmd/tulipglade/soak_test.go
+++ b/cmd/tulipglade/soak_test.go
@@ -10,32 +10,32 @@
 	"tulipglade/internal/soak"
 )
 
-// soakSeeds is how many seeds TestSoak plays; SOAK_SEEDS and SOAK_FIRST play others.
-const soakSeeds = 4
+// defaultSoakSeeds is how many seeds TestSoak plays; SOAK_SEEDS and SOAK_FIRST play others.
+const defaultSoakSeeds = 4
 
-// maxBrokenLines bounds how many broken rules of a seed are printed.
-const maxBrokenLines = 20
+// maxPrintedViolations bounds how many broken rules of a seed are printed.
+const maxPrintedViolations = 20
 
 // Overlapping faults, drawn from a seed, against ten processes of the program: no invariant is broken.
-func TestSoak(t *testing.T) { playSoakSeeds(t, false) }
+func TestSoak(t *testing.T) { runSoakSeeds(t, false) }
 
 // The same with lists of all forms, revisions that start over, and many backends that leave the list at once.
-func TestSoakWithVariedLists(t *testing.T) { playSoakSeeds(t, true) }
+func TestSoakWithVariedLists(t *testing.T) { runSoakSeeds(t, true) }
 
-func playSoakSeeds(t *testing.T, varyLists bool) {
+func runSoakSeeds(t *testing.T, varyLists bool) {
 	t.Helper()
 	first := intFromEnvironment("SOAK_FIRST", 1)
-	seeds := intFromEnvironment("SOAK_SEEDS", soakSeeds)
+	seeds := intFromEnvironment("SOAK_SEEDS", defaultSoakSeeds)
 	nodes := intFromEnvironment("SOAK_NODES", 10)
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
-			soakSeed(t, uint64(seed), nodes, varyLists)
+			runSoakSeed(t, uint64(seed), nodes, varyLists)
 		})
 	}
 }
 
-func soakSeed(t *testing.T, seed uint64, nodes int, varyLists bool) {
+func runSoakSeed(t *testing.T, seed uint64, nodes int, varyLists bool) {
 	t.Helper()
 	result, err := soak.Play(context.Background(), soak.Options{
 		Seed:      seed,
@@ -56,7 +56,7 @@
 		result.Total, result.Served, result.Rejected, result.Failed,
 		result.LongestDelay.Seconds(), result.LongestDelayAt.Seconds(), result.Faults)
 	for i, line := range result.Violations {
-		if i == maxBrokenLines {
+		if i == maxPrintedViolations {
 			t.Errorf("and %d more", len(result.Violations)-i)
 			break
 		}
--- a/cmd/tulipglade/stale_list_test.go
+++ b/cmd/tulipglade/stale_list_test.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// removalChange is the change that discovery has had since before any process of the test started: backend b is removed.
-const removalChange = `{"rev":9,"all":false,"targets":[{"uid":"b","endpoint":"127.0.0.1:1","az":"z","state":"terminated"}]}`
+// removalList is the change that discovery has had since before any process of the test started: backend b is removed.
+const removalList = `{"rev":9,"all":false,"targets":[{"uid":"b","endpoint":"127.0.0.1:1","az":"z","state":"terminated"}]}`
 
-// lateDiscovery has the removal from the start. Calls wait for their answers until release is closed.
-type lateDiscovery struct {
+// delayedDiscovery has the removal from the start. Calls wait for their answers until release is closed.
+type delayedDiscovery struct {
 	release chan struct{}
 
 	mutex    sync.Mutex
 	notified map[int]bool // processes
 }
 
-func (d *lateDiscovery) handler(process int) http.HandlerFunc {
+func (d *delayedDiscovery) handler(process int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if isUpToDate(r) {
 			<-r.Context().Done() // a watch, and nothing changes
@@ -33,21 +33,21 @@
 		case <-r.Context().Done():
 			return
 		}
-		_, _ = io.WriteString(w, removalChange) // a process that has ended calls again
+		_, _ = io.WriteString(w, removalList) // a process that has ended calls again
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
 		d.notified[process] = true
 	}
 }
 
-func (d *lateDiscovery) notifiedProcesses() int {
+func (d *delayedDiscovery) notifiedProcesses() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return len(d.notified)
 }
 
-// steadyClient sends one request after the other to a process.
-type steadyClient struct {
+// sequentialClient sends one request after the other to a process.
+type sequentialClient struct {
 	address            string
 	process            int
 	answered, rejected *atomic.Int32
@@ -55,7 +55,7 @@
 }
 
 // run sends requests until stop is closed.
-func (c steadyClient) run(t *testing.T, stop <-chan struct{}) {
+func (c sequentialClient) run(t *testing.T, stop <-chan struct{}) {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{}, Timeout: 10 * time.Second}
 	for i := 0; ; i++ {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (c steadyClient) send(client *http.Client, number int) (status int, err error) {
+func (c sequentialClient) send(client *http.Client, number int) (status int, err error) {
 	request, err := http.NewRequest(http.MethodGet, "http://"+c.address+"/read", nil)
 	if err != nil {
 		return 0, err
@@ -103,12 +103,12 @@
 // requests are served as soon as the process has an answer of discovery.
 func TestRestartedProcessesDoNotTrustStaleList(t *testing.T) {
 	const fleetSize, pollTimeout = 10, 5 * time.Second
-	var atRemoved atomic.Int32
+	var removedArrivals atomic.Int32
 	inService := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer inService.Close()
-	removed := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { atRemoved.Add(1) }))
+	removed := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { removedArrivals.Add(1) }))
 	defer removed.Close()
-	discovery := &lateDiscovery{release: make(chan struct{}), notified: map[int]bool{}}
+	discovery := &delayedDiscovery{release: make(chan struct{}), notified: map[int]bool{}}
 	var answered, rejected atomic.Int32
 	var clients sync.WaitGroup
 	stop := make(chan struct{})
@@ -127,11 +127,11 @@
 		}.configJSON())
 		p.start(t)
 		defer p.kill()
-		client := steadyClient{address: p.clientAddress(t), process: i, answered: &answered, rejected: &rejected}
+		client := sequentialClient{address: p.clientAddress(t), process: i, answered: &answered, rejected: &rejected}
 		clients.Go(func() { client.run(t, stop) })
 	}
 	time.Sleep(time.Second) // a process that trusted its list would long have used it
-	if n := atRemoved.Load(); n > 0 {
+	if n := removedArrivals.Load(); n > 0 {
 		t.Errorf("%d requests at the removed backend before any process had an answer of discovery", n)
 	}
 	close(discovery.release)
@@ -147,7 +147,7 @@
 	}
 	close(stop)
 	clients.Wait()
-	if n := atRemoved.Load(); n > 0 {
+	if n := removedArrivals.Load(); n > 0 {
 		t.Errorf("%d requests at the removed backend", n)
 	}
 	if n := answered.Load() - before; n < 10*fleetSize {
