--- a/cmd/tulipglade/golden_test.go
+++ b/cmd/tulipglade/golden_test.go
@@ -19,18 +19,20 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// goldenFile is what a process of commit f2517d9 sent to each of its peers; TULIPGLADE_WRITE_GOLDEN=1 writes it anew.
+// goldenFile holds what a process of commit f2517d9 sent to each of its peers. TULIPGLADE_WRITE_GOLDEN=1 overwrites it
+// with what the tested process sends.
 const goldenFile = "testdata/wire.golden"
 
-// recordingPeer is a server on raw TCP that records each request byte for byte and sends a fixed response.
+// recordingPeer is a TCP server that records each request byte for byte and sends the response that respond returns.
 type recordingPeer struct {
 	listener net.Listener
-	respond  func(request string) string
+	respond  func(request string) string // returns the response, or "" to send none
 
 	mutex    sync.Mutex
 	requests []string
 }
 
+// newRecordingPeer starts a recordingPeer on a free port. It is closed when the test ends.
 func newRecordingPeer(t *testing.T, respond func(request string) string) *recordingPeer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -51,6 +53,7 @@
 	return p
 }
 
+// serve records and answers the requests on a connection until the connection ends.
 func (p *recordingPeer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -64,7 +67,7 @@
 		p.mutex.Unlock()
 		response := p.respond(request)
 		if response == "" {
-			continue // a watch without a change
+			continue // a watch during which the endpoint list does not change
 		}
 		if _, err := io.WriteString(conn, response); err != nil {
 			return
@@ -72,7 +75,7 @@
 	}
 }
 
-// distinctRequests returns the distinct requests so far, normalized, in the order of their first arrival.
+// distinctRequests returns the requests received so far, normalized and without duplicates, in the order of arrival.
 func (p *recordingPeer) distinctRequests(normalize func(string) string) []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -88,7 +91,7 @@
 	return distinct
 }
 
-// readMessage reads an HTTP/1.1 message with a Content-Length or without a body, byte for byte.
+// readMessage reads one HTTP/1.1 message and returns it byte for byte. The message has a Content-Length or no body.
 func readMessage(reader *bufio.Reader) (string, error) {
 	var text strings.Builder
 	length := 0
@@ -113,11 +116,12 @@
 	return text.String(), err
 }
 
+// okResponse returns an HTTP response with status 200 and the given body.
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// goldenRequests are what clients send, each on a connection of its own.
+// goldenRequests lists the requests that the test sends as a client, each on a new connection.
 var goldenRequests = []struct{ name, request string }{
 	{"idempotent", "GET /read/a?b=c HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t1\r\nX-Customer: o\r\nX-Extra: kept\r\n\r\n"},
 	{"own deadline", "GET /read HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t2\r\nX-Customer: o\r\nX-Expires-In-Ms: 900\r\n\r\n"},
@@ -137,6 +141,7 @@
 	{"body too large", "POST /pay HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t12\r\nX-Customer: o\r\nContent-Length: 99999999\r\n\r\n"},
 }
 
+// backendResponse returns the backend's response to a request: an error for some paths, and otherwise a load report.
 func backendResponse(request string) string {
 	switch {
 	case strings.Contains(request, "/broken"):
@@ -149,13 +154,14 @@
 		"Content-Length: 2\r\n\r\nok"
 }
 
-// wireRecord builds the text that is compared, with placeholders for what differs between two runs.
+// wireRecord builds the text that is compared with the golden file. Placeholders replace the parts that differ between
+// two runs.
 type wireRecord struct {
 	text      strings.Builder
-	addresses *strings.Replacer
+	addresses *strings.Replacer // replaces the addresses of the run by placeholders
 }
 
-// varyingValues are the fields whose values differ between two runs.
+// varyingValues lists the patterns of values that differ between two runs, with the placeholders that replace them.
 var varyingValues = []struct {
 	pattern     *regexp.Regexp
 	placeholder string
@@ -164,6 +170,7 @@
 	{regexp.MustCompile(`timeout_ms=[1-9]\d*`), "timeout_ms=N"},
 }
 
+// normalize replaces the addresses and values that differ between two runs by placeholders.
 func (w *wireRecord) normalize(text string) string {
 	text = w.addresses.Replace(text)
 	for _, value := range varyingValues {
@@ -172,12 +179,13 @@
 	return text
 }
 
+// addSection appends a normalized text under a title.
 func (w *wireRecord) addSection(title, text string) {
 	text = strings.ReplaceAll(w.normalize(text), "\r", `\r`)
-	_, _ = fmt.Fprintf(&w.text, "== %s\n%s\n", title, text) // never fails
+	_, _ = fmt.Fprintf(&w.text, "== %s\n%s\n", title, text) // writing to a strings.Builder never fails
 }
 
-// sendRequest sends a request on a connection of its own and returns the response byte for byte.
+// sendRequest sends a request on a new connection and returns the response byte for byte.
 func sendRequest(t *testing.T, address, request string) string {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", address, 10*time.Second)
@@ -191,20 +199,22 @@
 	}
 	response, err := readMessage(bufio.NewReader(conn))
 	if err != nil {
-		t.Fatalf("%q: %q, %v", request, response, err)
+		t.Fatalf("response to %q: %q, %v", request, response, err)
 	}
 	return response
 }
 
-// numberPattern match the values of a hot restart's state that differ from run to run; its keys do not.
+// numberPattern matches the numbers in the state that a hot restart hands over, because the values differ between two
+// runs. The keys do not.
 var numberPattern = regexp.MustCompile(`-?\d+(\.\d+)?(e[-+]?\d+)?`)
 
-// requestHandoffState connects as a successor would and returns the state that the process sends.
+// requestHandoffState connects to the handoff socket in dir as a successor does in a hot restart, and returns the state
+// that the process sends: the magic at its start, and the body with its numbers replaced.
 func requestHandoffState(t *testing.T, dir string) string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.sock"))
 	if err != nil || len(paths) != 1 {
-		t.Fatalf("sockets %v, %v", paths, err)
+		t.Fatalf("handoff sockets %v, %v, want one socket", paths, err)
 	}
 	conn, err := net.DialTimeout("unix", paths[0], 10*time.Second)
 	if err != nil {
@@ -226,7 +236,7 @@
 	return string(head[:4]) + numberPattern.ReplaceAllString(string(body), "N")
 }
 
-// goldenConfig is the configuration of the process that the golden file is about.
+// goldenConfig is the configuration of the process under test. Its verb is the address of discovery.
 const goldenConfig = `{"name":"n0","listen":"127.0.0.1:0","operator":"127.0.0.1:0","discovery":%q,"seed":"1",
 	"limits":{"cores":1,"memory_mb":192,"sockets":96},
 	"known":{"rev":0,"all":true,"targets":[]},
@@ -239,12 +249,13 @@
 	"report":{"fields":["utilization","backlog"],"how":"piggyback"},
 	"rules":{"ask_every_us":10000000,"grace_to_answer_us":20000,"drain_grace_us":500000}}}`
 
-// goldenList is the endpoint list with one backend.
+// goldenList is an endpoint list with one backend. Its verb is the address of the backend.
 const goldenList = `{"rev":4,"all":true,"targets":[` +
 	`{"uid":"a","endpoint":%q,"az":"z","pod_group":3,"state":"in_service","capacity_hint":2,"boot_ms":5}]}`
 
-// TestWireFormsAreUnchanged compares every message that a process sends with what commit f2517d9 sent: polls and watches, requests to
-// backends, answers to clients and operators, and the state that goes to a successor at a hot restart.
+// TestWireFormsAreUnchanged compares the messages that a process sends with those that commit f2517d9 sent: polls and
+// watches, requests to backends, responses to clients and operators, and the state that a hot restart hands over to the
+// successor.
 func TestWireFormsAreUnchanged(t *testing.T) {
 	backend := newRecordingPeer(t, backendResponse)
 	list := fmt.Sprintf(goldenList, backend.listener.Addr())
@@ -260,17 +271,17 @@
 	defer p.kill()
 	clientAddress, adminAddress, ok := p.awaitServing(startupTimeout)
 	if !ok {
-		t.Fatalf("it does not serve: %s", p.output)
+		t.Fatalf("the process does not serve: %s", p.output)
 	}
 	record := &wireRecord{addresses: strings.NewReplacer(discovery.listener.Addr().String(), "DISCOVERY",
 		backend.listener.Addr().String(), "BACKEND", clientAddress, "CLIENTS", adminAddress, "ADMIN")}
 	if !awaitReady(clientAddress, startupTimeout) {
-		t.Fatalf("not ready: %s", p.output)
+		t.Fatalf("the process is not ready: %s", p.output)
 	}
 	record.addClientResponses(t, clientAddress)
 	record.addPeerRequests("backend: request", backend)
 	for end := time.Now().Add(startupTimeout); len(discovery.distinctRequests(record.normalize)) < 2 && time.Now().Before(end); {
-		time.Sleep(10 * time.Millisecond) // the watch follows the first poll
+		time.Sleep(10 * time.Millisecond) // until the watch that follows the first poll arrives
 	}
 	record.addPeerRequests("discovery: call", discovery)
 	record.addAdminResponses(t, adminAddress)
@@ -278,7 +289,7 @@
 	compareWithGolden(t, record.text.String())
 }
 
-// addClientResponses records the answer to each of goldenCalls.
+// addClientResponses sends each of goldenRequests and records the response.
 func (w *wireRecord) addClientResponses(t *testing.T, address string) {
 	t.Helper()
 	for _, golden := range goldenRequests {
@@ -286,7 +297,7 @@
 	}
 }
 
-// addAdminResponses records the answers to operators.
+// addAdminResponses sends requests to the admin address and records the responses.
 func (w *wireRecord) addAdminResponses(t *testing.T, address string) {
 	t.Helper()
 	for _, requestLine := range []string{"GET /status", "PUT /none", "GET /status?lease=x&token=1", "PUT /standby", "PUT /active"} {
@@ -294,13 +305,14 @@
 	}
 }
 
-// addPeerRequests records what a peer has received.
+// addPeerRequests records the requests that a peer has received, without duplicates.
 func (w *wireRecord) addPeerRequests(title string, peer *recordingPeer) {
 	for i, request := range peer.distinctRequests(w.normalize) {
 		w.addSection(fmt.Sprintf("%s %d", title, i), request)
 	}
 }
 
+// compareWithGolden compares a text with the golden file, which TULIPGLADE_WRITE_GOLDEN overwrites first.
 func compareWithGolden(t *testing.T, got string) {
 	t.Helper()
 	if os.Getenv("TULIPGLADE_WRITE_GOLDEN") != "" {
--- a/cmd/tulipglade/main.go
+++ b/cmd/tulipglade/main.go
@@ -1,5 +1,5 @@
-// Command tulipglade is a load-balancing node: clients on one side, backends on the other, and the decision
-// module between them.
+// Command tulipglade runs one node of the load balancer. The node accepts requests from clients, and its decision
+// module chooses the backend that each request is forwarded to.
 package main
 
 import (
@@ -15,14 +15,16 @@
 	"tulipglade/internal/daemon"
 )
 
-// logLevelVariable names the level of the log, such as "debug", which has a line written for each step of each request.
+// logLevelVariable is the environment variable that sets the log level. At the level "debug", the node logs each step
+// of each request.
 const logLevelVariable = "TULIPGLADE_LOG"
 
-// logFlushTimeout bounds the wait for the last lines of the log.
+// logFlushTimeout limits how long the program waits at its end until the last log lines are written.
 const logFlushTimeout = time.Second
 
-// reloadSignals is set before main runs: a platform that changes the configuration sends SIGHUP to all processes, also to
-// one that it has just started.
+// reloadSignals delivers the SIGHUPs that ask for a reload of the configuration. The handler is installed before main
+// runs, because a platform that changes the configuration sends SIGHUP to all processes, including those that it has
+// just started, and an unhandled SIGHUP would end the process.
 var reloadSignals = daemon.NotifyReload()
 
 func main() {
@@ -32,6 +34,7 @@
 	}
 }
 
+// newCommand returns the root command of the command line with its sub-commands.
 func newCommand() *cli.Command {
 	config := &cli.StringFlag{Name: "config", Aliases: []string{"c"}, Usage: "configuration `FILE`",
 		Sources: cli.EnvVars("GW_CONFIG"), Required: true}
@@ -46,6 +49,7 @@
 	}
 }
 
+// serve runs a node with the configuration file that the command line names, until a signal stops the node.
 func serve(ctx context.Context, cmd *cli.Command) error {
 	loadConfig := func() (*daemon.Config, error) { return daemon.Load(cmd.String("config"), os.Getenv) }
 	config, err := loadConfig()
@@ -58,6 +62,7 @@
 	return daemon.Serve(ctx, config, loadConfig, reloadSignals, log)
 }
 
+// check validates the configuration file and prints a summary of its contents.
 func check(_ context.Context, cmd *cli.Command) error {
 	config, err := daemon.Load(cmd.String("config"), os.Getenv)
 	if err != nil {
@@ -68,6 +73,7 @@
 	return err
 }
 
+// version prints the module version and, if the build recorded it, the revision of the source.
 func version(_ context.Context, cmd *cli.Command) error {
 	moduleVersion, revision := "(devel)", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -82,7 +88,7 @@
 	return err
 }
 
-// logLevel returns the level in the environment, or "info" where there is none.
+// logLevel returns the log level set in the environment, or "info" if it is unset or invalid.
 func logLevel() slog.Level {
 	var level slog.Level
 	if level.UnmarshalText([]byte(os.Getenv(logLevelVariable))) != nil {
--- a/cmd/tulipglade/main_test.go
+++ b/cmd/tulipglade/main_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// Each command prints one plain line, or returns an error of one line.
+// TestCommandsPrintOneLine checks that each sub-command prints a single line, or returns an error that begins with
+// the field at fault, or with "configuration" if the file cannot be read.
 func TestCommandsPrintOneLine(t *testing.T) {
 	invalid := filepath.Join(t.TempDir(), "invalid.json")
 	if err := os.WriteFile(invalid, []byte(`{"listen":"here"}`), 0o600); err != nil {
--- a/cmd/tulipglade/process_test.go
+++ b/cmd/tulipglade/process_test.go
@@ -17,28 +17,30 @@
 	"time"
 )
 
-// Environment variables between a test and the program that it starts.
+// Environment variables that a test sets for the processes that it starts.
 const (
-	envConfigPath     = "TULIPGLADE_TEST_RUN"   // the test's executable is the program, with this configuration file
-	envMaxDescriptors = "TULIPGLADE_TEST_FILES" // instead of maxDescriptors
+	// envConfigPath is the path of a configuration file. If it is set, the test binary runs the program with this file.
+	envConfigPath = "TULIPGLADE_TEST_RUN"
+	// envMaxDescriptors is a limit of open file descriptors that replaces maxDescriptors.
+	envMaxDescriptors = "TULIPGLADE_TEST_FILES"
 )
 
-// maxDescriptors is how many descriptors each process of a test may hold.
+// maxDescriptors is the limit of open file descriptors of each process that a test starts.
 const maxDescriptors = 96
 
-// TestMain is the program itself where a test has started it as one.
+// TestMain runs the tests, or the program itself in a process that a test has started with envConfigPath set.
 func TestMain(m *testing.M) {
 	path := os.Getenv(envConfigPath)
 	if path == "" {
 		os.Exit(m.Run())
 	}
 	if err := runProgram(path); err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, err) // the exit status tells it too
+		_, _ = fmt.Fprintln(os.Stderr, err) // the exit status reports the failure even if this write fails
 		os.Exit(1)
 	}
 }
 
-// runProgram serves under a limit of descriptors, as the platform sets one.
+// runProgram runs the serve command under a limit of open file descriptors, because the platform sets such a limit too.
 func runProgram(configPath string) error {
 	limit := uint64(intFromEnvironment(envMaxDescriptors, maxDescriptors))
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
@@ -47,7 +49,7 @@
 	return newCommand().Run(context.Background(), []string{"tulipglade", "serve", "--config", configPath})
 }
 
-// intFromEnvironment returns the number in an environment variable, or the default where there is none.
+// intFromEnvironment returns the integer in an environment variable, or the default if it is unset or not an integer.
 func intFromEnvironment(name string, defaultValue int) int {
 	if value, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return value
@@ -55,7 +57,8 @@
 	return defaultValue
 }
 
-// programCommand returns the command that runs the program with a configuration file.
+// programCommand returns a command that runs the program with a configuration file, by starting the test binary again
+// with envConfigPath and the given variables added to its environment.
 func programCommand(configPath string, environment ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), envConfigPath+"="+configPath)
@@ -63,7 +66,7 @@
 	return cmd
 }
 
-// outputBuffer collects what a process writes.
+// outputBuffer collects the output of a process. It is safe for concurrent use.
 type outputBuffer struct {
 	mutex sync.Mutex
 	text  strings.Builder
@@ -83,7 +86,7 @@
 
 func (b *outputBuffer) contains(phrase string) bool { return strings.Contains(b.String(), phrase) }
 
-// process is the program, started by a test. It may be started again once it has ended.
+// process runs the program in an operating system process of its own. It can be started again after it has ended.
 type process struct {
 	configPath string
 	cmd        *exec.Cmd
@@ -92,7 +95,7 @@
 	exitErr    error         // valid once ended is closed
 }
 
-// newProcess returns a process, not yet started, with a configuration.
+// newProcess writes the configuration to a file and returns a process that uses it. The process is not started yet.
 func newProcess(t *testing.T, config string) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -102,6 +105,7 @@
 	return &process{configPath: path}
 }
 
+// start starts the process with additional environment variables and empties the collected output.
 func (p *process) start(t *testing.T, environment ...string) {
 	t.Helper()
 	p.cmd = programCommand(p.configPath, environment...)
@@ -118,15 +122,15 @@
 	}()
 }
 
-// wait waits for the end of the process and returns how it ended.
+// wait waits until the process ends and returns the error of its exit, or nil if its exit status is 0.
 func (p *process) wait() error {
 	<-p.ended
 	return p.exitErr
 }
 
-// kill ends the process at once and waits for its end.
+// kill sends SIGKILL to the process and waits until it has ended.
 func (p *process) kill() {
-	_ = p.cmd.Process.Kill() // it may have ended
+	_ = p.cmd.Process.Kill() // fails only if the process has already ended
 	<-p.ended
 }
 
@@ -137,8 +141,9 @@
 	startupTimeout = 30 * time.Second
 )
 
-// awaitServing returns the addresses of clients and of operators, from the line that the process logs when it serves. It
-// returns false where there is no such line within the timeout.
+// awaitServing waits for the line that the process logs when it begins to serve, and returns the addresses in it: the
+// one for clients, and the admin address, which is empty if none is configured. It returns false if the line does not
+// appear within the timeout.
 func (p *process) awaitServing(timeout time.Duration) (clientAddress, adminAddress string, ok bool) {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		line := servingLine.FindString(p.output.String())
@@ -153,30 +158,30 @@
 	return "", "", false
 }
 
-// clientAddress is where clients reach the process, once it serves.
+// clientAddress waits until the process serves and returns the address for clients.
 func (p *process) clientAddress(t *testing.T) string {
 	t.Helper()
 	address, _, ok := p.awaitServing(startupTimeout)
 	if !ok {
-		t.Fatalf("it does not serve: %s", p.output)
+		t.Fatalf("the process does not serve: %s", p.output)
 	}
 	return address
 }
 
-// nodeConfig is what differs between the configurations of the nodes of a test fleet.
+// nodeConfig holds the settings that differ between the nodes of a test. All others are fixed in configJSON.
 type nodeConfig struct {
 	index, fleetSize int
-	discovery        string
+	discovery        string            // address
 	endpoints        map[string]string // addresses by UID
-	class            string            // the JSON form of the one class of requests
+	class            string            // JSON form of the only request class
 	connectTimeout   time.Duration
 	pollInterval     time.Duration
 }
 
-// A class of requests that may be repeated.
+// readClass is the JSON form of a class of idempotent requests.
 const readClass = `{"name":"read","aim_us":600000,"deadline_us":1500000,"effect":"repeatable"}`
 
-// configJSON returns the configuration in its JSON form.
+// configJSON returns the content of the node's configuration file.
 func (c nodeConfig) configJSON() string {
 	var targets []string
 	for _, uid := range slices.Sorted(maps.Keys(c.endpoints)) {
