--- a/cmd/tulipglade/list_forms_test.go
+++ b/cmd/tulipglade/list_forms_test.go
@@ -17,29 +17,39 @@
 )
 
 const (
-	// removalGrace is how long after a removal was written requests may still go there: the drain grace of the configuration, its tolerance,
-	// and what a node that is held up may add.
+	// removalGrace is how long after a removal was written the backend may still receive requests: the drain grace of
+	// the configuration, its tolerance, and an allowance for a node that the machine delays.
 	removalGrace = 500*time.Millisecond + 50*time.Millisecond + 150*time.Millisecond
-	// removalObservation is how long requests are observed after a removal was written: longer than a lease on the list.
+	// removalObservation is how long the test observes requests after a removal. It is longer than a list lease.
 	removalObservation = 7500 * time.Millisecond
-	// recoveryTimeLimit is how long after a list with live backends was written requests may be unanswered.
+	// recoveryTimeLimit is how long requests may still be rejected after a list with live backends was written.
 	recoveryTimeLimit = 300 * time.Millisecond
 )
 
-// listForm is what discovery writes once it has removed backends of a, b and c.
+// listForm describes how discovery reports that some of the backends a, b and c are removed or draining.
 type listForm struct {
-	name             string
-	responses        []string      // one after the other, and the last again; empty: the connection is reset
-	answersEachCall  bool          // each call is answered, also one that has the last answer's revision
-	inPieces         bool          // the answer comes chunked, in three pieces within 0.3 s
-	customHead       string        // in place of the usual one; the connection closes behind the answer
-	moved            bool          // discovery moves to another address at that moment, by SIGHUP
-	movedMidResponse bool          // the answers are those of the earlier address, and have begun as discovery moves; the next one is silent
-	removedUIDs      string        // the backends that count as removed or draining from here on
-	removalDelay     time.Duration // when they do, where the answers do not say so: counted from the first
+	name string
+	// responses are sent in this order, and the last one is repeated. For an empty string, the connection is reset.
+	responses []string
+	// answersEachCall has every call answered at once, including a watch that already has the latest revision.
+	answersEachCall bool
+	// inPieces has each response sent with chunked transfer coding, in three pieces within 0.3 s.
+	inPieces bool
+	// customHead replaces the usual head of the response. The connection is closed after the response.
+	customHead string
+	// moved has discovery move to another address at the removal. A SIGHUP makes the process load the new address.
+	moved bool
+	// movedMidResponse has discovery move while the old address is sending a response. The new address never responds.
+	movedMidResponse bool
+	// removedUIDs holds the UIDs, one letter each, of the backends that count as removed or draining after the removal.
+	removedUIDs string
+	// removalDelay is the time from the first write of the last response until removedUIDs count as removed. It is set
+	// for responses that the process cannot read.
+	removalDelay time.Duration
 }
 
-// The entries of a backend in each state, and in forms that cannot be read.
+// Templates of list entries: the valid states of a backend first, then entries that are invalid. The verb is the UID;
+// the endpoint is a placeholder that listFormDiscovery.backends replaces.
 const (
 	inService       = `{"uid":"%[1]s","endpoint":"{%[1]s}","az":"z","state":"in_service","capacity_hint":1}`
 	terminating     = `{"uid":"%[1]s","endpoint":"{%[1]s}","az":"z","state":"terminating","capacity_hint":1}`
@@ -53,32 +63,36 @@
 	notAnObject     = `"%[1]s"`
 )
 
-// Heads of answers that end with their connection: one that gives no length, and one that gives more than comes.
+// Heads of responses after which the connection is closed: one without a Content-Length, and one with a Content-Length
+// that exceeds the body.
 const (
 	noLengthHead     = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 	excessLengthHead = "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"
 )
 
-// formatEntry is a backend's formatEntry of a form.
+// formatEntry returns the list entry of the backend with the given UID.
 func formatEntry(template, uid string) string { return fmt.Sprintf(template, uid) }
 
-// fullList and changes are answers with entries.
+// fullList returns a response with a full endpoint list: backends without an entry are removed.
 func fullList(revision int, entries ...string) string {
 	return fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, revision, strings.Join(entries, ","))
 }
 
+// incrementalList returns a response with the changes since an earlier revision: backends without an entry stay as they
+// are.
 func incrementalList(revision int, entries ...string) string {
 	return fmt.Sprintf(`{"rev":%d,"all":false,"targets":[%s]}`, revision, strings.Join(entries, ","))
 }
 
-// allEntries is the entries of allEntries backends in one form.
+// allEntries returns the entries of the backends a, b and c, all from the same template.
 func allEntries(template string) []string {
 	return []string{formatEntry(template, "a"), formatEntry(template, "b"), formatEntry(template, "c")}
 }
 
-// initialRevision is the revision of the list that each process has before backends are removed.
+// initialRevision is the revision of the list that each process has before the removal.
 const initialRevision = 5
 
+// listForms lists the forms in which discovery reports a removal.
 var listForms = []listForm{
 	{name: "empty", responses: []string{fullList(6)}, removedUIDs: "abc"},
 	{name: "empty-at-each-call", responses: []string{fullList(6)}, answersEachCall: true, removedUIDs: "abc"},
@@ -125,25 +139,28 @@
 	}, removedUIDs: "bc"},
 }
 
-// listFormDiscovery is discovery as one process of a test reaches it: it has all backends in service until the removal.
+// listFormDiscovery is a discovery server for one process. Until the removal, its list has all backends in service;
+// from then on, it responds as its form describes.
 type listFormDiscovery struct {
 	form     listForm
-	backends *strings.Replacer // addresses by UID
+	backends *strings.Replacer // replaces {uid} by the address of the backend
 
 	mutex          sync.Mutex
-	removalStarted chan struct{} // closed at the removal
+	removalStarted chan struct{} // closed when the removal begins
 	restored       chan struct{} // closed when all backends are in service again
-	responseCount  int           // answers since the removal
-	firstWrittenAt time.Time     // when the last of the form's answers was first written
+	responseCount  int           // responses begun since the removal
+	firstWrittenAt time.Time     // when the last of the form's responses was written for the first time
 }
 
+// startRemoval has all further responses follow the form, and ends the watches that wait for a change.
 func (d *listFormDiscovery) startRemoval() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	close(d.removalStarted)
 }
 
-// nextResponse returns the nextResponse answer of the form, which is its last one from then on.
+// nextResponse returns the next of the form's responses, or the last one again after all have been sent. It also
+// reports whether this is the last one.
 func (d *listFormDiscovery) nextResponse() (response string, last bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -152,13 +169,14 @@
 	return d.backends.Replace(d.form.responses[position]), position == len(d.form.responses)-1
 }
 
-// hasResponded reports whether an answer of the form has begun.
+// hasResponded reports whether one of the form's responses has begun.
 func (d *listFormDiscovery) hasResponded() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.responseCount > 0
 }
 
+// recordWritten records the time at which the last of the form's responses was first written.
 func (d *listFormDiscovery) recordWritten() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -167,14 +185,16 @@
 	}
 }
 
-// pastGrace reports whether something may not start at a removed backend any more.
+// pastGrace reports whether the removal grace has passed, so that a removed backend must not receive requests any more.
 func (d *listFormDiscovery) pastGrace() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return !d.firstWrittenAt.IsZero() && time.Since(d.firstWrittenAt) > d.form.removalDelay+removalGrace
 }
 
-// handler answers calls at one of the addresses: at the first as of the removal or, where discovery moves, as before it.
+// handler returns the handler of one of discovery's addresses. servesRemoval is set for the address that is configured
+// after the removal. An address that discovery has moved away from resets all calls after the removal, unless
+// movedMidResponse is set: then it sends the form's responses, and the new address never responds.
 func (d *listFormDiscovery) handler(servesRemoval bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		waitMs, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
@@ -203,7 +223,8 @@
 	}
 }
 
-// waitForChange waits until a change, and returns false where none came in the time that the call may wait.
+// waitForChange holds a watch until the change, and reports whether it has come. It returns false if the call's timeout
+// passes first, or if the process ends the call.
 func waitForChange(r *http.Request, waitMs int, change <-chan struct{}) bool {
 	select {
 	case <-change:
@@ -214,11 +235,12 @@
 	return false
 }
 
+// respond answers a call that comes after the removal.
 func (d *listFormDiscovery) respond(w http.ResponseWriter, r *http.Request, since, waitMs int) {
 	d.mutex.Lock()
 	allSent := d.responseCount >= len(d.form.responses)
 	d.mutex.Unlock()
-	if allSent && waitMs > 0 && !d.form.answersEachCall { // a watch, and nothing has changed since
+	if allSent && waitMs > 0 && !d.form.answersEachCall { // a watch, with no change until restored is closed
 		list := incrementalList(since)
 		if waitForChange(r, waitMs, d.restored) {
 			list = d.backends.Replace(fullList(since+1, allEntries(inService)...))
@@ -236,13 +258,14 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, d.form.customHead+body) // a process that has ended calls again
+		// This fails only if the process closed the connection. It then calls again.
+		_, _ = io.WriteString(conn, d.form.customHead+body)
 		_ = conn.Close()
 		d.recordWritten()
 		return
 	}
 	for piece := range slices.Chunk([]byte(body), d.pieceSize(len(body))) {
-		_, _ = w.Write(piece) // a process that has ended calls again
+		_, _ = w.Write(piece) // fails only if the process closed the connection; it calls again
 		if d.form.inPieces {
 			w.(http.Flusher).Flush()
 			time.Sleep(100 * time.Millisecond)
@@ -254,6 +277,7 @@
 	}
 }
 
+// pieceSize returns the maximum size of the pieces in which a response of the given length is written.
 func (d *listFormDiscovery) pieceSize(length int) int {
 	if d.form.inPieces {
 		return length/3 + 1
@@ -261,15 +285,16 @@
 	return length
 }
 
-// listFormRun is one process of the program with three backends that answer all along.
+// listFormRun is a running process with its discovery and with three backends, which respond throughout the test.
 type listFormRun struct {
 	discovery *listFormDiscovery
-	arrivals  map[string]*atomic.Int32
-	pastGrace map[string]*atomic.Int32
+	arrivals  map[string]*atomic.Int32 // requests received, by backend UID
+	pastGrace map[string]*atomic.Int32 // requests received after the removal grace, by backend UID
 	process   *process
-	address   string
+	address   string // for clients
 }
 
+// newListFormRun starts three backends, discovery, and a process, and waits until the process serves.
 func newListFormRun(t *testing.T, form listForm) *listFormRun {
 	t.Helper()
 	formRun := &listFormRun{arrivals: map[string]*atomic.Int32{}, pastGrace: map[string]*atomic.Int32{}}
@@ -304,6 +329,7 @@
 	return formRun
 }
 
+// serveDiscovery starts a server at a new address of discovery; servesRemoval is described at handler.
 func (r *listFormRun) serveDiscovery(t *testing.T, servesRemoval bool) (address string) {
 	t.Helper()
 	server := httptest.NewServer(r.discovery.handler(servesRemoval))
@@ -312,7 +338,8 @@
 	return server.Listener.Addr().String()
 }
 
-// startRemoval has discovery write the form, at another address where it moves.
+// startRemoval has discovery report the removal. If discovery moves, it also writes the new address into the
+// configuration and sends SIGHUP to the process.
 func (r *listFormRun) startRemoval(t *testing.T) {
 	t.Helper()
 	r.discovery.startRemoval()
@@ -337,6 +364,10 @@
 	}
 }
 
+// TestRemovedBackendsReceiveNoRequestsInAnyListForm guards against requests to removed or draining backends after the
+// removal grace. Such requests would come about if a process rejected, misread or ignored a list because of its form:
+// an empty or incomplete list, a lower revision, invalid or duplicate entries, or a list from another address of
+// discovery.
 func TestRemovedBackendsReceiveNoRequestsInAnyListForm(t *testing.T) {
 	for _, form := range listForms {
 		t.Run(form.name, func(t *testing.T) {
@@ -346,6 +377,7 @@
 	}
 }
 
+// testListForm sends requests before and after the removal and checks which backends receive them after the grace.
 func testListForm(t *testing.T, form listForm) {
 	t.Helper()
 	formRun := newListFormRun(t, form)
@@ -365,13 +397,13 @@
 	close(stop)
 	clients.Wait()
 	if before < 100 || formRun.discovery.firstWrittenAt.IsZero() {
-		t.Fatalf("%d answered before the removal, which was written at %v: %s", before, formRun.discovery.firstWrittenAt, formRun.process.output)
+		t.Fatalf("%d requests answered before the removal, which was written at %v: %s", before, formRun.discovery.firstWrittenAt, formRun.process.output)
 	}
 	for uid, pastGrace := range formRun.pastGrace {
 		if n := pastGrace.Load(); strings.Contains(form.removedUIDs, uid) && n > 0 {
-			t.Errorf("%s: %d requests over %v after its removal was written, of %d in all", uid, n, removalGrace, formRun.arrivals[uid].Load())
+			t.Errorf("backend %s: %d requests more than %v after its removal was written, of %d in all", uid, n, removalGrace, formRun.arrivals[uid].Load())
 		} else if !strings.Contains(form.removedUIDs, uid) && n == 0 && !form.movedMidResponse {
-			t.Errorf("%s is in service and gets nothing", uid)
+			t.Errorf("backend %s is in service but received no requests after the removal", uid)
 		}
 	}
 	if t.Failed() {
@@ -379,7 +411,9 @@
 	}
 }
 
-// With no backend left the process is ready, rejects within half of a request's time, and serves as soon as one is back.
+// TestProcessWithoutBackendsRejectsEarlyAndServesAgain checks a process whose backends are all removed or draining: it
+// stays ready, rejects requests within half of their deadline instead of holding them until the deadline passes, and
+// serves again as soon as backends are back.
 func TestProcessWithoutBackendsRejectsEarlyAndServesAgain(t *testing.T) {
 	for _, form := range []listForm{
 		{name: "empty", responses: []string{fullList(6)}},
@@ -390,6 +424,8 @@
 			t.Parallel()
 			formRun := newListFormRun(t, form)
 			client := sequentialClient{address: formRun.address, process: 0}
+			// awaitStatus sends requests until one has the wanted status or the timeout passes, and returns the time
+			// taken.
 			awaitStatus := func(want int, timeout time.Duration) (took time.Duration) {
 				t.Helper()
 				began := time.Now()
@@ -404,21 +440,21 @@
 				}
 			}
 			if took := awaitStatus(http.StatusOK, startupTimeout); took > startupTimeout {
-				t.Fatal("it does not serve")
+				t.Fatal("the process does not serve")
 			}
 			formRun.discovery.startRemoval()
 			awaitStatus(http.StatusServiceUnavailable, startupTimeout)
 			for range 5 {
 				if took := awaitStatus(http.StatusServiceUnavailable, 0); took > 750*time.Millisecond {
-					t.Errorf("rejected after %v of 1.5 s", took)
+					t.Errorf("rejected after %v of a deadline of 1.5 s", took)
 				}
 			}
 			if !awaitReady(formRun.address, time.Second) {
-				t.Error("it is not ready")
+				t.Error("the process is not ready without backends")
 			}
 			close(formRun.discovery.restored)
 			if took := awaitStatus(http.StatusOK, startupTimeout); took > recoveryTimeLimit {
-				t.Errorf("served %v after backends were back", took)
+				t.Errorf("served again only %v after backends were back", took)
 			}
 		})
 	}
--- a/cmd/tulipglade/outage_test.go
+++ b/cmd/tulipglade/outage_test.go
@@ -11,51 +11,54 @@
 	"time"
 )
 
-// drainingList is the change of the endpoint list that discovery has for every process.
+// drainingList is the incremental endpoint list that discovery sends to every process: backend b is draining.
 const drainingList = `{"rev":9,"all":false,"targets":[
 	{"uid":"b","endpoint":"127.0.0.1:1","az":"z","state":"terminating","capacity_hint":1}]}`
 
-// isUpToDate reports whether a call asks for changes after the only one that there is.
+// isUpToDate reports whether a call comes from a process that already has revision 9, the latest one of these tests.
 func isUpToDate(r *http.Request) bool { return r.URL.Query().Get("since") == "9" }
 
-// discoveryState is what a discovery does with calls.
+// discoveryState determines how a faultyDiscovery handles calls.
 type discoveryState uint8
 
 const (
-	discoveryUp              discoveryState = iota // answers
+	discoveryUp              discoveryState = iota // sends drainingList
 	discoveryDown                                  // resets connections
-	discoveryRejecting                             // rejects at once, with 503
-	discoveryRejectingSlowly                       // rejects with 503 after queueingTime
+	discoveryRejecting                             // responds with 503 at once
+	discoveryRejectingSlowly                       // responds with 503 after queueingTime
 )
 
-// queueingTime is how long an overloaded discovery queues a call before it rejects it.
+// queueingTime is how long an overloaded discovery holds a call before it rejects the call.
 const queueingTime = 2 * time.Second
 
-// rejectionsPerProcess is how often each process is rejected: so often that a doubling backoff would have grown beyond any bound.
+// rejectionsPerProcess is how many calls of each process are rejected before discovery is up again. With a backoff that
+// doubles after each rejection, a process would by then wait too long for its next call.
 const rejectionsPerProcess = 5
 
-// notificationTimeout is how long a change may take to count as notified.
+// notificationTimeout is the time after which a process counts as notified of a change, whether or not the change has
+// reached it.
 const notificationTimeout = 6 * time.Second
 
-// faultyDiscovery is discovery as the processes of a test reach it, each at an address of its own.
+// faultyDiscovery is a discovery server with faults. Each process of a test calls it at a different address.
 type faultyDiscovery struct {
 	processes int
 
 	mutex       sync.Mutex
 	state       discoveryState
-	rejections  map[int]int   // by process
-	allRejected chan struct{} // closed when each process has been rejected rejectionsEach times
-	notified    map[int]bool  // processes that have received the change
-	allNotified chan struct{} // closed when all have
+	rejections  map[int]int   // rejected calls, by index of the process
+	allRejected chan struct{} // closed when each process has had rejectionsPerProcess calls rejected
+	notified    map[int]bool  // indices of the processes that have received the change
+	allNotified chan struct{} // closed when all processes have received the change
 }
 
+// newFaultyDiscovery returns a discovery in the given state, for a number of processes.
 func newFaultyDiscovery(processes int, state discoveryState) *faultyDiscovery {
 	d := &faultyDiscovery{processes: processes}
 	d.setState(state)
 	return d
 }
 
-// setState changes what becomes of calls from here on, and starts to count anew.
+// setState changes how further calls are handled, and resets the counts of rejections and notifications.
 func (d *faultyDiscovery) setState(state discoveryState) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -70,6 +73,7 @@
 	return d.state
 }
 
+// handler returns the handler of the address that the process with the given index calls.
 func (d *faultyDiscovery) handler(process int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		switch d.currentState() {
@@ -87,16 +91,16 @@
 			d.countRejection(process)
 		case discoveryUp:
 			if isUpToDate(r) {
-				<-r.Context().Done() // a watch, and nothing changes
+				<-r.Context().Done() // a watch during which nothing changes
 				return
 			}
-			_, _ = io.WriteString(w, drainingList) // a process that has ended calls again
+			_, _ = io.WriteString(w, drainingList) // fails only if the process closed the connection; it calls again
 			d.countNotification(process)
 		}
 	}
 }
 
-// resetConnection ends a call with a reset.
+// resetConnection ends a call with a TCP reset.
 func resetConnection(w http.ResponseWriter) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -106,6 +110,7 @@
 	_ = conn.Close()
 }
 
+// countRejection counts a rejected call, and closes allRejected once each process has had rejectionsPerProcess of them.
 func (d *faultyDiscovery) countRejection(process int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -121,6 +126,7 @@
 	close(d.allRejected)
 }
 
+// countNotification records that a process has received the change, and closes allNotified once all processes have.
 func (d *faultyDiscovery) countNotification(process int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -133,7 +139,8 @@
 	}
 }
 
-// checkAllNotified checks that all processes receive the change in time.
+// checkAllNotified checks that all processes receive the change within notificationTimeout. The error message names the
+// event of discovery from which on this time counts.
 func (d *faultyDiscovery) checkAllNotified(t *testing.T, event string) {
 	t.Helper()
 	select {
@@ -141,11 +148,11 @@
 	case <-time.After(notificationTimeout):
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
-		t.Errorf("%d of %d notified %v after discovery %s", len(d.notified), d.processes, notificationTimeout, event)
+		t.Errorf("%d of %d processes notified %v after discovery %s", len(d.notified), d.processes, notificationTimeout, event)
 	}
 }
 
-// countReady counts the processes that are ready within the timeout.
+// countReady returns the number of processes that become ready within the timeout.
 func countReady(processes []*process, timeout time.Duration) int {
 	end := time.Now().Add(timeout)
 	var ready atomic.Int32
@@ -162,7 +169,8 @@
 	return int(ready.Load())
 }
 
-// awaitReady reports whether a process is ready within the timeout.
+// awaitReady waits until the process at an address reports itself ready, and returns false if it does not within the
+// timeout.
 func awaitReady(address string, timeout time.Duration) bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -170,7 +178,7 @@
 		if err != nil {
 			continue
 		}
-		_ = response.Body.Close() // the status is all that counts
+		_ = response.Body.Close() // only the status matters
 		if response.StatusCode == http.StatusOK {
 			return true
 		}
@@ -178,9 +186,11 @@
 	return false
 }
 
-// Twenty processes of the program and a discovery with faults. Started while it is down, nine in ten are ready within 10 s;
-// with idle clients on every descriptor that a process gives to them, all are notified of a change 6 s after discovery is
-// back; killed and started together while it is overloaded, nine in ten are ready within 10 s again.
+// TestFleetServesThroughDiscoveryOutage runs twenty processes against a discovery with faults. Started while discovery
+// is down, nine in ten processes must be ready within 10 s. Then discovery rejects calls, and idle clients take up
+// every descriptor that a process allows to clients: all processes must still receive a change within 6 s after
+// discovery is up. Killed and restarted together while discovery is overloaded, nine in ten must be ready within 10 s
+// again.
 func TestFleetServesThroughDiscoveryOutage(t *testing.T) {
 	const fleetSize, wantReady, readyTimeout = 20, 18, 10 * time.Second
 	discovery := newFaultyDiscovery(fleetSize, discoveryDown)
@@ -205,15 +215,15 @@
 		defer p.kill()
 	}
 	if n := countReady(processes, readyTimeout); n < wantReady {
-		t.Fatalf("%d of %d ready without discovery", n, fleetSize)
+		t.Fatalf("%d of %d processes ready while discovery is down", n, fleetSize)
 	}
 	discovery.setState(discoveryRejecting)
 	select {
 	case <-discovery.allRejected:
 	case <-time.After(time.Minute):
-		t.Fatal("not every process calls again and again")
+		t.Fatal("not every process repeats its rejected calls within a minute")
 	}
-	for _, p := range processes { // more idle clients than there are descriptors
+	for _, p := range processes { // open more idle connections than a process has descriptors
 		for range maxDescriptors * 5 / 4 {
 			conn, err := net.DialTimeout("tcp", p.clientAddress(t), 5*time.Second)
 			if err != nil {
@@ -223,7 +233,7 @@
 		}
 	}
 	discovery.setState(discoveryUp)
-	discovery.checkAllNotified(t, "was back")
+	discovery.checkAllNotified(t, "was up again")
 	discovery.setState(discoveryRejectingSlowly)
 	for _, p := range processes {
 		p.kill()
@@ -232,7 +242,7 @@
 		p.start(t)
 	}
 	if n := countReady(processes, readyTimeout); n < wantReady {
-		t.Errorf("%d of %d ready again before an overloaded discovery", n, fleetSize)
+		t.Errorf("%d of %d processes ready again while discovery is overloaded", n, fleetSize)
 	}
 	discovery.setState(discoveryUp)
 	discovery.checkAllNotified(t, "had capacity again")
--- a/cmd/tulipglade/shutdown_test.go
+++ b/cmd/tulipglade/shutdown_test.go
@@ -16,23 +16,25 @@
 	"time"
 )
 
-// payClass is a class of non-idempotent requests.
+// payClass is the JSON form of a class of non-idempotent requests.
 const payClass = `{"name":"pay","aim_us":9000000,"deadline_us":10000000,"effect":"once"}`
 
-// payRequest is a request of that class; its verbs are the ID and a line of the head.
+// payRequest is a request of the class payClass. Its verbs are the request ID, and an additional header line or "".
 const payRequest = "POST /pay HTTP/1.1\r\nHost: h\r\nX-Trace-Id: %s\r\nX-Customer: t\r\n%sContent-Length: 0\r\n\r\n"
 
-// persistentClient sends one request after the other, on a connection that it reuses as long as that stays open, until the
-// process does not answer any more.
+// persistentClient sends requests to a process one at a time, on a connection that it reuses as long as the process
+// keeps it open. It stops when the process no longer responds.
 type persistentClient struct {
 	address, name string
-	blockedNumber int      // the number of the request that its backend blocks; below 0: none
-	onRejected    func()   // called when a request is rejected by a process that shuts down
-	answered      int      // requests
-	unanswered    []string // IDs of requests that met the end of their connection, without a byte of an answer
-	violation     string   // what must not happen
+	blockedNumber int      // number of the request that the backend blocks, or a negative number for none
+	onRejected    func()   // called when a process that shuts down rejects a request
+	answered      int      // number of requests with a response
+	unanswered    []string // IDs of requests whose connection ended before the first byte of a response
+	violation     string   // describes an outcome that must not occur, or ""
 }
 
+// run sends requests on one connection after another, until the process accepts no connection or ends a new one without
+// a response, or a violation occurs.
 func (c *persistentClient) run() {
 	for number := 0; c.violation == ""; {
 		conn, err := net.DialTimeout("tcp", c.address, 10*time.Second)
@@ -40,7 +42,7 @@
 			return // the process has ended
 		}
 		next, ok := c.useConnection(conn, number)
-		_ = conn.Close() // after its last answer
+		_ = conn.Close() // after its last response
 		if !ok {
 			return
 		}
@@ -48,8 +50,9 @@
 	}
 }
 
-// useConnection sends requests from a number on until the connection ends, and returns the next number. It returns false
-// where a new connection has ended without any answer: a load balancer in front of the process would use another by now.
+// useConnection sends requests, numbered from first on, until the connection ends, and returns the number of the next
+// request. It returns false if a new connection ended without any response: by then, a load balancer in front of the
+// process would use another process.
 func (c *persistentClient) useConnection(conn net.Conn, first int) (next int, ok bool) {
 	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
 	reader := bufio.NewReader(conn)
@@ -76,7 +79,7 @@
 func (c *persistentClient) readResponse(reader *bufio.Reader, id string, sendErr error) bool {
 	if _, err := reader.Peek(1); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.violation = fmt.Sprintf("%s: no answer and no end: %v, %v", id, sendErr, err)
+			c.violation = fmt.Sprintf("%s: neither a response nor the end of the connection: %v, %v", id, sendErr, err)
 		}
 		c.unanswered = append(c.unanswered, id)
 		return false
@@ -86,7 +89,7 @@
 		c.violation = fmt.Sprintf("%s: %v", id, err)
 		return false
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read
+	defer func() { _ = response.Body.Close() }() // fails only after the body has been read
 	body, err := io.ReadAll(response.Body)
 	served := response.StatusCode == http.StatusOK && string(body) == id
 	rejected := response.StatusCode == http.StatusServiceUnavailable
@@ -100,19 +103,22 @@
 	return !response.Close
 }
 
-// blockingBackend answers with the request's ID. It blocks requests with X-Block until released is closed.
+// blockingBackend responds with the ID of the request. It holds requests with an X-Block field until released is
+// closed.
 type blockingBackend struct {
-	executed    sync.Map // request IDs
-	wantBlocked int32
+	executed    sync.Map // IDs of the requests received
+	wantBlocked int32    // number of requests with X-Block that the test sends
 	blocked     atomic.Int32
 	allBlocked  chan struct{} // closed when wantBlocked requests are blocked
 	released    chan struct{}
 }
 
+// newBlockingBackend returns a blockingBackend that closes allBlocked once it holds wantBlocked requests.
 func newBlockingBackend(wantBlocked int32) *blockingBackend {
 	return &blockingBackend{wantBlocked: wantBlocked, allBlocked: make(chan struct{}), released: make(chan struct{})}
 }
 
+// ServeHTTP records the request as executed and responds with its ID.
 func (b *blockingBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Trace-Id")
 	b.executed.Store(id, true)
@@ -122,10 +128,10 @@
 		}
 		<-b.released
 	}
-	_, _ = io.WriteString(w, id) // a client without an answer is noticed there
+	_, _ = io.WriteString(w, id) // if this fails, the client reports the missing response
 }
 
-// checkAnsweredOrNotExecuted checks that each request of the clients has its complete answer, or has not been executed.
+// checkAnsweredOrNotExecuted checks that each request of the clients received a complete response or was not executed.
 func (b *blockingBackend) checkAnsweredOrNotExecuted(t *testing.T, clients []*persistentClient) {
 	t.Helper()
 	answered, unanswered := 0, 0
@@ -137,17 +143,18 @@
 		unanswered += len(client.unanswered)
 		for _, id := range client.unanswered {
 			if _, executed := b.executed.Load(id); executed {
-				t.Errorf("%s was executed, and has no answer", id)
+				t.Errorf("%s was executed but received no response", id)
 			}
 		}
 	}
-	t.Logf("%d requests answered, %d met the end of their connection", answered, unanswered)
+	t.Logf("%d requests answered, %d ended with their connection before a response", answered, unanswered)
 }
 
-// Three processes are told to shut down under load, each with a request that its backend blocks until the process rejects
-// others, while clients go on to send requests on every connection that stays open, and open others. Each process ends by
-// itself, without an error; each request has its complete answer, or has met the end of its connection and was never
-// executed.
+// TestProcessesShutDownGracefullyUnderLoad guards against requests that are executed but lose their response in a
+// shutdown. Three processes receive SIGTERM under load. For each of them, the backend holds one request until a process
+// rejects others, while clients keep sending requests on the connections that stay open and on new ones. Each process
+// must end by itself without an error. Each request must receive a complete response, or end with its connection
+// without having been executed.
 func TestProcessesShutDownGracefullyUnderLoad(t *testing.T) {
 	const fleetSize, clientsPerProcess, blockedNumber = 3, 6, 20
 	backend := newBlockingBackend(fleetSize)
@@ -155,7 +162,7 @@
 	backendServer := httptest.NewServer(backend)
 	defer backendServer.Close()
 	defer release()
-	discovery := httptest.NewServer(http.NotFoundHandler()) // without any list
+	discovery := httptest.NewServer(http.NotFoundHandler()) // sends no endpoint list
 	defer discovery.Close()
 	var processes []*process
 	var clients []*persistentClient
@@ -185,7 +192,7 @@
 	select {
 	case <-backend.allBlocked:
 	case <-time.After(30 * time.Second):
-		t.Errorf("%d requests are blocked, want %d", backend.blocked.Load(), fleetSize)
+		t.Errorf("the backend holds %d requests, want %d", backend.blocked.Load(), fleetSize)
 	}
 	for _, p := range processes {
 		if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
--- a/cmd/tulipglade/soak_test.go
+++ b/cmd/tulipglade/soak_test.go
@@ -10,18 +10,21 @@
 	"tulipglade/internal/soak"
 )
 
-// defaultSoakSeeds is how many seeds TestSoak plays; SOAK_SEEDS and SOAK_FIRST play others.
+// defaultSoakSeeds is the number of seeds of each soak test. SOAK_SEEDS sets another number, SOAK_FIRST the first seed
+// and SOAK_NODES the number of processes.
 const defaultSoakSeeds = 4
 
-// maxPrintedViolations bounds how many broken rules of a seed are printed.
+// maxPrintedViolations limits how many invariant violations are printed for each seed.
 const maxPrintedViolations = 20
 
-// Overlapping faults, drawn from a seed, against ten processes of the program: no invariant is broken.
+// TestSoak runs ten processes under overlapping faults drawn from a seed, and checks that no invariant is violated.
 func TestSoak(t *testing.T) { runSoakSeeds(t, false) }
 
-// The same with lists of all forms, revisions that start over, and many backends that leave the list at once.
+// TestSoakWithVariedLists is TestSoak with endpoint lists in all forms, revisions that start over, and lists that lose
+// many backends at once.
 func TestSoakWithVariedLists(t *testing.T) { runSoakSeeds(t, true) }
 
+// runSoakSeeds runs each seed as a sub-test.
 func runSoakSeeds(t *testing.T, varyLists bool) {
 	t.Helper()
 	first := intFromEnvironment("SOAK_FIRST", 1)
@@ -35,6 +38,8 @@
 	}
 }
 
+// runSoakSeed runs one seed. It fails the test and logs the planned faults if an invariant is violated. It also fails
+// the test if less than a quarter of the requests are served.
 func runSoakSeed(t *testing.T, seed uint64, nodes int, varyLists bool) {
 	t.Helper()
 	result, err := soak.Play(context.Background(), soak.Options{
@@ -46,18 +51,18 @@
 		Dir:       t.TempDir(),
 		Command: func(configPath string) *exec.Cmd {
 			return programCommand(configPath, envMaxDescriptors+"=256",
-				"GORACE=atexit_sleep_ms=0") // a process under the race detector would stay for a second after its end
+				"GORACE=atexit_sleep_ms=0") // by default, the race detector delays the exit of a process by a second
 		},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d requests: %d served, %d rejected, %d failed; this process late by %.3f s at most (at %.3f); faults %v",
+	t.Logf("%d requests: %d served, %d rejected, %d failed; the test process was delayed by at most %.3f s (at %.3f s); faults %v",
 		result.Total, result.Served, result.Rejected, result.Failed,
 		result.LongestDelay.Seconds(), result.LongestDelayAt.Seconds(), result.Faults)
 	for i, line := range result.Violations {
 		if i == maxPrintedViolations {
-			t.Errorf("and %d more", len(result.Violations)-i)
+			t.Errorf("and %d more violations", len(result.Violations)-i)
 			break
 		}
 		t.Error(line)
--- a/cmd/tulipglade/stale_list_test.go
+++ b/cmd/tulipglade/stale_list_test.go
@@ -11,21 +11,24 @@
 	"time"
 )
 
-// removalList is the change that discovery has had since before any process of the test started: backend b is removed.
+// removalList is the incremental endpoint list that discovery sends to every process: backend b was removed before the
+// process started.
 const removalList = `{"rev":9,"all":false,"targets":[{"uid":"b","endpoint":"127.0.0.1:1","az":"z","state":"terminated"}]}`
 
-// delayedDiscovery has the removal from the start. Calls wait for their answers until release is closed.
+// delayedDiscovery is a discovery server whose list has the removal from the start. It holds all calls until release is
+// closed.
 type delayedDiscovery struct {
 	release chan struct{}
 
 	mutex    sync.Mutex
-	notified map[int]bool // processes
+	notified map[int]bool // indices of the processes that have received the removal
 }
 
+// handler returns the handler of the address that the process with the given index calls.
 func (d *delayedDiscovery) handler(process int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if isUpToDate(r) {
-			<-r.Context().Done() // a watch, and nothing changes
+			<-r.Context().Done() // a watch during which nothing changes
 			return
 		}
 		select {
@@ -33,28 +36,29 @@
 		case <-r.Context().Done():
 			return
 		}
-		_, _ = io.WriteString(w, removalList) // a process that has ended calls again
+		_, _ = io.WriteString(w, removalList) // fails only if the process closed the connection; it calls again
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
 		d.notified[process] = true
 	}
 }
 
+// notifiedProcesses returns the number of processes that have received the removal.
 func (d *delayedDiscovery) notifiedProcesses() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return len(d.notified)
 }
 
-// sequentialClient sends one request after the other to a process.
+// sequentialClient sends requests to a process one at a time, and counts those answered and those rejected.
 type sequentialClient struct {
 	address            string
-	process            int
+	process            int // index of the process, for request IDs and error messages
 	answered, rejected *atomic.Int32
-	pause              time.Duration // after each request
+	pause              time.Duration // pause after each request
 }
 
-// run sends requests until stop is closed.
+// run sends requests until stop is closed. A response other than 200 or 503 fails the test.
 func (c sequentialClient) run(t *testing.T, stop <-chan struct{}) {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{}, Timeout: 10 * time.Second}
@@ -83,6 +87,7 @@
 	}
 }
 
+// send sends the request with the given number and returns the status of the response.
 func (c sequentialClient) send(client *http.Client, number int) (status int, err error) {
 	request, err := http.NewRequest(http.MethodGet, "http://"+c.address+"/read", nil)
 	if err != nil {
@@ -93,14 +98,15 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read
-	_, _ = io.Copy(io.Discard, response.Body)    // the status is all that counts
+	defer func() { _ = response.Body.Close() }() // fails only after the body has been read
+	_, _ = io.Copy(io.Discard, response.Body)    // only the status matters
 	return response.StatusCode, nil
 }
 
-// A process that is restarted with the endpoint list of its predecessor does not know how stale that is: a backend that was
-// removed meanwhile counts as removed from the first moment. Nothing may be sent to it, however busy discovery is, and
-// requests are served as soon as the process has an answer of discovery.
+// TestRestartedProcessesDoNotTrustStaleList guards against requests to a backend that was removed before a process
+// started. A process that is restarted with the endpoint list of its predecessor does not know how stale this list is,
+// and the backend counts as removed from the start. The process must send no requests to it, however slow discovery is
+// to respond, and must serve requests as soon as it has a response from discovery.
 func TestRestartedProcessesDoNotTrustStaleList(t *testing.T) {
 	const fleetSize, pollTimeout = 10, 5 * time.Second
 	var removedArrivals atomic.Int32
@@ -130,14 +136,14 @@
 		client := sequentialClient{address: p.clientAddress(t), process: i, answered: &answered, rejected: &rejected}
 		clients.Go(func() { client.run(t, stop) })
 	}
-	time.Sleep(time.Second) // a process that trusted its list would long have used it
+	time.Sleep(time.Second) // by then, a process that trusted its list would have sent requests to it
 	if n := removedArrivals.Load(); n > 0 {
-		t.Errorf("%d requests at the removed backend before any process had an answer of discovery", n)
+		t.Errorf("%d requests at the removed backend before any process had a response from discovery", n)
 	}
 	close(discovery.release)
 	for end := time.Now().Add(pollTimeout); discovery.notifiedProcesses() < fleetSize; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Errorf("only %d of %d processes have polled within 6 s", discovery.notifiedProcesses(), fleetSize)
+			t.Errorf("only %d of %d processes have received the removal within 5 s", discovery.notifiedProcesses(), fleetSize)
 			break
 		}
 	}
@@ -151,7 +157,7 @@
 		t.Errorf("%d requests at the removed backend", n)
 	}
 	if n := answered.Load() - before; n < 10*fleetSize {
-		t.Errorf("%d requests answered after all processes were notified", n)
+		t.Errorf("only %d requests answered after all processes had received the removal", n)
 	}
-	t.Logf("%d answered, %d rejected", answered.Load(), rejected.Load())
+	t.Logf("%d requests answered, %d rejected", answered.Load(), rejected.Load())
 }
--- a/cmd/tulipglade/start_fault_test.go
+++ b/cmd/tulipglade/start_fault_test.go
@@ -13,20 +13,23 @@
 	"time"
 )
 
-// defaultStartsPerFault is how often TestStartBeforeFaultyDiscovery starts a process for each fault; STARTS_PER_FAULT sets another number.
+// defaultStartsPerFault is how many times TestStartBeforeFaultyDiscovery starts a process for each fault.
+// STARTS_PER_FAULT sets another number.
 const defaultStartsPerFault = 2
 
-// startFault is what a discovery does that has had a removal since before a process started with an older list.
+// startFault is a fault of discovery during the start of a process. The process starts with a list from before the
+// removal of a backend. Periods count from the start.
 type startFault struct {
 	name             string
-	resetCalls       int           // so many calls are reset at first
-	rejectPeriod     time.Duration // calls are rejected with 503 for so long
-	refusePeriod     time.Duration // nobody listens for so long
-	silentPeriod     time.Duration // calls that come within so long are never answered
-	responseDuration time.Duration // answers take so long, in ten pieces
-	staleListAllowed bool          // it lasts so long that the process serves by its own list meanwhile
+	resetCalls       int           // number of calls that are reset at first
+	rejectPeriod     time.Duration // time during which calls are rejected with 503
+	refusePeriod     time.Duration // time during which connections are refused, because nobody listens
+	silentPeriod     time.Duration // time during which calls arrive that never get a response
+	responseDuration time.Duration // time that a response takes, in ten pieces
+	staleListAllowed bool          // the fault lasts so long that the process serves with its own list meanwhile
 }
 
+// startFaults lists the faults under which processes are started.
 var startFaults = []startFault{
 	{name: "one-reset", resetCalls: 1},
 	{name: "three-resets", resetCalls: 3},
@@ -39,13 +42,14 @@
 }
 
 const (
-	// serveTimeLimit is how long a process may take from its start until it serves.
+	// serveTimeLimit is the maximum time from the start of a process until it is ready and has served a request.
 	serveTimeLimit = 10 * time.Second
-	// observationAfterFault is for how long a process is observed after the fault.
+	// observationAfterFault is how long a process is observed after the fault.
 	observationAfterFault = 3 * time.Second
 )
 
-// handler answers calls as the fault says, from a time on. It calls written as the removal is written.
+// handler returns a handler with the fault, whose periods count from startedAt. It calls onRemovalWritten each time a
+// response with the removal has been written.
 func (f startFault) handler(startedAt time.Time, onRemovalWritten func()) http.HandlerFunc {
 	var calls atomic.Int32
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -62,43 +66,45 @@
 		}
 		for piece := range slices.Chunk([]byte(removalList), len(removalList)/10+1) {
 			time.Sleep(f.responseDuration / 10)
-			_, _ = w.Write(piece) // a process that has ended calls again
+			_, _ = w.Write(piece) // fails only if the process closed the connection; it calls again
 			w.(http.Flusher).Flush()
 		}
 		onRemovalWritten()
 	}
 }
 
-// startResult is what one start has shown.
+// startResult holds the measurements of one start of a process.
 type startResult struct {
-	readyAfter, servedAfter time.Duration // since the start
-	removedArrivals         int32         // requests at the removed backend
-	pastGrace               int32         // requests there over removalGrace after the removal was written
+	readyAfter, servedAfter time.Duration // times since the start
+	removedArrivals         int32         // requests that the removed backend received
+	pastGrace               int32         // those that came more than removalGrace after the removal was written
 }
 
-// discoveryAddressCount counts the addresses of discovery that have been taken.
+// discoveryAddressCount counts the addresses of discovery used so far, so that concurrent starts use different ones.
 var discoveryAddressCount atomic.Int32
 
-// startFaultDiscovery is the discovery of one start, with the fault.
+// startFaultDiscovery is the discovery server of one start, with a fault.
 type startFaultDiscovery struct {
 	fault            startFault
 	startedAt        time.Time
 	address          string
 	listener         net.Listener
 	server           *httptest.Server
-	removalWrittenAt atomic.Int64 // when the removal was first written, as Unix time in nanoseconds; 0: not yet
+	removalWrittenAt atomic.Int64 // time of the first write of the removal, as Unix time in nanoseconds, or 0
 }
 
+// newStartFaultDiscovery returns a discovery server that listens, but handles calls only after listen has been called.
+// It does not listen yet if the fault refuses connections.
 func newStartFaultDiscovery(t *testing.T, fault startFault) *startFaultDiscovery {
 	t.Helper()
-	// An address of its own, at which no other test can take the port while nobody listens.
+	// Concurrent starts use different IP addresses, so that no other test can take the port while nobody listens.
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.88.%d.1:0", discoveryAddressCount.Add(1)%250))
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := &startFaultDiscovery{fault: fault, startedAt: time.Now(), address: listener.Addr().String(), listener: listener}
 	if fault.refusePeriod > 0 {
-		_ = listener.Close() // it listens again later
+		_ = listener.Close() // listen opens it again after refusePeriod
 	}
 	d.server = httptest.NewUnstartedServer(fault.handler(d.startedAt, func() { d.removalWrittenAt.CompareAndSwap(0, time.Now().UnixNano()) }))
 	t.Cleanup(d.server.Close)
@@ -106,7 +112,7 @@
 	return d
 }
 
-// listen accepts calls, after the time in which they are refused.
+// listen begins to handle calls, after the period in which connections are refused.
 func (d *startFaultDiscovery) listen(t *testing.T) {
 	t.Helper()
 	if d.fault.refusePeriod > 0 {
@@ -116,18 +122,19 @@
 			t.Fatal(err)
 		}
 	}
-	_ = d.server.Listener.Close() // the one that httptest has opened
+	_ = d.server.Listener.Close() // the listener that httptest has opened
 	d.server.Listener = d.listener
 	d.server.Start()
 }
 
-// pastGrace reports whether nothing may start at the removed backend any more.
+// pastGrace reports whether the removal grace has passed, so that the removed backend must not receive requests any
+// more.
 func (d *startFaultDiscovery) pastGrace() bool {
 	writtenAt := d.removalWrittenAt.Load()
 	return writtenAt > 0 && time.Since(time.Unix(0, writtenAt)) > removalGrace
 }
 
-// awaitRemoval waits until the process has been told, and for a while after that.
+// awaitRemoval waits until the fault has ended, the process has received the removal, and the removal grace has passed.
 func (d *startFaultDiscovery) awaitRemoval(t *testing.T, p *process) {
 	t.Helper()
 	time.Sleep(max(d.fault.rejectPeriod, d.fault.silentPeriod, d.fault.responseDuration) + observationAfterFault)
@@ -136,10 +143,11 @@
 	}
 	time.Sleep(removalGrace + 100*time.Millisecond)
 	if d.removalWrittenAt.Load() == 0 {
-		t.Errorf("the process has not heard of the removal: %s", p.output)
+		t.Errorf("the process has not received the removal: %s", p.output)
 	}
 }
 
+// runStartFault starts a process with a stale list under the fault, sends requests to it, and returns the measurements.
 func runStartFault(t *testing.T, fault startFault) startResult {
 	t.Helper()
 	var result startResult
@@ -179,7 +187,8 @@
 	return result
 }
 
-// measureStart notes when the process is ready, and when it has served a request.
+// measureStart records how long after the start the process was ready and had served a request. A process that is not
+// ready within startupTimeout leaves readyAfter at 0.
 func (r *startResult) measureStart(address string, startedAt time.Time, answered *atomic.Int32) {
 	if awaitReady(address, startupTimeout) {
 		r.readyAfter = time.Since(startedAt)
@@ -190,7 +199,9 @@
 	r.servedAfter = time.Since(startedAt)
 }
 
-// A list from before a removal is not used at a start, unless discovery cannot be reached for long; it serves within 10 s.
+// TestStartBeforeFaultyDiscovery guards against requests to a backend that was removed before a process started with a
+// list from before the removal, while discovery is faulty. A process may use such a list only if discovery is
+// unreachable for long, and must serve within 10 s.
 func TestStartBeforeFaultyDiscovery(t *testing.T) {
 	starts := intFromEnvironment("STARTS_PER_FAULT", defaultStartsPerFault)
 	for _, fault := range startFaults {
@@ -211,7 +222,7 @@
 			for i, result := range results {
 				readyAfter, servedAfter = append(readyAfter, result.readyAfter), append(servedAfter, result.servedAfter)
 				if result.pastGrace > 0 || result.removedArrivals > 0 && !fault.staleListAllowed {
-					t.Errorf("start %d: %d requests at the removed backend, %d late", i, result.removedArrivals, result.pastGrace)
+					t.Errorf("start %d: %d requests at the removed backend, %d of them after the removal grace", i, result.removedArrivals, result.pastGrace)
 				}
 				if result.readyAfter == 0 || max(result.readyAfter, result.servedAfter) > serveTimeLimit {
 					t.Errorf("start %d: ready after %v, served after %v", i, result.readyAfter, result.servedAfter)
