--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -14,7 +14,7 @@
 // connection is detached from the poller during that time.
 type upload struct {
 	earlyInput       [][]byte         // input received after the buffered part of the body and not forwarded yet
-	remainingMessage protocol.Message // parser for the rest of the body, as protocol.Message.Tail returns it
+	remainingMessage protocol.Message // parser for the rest of the body, as protocol.Message.Remainder returns it
 	rejected         bool             // the request is invalid: only about maxLingerBytes more of it are read
 	forwarder        *forwarder
 	lastByteTime     lastByteTime
