--- a/cmd/tulipglade/soak_test.go
+++ b/cmd/tulipglade/soak_test.go
@@ -37,7 +37,7 @@
 
 func soakSeed(t *testing.T, seed uint64, nodes int, varyLists bool) {
 	t.Helper()
-	result, err := soak.Play(context.Background(), soak.Options{
+	result, err := soak.Run(context.Background(), soak.Options{
 		Seed:      seed,
 		Nodes:     nodes,
 		Backends:  6,
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -279,7 +279,7 @@
 
 func reach(c *Checker, node int, from balancer.Time, work float64) {
 	for i := range balancer.Time(200) {
-		c.AttemptReached(from+i*10*ms, node, 1, 1, work/200, 1)
+		c.AttemptArrived(from+i*10*ms, node, 1, 1, work/200, 1)
 	}
 }
 
--- a/internal/invariant/slowstart.go
+++ b/internal/invariant/slowstart.go
@@ -50,9 +50,9 @@
 	return meanCapacity, largestWork
 }
 
-// AttemptReached checks work (in µs of a core at speed 1) that came to an endpoint in slow start, whether the endpoint
+// AttemptArrived checks work (in µs of a core at speed 1) that came to an endpoint in slow start, whether the endpoint
 // took it or not. Capacity is what the endpoint can do at the moment, in such µs for each µs.
-func (c *Checker) AttemptReached(
+func (c *Checker) AttemptArrived(
 	now balancer.Time, node int, endpoint balancer.EndpointID, startedAt balancer.Time, work, capacity float64,
 ) {
 	if c.config.OverloadFactor <= 0 || c.config.OverloadWindow <= 0 {
@@ -83,5 +83,5 @@
 		endpoint, seconds(now-startedAt), window.work/microsPerSecond, length/microsPerSecond, meanCapacity*length/microsPerSecond)
 }
 
-// Warm records that an endpoint has ended its slow start.
-func (c *Checker) Warm(endpoint balancer.EndpointID) { delete(c.slowStarts, endpoint) }
+// SlowStartEnded records that an endpoint has ended its slow start.
+func (c *Checker) SlowStartEnded(endpoint balancer.EndpointID) { delete(c.slowStarts, endpoint) }
--- a/internal/simulation/emulator/backend.go
+++ b/internal/simulation/emulator/backend.go
@@ -161,7 +161,7 @@
 	b.cachedKeys = nil
 	b.overloaded, b.longQueueSince, b.lowLoadSince = false, 0, 0
 	b.handleLoadChange(now)
-	b.simulation.checker.Warm(b.id)
+	b.simulation.checker.SlowStartEnded(b.id)
 	for _, a := range interrupted {
 		if a.state != attemptRunning && a.state != attemptQueued {
 			continue
--- a/internal/simulation/emulator/backend_capacity.go
+++ b/internal/simulation/emulator/backend_capacity.go
@@ -111,7 +111,7 @@
 	if b.slowStartFraction(now) < 1 {
 		b.schedule(slowStartStep, eventqueue.Event{Target: b, Kind: backendWarmUpTick, Payload: b.incarnation})
 	} else {
-		b.simulation.checker.Warm(b.id)
+		b.simulation.checker.SlowStartEnded(b.id)
 	}
 }
 
--- a/internal/simulation/emulator/backend_queue.go
+++ b/internal/simulation/emulator/backend_queue.go
@@ -23,7 +23,7 @@
 		a.work += connections.Work
 	}
 	if b.slowStartFraction(now) < 1 {
-		b.simulation.checker.AttemptReached(now, a.request.node.index, b.id, b.incarnation.startedAt, a.work, b.capacity(now))
+		b.simulation.checker.AttemptArrived(now, a.request.node.index, b.id, b.incarnation.startedAt, a.work, b.capacity(now))
 	}
 	draws := eventqueue.NewDraws(b.simulation.seed, a.drawSeed(), drawOutcome)
 	switch {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Play plays the schedule of a seed and returns what it has shown.
-func Play(ctx context.Context, options Options) (Result, error) {
+// Run plays the schedule of a seed and returns what it has shown.
+func Run(ctx context.Context, options Options) (Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r := &run{options: options, started: time.Now(), done: ctx.Done(), record: newRecord()}
