--- a/internal/faultinject/check.go
+++ b/internal/faultinject/check.go
@@ -26,20 +26,20 @@
 	invalid := func(field, format string, args ...any) error {
 		return tomlfile.Invalidf(path+"."+field, format, args...)
 	}
-	if err := f.checkAmounts(t, invalid); err != nil {
+	if err := f.checkTimesAndAmounts(t, invalid); err != nil {
 		return err
 	}
 	if err := f.checkTarget(t, scope, invalid); err != nil {
 		return err
 	}
-	return f.checkNumbers(scope, invalid)
+	return f.checkTargetNumbers(scope, invalid)
 }
 
-// invalidf makes the error of a field.
-type invalidf func(field, format string, args ...any) error
+// fieldErrorFunc makes the error of a field.
+type fieldErrorFunc func(field, format string, args ...any) error
 
-// checkAmounts checks times, size and share.
-func (f Fault) checkAmounts(t trait, invalid invalidf) error {
+// checkTimesAndAmounts checks times, size and share.
+func (f Fault) checkTimesAndAmounts(t trait, invalid fieldErrorFunc) error {
 	switch {
 	case f.Start < 0:
 		return invalid("at_ms", "%d is before the start", f.Start)
@@ -58,7 +58,7 @@
 }
 
 // checkTarget checks that the fault names only what its kind hits, and what is there.
-func (f Fault) checkTarget(t trait, scope Scope, invalid invalidf) error {
+func (f Fault) checkTarget(t trait, scope Scope, invalid fieldErrorFunc) error {
 	switch {
 	case len(f.Backends) > 0 && t.target != targetBackends:
 		return invalid("boxes", "%s does not hit boxes", f.Kind)
@@ -92,8 +92,8 @@
 	return len(f.Backends)+len(f.Nodes) == 0
 }
 
-// checkNumbers checks that the backends and nodes named are there.
-func (f Fault) checkNumbers(scope Scope, invalid invalidf) error {
+// checkTargetNumbers checks that the backends and nodes named are there.
+func (f Fault) checkTargetNumbers(scope Scope, invalid fieldErrorFunc) error {
 	for _, list := range []struct {
 		field   string
 		numbers []int
--- a/internal/faultinject/fault.go
+++ b/internal/faultinject/fault.go
@@ -81,33 +81,33 @@
 		f.Size = t.defaultSize
 	}
 	if t.target == targetBackends && len(f.Backends) == 0 {
-		f.Backends = f.choose(scope.Backends, scope.BackendSite, r)
+		f.Backends = f.chooseTargets(scope.Backends, scope.BackendSite, r)
 		f.Share, f.Site = 0, ""
 	}
 	if t.target == targetNodes && len(f.Nodes) == 0 {
-		f.Nodes = f.choose(scope.Nodes, scope.NodeSite, r)
+		f.Nodes = f.chooseTargets(scope.Nodes, scope.NodeSite, r)
 		f.Share, f.Site = 0, ""
 	}
 	return f
 }
 
-// choose draws the numbers of what the fault hits among count candidates: the share of those at its site, else all of
+// chooseTargets draws the numbers of what the fault hits among count candidates: the share of those at its site, else all of
 // them, or one where it names no site. A rolling change takes all.
-func (f Fault) choose(count int, siteOf func(int) string, r Rand) []int {
+func (f Fault) chooseTargets(candidateCount int, siteOf func(int) string, r Rand) []int {
 	var candidates []int
-	for _, i := range r.Perm(count) {
+	for _, i := range r.Perm(candidateCount) {
 		if f.Site == "" || siteOf(i) == f.Site {
 			candidates = append(candidates, i)
 		}
 	}
-	take := len(candidates)
+	selectedCount := len(candidates)
 	switch {
 	case f.Share > 0:
-		take = max(1, int(math.Round(f.Share*float64(take))))
+		selectedCount = max(1, int(math.Round(f.Share*float64(selectedCount))))
 	case f.Site == "" && f.Kind != Rolling:
-		take = 1
+		selectedCount = 1
 	}
-	chosen := candidates[:min(take, len(candidates))]
+	chosen := candidates[:min(selectedCount, len(candidates))]
 	slices.Sort(chosen)
 	return chosen
 }
--- a/internal/faultinject/fault_test.go
+++ b/internal/faultinject/fault_test.go
@@ -26,7 +26,7 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func TestApplyDefaultsChoosesWhatIsHit(t *testing.T) {
+func TestApplyDefaultsChoosesTargets(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault Fault
 		count int // of backends
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestDrawHitsProcessesWhereThereAreSome(t *testing.T) {
+func TestDrawTargetsProcessesWhenScopeHasProcesses(t *testing.T) {
 	random := RandomFaults{Count: 200, MinMs: 100, MaxMs: 5000}
 	for _, fault := range random.Draw(Scope{Processes: 3}, 60_000, newRand()) {
 		if len(fault.Processes) != 1 || fault.Processes[0] < -1 || fault.Processes[0] >= 3 {
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -33,8 +33,8 @@
 	mayHaveRun bool
 }
 
-func (r *request) note(at balancer.Time, what string, attemptIndex int, endpoint balancer.EndpointID) {
-	r.history = append(r.history, step{at, what, attemptIndex, endpoint})
+func (r *request) appendStep(at balancer.Time, event string, attemptIndex int, endpoint balancer.EndpointID) {
+	r.history = append(r.history, step{at, event, attemptIndex, endpoint})
 }
 
 // nodeEndpoint is an endpoint as one node knows it.
@@ -60,7 +60,7 @@
 	counts        map[Rule]int
 	violations    []Violation
 	completed     []balancer.RequestID // the oldest first; those beyond maxCompleted are forgotten
-	pool          []*request           // for reuse
+	freeRequests  []*request           // for reuse
 }
 
 // New returns a checker; origin is the instant that its reports count from.
@@ -95,9 +95,9 @@
 // RequestAccepted records a request that a node has accepted.
 func (c *Checker) RequestAccepted(now balancer.Time, node int, id balancer.RequestID, class int, deadline balancer.Time) {
 	var r *request
-	if n := len(c.pool); n > 0 {
-		r = c.pool[n-1]
-		c.pool = c.pool[:n-1]
+	if n := len(c.freeRequests); n > 0 {
+		r = c.freeRequests[n-1]
+		c.freeRequests = c.freeRequests[:n-1]
 	} else {
 		r = &request{}
 	}
@@ -108,7 +108,7 @@
 		attempts: r.attempts[:0],
 		history:  r.history[:0],
 	}
-	r.note(now, "accepted", noAttempt, 0)
+	r.appendStep(now, "accepted", noAttempt, 0)
 	c.requests[id] = r
 }
 
@@ -116,7 +116,7 @@
 func (c *Checker) AttemptSent(now balancer.Time, node int, id balancer.RequestID, backend Backend) {
 	where := occurrence{now, node, id, c.requests[id]}
 	if where.request == nil {
-		c.violated(OneAnswer, where, "endpoint %d was sent a request that ended long ago or was never accepted", backend.ID)
+		c.reportViolation(OneAnswer, where, "endpoint %d was sent a request that ended long ago or was never accepted", backend.ID)
 	} else {
 		c.checkAttempt(where, backend)
 	}
@@ -126,20 +126,20 @@
 // checkAttempt checks an attempt against the state of its request, and records it.
 func (c *Checker) checkAttempt(where occurrence, backend Backend) {
 	r := where.request
-	r.note(where.at, "sent", len(r.attempts), backend.ID)
+	r.appendStep(where.at, "sent", len(r.attempts), backend.ID)
 	if r.answered {
-		c.violated(OneAnswer, where, "sent after its final answer")
+		c.reportViolation(OneAnswer, where, "sent after its final answer")
 	} else if r.disconnected {
-		c.violated(OneAnswer, where, "sent after its client had disconnected")
+		c.reportViolation(OneAnswer, where, "sent after its client had disconnected")
 	}
 	class := &c.config.Classes[r.class]
 	for i := range r.attempts {
 		earlier := &r.attempts[i]
 		if earlier.inFlight && !c.config.AllowHedging {
-			c.violated(NoDuplicateRun, where, "sent while attempt %d was in flight", i)
+			c.reportViolation(NoDuplicateRun, where, "sent while attempt %d was in flight", i)
 		} else if earlier.inFlight || earlier.mayHaveRun {
 			if reason := retryForbidden(class, earlier, backend, where.at); reason != "" {
-				c.violated(NoDuplicateRun, where, "sent again although attempt %d may have run: %s", i, reason)
+				c.reportViolation(NoDuplicateRun, where, "sent again although attempt %d may have run: %s", i, reason)
 				break
 			}
 		}
@@ -152,7 +152,7 @@
 func (c *Checker) checkDrain(where occurrence, endpoint balancer.EndpointID) {
 	known, ok := c.notifications[nodeEndpoint{where.node, endpoint}]
 	if ok && known.draining && where.at > known.drainingSince+c.config.DrainGrace {
-		c.violated(NoSendToDrained, where, "endpoint %d was sent to %d ms after the node was notified of its drain",
+		c.reportViolation(NoSendToDrained, where, "endpoint %d was sent to %d ms after the node was notified of its drain",
 			endpoint, (where.at-known.drainingSince)/microsPerMilli)
 	}
 }
@@ -189,7 +189,7 @@
 	default:
 		a.mayHaveRun = true
 	}
-	r.note(now, outcomeSteps[outcome], attemptIndex, a.backend.ID)
+	r.appendStep(now, outcomeSteps[outcome], attemptIndex, a.backend.ID)
 	c.completeIfEnded(id, r)
 }
 
@@ -210,20 +210,20 @@
 	r := c.requests[id]
 	where := occurrence{now, node, id, r}
 	if r == nil {
-		c.violated(OneAnswer, where, "%s, though it ended long ago or was never accepted", final)
+		c.reportViolation(OneAnswer, where, "%s, though it ended long ago or was never accepted", final)
 		return
 	}
-	r.note(now, final.String(), noAttempt, 0)
+	r.appendStep(now, final.String(), noAttempt, 0)
 	switch {
 	case r.answered:
-		c.violated(OneAnswer, where, "answered a second time")
+		c.reportViolation(OneAnswer, where, "answered a second time")
 	case r.disconnected:
 	case now > r.deadline+c.config.AnswerGrace:
-		c.violated(OneAnswer, where, "answered %d ms after its deadline", (now-r.deadline)/microsPerMilli)
+		c.reportViolation(OneAnswer, where, "answered %d ms after its deadline", (now-r.deadline)/microsPerMilli)
 	case final == Rejected && !clientMayRetry(&c.config.Classes[r.class]):
 		index := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.inFlight || a.mayHaveRun })
 		if index >= 0 {
-			c.violated(NoDuplicateRun, where, "rejected although attempt %d may have run", index)
+			c.reportViolation(NoDuplicateRun, where, "rejected although attempt %d may have run", index)
 		}
 	}
 	r.answered = true
@@ -247,7 +247,7 @@
 func (c *Checker) ClientDisconnected(now balancer.Time, id balancer.RequestID) {
 	if r := c.requests[id]; r != nil && !r.answered {
 		r.disconnected = true
-		r.note(now, "client disconnected", noAttempt, 0)
+		r.appendStep(now, "client disconnected", noAttempt, 0)
 		c.completeIfEnded(id, r)
 	}
 }
@@ -281,7 +281,7 @@
 	c.completed = c.completed[1:]
 	if r := c.requests[oldest]; r != nil {
 		delete(c.requests, oldest)
-		c.pool = append(c.pool, r)
+		c.freeRequests = append(c.freeRequests, r)
 	}
 }
 
@@ -311,7 +311,7 @@
 	for _, id := range ids {
 		r := c.requests[id]
 		if !r.answered && !r.disconnected && now > r.deadline+c.config.AnswerGrace {
-			c.violated(OneAnswer, occurrence{now, r.node, id, r}, "never answered")
+			c.reportViolation(OneAnswer, occurrence{now, r.node, id, r}, "never answered")
 		}
 	}
 }
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -34,15 +34,15 @@
 )
 
 var (
-	first     = Backend{ID: 1, Site: 0, Rack: 0}
-	sameRack  = Backend{ID: 2, Site: 0, Rack: 0}
-	sameSite  = Backend{ID: 3, Site: 0, Rack: 1}
-	otherSite = Backend{ID: 4, Site: 1, Rack: 2}
+	firstBackend = Backend{ID: 1, Site: 0, Rack: 0}
+	sameRack     = Backend{ID: 2, Site: 0, Rack: 0}
+	sameSite     = Backend{ID: 3, Site: 0, Rack: 1}
+	otherSite    = Backend{ID: 4, Site: 1, Rack: 2}
 )
 
 // ruleCase plays events and names the rule that they violate; empty: none.
 type ruleCase struct {
-	play     func(c *Checker)
+	events   func(c *Checker)
 	violated Rule
 }
 
@@ -51,7 +51,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := New(testConfig(), 0)
-			test.play(c)
+			test.events(c)
 			if test.violated == "" {
 				if len(c.Violations()) > 0 {
 					t.Errorf("a violation is reported: %v", c.Violations()[0])
@@ -79,11 +79,11 @@
 // sendFirst has node 0 accept request 1 and send it to the first endpoint, with this outcome at 10 ms.
 func sendFirst(c *Checker, class int, outcome balancer.Outcome) {
 	accept(c, class, 9000*ms)
-	send(c, 0, first)
+	send(c, 0, firstBackend)
 	c.AttemptEnded(10*ms, 1, 0, outcome)
 }
 
-func TestOneAnswerAtItsEdges(t *testing.T) {
+func TestOneAnswerLimits(t *testing.T) {
 	checkRules(t, map[string]ruleCase{
 		"answered at the end of the grace": {func(c *Checker) {
 			accept(c, idempotent, 100*ms)
@@ -127,12 +127,12 @@
 		"sent after its answer": {func(c *Checker) {
 			accept(c, idempotent, 9)
 			answer(c, 1, Failed)
-			send(c, 2, first)
+			send(c, 2, firstBackend)
 		}, OneAnswer},
 		"sent after the client disconnected": {func(c *Checker) {
 			accept(c, idempotent, 9)
 			c.ClientDisconnected(1, 1)
-			send(c, 2, first)
+			send(c, 2, firstBackend)
 		}, OneAnswer},
 	})
 }
@@ -145,7 +145,7 @@
 		}, ""},
 		"two attempts in flight": {func(c *Checker) {
 			accept(c, idempotent, 9)
-			send(c, 0, first)
+			send(c, 0, firstBackend)
 			send(c, 1, otherSite)
 		}, NoDuplicateRun},
 		"non-idempotent, connect failed": {func(c *Checker) {
@@ -195,11 +195,11 @@
 		}, ""},
 		"at the end of the window": {func(c *Checker) {
 			sendFirst(c, keyedInRack, balancer.OutcomeReset)
-			send(c, 6000*ms, first)
+			send(c, 6000*ms, firstBackend)
 		}, ""},
 		"past the window": {func(c *Checker) {
 			sendFirst(c, keyedInRack, balancer.OutcomeReset)
-			send(c, 6001*ms, first)
+			send(c, 6001*ms, firstBackend)
 		}, NoDuplicateRun},
 	})
 }
@@ -213,7 +213,7 @@
 		}, NoDuplicateRun},
 		"still in flight": {func(c *Checker) {
 			accept(c, nonIdempotent, 9)
-			send(c, 0, first)
+			send(c, 0, firstBackend)
 			answer(c, 1, Rejected)
 		}, NoDuplicateRun},
 		"never ran": {func(c *Checker) {
@@ -233,7 +233,7 @@
 
 func acceptAndSend(c *Checker, at balancer.Time) {
 	c.RequestAccepted(at, 0, 1, idempotent, at+9000*ms)
-	send(c, at, first)
+	send(c, at, firstBackend)
 }
 
 // sendDrained sends to an endpoint of whose drain the node was notified at 0.
@@ -242,7 +242,7 @@
 	acceptAndSend(c, at)
 }
 
-func TestNoSendToDrainedAtItsEdges(t *testing.T) {
+func TestNoSendToDrainedLimits(t *testing.T) {
 	checkRules(t, map[string]ruleCase{
 		"at the end of the grace": {func(c *Checker) {
 			sendDrained(c, 500*ms)
@@ -274,16 +274,16 @@
 // overload sends so much work over 2 s to an endpoint with the capacity of one core. Node 0 knows of its start.
 func overload(c *Checker, node int, work float64) {
 	c.NodeNotified(0, 0, 1, balancer.PhaseReady, 1)
-	reach(c, node, 0, work)
+	spreadWork(c, node, 0, work)
 }
 
-func reach(c *Checker, node int, from balancer.Time, work float64) {
+func spreadWork(c *Checker, node int, from balancer.Time, work float64) {
 	for i := range balancer.Time(200) {
 		c.AttemptArrived(from+i*10*ms, node, 1, 1, work/200, 1)
 	}
 }
 
-func TestNoSlowStartOverloadAtItsEdges(t *testing.T) {
+func TestNoSlowStartOverloadLimits(t *testing.T) {
 	checkRules(t, map[string]ruleCase{
 		"within its budget": {func(c *Checker) {
 			overload(c, 0, 8800*ms)
@@ -296,7 +296,7 @@
 		}, ""},
 		"spread over two windows": {func(c *Checker) {
 			overload(c, 0, 6000*ms)
-			reach(c, 0, 3500*ms, 6000*ms)
+			spreadWork(c, 0, 3500*ms, 6000*ms)
 		}, ""},
 	})
 }
--- a/internal/invariant/slowstart.go
+++ b/internal/invariant/slowstart.go
@@ -11,7 +11,7 @@
 	arrivals     []arrival
 	work         float64 // of all arrivals in the window
 	informedWork float64 // of those from nodes that knew of the start
-	violated     bool    // reported, once for each start
+	reported     bool    // reported, once for each start
 }
 
 type arrival struct {
@@ -66,7 +66,7 @@
 	informed := c.notifications[nodeEndpoint{node, endpoint}].startedAt == max(startedAt, 1)
 	window.add(arrival{now, work, capacity, informed})
 	window.dropBefore(now - c.config.OverloadWindow)
-	if window.violated {
+	if window.reported {
 		return
 	}
 	meanCapacity, largestWork := window.summary()
@@ -77,8 +77,8 @@
 	if window.work <= limit || !informedMost {
 		return
 	}
-	window.violated = true
-	c.violated(NoSlowStartOverload, occurrence{at: now, node: node},
+	window.reported = true
+	c.reportViolation(NoSlowStartOverload, occurrence{at: now, node: node},
 		"endpoint %d, started %.1f s ago, was sent %.1f s of work within %.1f s; it could do %.1f s",
 		endpoint, seconds(now-startedAt), window.work/microsPerSecond, length/microsPerSecond, meanCapacity*length/microsPerSecond)
 }
--- a/internal/invariant/violation.go
+++ b/internal/invariant/violation.go
@@ -42,13 +42,13 @@
 // step is something that happened to a request.
 type step struct {
 	at       balancer.Time
-	what     string
+	event    string
 	attempt  int
 	endpoint balancer.EndpointID
 }
 
 func (s step) format(origin balancer.Time) string {
-	line := fmt.Sprintf("%.6f s %s", seconds(s.at-origin), s.what)
+	line := fmt.Sprintf("%.6f s %s", seconds(s.at-origin), s.event)
 	if s.attempt != noAttempt {
 		line += fmt.Sprintf(" (attempt %d, endpoint %d)", s.attempt, s.endpoint)
 	}
@@ -63,8 +63,8 @@
 	request   *request // nil: unknown, or none is concerned
 }
 
-// violated counts a violation, and keeps the first ones.
-func (c *Checker) violated(rule Rule, where occurrence, format string, args ...any) {
+// reportViolation counts a violation, and keeps the first ones.
+func (c *Checker) reportViolation(rule Rule, where occurrence, format string, args ...any) {
 	c.counts[rule]++
 	if len(c.violations) >= maxViolations {
 		return
