--- a/internal/faultinject/check.go
+++ b/internal/faultinject/check.go
@@ -6,18 +6,20 @@
 	"tulipglade/internal/tomlfile"
 )
 
-// Scope is what there is to be hit.
+// Scope describes what faults can target in a run: numbers of backends, nodes and processes, and names of sites and
+// tenants.
 type Scope struct {
 	Backends    int
 	Nodes       int
-	Processes   int // of our own that talk to each other
+	Processes   int // our own processes that communicate with each other
 	Sites       []string
 	Tenants     []string
 	BackendSite func(backend int) string
 	NodeSite    func(node int) string
 }
 
-// Check returns an error that names the invalid field of the fault; path is where the fault stands in its file.
+// Check returns an error that names the first invalid field of the fault, or nil. Path is the position of the fault in
+// its file, such as "fault[0]".
 func (f Fault) Check(path string, scope Scope) error {
 	t, ok := traits[f.Kind]
 	if !ok {
@@ -35,10 +37,10 @@
 	return f.checkTargetNumbers(scope, invalid)
 }
 
-// fieldErrorFunc makes the error of a field.
+// fieldErrorFunc returns an error that reports an invalid field of the checked fault.
 type fieldErrorFunc func(field, format string, args ...any) error
 
-// checkTimesAndAmounts checks times, size and share.
+// checkTimesAndAmounts checks that the start, duration, size and share are within their ranges.
 func (f Fault) checkTimesAndAmounts(t trait, invalid fieldErrorFunc) error {
 	switch {
 	case f.Start < 0:
@@ -57,7 +59,7 @@
 	return nil
 }
 
-// checkTarget checks that the fault names only what its kind hits, and what is there.
+// checkTarget checks that the fault names only targets that its kind affects, and that the named site and tenant exist.
 func (f Fault) checkTarget(t trait, scope Scope, invalid fieldErrorFunc) error {
 	switch {
 	case len(f.Backends) > 0 && t.target != targetBackends:
@@ -75,7 +77,7 @@
 	case f.Site == "" && t.target == targetSites:
 		return invalid("site", "%s needs one of %v", f.Kind, scope.Sites)
 	case f.WithNodes && t.target != targetSites:
-		return invalid("with_nodes", "%s does not take nodes along", f.Kind)
+		return invalid("with_nodes", "%s does not affect the nodes of a site", f.Kind)
 	case f.Tenant != "" && (f.Kind != Surge || !slices.Contains(scope.Tenants, f.Tenant)):
 		return invalid("tenant", "%q: only a surge has a tenant, one of %v", f.Tenant, scope.Tenants)
 	case f.Share != 0 && !f.allowsShare(t):
@@ -84,7 +86,8 @@
 	return nil
 }
 
-// allowsShare reports whether a share can choose what the fault hits.
+// allowsShare reports whether the fault's targets can be chosen by a share. They cannot if its kind affects neither
+// backends, nodes nor processes, or if the fault names backends or nodes.
 func (f Fault) allowsShare(t trait) bool {
 	if t.target == targetNone || t.target == targetSites {
 		return false
@@ -92,7 +95,7 @@
 	return len(f.Backends)+len(f.Nodes) == 0
 }
 
-// checkTargetNumbers checks that the backends and nodes named are there.
+// checkTargetNumbers checks that the backends and nodes that the fault names exist.
 func (f Fault) checkTargetNumbers(scope Scope, invalid fieldErrorFunc) error {
 	for _, list := range []struct {
 		field   string
--- a/internal/faultinject/fault.go
+++ b/internal/faultinject/fault.go
@@ -1,5 +1,5 @@
-// Package faultinject defines the faults of tests: which kinds there are, what they hit, when, and how hard. The emulator
-// plays them in virtual time, the fakes and the harness of processes on sockets.
+// Package faultinject defines the faults that tests inject: their kinds, targets, times and sizes. The emulator injects
+// them in virtual time; the fakes and the process harness inject them on sockets.
 package faultinject
 
 import (
@@ -8,30 +8,32 @@
 	"slices"
 )
 
-// Fault is one thing that goes wrong for a time. What it hits is given by numbers or by a share: Backends and Nodes name
-// them, counted from 0; Share takes that part of them, drawn by the seed; Site takes those of one site.
+// Fault is a failure that is injected for a limited time or until the end of the run. Its targets are given by number,
+// by share or by site: Backends and Nodes list their numbers, counted from 0; Share selects that fraction of them at
+// random, as drawn from the seed; Site selects those of one site.
 type Fault struct {
 	Kind     Kind    `toml:"kind" json:"kind"`
-	Start    int64   `toml:"at_ms" json:"at_ms"`                   // since the start of the run
+	Start    int64   `toml:"at_ms" json:"at_ms"`                   // time since the start of the run
 	Duration int64   `toml:"for_ms" json:"for_ms"`                 // 0: until the end of the run
-	Size     float64 `toml:"size,omitempty" json:"size,omitempty"` // see the kinds; 0: the default of the kind
+	Size     float64 `toml:"size,omitempty" json:"size,omitempty"` // meaning depends on the kind; 0: the kind's default
 	Backends []int   `toml:"boxes,omitempty" json:"boxes,omitempty"`
 	Nodes    []int   `toml:"nodes,omitempty" json:"nodes,omitempty"`
-	// Processes are numbered by the harness that runs them. -1 is the leader when the fault begins.
+	// Processes lists the numbers that the harness gives to its processes. -1 is the process that is the leader when
+	// the fault begins.
 	Processes []int   `toml:"processes,omitempty" json:"processes,omitempty"`
 	Share     float64 `toml:"share,omitempty" json:"share,omitempty"`
 	Site      string  `toml:"site,omitempty" json:"site,omitempty"`
-	// WithNodes: the nodes of a lost site die too.
+	// WithNodes makes the loss of a site affect the site's nodes as well as its backends.
 	WithNodes bool   `toml:"with_nodes,omitempty" json:"with_nodes,omitempty"`
-	Tenant    string `toml:"tenant,omitempty" json:"tenant,omitempty"` // of a surge; empty: all
+	Tenant    string `toml:"tenant,omitempty" json:"tenant,omitempty"` // tenant whose load surges; empty: all tenants
 }
 
-// noEnd is the end in ms of a fault that lasts; in µs it is still within an int64.
+// noEnd is the end, in ms, of a fault that lasts until the end of the run. Converted to µs, it still fits in an int64.
 const noEnd = math.MaxInt64 / 2000
 
 const millisPerSecond = 1000
 
-// End is when the fault ends, in ms; noEnd for one that lasts.
+// End returns the time in ms at which the fault ends, or noEnd if it lasts until the end of the run.
 func (f Fault) End() int64 {
 	if f.Duration == 0 {
 		return noEnd
@@ -39,7 +41,7 @@
 	return f.Start + f.Duration
 }
 
-// String returns the fault in a form for people.
+// String describes the fault in one line, for logs and reports.
 func (f Fault) String() string {
 	text := fmt.Sprintf("%s at %.1f s", f.Kind, float64(f.Start)/millisPerSecond)
 	if f.Duration > 0 {
@@ -66,15 +68,16 @@
 	return text
 }
 
-// Rand is the random source that draws need.
+// Rand is the source of random numbers from which faults are drawn.
 type Rand interface {
 	Float64() float64
 	IntN(int) int
 	Perm(int) []int
 }
 
-// ApplyDefaults returns the fault with its default size, and with a share or a site turned into the numbers of what is
-// hit. A fault that names nothing hits one backend, or one node, drawn by r.
+// ApplyDefaults returns the fault with its size set to the kind's default if it has none, and with a share or a site
+// replaced by the numbers of the selected backends or nodes. If the fault names no target, one backend or one node is
+// drawn from r; a rolling change affects all backends.
 func (f Fault) ApplyDefaults(scope Scope, r Rand) Fault {
 	t := traits[f.Kind]
 	if f.Size == 0 && t.hasSize() {
@@ -91,8 +94,9 @@
 	return f
 }
 
-// chooseTargets draws the numbers of what the fault hits among count candidates: the share of those at its site, else all of
-// them, or one where it names no site. A rolling change takes all.
+// chooseTargets returns the numbers of the fault's targets, drawn from candidateCount candidates. If the fault names a
+// site, only the candidates of that site count. Of these, it returns the fault's share, if one is set; otherwise all of
+// them if the fault names a site or is a rolling change, and one of them in all other cases.
 func (f Fault) chooseTargets(candidateCount int, siteOf func(int) string, r Rand) []int {
 	var candidates []int
 	for _, i := range r.Perm(candidateCount) {
@@ -112,10 +116,10 @@
 	return chosen
 }
 
-// minDrainDuration is the least time in ms for which a backend is out of service in a rolling change.
+// minDrainDuration is the minimum time in ms for which a rolling change takes each backend out of service.
 const minDrainDuration = 2000
 
-// Expand turns a rolling change into its single drains; any other fault stays as it is.
+// Expand returns the drains of single backends that make up a rolling change. It returns any other fault unchanged.
 func (f Fault) Expand() []Fault {
 	if f.Kind != Rolling {
 		return []Fault{f}
--- a/internal/faultinject/fault_test.go
+++ b/internal/faultinject/fault_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testScope has six backends and three nodes, the first half of the backends in east.
+// testScope returns a scope with six backends and three nodes. The first three backends and all nodes are in site east.
 func testScope() Scope {
 	return Scope{
 		Backends: 6,
@@ -29,7 +29,7 @@
 func TestApplyDefaultsChoosesTargets(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault Fault
-		count int // of backends
+		count int // expected number of backends
 		size  float64
 	}{
 		"one drawn":            {Fault{Kind: Slow}, 1, 3},
--- a/internal/faultinject/kind.go
+++ b/internal/faultinject/kind.go
@@ -2,53 +2,53 @@
 
 import "slices"
 
-// Kind is a kind of fault.
+// Kind is the name of a kind of fault, as it appears in files and reports.
 type Kind string
 
-// The kinds of faults of backends, sites, discovery, nodes and clients. Size is what the comment says it is; a kind whose
-// comment doesn't name it has none.
+// The kinds of faults of backends, sites, discovery, nodes and clients. The comment of a kind marks the quantity that
+// Fault.Size sets with "(size)"; a kind without this mark has no size.
 const (
-	FastErrors    Kind = "fast-errors"    // backends answer a share of requests (size) with an error, at once
-	Slow          Kind = "slow"           // backends work slower by a factor (size)
-	Freeze        Kind = "freeze"         // backends stop working: connections stay open, nothing is answered
-	Kill          Kind = "kill"           // processes die, and start again, warming up, when the fault ends
-	Replace       Kind = "replace"        // backends die for good; one with a new ID takes their address when the fault ends
-	Drain         Kind = "drain"          // backends shut down gracefully; they start again, warming up, when the fault ends
-	Rolling       Kind = "rolling"        // each backend chosen in turn drains and starts again, evenly over the time
-	Resets        Kind = "resets"         // a share of responses (size) is lost in a reset after the request has run
-	Garbage       Kind = "garbage"        // a share of responses (size) is not HTTP, after the request has run
-	Interim       Kind = "interim"        // a share of responses (size) has informational responses before it
-	SiteLost      Kind = "site-lost"      // all backends of a site die, and start again, warming up
-	SiteSilent    Kind = "site-silent"    // the same, but the machines vanish: nothing is reset
-	SitePartition Kind = "site-cut"       // a network partition: the links between a site and the others drop everything
-	DiscoveryDown Kind = "list-down"      // discovery answers nothing and ends its watches
-	NodeKill      Kind = "node-kill"      // nodes die, and start again without state when the fault ends
-	ClockSkew     Kind = "clock-off"      // the clocks of nodes are off by some ms (size)
+	FastErrors    Kind = "fast-errors"    // backends answer a share of requests (size) with an immediate error
+	Slow          Kind = "slow"           // backends work more slowly by a factor (size)
+	Freeze        Kind = "freeze"         // backends stop working: connections stay open, requests are not answered
+	Kill          Kind = "kill"           // backends crash; they restart when the fault ends, and warm up
+	Replace       Kind = "replace"        // backends crash for good; others with new IDs take their addresses at its end
+	Drain         Kind = "drain"          // backends shut down gracefully; they restart at the fault's end, and warm up
+	Rolling       Kind = "rolling"        // backends drain and restart one after the other, evenly over the duration
+	Resets        Kind = "resets"         // a share of responses (size) is lost in a connection reset; the request has run
+	Garbage       Kind = "garbage"        // a share of responses (size) is not valid HTTP; the request has run
+	Interim       Kind = "interim"        // informational (1xx) responses precede a share of responses (size)
+	SiteLost      Kind = "site-lost"      // all backends of a site crash; they restart when the fault ends, and warm up
+	SiteSilent    Kind = "site-silent"    // like SiteLost, but the machines disappear: no connection is reset
+	SitePartition Kind = "site-cut"       // network partition: links between a site and the others drop everything
+	DiscoveryDown Kind = "list-down"      // discovery does not answer, and its open watches end
+	NodeKill      Kind = "node-kill"      // nodes crash; they restart without state when the fault ends
+	ClockSkew     Kind = "clock-off"      // the clocks of nodes are wrong by a number of ms (size)
 	MessageLoss   Kind = "datagrams-lost" // a share of the messages between nodes (size) is lost
-	Surge         Kind = "surge"          // clients send more by a factor (size); of one tenant, if one is named
-	HotNode       Kind = "hot-node"       // a share of all traffic (size) comes in at the nodes chosen
+	Surge         Kind = "surge"          // clients, or those of the named tenant, send more by a factor (size)
+	HotNode       Kind = "hot-node"       // a share of all traffic (size) arrives at the chosen nodes
 )
 
-// The kinds of faults of our own processes that talk to each other: agents and their callers.
+// The kinds of faults of our own processes that communicate with each other: agents and their callers.
 const (
-	ProcessKill    Kind = "process-kill" // SIGKILL; the process starts again from its disk when the fault ends
-	ProcessStop    Kind = "process-stop" // SIGSTOP, and SIGCONT when the fault ends
-	LinkCut        Kind = "link-cut"     // what the process sends and receives is reset
-	LinkSendCut    Kind = "link-mute"    // what it sends is reset
-	LinkReceiveCut Kind = "link-deaf"    // what it receives is reset
-	LinkBridge     Kind = "link-bridge"  // two halves of the other processes reach each other only through it
-	LinkFlap       Kind = "link-flap"    // its links are cut and restored in turn, each for some ms (size)
-	LinkSilent     Kind = "link-silent"  // its connections stay open, and nothing comes through
-	LinkDelay      Kind = "link-delay"   // what it sends and receives is delayed by some ms (size)
-	LinkReset      Kind = "link-reset"   // a share of the segments that it sends (size) ends in a reset
-	ClockRate      Kind = "clock-rate"   // its clock runs at a rate (size)
-	ClockJump      Kind = "clock-jump"   // its clock jumps by some ms (size), and stays there
-	DiskStall      Kind = "disk-stall"   // each write takes some ms longer (size)
-	DiskFull       Kind = "disk-full"    // nothing can be written
-	DiskSync       Kind = "disk-sync"    // syncs of what was written fail
+	ProcessKill    Kind = "process-kill" // SIGKILL; the process restarts from its state on disk when the fault ends
+	ProcessStop    Kind = "process-stop" // SIGSTOP at the start of the fault, SIGCONT at its end
+	LinkCut        Kind = "link-cut"     // connections that carry data to or from the process are reset
+	LinkSendCut    Kind = "link-mute"    // connections that carry data from the process are reset
+	LinkReceiveCut Kind = "link-deaf"    // connections that carry data to the process are reset
+	LinkBridge     Kind = "link-bridge"  // the process is the only link between two halves of the other processes
+	LinkFlap       Kind = "link-flap"    // its links are cut and restored alternately, each for a number of ms (size)
+	LinkSilent     Kind = "link-silent"  // its connections stay open, but transfer no data
+	LinkDelay      Kind = "link-delay"   // data that it sends and receives is delayed by a number of ms (size)
+	LinkReset      Kind = "link-reset"   // a share of the segments that it sends (size) causes a connection reset
+	ClockRate      Kind = "clock-rate"   // its clock runs at a rate (size) relative to real time
+	ClockJump      Kind = "clock-jump"   // its clock jumps by a number of ms (size) and keeps that offset
+	DiskStall      Kind = "disk-stall"   // each write takes longer by a number of ms (size)
+	DiskFull       Kind = "disk-full"    // no data can be written
+	DiskSync       Kind = "disk-sync"    // every sync of written data to the disk fails
 )
 
-// target is what a kind of fault hits.
+// target is the type of component that a kind of fault affects.
 type target uint8
 
 const (
@@ -59,7 +59,7 @@
 	targetProcesses
 )
 
-// trait is what a kind of fault allows.
+// trait describes a kind of fault: its target, and the range and default of its size.
 type trait struct {
 	target      target
 	minSize     float64
@@ -67,6 +67,7 @@
 	defaultSize float64
 }
 
+// hasSize reports whether the kind has a size; a kind without one has an empty range.
 func (t trait) hasSize() bool { return t.minSize != t.maxSize }
 
 var traits = map[Kind]trait{
@@ -110,7 +111,7 @@
 	DiskSync:       {target: targetProcesses},
 }
 
-// Kinds are all kinds, by name.
+// Kinds returns all kinds of faults, sorted by name.
 func Kinds() []Kind {
 	var all []Kind
 	for kind := range traits {
--- a/internal/faultinject/random.go
+++ b/internal/faultinject/random.go
@@ -8,18 +8,19 @@
 	"tulipglade/internal/tomlfile"
 )
 
-// maxRandomFaults bounds how many faults can be drawn for a run.
+// maxRandomFaults is the maximum number of random faults in a run.
 const maxRandomFaults = 1000
 
-// RandomFaults says how to draw faults at random.
+// RandomFaults configures the random faults of a run: their number, kinds and range of durations.
 type RandomFaults struct {
 	Count int    `toml:"count"`
-	Kinds []Kind `toml:"kinds"` // empty: all but rolling
+	Kinds []Kind `toml:"kinds"` // empty: the kinds that defaultKinds returns
 	MinMs int64  `toml:"min_ms"`
 	MaxMs int64  `toml:"max_ms"`
 }
 
-// Check returns an error that names the invalid field; path is where the settings stand in their file.
+// Check returns an error that names the first invalid field, or nil. Path is the position of the settings in their
+// file.
 func (d RandomFaults) Check(path string) error {
 	switch {
 	case d.Count < 0 || d.Count > maxRandomFaults:
@@ -29,13 +30,13 @@
 	}
 	for i, kind := range d.Kinds {
 		if t, ok := traits[kind]; !ok || t.target == targetProcesses {
-			return tomlfile.Invalidf(path+".kinds", "%q at place %d is none of %v", kind, i, Kinds())
+			return tomlfile.Invalidf(path+".kinds", "%q at index %d is not a kind that can be drawn here; known kinds are %v", kind, i, Kinds())
 		}
 	}
 	return nil
 }
 
-// Draw draws the faults of a run that lasts length ms. They may overlap.
+// Draw returns random faults, sorted by start time, for a run of the given length in ms. The faults may overlap.
 func (d RandomFaults) Draw(scope Scope, length int64, r Rand) []Fault {
 	kinds := d.Kinds
 	if len(kinds) == 0 {
@@ -51,7 +52,8 @@
 	return faults
 }
 
-// defaultKinds are the kinds of processes where the scope has processes, else all others; rolling is none of them.
+// defaultKinds returns the kinds that affect processes if the scope has processes, and otherwise all other kinds except
+// Rolling.
 func defaultKinds(scope Scope) []Kind {
 	return slices.DeleteFunc(Kinds(), func(kind Kind) bool {
 		hitsProcesses := traits[kind].target == targetProcesses
@@ -59,7 +61,7 @@
 	})
 }
 
-// drawOne draws one fault. The order of its draws is part of what a seed means.
+// drawOne returns one random fault. The order of its draws must not change, since a seed would then give other faults.
 func (d RandomFaults) drawOne(kinds []Kind, scope Scope, length int64, r Rand) Fault {
 	kind := kinds[r.IntN(len(kinds))]
 	t := traits[kind]
@@ -71,7 +73,7 @@
 		fault.WithNodes = kind != SitePartition && r.Float64() < 0.5
 	case targetBackends:
 		fault.Share = 0.05 + 0.15*r.Float64()
-	case targetProcesses: // the leader (-1) as often as all others together
+	case targetProcesses: // the leader (-1) is drawn as often as all numbered processes together
 		process := r.IntN(2*scope.Processes) - scope.Processes
 		fault.Processes = []int{max(process, -1)}
 	}
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -1,6 +1,7 @@
-// Package invariant checks a run against the rules that every node must keep, whether the run is an emulation in virtual
-// time or one against fakes on sockets. The checker receives events in their order and keeps each request's history until
-// the request has ended, so that a violation is reported with what led to it.
+// Package invariant checks that the nodes in a test run obey the rules that hold for every node. The run may be an
+// emulation in virtual time or a run against fakes on sockets. The checker receives the events of the run in order. It
+// keeps the history of each request until the request has ended, so that the report of a violation includes the events
+// that led to it.
 package invariant
 
 import (
@@ -9,23 +10,24 @@
 	"tulipglade/internal/balancer"
 )
 
-// maxCompleted is how many completed requests are known at once, so that a late event is told from one of an unknown
-// request.
+// maxCompleted is the number of completed requests that the checker remembers. They let it distinguish a late event of
+// a completed request from an event of an unknown request.
 const maxCompleted = 4096
 
-// request is what the checker knows of one request.
+// request is the state that the checker tracks for one request.
 type request struct {
 	node         int
 	class        int
 	deadline     balancer.Time
 	answered     bool
-	disconnected bool // the client is gone
+	disconnected bool // the client disconnected before an answer
 	completed    bool // answered or disconnected, with no attempt in flight
 	attempts     []attempt
-	inFlight     int // attempts
+	inFlight     int // number of attempts in flight
 	history      []step
 }
 
+// attempt is one attempt to send a request to a backend.
 type attempt struct {
 	backend    Backend
 	sentAt     balancer.Time
@@ -33,24 +35,25 @@
 	mayHaveRun bool
 }
 
+// appendStep adds an event to the request's history. For an event that concerns no attempt, attemptIndex is noAttempt.
 func (r *request) appendStep(at balancer.Time, event string, attemptIndex int, endpoint balancer.EndpointID) {
 	r.history = append(r.history, step{at, event, attemptIndex, endpoint})
 }
 
-// nodeEndpoint is an endpoint as one node knows it.
+// nodeEndpoint identifies an endpoint on one node; it is the key of notifications.
 type nodeEndpoint struct {
 	node     int
 	endpoint balancer.EndpointID
 }
 
-// notification is what a node has been notified of about an endpoint.
+// notification is the latest information about an endpoint that a node has been notified of.
 type notification struct {
-	draining      bool // or removed
+	draining      bool // the endpoint is draining or removed
 	drainingSince balancer.Time
 	startedAt     balancer.Time
 }
 
-// Checker holds a run against the rules. It is not safe for concurrent use.
+// Checker checks the events of a run against the rules. It is not safe for concurrent use.
 type Checker struct {
 	config        Config
 	origin        balancer.Time
@@ -59,11 +62,11 @@
 	slowStarts    map[balancer.EndpointID]*workWindow
 	counts        map[Rule]int
 	violations    []Violation
-	completed     []balancer.RequestID // the oldest first; those beyond maxCompleted are forgotten
-	freeRequests  []*request           // for reuse
+	completed     []balancer.RequestID // oldest first; at most maxCompleted are remembered
+	freeRequests  []*request           // forgotten requests, reused for new ones
 }
 
-// New returns a checker; origin is the instant that its reports count from.
+// New returns a checker. Times in its reports are relative to origin.
 func New(config Config, origin balancer.Time) *Checker {
 	return &Checker{
 		config:        config,
@@ -75,13 +78,14 @@
 	}
 }
 
-// ViolationCounts counts the violations by rule.
+// ViolationCounts returns the number of violations of each rule.
 func (c *Checker) ViolationCounts() map[Rule]int { return c.counts }
 
-// Violations are the first violations, with their histories.
+// Violations returns the first maxViolations violations, with their histories.
 func (c *Checker) Violations() []Violation { return c.violations }
 
-// InFlight counts the requests that have not ended.
+// InFlight returns the number of accepted requests that have not completed: the client is neither answered nor gone, or
+// an attempt is still in flight.
 func (c *Checker) InFlight() int {
 	count := 0
 	for _, r := range c.requests {
@@ -92,7 +96,7 @@
 	return count
 }
 
-// RequestAccepted records a request that a node has accepted.
+// RequestAccepted records that a node has accepted a request.
 func (c *Checker) RequestAccepted(now balancer.Time, node int, id balancer.RequestID, class int, deadline balancer.Time) {
 	var r *request
 	if n := len(c.freeRequests); n > 0 {
@@ -112,7 +116,7 @@
 	c.requests[id] = r
 }
 
-// AttemptSent checks an attempt that a node sends.
+// AttemptSent checks and records an attempt that a node sends to a backend.
 func (c *Checker) AttemptSent(now balancer.Time, node int, id balancer.RequestID, backend Backend) {
 	where := occurrence{now, node, id, c.requests[id]}
 	if where.request == nil {
@@ -123,7 +127,7 @@
 	c.checkDrain(where, backend.ID)
 }
 
-// checkAttempt checks an attempt against the state of its request, and records it.
+// checkAttempt checks an attempt against the state of its request and adds it to the request's attempts.
 func (c *Checker) checkAttempt(where occurrence, backend Backend) {
 	r := where.request
 	r.appendStep(where.at, "sent", len(r.attempts), backend.ID)
@@ -148,7 +152,8 @@
 	r.inFlight++
 }
 
-// checkDrain checks that the node has not known for longer than the grace that the endpoint is draining or removed.
+// checkDrain checks an attempt at an endpoint that is draining or removed: it is a violation if the node was notified
+// of the drain longer ago than the drain grace.
 func (c *Checker) checkDrain(where occurrence, endpoint balancer.EndpointID) {
 	known, ok := c.notifications[nodeEndpoint{where.node, endpoint}]
 	if ok && known.draining && where.at > known.drainingSince+c.config.DrainGrace {
@@ -157,8 +162,8 @@
 	}
 }
 
-// retryForbidden returns why the class does not allow an attempt at the backend after an earlier one that may have run;
-// empty: it does.
+// retryForbidden returns the reason why the class forbids an attempt at the backend after an earlier attempt that may
+// have run, or an empty string if the class allows it.
 func retryForbidden(class *balancer.Class, earlier *attempt, backend Backend, now balancer.Time) string {
 	switch {
 	case class.Idempotency == balancer.Idempotent:
@@ -174,7 +179,7 @@
 	return ""
 }
 
-// AttemptEnded records the outcome of an attempt, as the node knows it.
+// AttemptEnded records the outcome of an attempt as the node observed it.
 func (c *Checker) AttemptEnded(now balancer.Time, id balancer.RequestID, attemptIndex int, outcome balancer.Outcome) {
 	r := c.requests[id]
 	if r == nil || attemptIndex >= len(r.attempts) || !r.attempts[attemptIndex].inFlight {
@@ -193,7 +198,7 @@
 	c.completeIfEnded(id, r)
 }
 
-// outcomeSteps are the outcomes in a request's history.
+// outcomeSteps maps each outcome of an attempt to its text in a request's history.
 var outcomeSteps = map[balancer.Outcome]string{
 	balancer.OutcomeOK:            "outcome ok",
 	balancer.OutcomeServerError:   "outcome error",
@@ -205,7 +210,7 @@
 	balancer.OutcomeNotSent:       "outcome not sent",
 }
 
-// RequestAnswered checks the final answer that a node gives.
+// RequestAnswered checks and records the final answer that a node sends to the client of a request.
 func (c *Checker) RequestAnswered(now balancer.Time, node int, id balancer.RequestID, final Final) {
 	r := c.requests[id]
 	where := occurrence{now, node, id, r}
@@ -230,8 +235,8 @@
 	c.completeIfEnded(id, r)
 }
 
-// clientMayRetry reports whether a client's retry does no harm even if the request has run: whichever endpoint gets the
-// retry, it runs the request again without effect, or knows the key.
+// clientMayRetry reports whether a client may safely retry a request that has already run. That is so if a second run
+// has no further effect, or if every endpoint recognizes the idempotency key.
 func clientMayRetry(class *balancer.Class) bool {
 	switch class.Idempotency {
 	case balancer.Idempotent:
@@ -243,7 +248,7 @@
 	}
 }
 
-// ClientDisconnected records that a client is gone: it is owed no answer.
+// ClientDisconnected records that the client of a request has disconnected, so that the node need not answer it.
 func (c *Checker) ClientDisconnected(now balancer.Time, id balancer.RequestID) {
 	if r := c.requests[id]; r != nil && !r.answered {
 		r.disconnected = true
@@ -252,7 +257,7 @@
 	}
 }
 
-// NodeCrashed forgets the requests that a node had accepted and the notifications that it had received.
+// NodeCrashed records the crash of a node. The checker forgets the node's accepted requests and its notifications.
 func (c *Checker) NodeCrashed(node int) {
 	for id, r := range c.requests {
 		if r.node == node {
@@ -266,7 +271,8 @@
 	}
 }
 
-// completeIfEnded marks a request of which nothing more is expected, and forgets the one that ended the longest ago.
+// completeIfEnded marks a request as completed if it has ended and has no attempt in flight. If more than maxCompleted
+// requests are then remembered, it forgets the one that completed first.
 func (c *Checker) completeIfEnded(id balancer.RequestID, r *request) {
 	ended := r.answered || r.disconnected
 	if !ended || r.inFlight > 0 || r.completed {
@@ -285,7 +291,8 @@
 	}
 }
 
-// NodeNotified records what a node is notified of about an endpoint, or counts as having been notified of.
+// NodeNotified records that a node has been notified of an endpoint's phase and start time, or that the rules treat it
+// as notified from now on.
 func (c *Checker) NodeNotified(
 	now balancer.Time, node int, endpoint balancer.EndpointID, phase balancer.Phase, startedAt balancer.Time,
 ) {
@@ -301,7 +308,7 @@
 	c.notifications[key] = known
 }
 
-// Close ends the run: requests past their deadline that are still owed an answer are violations.
+// Close ends the run. It reports a violation for each unanswered request whose deadline and answer grace have passed.
 func (c *Checker) Close(now balancer.Time) {
 	ids := make([]balancer.RequestID, 0, len(c.requests))
 	for id := range c.requests {
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// The classes of testConfig.
+// Indexes of the classes in testConfig.
 const (
 	idempotent = iota
 	nonIdempotent
@@ -40,12 +40,13 @@
 	otherSite    = Backend{ID: 4, Site: 1, Rack: 2}
 )
 
-// ruleCase plays events and names the rule that they violate; empty: none.
+// ruleCase is a sequence of events and the rule that it violates, which is empty if it violates none.
 type ruleCase struct {
 	events   func(c *Checker)
 	violated Rule
 }
 
+// checkRules runs the events of each case and checks that its rule is reported, or that no violation is.
 func checkRules(t *testing.T, cases map[string]ruleCase) {
 	t.Helper()
 	for name, test := range cases {
@@ -65,18 +66,18 @@
 	}
 }
 
-// accept has node 0 accept request 1.
+// accept records that node 0 accepted request 1.
 func accept(c *Checker, class int, deadline balancer.Time) {
 	c.RequestAccepted(0, 0, 1, class, deadline)
 }
 
-// send has node 0 send request 1.
+// send records that node 0 sent an attempt of request 1 to a backend.
 func send(c *Checker, at balancer.Time, backend Backend) { c.AttemptSent(at, 0, 1, backend) }
 
-// answer has node 0 answer request 1.
+// answer records that node 0 answered request 1.
 func answer(c *Checker, at balancer.Time, final Final) { c.RequestAnswered(at, 0, 1, final) }
 
-// sendFirst has node 0 accept request 1 and send it to the first endpoint, with this outcome at 10 ms.
+// sendFirst records that node 0 accepted request 1 and sent it to firstBackend, and that the attempt ended at 10 ms.
 func sendFirst(c *Checker, class int, outcome balancer.Outcome) {
 	accept(c, class, 9000*ms)
 	send(c, 0, firstBackend)
@@ -204,7 +205,8 @@
 	})
 }
 
-// A rejection promises the client that its retry does no harm.
+// A rejection promises the client that it may safely retry. A node breaks that promise if it rejects a request that may
+// have run and whose second run would have an effect.
 func TestNoDuplicateRunAfterRejection(t *testing.T) {
 	checkRules(t, map[string]ruleCase{
 		"may have run": {func(c *Checker) {
@@ -231,12 +233,13 @@
 	})
 }
 
+// acceptAndSend records that node 0 accepted request 1 and sent it to firstBackend at once.
 func acceptAndSend(c *Checker, at balancer.Time) {
 	c.RequestAccepted(at, 0, 1, idempotent, at+9000*ms)
 	send(c, at, firstBackend)
 }
 
-// sendDrained sends to an endpoint of whose drain the node was notified at 0.
+// sendDrained notifies node 0 at time 0 that firstBackend is draining, and sends it a request at the given time.
 func sendDrained(c *Checker, at balancer.Time) {
 	c.NodeNotified(0, 0, 1, balancer.PhaseDraining, 0)
 	acceptAndSend(c, at)
@@ -271,12 +274,14 @@
 	})
 }
 
-// overload sends so much work over 2 s to an endpoint with the capacity of one core. Node 0 knows of its start.
+// overload sends the given amount of work over 2 s to an endpoint that has the capacity of one core. Only node 0 is
+// notified of the endpoint's start.
 func overload(c *Checker, node int, work float64) {
 	c.NodeNotified(0, 0, 1, balancer.PhaseReady, 1)
 	spreadWork(c, node, 0, work)
 }
 
+// spreadWork sends the work in 200 equal attempts, one every 10 ms.
 func spreadWork(c *Checker, node int, from balancer.Time, work float64) {
 	for i := range balancer.Time(200) {
 		c.AttemptArrived(from+i*10*ms, node, 1, 1, work/200, 1)
@@ -301,7 +306,8 @@
 	})
 }
 
-// Completed requests are forgotten after a while: a run of any length needs memory only for what is in flight.
+// The checker must forget old completed requests and keep a bounded number of violations, so that its memory does not
+// grow with the length of the run.
 func TestMemoryIsBounded(t *testing.T) {
 	c := New(testConfig(), 0)
 	for id := balancer.RequestID(1); id < 5*maxCompleted; id++ {
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -2,47 +2,50 @@
 
 import "tulipglade/internal/balancer"
 
-// Rule is one of the rules.
+// Rule is the name of an invariant, as it appears in reports.
 type Rule string
 
-// The rules.
+// The rules that the checker enforces.
 const (
-	// OneAnswer: one final outcome for each accepted request, in time, and none for any other.
+	// OneAnswer: each accepted request gets exactly one final answer, in time; no other request gets an answer.
 	OneAnswer Rule = "one-answer"
-	// NoDuplicateRun: what may have run is sent again only as its class allows, and never while an attempt is in flight.
+	// NoDuplicateRun: a request that may have run is sent again only if its class allows it, and, unless hedging is
+	// allowed, never while an attempt is in flight.
 	NoDuplicateRun Rule = "no-second"
-	// NoSendToDrained: nothing is sent to an endpoint later than the grace after the node was notified of its drain.
+	// NoSendToDrained: a node sends no attempt to a draining or removed endpoint once the drain grace has passed since
+	// the node was notified.
 	NoSendToDrained Rule = "no-drained"
-	// NoSlowStartOverload: no endpoint in slow start is sent more than a multiple of its capacity for some time.
+	// NoSlowStartOverload: the work sent to an endpoint in slow start within a time window does not exceed a multiple
+	// of the endpoint's capacity.
 	NoSlowStartOverload Rule = "no-push"
 )
 
-// Config holds the figures of the rules. Times are in µs.
+// Config holds the parameters of the rules. Times are in µs.
 type Config struct {
 	Classes        []balancer.Class
 	AnswerGrace    balancer.Span
 	DrainGrace     balancer.Span
-	OverloadFactor float64       // 0: endpoints in slow start cannot be overloaded
-	OverloadWindow balancer.Span // over which the work sent is compared with the capacity
+	OverloadFactor float64       // multiple of the capacity; 0 disables NoSlowStartOverload
+	OverloadWindow balancer.Span // period over which work and capacity are compared; 0 disables the rule too
 	AllowHedging   bool
 }
 
-// Final is how a request ended for its client.
+// Final is the outcome of a request as its client sees it.
 type Final uint8
 
-// The three ends. A rejection promises that a retry does no harm.
+// The final outcomes. A rejection promises the client that it may safely retry the request.
 const (
 	Served Final = iota
 	Rejected
 	Failed
 )
 
-// String returns the name that results have for it.
+// String returns the outcome's name in result files.
 func (f Final) String() string { return [...]string{"served", "refused", "failed"}[f] }
 
-// Backend is what the rules need to know of an endpoint.
+// Backend identifies an endpoint and its location, as far as the rules need them.
 type Backend struct {
 	ID   balancer.EndpointID
 	Site int
-	Rack int // numbered over all sites
+	Rack int // unique across all sites
 }
--- a/internal/invariant/slowstart.go
+++ b/internal/invariant/slowstart.go
@@ -2,23 +2,25 @@
 
 import "tulipglade/internal/balancer"
 
-// chanceAllowance is how much more than the budget is put down to chance: this many times the largest piece of work.
+// chanceAllowance allows for chance: the work may exceed the budget by this many times the largest single piece of work
+// in the window.
 const chanceAllowance = 4
 
-// workWindow is the work that has reached one endpoint in slow start within the window.
+// workWindow tracks the work that arrived at one endpoint in slow start within the most recent OverloadWindow.
 type workWindow struct {
 	startedAt    balancer.Time
 	arrivals     []arrival
-	work         float64 // of all arrivals in the window
-	informedWork float64 // of those from nodes that knew of the start
-	reported     bool    // reported, once for each start
+	work         float64 // total work of the arrivals in the window
+	informedWork float64 // work from nodes that knew of the endpoint's start
+	reported     bool    // whether a violation was reported; at most one is, for each start of the endpoint
 }
 
+// arrival is the arrival of one attempt at an endpoint in slow start.
 type arrival struct {
 	at       balancer.Time
 	work     float64
 	capacity float64
-	informed bool // its node knew of the start
+	informed bool // the sending node knew of the endpoint's start
 }
 
 func (w *workWindow) add(a arrival) {
@@ -29,7 +31,7 @@
 	}
 }
 
-// dropBefore removes the arrivals that have left the window.
+// dropBefore removes the arrivals before start, which have left the window. At least one arrival must remain.
 func (w *workWindow) dropBefore(start balancer.Time) {
 	for w.arrivals[0].at < start {
 		oldest := w.arrivals[0]
@@ -41,7 +43,7 @@
 	}
 }
 
-// summary returns the mean of the capacities and the largest piece of work in the window.
+// summary returns the mean capacity and the largest single piece of work over the arrivals in the window.
 func (w *workWindow) summary() (meanCapacity, largestWork float64) {
 	for _, a := range w.arrivals {
 		meanCapacity += a.capacity / float64(len(w.arrivals))
@@ -50,8 +52,9 @@
 	return meanCapacity, largestWork
 }
 
-// AttemptArrived checks work (in µs of a core at speed 1) that came to an endpoint in slow start, whether the endpoint
-// took it or not. Capacity is what the endpoint can do at the moment, in such µs for each µs.
+// AttemptArrived checks the work of an attempt that arrived at an endpoint in slow start, whether the endpoint accepted
+// the attempt or not. Work is in µs of a core at speed 1. Capacity is the work that the endpoint can currently do in
+// each µs.
 func (c *Checker) AttemptArrived(
 	now balancer.Time, node int, endpoint balancer.EndpointID, startedAt balancer.Time, work, capacity float64,
 ) {
@@ -72,7 +75,8 @@
 	meanCapacity, largestWork := window.summary()
 	length := float64(c.config.OverloadWindow)
 	limit := c.config.OverloadFactor*meanCapacity*length + chanceAllowance*largestWork
-	// Nodes that do not know of the start cannot spare the endpoint: two thirds of the work must come from others.
+	// A node that does not know of the start cannot limit what it sends. Therefore it is a violation only if more than
+	// two thirds of the work came from nodes that knew.
 	informedMost := window.informedWork > window.work*2/3
 	if window.work <= limit || !informedMost {
 		return
@@ -83,5 +87,5 @@
 		endpoint, seconds(now-startedAt), window.work/microsPerSecond, length/microsPerSecond, meanCapacity*length/microsPerSecond)
 }
 
-// SlowStartEnded records that an endpoint has ended its slow start.
+// SlowStartEnded records that an endpoint has left slow start; its arrivals are no longer tracked.
 func (c *Checker) SlowStartEnded(endpoint balancer.EndpointID) { delete(c.slowStarts, endpoint) }
--- a/internal/invariant/violation.go
+++ b/internal/invariant/violation.go
@@ -7,10 +7,10 @@
 	"tulipglade/internal/balancer"
 )
 
-// maxViolations is how many violations are kept with their history; further ones are only counted.
+// maxViolations is the number of violations that are kept with their history. Further violations are only counted.
 const maxViolations = 20
 
-// noAttempt is the attempt of a step that is none of an attempt's.
+// noAttempt is the attempt index of a step that concerns the request as a whole.
 const noAttempt = -1
 
 const (
@@ -18,7 +18,7 @@
 	microsPerMilli  = 1000
 )
 
-// Violation is a broken rule, with the history of the request concerned, if there is one.
+// Violation reports that a rule was broken, with the history of the request concerned, if there is one.
 type Violation struct {
 	Rule    Rule     `json:"rule"`
 	Time    int64    `json:"at_us"`
@@ -28,7 +28,7 @@
 	History []string `json:"history,omitempty"`
 }
 
-// String returns the violation in one line, and its history in further ones.
+// String returns the violation on one line, followed by its history with one line for each step.
 func (v Violation) String() string {
 	text := fmt.Sprintf("%s at %.6f s, node %d: %s", v.Rule, seconds(v.Time), v.Node, v.Message)
 	if len(v.History) > 0 {
@@ -39,7 +39,7 @@
 
 func seconds(micros int64) float64 { return float64(micros) / microsPerSecond }
 
-// step is something that happened to a request.
+// step is one event in the history of a request.
 type step struct {
 	at       balancer.Time
 	event    string
@@ -55,15 +55,15 @@
 	return line
 }
 
-// occurrence is where a rule was broken.
+// occurrence identifies when, on which node and for which request a rule was broken.
 type occurrence struct {
 	at        balancer.Time
 	node      int
 	requestID balancer.RequestID
-	request   *request // nil: unknown, or none is concerned
+	request   *request // nil if the request is unknown or no request is concerned
 }
 
-// reportViolation counts a violation, and keeps the first ones.
+// reportViolation counts a violation. It keeps the details of the first maxViolations.
 func (c *Checker) reportViolation(rule Rule, where occurrence, format string, args ...any) {
 	c.counts[rule]++
 	if len(c.violations) >= maxViolations {
