--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -24,24 +24,24 @@
 )
 
 const (
-	headerTimeout  = 5 * time.Second
-	shortestWorkMs = 2
-	workSpreadMs   = 15
-	garbage        = "HTTP/1.1 2OO noise\r\n\x00\xff: \r\n\r\n"
-	piecesOneIn    = 10                    // answers that come in two pieces
-	piecePause     = 20 * time.Millisecond // between them
-	garbageDelay   = 10 * time.Millisecond // between the garbage and the end of the connection
+	headerTimeout = 5 * time.Second
+	minWorkMs     = 2
+	workSpreadMs  = 15
+	garbage       = "HTTP/1.1 2OO noise\r\n\x00\xff: \r\n\r\n"
+	piecesOneIn   = 10                    // answers that come in two pieces
+	piecePause    = 20 * time.Millisecond // between them
+	garbageDelay  = 10 * time.Millisecond // between the garbage and the end of the connection
 )
 
 // backend is one backend, with an address for each node.
 type backend struct {
 	run     *run
 	index   int
-	faulted sync.Mutex // held by the fault that is played on it
+	faultMu sync.Mutex // held by the fault that is played on it
 
 	mu        sync.Mutex
 	condition backendCondition
-	healed    chan struct{} // closed when the backend becomes healthy, and replaced
+	recovered chan struct{} // closed when the backend becomes healthy, and replaced
 	listeners []*backendListener
 }
 
@@ -52,7 +52,7 @@
 }
 
 func newBackend(r *run, index, nodes int) (*backend, error) {
-	b := &backend{run: r, index: index, healed: make(chan struct{})}
+	b := &backend{run: r, index: index, recovered: make(chan struct{})}
 	for node := range nodes {
 		listener, err := r.listen(node)
 		if err != nil {
@@ -109,8 +109,8 @@
 	previous := b.condition
 	b.condition = condition
 	if condition == backendHealthy {
-		close(b.healed)
-		b.healed = make(chan struct{})
+		close(b.recovered)
+		b.recovered = make(chan struct{})
 	}
 	switch {
 	case condition == backendCrashed:
@@ -124,9 +124,9 @@
 	id := r.Header.Get("X-Trace-Id")
 	a := &arrival{at: b.run.now(), node: node, backend: b.index, announced: announcedTimeout(r)}
 	b.mu.Lock()
-	condition, healed := b.condition, b.healed
+	condition, healed := b.condition, b.recovered
 	b.mu.Unlock()
-	b.run.record.arrived(id, a)
+	b.run.record.attemptArrived(id, a)
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
@@ -136,7 +136,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case backendHangs:
-		b.run.record.ran(a)
+		b.run.record.attemptRan(a)
 		select {
 		case <-healed:
 			writeAnswer(w, id)
@@ -144,8 +144,8 @@
 		}
 		return
 	}
-	b.run.record.ran(a)
-	time.Sleep(time.Duration(shortestWorkMs+rand.IntN(workSpreadMs)) * time.Millisecond)
+	b.run.record.attemptRan(a)
+	time.Sleep(time.Duration(minWorkMs+rand.IntN(workSpreadMs)) * time.Millisecond)
 	switch condition {
 	case backendResets:
 		resetConnection(w)
@@ -165,11 +165,11 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// answerTo returns the body of the answer to a request.
-func answerTo(id string) string { return "answer to " + id }
+// expectedAnswer returns the body of the answer to a request.
+func expectedAnswer(id string) string { return "answer to " + id }
 
 func writeAnswer(w http.ResponseWriter, id string) {
-	answer := answerTo(id)
+	answer := expectedAnswer(id)
 	if rand.IntN(piecesOneIn) == 0 { // in pieces
 		w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 		_, _ = io.WriteString(w, answer[:len(answer)/2]) // the client's record shows what became of it
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -12,9 +12,9 @@
 	disconnectLimit   = 100 * time.Millisecond // from a client's disconnection until no attempt starts
 	deadlineSlack     = 150 * time.Millisecond
 	// shutdownLimit is how long after SIGTERM a process is killed at the earliest.
-	shutdownLimit = longestDeadline + mayBeKilledWithin
-	// mayBeKilledWithin is until when after SIGTERM a request may come that SIGKILL then finds unanswered.
-	mayBeKilledWithin = 700 * time.Millisecond
+	shutdownLimit = longestDeadline + killedShutdownWindow
+	// killedShutdownWindow is until when after SIGTERM a request may come that SIGKILL then finds unanswered.
+	killedShutdownWindow = 700 * time.Millisecond
 	// newClientsLimit is how long after SIGTERM new connections come.
 	newClientsLimit = 400 * time.Millisecond
 	readyLimit      = 10 * time.Second
@@ -22,7 +22,7 @@
 	// schedulingDelay is what the scheduling of this process may add to any of them.
 	schedulingDelay = 250 * time.Millisecond
 
-	mostExplained = 3 // violations, after which no logs are added
+	maxViolationsWithLogs = 3 // violations, after which no logs are added
 )
 
 // Result is what a run has shown.
@@ -57,7 +57,7 @@
 		}
 	}
 	for _, id := range r.record.unknown {
-		result.violation("a backend got %q, which no client sent", id)
+		result.addViolation("a backend got %q, which no client sent", id)
 	}
 	for _, n := range r.nodes {
 		n.check(&result)
@@ -77,13 +77,13 @@
 	}
 }
 
-func (res *Result) violation(format string, args ...any) {
+func (res *Result) addViolation(format string, args ...any) {
 	res.Violations = append(res.Violations, fmt.Sprintf(format, args...))
 }
 
-// explain adds what a node has logged on discovery to the first violations.
-func (res *Result) explain(n *node) {
-	if len(res.Violations) > mostExplained {
+// addDiscoveryLog adds what a node has logged on discovery to the first violations.
+func (res *Result) addDiscoveryLog(n *node) {
+	if len(res.Violations) > maxViolationsWithLogs {
 		return
 	}
 	n.log.mu.Lock()
@@ -99,20 +99,20 @@
 	sent, took := q.sent.Seconds(), (q.finished - q.sent).Seconds()
 	switch q.outcome {
 	case outcomeWrongAnswer:
-		res.violation("lost: %s at %.3f was answered with the answer to another request", q.id, sent)
+		res.addViolation("lost: %s at %.3f was answered with the answer to another request", q.id, sent)
 	case outcomeLate:
-		if n.owesAnswer(q) {
-			res.violation("lost: %s at %.3f to node %d has no answer after %.3f s", q.id, sent, q.node, took)
+		if n.mustAnswer(q) {
+			res.addViolation("lost: %s at %.3f to node %d has no answer after %.3f s", q.id, sent, q.node, took)
 		}
 	case outcomeIncomplete:
 		// The end of a connection between two requests may cross the second, which then never runs. A new connection has no request before.
-		if n.owesAnswer(q) && (q.firstOnConn || len(q.arrivals) > 0) {
-			res.violation("lost: %s at %.3f to node %d met the end of its connection after %.3f s, %d arrivals, new %v",
+		if n.mustAnswer(q) && (q.firstOnConn || len(q.arrivals) > 0) {
+			res.addViolation("lost: %s at %.3f to node %d met the end of its connection after %.3f s, %d arrivals, new %v",
 				q.id, sent, q.node, took, len(q.arrivals), q.firstOnConn)
 		}
 	case outcomeRejected:
 		if q.class.effect == effectOnce && q.runs() > 0 {
-			res.violation("duplicate: %s at %.3f was rejected, which promises that it never ran, and ran", q.id, sent)
+			res.addViolation("duplicate: %s at %.3f was rejected, which promises that it never ran, and ran", q.id, sent)
 		}
 	}
 }
@@ -126,9 +126,9 @@
 		case first == nil:
 			first = a
 		case q.class.effect == effectOnce:
-			res.violation("duplicate: %s ran at %.3f and at %.3f", q.id, first.at.Seconds(), a.at.Seconds())
+			res.addViolation("duplicate: %s ran at %.3f and at %.3f", q.id, first.at.Seconds(), a.at.Seconds())
 		case q.class.effect == effectByKey && a.at-first.at > idempotencyWindow+schedulingDelay:
-			res.violation("duplicate: %s ran again %.3f s later, beyond its window", q.id, (a.at - first.at).Seconds())
+			res.addViolation("duplicate: %s ran again %.3f s later, beyond its window", q.id, (a.at - first.at).Seconds())
 		}
 	}
 }
@@ -138,18 +138,18 @@
 func (r *run) checkArrival(res *Result, q *request, a *arrival) {
 	n := r.nodes[a.node]
 	if lateness, change := r.list.attemptAfterNotification(n, a); lateness > 0 {
-		res.violation("drain: %s, sent at %.3f, went from node %d to backend %d at %.3f, "+
+		res.addViolation("drain: %s, sent at %.3f, went from node %d to backend %d at %.3f, "+
 			"%.3f s after the node counted as notified of version %d (%s at %.3f)",
 			q.id, q.sent.Seconds(), a.node, a.backend, a.at.Seconds(),
 			lateness.Seconds(), change.revision, change.state, change.at.Seconds())
-		res.explain(n)
+		res.addDiscoveryLog(n)
 	}
 	if q.outcome == outcomeDisconnected && a.at > q.finished+disconnectLimit+schedulingDelay {
-		res.violation("lost: %s started at backend %d %.3f s after its client had disconnected", q.id, a.backend, (a.at - q.finished).Seconds())
+		res.addViolation("lost: %s started at backend %d %.3f s after its client had disconnected", q.id, a.backend, (a.at - q.finished).Seconds())
 	}
 	remaining := q.sent + q.class.deadline - a.at
 	if a.announced >= 0 && a.announced-remaining > deadlineSlack+schedulingDelay {
-		res.violation("deadline: %s was announced with %.3f s, and had %.3f s left", q.id, a.announced.Seconds(), remaining.Seconds())
+		res.addViolation("deadline: %s was announced with %.3f s, and had %.3f s left", q.id, a.announced.Seconds(), remaining.Seconds())
 	}
 }
 
@@ -217,22 +217,22 @@
 	defer n.mu.Unlock()
 	for i, p := range n.incarnations {
 		if p.terminatedAt > 0 && (p.killedAt > 0 || p.exitedAt-p.terminatedAt > shutdownLimit+schedulingDelay) {
-			res.violation("stop: process %d of node %d was told to end at %.3f and had not %.3f s later (killed at %.3f)",
+			res.addViolation("stop: process %d of node %d was told to end at %.3f and had not %.3f s later (killed at %.3f)",
 				i, n.index, p.terminatedAt.Seconds(), shutdownLimit.Seconds(), p.killedAt.Seconds())
 		}
 		end := max(p.killedAt, p.terminatedAt)
 		if p.exitedAt > 0 && (end == 0 || p.exitedAt < earliest(p.killedAt, p.terminatedAt)) {
-			res.violation("crash: process %d of node %d, started at %.3f, ended by itself at %.3f: %s",
+			res.addViolation("crash: process %d of node %d, started at %.3f, ended by itself at %.3f: %s",
 				i, n.index, p.started.Seconds(), p.exitedAt.Seconds(), p.exitStatus)
 		}
 		if p.ready == 0 && end-p.started > readyLimit {
-			res.violation("ready: process %d of node %d, started at %.3f, was not ready within %.0f s",
+			res.addViolation("ready: process %d of node %d, started at %.3f, was not ready within %.0f s",
 				i, n.index, p.started.Seconds(), readyLimit.Seconds())
 		}
 	}
 	n.log.mu.Lock()
 	defer n.log.mu.Unlock()
 	for _, line := range n.log.forbidden {
-		res.violation("log of node %d: %s", n.index, line)
+		res.addViolation("log of node %d: %s", n.index, line)
 	}
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -27,7 +27,7 @@
 	q.connectedAt = 2 * time.Second
 	r.record.start(q, 2*time.Second)
 	for _, a := range arrivals {
-		r.record.arrived(q.id, a)
+		r.record.attemptArrived(q.id, a)
 	}
 	r.record.finish(q, result, 3*time.Second)
 }
@@ -84,11 +84,11 @@
 	}, "deadline: "},
 	{"attempt at a removed backend", func(r *run) {
 		r.list.changes = append(r.list.changes, listChange{revision: 2, at: 100 * time.Millisecond, state: stateRemoved})
-		r.list.noteNotification(0, notification{started: 150 * time.Millisecond, completed: 200 * time.Millisecond, revision: 2})
+		r.list.recordNotification(0, notification{started: 150 * time.Millisecond, completed: 200 * time.Millisecond, revision: 2})
 		r.addRequest(effectRepeatable, outcomeServed, arrivalAt(violationSentAt))
 	}, "drain: "},
 	{"request that no client sent", func(r *run) {
-		r.record.arrived("other", arrivalAt(violationSentAt))
+		r.record.attemptArrived("other", arrivalAt(violationSentAt))
 	}, "which no client sent"},
 	{"crash", func(r *run) {
 		r.nodes[0].incarnations[0].exitedAt = 5 * time.Second
@@ -126,13 +126,13 @@
 }
 
 // A process that is killed in its shutdown may leave requests of the first 0.7 s unanswered, and no later ones.
-func TestCheckLooksAtRequestsOfKilledShutdown(t *testing.T) {
+func TestCheckRequestsOfKilledShutdown(t *testing.T) {
 	for name, test := range map[string]struct {
 		sentAfterTermination time.Duration
 		want                 int
 	}{
-		"early request": {mayBeKilledWithin - time.Millisecond, 0},
-		"late request":  {mayBeKilledWithin + time.Millisecond, 1},
+		"early request": {killedShutdownWindow - time.Millisecond, 0},
+		"late request":  {killedShutdownWindow + time.Millisecond, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newCheckedRun()
@@ -159,8 +159,8 @@
 	r.list.changes = append(r.list.changes,
 		listChange{revision: 2, at: 100 * time.Millisecond, state: stateRemoved},
 		listChange{revision: 3, at: 500 * time.Millisecond, incarnation: 1, state: stateInService})
-	r.list.noteNotification(0, notification{started: 150 * time.Millisecond, completed: 200 * time.Millisecond, revision: 2})
-	r.list.noteNotification(0, notification{started: 600 * time.Millisecond, completed: 650 * time.Millisecond, revision: 3})
+	r.list.recordNotification(0, notification{started: 150 * time.Millisecond, completed: 200 * time.Millisecond, revision: 2})
+	r.list.recordNotification(0, notification{started: 600 * time.Millisecond, completed: 650 * time.Millisecond, revision: 3})
 	r.addRequest(effectRepeatable, outcomeServed, arrivalAt(2*time.Second))
 	if broken := r.check(nil).Violations; len(broken) > 0 {
 		t.Error(broken)
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -15,19 +15,19 @@
 
 // How clients behave.
 const (
-	answerGrace     = 500 * time.Millisecond // after a request's deadline its answer may still come, and has no value
-	disconnectOneIn = 20                     // requests whose client disconnects before the answer
-	restOneIn       = 40
-	longestRest     = 3 * time.Second
-	shortestPauseMs = 5
-	pauseSpreadMs   = 50
-	reconnectPause  = 50 * time.Millisecond
-	connectTimeout  = time.Second
-	requestBody     = "work"
-	largeOneIn      = 20      // requests with a body, whose body is large
-	largeBody       = 100_000 // more than a node buffers
-	stubbornOneIn   = 3       // clients that ignore "Connection: close"
-	tenantName      = "t"
+	answerGrace       = 500 * time.Millisecond // after a request's deadline its answer may still come, and has no value
+	disconnectOneIn   = 20                     // requests whose client disconnects before the answer
+	idleOneIn         = 40
+	maxIdleTime       = 3 * time.Second
+	shortestPauseMs   = 5
+	pauseSpreadMs     = 50
+	reconnectPause    = 50 * time.Millisecond
+	connectTimeout    = time.Second
+	requestBody       = "work"
+	largeOneIn        = 20      // requests with a body, whose body is large
+	largeBody         = 100_000 // more than a node buffers
+	ignoresCloseOneIn = 3       // clients that ignore "Connection: close"
+	tenantName        = "t"
 )
 
 // client sends requests to one node, one after the other.
@@ -39,25 +39,25 @@
 
 	conn         net.Conn // nil: there is no connection
 	connectedAt  time.Duration
-	stubborn     bool // it uses its connection until that has ended, whatever the node says
+	ignoresClose bool // it uses its connection until that has ended, whatever the node says
 	reader       *bufio.Reader
 	sentOnConn   int
 	requestsSent int
 }
 
-// loop sends requests until the end of the run.
-func (c *client) loop() {
+// sendRequests sends requests until the end of the run.
+func (c *client) sendRequests() {
 	defer c.disconnect()
 	for !c.run.ended() {
 		c.run.sleep(time.Duration(shortestPauseMs+c.random.IntN(pauseSpreadMs)) * time.Millisecond)
-		if c.random.IntN(restOneIn) == 0 {
-			c.run.sleep(time.Duration(c.random.Int64N(int64(longestRest))))
+		if c.random.IntN(idleOneIn) == 0 {
+			c.run.sleep(time.Duration(c.random.Int64N(int64(maxIdleTime))))
 		}
 		if c.conn == nil && !c.connect() {
 			c.run.sleep(reconnectPause)
 			continue
 		}
-		c.call()
+		c.sendRequest()
 	}
 }
 
@@ -82,8 +82,8 @@
 	}
 }
 
-// call sends one request and reads its answer.
-func (c *client) call() {
+// sendRequest sends one request and reads its answer.
+func (c *client) sendRequest() {
 	class := classes[c.random.IntN(len(classes))]
 	q := &request{
 		id:          fmt.Sprintf("%s-%d", c.name, c.requestsSent),
@@ -95,12 +95,12 @@
 	c.requestsSent++
 	c.sentOnConn++
 	c.run.record.start(q, c.run.now())
-	if _, err := io.WriteString(c.conn, encode(q, c.body(q))); err != nil {
+	if _, err := io.WriteString(c.conn, encodeRequest(q, c.body(q))); err != nil {
 		c.disconnect()
 		c.finish(q, outcomeNotSent)
 		return
 	}
-	c.run.record.sentWhole(q, c.run.now())
+	c.run.record.requestSent(q, c.run.now())
 	if c.random.IntN(disconnectOneIn) == 0 {
 		c.run.sleep(time.Duration(c.random.Int64N(int64(class.deadline / 4))))
 		if c.reader.Buffered() == 0 {
@@ -124,8 +124,8 @@
 	return requestBody
 }
 
-// encode returns a request as it is sent.
-func encode(q *request, body string) string {
+// encodeRequest returns a request as it is sent.
+func encodeRequest(q *request, body string) string {
 	method := http.MethodGet
 	if q.class.effect != effectRepeatable {
 		method = http.MethodPost
@@ -162,7 +162,7 @@
 		return
 	}
 	c.finish(q, received.outcome(q))
-	if received.closesConnection && !c.stubborn {
+	if received.closesConnection && !c.ignoresClose {
 		c.disconnect()
 	}
 }
@@ -187,7 +187,7 @@
 // outcome returns what the answer means for its request.
 func (a answer) outcome(q *request) outcome {
 	switch {
-	case a.status == http.StatusOK && a.body == answerTo(q.id):
+	case a.status == http.StatusOK && a.body == expectedAnswer(q.id):
 		return outcomeServed
 	case a.status == http.StatusOK:
 		return outcomeWrongAnswer
--- a/internal/soak/delaywatch.go
+++ b/internal/soak/delaywatch.go
@@ -10,9 +10,9 @@
 
 // delayWatch measures by how much this process runs late.
 type delayWatch struct {
-	mu sync.Mutex
-	by time.Duration
-	at time.Duration
+	mu              sync.Mutex
+	longestDelay    time.Duration
+	longestDelayEnd time.Duration
 }
 
 // watch measures until the end of a run.
@@ -28,8 +28,8 @@
 func (w *delayWatch) record(by, at time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if by > w.by {
-		w.by, w.at = by, at
+	if by > w.longestDelay {
+		w.longestDelay, w.longestDelayEnd = by, at
 	}
 }
 
@@ -37,5 +37,5 @@
 func (w *delayWatch) longest() (by, at time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.by, w.at
+	return w.longestDelay, w.longestDelayEnd
 }
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -28,11 +28,11 @@
 
 // discovery is the discovery service at one address of a node.
 type discovery struct {
-	run     *run
-	node    int
-	address string
-	shift   int // its revisions are higher by so much than those of the run's list
-	forms   answerForms
+	run            *run
+	node           int
+	address        string
+	revisionOffset int // its revisions are higher by so much than those of the run's list
+	forms          answerForms
 
 	mu        sync.Mutex
 	server    *http.Server // nil: it does not listen
@@ -54,7 +54,7 @@
 		reset:    make(chan struct{}),
 	}
 	if r.options.VaryLists {
-		d.shift = (1 - number) * revisionShift
+		d.revisionOffset = (1 - number) * firstAddressRevisionOffset
 		d.forms.random = rand.New(rand.NewPCG(r.options.Seed, uint64(listFormStream+2*node+number)))
 	}
 	d.serve(listener)
@@ -98,7 +98,7 @@
 		d.reset = make(chan struct{})
 	}
 	d.mu.Unlock()
-	d.run.nodes[d.node].noteReachability()
+	d.run.nodes[d.node].recordReachability()
 }
 
 // silenceWatches has all watches that are open now receive nothing any more.
@@ -134,14 +134,14 @@
 	query := r.URL.Query()
 	watch := query.Has("since")
 	revision, _ := strconv.Atoi(query.Get("since")) // 0 where it is missing: all changes
-	revision -= d.shift
-	if newest := d.run.list.newest(); !watch || revision > newest {
+	revision -= d.revisionOffset
+	if newest := d.run.list.newestRevision(); !watch || revision > newest {
 		revision = 0 // a revision of another address says nothing here
 	}
 	timeoutMs, _ := strconv.Atoi(query.Get("timeout_ms")) // 0 where it is missing: the answer comes at once
 	timeout := time.After(time.Duration(timeoutMs) * time.Millisecond)
 	for {
-		lines, newest, changed := d.run.list.since(revision)
+		lines, newest, changed := d.run.list.changesSince(revision)
 		if len(lines) > 0 || !watch || timeoutMs == 0 {
 			d.answer(w, r, newest, !watch, lines)
 			return
@@ -167,7 +167,7 @@
 // a change of the address, nothing can be written: that is kept for the report.
 func (d *discovery) answer(w http.ResponseWriter, r *http.Request, revision int, full bool, lines []listChange) {
 	if r.Context().Err() != nil {
-		d.run.nodes[d.node].log.note(fmt.Sprintf("call ended by the node before its answer with revision %d", revision))
+		d.run.nodes[d.node].log.recordEvent(fmt.Sprintf("call ended by the node before its answer with revision %d", revision))
 		return
 	}
 	form := d.forms.next()
@@ -177,14 +177,14 @@
 	}
 	if form.fullList && !full {
 		full = true
-		lines, revision, _ = d.run.list.since(0)
+		lines, revision, _ = d.run.list.changesSince(0)
 	}
 	if full {
 		lines = form.lines(lines)
 	}
-	answer := listAnswer{Revision: revision + d.shift, Full: full, Targets: d.run.nodes[d.node].targets(lines)}
+	answer := listAnswer{Revision: revision + d.revisionOffset, Full: full, Targets: d.run.nodes[d.node].targets(lines)}
 	started := d.run.now()
 	if form.write(w, form.body(answer)) == nil {
-		d.run.list.noteNotification(d.node, notification{started, d.run.now(), revision})
+		d.run.list.recordNotification(d.node, notification{started, d.run.now(), revision})
 	}
 }
--- a/internal/soak/endpointlist.go
+++ b/internal/soak/endpointlist.go
@@ -64,7 +64,7 @@
 func (l *endpointList) set(backend int, state endpointState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	change := l.last(backend)
+	change := l.lastChange(backend)
 	change.state = state
 	l.add(change)
 }
@@ -73,15 +73,15 @@
 func (l *endpointList) addIncarnation(backend int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	change := l.last(backend)
+	change := l.lastChange(backend)
 	change.state = stateInService
 	change.incarnation++
 	change.bootMs = time.Now().UnixMilli()
 	l.add(change)
 }
 
-// newest returns the newest revision.
-func (l *endpointList) newest() int {
+// newestRevision returns the newestRevision revision.
+func (l *endpointList) newestRevision() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changes[len(l.changes)-1].revision
@@ -90,22 +90,22 @@
 // setAll changes the state of those backends that are in service, in one revision, which it returns.
 func (l *endpointList) setAll(backends []int, state endpointState) (revision int) {
 	inService := func(last listChange) bool { return last.state == stateInService }
-	return l.changeThose(backends, inService, state)
+	return l.changeMatching(backends, inService, state)
 }
 
 // restore puts those backends that a revision has changed last back into service, in one revision.
 func (l *endpointList) restore(backends []int, revision int) {
 	changedThen := func(last listChange) bool { return last.revision == revision }
-	l.changeThose(backends, changedThen, stateInService)
+	l.changeMatching(backends, changedThen, stateInService)
 }
 
-// changeThose changes the state of those backends whose last change matches, in one revision, which it returns.
-func (l *endpointList) changeThose(backends []int, matches func(listChange) bool, state endpointState) (revision int) {
+// changeMatching changes the state of those backends whose last change matches, in one revision, which it returns.
+func (l *endpointList) changeMatching(backends []int, matches func(listChange) bool, state endpointState) (revision int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var changed []listChange
 	for _, backend := range backends {
-		if change := l.last(backend); matches(change) {
+		if change := l.lastChange(backend); matches(change) {
 			change.state = state
 			changed = append(changed, change)
 		}
@@ -134,8 +134,8 @@
 	l.changed = make(chan struct{})
 }
 
-// last returns the last change of a backend. The caller holds the mutex.
-func (l *endpointList) last(backend int) (last listChange) {
+// lastChange returns the lastChange change of a backend. The caller holds the mutex.
+func (l *endpointList) lastChange(backend int) (last listChange) {
 	for _, change := range l.changes {
 		if change.backend == backend {
 			last = change
@@ -144,9 +144,9 @@
 	return last
 }
 
-// since returns the last change of each incarnation that changed after a revision, the newest revision, and a channel that is closed at the
+// changesSince returns the last change of each incarnation that changed after a revision, the newest revision, and a channel that is closed at the
 // next change.
-func (l *endpointList) since(revision int) (lines []listChange, newest int, changed <-chan struct{}) {
+func (l *endpointList) changesSince(revision int) (lines []listChange, newest int, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	positions := map[endpointID]int{}
@@ -165,8 +165,8 @@
 	return lines, newest, l.changed
 }
 
-// notifiedTo returns the list as a node was last notified of it, and its revision.
-func (l *endpointList) notifiedTo(node int) (revision int, lines []listChange) {
+// lastNotifiedList returns the list as a node was last notified of it, and its revision.
+func (l *endpointList) lastNotifiedList(node int) (revision int, lines []listChange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	revision = firstRevision
@@ -187,8 +187,8 @@
 	return revision, lines
 }
 
-// noteNotification records an answer to a node.
-func (l *endpointList) noteNotification(node int, n notification) {
+// recordNotification records an answer to a node.
+func (l *endpointList) recordNotification(node int, n notification) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.notifications[node] = append(l.notifications[node], n)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -15,7 +15,7 @@
 	NodeKilled          Kind = "node killed"     // SIGKILL; it starts again later with the list that it was last notified of
 	NodeStopped         Kind = "node stopped"    // SIGTERM; it starts again after it has exited
 	NodeStalled         Kind = "node held up"    // SIGSTOP for up to 0.15 s, again and again
-	NodeMoved           Kind = "discovery moved" // SIGHUP with another address of discovery
+	DiscoveryMoved      Kind = "discovery moved" // SIGHUP with another address of discovery
 	DiscoveryDown       Kind = "discovery down"  // calls and watches are reset
 	DiscoveryBusy       Kind = "discovery busy"  // calls wait, and are rejected
 	DiscoverySlow       Kind = "discovery slow"  // answers come late
@@ -25,7 +25,7 @@
 	BackendCrashed      Kind = "backend crashed" // its process dies, and the list says so later
 	BackendHangs        Kind = "backend hangs"   // requests are answered only after the fault
 	BackendResets       Kind = "backend resets"  // connections are reset after requests have run
-	BackendRefuses      Kind = "backend refuses" // 503, marked as never run
+	BackendRejects      Kind = "backend refuses" // 503, marked as never run
 	BackendSendsGarbage Kind = "backend garbles" // answers are not HTTP
 	SitePowerLost       Kind = "power of a site" // a third of the nodes and of the backends die together, and come back together
 	BackendsRemoved     Kind = "backends gone"   // many or all are off the list at once, answer all along, and come back together
@@ -37,7 +37,7 @@
 	NodeKilled,
 	NodeStopped,
 	NodeStalled,
-	NodeMoved,
+	DiscoveryMoved,
 	DiscoveryDown,
 	DiscoveryBusy,
 	DiscoverySlow,
@@ -47,7 +47,7 @@
 	BackendCrashed,
 	BackendHangs,
 	BackendResets,
-	BackendRefuses,
+	BackendRejects,
 	BackendSendsGarbage,
 }
 
@@ -68,7 +68,7 @@
 // How schedules are drawn.
 const (
 	firstFault     = 1500 * time.Millisecond
-	quietEnd       = 4 * time.Second // no fault starts in it
+	faultFreeEnd   = 4 * time.Second // no fault starts in it
 	meanFaultPause = 350 * time.Millisecond
 	shortestFault  = 200 * time.Millisecond
 	faultSpread    = 7 * time.Second
@@ -86,14 +86,14 @@
 	listFormStream   = 1000            // and further ones for each discovery
 	allBackendsOneIn = 2
 	listDrainsOneIn  = 3
-	quietEndOfLosses = quietEnd + 2*time.Second
+	listFaultFreeEnd = faultFreeEnd + 2*time.Second
 )
 
-// draw returns the schedule of a seed. Faults overlap, and some schedules have the power loss of a site on top of them.
-func draw(options Options) []Fault {
+// drawSchedule returns the schedule of a seed. Faults overlap, and some schedules have the power loss of a site on top of them.
+func drawSchedule(options Options) []Fault {
 	random := rand.New(rand.NewPCG(options.Seed, 0))
 	var plan []Fault
-	for at := firstFault; at < options.Length-quietEnd; at += time.Duration(random.Int64N(int64(2 * meanFaultPause))) {
+	for at := firstFault; at < options.Length-faultFreeEnd; at += time.Duration(random.Int64N(int64(2 * meanFaultPause))) {
 		plan = append(plan, drawFault(random, options, at))
 	}
 	if random.IntN(powerLossOneIn) == 0 || options.Seed%powerLossSeedsStep == 0 {
@@ -113,7 +113,7 @@
 // drawListFaults draws losses of many backends at once, one after the other.
 func drawListFaults(options Options) (plan []Fault) {
 	random := rand.New(rand.NewPCG(options.Seed, listFaultStream))
-	for at := firstFault; at < options.Length-quietEndOfLosses; {
+	for at := firstFault; at < options.Length-listFaultFreeEnd; {
 		fault := Fault{Kind: BackendsRemoved, Start: at}
 		if random.IntN(listDrainsOneIn) == 0 {
 			fault.Kind = BackendsDrain
@@ -141,7 +141,7 @@
 	switch fault.Kind {
 	case DiscoveryDown, DiscoveryBusy, DiscoverySlow, WatchesSilent:
 		mostTargets = options.Nodes
-	case BackendDrains, BackendRemoved, BackendCrashed, BackendHangs, BackendResets, BackendRefuses, BackendSendsGarbage:
+	case BackendDrains, BackendRemoved, BackendCrashed, BackendHangs, BackendResets, BackendRejects, BackendSendsGarbage:
 		candidates, mostTargets = options.Backends, max(options.Backends/3, 1)
 	}
 	fault.Targets = random.Perm(candidates)[:1+random.IntN(mostTargets)]
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -9,12 +9,12 @@
 
 func TestSeedDeterminesSchedule(t *testing.T) {
 	options := Options{Seed: 1, Nodes: 10, Backends: 6, Length: 16 * time.Second}
-	plan := draw(options)
-	if repeated := draw(options); !reflect.DeepEqual(plan, repeated) {
+	plan := drawSchedule(options)
+	if repeated := drawSchedule(options); !reflect.DeepEqual(plan, repeated) {
 		t.Errorf("%v, then %v", plan, repeated)
 	}
 	options.Seed++
-	if other := draw(options); reflect.DeepEqual(plan, other) {
+	if other := drawSchedule(options); reflect.DeepEqual(plan, other) {
 		t.Error("another seed draws the same schedule")
 	}
 }
@@ -23,9 +23,9 @@
 	options := Options{Nodes: 10, Backends: 6, Length: 16 * time.Second}
 	counts := map[Kind]int{}
 	for options.Seed = range 30 {
-		for _, fault := range draw(options) {
+		for _, fault := range drawSchedule(options) {
 			counts[fault.Kind]++
-			if fault.Start < firstFault || fault.Start >= options.Length-quietEnd || len(fault.Targets) == 0 {
+			if fault.Start < firstFault || fault.Start >= options.Length-faultFreeEnd || len(fault.Targets) == 0 {
 				t.Errorf("seed %d: %v", options.Seed, fault)
 			}
 		}
--- a/internal/soak/listform.go
+++ b/internal/soak/listform.go
@@ -14,7 +14,7 @@
 const (
 	fullListOneIn      = 3  // the full list, in place of changes
 	withoutDrainsOneIn = 2  // of these without backends that drain
-	oddEntryOneIn      = 4  // with an entry that cannot be read
+	invalidEntryOneIn  = 4  // with an entry that cannot be read
 	doubleEntryOneIn   = 6  // of full lists with a second entry for each backend that drains
 	indentOneIn        = 3  // over several lines
 	listPiecesOneIn    = 4  // in pieces
@@ -24,15 +24,15 @@
 const (
 	answerPieces = 3
 	pieceDelay   = 60 * time.Millisecond
-	// revisionShift is by how much the revisions at a node's first address of discovery are higher than those at its second: each move
+	// firstAddressRevisionOffset is by how much the revisions at a node's first address of discovery are higher than those at its second: each move
 	// has revisions start over.
-	revisionShift = 1000
-	oddEntry      = `{"uid":"odd","endpoint":"nowhere","az":"z","state":"resting"}`
+	firstAddressRevisionOffset = 1000
+	invalidEntry               = `{"uid":"odd","endpoint":"nowhere","az":"z","state":"resting"}`
 )
 
 // answerForm is the form of one answer of discovery.
 type answerForm struct {
-	fullList, withoutDrains, oddEntry, doubleEntry, indent, pieces, reset bool
+	fullList, withoutDrains, invalidEntry, doubleEntry, indent, pieces, reset bool
 }
 
 // answerForms draws the forms of a discovery's answers. The zero value draws the usual form alone.
@@ -50,7 +50,7 @@
 	return answerForm{
 		fullList:      f.random.IntN(fullListOneIn) == 0,
 		withoutDrains: f.random.IntN(withoutDrainsOneIn) == 0,
-		oddEntry:      f.random.IntN(oddEntryOneIn) == 0,
+		invalidEntry:  f.random.IntN(invalidEntryOneIn) == 0,
 		doubleEntry:   f.random.IntN(doubleEntryOneIn) == 0,
 		indent:        f.random.IntN(indentOneIn) == 0,
 		pieces:        f.random.IntN(listPiecesOneIn) == 0,
@@ -79,8 +79,8 @@
 		answer.Targets = nil // null
 	}
 	body, _ := json.Marshal(answer) // it has nothing that cannot be encoded
-	if f.oddEntry && len(answer.Targets) > 0 {
-		body = bytes.Replace(body, []byte(`"targets":[`), []byte(`"targets":[`+oddEntry+`,`), 1)
+	if f.invalidEntry && len(answer.Targets) > 0 {
+		body = bytes.Replace(body, []byte(`"targets":[`), []byte(`"targets":[`+invalidEntry+`,`), 1)
 	}
 	if f.indent {
 		var indented bytes.Buffer
--- a/internal/soak/logwatch.go
+++ b/internal/soak/logwatch.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// note keeps a line of this process beside those on discovery.
-func (l *logWatch) note(text string) {
+// recordEvent keeps a line of this process beside those on discovery.
+func (l *logWatch) recordEvent(text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.discovery = append(l.discovery, fmt.Sprintf("%.3f soak: %s", l.run.now().Seconds(), text))
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -27,7 +27,7 @@
 	listen     string
 	configPath string
 	log        *logWatch
-	faulted    sync.Mutex // held by the fault that starts, stops or signals the process
+	faultMu    sync.Mutex // held by the fault that starts, stops or signals the process
 
 	mu              sync.Mutex
 	activeDiscovery int // the one that the configuration names
@@ -53,8 +53,8 @@
 		configPath: filepath.Join(r.options.Dir, fmt.Sprintf("n%d.json", index)),
 		log:        &logWatch{run: r},
 	}
-	if r.hasCrowd(index) {
-		n.log.allowed = crowdTexts
+	if r.hasIdleConnections(index) {
+		n.log.allowed = idleConnectionLogTexts
 	}
 	for i := range n.discovery {
 		d, err := newDiscovery(r, index, i)
@@ -192,8 +192,8 @@
 
 // shutDown terminates the process at the end of the run, as in a planned stop.
 func (n *node) shutDown() {
-	n.faulted.Lock()
-	defer n.faulted.Unlock()
+	n.faultMu.Lock()
+	defer n.faultMu.Unlock()
 	n.terminate(terminateOnce)
 }
 
@@ -208,7 +208,7 @@
 	if err != nil {
 		return err
 	}
-	n.noteReachability()
+	n.recordReachability()
 	n.signal(syscall.SIGHUP)
 	go func() {
 		time.Sleep(migrationOverlap)
@@ -217,10 +217,10 @@
 	return nil
 }
 
-// owesAnswer reports whether the process to which a client was connected had to answer a request: one that was sent after
+// mustAnswer reports whether the process to which a client was connected had to answer a request: one that was sent after
 // it was ready, and that was not killed with it. If the process had been told to end before it was killed, only requests
 // of the first mayBeKilledWithin after that may be unanswered. One that ends by itself owes all that it has taken.
-func (n *node) owesAnswer(q *request) bool {
+func (n *node) mustAnswer(q *request) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i := len(n.incarnations) - 1; i >= 0; i-- {
@@ -229,7 +229,7 @@
 			continue
 		}
 		killed := p.killedAt > 0 && q.finished >= p.killedAt
-		late := p.terminatedAt > 0 && p.terminatedAt < p.killedAt && q.sent > p.terminatedAt+mayBeKilledWithin
+		late := p.terminatedAt > 0 && p.terminatedAt < p.killedAt && q.sent > p.terminatedAt+killedShutdownWindow
 		return p.ready > 0 && q.sent >= p.ready && (!killed || late)
 	}
 	return false
--- a/internal/soak/nodeconfig.go
+++ b/internal/soak/nodeconfig.go
@@ -77,13 +77,13 @@
 			LateShare:   0.5,
 		})
 	}
-	revision, lines := n.run.list.notifiedTo(n.index)
+	revision, lines := n.run.list.lastNotifiedList(n.index)
 	return nodeConfig{
 		Name:      fmt.Sprintf("n%d", n.index),
 		Listen:    n.listen,
 		Discovery: n.discovery[n.activeDiscovery].address,
 		Limits:    nodeLimits{Cores: 1, MemoryMB: 192, Sockets: nodeDescriptors},
-		Known:     listAnswer{Revision: revision + n.discovery[n.activeDiscovery].shift, Full: true, Targets: n.targets(lines)},
+		Known:     listAnswer{Revision: revision + n.discovery[n.activeDiscovery].revisionOffset, Full: true, Targets: n.targets(lines)},
 		Settings: nodeSettings{
 			Discovery: "ask",
 			Self:      n.index,
--- a/internal/soak/play.go
+++ b/internal/soak/play.go
@@ -17,8 +17,8 @@
 	discoveryMigration = 2 * time.Second // the old address has ended by then
 )
 
-// play plays a fault from its start to its end.
-func (r *run) play(fault Fault) {
+// injectFault plays a fault from its start to its end.
+func (r *run) injectFault(fault Fault) {
 	r.sleep(fault.Start - r.now())
 	if r.ended() {
 		return
@@ -32,17 +32,17 @@
 		r.disturbDiscovery(fault, discoverySlow)
 	case WatchesSilent:
 		r.eachDiscovery(fault.Targets, (*discovery).silenceWatches)
-	case NodeKilled, NodeStopped, NodeStalled, NodeMoved:
+	case NodeKilled, NodeStopped, NodeStalled, DiscoveryMoved:
 		for _, i := range fault.Targets {
-			r.schedules.Go(func() { r.playNode(fault, r.nodes[i]) })
+			r.faultsInProgress.Go(func() { r.injectNodeFault(fault, r.nodes[i]) })
 		}
 	case SitePowerLost:
-		r.losePower(fault)
+		r.injectSitePowerLoss(fault)
 	case BackendsRemoved, BackendsDrain:
-		r.loseBackends(fault)
+		r.unlistBackends(fault)
 	default:
 		for _, i := range fault.Targets {
-			r.schedules.Go(func() { r.playBackend(fault, r.backends[i]) })
+			r.faultsInProgress.Go(func() { r.injectBackendFault(fault, r.backends[i]) })
 		}
 	}
 }
@@ -53,27 +53,27 @@
 	r.eachDiscovery(fault.Targets, func(d *discovery) { d.setBehaviour(discoveryHealthy) })
 }
 
-func (r *run) eachDiscovery(nodes []int, do func(*discovery)) {
+func (r *run) eachDiscovery(nodes []int, apply func(*discovery)) {
 	for _, i := range nodes {
 		for _, d := range r.nodes[i].discovery {
-			do(d)
+			apply(d)
 		}
 	}
 }
 
-// playNode plays a fault of one node. It does nothing if another fault of that node is being played.
-func (r *run) playNode(fault Fault, n *node) {
-	if !n.faulted.TryLock() {
+// injectNodeFault plays a fault of one node. It does nothing if another fault of that node is being played.
+func (r *run) injectNodeFault(fault Fault, n *node) {
+	if !n.faultMu.TryLock() {
 		return
 	}
-	defer n.faulted.Unlock()
+	defer n.faultMu.Unlock()
 	switch fault.Kind {
 	case NodeKilled:
 		n.kill()
 		r.sleep(fault.Duration)
 		_ = n.start() // that it does not start shows in the check
 	case NodeStopped:
-		n.terminate(termination(fault.Parameter % uint64(terminationsInTotal)))
+		n.terminate(termination(fault.Parameter % uint64(terminationCount)))
 		r.sleep(fault.Duration / 4)
 		_ = n.start() // that it does not start shows in the check
 	case NodeStalled:
@@ -83,7 +83,7 @@
 			n.signal(syscall.SIGCONT)
 			r.sleep(stallPause)
 		}
-	case NodeMoved:
+	case DiscoveryMoved:
 		if n.awaitReloadable() {
 			_ = n.migrateDiscovery() // the node keeps its address of discovery then
 		}
@@ -91,12 +91,12 @@
 	}
 }
 
-// playBackend plays a fault of one backend. It does nothing if another fault of that backend is being played.
-func (r *run) playBackend(fault Fault, b *backend) {
-	if !b.faulted.TryLock() {
+// injectBackendFault plays a fault of one backend. It does nothing if another fault of that backend is being played.
+func (r *run) injectBackendFault(fault Fault, b *backend) {
+	if !b.faultMu.TryLock() {
 		return
 	}
-	defer b.faulted.Unlock()
+	defer b.faultMu.Unlock()
 	switch fault.Kind {
 	case BackendDrains:
 		r.list.set(b.index, stateDraining)
@@ -119,7 +119,7 @@
 		r.disturbBackend(fault, b, backendHangs)
 	case BackendResets:
 		r.disturbBackend(fault, b, backendResets)
-	case BackendRefuses:
+	case BackendRejects:
 		r.disturbBackend(fault, b, backendRejects)
 	case BackendSendsGarbage:
 		r.disturbBackend(fault, b, backendSendsGarbage)
@@ -132,8 +132,8 @@
 	b.setCondition(backendHealthy)
 }
 
-// loseBackends has many backends leave the list in one revision, and come back in another. They answer all along.
-func (r *run) loseBackends(fault Fault) {
+// unlistBackends has many backends leave the list in one revision, and come back in another. They answer all along.
+func (r *run) unlistBackends(fault Fault) {
 	state := stateRemoved
 	if fault.Kind == BackendsDrain {
 		state = stateDraining
@@ -143,30 +143,30 @@
 	r.list.restore(fault.Targets, revision)
 }
 
-// losePower has all nodes and backends of a site die in one moment. The backends' removal is listed while the nodes are down, and they are
+// injectSitePowerLoss has all nodes and backends of a site die in one moment. The backends' removal is listed while the nodes are down, and they are
 // back before the list says so.
-func (r *run) losePower(fault Fault) {
+func (r *run) injectSitePowerLoss(fault Fault) {
 	site := fault.Targets[0]
 	for i, n := range r.nodes {
 		if i%sites == site {
-			r.schedules.Go(func() { r.playNode(Fault{Kind: NodeKilled, Duration: fault.Duration}, n) })
+			r.faultsInProgress.Go(func() { r.injectNodeFault(Fault{Kind: NodeKilled, Duration: fault.Duration}, n) })
 		}
 	}
 	for i, b := range r.backends {
 		if i%sites == site {
-			r.schedules.Go(func() { r.losePowerOf(b, fault.Duration) })
+			r.faultsInProgress.Go(func() { r.injectBackendPowerLoss(b, fault.Duration) })
 		}
 	}
 }
 
-func (r *run) losePowerOf(b *backend, duration time.Duration) {
-	b.faulted.Lock()
-	defer b.faulted.Unlock()
-	listed := duration * 2 / 5 // then discovery lists the backend as removed
+func (r *run) injectBackendPowerLoss(b *backend, duration time.Duration) {
+	b.faultMu.Lock()
+	defer b.faultMu.Unlock()
+	removalDelay := duration * 2 / 5 // then discovery lists the backend as removed
 	b.setCondition(backendCrashed)
-	r.sleep(listed)
+	r.sleep(removalDelay)
 	r.list.set(b.index, stateRemoved)
-	r.sleep(duration - listed)
+	r.sleep(duration - removalDelay)
 	b.setCondition(backendHealthy)
 	r.sleep(duration / 2)
 	r.list.addIncarnation(b.index)
--- a/internal/soak/reachability.go
+++ b/internal/soak/reachability.go
@@ -8,8 +8,8 @@
 	reachable bool
 }
 
-// noteReachability notes whether the active discovery can be reached now.
-func (n *node) noteReachability() {
+// recordReachability notes whether the active discovery can be reached now.
+func (n *node) recordReachability() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	reachable := n.discovery[n.activeDiscovery].reachable()
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -69,8 +69,8 @@
 	r.requests[q.id] = q
 }
 
-// sentWhole records when the last byte of a request was sent.
-func (r *record) sentWhole(q *request, at time.Duration) {
+// requestSent records when the last byte of a request was sent.
+func (r *record) requestSent(q *request, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	q.sent = at
@@ -82,7 +82,7 @@
 	q.outcome, q.finished = result, at
 }
 
-func (r *record) arrived(id string, a *arrival) {
+func (r *record) attemptArrived(id string, a *arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	q := r.requests[id]
@@ -93,7 +93,7 @@
 	q.arrivals = append(q.arrivals, a)
 }
 
-func (r *record) ran(a *arrival) {
+func (r *record) attemptRan(a *arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a.ran = true
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -57,16 +57,16 @@
 
 // run is the state of one run.
 type run struct {
-	options   Options
-	started   time.Time
-	list      *endpointList
-	backends  []*backend
-	nodes     []*node
-	record    *record
-	done      <-chan struct{} // closed at the end of the run
-	clients   sync.WaitGroup
-	ownDelays delayWatch
-	schedules sync.WaitGroup
+	options          Options
+	started          time.Time
+	list             *endpointList
+	backends         []*backend
+	nodes            []*node
+	record           *record
+	done             <-chan struct{} // closed at the end of the run
+	clients          sync.WaitGroup
+	ownDelays        delayWatch
+	faultsInProgress sync.WaitGroup
 }
 
 // now returns the time since the start of the run.
@@ -102,12 +102,12 @@
 	}
 	r.clients.Go(func() { r.ownDelays.watch(r) })
 	r.startClients()
-	r.startCrowds()
-	plan := draw(options)
+	r.startIdleConnections()
+	plan := drawSchedule(options)
 	for _, fault := range plan {
-		r.schedules.Go(func() { r.play(fault) })
+		r.faultsInProgress.Go(func() { r.injectFault(fault) })
 	}
-	r.schedules.Wait()
+	r.faultsInProgress.Wait()
 	r.sleep(options.Length - r.now())
 	cancel()
 	r.clients.Wait()
@@ -150,9 +150,9 @@
 				name:   fmt.Sprintf("n%d-c%d", n.index, i),
 				random: rand.New(rand.NewPCG(r.options.Seed, stream)),
 
-				stubborn: i%stubbornOneIn == 0,
+				ignoresClose: i%ignoresCloseOneIn == 0,
 			}
-			r.clients.Go(c.loop)
+			r.clients.Go(c.sendRequests)
 		}
 	}
 }
--- a/internal/soak/termination.go
+++ b/internal/soak/termination.go
@@ -10,13 +10,13 @@
 type termination uint8
 
 const (
-	terminateOnce       termination = iota
-	terminateTwice                  // SIGTERM again 0.1 s later
-	reloadBefore                    // SIGHUP right before SIGTERM
-	reloadAfter                     // SIGHUP right after it, and 0.3 s later
-	reloadMany                      // SIGHUP ten times in 100 ms, with good and bad files, SIGTERM among them
-	stopAndContinue                 // SIGSTOP for 0.1 s in the midst
-	terminationsInTotal = stopAndContinue + 1
+	terminateOnce    termination = iota
+	terminateTwice               // SIGTERM again 0.1 s later
+	reloadBefore                 // SIGHUP right before SIGTERM
+	reloadAfter                  // SIGHUP right after it, and 0.3 s later
+	reloadMany                   // SIGHUP ten times in 100 ms, with good and bad files, SIGTERM among them
+	stopAndContinue              // SIGSTOP for 0.1 s in the midst
+	terminationCount = stopAndContinue + 1
 )
 
 // Times within the series.
@@ -30,7 +30,7 @@
 
 // signalTermination sends SIGTERM, with the other signals of a series round it, and returns when SIGTERM was sent.
 func (n *node) signalTermination(series termination) (sentAt time.Duration) {
-	term := func() {
+	sendTerm := func() {
 		sentAt = n.run.now()
 		n.signal(syscall.SIGTERM)
 	}
@@ -39,32 +39,32 @@
 	}
 	switch series {
 	case terminateTwice:
-		term()
+		sendTerm()
 		time.AfterFunc(signalPause, func() { n.signal(syscall.SIGTERM) })
 	case reloadBefore:
 		n.signal(syscall.SIGHUP)
-		term()
+		sendTerm()
 	case reloadAfter:
-		term()
+		sendTerm()
 		n.signal(syscall.SIGHUP)
 		time.AfterFunc(laterReload, func() { n.signal(syscall.SIGHUP) })
 	case reloadMany:
 		for i := range reloadCount {
 			if i == reloadCount/2 {
-				term()
+				sendTerm()
 			}
 			n.reload(i%2 == 0)
 			time.Sleep(reloadPause)
 		}
 		n.reload(false)
 	case stopAndContinue:
-		term()
+		sendTerm()
 		time.Sleep(signalPause)
 		n.signal(syscall.SIGSTOP)
 		time.Sleep(signalPause)
 		n.signal(syscall.SIGCONT)
 	default:
-		term()
+		sendTerm()
 	}
 	return sentAt
 }
