--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -124,7 +124,7 @@
 	id := r.Header.Get("X-Trace-Id")
 	a := &arrival{at: b.run.now(), node: node, backend: b.index, announced: announcedTimeout(r)}
 	b.mu.Lock()
-	condition, healed := b.condition, b.recovered
+	condition, recovered := b.condition, b.recovered
 	b.mu.Unlock()
 	b.run.record.attemptArrived(id, a)
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
@@ -138,7 +138,7 @@
 	case backendHangs:
 		b.run.record.attemptRan(a)
 		select {
-		case <-healed:
+		case <-recovered:
 			writeAnswer(w, id)
 		case <-r.Context().Done():
 		}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -122,7 +122,7 @@
 	var first *arrival
 	for _, a := range q.arrivals {
 		switch {
-		case !a.ran:
+		case !a.attemptRan:
 		case first == nil:
 			first = a
 		case q.class.effect == effectOnce:
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -33,7 +33,7 @@
 }
 
 // arrivalAt returns an arrival at the first backend that ran, from a node that does not say for how long it waits.
-func arrivalAt(at time.Duration) *arrival { return &arrival{at: at, announced: -1, ran: true} }
+func arrivalAt(at time.Duration) *arrival { return &arrival{at: at, announced: -1, attemptRan: true} }
 
 func TestCheckAcceptsServedRequest(t *testing.T) {
 	r := newCheckedRun()
--- a/internal/soak/delaywatch.go
+++ b/internal/soak/delaywatch.go
@@ -10,9 +10,9 @@
 
 // delayWatch measures by how much this process runs late.
 type delayWatch struct {
-	mu              sync.Mutex
-	longestDelay    time.Duration
-	longestDelayEnd time.Duration
+	mu      sync.Mutex
+	delay   time.Duration
+	endedAt time.Duration
 }
 
 // watch measures until the end of a run.
@@ -25,17 +25,17 @@
 	}
 }
 
-func (w *delayWatch) record(by, at time.Duration) {
+func (w *delayWatch) record(delay, endedAt time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if by > w.longestDelay {
-		w.longestDelay, w.longestDelayEnd = by, at
+	if delay > w.delay {
+		w.delay, w.endedAt = delay, endedAt
 	}
 }
 
 // longest returns the longest delay so far, and when it ended.
-func (w *delayWatch) longest() (by, at time.Duration) {
+func (w *delayWatch) longest() (delay, endedAt time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.longestDelay, w.longestDelayEnd
+	return w.delay, w.endedAt
 }
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -135,21 +135,21 @@
 	watch := query.Has("since")
 	revision, _ := strconv.Atoi(query.Get("since")) // 0 where it is missing: all changes
 	revision -= d.revisionOffset
-	if newest := d.run.list.newestRevision(); !watch || revision > newest {
+	if newestRevision := d.run.list.newestRevision(); !watch || revision > newestRevision {
 		revision = 0 // a revision of another address says nothing here
 	}
 	timeoutMs, _ := strconv.Atoi(query.Get("timeout_ms")) // 0 where it is missing: the answer comes at once
 	timeout := time.After(time.Duration(timeoutMs) * time.Millisecond)
 	for {
-		lines, newest, changed := d.run.list.changesSince(revision)
+		lines, newestRevision, changed := d.run.list.changesSince(revision)
 		if len(lines) > 0 || !watch || timeoutMs == 0 {
-			d.answer(w, r, newest, !watch, lines)
+			d.answer(w, r, newestRevision, !watch, lines)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout:
-			d.answer(w, r, newest, false, nil)
+			d.answer(w, r, newestRevision, false, nil)
 			return
 		case <-silenced:
 			<-r.Context().Done()
--- a/internal/soak/endpointlist.go
+++ b/internal/soak/endpointlist.go
@@ -135,13 +135,13 @@
 }
 
 // lastChange returns the lastChange change of a backend. The caller holds the mutex.
-func (l *endpointList) lastChange(backend int) (last listChange) {
+func (l *endpointList) lastChange(backend int) (lastChange listChange) {
 	for _, change := range l.changes {
 		if change.backend == backend {
-			last = change
+			lastChange = change
 		}
 	}
-	return last
+	return lastChange
 }
 
 // changesSince returns the last change of each incarnation that changed after a revision, the newest revision, and a channel that is closed at the
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -27,7 +27,7 @@
 	at            time.Duration
 	node, backend int
 	announced     time.Duration // for how long the node says that it waits; negative: it does not say
-	ran           bool
+	attemptRan    bool
 }
 
 // request is the record of a client's request.
@@ -46,7 +46,7 @@
 // runs returns how often the request ran.
 func (q *request) runs() (count int) {
 	for _, a := range q.arrivals {
-		if a.ran {
+		if a.attemptRan {
 			count++
 		}
 	}
@@ -96,7 +96,7 @@
 func (r *record) attemptRan(a *arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a.ran = true
+	a.attemptRan = true
 }
 
 // sorted returns all requests by the time when they were sent. The caller holds the mutex.
