--- a/internal/faultinject/kind.go
+++ b/internal/faultinject/kind.go
@@ -12,10 +12,10 @@
 	Slow          Kind = "slow"           // backends work more slowly by a factor (size)
 	Freeze        Kind = "freeze"         // backends stop working: connections stay open, requests are not answered
 	Kill          Kind = "kill"           // backends crash; they restart when the fault ends, and warm up
-	Replace       Kind = "replace"        // backends crash for good; others with new IDs take their addresses at its end
+	Replace       Kind = "replace"        // backends crash for good; at its end, ones with new IDs get their addresses
 	Drain         Kind = "drain"          // backends shut down gracefully; they restart at the fault's end, and warm up
 	Rolling       Kind = "rolling"        // backends drain and restart one after the other, evenly over the duration
-	Resets        Kind = "resets"         // a share of responses (size) is lost in a connection reset; the request has run
+	Resets        Kind = "resets"         // a share of responses (size) is lost in a reset after the request has run
 	Garbage       Kind = "garbage"        // a share of responses (size) is not valid HTTP; the request has run
 	Interim       Kind = "interim"        // informational (1xx) responses precede a share of responses (size)
 	SiteLost      Kind = "site-lost"      // all backends of a site crash; they restart when the fault ends, and warm up
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -5,41 +5,45 @@
 	"time"
 )
 
-// Limits of the rules.
+// Time limits of the rules.
 const (
+	// notificationLimit is the time for which discovery must have been reachable since a change of the list until a
+	// node counts as notified of the change, even if no answer with the change was written.
 	notificationLimit = 6 * time.Second
 	drainSlack        = 50 * time.Millisecond
-	disconnectLimit   = 100 * time.Millisecond // from a client's disconnection until no attempt starts
+	disconnectLimit   = 100 * time.Millisecond // no attempt starts later than this after its client disconnected
 	deadlineSlack     = 150 * time.Millisecond
-	// shutdownLimit is how long after SIGTERM a process is killed at the earliest.
+	// shutdownLimit is the time that a process has after SIGTERM before it is killed.
 	shutdownLimit = longestDeadline + killedShutdownWindow
-	// killedShutdownWindow is until when after SIGTERM a request may come that SIGKILL then finds unanswered.
+	// killedShutdownWindow is the time after SIGTERM in which a node may receive requests that are still unanswered
+	// when SIGKILL ends it.
 	killedShutdownWindow = 700 * time.Millisecond
-	// newClientsLimit is how long after SIGTERM new connections come.
+	// newClientsLimit is the time after SIGTERM in which clients still open new connections to a node.
 	newClientsLimit = 400 * time.Millisecond
 	readyLimit      = 10 * time.Second
 
-	// schedulingDelay is what the scheduling of this process may add to any of them.
+	// schedulingDelay is added to these limits for the delays that the scheduling of this process may cause.
 	schedulingDelay = 250 * time.Millisecond
 
-	maxViolationsWithLogs = 3 // violations, after which no logs are added
+	maxViolationsWithLogs = 3 // no log lines are added once there are more violations
 )
 
-// Result is what a run has shown.
+// Result is the outcome of a run.
 type Result struct {
-	Violations []string // violations of the rules, one line each
-	Faults     map[Kind]int
+	Violations []string     // violations of the rules, and log lines that help to explain them
+	Faults     map[Kind]int // number of faults of each kind in the schedule
 	Served     int
 	Rejected   int
 	Failed     int
 	Total      int
-	Plan       []Fault
-	// LongestDelay is the longest time for which this process, that records what clients and backends see, did not run
-	// when it was due, and LongestDelayAt when that ended. Beyond schedulingDelay its records prove little.
+	Plan       []Fault // the schedule of faults
+	// LongestDelay is the longest scheduling delay of this process, which records what clients and backends see.
+	// LongestDelayAt is the time at which this delay ended. If the delay exceeds schedulingDelay, a violation may be an
+	// artifact of late records.
 	LongestDelay, LongestDelayAt time.Duration
 }
 
-// check checks the records against the rules.
+// check checks the records of the finished run against the rules.
 func (r *run) check(plan []Fault) Result {
 	result := Result{Faults: map[Kind]int{}, Plan: plan}
 	result.LongestDelay, result.LongestDelayAt = r.ownDelays.longest()
@@ -57,7 +61,7 @@
 		}
 	}
 	for _, id := range r.record.unknown {
-		result.addViolation("a backend got %q, which no client sent", id)
+		result.addViolation("a backend received request %q, which no client sent", id)
 	}
 	for _, n := range r.nodes {
 		n.check(&result)
@@ -65,6 +69,7 @@
 	return result
 }
 
+// count adds a request to the counts of its outcome.
 func (res *Result) count(q *request) {
 	res.Total++
 	switch q.outcome {
@@ -77,11 +82,13 @@
 	}
 }
 
+// addViolation adds a formatted line to the violations.
 func (res *Result) addViolation(format string, args ...any) {
 	res.Violations = append(res.Violations, fmt.Sprintf(format, args...))
 }
 
-// addDiscoveryLog adds what a node has logged on discovery to the first violations.
+// addDiscoveryLog adds a node's log lines about discovery, unless there are more than maxViolationsWithLogs lines
+// already.
 func (res *Result) addDiscoveryLog(n *node) {
 	if len(res.Violations) > maxViolationsWithLogs {
 		return
@@ -93,7 +100,7 @@
 	}
 }
 
-// checkAnswer checks that each request that a node has accepted has one complete final answer in time.
+// checkAnswer checks that a request that its node had to answer got one complete final answer in time.
 func (r *run) checkAnswer(res *Result, q *request) {
 	n := r.nodes[q.node]
 	sent, took := q.sent.Seconds(), (q.finished - q.sent).Seconds()
@@ -105,19 +112,21 @@
 			res.addViolation("lost: %s at %.3f to node %d has no answer after %.3f s", q.id, sent, q.node, took)
 		}
 	case outcomeIncomplete:
-		// The end of a connection between two requests may cross the second, which then never runs. A new connection has no request before.
+		// A node may close an idle connection just as the client sends another request on it; that request never runs
+		// and is not lost. The first request on a connection cannot cross such a close.
 		if n.mustAnswer(q) && (q.firstOnConn || len(q.arrivals) > 0) {
-			res.addViolation("lost: %s at %.3f to node %d met the end of its connection after %.3f s, %d arrivals, new %v",
+			res.addViolation("lost: the connection of %s at %.3f to node %d ended without an answer after %.3f s, %d arrivals, first request %v",
 				q.id, sent, q.node, took, len(q.arrivals), q.firstOnConn)
 		}
 	case outcomeRejected:
 		if q.class.effect == effectOnce && q.runs() > 0 {
-			res.addViolation("duplicate: %s at %.3f was rejected, which promises that it never ran, and ran", q.id, sent)
+			res.addViolation("duplicate: %s at %.3f was rejected, which promises that it never ran, but it ran", q.id, sent)
 		}
 	}
 }
 
-// checkRuns checks that non-idempotent requests run once at most, and that keys are not repeated after their window.
+// checkRuns checks that a non-idempotent request runs at most once, and that a request with an idempotency key does not
+// run again after the idempotency window.
 func (r *run) checkRuns(res *Result, q *request) {
 	var first *arrival
 	for _, a := range q.arrivals {
@@ -133,8 +142,8 @@
 	}
 }
 
-// checkArrival checks that no attempt starts at a backend that drains or was removed, for a client that has disconnected, or with more time
-// than is left until the deadline.
+// checkArrival checks that an attempt did not start at a draining or removed backend, for a client that had
+// disconnected, or with an announced timeout longer than the time left until the deadline.
 func (r *run) checkArrival(res *Result, q *request, a *arrival) {
 	n := r.nodes[a.node]
 	if lateness, change := r.list.attemptAfterNotification(n, a); lateness > 0 {
@@ -149,12 +158,13 @@
 	}
 	remaining := q.sent + q.class.deadline - a.at
 	if a.announced >= 0 && a.announced-remaining > deadlineSlack+schedulingDelay {
-		res.addViolation("deadline: %s was announced with %.3f s, and had %.3f s left", q.id, a.announced.Seconds(), remaining.Seconds())
+		res.addViolation("deadline: %s was announced with a timeout of %.3f s, but had %.3f s left", q.id, a.announced.Seconds(), remaining.Seconds())
 	}
 }
 
-// attemptAfterNotification returns how long before an arrival its node counted as notified that the backend drains or was removed, where
-// that is longer than the rules allow, and the change; 0 where it is not. Of several changes it returns the one with the longest time.
+// attemptAfterNotification checks an arrival at a backend that is draining or removed. It returns the time between the
+// notification of the node and the arrival, and the change of the list, if that time is longer than the rules allow;
+// otherwise it returns 0. If several changes are violated, it returns the one with the longest time.
 func (l *endpointList) attemptAfterNotification(n *node, a *arrival) (worst time.Duration, violated listChange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,8 +183,9 @@
 	return worst, violated
 }
 
-// notifiedAt returns when a node counts as notified of a change: when an answer with it was written, or, at the latest, a limited time
-// after the change, in which discovery could be reached. The caller holds the mutex.
+// notifiedAt returns the time from which a node counts as notified of a change: the time when an answer with the change
+// was completely written, or, if that is earlier, the end of the first period of notificationLimit after the change in
+// which discovery was reachable without interruption. The caller holds the mutex.
 func (l *endpointList) notifiedAt(n *node, change listChange) (at time.Duration, ok bool) {
 	for _, notification := range l.notifications[n.index] {
 		if notification.revision >= change.revision && (!ok || notification.completed < at) {
@@ -187,8 +198,8 @@
 	return at, ok
 }
 
-// returnedToService reports whether a later change has put the backend back in service, and the node could know of it by a time. The caller
-// holds the mutex.
+// returnedToService reports whether a later change put the backend back in service and the node may have known of it by
+// the given time. The caller holds the mutex.
 func (l *endpointList) returnedToService(n *node, change listChange, by time.Duration) bool {
 	for _, later := range l.changes {
 		if later.backend != change.backend || later.revision <= change.revision || later.state != stateInService {
@@ -203,7 +214,7 @@
 	return false
 }
 
-// earliest returns the earlier of two times of which 0 is none.
+// earliest returns the earlier of two times. A time of 0 means that there is none.
 func earliest(a, b time.Duration) time.Duration {
 	if a == 0 || b != 0 && b < a {
 		return b
@@ -211,13 +222,13 @@
 	return a
 }
 
-// check checks that the node's processes became ready and exited in time, and logged nothing that is forbidden.
+// check checks that the node's processes became ready and exited in time, did not crash, and logged no forbidden text.
 func (n *node) check(res *Result) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i, p := range n.incarnations {
 		if p.terminatedAt > 0 && (p.killedAt > 0 || p.exitedAt-p.terminatedAt > shutdownLimit+schedulingDelay) {
-			res.addViolation("stop: process %d of node %d was told to end at %.3f and had not %.3f s later (killed at %.3f)",
+			res.addViolation("stop: process %d of node %d got SIGTERM at %.3f and had not exited %.3f s later (killed at %.3f)",
 				i, n.index, p.terminatedAt.Seconds(), shutdownLimit.Seconds(), p.killedAt.Seconds())
 		}
 		end := max(p.killedAt, p.terminatedAt)
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -11,7 +11,7 @@
 	testRequest  = "n0-c0-0"
 )
 
-// newCheckedRun returns a run without processes, whose one node has been ready since its first second.
+// newCheckedRun returns a run with one node, which has no process and is recorded as ready since second 1.
 func newCheckedRun() *run {
 	r := &run{options: Options{Nodes: 1, Backends: testBackends}, started: time.Now(), record: newRecord()}
 	r.list = newEndpointList(r, testBackends)
@@ -21,7 +21,7 @@
 	return r
 }
 
-// addRequest records a request of a class that was sent after two seconds and finished one second later.
+// addRequest records a request of a class with the given effect. It was sent at second 2 and finished at second 3.
 func (r *run) addRequest(effect string, result outcome, arrivals ...*arrival) {
 	q := &request{id: testRequest, class: class{name: "test", effect: effect, deadline: 900 * time.Millisecond}}
 	q.connectedAt = 2 * time.Second
@@ -32,7 +32,7 @@
 	r.record.finish(q, result, 3*time.Second)
 }
 
-// arrivalAt returns an arrival at the first backend that ran, from a node that does not say for how long it waits.
+// arrivalAt returns an arrival at the first backend, which ran the request. The node announced no timeout.
 func arrivalAt(at time.Duration) *arrival { return &arrival{at: at, announced: -1, attemptRan: true} }
 
 func TestCheckAcceptsServedRequest(t *testing.T) {
@@ -44,10 +44,10 @@
 	}
 }
 
-// violationSentAt is when the requests of violationCases were sent.
+// violationSentAt is the time at which the requests of violationCases were sent.
 const violationSentAt = 2 * time.Second
 
-// violationCases are runs in which one rule is broken, with a part of its report.
+// violationCases are runs that each break one rule, with a part of the line that must report it.
 var violationCases = []struct {
 	name     string
 	record   func(*run)
@@ -125,7 +125,8 @@
 	}
 }
 
-// A process that is killed in its shutdown may leave requests of the first 0.7 s unanswered, and no later ones.
+// A process that is killed during its shutdown may leave requests unanswered that were sent within 0.7 s after SIGTERM.
+// Unanswered requests that were sent later must be reported as lost.
 func TestCheckRequestsOfKilledShutdown(t *testing.T) {
 	for name, test := range map[string]struct {
 		sentAfterTermination time.Duration
@@ -153,7 +154,8 @@
 	}
 }
 
-// A backend that returned to service may get attempts again.
+// An attempt at a backend that was removed must not be reported if the node may know of the backend's return to
+// service.
 func TestCheckAcceptsAttemptAfterReturnToService(t *testing.T) {
 	r := newCheckedRun()
 	r.list.changes = append(r.list.changes,
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// How clients behave.
+// The behaviour of clients. Constants that end in OneIn mean that one in this many requests, pauses or clients does so.
 const (
-	answerGrace       = 500 * time.Millisecond // after a request's deadline its answer may still come, and has no value
-	disconnectOneIn   = 20                     // requests whose client disconnects before the answer
+	answerGrace       = 500 * time.Millisecond // time after the deadline in which a late answer may still arrive
+	disconnectOneIn   = 20                     // requests whose client disconnects before the answer arrives
 	idleOneIn         = 40
 	maxIdleTime       = 3 * time.Second
 	shortestPauseMs   = 5
@@ -24,28 +24,28 @@
 	reconnectPause    = 50 * time.Millisecond
 	connectTimeout    = time.Second
 	requestBody       = "work"
-	largeOneIn        = 20      // requests with a body, whose body is large
-	largeBody         = 100_000 // more than a node buffers
+	largeOneIn        = 20      // of the requests with a body, those whose body is large
+	largeBody         = 100_000 // in bytes; more than a node buffers
 	ignoresCloseOneIn = 3       // clients that ignore "Connection: close"
 	tenantName        = "t"
 )
 
-// client sends requests to one node, one after the other.
+// client sends requests to one node sequentially.
 type client struct {
 	run    *run
 	node   *node
 	name   string
 	random *rand.Rand
 
-	conn         net.Conn // nil: there is no connection
+	conn         net.Conn // nil while the client has no connection
 	connectedAt  time.Duration
-	ignoresClose bool // it uses its connection until that has ended, whatever the node says
+	ignoresClose bool // the client keeps its connection until it ends, even after "Connection: close"
 	reader       *bufio.Reader
 	sentOnConn   int
 	requestsSent int
 }
 
-// sendRequests sends requests until the end of the run.
+// sendRequests sends requests, with random pauses between them, until the end of the run.
 func (c *client) sendRequests() {
 	defer c.disconnect()
 	for !c.run.ended() {
@@ -61,6 +61,7 @@
 	}
 }
 
+// connect opens a connection to the node and reports whether that succeeded.
 func (c *client) connect() bool {
 	if !c.node.acceptsNewClients() {
 		return false
@@ -77,12 +78,12 @@
 
 func (c *client) disconnect() {
 	if c.conn != nil {
-		_ = c.conn.Close() // whatever it has not sent is of no use
+		_ = c.conn.Close() // an error does not matter: unsent data is not needed
 		c.conn = nil
 	}
 }
 
-// sendRequest sends one request and reads its answer.
+// sendRequest sends one request, reads its answer, unless it disconnects first, and records the outcome.
 func (c *client) sendRequest() {
 	class := classes[c.random.IntN(len(classes))]
 	q := &request{
@@ -109,11 +110,12 @@
 			return
 		}
 	}
-	_ = c.conn.SetReadDeadline(time.Now().Add(class.deadline + answerGrace + 2*schedulingDelay)) // it fails on closed connections only
+	// This fails only on closed connections.
+	_ = c.conn.SetReadDeadline(time.Now().Add(class.deadline + answerGrace + 2*schedulingDelay))
 	c.receive(q)
 }
 
-// body returns the body of a request, which is a large one at times.
+// body returns the body of a request: none for repeatable requests, and at random a large one for others.
 func (c *client) body(q *request) string {
 	switch {
 	case q.class.effect == effectRepeatable:
@@ -124,7 +126,7 @@
 	return requestBody
 }
 
-// encodeRequest returns a request as it is sent.
+// encodeRequest returns the bytes of a request as they are sent.
 func encodeRequest(q *request, body string) string {
 	method := http.MethodGet
 	if q.class.effect != effectRepeatable {
@@ -148,7 +150,7 @@
 	c.run.record.finish(q, result, c.run.now())
 }
 
-// receive reads the answer to a request and records its outcome.
+// receive reads the answer to a request, records the outcome, and closes the connection if it cannot be used again.
 func (c *client) receive(q *request) {
 	received, err := readAnswer(c.reader)
 	switch {
@@ -167,24 +169,25 @@
 	}
 }
 
-// answer is a complete answer of a node.
+// answer is an answer that a client received from a node.
 type answer struct {
 	status           int
 	body             string
 	closesConnection bool
 }
 
+// readAnswer reads one answer. If its body is incomplete, it returns an error.
 func readAnswer(reader *bufio.Reader) (answer, error) {
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return answer{}, err
 	}
-	defer func() { _ = response.Body.Close() }() // the client closes the connection after an error
+	defer func() { _ = response.Body.Close() }() // an error does not matter: the client closes the connection itself
 	body, err := io.ReadAll(response.Body)
 	return answer{status: response.StatusCode, body: string(body), closesConnection: response.Close}, err
 }
 
-// outcome returns what the answer means for its request.
+// outcome returns the outcome of the request that got this answer.
 func (a answer) outcome(q *request) outcome {
 	switch {
 	case a.status == http.StatusOK && a.body == expectedAnswer(q.id):
--- a/internal/soak/delaywatch.go
+++ b/internal/soak/delaywatch.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// delayWatchInterval is the time between two looks at the clock.
+// delayWatchInterval is the interval at which the clock is read.
 const delayWatchInterval = 5 * time.Millisecond
 
-// delayWatch measures by how much this process runs late.
+// delayWatch measures the longest scheduling delay of this process: the time by which a sleep lasts longer than
+// requested.
 type delayWatch struct {
 	mu      sync.Mutex
 	delay   time.Duration
 	endedAt time.Duration
 }
 
-// watch measures until the end of a run.
+// watch measures delays until the end of the run.
 func (w *delayWatch) watch(r *run) {
 	for before := r.now(); !r.ended(); {
 		time.Sleep(delayWatchInterval)
@@ -25,6 +26,7 @@
 	}
 }
 
+// record keeps a delay and its end if it is the longest so far.
 func (w *delayWatch) record(delay, endedAt time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -33,7 +35,7 @@
 	}
 }
 
-// longest returns the longest delay so far, and when it ended.
+// longest returns the longest delay so far and the time at which it ended.
 func (w *delayWatch) longest() (delay, endedAt time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -10,37 +10,38 @@
 	"time"
 )
 
-// discoveryBehaviour is how discovery treats calls.
+// discoveryBehaviour determines how discovery handles calls.
 type discoveryBehaviour uint8
 
 const (
 	discoveryHealthy discoveryBehaviour = iota
-	discoveryDown                       // calls are reset, and so are watches
-	discoveryBusy                       // calls wait, and are rejected with 503
-	discoverySlow                       // answers come late
+	discoveryDown                       // the connections of calls and watches are reset
+	discoveryBusy                       // calls are delayed and then rejected with 503
+	discoverySlow                       // answers are delayed
 )
 
-// How long discovery lets calls wait.
+// Delays of calls to a busy or slow discovery.
 const (
 	busyDelay = 2 * time.Second
 	slowDelay = 1500 * time.Millisecond
 )
 
-// discovery is the discovery service at one address of a node.
+// discovery is the fake discovery service at one of the two addresses that a node can use.
 type discovery struct {
 	run            *run
 	node           int
 	address        string
-	revisionOffset int // its revisions are higher by so much than those of the run's list
+	revisionOffset int // added to the revisions of the run's list in all answers
 	forms          answerForms
 
 	mu        sync.Mutex
-	server    *http.Server // nil: it does not listen
+	server    *http.Server // nil while it does not listen
 	behaviour discoveryBehaviour
-	silenced  chan struct{} // closed when all open watches become silent, and replaced
-	reset     chan struct{} // closed when all open calls are reset, and replaced
+	silenced  chan struct{} // closed and replaced when all open watches become silent
+	reset     chan struct{} // closed and replaced when all open calls are reset
 }
 
+// newDiscovery starts the discovery service at a node's first (0) or second (1) address.
 func newDiscovery(r *run, node, number int) (*discovery, error) {
 	listener, err := r.listen(node)
 	if err != nil {
@@ -61,35 +62,36 @@
 	return d, nil
 }
 
+// serve handles calls at the listener.
 func (d *discovery) serve(listener net.Listener) {
 	server := &http.Server{Handler: http.HandlerFunc(d.handle), ReadHeaderTimeout: headerTimeout}
 	d.server = server
-	go func() { _ = server.Serve(listener) }() // it returns when discovery stops listening
+	go func() { _ = server.Serve(listener) }() // returns an error when discovery stops listening
 }
 
-// startListening listens again after stopListening.
+// startListening listens again after stopListening. It has no effect on a discovery that listens.
 func (d *discovery) startListening() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.server != nil {
 		return
 	}
-	if listener, err := net.Listen("tcp", d.address); err == nil { // else the node finds discovery down
+	if listener, err := net.Listen("tcp", d.address); err == nil { // after an error, the node cannot reach discovery
 		d.serve(listener)
 	}
 }
 
-// stopListening ends all connections and accepts no more.
+// stopListening closes all connections and accepts no new ones.
 func (d *discovery) stopListening() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.server != nil {
-		_ = d.server.Close() // whatever is open is to end
+		_ = d.server.Close() // an error does not matter: all connections are to end
 		d.server = nil
 	}
 }
 
-// setBehaviour changes how calls are treated from now on.
+// setBehaviour changes how calls are handled from now on. A change to discoveryDown resets open calls as well.
 func (d *discovery) setBehaviour(behaviour discoveryBehaviour) {
 	d.mu.Lock()
 	d.behaviour = behaviour
@@ -101,7 +103,7 @@
 	d.run.nodes[d.node].recordReachability()
 }
 
-// silenceWatches has all watches that are open now receive nothing any more.
+// silenceWatches stops answering the watches that are open now; their connections stay open.
 func (d *discovery) silenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,13 +111,14 @@
 	d.silenced = make(chan struct{})
 }
 
-// reachable reports whether calls are answered.
+// reachable reports whether calls are answered with a list.
 func (d *discovery) reachable() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.behaviour == discoveryHealthy || d.behaviour == discoverySlow
 }
 
+// handle answers a call or a watch as the behaviour demands. A watch waits for a change of the list or for its timeout.
 func (d *discovery) handle(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	behaviour, silenced, reset := d.behaviour, d.silenced, d.reset
@@ -133,12 +136,12 @@
 	}
 	query := r.URL.Query()
 	watch := query.Has("since")
-	revision, _ := strconv.Atoi(query.Get("since")) // 0 where it is missing: all changes
+	revision, _ := strconv.Atoi(query.Get("since")) // 0 if it is missing: all changes are sent
 	revision -= d.revisionOffset
 	if newestRevision := d.run.list.newestRevision(); !watch || revision > newestRevision {
-		revision = 0 // a revision of another address says nothing here
+		revision = 0 // without a revision, or with one of the node's other address of discovery
 	}
-	timeoutMs, _ := strconv.Atoi(query.Get("timeout_ms")) // 0 where it is missing: the answer comes at once
+	timeoutMs, _ := strconv.Atoi(query.Get("timeout_ms")) // 0 if it is missing: the answer is sent at once
 	timeout := time.After(time.Duration(timeoutMs) * time.Millisecond)
 	for {
 		lines, newestRevision, changed := d.run.list.changesSince(revision)
@@ -163,11 +166,12 @@
 	}
 }
 
-// answer writes a list. The node counts as notified once it is written. To a call that the node has ended meanwhile, as at
-// a change of the address, nothing can be written: that is kept for the report.
+// answer writes a list. The node counts as notified once the list is written. If the node has canceled the call, for
+// example because it changes to its other address of discovery, nothing can be written; that is recorded for the
+// report.
 func (d *discovery) answer(w http.ResponseWriter, r *http.Request, revision int, full bool, lines []listChange) {
 	if r.Context().Err() != nil {
-		d.run.nodes[d.node].log.recordEvent(fmt.Sprintf("call ended by the node before its answer with revision %d", revision))
+		d.run.nodes[d.node].log.recordEvent(fmt.Sprintf("the node canceled a call before it was answered with revision %d", revision))
 		return
 	}
 	form := d.forms.next()
--- a/internal/soak/endpointlist.go
+++ b/internal/soak/endpointlist.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// endpointState is what discovery says of a backend.
+// endpointState is the state of a backend in discovery's list.
 type endpointState string
 
 const (
@@ -20,12 +20,12 @@
 	zoneName      = "z"
 )
 
-// listChange is a line of the endpoint list with the revision that it came with.
+// listChange is a line of the endpoint list, with the revision and the time at which it was added.
 type listChange struct {
 	revision    int
 	at          time.Duration
 	backend     int
-	incarnation int // each start of a backend is listed under an ID of its own
+	incarnation int // each return of a backend to the list has a new ID
 	state       endpointState
 	bootMs      int64
 }
@@ -35,23 +35,25 @@
 
 func (c listChange) id() endpointID { return endpointID{c.backend, c.incarnation} }
 
-// notification is an answer of discovery to a node.
+// notification records that discovery answered a node with a revision of the list.
 type notification struct {
-	started   time.Duration // from then on the node may know of it
-	completed time.Duration // from then on the node counts as notified
+	started   time.Duration // start of the answer: the node may know the revision from then on
+	completed time.Duration // end of the answer: the node counts as notified from then on
 	revision  int
 }
 
-// endpointList is the true list of backends, and the record of which node was notified of what, and when.
+// endpointList is the list of backends that discovery serves, with its history and with the record of which revision
+// each node was notified of at which time.
 type endpointList struct {
 	run *run
 
 	mu            sync.Mutex
 	changes       []listChange
-	changed       chan struct{}    // closed at the next change, and replaced
-	notifications [][]notification // by node
+	changed       chan struct{}    // closed and replaced at the next change
+	notifications [][]notification // indexed by node
 }
 
+// newEndpointList returns a list with all backends in service.
 func newEndpointList(r *run, backends int) *endpointList {
 	l := &endpointList{run: r, changed: make(chan struct{}), notifications: make([][]notification, r.options.Nodes)}
 	for i := range backends {
@@ -60,7 +62,7 @@
 	return l
 }
 
-// set changes the state of a backend's last incarnation.
+// set changes the state of a backend's latest incarnation.
 func (l *endpointList) set(backend int, state endpointState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +71,7 @@
 	l.add(change)
 }
 
-// addIncarnation lists a new incarnation of a backend as in service.
+// addIncarnation adds a new incarnation of a backend to the list, in service.
 func (l *endpointList) addIncarnation(backend int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,19 +89,22 @@
 	return l.changes[len(l.changes)-1].revision
 }
 
-// setAll changes the state of those backends that are in service, in one revision, which it returns.
+// setAll changes the state of those of the given backends that are in service. All changes belong to one new revision,
+// which it returns.
 func (l *endpointList) setAll(backends []int, state endpointState) (revision int) {
 	inService := func(last listChange) bool { return last.state == stateInService }
 	return l.changeMatching(backends, inService, state)
 }
 
-// restore puts those backends that a revision has changed last back into service, in one revision.
+// restore returns to service those of the given backends that have not changed since the given revision changed them.
+// All changes belong to one new revision.
 func (l *endpointList) restore(backends []int, revision int) {
 	changedThen := func(last listChange) bool { return last.revision == revision }
 	l.changeMatching(backends, changedThen, stateInService)
 }
 
-// changeMatching changes the state of those backends whose last change matches, in one revision, which it returns.
+// changeMatching changes the state of those of the given backends whose last change matches. All changes belong to one
+// new revision, which it returns.
 func (l *endpointList) changeMatching(backends []int, matches func(listChange) bool, state endpointState) (revision int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,7 +118,7 @@
 	return l.addAll(changed)
 }
 
-// addAll gives changes the next revision and the present time. The caller holds the mutex.
+// addAll adds changes to the list, with the next revision and the current time. The caller holds the mutex.
 func (l *endpointList) addAll(changes []listChange) (revision int) {
 	revision = l.changes[len(l.changes)-1].revision + 1
 	for _, change := range changes {
@@ -125,7 +130,7 @@
 	return revision
 }
 
-// add gives a change the next revision and the present time. The caller holds the mutex.
+// add adds a change to the list, with the next revision and the current time. The caller holds the mutex.
 func (l *endpointList) add(change listChange) {
 	change.revision = l.changes[len(l.changes)-1].revision + 1
 	change.at = l.run.now()
@@ -144,8 +149,8 @@
 	return lastChange
 }
 
-// changesSince returns the last change of each incarnation that changed after a revision, the newest revision, and a channel that is closed at the
-// next change.
+// changesSince returns the last change of each incarnation that changed after the given revision, the newest revision,
+// and a channel that is closed at the next change.
 func (l *endpointList) changesSince(revision int) (lines []listChange, newest int, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,7 +170,8 @@
 	return lines, newest, l.changed
 }
 
-// lastNotifiedList returns the list as a node was last notified of it, and its revision.
+// lastNotifiedList returns the newest revision that a node was notified of, and the list at that revision without
+// removed backends.
 func (l *endpointList) lastNotifiedList(node int) (revision int, lines []listChange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -187,21 +193,21 @@
 	return revision, lines
 }
 
-// recordNotification records an answer to a node.
+// recordNotification records an answer of discovery to a node.
 func (l *endpointList) recordNotification(node int, n notification) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.notifications[node] = append(l.notifications[node], n)
 }
 
-// listAnswer is a list in discovery's form: all endpoints, or the changes since a revision.
+// listAnswer is an answer of discovery in its JSON form: all endpoints, or the changes since a revision.
 type listAnswer struct {
 	Revision int      `json:"rev"`
 	Full     bool     `json:"all"`
 	Targets  []target `json:"targets"`
 }
 
-// target is an endpoint in discovery's form.
+// target is an endpoint in the JSON form of discovery's answers.
 type target struct {
 	ID           string        `json:"uid"`
 	Address      string        `json:"endpoint"`
@@ -212,9 +218,10 @@
 	BootMs       int64         `json:"boot_ms"`
 }
 
-// targets returns lines in discovery's form, with the addresses at which this node reaches the backends.
+// targets returns lines of the list in the JSON form of discovery's answers, with the addresses at which this node
+// reaches the backends.
 func (n *node) targets(lines []listChange) []target {
-	targets := []target{} // an empty list is not null
+	targets := []target{} // not nil, so that an empty list is encoded as [] instead of null
 	for _, line := range lines {
 		targets = append(targets, target{
 			ID:           fmt.Sprintf("b%d-%d", line.backend, line.incarnation),
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -7,32 +7,33 @@
 	"time"
 )
 
-// Kind is a kind of fault.
+// Kind is the name of a kind of fault, as it appears in reports.
 type Kind string
 
-// The kinds.
+// The kinds of faults. Backends that are only removed from the list or listed as draining keep answering requests.
 const (
-	NodeKilled          Kind = "node killed"     // SIGKILL; it starts again later with the list that it was last notified of
-	NodeStopped         Kind = "node stopped"    // SIGTERM; it starts again after it has exited
-	NodeStalled         Kind = "node held up"    // SIGSTOP for up to 0.15 s, again and again
-	DiscoveryMoved      Kind = "discovery moved" // SIGHUP with another address of discovery
-	DiscoveryDown       Kind = "discovery down"  // calls and watches are reset
-	DiscoveryBusy       Kind = "discovery busy"  // calls wait, and are rejected
-	DiscoverySlow       Kind = "discovery slow"  // answers come late
-	WatchesSilent       Kind = "watches silent"  // watches that are open are never answered
-	BackendDrains       Kind = "backend drains"  // it is listed as draining, then as removed, and answers all along
-	BackendRemoved      Kind = "backend gone"    // it is off the list at once, and answers all along
-	BackendCrashed      Kind = "backend crashed" // its process dies, and the list says so later
-	BackendHangs        Kind = "backend hangs"   // requests are answered only after the fault
-	BackendResets       Kind = "backend resets"  // connections are reset after requests have run
-	BackendRejects      Kind = "backend refuses" // 503, marked as never run
-	BackendSendsGarbage Kind = "backend garbles" // answers are not HTTP
-	SitePowerLost       Kind = "power of a site" // a third of the nodes and of the backends die together, and come back together
-	BackendsRemoved     Kind = "backends gone"   // many or all are off the list at once, answer all along, and come back together
-	BackendsDrain       Kind = "backends drain"  // the same, as draining
+	NodeKilled          Kind = "node killed"     // SIGKILL; the node restarts later with its last notified list
+	NodeStopped         Kind = "node stopped"    // SIGTERM; the node restarts after it has exited
+	NodeStalled         Kind = "node held up"    // SIGSTOP for up to 0.15 s, several times
+	DiscoveryMoved      Kind = "discovery moved" // SIGHUP after a change of the configured address of discovery
+	DiscoveryDown       Kind = "discovery down"  // connections of calls and watches are reset
+	DiscoveryBusy       Kind = "discovery busy"  // calls are delayed and then rejected
+	DiscoverySlow       Kind = "discovery slow"  // answers are delayed
+	WatchesSilent       Kind = "watches silent"  // watches that are open at the start of the fault are never answered
+	BackendDrains       Kind = "backend drains"  // listed as draining, then as removed; the backend keeps answering
+	BackendRemoved      Kind = "backend gone"    // listed as removed at once; the backend keeps answering
+	BackendCrashed      Kind = "backend crashed" // the backend accepts no connections; it is listed as removed later
+	BackendHangs        Kind = "backend hangs"   // requests are answered only after the end of the fault
+	BackendResets       Kind = "backend resets"  // connections are reset after their requests have run
+	BackendRejects      Kind = "backend refuses" // requests are rejected with 503 and marked as never run
+	BackendSendsGarbage Kind = "backend garbles" // answers are not valid HTTP
+	SitePowerLost       Kind = "power of a site" // a third of the nodes and backends crash and return together
+	BackendsRemoved     Kind = "backends gone"   // one to all leave the list in one revision and return in one
+	BackendsDrain       Kind = "backends drain"  // like BackendsRemoved, but the backends are listed as draining
 )
 
-// randomKinds are the kinds that schedules draw from. The order matters: a seed draws by index.
+// randomKinds are the kinds from which schedules are drawn. Kinds are drawn by index, so another order would change the
+// schedule of each seed.
 var randomKinds = []Kind{
 	NodeKilled,
 	NodeStopped,
@@ -56,8 +57,8 @@
 	Kind      Kind
 	Start     time.Duration
 	Duration  time.Duration
-	Targets   []int // indexes of nodes or backends; the site of SitePowerLost
-	Parameter uint64
+	Targets   []int  // indexes of nodes or backends; for SitePowerLost, the index of the site
+	Parameter uint64 // random number that selects the variant of a fault of a node
 }
 
 // String describes the fault in one line.
@@ -65,31 +66,32 @@
 	return fmt.Sprintf("%.3f %s %v for %.3f", f.Start.Seconds(), f.Kind, f.Targets, f.Duration.Seconds())
 }
 
-// How schedules are drawn.
+// Parameters from which schedules are drawn.
 const (
 	firstFault     = 1500 * time.Millisecond
-	faultFreeEnd   = 4 * time.Second // no fault starts in it
+	faultFreeEnd   = 4 * time.Second // no fault starts in this time at the end of a run
 	meanFaultPause = 350 * time.Millisecond
 	shortestFault  = 200 * time.Millisecond
 	faultSpread    = 7 * time.Second
 
 	sites              = 3
 	powerLossOneIn     = 8
-	powerLossSeedsStep = 4 // every seed that this divides has a power loss
+	powerLossSeedsStep = 4 // seeds that are a multiple of this always have a power loss
 	powerLossDelay     = time.Second
 	powerLossDuration  = 5 * time.Second
 
 	shortestListLoss = 500 * time.Millisecond
 	listLossSpread   = 4 * time.Second
-	longestListPause = 4 * time.Second // from one loss to the next
-	listFaultStream  = 1               // of the seed's random numbers, so that these faults leave the others as they are
-	listFormStream   = 1000            // and further ones for each discovery
+	longestListPause = 4 * time.Second // maximum time between two losses
+	listFaultStream  = 1               // random stream of their own, so that these faults do not change the others
+	listFormStream   = 1000            // first of the random streams of the discoveries' answer forms
 	allBackendsOneIn = 2
 	listDrainsOneIn  = 3
 	listFaultFreeEnd = faultFreeEnd + 2*time.Second
 )
 
-// drawSchedule returns the schedule of a seed. Faults overlap, and some schedules have the power loss of a site on top of them.
+// drawSchedule returns the schedule of a seed. Faults overlap, and some schedules contain the power loss of a site as
+// well.
 func drawSchedule(options Options) []Fault {
 	random := rand.New(rand.NewPCG(options.Seed, 0))
 	var plan []Fault
@@ -110,7 +112,7 @@
 	return plan
 }
 
-// drawListFaults draws losses of many backends at once, one after the other.
+// drawListFaults draws faults in which many backends leave the list at once. These faults do not overlap each other.
 func drawListFaults(options Options) (plan []Fault) {
 	random := rand.New(rand.NewPCG(options.Seed, listFaultStream))
 	for at := firstFault; at < options.Length-listFaultFreeEnd; {
@@ -131,7 +133,7 @@
 	return plan
 }
 
-// drawFault draws one fault. The order of the draws is part of what a seed means.
+// drawFault draws one fault. The order of its draws must not change, since a seed would then give another schedule.
 func drawFault(random *rand.Rand, options Options, at time.Duration) Fault {
 	fault := Fault{Start: at}
 	fault.Kind = randomKinds[random.IntN(len(randomKinds))]
--- a/internal/soak/listform.go
+++ b/internal/soak/listform.go
@@ -10,37 +10,38 @@
 	"time"
 )
 
-// How often answers of discovery have an unusual form, where a run varies them: one in so many.
+// How often answers of discovery have an unusual form in a run that varies them: one in this many.
 const (
-	fullListOneIn      = 3  // the full list, in place of changes
-	withoutDrainsOneIn = 2  // of these without backends that drain
-	invalidEntryOneIn  = 4  // with an entry that cannot be read
-	doubleEntryOneIn   = 6  // of full lists with a second entry for each backend that drains
-	indentOneIn        = 3  // over several lines
-	listPiecesOneIn    = 4  // in pieces
-	listResetOneIn     = 10 // a reset in place of an answer
+	fullListOneIn      = 3  // the full list instead of the changes
+	withoutDrainsOneIn = 2  // of full lists, without backends that are draining
+	invalidEntryOneIn  = 4  // with an invalid entry
+	doubleEntryOneIn   = 6  // of full lists, with a second entry for each backend that is draining
+	indentOneIn        = 3  // indented, on several lines
+	listPiecesOneIn    = 4  // in several pieces
+	listResetOneIn     = 10 // a connection reset instead of an answer
 )
 
 const (
 	answerPieces = 3
 	pieceDelay   = 60 * time.Millisecond
-	// firstAddressRevisionOffset is by how much the revisions at a node's first address of discovery are higher than those at its second: each move
-	// has revisions start over.
+	// firstAddressRevisionOffset is added to the revisions at a node's first address of discovery but not to those at
+	// its second. Each change of the address thus confronts the node with another sequence of revisions.
 	firstAddressRevisionOffset = 1000
 	invalidEntry               = `{"uid":"odd","endpoint":"nowhere","az":"z","state":"resting"}`
 )
 
-// answerForm is the form of one answer of discovery.
+// answerForm determines the form of one answer of discovery.
 type answerForm struct {
 	fullList, withoutDrains, invalidEntry, doubleEntry, indent, pieces, reset bool
 }
 
-// answerForms draws the forms of a discovery's answers. The zero value draws the usual form alone.
+// answerForms draws the forms of a discovery's answers at random. The zero value always returns the usual form.
 type answerForms struct {
 	mutex  sync.Mutex
-	random *rand.Rand // nil: the usual form
+	random *rand.Rand // nil if all answers have the usual form
 }
 
+// next draws the form of the next answer.
 func (f *answerForms) next() answerForm {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -58,14 +59,15 @@
 	}
 }
 
-// lines returns what a full list of this form has of all lines: none of backends that were removed.
+// lines returns the lines that a full list of this form contains. Removed backends are always left out, and draining
+// ones if the form says so.
 func (f answerForm) lines(all []listChange) []listChange {
 	return slices.DeleteFunc(all, func(line listChange) bool {
 		return line.state == stateRemoved || f.withoutDrains && line.state == stateDraining
 	})
 }
 
-// body returns an answer in this form.
+// body returns the encoded answer in this form.
 func (f answerForm) body(answer listAnswer) []byte {
 	if f.doubleEntry && answer.Full {
 		for _, entry := range answer.Targets {
@@ -76,21 +78,21 @@
 		}
 	}
 	if f.indent && len(answer.Targets) == 0 {
-		answer.Targets = nil // null
+		answer.Targets = nil // encoded as null
 	}
-	body, _ := json.Marshal(answer) // it has nothing that cannot be encoded
+	body, _ := json.Marshal(answer) // its fields can always be encoded
 	if f.invalidEntry && len(answer.Targets) > 0 {
 		body = bytes.Replace(body, []byte(`"targets":[`), []byte(`"targets":[`+invalidEntry+`,`), 1)
 	}
 	if f.indent {
 		var indented bytes.Buffer
-		_ = json.Indent(&indented, body, "", "\t") // it is valid
+		_ = json.Indent(&indented, body, "", "\t") // the body is valid JSON
 		body = indented.Bytes()
 	}
 	return body
 }
 
-// write writes a body in this form.
+// write writes an encoded answer, in pieces with delays if the form says so.
 func (f answerForm) write(w http.ResponseWriter, body []byte) error {
 	flusher, _ := w.(http.Flusher)
 	length := len(body)
--- a/internal/soak/logwatch.go
+++ b/internal/soak/logwatch.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// discoveryTexts are in log records on the endpoint list, its age, and calls to discovery.
+// discoveryTexts are texts that identify log records about the endpoint list, its age, and calls to discovery.
 var discoveryTexts = [][]byte{
 	[]byte("endpoint list"),
 	[]byte("discovery failed"),
@@ -17,7 +17,7 @@
 	[]byte("msg=draining"),
 }
 
-// forbiddenTexts are in log records and other output of a process that has broken a rule of its own.
+// forbiddenTexts are texts in log records and other output that show that a process has detected an internal error.
 var forbiddenTexts = [][]byte{
 	[]byte("invariant violated"),
 	[]byte("panic:"),
@@ -29,18 +29,18 @@
 	[]byte("invalid state transition"),
 }
 
-// logWatch is an io.Writer that keeps certain lines of a node's log.
+// logWatch is an io.Writer that receives a node's log and keeps the forbidden lines and those about discovery.
 type logWatch struct {
 	run     *run
-	allowed [][]byte // texts in records that are not forbidden for this node
+	allowed [][]byte // lines with one of these texts are not forbidden for this node
 
 	mu         sync.Mutex
-	incomplete []byte   // the last line, so far
+	incomplete []byte   // the start of a line whose end has not been written yet
 	forbidden  []string // lines with a forbidden text
-	discovery  []string // lines on discovery, each with the time when it was written
+	discovery  []string // lines about discovery, each with the time when it was written
 }
 
-// Write reads the lines that are complete.
+// Write examines each complete line.
 func (l *logWatch) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,13 +60,14 @@
 	}
 }
 
-// recordEvent keeps a line of this process beside those on discovery.
+// recordEvent adds an event of this process to the lines about discovery.
 func (l *logWatch) recordEvent(text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.discovery = append(l.discovery, fmt.Sprintf("%.3f soak: %s", l.run.now().Seconds(), text))
 }
 
+// containsAny reports whether a line contains any of the texts.
 func containsAny(line []byte, texts [][]byte) bool {
 	return slices.ContainsFunc(texts, func(text []byte) bool { return bytes.Contains(line, text) })
 }
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -13,39 +13,41 @@
 const (
 	readyPollInterval = 20 * time.Millisecond
 	readyPollTimeout  = 500 * time.Millisecond
-	// reloadableAfter is how long after its start a process gets SIGHUP at the earliest.
+	// reloadableAfter is the minimum age of a process that is sent SIGHUP.
 	reloadableAfter = time.Second
-	// migrationOverlap is how long the old address of discovery still answers after a node was told of another one.
+	// migrationOverlap is the time for which the old address of discovery still answers after a node was told to use
+	// the other one.
 	migrationOverlap = 1500 * time.Millisecond
 )
 
-// node is one process of the program at a time, with its configuration and the record of all its processes.
+// node is one node under test. It runs one process of the program at a time and keeps a record of all of them.
 type node struct {
 	run        *run
 	index      int
-	discovery  [2]*discovery // at two addresses: SIGHUP changes from one to the other
+	discovery  [2]*discovery // at two addresses: DiscoveryMoved changes from one to the other
 	listen     string
 	configPath string
 	log        *logWatch
-	faultMu    sync.Mutex // held by the fault that starts, stops or signals the process
+	faultMu    sync.Mutex // held while a fault starts, stops or signals the process
 
 	mu              sync.Mutex
-	activeDiscovery int // the one that the configuration names
+	activeDiscovery int // index in discovery of the address that the configuration names
 	command         *exec.Cmd
-	exited          chan struct{}
+	exited          chan struct{} // closed when the current process has exited
 	incarnations    []incarnation
 	reachability    []reachabilityChange
 }
 
-// incarnation is the record of one process. Times are 0 for what has not happened.
+// incarnation is the record of one process of a node. The time of an event that has not happened is 0.
 type incarnation struct {
 	started, ready time.Duration
-	terminatedAt   time.Duration // SIGTERM
-	killedAt       time.Duration // SIGKILL
+	terminatedAt   time.Duration // when SIGTERM was sent
+	killedAt       time.Duration // when SIGKILL was sent
 	exitedAt       time.Duration
 	exitStatus     string
 }
 
+// newNode returns a node with its two discovery addresses. Its process is not started yet.
 func newNode(r *run, index int) (*node, error) {
 	n := &node{
 		run:        r,
@@ -68,6 +70,7 @@
 	return n, err
 }
 
+// close kills the node's process and stops its discovery addresses.
 func (n *node) close() {
 	for _, d := range n.discovery {
 		d.stopListening()
@@ -75,6 +78,7 @@
 	n.kill()
 }
 
+// start writes the configuration and starts a new process of the node.
 func (n *node) start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -92,7 +96,7 @@
 	n.incarnations = append(n.incarnations, incarnation{started: n.run.now()})
 	go func() {
 		defer close(exited)
-		_ = command.Wait() // check looks at when it exited, and the log at why
+		_ = command.Wait() // check evaluates the exit time and the exit status
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.incarnations[number].exitedAt = n.run.now()
@@ -102,12 +106,12 @@
 	return nil
 }
 
-// awaitReady polls /ready as a frontend does, and notes when the process is ready.
+// awaitReady polls /ready, as a frontend does, and records when the process becomes ready.
 func (n *node) awaitReady(number int, exited <-chan struct{}) {
 	client := http.Client{Timeout: readyPollTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		if response, err := client.Get("http://" + n.listen + "/ready"); err == nil {
-			_ = response.Body.Close() // it has no body
+			_ = response.Body.Close() // an error does not matter: the answer has no body
 			if response.StatusCode == http.StatusOK {
 				n.mu.Lock()
 				defer n.mu.Unlock()
@@ -123,15 +127,16 @@
 	}
 }
 
+// signal sends a signal to the node's process, if one was started.
 func (n *node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.command != nil {
-		_ = n.command.Process.Signal(s) // it may have exited
+		_ = n.command.Process.Signal(s) // an error does not matter: the process may have exited
 	}
 }
 
-// kill ends the process with SIGKILL and waits until it has exited.
+// kill sends SIGKILL to the process and waits until it has exited.
 func (n *node) kill() {
 	n.mu.Lock()
 	if len(n.incarnations) > 0 {
@@ -145,11 +150,13 @@
 	}
 }
 
-// terminate sends SIGTERM, and kills the process at the earliest moment that the rules allow.
+// terminate sends a sequence of signals that includes SIGTERM. If the process has not exited shutdownLimit after
+// SIGTERM, which is the earliest time that the rules allow, it kills the process.
 func (n *node) terminate(series termination) {
 	n.mu.Lock()
 	current := len(n.incarnations) - 1
-	n.incarnations[current].terminatedAt = n.run.now() // no request that comes from now on proves that the process still serves
+	// From now on, the process may stop serving at any time. The exact time of SIGTERM replaces this one below.
+	n.incarnations[current].terminatedAt = n.run.now()
 	exited := n.exited
 	n.mu.Unlock()
 	sentAt := n.signalTermination(series)
@@ -163,7 +170,8 @@
 	}
 }
 
-// acceptsNewClients reports whether a frontend sends new connections to the node: until newClientsLimit after SIGTERM.
+// acceptsNewClients reports whether a frontend would still open new connections to the node, which it does until
+// newClientsLimit after SIGTERM.
 func (n *node) acceptsNewClients() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -171,8 +179,8 @@
 	return current.terminatedAt == 0 || n.run.now() < current.terminatedAt+newClientsLimit
 }
 
-// mayBeReloaded reports whether SIGHUP may reach the process: never in its first second, nor before it is ready. One that has
-// not come so far as to catch the signal would end by it.
+// mayBeReloaded reports whether the process may be sent SIGHUP: not in its first second and not before it is ready.
+// SIGHUP ends a process that has not yet installed its signal handler.
 func (n *node) mayBeReloaded() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -180,7 +188,8 @@
 	return current.ready > 0 && n.run.now()-current.started >= reloadableAfter
 }
 
-// awaitReloadable waits until the process may get SIGHUP, and returns false where that takes too long.
+// awaitReloadable waits until the process may be sent SIGHUP. It returns false if the process is not ready for it
+// within readyLimit or if the run ends.
 func (n *node) awaitReloadable() bool {
 	for end := n.run.now() + readyLimit; !n.mayBeReloaded(); n.run.sleep(readyPollInterval) {
 		if n.run.ended() || n.run.now() > end {
@@ -190,14 +199,14 @@
 	return true
 }
 
-// shutDown terminates the process at the end of the run, as in a planned stop.
+// shutDown terminates the process at the end of the run with a single SIGTERM, as in a planned stop.
 func (n *node) shutDown() {
 	n.faultMu.Lock()
 	defer n.faultMu.Unlock()
 	n.terminate(terminateOnce)
 }
 
-// migrateDiscovery has the node change to its other address of discovery.
+// migrateDiscovery makes the node change to its other address of discovery, by SIGHUP with a new configuration.
 func (n *node) migrateDiscovery() error {
 	n.mu.Lock()
 	old := n.discovery[n.activeDiscovery]
@@ -217,9 +226,10 @@
 	return nil
 }
 
-// mustAnswer reports whether the process to which a client was connected had to answer a request: one that was sent after
-// it was ready, and that was not killed with it. If the process had been told to end before it was killed, only requests
-// of the first mayBeKilledWithin after that may be unanswered. One that ends by itself owes all that it has taken.
+// mustAnswer reports whether the process to which a client was connected had to answer a request. It had to if the
+// request was sent after the process was ready, unless the process was killed before the request finished. If the
+// process had received SIGTERM before it was killed, only requests that were sent within killedShutdownWindow after
+// SIGTERM may remain unanswered. A process that exits by itself must have answered all requests that it accepted.
 func (n *node) mustAnswer(q *request) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/soak/nodeconfig.go
+++ b/internal/soak/nodeconfig.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// nodeConfig is the configuration file of a node, in the form that the program reads.
+// nodeConfig is the configuration file of a node in its JSON form.
 type nodeConfig struct {
 	Name      string       `json:"name"`
 	Listen    string       `json:"listen"`
@@ -16,12 +16,14 @@
 	Settings  nodeSettings `json:"settings"`
 }
 
+// nodeLimits are the resource limits of a node's process.
 type nodeLimits struct {
 	Cores    int `json:"cores"`
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
+// nodeSettings are the settings of load balancing in the configuration file.
 type nodeSettings struct {
 	Discovery string          `json:"discovery"`
 	Self      int             `json:"me"`
@@ -34,11 +36,13 @@
 	Rules     settingsRules   `json:"rules"`
 }
 
+// tenantShare is a tenant and its fraction of the quota.
 type tenantShare struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
 }
 
+// classSettings are the settings of a class of requests.
 type classSettings struct {
 	Name        string  `json:"name"`
 	ObjectiveUs int64   `json:"aim_us"`
@@ -49,6 +53,7 @@
 	LateShare   float64 `json:"late_share"`
 }
 
+// settingsLimits are the limits of connections and attempts in the settings.
 type settingsLimits struct {
 	ConnectTimeoutUs int64 `json:"connect_timeout_us"`
 	KeepaliveUs      int64 `json:"keepalive_us"`
@@ -57,13 +62,15 @@
 	Cancelling       bool  `json:"cancelling"`
 }
 
+// settingsRules are the times in the settings that the rules of a run depend on.
 type settingsRules struct {
 	PollIntervalUs int64 `json:"ask_every_us"`
 	AnswerGraceUs  int64 `json:"grace_to_answer_us"`
 	DrainGraceUs   int64 `json:"drain_grace_us"`
 }
 
-// config returns the configuration with the endpoint list as this node was last notified of it. The caller holds the node's mutex.
+// config returns the node's configuration, which includes the endpoint list that the node was last notified of. The
+// caller holds the node's mutex.
 func (n *node) config() nodeConfig {
 	var profiles []classSettings
 	for _, c := range classes {
@@ -108,7 +115,7 @@
 	}
 }
 
-// writeConfig replaces the configuration file. The caller holds the node's mutex.
+// writeConfig replaces the configuration file atomically. The caller holds the node's mutex.
 func (n *node) writeConfig() error {
 	text, err := json.Marshal(n.config())
 	if err != nil {
--- a/internal/soak/play.go
+++ b/internal/soak/play.go
@@ -8,16 +8,17 @@
 const (
 	longestDiscoveryFault = 5 * time.Second
 	longestBackendFault   = 3 * time.Second
-	crashNoticeDelay      = time.Second // from a backend's crash until discovery lists it
+	crashNoticeDelay      = time.Second // from a backend's crash until it is listed as removed
 
 	stalls             = 5
 	stallPause         = 300 * time.Millisecond
 	shortestStallMs    = 50
 	stallSpreadMs      = 90
-	discoveryMigration = 2 * time.Second // the old address has ended by then
+	discoveryMigration = 2 * time.Second // longer than migrationOverlap, so that the old address is closed by then
 )
 
-// injectFault plays a fault from its start to its end.
+// injectFault waits for the start of a fault and injects it. Faults of single nodes or backends continue in goroutines
+// of faultsInProgress.
 func (r *run) injectFault(fault Fault) {
 	r.sleep(fault.Start - r.now())
 	if r.ended() {
@@ -47,12 +48,15 @@
 	}
 }
 
+// disturbDiscovery changes the behaviour of the targets' discovery for the fault's duration, but for at most
+// longestDiscoveryFault.
 func (r *run) disturbDiscovery(fault Fault, behaviour discoveryBehaviour) {
 	r.eachDiscovery(fault.Targets, func(d *discovery) { d.setBehaviour(behaviour) })
 	r.sleep(min(fault.Duration, longestDiscoveryFault))
 	r.eachDiscovery(fault.Targets, func(d *discovery) { d.setBehaviour(discoveryHealthy) })
 }
 
+// eachDiscovery applies a function to both discovery addresses of each of the nodes.
 func (r *run) eachDiscovery(nodes []int, apply func(*discovery)) {
 	for _, i := range nodes {
 		for _, d := range r.nodes[i].discovery {
@@ -61,7 +65,7 @@
 	}
 }
 
-// injectNodeFault plays a fault of one node. It does nothing if another fault of that node is being played.
+// injectNodeFault injects a fault into one node. It does nothing if another fault of that node is in progress.
 func (r *run) injectNodeFault(fault Fault, n *node) {
 	if !n.faultMu.TryLock() {
 		return
@@ -71,11 +75,11 @@
 	case NodeKilled:
 		n.kill()
 		r.sleep(fault.Duration)
-		_ = n.start() // that it does not start shows in the check
+		_ = n.start() // after an error, the SIGTERM at the end of the run finds the old process, which check reports
 	case NodeStopped:
 		n.terminate(termination(fault.Parameter % uint64(terminationCount)))
 		r.sleep(fault.Duration / 4)
-		_ = n.start() // that it does not start shows in the check
+		_ = n.start() // after an error, the SIGTERM at the end of the run finds the old process, which check reports
 	case NodeStalled:
 		for i := range stalls {
 			n.signal(syscall.SIGSTOP)
@@ -85,13 +89,13 @@
 		}
 	case DiscoveryMoved:
 		if n.awaitReloadable() {
-			_ = n.migrateDiscovery() // the node keeps its address of discovery then
+			_ = n.migrateDiscovery() // after an error, the node keeps its address of discovery
 		}
 		r.sleep(discoveryMigration)
 	}
 }
 
-// injectBackendFault plays a fault of one backend. It does nothing if another fault of that backend is being played.
+// injectBackendFault injects a fault into one backend. It does nothing if another fault of that backend is in progress.
 func (r *run) injectBackendFault(fault Fault, b *backend) {
 	if !b.faultMu.TryLock() {
 		return
@@ -126,13 +130,15 @@
 	}
 }
 
+// disturbBackend changes a backend's condition for the fault's duration, but for at most longestBackendFault.
 func (r *run) disturbBackend(fault Fault, b *backend, condition backendCondition) {
 	b.setCondition(condition)
 	r.sleep(min(fault.Duration, longestBackendFault))
 	b.setCondition(backendHealthy)
 }
 
-// unlistBackends has many backends leave the list in one revision, and come back in another. They answer all along.
+// unlistBackends lists many backends as removed or draining in one revision and as in service in a later one. They keep
+// answering requests.
 func (r *run) unlistBackends(fault Fault) {
 	state := stateRemoved
 	if fault.Kind == BackendsDrain {
@@ -143,8 +149,8 @@
 	r.list.restore(fault.Targets, revision)
 }
 
-// injectSitePowerLoss has all nodes and backends of a site die in one moment. The backends' removal is listed while the nodes are down, and they are
-// back before the list says so.
+// injectSitePowerLoss crashes all nodes and backends of a site at once. The backends are listed as removed while the
+// nodes are down. They return before they are listed as in service again.
 func (r *run) injectSitePowerLoss(fault Fault) {
 	site := fault.Targets[0]
 	for i, n := range r.nodes {
@@ -159,10 +165,12 @@
 	}
 }
 
+// injectBackendPowerLoss crashes one backend for a duration, and lists it as removed and, after its return, as in
+// service.
 func (r *run) injectBackendPowerLoss(b *backend, duration time.Duration) {
 	b.faultMu.Lock()
 	defer b.faultMu.Unlock()
-	removalDelay := duration * 2 / 5 // then discovery lists the backend as removed
+	removalDelay := duration * 2 / 5 // time from the crash until the backend is listed as removed
 	b.setCondition(backendCrashed)
 	r.sleep(removalDelay)
 	r.list.set(b.index, stateRemoved)
--- a/internal/soak/reachability.go
+++ b/internal/soak/reachability.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// reachabilityChange is when the discovery that a node calls came within reach, or out of it.
+// reachabilityChange records whether the discovery that a node calls was reachable from a time on.
 type reachabilityChange struct {
 	at        time.Duration
 	reachable bool
 }
 
-// recordReachability notes whether the active discovery can be reached now.
+// recordReachability records whether the node's active discovery is reachable now.
 func (n *node) recordReachability() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -16,8 +16,8 @@
 	n.reachability = append(n.reachability, reachabilityChange{n.run.now(), reachable})
 }
 
-// reachableFor returns when discovery had been within reach for a time without a break, all of it after a moment; ok is false if it never
-// had.
+// reachableFor returns the earliest time at which discovery had been reachable without interruption for the duration d,
+// not counting any time before after. If that never happened, ok is false.
 func (n *node) reachableFor(d, after time.Duration) (at time.Duration, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,8 +1,9 @@
-// Package soak plays overlapping faults, drawn from a seed, against real node processes on loopback, and checks what clients, backends
-// and discovery saw against the rules. A failing seed is a bug report: the same seed draws the same schedule.
+// Package soak injects overlapping faults into real node processes on loopback and checks the records of clients,
+// backends and discovery against the rules. The schedule of faults is drawn from a seed. A failing seed serves as a bug
+// report, because the same seed always gives the same schedule.
 //
-// Everything but the nodes runs in one process and on one monotonic clock. Each node reaches discovery and every backend at addresses of
-// its own, so that every record tells which node it belongs to.
+// Everything except the nodes runs in one process and uses one monotonic clock. Each node has addresses of its own for
+// discovery and for every backend, so that each record can be attributed to a node.
 package soak
 
 import (
@@ -20,20 +21,23 @@
 	Nodes    int
 	Backends int
 	Length   time.Duration
-	// VaryLists has discovery answer in all forms, with revisions that start over at each move, and lists lose many backends at once.
+	// VaryLists makes discovery vary the form of its answers and use other revisions at each of a node's addresses, and
+	// adds faults in which many backends leave the list at once.
 	VaryLists bool
-	Dir       string                               // for the nodes' configurations
+	Dir       string                               // directory for the nodes' configuration files
 	Command   func(configuration string) *exec.Cmd // returns a command that runs a node in the foreground
 }
 
-// The deployment of every run. Times are those of the settings that the nodes get.
+// Parameters of the deployment in every run. The times are also used in the settings of the nodes.
 const (
 	drainGrace        = 500 * time.Millisecond
 	longestDeadline   = 1500 * time.Millisecond
 	idempotencyWindow = 5 * time.Second
-	pollInterval      = 90 * time.Second // ten processes spread their calls as far as 300 do with the usual 10 s
-	clientsPerNode    = 4
-	nodeDescriptors   = 256
+	// pollInterval makes ten processes spread their first calls to discovery over as long a time as 300 with the usual
+	// 10 s.
+	pollInterval    = 90 * time.Second
+	clientsPerNode  = 4
+	nodeDescriptors = 256
 )
 
 // The values of a class's effect in the settings.
@@ -55,7 +59,7 @@
 	{"settle", effectByKey, 1200 * time.Millisecond},
 }
 
-// run is the state of one run.
+// run is the state of one soak run.
 type run struct {
 	options          Options
 	started          time.Time
@@ -64,7 +68,7 @@
 	nodes            []*node
 	record           *record
 	done             <-chan struct{} // closed at the end of the run
-	clients          sync.WaitGroup
+	clients          sync.WaitGroup  // goroutines of clients, idle connections and the delay watch
 	ownDelays        delayWatch
 	faultsInProgress sync.WaitGroup
 }
@@ -72,7 +76,7 @@
 // now returns the time since the start of the run.
 func (r *run) now() time.Duration { return time.Since(r.started) }
 
-// sleep waits for a time, or until the end of the run.
+// sleep waits for the given time, but at most until the end of the run.
 func (r *run) sleep(d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -90,7 +94,7 @@
 	}
 }
 
-// Run plays the schedule of a seed and returns what it has shown.
+// Run starts the nodes, injects the faults of the seed's schedule into them, and returns the result of the checks.
 func Run(ctx context.Context, options Options) (Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -117,6 +121,7 @@
 	return r.check(plan), nil
 }
 
+// startProcesses starts the backends, the discovery services and the nodes.
 func (r *run) startProcesses() error {
 	for i := range r.options.Backends {
 		b, err := newBackend(r, i, r.options.Nodes)
@@ -140,6 +145,7 @@
 	return nil
 }
 
+// startClients starts the clients of all nodes. Each client has its own random stream of the seed.
 func (r *run) startClients() {
 	for _, n := range r.nodes {
 		for i := range clientsPerNode {
@@ -157,6 +163,7 @@
 	}
 }
 
+// close stops all nodes and backends.
 func (r *run) close() {
 	for _, n := range r.nodes {
 		n.close()
--- a/internal/soak/termination.go
+++ b/internal/soak/termination.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// termination is the series of signals by which a planned stop is played.
+// termination is the sequence of signals that a planned stop sends to a node.
 type termination uint8
 
 const (
 	terminateOnce    termination = iota
-	terminateTwice               // SIGTERM again 0.1 s later
-	reloadBefore                 // SIGHUP right before SIGTERM
-	reloadAfter                  // SIGHUP right after it, and 0.3 s later
-	reloadMany                   // SIGHUP ten times in 100 ms, with good and bad files, SIGTERM among them
-	stopAndContinue              // SIGSTOP for 0.1 s in the midst
+	terminateTwice               // a second SIGTERM 0.1 s after the first
+	reloadBefore                 // SIGHUP immediately before SIGTERM
+	reloadAfter                  // SIGHUP immediately after SIGTERM and again 0.3 s later
+	reloadMany                   // SIGHUP ten times in 100 ms, with valid and invalid files, SIGTERM among them, and once more
+	stopAndContinue              // SIGSTOP for 0.1 s during the shutdown
 	terminationCount = stopAndContinue + 1
 )
 
-// Times within the series.
+// Parameters of the sequences.
 const (
 	signalPause   = 100 * time.Millisecond
 	reloadCount   = 10
@@ -28,7 +28,8 @@
 	invalidConfig = `{"listen": 1}`
 )
 
-// signalTermination sends SIGTERM, with the other signals of a series round it, and returns when SIGTERM was sent.
+// signalTermination sends the signals of a sequence and returns the time at which SIGTERM was sent. Some signals may
+// follow after its return.
 func (n *node) signalTermination(series termination) (sentAt time.Duration) {
 	sendTerm := func() {
 		sentAt = n.run.now()
@@ -69,13 +70,14 @@
 	return sentAt
 }
 
-// reload sends SIGHUP with a configuration that is valid or not.
+// reload writes a valid or an invalid configuration and sends SIGHUP.
 func (n *node) reload(invalid bool) {
 	n.mu.Lock()
 	if invalid {
-		_ = os.WriteFile(n.configPath, []byte(invalidConfig), 0o600) // the process then reads the last one
+		// After an error, here and below, the process reads the previous file.
+		_ = os.WriteFile(n.configPath, []byte(invalidConfig), 0o600)
 	} else {
-		_ = n.writeConfig() // as above
+		_ = n.writeConfig()
 	}
 	n.mu.Unlock()
 	n.signal(syscall.SIGHUP)
