--- a/cmd/tulipglade/soak_test.go
+++ b/cmd/tulipglade/soak_test.go
@@ -42,7 +42,7 @@
 // the test if less than a quarter of the requests are served.
 func runSoakSeed(t *testing.T, seed uint64, nodes int, varyLists bool) {
 	t.Helper()
-	result, err := soak.Play(context.Background(), soak.Options{
+	result, err := soak.Run(context.Background(), soak.Options{
 		Seed:      seed,
 		Nodes:     nodes,
 		Backends:  6,
--- a/internal/faultinject/fault_test.go
+++ b/internal/faultinject/fault_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testScope has six backends and three nodes, the first half of the backends in east.
+// testScope returns a scope with six backends and three nodes. The first three backends and all nodes are in site east.
 func testScope() Scope {
 	return Scope{
 		Backends: 6,
@@ -26,10 +26,10 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func TestApplyDefaultsChoosesWhatIsHit(t *testing.T) {
+func TestApplyDefaultsChoosesTargets(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault Fault
-		count int // of backends
+		count int // expected number of backends
 		size  float64
 	}{
 		"one drawn":            {Fault{Kind: Slow}, 1, 3},
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestDrawHitsProcessesWhereThereAreSome(t *testing.T) {
+func TestDrawTargetsProcessesWhenScopeHasProcesses(t *testing.T) {
 	random := RandomFaults{Count: 200, MinMs: 100, MaxMs: 5000}
 	for _, fault := range random.Draw(Scope{Processes: 3}, 60_000, newRand()) {
 		if len(fault.Processes) != 1 || fault.Processes[0] < -1 || fault.Processes[0] >= 3 {
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// The classes of testConfig.
+// Indexes of the classes in testConfig.
 const (
 	idempotent = iota
 	nonIdempotent
@@ -34,24 +34,25 @@
 )
 
 var (
-	first     = Backend{ID: 1, Site: 0, Rack: 0}
-	sameRack  = Backend{ID: 2, Site: 0, Rack: 0}
-	sameSite  = Backend{ID: 3, Site: 0, Rack: 1}
-	otherSite = Backend{ID: 4, Site: 1, Rack: 2}
+	firstBackend = Backend{ID: 1, Site: 0, Rack: 0}
+	sameRack     = Backend{ID: 2, Site: 0, Rack: 0}
+	sameSite     = Backend{ID: 3, Site: 0, Rack: 1}
+	otherSite    = Backend{ID: 4, Site: 1, Rack: 2}
 )
 
-// ruleCase plays events and names the rule that they violate; empty: none.
+// ruleCase is a sequence of events and the rule that it violates, which is empty if it violates none.
 type ruleCase struct {
-	play     func(c *Checker)
+	events   func(c *Checker)
 	violated Rule
 }
 
+// checkRules runs the events of each case and checks that its rule is reported, or that no violation is.
 func checkRules(t *testing.T, cases map[string]ruleCase) {
 	t.Helper()
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := New(testConfig(), 0)
-			test.play(c)
+			test.events(c)
 			if test.violated == "" {
 				if len(c.Violations()) > 0 {
 					t.Errorf("a violation is reported: %v", c.Violations()[0])
@@ -65,25 +66,25 @@
 	}
 }
 
-// accept has node 0 accept request 1.
+// accept records that node 0 accepted request 1.
 func accept(c *Checker, class int, deadline balancer.Time) {
 	c.RequestAccepted(0, 0, 1, class, deadline)
 }
 
-// send has node 0 send request 1.
+// send records that node 0 sent an attempt of request 1 to a backend.
 func send(c *Checker, at balancer.Time, backend Backend) { c.AttemptSent(at, 0, 1, backend) }
 
-// answer has node 0 answer request 1.
+// answer records that node 0 answered request 1.
 func answer(c *Checker, at balancer.Time, final Final) { c.RequestAnswered(at, 0, 1, final) }
 
-// sendFirst has node 0 accept request 1 and send it to the first endpoint, with this outcome at 10 ms.
+// sendFirst records that node 0 accepted request 1 and sent it to firstBackend, and that the attempt ended at 10 ms.
 func sendFirst(c *Checker, class int, outcome balancer.Outcome) {
 	accept(c, class, 9000*ms)
-	send(c, 0, first)
+	send(c, 0, firstBackend)
 	c.AttemptEnded(10*ms, 1, 0, outcome)
 }
 
-func TestOneAnswerAtItsEdges(t *testing.T) {
+func TestOneAnswerLimits(t *testing.T) {
 	checkRules(t, map[string]ruleCase{
 		"answered at the end of the grace": {func(c *Checker) {
 			accept(c, idempotent, 100*ms)
@@ -127,12 +128,12 @@
 		"sent after its answer": {func(c *Checker) {
 			accept(c, idempotent, 9)
 			answer(c, 1, Failed)
-			send(c, 2, first)
+			send(c, 2, firstBackend)
 		}, OneAnswer},
 		"sent after the client disconnected": {func(c *Checker) {
 			accept(c, idempotent, 9)
 			c.ClientDisconnected(1, 1)
-			send(c, 2, first)
+			send(c, 2, firstBackend)
 		}, OneAnswer},
 	})
 }
@@ -145,7 +146,7 @@
 		}, ""},
 		"two attempts in flight": {func(c *Checker) {
 			accept(c, idempotent, 9)
-			send(c, 0, first)
+			send(c, 0, firstBackend)
 			send(c, 1, otherSite)
 		}, NoDuplicateRun},
 		"non-idempotent, connect failed": {func(c *Checker) {
@@ -195,16 +196,17 @@
 		}, ""},
 		"at the end of the window": {func(c *Checker) {
 			sendFirst(c, keyedInRack, balancer.OutcomeReset)
-			send(c, 6000*ms, first)
+			send(c, 6000*ms, firstBackend)
 		}, ""},
 		"past the window": {func(c *Checker) {
 			sendFirst(c, keyedInRack, balancer.OutcomeReset)
-			send(c, 6001*ms, first)
+			send(c, 6001*ms, firstBackend)
 		}, NoDuplicateRun},
 	})
 }
 
-// A rejection promises the client that its retry does no harm.
+// A rejection promises the client that it may safely retry. A node breaks that promise if it rejects a request that may
+// have run and whose second run would have an effect.
 func TestNoDuplicateRunAfterRejection(t *testing.T) {
 	checkRules(t, map[string]ruleCase{
 		"may have run": {func(c *Checker) {
@@ -213,7 +215,7 @@
 		}, NoDuplicateRun},
 		"still in flight": {func(c *Checker) {
 			accept(c, nonIdempotent, 9)
-			send(c, 0, first)
+			send(c, 0, firstBackend)
 			answer(c, 1, Rejected)
 		}, NoDuplicateRun},
 		"never ran": {func(c *Checker) {
@@ -231,18 +233,19 @@
 	})
 }
 
+// acceptAndSend records that node 0 accepted request 1 and sent it to firstBackend at once.
 func acceptAndSend(c *Checker, at balancer.Time) {
 	c.RequestAccepted(at, 0, 1, idempotent, at+9000*ms)
-	send(c, at, first)
+	send(c, at, firstBackend)
 }
 
-// sendDrained sends to an endpoint of whose drain the node was notified at 0.
+// sendDrained notifies node 0 at time 0 that firstBackend is draining, and sends it a request at the given time.
 func sendDrained(c *Checker, at balancer.Time) {
 	c.NodeNotified(0, 0, 1, balancer.PhaseDraining, 0)
 	acceptAndSend(c, at)
 }
 
-func TestNoSendToDrainedAtItsEdges(t *testing.T) {
+func TestNoSendToDrainedLimits(t *testing.T) {
 	checkRules(t, map[string]ruleCase{
 		"at the end of the grace": {func(c *Checker) {
 			sendDrained(c, 500*ms)
@@ -271,19 +274,21 @@
 	})
 }
 
-// overload sends so much work over 2 s to an endpoint with the capacity of one core. Node 0 knows of its start.
+// overload sends the given amount of work over 2 s to an endpoint that has the capacity of one core. Only node 0 is
+// notified of the endpoint's start.
 func overload(c *Checker, node int, work float64) {
 	c.NodeNotified(0, 0, 1, balancer.PhaseReady, 1)
-	reach(c, node, 0, work)
+	spreadWork(c, node, 0, work)
 }
 
-func reach(c *Checker, node int, from balancer.Time, work float64) {
+// spreadWork sends the work in 200 equal attempts, one every 10 ms.
+func spreadWork(c *Checker, node int, from balancer.Time, work float64) {
 	for i := range balancer.Time(200) {
-		c.AttemptReached(from+i*10*ms, node, 1, 1, work/200, 1)
+		c.AttemptArrived(from+i*10*ms, node, 1, 1, work/200, 1)
 	}
 }
 
-func TestNoSlowStartOverloadAtItsEdges(t *testing.T) {
+func TestNoSlowStartOverloadLimits(t *testing.T) {
 	checkRules(t, map[string]ruleCase{
 		"within its budget": {func(c *Checker) {
 			overload(c, 0, 8800*ms)
@@ -296,12 +301,13 @@
 		}, ""},
 		"spread over two windows": {func(c *Checker) {
 			overload(c, 0, 6000*ms)
-			reach(c, 0, 3500*ms, 6000*ms)
+			spreadWork(c, 0, 3500*ms, 6000*ms)
 		}, ""},
 	})
 }
 
-// Completed requests are forgotten after a while: a run of any length needs memory only for what is in flight.
+// The checker must forget old completed requests and keep a bounded number of violations, so that its memory does not
+// grow with the length of the run.
 func TestMemoryIsBounded(t *testing.T) {
 	c := New(testConfig(), 0)
 	for id := balancer.RequestID(1); id < 5*maxCompleted; id++ {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -11,7 +11,7 @@
 	testRequest  = "n0-c0-0"
 )
 
-// newCheckedRun returns a run without processes, whose one node has been ready since its first second.
+// newCheckedRun returns a run with one node, which has no process and is recorded as ready since second 1.
 func newCheckedRun() *run {
 	r := &run{options: Options{Nodes: 1, Backends: testBackends}, started: time.Now(), record: newRecord()}
 	r.list = newEndpointList(r, testBackends)
@@ -21,19 +21,19 @@
 	return r
 }
 
-// addRequest records a request of a class that was sent after two seconds and finished one second later.
+// addRequest records a request of a class with the given effect. It was sent at second 2 and finished at second 3.
 func (r *run) addRequest(effect string, result outcome, arrivals ...*arrival) {
 	q := &request{id: testRequest, class: class{name: "test", effect: effect, deadline: 900 * time.Millisecond}}
 	q.connectedAt = 2 * time.Second
 	r.record.start(q, 2*time.Second)
 	for _, a := range arrivals {
-		r.record.arrived(q.id, a)
+		r.record.attemptArrived(q.id, a)
 	}
 	r.record.finish(q, result, 3*time.Second)
 }
 
-// arrivalAt returns an arrival at the first backend that ran, from a node that does not say for how long it waits.
-func arrivalAt(at time.Duration) *arrival { return &arrival{at: at, announced: -1, ran: true} }
+// arrivalAt returns an arrival at the first backend, which ran the request. The node announced no timeout.
+func arrivalAt(at time.Duration) *arrival { return &arrival{at: at, announced: -1, attemptRan: true} }
 
 func TestCheckAcceptsServedRequest(t *testing.T) {
 	r := newCheckedRun()
@@ -44,10 +44,10 @@
 	}
 }
 
-// violationSentAt is when the requests of violationCases were sent.
+// violationSentAt is the time at which the requests of violationCases were sent.
 const violationSentAt = 2 * time.Second
 
-// violationCases are runs in which one rule is broken, with a part of its report.
+// violationCases are runs that each break one rule, with a part of the line that must report it.
 var violationCases = []struct {
 	name     string
 	record   func(*run)
@@ -84,11 +84,11 @@
 	}, "deadline: "},
 	{"attempt at a removed backend", func(r *run) {
 		r.list.changes = append(r.list.changes, listChange{revision: 2, at: 100 * time.Millisecond, state: stateRemoved})
-		r.list.noteNotification(0, notification{started: 150 * time.Millisecond, completed: 200 * time.Millisecond, revision: 2})
+		r.list.recordNotification(0, notification{started: 150 * time.Millisecond, completed: 200 * time.Millisecond, revision: 2})
 		r.addRequest(effectRepeatable, outcomeServed, arrivalAt(violationSentAt))
 	}, "drain: "},
 	{"request that no client sent", func(r *run) {
-		r.record.arrived("other", arrivalAt(violationSentAt))
+		r.record.attemptArrived("other", arrivalAt(violationSentAt))
 	}, "which no client sent"},
 	{"crash", func(r *run) {
 		r.nodes[0].incarnations[0].exitedAt = 5 * time.Second
@@ -125,14 +125,15 @@
 	}
 }
 
-// A process that is killed in its shutdown may leave requests of the first 0.7 s unanswered, and no later ones.
-func TestCheckLooksAtRequestsOfKilledShutdown(t *testing.T) {
+// A process that is killed during its shutdown may leave requests unanswered that were sent within 0.7 s after SIGTERM.
+// Unanswered requests that were sent later must be reported as lost.
+func TestCheckRequestsOfKilledShutdown(t *testing.T) {
 	for name, test := range map[string]struct {
 		sentAfterTermination time.Duration
 		want                 int
 	}{
-		"early request": {mayBeKilledWithin - time.Millisecond, 0},
-		"late request":  {mayBeKilledWithin + time.Millisecond, 1},
+		"early request": {killedShutdownWindow - time.Millisecond, 0},
+		"late request":  {killedShutdownWindow + time.Millisecond, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newCheckedRun()
@@ -153,14 +154,15 @@
 	}
 }
 
-// A backend that returned to service may get attempts again.
+// An attempt at a backend that was removed must not be reported if the node may know of the backend's return to
+// service.
 func TestCheckAcceptsAttemptAfterReturnToService(t *testing.T) {
 	r := newCheckedRun()
 	r.list.changes = append(r.list.changes,
 		listChange{revision: 2, at: 100 * time.Millisecond, state: stateRemoved},
 		listChange{revision: 3, at: 500 * time.Millisecond, incarnation: 1, state: stateInService})
-	r.list.noteNotification(0, notification{started: 150 * time.Millisecond, completed: 200 * time.Millisecond, revision: 2})
-	r.list.noteNotification(0, notification{started: 600 * time.Millisecond, completed: 650 * time.Millisecond, revision: 3})
+	r.list.recordNotification(0, notification{started: 150 * time.Millisecond, completed: 200 * time.Millisecond, revision: 2})
+	r.list.recordNotification(0, notification{started: 600 * time.Millisecond, completed: 650 * time.Millisecond, revision: 3})
 	r.addRequest(effectRepeatable, outcomeServed, arrivalAt(2*time.Second))
 	if broken := r.check(nil).Violations; len(broken) > 0 {
 		t.Error(broken)
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -13,54 +13,55 @@
 	"time"
 )
 
-// How clients behave.
+// The behaviour of clients. Constants that end in OneIn mean that one in this many requests, pauses or clients does so.
 const (
-	answerGrace     = 500 * time.Millisecond // after a request's deadline its answer may still come, and has no value
-	disconnectOneIn = 20                     // requests whose client disconnects before the answer
-	restOneIn       = 40
-	longestRest     = 3 * time.Second
-	shortestPauseMs = 5
-	pauseSpreadMs   = 50
-	reconnectPause  = 50 * time.Millisecond
-	connectTimeout  = time.Second
-	requestBody     = "work"
-	largeOneIn      = 20      // requests with a body, whose body is large
-	largeBody       = 100_000 // more than a node buffers
-	stubbornOneIn   = 3       // clients that ignore "Connection: close"
-	tenantName      = "t"
+	answerGrace       = 500 * time.Millisecond // time after the deadline in which a late answer may still arrive
+	disconnectOneIn   = 20                     // requests whose client disconnects before the answer arrives
+	idleOneIn         = 40
+	maxIdleTime       = 3 * time.Second
+	shortestPauseMs   = 5
+	pauseSpreadMs     = 50
+	reconnectPause    = 50 * time.Millisecond
+	connectTimeout    = time.Second
+	requestBody       = "work"
+	largeOneIn        = 20      // of the requests with a body, those whose body is large
+	largeBody         = 100_000 // in bytes; more than a node buffers
+	ignoresCloseOneIn = 3       // clients that ignore "Connection: close"
+	tenantName        = "t"
 )
 
-// client sends requests to one node, one after the other.
+// client sends requests to one node sequentially.
 type client struct {
 	run    *run
 	node   *node
 	name   string
 	random *rand.Rand
 
-	conn         net.Conn // nil: there is no connection
+	conn         net.Conn // nil while the client has no connection
 	connectedAt  time.Duration
-	stubborn     bool // it uses its connection until that has ended, whatever the node says
+	ignoresClose bool // the client keeps its connection until it ends, even after "Connection: close"
 	reader       *bufio.Reader
 	sentOnConn   int
 	requestsSent int
 }
 
-// loop sends requests until the end of the run.
-func (c *client) loop() {
+// sendRequests sends requests, with random pauses between them, until the end of the run.
+func (c *client) sendRequests() {
 	defer c.disconnect()
 	for !c.run.ended() {
 		c.run.sleep(time.Duration(shortestPauseMs+c.random.IntN(pauseSpreadMs)) * time.Millisecond)
-		if c.random.IntN(restOneIn) == 0 {
-			c.run.sleep(time.Duration(c.random.Int64N(int64(longestRest))))
+		if c.random.IntN(idleOneIn) == 0 {
+			c.run.sleep(time.Duration(c.random.Int64N(int64(maxIdleTime))))
 		}
 		if c.conn == nil && !c.connect() {
 			c.run.sleep(reconnectPause)
 			continue
 		}
-		c.call()
+		c.sendRequest()
 	}
 }
 
+// connect opens a connection to the node and reports whether that succeeded.
 func (c *client) connect() bool {
 	if !c.node.acceptsNewClients() {
 		return false
@@ -77,13 +78,13 @@
 
 func (c *client) disconnect() {
 	if c.conn != nil {
-		_ = c.conn.Close() // whatever it has not sent is of no use
+		_ = c.conn.Close() // an error does not matter: unsent data is not needed
 		c.conn = nil
 	}
 }
 
-// call sends one request and reads its answer.
-func (c *client) call() {
+// sendRequest sends one request, reads its answer, unless it disconnects first, and records the outcome.
+func (c *client) sendRequest() {
 	class := classes[c.random.IntN(len(classes))]
 	q := &request{
 		id:          fmt.Sprintf("%s-%d", c.name, c.requestsSent),
@@ -95,12 +96,12 @@
 	c.requestsSent++
 	c.sentOnConn++
 	c.run.record.start(q, c.run.now())
-	if _, err := io.WriteString(c.conn, encode(q, c.body(q))); err != nil {
+	if _, err := io.WriteString(c.conn, encodeRequest(q, c.body(q))); err != nil {
 		c.disconnect()
 		c.finish(q, outcomeNotSent)
 		return
 	}
-	c.run.record.sentWhole(q, c.run.now())
+	c.run.record.requestSent(q, c.run.now())
 	if c.random.IntN(disconnectOneIn) == 0 {
 		c.run.sleep(time.Duration(c.random.Int64N(int64(class.deadline / 4))))
 		if c.reader.Buffered() == 0 {
@@ -109,11 +110,12 @@
 			return
 		}
 	}
-	_ = c.conn.SetReadDeadline(time.Now().Add(class.deadline + answerGrace + 2*schedulingDelay)) // it fails on closed connections only
+	// This fails only on closed connections.
+	_ = c.conn.SetReadDeadline(time.Now().Add(class.deadline + answerGrace + 2*schedulingDelay))
 	c.receive(q)
 }
 
-// body returns the body of a request, which is a large one at times.
+// body returns the body of a request: none for repeatable requests, and at random a large one for others.
 func (c *client) body(q *request) string {
 	switch {
 	case q.class.effect == effectRepeatable:
@@ -124,8 +126,8 @@
 	return requestBody
 }
 
-// encode returns a request as it is sent.
-func encode(q *request, body string) string {
+// encodeRequest returns the bytes of a request as they are sent.
+func encodeRequest(q *request, body string) string {
 	method := http.MethodGet
 	if q.class.effect != effectRepeatable {
 		method = http.MethodPost
@@ -148,7 +150,7 @@
 	c.run.record.finish(q, result, c.run.now())
 }
 
-// receive reads the answer to a request and records its outcome.
+// receive reads the answer to a request, records the outcome, and closes the connection if it cannot be used again.
 func (c *client) receive(q *request) {
 	received, err := readAnswer(c.reader)
 	switch {
@@ -162,32 +164,33 @@
 		return
 	}
 	c.finish(q, received.outcome(q))
-	if received.closesConnection && !c.stubborn {
+	if received.closesConnection && !c.ignoresClose {
 		c.disconnect()
 	}
 }
 
-// answer is a complete answer of a node.
+// answer is an answer that a client received from a node.
 type answer struct {
 	status           int
 	body             string
 	closesConnection bool
 }
 
+// readAnswer reads one answer. If its body is incomplete, it returns an error.
 func readAnswer(reader *bufio.Reader) (answer, error) {
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return answer{}, err
 	}
-	defer func() { _ = response.Body.Close() }() // the client closes the connection after an error
+	defer func() { _ = response.Body.Close() }() // an error does not matter: the client closes the connection itself
 	body, err := io.ReadAll(response.Body)
 	return answer{status: response.StatusCode, body: string(body), closesConnection: response.Close}, err
 }
 
-// outcome returns what the answer means for its request.
+// outcome returns the outcome of the request that got this answer.
 func (a answer) outcome(q *request) outcome {
 	switch {
-	case a.status == http.StatusOK && a.body == answerTo(q.id):
+	case a.status == http.StatusOK && a.body == expectedAnswer(q.id):
 		return outcomeServed
 	case a.status == http.StatusOK:
 		return outcomeWrongAnswer
--- a/internal/soak/delaywatch.go
+++ b/internal/soak/delaywatch.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// delayWatchInterval is the time between two looks at the clock.
+// delayWatchInterval is the interval at which the clock is read.
 const delayWatchInterval = 5 * time.Millisecond
 
-// delayWatch measures by how much this process runs late.
+// delayWatch measures the longest scheduling delay of this process: the time by which a sleep lasts longer than
+// requested.
 type delayWatch struct {
-	mu sync.Mutex
-	by time.Duration
-	at time.Duration
+	mu      sync.Mutex
+	delay   time.Duration
+	endedAt time.Duration
 }
 
-// watch measures until the end of a run.
+// watch measures delays until the end of the run.
 func (w *delayWatch) watch(r *run) {
 	for before := r.now(); !r.ended(); {
 		time.Sleep(delayWatchInterval)
@@ -25,17 +26,18 @@
 	}
 }
 
-func (w *delayWatch) record(by, at time.Duration) {
+// record keeps a delay and its end if it is the longest so far.
+func (w *delayWatch) record(delay, endedAt time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if by > w.by {
-		w.by, w.at = by, at
+	if delay > w.delay {
+		w.delay, w.endedAt = delay, endedAt
 	}
 }
 
-// longest returns the longest delay so far, and when it ended.
-func (w *delayWatch) longest() (by, at time.Duration) {
+// longest returns the longest delay so far and the time at which it ended.
+func (w *delayWatch) longest() (delay, endedAt time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.by, w.at
+	return w.delay, w.endedAt
 }
