--- a/cmd/tulipctl/lease.go
+++ b/cmd/tulipctl/lease.go
@@ -185,7 +185,7 @@
 	err = underLease(ctx, cmd, l, nil, args[1:])
 	releaseWithin(ctx, cmd, l, max(cmd.Duration("within"), cmd.Duration("wait")))
 	if errors.Is(err, deadlineexec.ErrKilled) {
-		reason := l.Reason()
+		reason := l.EndReason()
 		if ctx.Err() != nil {
 			reason = errors.New("interrupted")
 		}
@@ -213,7 +213,7 @@
 
 // releaseWithin releases a lease, unless it has ended.
 func releaseWithin(ctx context.Context, cmd *cli.Command, l *agent.Lease, within time.Duration) {
-	if l.Reason() != nil {
+	if l.EndReason() != nil {
 		return
 	}
 	release, stop := context.WithTimeout(context.WithoutCancel(ctx), within)
@@ -262,7 +262,7 @@
 	}
 	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
-	if _, err := c.Do(ctx, "release", lease.Command{Name: cmd.Args().Get(0), Token: lease.Token(token)}); err != nil {
+	if _, err := c.SendCommand(ctx, "release", lease.Command{Name: cmd.Args().Get(0), Token: lease.Token(token)}); err != nil {
 		return negativeAnswer("lease release: %v", err)
 	}
 	return nil
@@ -291,7 +291,7 @@
 	}
 	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
-	if _, err := c.Do(ctx, "most", lease.Command{Name: cmd.Args().Get(0), MaxHolders: maxHolders}); err != nil {
+	if _, err := c.SendCommand(ctx, "most", lease.Command{Name: cmd.Args().Get(0), MaxHolders: maxHolders}); err != nil {
 		return negativeAnswer("lease slots: %v", err)
 	}
 	return nil
--- a/cmd/tulipctl/rollout.go
+++ b/cmd/tulipctl/rollout.go
@@ -185,7 +185,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change()
-	if reason := r.lease.Reason(); reason != nil {
+	if reason := r.lease.EndReason(); reason != nil {
 		return reason
 	}
 	ctx, stop := context.WithTimeout(ctx, r.cmd.Duration("within"))
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -30,8 +30,8 @@
 	TickInterval = 50 * time.Millisecond
 	// ElectionTicks is after how many ticks without a leader, to twice as many, an election starts.
 	ElectionTicks = 10
-	// RemovedGrace is for how long a removed member goes on.
-	RemovedGrace = 10 * time.Second
+	// RemovedGracePeriod is for how long a removed member goes on.
+	RemovedGracePeriod = 10 * time.Second
 
 	snapshotEntries     = 2000 // between two snapshots
 	requestTimeoutTicks = 100
@@ -263,7 +263,7 @@
 	}
 }
 
-// removedForGood reports whether the member was removed from the group longer than RemovedGrace ago.
+// removedForGood reports whether the member was removed from the group longer than RemovedGracePeriod ago.
 func (w *statusWatch) removedForGood() bool {
 	now := w.agent.options.Clock()
 	switch {
@@ -271,9 +271,9 @@
 		w.removedAt = 0
 	case w.removedAt == 0:
 		w.removedAt = now
-		w.agent.log.Info("removed from the group", "stays", RemovedGrace)
+		w.agent.log.Info("removed from the group", "stays", RemovedGracePeriod)
 	default:
-		return now-w.removedAt > RemovedGrace
+		return now-w.removedAt > RemovedGracePeriod
 	}
 	return false
 }
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -163,8 +163,8 @@
 	c.lastResponder = member
 }
 
-// Do has the group carry out a command, with retries. An Acquire must have a RequestID of its own, so that it is idempotent.
-func (c *Client) Do(ctx context.Context, verb string, command lease.Command) (lease.Grant, error) {
+// SendCommand has the group carry out a command, with retries. An Acquire must have a RequestID of its own, so that it is idempotent.
+func (c *Client) SendCommand(ctx context.Context, verb string, command lease.Command) (lease.Grant, error) {
 	response, err := c.send(ctx, call{method: http.MethodPost, path: pathLease + verb, body: command, timeout: attemptTimeout})
 	if err != nil || response.Grant == nil {
 		return lease.Grant{}, err
--- a/internal/agent/client_test.go
+++ b/internal/agent/client_test.go
@@ -57,13 +57,13 @@
 	c.lastResponder = ln.Addr().String()
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
-	if g, err := c.Do(ctx, "renew", lease.Command{Name: "x", Token: 7}); err != nil || g != grant {
+	if g, err := c.SendCommand(ctx, "renew", lease.Command{Name: "x", Token: 7}); err != nil || g != grant {
 		t.Fatal(g, err)
 	}
 	if connections.Load() != 1 || requests.Load() != 5 {
 		t.Errorf("%d requests to the unresponsive leader, %d to the other member", connections.Load(), requests.Load())
 	}
-	if _, err := c.Do(ctx, "renew", lease.Command{}); err != nil || connections.Load() != 1 {
+	if _, err := c.SendCommand(ctx, "renew", lease.Command{}); err != nil || connections.Load() != 1 {
 		t.Error("the next request does not go to the member that answered last:", err)
 	}
 }
@@ -78,7 +78,7 @@
 			}
 			return known.status, Response{Code: code, Error: known.err.Error()}
 		})
-		_, err := NewClient([]string{address}, nil).Do(t.Context(), "renew", lease.Command{})
+		_, err := NewClient([]string{address}, nil).SendCommand(t.Context(), "renew", lease.Command{})
 		retried := code == "unsure" || code == "busy"
 		if retried && (err != nil || requests.Load() != 2) || !retried && !errors.Is(err, known.err) {
 			t.Errorf("%s: %v after %d requests", code, err, requests.Load())
--- a/internal/agent/failover_leader.go
+++ b/internal/agent/failover_leader.go
@@ -251,7 +251,7 @@
 
 // release releases the lease, if it is certain, so that another agent need not wait until it expires.
 func (f *failoverLeader) release(ctx context.Context, leaderLease *Lease) {
-	if leaderLease.Reason() != nil {
+	if leaderLease.EndReason() != nil {
 		return
 	}
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), failoverInterval)
@@ -280,7 +280,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-leaderLease.Uncertain():
-			return leaderLease.Reason()
+			return leaderLease.EndReason()
 		case <-ticker.C:
 		}
 		now := f.agent.options.Clock()
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -69,7 +69,7 @@
 	if rollout.Name != "rollout" || rollout.MaxHolders != 2 || rollout.Note != "a note" || !hasGrant {
 		t.Errorf("%+v", rollout)
 	}
-	grant, err := client.Do(ctx, "acquire", lease.Command{Name: "rollout", Holder: "second", RequestID: 2, Ticks: 50})
+	grant, err := client.SendCommand(ctx, "acquire", lease.Command{Name: "rollout", Holder: "second", RequestID: 2, Ticks: 50})
 	if err != nil || grant.Token != 3 || grant.Slot != 1 {
 		t.Errorf("%+v, %v", grant, err)
 	}
@@ -154,7 +154,7 @@
 		{"most", lease.Command{Name: "x", MaxHolders: 2}},
 		{"note", lease.Command{Name: "x", Token: 7, NoteText: "words"}},
 	} {
-		if _, err := client.Do(ctx, call.verb, call.command); err != nil {
+		if _, err := client.SendCommand(ctx, call.verb, call.command); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -124,7 +124,7 @@
 	for {
 		requestID := lastRequestID.Add(1)
 		sentAt := l.options.Clock() // of the first attempt: the grant may be the result of any of them
-		grant, err := l.client.Do(ctx, verbAcquire, lease.Command{
+		grant, err := l.client.SendCommand(ctx, verbAcquire, lease.Command{
 			Name:      l.options.Name,
 			Holder:    l.options.Holder,
 			RequestID: requestID,
@@ -136,7 +136,7 @@
 				return nil
 			}
 			// The answer came so late that the grant may have expired.
-			_, _ = l.client.Do(ctx, verbRelease, lease.Command{Name: grant.Name, Token: grant.Token})
+			_, _ = l.client.SendCommand(ctx, verbRelease, lease.Command{Name: grant.Name, Token: grant.Token})
 			continue
 		}
 		if !errors.Is(err, lease.ErrNoFreeSlot) || l.options.RetryInterval == 0 {
@@ -202,8 +202,8 @@
 // Uncertain returns a channel that is closed once nothing may begin under the lease any more. Reason then says why.
 func (l *Lease) Uncertain() <-chan struct{} { return l.uncertain }
 
-// Reason returns why nothing may begin under the lease any more, or nil.
-func (l *Lease) Reason() error {
+// EndReason returns why nothing may begin under the lease any more, or nil.
+func (l *Lease) EndReason() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reason
@@ -240,7 +240,7 @@
 // SetNote replaces the note for the next holder.
 func (l *Lease) SetNote(ctx context.Context, text string) error {
 	grant, _ := l.Grant()
-	_, err := l.client.Do(ctx, verbSetNote, lease.Command{Name: grant.Name, Token: grant.Token, NoteText: text})
+	_, err := l.client.SendCommand(ctx, verbSetNote, lease.Command{Name: grant.Name, Token: grant.Token, NoteText: text})
 	return err
 }
 
@@ -255,7 +255,7 @@
 		}
 	}
 	grant, _ := l.Grant()
-	_, err := l.client.Do(ctx, verbRelease, lease.Command{Name: grant.Name, Token: grant.Token})
+	_, err := l.client.SendCommand(ctx, verbRelease, lease.Command{Name: grant.Name, Token: grant.Token})
 	if errors.Is(err, lease.ErrNotGranted) { // it has expired, or an earlier attempt has released it
 		return nil
 	}
--- a/internal/processtest/measure.go
+++ b/internal/processtest/measure.go
@@ -107,10 +107,10 @@
 	for requestID := uint64(1); ctx.Err() == nil; requestID++ {
 		start := time.Now()
 		acquire := lease.Command{Name: name, Holder: name, RequestID: requestID, Ticks: measuredGrantTicks}
-		grant, err := client.Do(ctx, "acquire", acquire)
+		grant, err := client.SendCommand(ctx, "acquire", acquire)
 		if err == nil {
 			granted(time.Since(start))
-			_, err = client.Do(ctx, "release", lease.Command{Name: name, Token: grant.Token})
+			_, err = client.SendCommand(ctx, "release", lease.Command{Name: name, Token: grant.Token})
 		}
 		if err != nil && !errors.Is(err, agent.ErrNoMembers) { // that is what a request at the end of ctx meets
 			return err
@@ -151,7 +151,7 @@
 
 // joinRush releases a client's own lease, and takes and releases the one that all clients want.
 func joinRush(ctx context.Context, client *agent.Client, held *agent.Lease) error {
-	if reason := held.Reason(); reason != nil {
+	if reason := held.EndReason(); reason != nil {
 		return fmt.Errorf("a lease was lost without a fault: %w", reason)
 	}
 	if err := held.Release(ctx); err != nil {
--- a/internal/processtest/role_holder.go
+++ b/internal/processtest/role_holder.go
@@ -51,7 +51,7 @@
 		grant, _ := held.Grant()
 		p.report(Event{Kind: EventLeaseAcquired, Slot: grant.Slot, Token: grant.Token, From: from})
 		h.act(ctx, held, grant)
-		if held.Reason() == nil {
+		if held.EndReason() == nil {
 			h.release(ctx, held)
 		}
 		p.report(Event{Kind: EventLeaseDone, Slot: grant.Slot, Token: grant.Token})
