--- a/cmd/tulipctl/lease.go
+++ b/cmd/tulipctl/lease.go
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// margin is how long before the earliest end of a lease all actions under it must have ended.
-const margin = 200 * time.Millisecond
+// leaseMargin is how long before the earliest end of a lease all actions under it must have ended.
+const leaseMargin = 200 * time.Millisecond
 
 // leaseRetryInterval is the time between two requests for a lease that others hold.
 const leaseRetryInterval = 200 * time.Millisecond
@@ -174,7 +174,7 @@
 	if len(args) < 2 {
 		return errors.New("lease run: NAME -- COMMAND, please")
 	}
-	if shortest := 2*deadlineexec.TerminationNotice + margin; cmd.Duration("for") < shortest {
+	if shortest := 2*deadlineexec.TerminationNotice + leaseMargin; cmd.Duration("for") < shortest {
 		return fmt.Errorf("--for: %v is below %v", cmd.Duration("for"), shortest)
 	}
 	c := agent.NewClient(cmd.StringSlice("agents"), nil)
@@ -182,7 +182,7 @@
 	if err != nil {
 		return negativeAnswer("lease %s: %v", args[0], err)
 	}
-	err = underLease(ctx, cmd, l, nil, args[1:])
+	err = runCommandUnderLease(ctx, cmd, l, nil, args[1:])
 	releaseWithin(ctx, cmd, l, max(cmd.Duration("within"), cmd.Duration("wait")))
 	if errors.Is(err, deadlineexec.ErrKilled) {
 		reason := l.EndReason()
@@ -201,7 +201,7 @@
 // acquireLease acquires a lease by the flags --within, --wait and --for. With --wait it retries while others hold it.
 func acquireLease(ctx context.Context, cmd *cli.Command, c *agent.Client, name string, retryInterval time.Duration) (*agent.Lease, error) {
 	within, wait := cmd.Duration("within"), cmd.Duration("wait")
-	options := agent.LeaseOptions{Name: name, Duration: cmd.Duration("for"), Margin: margin}
+	options := agent.LeaseOptions{Name: name, Duration: cmd.Duration("for"), Margin: leaseMargin}
 	if wait > 0 {
 		within = max(within, wait)
 		options.RetryInterval = retryInterval
@@ -223,17 +223,17 @@
 	}
 }
 
-// underLease runs a command that ends before the lease may end, even if this process is stopped.
-func underLease(ctx context.Context, cmd *cli.Command, l *agent.Lease, env, args []string) error {
+// runCommandUnderLease runs a command that ends before the lease may end, even if this process is stopped.
+func runCommandUnderLease(ctx context.Context, cmd *cli.Command, l *agent.Lease, env, args []string) error {
 	grant, _ := l.Grant()
-	deadline := func() time.Duration { return agent.Clock() + l.Remaining() - margin }
+	deadline := func() time.Duration { return agent.Clock() + l.Remaining() - leaseMargin }
 	leaseEnv := []string{
 		"TULIP_LEASE=" + grant.Name,
 		fmt.Sprint("TULIP_LEASE_SEAT=", grant.Slot),
 		fmt.Sprint("TULIP_LEASE_TOKEN=", grant.Token),
 	}
 	allEnv := slices.Concat(os.Environ(), leaseEnv, env)
-	p, err := deadlineexec.Start(deadline(), allEnv, cmd.Root().Writer, cmd.Root().ErrWriter, args...)
+	process, err := deadlineexec.Start(deadline(), allEnv, cmd.Root().Writer, cmd.Root().ErrWriter, args...)
 	if err != nil {
 		return err
 	}
@@ -244,15 +244,15 @@
 			case <-ended:
 				return
 			case <-ctx.Done():
-				p.End()
+				process.End()
 				return
 			case <-time.After(100 * time.Millisecond):
-				p.ExtendDeadline(deadline())
+				process.ExtendDeadline(deadline())
 			}
 		}
 	}()
 	defer close(ended)
-	return p.Wait()
+	return process.Wait()
 }
 
 func releaseLease(ctx context.Context, cmd *cli.Command) error {
@@ -300,22 +300,22 @@
 func printAgentStatus(ctx context.Context, cmd *cli.Command) error {
 	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
-	type line struct {
+	type agentRow struct {
 		Address string `json:"address"`
 		Error   string `json:"error,omitempty"`
 		consensus.Status
 	}
-	var all []line
-	knowLeader, memberCount := 0, 0
+	var all []agentRow
+	agentsWithLeader, memberCount := 0, 0
 	for _, a := range cmd.StringSlice("agents") {
 		v, err := c.Status(ctx, a)
-		l := line{Address: a, Status: v}
+		l := agentRow{Address: a, Status: v}
 		if err != nil {
 			l.Error = err.Error()
 		} else {
 			memberCount = max(memberCount, len(v.Members))
 			if v.Leader != 0 {
-				knowLeader++
+				agentsWithLeader++
 			}
 		}
 		all = append(all, l)
@@ -338,8 +338,8 @@
 			return err
 		}
 	}
-	if 2*knowLeader <= memberCount || memberCount == 0 {
-		return negativeAnswer("%d agents that answer know a leader, of %d members: no majority is seen from here", knowLeader, memberCount)
+	if 2*agentsWithLeader <= memberCount || memberCount == 0 {
+		return negativeAnswer("%d agents that answer know a leader, of %d members: no majority is seen from here", agentsWithLeader, memberCount)
 	}
 	return nil
 }
--- a/cmd/tulipctl/rollout.go
+++ b/cmd/tulipctl/rollout.go
@@ -39,25 +39,25 @@
 	}
 }
 
-// callWithin is the longest time that a call to a node may take, from the check of the lease to its effect on the node.
-const callWithin = 1500 * time.Millisecond
+// maxCallDuration is the longest time that a call to a node may take, from the check of the lease to its effect on the node.
+const maxCallDuration = 1500 * time.Millisecond
 
 const (
 	rolloutRetryInterval = 300 * time.Millisecond // between two requests for the lease
 	pollInterval         = 50 * time.Millisecond  // between two polls of a node's state
-	maxReadyPolls        = 100
+	maxStatePolls        = 100
 	maxPutAttempts       = 5
 	putRetryInterval     = 200 * time.Millisecond
 )
 
 // rolloutRunner performs the tasks of a rollout under a lease.
 type rolloutRunner struct {
-	cmd     *cli.Command
-	lease   *agent.Lease
-	args    []string
-	http    *http.Client
-	mu      sync.Mutex // guards rollout, and keeps the notes of the lease in order
-	rollout *rollout.Rollout
+	cmd        *cli.Command
+	lease      *agent.Lease
+	args       []string
+	httpClient *http.Client
+	mu         sync.Mutex // guards rollout, and keeps the notes of the lease in order
+	rollout    *rollout.Rollout
 }
 
 func runRollout(ctx context.Context, cmd *cli.Command) error {
@@ -91,10 +91,10 @@
 		return negativeAnswer("rollout: %v", err)
 	}
 	r := &rolloutRunner{
-		cmd:   cmd,
-		lease: l,
-		args:  args,
-		http:  &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second},
+		cmd:        cmd,
+		lease:      l,
+		args:       args,
+		httpClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second},
 	}
 	if r.rollout, err = rollout.New(fleet.Node, cmd.Int("max-unavailable"), cmd.String("change"), note); err != nil {
 		return negativeAnswer("rollout: %v; finish that first, or end it: tulipctl lease note %s \"\"", err, cmd.String("lease"))
@@ -103,7 +103,7 @@
 	for _, n := range fleet.Node {
 		for _, name := range r.rollout.DoneNodes() {
 			if n.Name == name && note != "" {
-				if err := r.put(ctx, n, "active"); err != nil {
+				if err := r.setServiceState(ctx, n, "active"); err != nil {
 					return negativeAnswer("rollout: %v", err)
 				}
 			}
@@ -136,13 +136,13 @@
 		err error
 	}
 	results := make(chan result)
-	var failed error
+	var failures error
 	for {
 		r.mu.Lock()
 		tasks := r.rollout.Next()
 		r.mu.Unlock()
-		if err := r.note(ctx, func() {}); err != nil {
-			failed = errors.Join(failed, err)
+		if err := r.updateNote(ctx, func() {}); err != nil {
+			failures = errors.Join(failures, err)
 			r.mu.Lock()
 			for _, t := range tasks {
 				r.rollout.RecordFailure(t.Name)
@@ -153,13 +153,13 @@
 		for _, t := range tasks {
 			go func() { results <- result{t, r.runNode(ctx, t)} }()
 		}
-		if r.running() == 0 {
+		if r.runningTaskCount() == 0 {
 			break
 		}
 		finished := <-results
 		r.mu.Lock()
 		if finished.err != nil {
-			failed = errors.Join(failed, fmt.Errorf("%s: %w", finished.Name, finished.err))
+			failures = errors.Join(failures, fmt.Errorf("%s: %w", finished.Name, finished.err))
 			r.rollout.RecordFailure(finished.Name)
 		} else {
 			r.rollout.RecordDone(finished.Name)
@@ -167,21 +167,21 @@
 		}
 		r.mu.Unlock()
 	}
-	if failed != nil {
-		return negativeAnswer("rollout: %v; what was begun is written down: the same command goes on", failed)
+	if failures != nil {
+		return negativeAnswer("rollout: %v; what was begun is written down: the same command goes on", failures)
 	}
 	writef(r.cmd.Root().Writer, "%s: all %d nodes are done\n", r.cmd.String("change"), nodeCount)
 	return nil
 }
 
-func (r *rolloutRunner) running() int {
+func (r *rolloutRunner) runningTaskCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rollout.RunningTasks()
 }
 
-// note changes the rollout's state, and stores it in the lease's note before it returns.
-func (r *rolloutRunner) note(ctx context.Context, change func()) error {
+// updateNote changes the rollout's state, and stores it in the lease's updateNote before it returns.
+func (r *rolloutRunner) updateNote(ctx context.Context, change func()) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change()
@@ -211,30 +211,30 @@
 		step = rollout.Change
 	}
 	if step == rollout.Change {
-		if err := r.change(ctx, t); err != nil {
+		if err := r.runNodeCommand(ctx, t); err != nil {
 			return err
 		}
 	}
 	if err := r.awaitServing(ctx, t); err != nil {
 		return err
 	}
-	return r.put(ctx, t.Node, "active")
+	return r.setServiceState(ctx, t.Node, "active")
 }
 
 // standBy takes a node out of service, and waits for its clients to move.
 func (r *rolloutRunner) standBy(ctx context.Context, t rollout.Task) error {
-	err := r.put(ctx, t.Node, "standby")
+	err := r.setServiceState(ctx, t.Node, "standby")
 	if err != nil && !t.Retry { // on a retry the process may have ended; the command replaces it
 		return err
 	}
-	if err := pause(ctx, r.cmd.Duration("drain-delay")); err != nil {
+	if err := sleepContext(ctx, r.cmd.Duration("drain-delay")); err != nil {
 		return err
 	}
-	return r.note(ctx, func() { r.rollout.RecordStep(t.Name, rollout.Change) })
+	return r.updateNote(ctx, func() { r.rollout.RecordStep(t.Name, rollout.Change) })
 }
 
-// change runs the command for a node.
-func (r *rolloutRunner) change(ctx context.Context, t rollout.Task) error {
+// runNodeCommand runs the command for a node.
+func (r *rolloutRunner) runNodeCommand(ctx context.Context, t rollout.Task) error {
 	if _, err := r.lease.BeginAction(0); err != nil {
 		return err
 	}
@@ -244,10 +244,10 @@
 		"TULIP_OPERATOR=" + t.AdminAddress,
 		"TULIP_LISTEN=" + t.ClientAddress,
 	}
-	if err := underLease(ctx, r.cmd, r.lease, env, r.args); err != nil {
+	if err := runCommandUnderLease(ctx, r.cmd, r.lease, env, r.args); err != nil {
 		return fmt.Errorf("command: %w", err)
 	}
-	return r.note(ctx, func() { r.rollout.RecordStep(t.Name, rollout.Resume) })
+	return r.updateNote(ctx, func() { r.rollout.RecordStep(t.Name, rollout.Resume) })
 }
 
 // awaitServing waits until a node answers at its admin address.
@@ -258,7 +258,7 @@
 		if time.Now().After(deadline) {
 			return fmt.Errorf("it does not serve within %v after the command", timeout)
 		}
-		if err := pause(ctx, pollInterval); err != nil {
+		if err := sleepContext(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
@@ -267,7 +267,7 @@
 
 // currentStep finds out whether the command of a former holder has run on a node: standby ends with the node's process.
 func (r *rolloutRunner) currentStep(ctx context.Context, n rollout.Node) rollout.Step {
-	for range maxReadyPolls { // a new process needs its endpoint list before it is ready
+	for range maxStatePolls { // a new process needs its endpoint list before it is ready
 		switch {
 		case !r.succeeds(ctx, "GET", "http://"+n.AdminAddress+"/status"):
 		case r.succeeds(ctx, "GET", "http://"+n.ClientAddress+"/ready"):
@@ -275,14 +275,14 @@
 		default:
 			return rollout.Change
 		}
-		if pause(ctx, pollInterval) != nil {
+		if sleepContext(ctx, pollInterval) != nil {
 			break
 		}
 	}
 	return rollout.Change
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleepContext(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -301,7 +301,7 @@
 	if err != nil {
 		return 0, "", err
 	}
-	resp, err := r.http.Do(req)
+	resp, err := r.httpClient.Do(req)
 	if err != nil {
 		return 0, "", err
 	}
@@ -310,25 +310,25 @@
 	return resp.StatusCode, string(raw), err
 }
 
-// put calls a node's admin address under the lease, and retries for a while if the node does not answer.
-func (r *rolloutRunner) put(ctx context.Context, n rollout.Node, what string) error {
+// setServiceState calls a node's admin address under the lease, and retries for a while if the node does not answer.
+func (r *rolloutRunner) setServiceState(ctx context.Context, n rollout.Node, state string) error {
 	var last error
 	for range maxPutAttempts {
-		g, err := r.lease.BeginAction(callWithin)
+		g, err := r.lease.BeginAction(maxCallDuration)
 		if err != nil {
 			return err
 		}
-		status, text, err := r.call(ctx, "PUT", withLeaseToken(g, "http://"+n.AdminAddress+"/"+what))
+		status, text, err := r.call(ctx, "PUT", withLeaseToken(g, "http://"+n.AdminAddress+"/"+state))
 		switch {
 		case err == nil && status == 200:
 			return nil
 		case err == nil && status == 409:
-			return fmt.Errorf("PUT /%s: %s", what, text)
+			return fmt.Errorf("PUT /%s: %s", state, text)
 		case err == nil:
 			err = fmt.Errorf("status %d: %s", status, text)
 		}
-		last = fmt.Errorf("PUT /%s: %w", what, err)
-		if err := pause(ctx, putRetryInterval); err != nil {
+		last = fmt.Errorf("PUT /%s: %w", state, err)
+		if err := sleepContext(ctx, putRetryInterval); err != nil {
 			return err
 		}
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -38,14 +38,14 @@
 	taskQueueSize       = 1024 // tasks that wait for the member's goroutine
 	taskBatchSize       = 256  // tasks between two writes to the storage
 
-	requestTimeout    = ElectionTicks * TickInterval // for a message to another member
-	idleTimeout       = time.Minute                  // of connections, and of queues to other members
-	readHeaderTimeout = 2 * time.Second
-	readTimeout       = 5 * time.Second
-	maxHeaderBytes    = 8 << 10
-	maxBodyBytes      = 4 * lease.MaxNoteBytes // escaped characters in a note take more bytes than they stand for
-	maxMessageBytes   = 32 << 20               // of a message between members, or of a client's answer
-	maxConnections    = 4096                   // each node that sends digests keeps one
+	peerRequestTimeout = ElectionTicks * TickInterval // for a message to another member
+	idleTimeout        = time.Minute                  // of connections, and of queues to other members
+	readHeaderTimeout  = 2 * time.Second
+	readTimeout        = 5 * time.Second
+	maxHeaderBytes     = 8 << 10
+	maxBodyBytes       = 4 * lease.MaxNoteBytes // escaped characters in a note take more bytes than they stand for
+	maxMessageBytes    = 32 << 20               // of a message between members, or of a client's answer
+	maxConnections     = 4096                   // each node that sends digests keeps one
 )
 
 // Options are the dependencies of an agent. The zero value is for production.
@@ -68,7 +68,7 @@
 		o.Clock = func() time.Duration { return time.Since(start) }
 	}
 	if o.Dial == nil {
-		o.Dial = (&net.Dialer{Timeout: requestTimeout}).DialContext
+		o.Dial = (&net.Dialer{Timeout: peerRequestTimeout}).DialContext
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 	a.log.Info("agent started", "group", a.identity.Group, "id", a.identity.ID, "address", a.identity.Address,
 		"members", len(a.member.Status().Members))
-	err = a.serve(ctx, stop, listener, handler)
+	err = a.serveUntilDone(ctx, stop, listener, handler)
 	a.log.Info("agent stopped", "err", err)
 	return err
 }
@@ -142,7 +142,7 @@
 		tasks:    make(chan func(), taskQueueSize),
 		stopped:  make(chan struct{}),
 		httpClient: &http.Client{
-			Timeout: requestTimeout,
+			Timeout: peerRequestTimeout,
 			Transport: &http.Transport{
 				DialContext:         options.Dial,
 				MaxIdleConnsPerHost: 2,
@@ -166,7 +166,7 @@
 		Clock:               options.Clock,
 		Rand:                random,
 		Storage:             memberStorage,
-		Send:                a.send,
+		Send:                a.queueMessage,
 		ElectionTicks:       ElectionTicks,
 		SnapshotEntries:     snapshotEntries,
 		RequestTimeoutTicks: requestTimeoutTicks,
@@ -183,8 +183,8 @@
 	return rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:]))), nil
 }
 
-// serve runs the HTTP server and the member until ctx ends or one of them does.
-func (a *Agent) serve(ctx context.Context, stop context.CancelFunc, listener net.Listener, handler http.Handler) error {
+// serveUntilDone runs the HTTP server and the member until ctx ends or one of them does.
+func (a *Agent) serveUntilDone(ctx context.Context, stop context.CancelFunc, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: readHeaderTimeout,
@@ -204,7 +204,7 @@
 	group.Go(func() error {
 		defer stop()
 		defer close(a.stopped)
-		return a.run(ctx)
+		return a.runMember(ctx)
 	})
 	group.Go(func() error {
 		<-ctx.Done()
@@ -213,11 +213,11 @@
 	return group.Wait()
 }
 
-// run is the member's goroutine.
-func (a *Agent) run(ctx context.Context) error {
+// runMember is the member's goroutine.
+func (a *Agent) runMember(ctx context.Context) error {
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
-	watch := statusWatch{agent: a}
+	watch := statusTracker{agent: a}
 	for {
 		select {
 		case <-ctx.Done():
@@ -236,14 +236,14 @@
 			return fmt.Errorf("disk: %w", err)
 		}
 		watch.logLeadership()
-		if watch.removedForGood() {
+		if watch.removalGraceEnded() {
 			return nil
 		}
 	}
 }
 
-// statusWatch logs changes of the member's status.
-type statusWatch struct {
+// statusTracker logs changes of the member's status.
+type statusTracker struct {
 	agent     *Agent
 	isLeader  bool
 	leader    uint64
@@ -251,7 +251,7 @@
 }
 
 // logLeadership logs that this member has become or is no longer the leader, or that another one is.
-func (w *statusWatch) logLeadership() {
+func (w *statusTracker) logLeadership() {
 	member := w.agent.member
 	switch isLeader := member.IsLeader(); {
 	case isLeader != w.isLeader:
@@ -263,8 +263,8 @@
 	}
 }
 
-// removedForGood reports whether the member was removed from the group longer than RemovedGracePeriod ago.
-func (w *statusWatch) removedForGood() bool {
+// removalGraceEnded reports whether the member was removed from the group longer than RemovedGracePeriod ago.
+func (w *statusTracker) removalGraceEnded() bool {
 	now := w.agent.options.Clock()
 	switch {
 	case !w.agent.member.Removed():
@@ -278,8 +278,8 @@
 	return false
 }
 
-// post has the member's goroutine run a task. It returns false if that goroutine has ended, or too many tasks wait.
-func (a *Agent) post(task func()) bool {
+// enqueueTask has the member's goroutine run a task. It returns false if that goroutine has ended, or too many tasks wait.
+func (a *Agent) enqueueTask(task func()) bool {
 	select {
 	case <-a.stopped:
 		return false
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -48,8 +48,8 @@
 	return &Client{members: members, http: &http.Client{Transport: transport}}
 }
 
-// call is a request to the group.
-type call struct {
+// groupRequest is a request to the group.
+type groupRequest struct {
 	method  string
 	path    string
 	body    any           // nil: none
@@ -58,7 +58,7 @@
 }
 
 // attempt sends a request to one member once.
-func (c *Client) attempt(ctx context.Context, member string, call call) (response Response, err error) {
+func (c *Client) attempt(ctx context.Context, member string, call groupRequest) (response Response, err error) {
 	raw := []byte{}
 	if call.body != nil {
 		if raw, err = json.Marshal(call.body); err != nil {
@@ -114,7 +114,7 @@
 
 // send retries a request until the group has answered or ctx ends. An attempt that was lost may have been carried out, so the request must
 // be idempotent.
-func (c *Client) send(ctx context.Context, call call) (Response, error) {
+func (c *Client) send(ctx context.Context, call groupRequest) (Response, error) {
 	lastErr := ErrNoMembers
 	nextMember := rand.IntN(len(c.members))
 	unresponsive := "" // the others may still believe that it leads: to be redirected there would take up the remaining time
@@ -145,7 +145,7 @@
 			}
 		}
 		member, redirects = "", 0
-		if sleep(ctx, retryInterval) != nil {
+		if sleepContext(ctx, retryInterval) != nil {
 			return Response{}, fmt.Errorf("%w: %w", ErrNoMembers, lastErr)
 		}
 	}
@@ -165,7 +165,7 @@
 
 // SendCommand has the group carry out a command, with retries. An Acquire must have a RequestID of its own, so that it is idempotent.
 func (c *Client) SendCommand(ctx context.Context, verb string, command lease.Command) (lease.Grant, error) {
-	response, err := c.send(ctx, call{method: http.MethodPost, path: pathLease + verb, body: command, timeout: attemptTimeout})
+	response, err := c.send(ctx, groupRequest{method: http.MethodPost, path: pathLease + verb, body: command, timeout: attemptTimeout})
 	if err != nil || response.Grant == nil {
 		return lease.Grant{}, err
 	}
@@ -174,16 +174,16 @@
 
 // ReadStatus returns what the group has agreed on by now.
 func (c *Client) ReadStatus(ctx context.Context) (consensus.Status, error) {
-	return statusOf(c.send(ctx, call{method: http.MethodGet, path: pathLeases, timeout: attemptTimeout}))
+	return checkedStatus(c.send(ctx, groupRequest{method: http.MethodGet, path: pathLeases, timeout: attemptTimeout}))
 }
 
 // Status returns what one member knows, which may be stale.
 func (c *Client) Status(ctx context.Context, member string) (consensus.Status, error) {
-	return statusOf(c.attempt(ctx, member, call{method: http.MethodGet, path: pathStatus, timeout: attemptTimeout}))
+	return checkedStatus(c.attempt(ctx, member, groupRequest{method: http.MethodGet, path: pathStatus, timeout: attemptTimeout}))
 }
 
-// statusOf returns the status in a response, and checks that an agent can have sent it.
-func statusOf(response Response, err error) (consensus.Status, error) {
+// checkedStatus returns the status in a response, and checks that an agent can have sent it.
+func checkedStatus(response Response, err error) (consensus.Status, error) {
 	if err != nil {
 		return consensus.Status{}, err
 	}
@@ -203,7 +203,7 @@
 			return err
 		}
 		leader := status.Members[status.Leader]
-		_, err = c.attempt(ctx, leader, call{method: http.MethodPost, path: pathMembers, body: change})
+		_, err = c.attempt(ctx, leader, groupRequest{method: http.MethodPost, path: pathMembers, body: change})
 		var notLeader consensus.NotLeaderError
 		switch {
 		case errors.As(err, &notLeader):
@@ -212,7 +212,7 @@
 		default:
 			return err
 		}
-		if err := sleep(ctx, retryInterval); err != nil {
+		if err := sleepContext(ctx, retryInterval); err != nil {
 			return err
 		}
 	}
@@ -225,17 +225,17 @@
 		if err != nil {
 			return err
 		}
-		if change.isDone(status.Members) {
+		if change.isApplied(status.Members) {
 			return nil
 		}
-		if err := sleep(ctx, retryInterval); err != nil {
+		if err := sleepContext(ctx, retryInterval); err != nil {
 			return fmt.Errorf("%w: %w", consensus.ErrOutcomeUnknown, err)
 		}
 	}
 }
 
-// isDone reports whether the members are as the change has them.
-func (m MembershipChange) isDone(members map[uint64]string) bool {
+// isApplied reports whether the members are as the change has them.
+func (m MembershipChange) isApplied(members map[uint64]string) bool {
 	for id := range m.Add {
 		if members[id] == "" {
 			return false
@@ -249,8 +249,8 @@
 	return true
 }
 
-// sleep waits, or returns why ctx has ended.
-func sleep(ctx context.Context, duration time.Duration) error {
+// sleepContext waits, or returns why ctx has ended.
+func sleepContext(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/agent/failover_leader.go
+++ b/internal/agent/failover_leader.go
@@ -24,13 +24,13 @@
 }
 
 const (
-	// failoverLease is the name of the failover leader's lease. The plan is its note, so only the holder can replace it.
-	failoverLease         = "director"
+	// failoverLeaseName is the name of the failover leader's lease. The plan is its note, so only the holder can replace it.
+	failoverLeaseName     = "director"
 	failoverLeaseDuration = 2 * time.Second
 	// failoverInterval is how often nodes send digests, agents forward them, and the failover leader makes a plan.
 	failoverInterval = 500 * time.Millisecond
-	// collectionTime is for how long a new failover leader only collects digests, so that it has one of each node.
-	collectionTime = 3 * failoverInterval
+	// digestCollectionTime is for how long a new failover leader only collects digests, so that it has one of each node.
+	digestCollectionTime = 3 * failoverInterval
 	// maxDigestsBytes bounds the digests of one agent: 4 KB for each node that a Collector remembers.
 	maxDigestsBytes = failover.MaxNodes << 12
 )
@@ -40,8 +40,8 @@
 	errAgentStopped = errors.New("this agent ends")
 )
 
-// failoverLeader is an agent's part in failover, whether or not it is the leader.
-type failoverLeader struct {
+// failoverParticipant is an agent's part in failover, whether or not it is the leader.
+type failoverParticipant struct {
 	agent   *Agent
 	options FailoverOptions
 	client  *Client
@@ -53,17 +53,17 @@
 
 // startFailover adds failover to an agent's interface, and starts its goroutines.
 func (a *Agent) startFailover(ctx context.Context, mux *http.ServeMux) error {
-	leader, err := newFailoverLeader(a, *a.options.Failover)
+	participant, err := newFailoverParticipant(a, *a.options.Failover)
 	if err != nil {
 		return err
 	}
-	leader.registerRoutes(ctx, mux)
-	a.background.Go(func() { leader.forwardDigests(ctx) })
-	a.background.Go(func() { leader.campaign(ctx) })
+	participant.registerRoutes(ctx, mux)
+	a.background.Go(func() { participant.forwardDigests(ctx) })
+	a.background.Go(func() { participant.campaign(ctx) })
 	return nil
 }
 
-func newFailoverLeader(agent *Agent, options FailoverOptions) (*failoverLeader, error) {
+func newFailoverParticipant(agent *Agent, options FailoverOptions) (*failoverParticipant, error) {
 	if _, err := failover.NewPlanner(options.Topology, options.PriorityWeights, options.Rules); err != nil {
 		return nil, err
 	}
@@ -79,7 +79,7 @@
 	if len(members) == 0 { // a joining member knows only itself yet, and learns the leader from its own answer
 		members = []string{agent.identity.Address}
 	}
-	return &failoverLeader{
+	return &failoverParticipant{
 		agent:     agent,
 		options:   options,
 		client:    NewClient(members, agent.httpClient.Transport),
@@ -89,14 +89,14 @@
 }
 
 // registerRoutes adds the requests of nodes and of other agents.
-func (f *failoverLeader) registerRoutes(ctx context.Context, mux *http.ServeMux) {
+func (f *failoverParticipant) registerRoutes(ctx context.Context, mux *http.ServeMux) {
 	mux.HandleFunc("POST /digest", f.handleDigest)
 	mux.HandleFunc("POST "+pathDigests, f.handleDigests)
 	mux.HandleFunc("GET /plan", func(w http.ResponseWriter, _ *http.Request) { f.handlePlan(ctx, w) })
 }
 
 // handleDigest accepts the digest of a node. The failover leader validates it.
-func (f *failoverLeader) handleDigest(w http.ResponseWriter, r *http.Request) {
+func (f *failoverParticipant) handleDigest(w http.ResponseWriter, r *http.Request) {
 	var digest failover.Digest
 	if !readRequest(w, r, &digest) {
 		return
@@ -110,7 +110,7 @@
 }
 
 // handleDigests accepts the digests of another agent's nodes.
-func (f *failoverLeader) handleDigests(w http.ResponseWriter, r *http.Request) {
+func (f *failoverParticipant) handleDigests(w http.ResponseWriter, r *http.Request) {
 	var digests []failover.Digest
 	if r.Header.Get(groupHeader) != f.agent.identity.Group {
 		http.Error(w, "not of this group", http.StatusForbidden)
@@ -120,13 +120,13 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f.collect(digests)
+	f.addDigests(digests)
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // handlePlan answers with the current plan, as far as this agent knows.
-func (f *failoverLeader) handlePlan(ctx context.Context, w http.ResponseWriter) {
-	current, err := f.current(ctx)
+func (f *failoverParticipant) handlePlan(ctx context.Context, w http.ResponseWriter) {
+	current, err := f.currentLeadership(ctx)
 	switch {
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -138,7 +138,7 @@
 	}
 }
 
-func (f *failoverLeader) collect(digests []failover.Digest) {
+func (f *failoverParticipant) addDigests(digests []failover.Digest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, digest := range digests {
@@ -149,13 +149,13 @@
 // leadership is the plan and the address of the failover leader; both are empty where there is none.
 type leadership struct{ plan, leader string }
 
-// current returns the leadership, as far as this agent knows.
-func (f *failoverLeader) current(ctx context.Context) (leadership, error) {
+// currentLeadership returns the leadership, as far as this agent knows.
+func (f *failoverParticipant) currentLeadership(ctx context.Context) (leadership, error) {
 	results := make(chan leadership, 1)
 	task := func() {
 		var current leadership
 		for _, l := range f.agent.member.Status().Leases {
-			if l.Name != failoverLease {
+			if l.Name != failoverLeaseName {
 				continue
 			}
 			current.plan = l.Note
@@ -165,7 +165,7 @@
 		}
 		results <- current
 	}
-	if !f.agent.post(task) {
+	if !f.agent.enqueueTask(task) {
 		return leadership{}, errAgentBusy
 	}
 	select {
@@ -178,7 +178,7 @@
 }
 
 // forwardDigests sends the digests of this agent's nodes to the failover leader.
-func (f *failoverLeader) forwardDigests(ctx context.Context) {
+func (f *failoverParticipant) forwardDigests(ctx context.Context) {
 	ticker := time.NewTicker(failoverInterval)
 	defer ticker.Stop()
 	for {
@@ -187,13 +187,13 @@
 			return
 		case <-ticker.C:
 		}
-		current, err := f.current(ctx)
+		current, err := f.currentLeadership(ctx)
 		if err != nil || current.leader == "" {
 			continue // newer digests meanwhile replace the older ones of the same nodes
 		}
 		digests := f.takeDigests()
 		if current.leader == f.agent.identity.Address {
-			f.collect(digests)
+			f.addDigests(digests)
 		} else if len(digests) > 0 {
 			f.sendDigests(ctx, current.leader, digests)
 		}
@@ -201,7 +201,7 @@
 }
 
 // takeDigests returns the digests that have not been forwarded, and forgets them.
-func (f *failoverLeader) takeDigests() []failover.Digest {
+func (f *failoverParticipant) takeDigests() []failover.Digest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var digests []failover.Digest
@@ -213,7 +213,7 @@
 }
 
 // sendDigests sends digests to another agent, once: nodes send newer ones soon.
-func (f *failoverLeader) sendDigests(ctx context.Context, address string, digests []failover.Digest) {
+func (f *failoverParticipant) sendDigests(ctx context.Context, address string, digests []failover.Digest) {
 	raw, err := json.Marshal(digests)
 	if err != nil {
 		return // impossible: the numbers were read from JSON
@@ -229,10 +229,10 @@
 }
 
 // campaign makes plans whenever this agent holds the failover leader's lease.
-func (f *failoverLeader) campaign(ctx context.Context) {
+func (f *failoverParticipant) campaign(ctx context.Context) {
 	for ctx.Err() == nil {
 		leaderLease, err := Acquire(ctx, f.client, LeaseOptions{
-			Name:          failoverLease,
+			Name:          failoverLeaseName,
 			Duration:      failoverLeaseDuration,
 			Margin:        failoverInterval / 2,
 			Holder:        f.agent.identity.Address,
@@ -241,16 +241,16 @@
 		})
 		if err == nil {
 			f.agent.log.Info("failover leadership changed", "is_leader", true)
-			err = f.lead(ctx, leaderLease)
+			err = f.publishPlans(ctx, leaderLease)
 			f.agent.log.Info("failover leadership changed", "is_leader", false, "err", err)
-			f.release(ctx, leaderLease)
+			f.releaseLease(ctx, leaderLease)
 		}
-		_ = sleep(ctx, failoverInterval) // the loop ends with ctx
+		_ = sleepContext(ctx, failoverInterval) // the loop ends with ctx
 	}
 }
 
-// release releases the lease, if it is certain, so that another agent need not wait until it expires.
-func (f *failoverLeader) release(ctx context.Context, leaderLease *Lease) {
+// releaseLease releases the lease, if it is certain, so that another agent need not wait until it expires.
+func (f *failoverParticipant) releaseLease(ctx context.Context, leaderLease *Lease) {
 	if leaderLease.EndReason() != nil {
 		return
 	}
@@ -259,8 +259,8 @@
 	_ = leaderLease.Release(ctx) // otherwise it expires
 }
 
-// lead publishes plans until the lease is uncertain.
-func (f *failoverLeader) lead(ctx context.Context, leaderLease *Lease) error {
+// publishPlans publishes plans until the lease is uncertain.
+func (f *failoverParticipant) publishPlans(ctx context.Context, leaderLease *Lease) error {
 	planner, err := failover.NewPlanner(f.options.Topology, f.options.PriorityWeights, f.options.Rules)
 	if err != nil {
 		return err
@@ -284,24 +284,24 @@
 		case <-ticker.C:
 		}
 		now := f.agent.options.Clock()
-		if now-start < collectionTime {
+		if now-start < digestCollectionTime {
 			continue
 		}
-		err := f.publish(ctx, leaderLease, planner, now, f.totals(now))
+		err := f.publishPlan(ctx, leaderLease, planner, now, f.totals(now))
 		if err != nil && !errors.Is(err, failover.ErrNoCapacity) { // without capacity the last plan stays until it is too old
 			return err
 		}
 	}
 }
 
-func (f *failoverLeader) totals(now time.Duration) failover.Totals {
+func (f *failoverParticipant) totals(now time.Duration) failover.Totals {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.collector.Totals(now)
 }
 
-// publish makes the next plan, and writes it into the note of the lease.
-func (f *failoverLeader) publish(
+// publishPlan makes the next plan, and writes it into the note of the lease.
+func (f *failoverParticipant) publishPlan(
 	ctx context.Context, leaderLease *Lease, planner *failover.Planner, now time.Duration, totals failover.Totals,
 ) error {
 	grant, err := leaderLease.BeginAction(failoverInterval)
@@ -325,13 +325,13 @@
 }
 
 // lastPlan returns the plan that was published last, or nil if there is none that this version can read.
-func (f *failoverLeader) lastPlan(ctx context.Context) (*failover.Plan, error) {
+func (f *failoverParticipant) lastPlan(ctx context.Context) (*failover.Plan, error) {
 	status, err := f.client.ReadStatus(ctx)
 	if err != nil {
 		return nil, err
 	}
 	for _, l := range status.Leases {
-		if l.Name == failoverLease && l.Note != "" {
+		if l.Name == failoverLeaseName && l.Note != "" {
 			var plan failover.Plan
 			if json.Unmarshal([]byte(l.Note), &plan) != nil {
 				return nil, nil
--- a/internal/agent/failover_leader_test.go
+++ b/internal/agent/failover_leader_test.go
@@ -18,7 +18,7 @@
 // leader accepts all of them in one message of another agent. Regression: such a message was limited to 1 MB, and rejected beyond that.
 func TestDigestsOfManyNodesAreAccepted(t *testing.T) {
 	const zones, classes, nodes = 64, 20, 1024
-	leader := &failoverLeader{
+	participant := &failoverParticipant{
 		agent: &Agent{
 			identity: Identity{Group: "g"},
 			options:  Options{Clock: func() time.Duration { return 0 }},
@@ -28,7 +28,7 @@
 		collector: failover.NewCollector(zones, classes),
 	}
 	mux := http.NewServeMux()
-	leader.registerRoutes(t.Context(), mux)
+	participant.registerRoutes(t.Context(), mux)
 	post := func(path string, v any) {
 		t.Helper()
 		raw, err := json.Marshal(v)
@@ -60,11 +60,11 @@
 		all = append(all, digest)
 		post("/digest", digest)
 	}
-	if len(leader.digests) != nodes {
-		t.Errorf("digests of %d of %d nodes", len(leader.digests), nodes)
+	if len(participant.digests) != nodes {
+		t.Errorf("digests of %d of %d nodes", len(participant.digests), nodes)
 	}
 	post("/digests", all)
-	if s := leader.collector.Totals(0); s.Demand[0][0] < nodes/zones*math.Pi*0.99 {
+	if s := participant.collector.Totals(0); s.Demand[0][0] < nodes/zones*math.Pi*0.99 {
 		t.Errorf("demand of zone 0: %v", s.Demand[0][0])
 	}
 }
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -48,9 +48,9 @@
 	stop      context.CancelFunc
 	stopped   chan struct{} // closed when renewals have ended
 
-	mu     sync.Mutex
-	guard  lease.Guard
-	reason error // why nothing may begin under the lease any more
+	mu        sync.Mutex
+	guard     lease.Guard
+	endReason error // why nothing may begin under the lease any more
 }
 
 var (
@@ -142,7 +142,7 @@
 		if !errors.Is(err, lease.ErrNoFreeSlot) || l.options.RetryInterval == 0 {
 			return err
 		}
-		if sleep(ctx, l.options.RetryInterval) != nil {
+		if sleepContext(ctx, l.options.RetryInterval) != nil {
 			return err
 		}
 	}
@@ -152,17 +152,17 @@
 func (l *Lease) renewUntilDone(ctx context.Context) {
 	defer close(l.stopped)
 	for {
-		certain := l.Remaining() - l.options.Margin
-		if certain <= 0 {
-			l.end(ErrUncertain)
+		certainDuration := l.Remaining() - l.options.Margin
+		if certainDuration <= 0 {
+			l.setEndReason(ErrUncertain)
 			return
 		}
-		if sleep(ctx, min(certain, l.options.Duration/3)) != nil {
+		if sleepContext(ctx, min(certainDuration, l.options.Duration/3)) != nil {
 			return
 		}
 		err := l.renew(ctx)
 		if errors.Is(err, lease.ErrNotGranted) || errors.Is(err, lease.ErrSlotRemoved) {
-			l.end(err)
+			l.setEndReason(err)
 			return
 		}
 	}
@@ -174,7 +174,7 @@
 	ctx, stop := context.WithTimeout(ctx, max(l.Remaining()-l.options.Margin, time.Millisecond))
 	defer stop()
 	var sentAt time.Duration
-	response, err := l.client.send(ctx, call{
+	response, err := l.client.send(ctx, groupRequest{
 		method:  http.MethodPost,
 		path:    pathLease + verbRenew,
 		body:    lease.Command{Name: grant.Name, Token: grant.Token, Ticks: l.ticks},
@@ -189,12 +189,12 @@
 	return err
 }
 
-// end sets the reason, unless there is one.
-func (l *Lease) end(reason error) {
+// setEndReason sets the reason, unless there is one.
+func (l *Lease) setEndReason(reason error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.reason == nil {
-		l.reason = reason
+	if l.endReason == nil {
+		l.endReason = reason
 		close(l.uncertain)
 	}
 }
@@ -206,15 +206,15 @@
 func (l *Lease) EndReason() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.reason
+	return l.endReason
 }
 
 // BeginAction returns the grant under which an action may begin that takes at most this long, or why none may.
 func (l *Lease) BeginAction(longest time.Duration) (lease.Grant, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.reason != nil {
-		return lease.Grant{}, l.reason
+	if l.endReason != nil {
+		return lease.Grant{}, l.endReason
 	}
 	grant, ok := l.guard.BeginAction(l.options.Clock(), longest)
 	if !ok {
@@ -248,9 +248,9 @@
 func (l *Lease) Release(ctx context.Context) error {
 	l.stop()
 	<-l.stopped
-	l.end(errReleased)
-	for !l.actionsOver() {
-		if err := sleep(ctx, releasePollInterval); err != nil {
+	l.setEndReason(errReleased)
+	for !l.actionsEnded() {
+		if err := sleepContext(ctx, releasePollInterval); err != nil {
 			return err
 		}
 	}
@@ -262,8 +262,8 @@
 	return err
 }
 
-// actionsOver reports whether all actions that were begun must be over.
-func (l *Lease) actionsOver() bool {
+// actionsEnded reports whether all actions that were begun must be over.
+func (l *Lease) actionsEnded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.guard.ActionsEnded(l.options.Clock())
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -36,7 +36,7 @@
 		return
 	}
 	command.Kind = kind
-	a.answer(ctx, w, r, func(reply func(Response, error)) {
+	a.handleOnMemberGoroutine(ctx, w, r, func(reply func(Response, error)) {
 		a.member.Propose(command, func(grant lease.Grant, err error) {
 			terms := a.member.Terms()
 			reply(Response{Grant: &grant, Terms: &terms}, err)
@@ -46,7 +46,7 @@
 
 // handleLeases answers with the status of the group, as of now.
 func (a *Agent) handleLeases(ctx context.Context, w http.ResponseWriter, r *http.Request) {
-	a.answer(ctx, w, r, func(reply func(Response, error)) {
+	a.handleOnMemberGoroutine(ctx, w, r, func(reply func(Response, error)) {
 		a.member.ReadIndex(func(err error) {
 			status := a.member.Status()
 			reply(Response{Status: &status}, err)
@@ -56,7 +56,7 @@
 
 // handleStatus answers with what this member knows, which may be stale.
 func (a *Agent) handleStatus(ctx context.Context, w http.ResponseWriter, r *http.Request) {
-	a.answer(ctx, w, r, func(reply func(Response, error)) {
+	a.handleOnMemberGoroutine(ctx, w, r, func(reply func(Response, error)) {
 		status := a.member.Status()
 		reply(Response{Status: &status}, nil)
 	})
@@ -74,7 +74,7 @@
 			return
 		}
 	}
-	a.answer(ctx, w, r, func(reply func(Response, error)) {
+	a.handleOnMemberGoroutine(ctx, w, r, func(reply func(Response, error)) {
 		a.member.ChangeMembers(change.Add, change.Remove, func(err error) { reply(Response{}, err) })
 	})
 }
@@ -95,15 +95,15 @@
 	_ = json.NewEncoder(w).Encode(response) // fails if the client has disconnected
 }
 
-// answer has the member's goroutine handle a request, and answers once that replies.
-func (a *Agent) answer(ctx context.Context, w http.ResponseWriter, r *http.Request, handle func(reply func(Response, error))) {
+// handleOnMemberGoroutine has the member's goroutine handle a request, and answers once that replies.
+func (a *Agent) handleOnMemberGoroutine(ctx context.Context, w http.ResponseWriter, r *http.Request, handle func(reply func(Response, error))) {
 	type result struct {
 		response Response
 		err      error
 	}
 	results := make(chan result, 1)
 	reply := func(response Response, err error) { results <- result{response, err} }
-	if !a.post(func() { handle(reply) }) {
+	if !a.enqueueTask(func() { handle(reply) }) {
 		writeResponse(w, http.StatusServiceUnavailable, Response{Code: codeBusy, Error: consensus.ErrBusy.Error()})
 		return
 	}
--- a/internal/agent/transport.go
+++ b/internal/agent/transport.go
@@ -27,8 +27,8 @@
 	isSnapshot bool
 }
 
-// send queues a message. It is called on the member's goroutine, and never blocks: raft repeats what is lost.
-func (a *Agent) send(address string, msg *pb.Message) {
+// queueMessage queues a message. It is called on the member's goroutine, and never blocks: raft repeats what is lost.
+func (a *Agent) queueMessage(address string, msg *pb.Message) {
 	raw, err := proto.Marshal(msg)
 	if err != nil {
 		a.log.Error("message not sent", "err", err)
@@ -41,19 +41,19 @@
 	if queue == nil {
 		queue = make(chan outboundMessage, peerQueueSize)
 		a.peers[address] = queue
-		a.background.Go(func() { a.sendQueue(address, queue) })
+		a.background.Go(func() { a.sendQueuedMessages(address, queue) })
 	}
 	select {
 	case queue <- outbound:
 	default:
 		if outbound.isSnapshot {
-			a.post(func() { a.member.ReportSnapshot(outbound.to, false) })
+			a.enqueueTask(func() { a.member.ReportSnapshot(outbound.to, false) })
 		}
 	}
 }
 
-// sendQueue sends the messages to one address, in order, until there has been none for idleTimeout.
-func (a *Agent) sendQueue(address string, queue chan outboundMessage) {
+// sendQueuedMessages sends the messages to one address, in order, until there has been none for idleTimeout.
+func (a *Agent) sendQueuedMessages(address string, queue chan outboundMessage) {
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for {
@@ -62,23 +62,23 @@
 		case <-a.stopped:
 			return
 		case <-idle.C:
-			if a.removeEmptyQueue(address, queue) {
+			if a.removeQueueIfEmpty(address, queue) {
 				return
 			}
 		case outbound := <-queue:
 			err := a.sendMessage(address, outbound.raw)
 			switch {
 			case outbound.isSnapshot:
-				a.post(func() { a.member.ReportSnapshot(outbound.to, err == nil) })
+				a.enqueueTask(func() { a.member.ReportSnapshot(outbound.to, err == nil) })
 			case err != nil:
-				a.post(func() { a.member.ReportUnreachable(outbound.to) })
+				a.enqueueTask(func() { a.member.ReportUnreachable(outbound.to) })
 			}
 		}
 	}
 }
 
-// removeEmptyQueue removes a queue unless a message has just been added to it.
-func (a *Agent) removeEmptyQueue(address string, queue chan outboundMessage) bool {
+// removeQueueIfEmpty removes a queue unless a message has just been added to it.
+func (a *Agent) removeQueueIfEmpty(address string, queue chan outboundMessage) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(queue) > 0 {
@@ -134,7 +134,7 @@
 			a.log.Warn("message not taken", "from", msg.GetFrom(), "err", err)
 		}
 	}
-	if CheckAddress(from) != nil || !a.post(step) {
+	if CheckAddress(from) != nil || !a.enqueueTask(step) {
 		http.Error(w, "not now", http.StatusServiceUnavailable)
 		return
 	}
