--- a/cmd/tulipagent/main.go
+++ b/cmd/tulipagent/main.go
@@ -37,7 +37,7 @@
 	flagTopology = "topology"
 )
 
-// command returns the command line.
+// command returns the root command of tulipagent with its sub-commands.
 func command() *cli.Command {
 	return &cli.Command{
 		Name:     "tulipagent",
@@ -109,7 +109,7 @@
 	}
 }
 
-// serve runs the member.
+// serve runs the member until ctx ends or the member fails.
 func serve(ctx context.Context, cmd *cli.Command) error {
 	options := agent.Options{Log: slog.New(slog.NewTextHandler(os.Stderr, nil))}
 	if file := cmd.String(flagTopology); file != "" {
--- a/cmd/tulipagent/main_test.go
+++ b/cmd/tulipagent/main_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// An error is one line that names the flag or the folder, and nothing is created; check prints what a folder contains.
+// An invalid command line must fail with a one-line error that names the flag, or states the problem of the folder. The
+// check command must print the identity of the member in a folder.
 func TestCommandLineErrorsNameTheFlag(t *testing.T) {
 	existing := filepath.Join(t.TempDir(), "existing")
 	run := func(args ...string) (string, error) {
@@ -35,12 +36,12 @@
 		{"init --dir D --id 1 --member 1=127.0.0.1:1 --drift 0.5", "--drift"},
 		{"join --dir D --id 0 --address 127.0.0.1:1", "--id"},
 		{"join --dir D --id 4 --address host:1", "--address"},
-		{"serve --dir D", "no member lives here"},
+		{"serve --dir D", "no member in this folder"},
 		{"serve --dir D --topology none.toml", "--topology"},
-		{"serve --dir D --topology ../../deploy/topology.example.toml", "no member lives here"},
-		{"check --dir D", "no member lives here"},
-		{"init --dir " + existing + " --id 1 --member 1=127.0.0.1:7101", "lives here already"},
-		{"join --dir " + existing + " --id 4 --address 127.0.0.1:1", "lives here already"},
+		{"serve --dir D --topology ../../deploy/topology.example.toml", "no member in this folder"},
+		{"check --dir D", "no member in this folder"},
+		{"init --dir " + existing + " --id 1 --member 1=127.0.0.1:7101", "already contains a member"},
+		{"join --dir " + existing + " --id 4 --address 127.0.0.1:1", "already contains a member"},
 	} {
 		_, err := run(strings.Fields(strings.ReplaceAll(c.args, " D ", " "+empty+" "))...)
 		if strings.HasSuffix(c.args, " D") {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent runs a member of the group that agrees on leases: its storage, its clock, its messages to the other members over HTTP/1.1,
-// and the HTTP interface for lease holders and operators. The decisions are those of package consensus. An agent serves loopback
-// addresses only, since nothing authenticates its clients.
+// Package agent runs a member of the group that agrees on leases. It provides the member's storage and clock, exchanges
+// messages with the other members over HTTP/1.1, and serves the HTTP interface for lease holders and operators. Package
+// consensus makes the decisions. An agent listens on loopback addresses only, since its clients are not authenticated.
 package agent
 
 import (
@@ -26,39 +26,43 @@
 )
 
 const (
-	// TickInterval is the interval of the clock that measures how long there has been no leader.
+	// TickInterval is the time between two ticks of the clock that measures how long the group has had no leader.
 	TickInterval = 50 * time.Millisecond
-	// ElectionTicks is after how many ticks without a leader, to twice as many, an election starts.
+	// ElectionTicks is the minimum number of ticks without a leader after which an election starts; the maximum is
+	// twice as many.
 	ElectionTicks = 10
-	// RemovedGracePeriod is for how long a removed member goes on.
+	// RemovedGracePeriod is the time for which a member continues to run after its removal from the group.
 	RemovedGracePeriod = 10 * time.Second
 
-	snapshotEntries     = 2000 // between two snapshots
+	snapshotEntries     = 2000 // entries applied between two snapshots
 	requestTimeoutTicks = 100
-	taskQueueSize       = 1024 // tasks that wait for the member's goroutine
-	taskBatchSize       = 256  // tasks between two writes to the storage
+	taskQueueSize       = 1024 // maximum number of tasks that wait for the member's goroutine
+	taskBatchSize       = 256  // maximum number of tasks between two writes to the storage
 
-	peerRequestTimeout = ElectionTicks * TickInterval // for a message to another member
-	idleTimeout        = time.Minute                  // of connections, and of queues to other members
+	peerRequestTimeout = ElectionTicks * TickInterval // timeout of a message to another member
+	idleTimeout        = time.Minute                  // for unused connections and queues to other members
 	readHeaderTimeout  = 2 * time.Second
 	readTimeout        = 5 * time.Second
 	maxHeaderBytes     = 8 << 10
-	maxBodyBytes       = 4 * lease.MaxNoteBytes // escaped characters in a note take more bytes than they stand for
-	maxMessageBytes    = 32 << 20               // of a message between members, or of a client's answer
-	maxConnections     = 4096                   // each node that sends digests keeps one
+	maxBodyBytes       = 4 * lease.MaxNoteBytes // JSON escapes enlarge the characters of a note
+	maxMessageBytes    = 32 << 20               // limit for a message between members, and for a response to a client
+	maxConnections     = 4096                   // each node that sends digests keeps one connection open
 )
 
-// Options are the dependencies of an agent. The zero value is for production.
+// Options are the dependencies and optional features of an agent. The zero value suits production, without failover.
 type Options struct {
-	Log         *slog.Logger
-	Clock       func() time.Duration                                    // monotonic
-	WrapStorage func(consensus.Storage) consensus.Storage               // injects faults between the member and its storage
-	Dial        func(context.Context, string, string) (net.Conn, error) // to other members
-	Failover    *FailoverOptions                                        // nil: the agent takes no part in failover
-	Listener    net.Listener                                            // already listening at the member's address
+	Log   *slog.Logger
+	Clock func() time.Duration // a monotonic clock; default: the time since the start
+	// WrapStorage injects faults between the member and its storage.
+	WrapStorage func(consensus.Storage) consensus.Storage
+	// Dial opens connections to other members.
+	Dial     func(context.Context, string, string) (net.Conn, error)
+	Failover *FailoverOptions // nil: the agent does not participate in failover
+	// Listener, if set, is used in place of a new one at the member's address.
+	Listener net.Listener
 }
 
-// setDefaults sets what is needed and was not given.
+// setDefaults sets the default log, clock and dial function where none was set.
 func (o *Options) setDefaults() {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -72,34 +76,35 @@
 	}
 }
 
-// Agent is a running member.
+// Agent is a running member of the group, with its HTTP interface and its connections to the other members.
 type Agent struct {
 	options    Options
 	identity   Identity
-	member     *consensus.Member // used by the member's goroutine alone
-	tasks      chan func()       // for the member's goroutine
+	member     *consensus.Member // used only by the member's goroutine
+	tasks      chan func()       // run by the member's goroutine
 	stopped    chan struct{}     // closed when the member's goroutine has ended
 	httpClient *http.Client
 	log        *slog.Logger
 	background sync.WaitGroup
 
 	mu    sync.Mutex
-	peers map[string]chan outboundMessage // queues by address
+	peers map[string]chan outboundMessage // queues of messages by the address of the other member
 }
 
-// CheckAddress reports why a member can't listen at an address.
+// CheckAddress returns an error unless an address is a loopback address with a port at which a member can listen.
 func CheckAddress(addr string) error {
 	if err := loopback.Check(addr); err != nil {
 		return err
 	}
-	_, port, _ := net.SplitHostPort(addr) // loopback.Check has split it
+	_, port, _ := net.SplitHostPort(addr) // loopback.Check has already split it without an error
 	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 {
 		return fmt.Errorf("%q: no such port", addr)
 	}
 	return nil
 }
 
-// Serve runs the member of a folder until ctx ends, the member has been removed from its group, or a failure.
+// Serve runs the member whose state is in dir. It returns when ctx ends, when RemovedGracePeriod has passed since the
+// member was removed from its group, or with an error when the server or the storage fails.
 func Serve(ctx context.Context, dir string, options Options) (err error) {
 	options.setDefaults()
 	storage, durable, err := OpenStorage(dir)
@@ -134,7 +139,7 @@
 	return err
 }
 
-// newAgent returns an Agent whose member continues from its durable state.
+// newAgent returns an Agent whose member continues from its durable state. Nothing runs yet.
 func newAgent(storage *Storage, durable consensus.DurableState, options Options) (*Agent, error) {
 	a := &Agent{
 		options:  options,
@@ -174,7 +179,7 @@
 	return a, err
 }
 
-// newRandom returns a generator with a seed of the system's.
+// newRandom returns a random number generator that is seeded by the operating system.
 func newRandom() (*rand.Rand, error) {
 	var seed [16]byte
 	if _, err := crand.Read(seed[:]); err != nil {
@@ -183,7 +188,7 @@
 	return rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:]))), nil
 }
 
-// serveUntilDone runs the HTTP server and the member until ctx ends or one of them does.
+// serveUntilDone runs the HTTP server and the member's goroutine until ctx ends or one of the two ends.
 func (a *Agent) serveUntilDone(ctx context.Context, stop context.CancelFunc, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{
 		Handler:           handler,
@@ -213,7 +218,8 @@
 	return group.Wait()
 }
 
-// runMember is the member's goroutine.
+// runMember is the body of the member's goroutine. It runs ticks and tasks, and saves the member's state after each
+// batch.
 func (a *Agent) runMember(ctx context.Context) error {
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
@@ -227,7 +233,7 @@
 		case task := <-a.tasks:
 			task()
 		}
-		for range min(len(a.tasks), taskBatchSize) { // one write to the storage for all that wait
+		for range min(len(a.tasks), taskBatchSize) { // the waiting tasks share one write to the storage
 			task := <-a.tasks
 			task()
 		}
@@ -242,15 +248,15 @@
 	}
 }
 
-// statusTracker logs changes of the member's status.
+// statusTracker remembers the member's last status, to log changes of the leader and to time the member's removal.
 type statusTracker struct {
 	agent     *Agent
 	isLeader  bool
 	leader    uint64
-	removedAt time.Duration // 0: it has not been removed
+	removedAt time.Duration // 0: the member has not been removed
 }
 
-// logLeadership logs that this member has become or is no longer the leader, or that another one is.
+// logLeadership logs when this member gains or loses the leadership, and when it learns of another leader.
 func (w *statusTracker) logLeadership() {
 	member := w.agent.member
 	switch isLeader := member.IsLeader(); {
@@ -263,7 +269,8 @@
 	}
 }
 
-// removalGraceEnded reports whether the member was removed from the group longer than RemovedGracePeriod ago.
+// removalGraceEnded reports whether more than RemovedGracePeriod has passed since the member was removed from the
+// group.
 func (w *statusTracker) removalGraceEnded() bool {
 	now := w.agent.options.Clock()
 	switch {
@@ -278,7 +285,8 @@
 	return false
 }
 
-// enqueueTask has the member's goroutine run a task. It returns false if that goroutine has ended, or too many tasks wait.
+// enqueueTask queues a task for the member's goroutine. It returns false if the goroutine has ended or the queue is
+// full.
 func (a *Agent) enqueueTask(task func()) bool {
 	select {
 	case <-a.stopped:
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -7,36 +7,36 @@
 	"tulipglade/internal/lease"
 )
 
-// Response is the answer to a request of a lease holder or an operator.
+// Response is the body of the agent's answer to a request of a lease holder or an operator.
 type Response struct {
 	Grant  *lease.Grant      `json:"grant,omitempty"`
 	Terms  *lease.Terms      `json:"terms,omitempty"`
 	Status *consensus.Status `json:"view,omitempty"`
-	Code   string            `json:"code,omitempty"` // of the error; see errorCodes
+	Code   string            `json:"code,omitempty"` // identifies the error; see errorCodes and codeNotLeader
 	Error  string            `json:"error,omitempty"`
-	Leader string            `json:"leader,omitempty"` // address of the leader, with codeNotLeader
+	Leader string            `json:"leader,omitempty"` // address of the leader, if Code is codeNotLeader
 }
 
-// MembershipChange is a request to change the members of the group.
+// MembershipChange is a request to add members, by ID and address, and to remove members, by ID, in one step.
 type MembershipChange struct {
 	Add    map[uint64]string `json:"add,omitempty"`
 	Remove []uint64          `json:"remove,omitempty"`
 }
 
-// Codes of errors that are no error values of other packages, or that are used by name.
+// Error codes that have no entry in errorCodes, or that other code refers to.
 const (
 	codeNotLeader = "not-leader"
 	codeInvalid   = "bad"
 	codeBusy      = "busy"
 )
 
-// errorCode is an error of the group, and the HTTP status that it is answered with.
+// errorCode is an error of the group, and the HTTP status of the response that reports it.
 type errorCode struct {
 	err    error
 	status int
 }
 
-// errorCodes are the errors of the group by their codes in a Response.
+// errorCodes maps the Code of a Response to the error that it stands for.
 var errorCodes = map[string]errorCode{
 	"taken":     {lease.ErrNoFreeSlot, http.StatusConflict},
 	"not-held":  {lease.ErrNotGranted, http.StatusConflict},
@@ -48,7 +48,7 @@
 	"not-now":   {consensus.ErrInvalidChange, http.StatusConflict},
 }
 
-// Verbs of the paths under /lease/.
+// Verbs at the end of the paths under /lease/, each for one command on a lease.
 const (
 	verbAcquire       = "acquire"
 	verbRenew         = "renew"
@@ -57,7 +57,7 @@
 	verbSetNote       = "note"
 )
 
-// commandKinds are the commands on leases by the verbs of their paths.
+// commandKinds maps the verb in a path to the kind of command on a lease.
 var commandKinds = map[string]lease.Kind{
 	verbAcquire:       lease.Acquire,
 	verbRenew:         lease.Renew,
@@ -68,7 +68,7 @@
 
 // Paths that both the client and the server use.
 const (
-	pathLease   = "/lease/" // and a verb
+	pathLease   = "/lease/" // followed by a verb
 	pathLeases  = "/leases"
 	pathStatus  = "/status"
 	pathMembers = "/members"
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	// attemptTimeout is for one request to one member: it answers within milliseconds, or is stopped, cut off, or has a stalled disk.
+	// attemptTimeout limits one request to one member. A member answers within milliseconds unless its process is
+	// stopped, its network is cut off, or its disk stalls.
 	attemptTimeout = 400 * time.Millisecond
 	retryInterval  = 100 * time.Millisecond
-	maxRedirects   = 4 // by which members point to the leader before the client waits
+	maxRedirects   = 4 // successive redirects to a leader that the client follows before it waits
 )
 
 var (
-	// ErrNoMembers is the error of a request that no member has answered in time.
+	// ErrNoMembers is returned when no member has given a final answer to a request before its context ended.
 	ErrNoMembers = errors.New("no member of the group has answered")
 
 	errInvalidResponse = errors.New("not a response of an agent: the status is missing or incomplete")
 )
 
-// Client sends requests to a group: to the member that answered last and, if that does not answer, to the others in turn. It is safe for
-// concurrent use.
+// Client sends requests to a group. It prefers the member that answered last, and tries the others in turn if that one
+// does not answer. It is safe for concurrent use.
 type Client struct {
 	members []string
 	http    *http.Client
@@ -40,7 +41,7 @@
 	lastResponder string // address; empty: unknown
 }
 
-// NewClient returns a Client of a group with members at these addresses. A nil transport stands for the default.
+// NewClient returns a Client of a group with members at these addresses. A nil transport selects the default one.
 func NewClient(members []string, transport http.RoundTripper) *Client {
 	if transport == nil {
 		transport = &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: idleTimeout, DisableCompression: true}
@@ -52,8 +53,8 @@
 type groupRequest struct {
 	method  string
 	path    string
-	body    any           // nil: none
-	timeout time.Duration // of one attempt; 0: none
+	body    any           // encoded as JSON; nil: empty
+	timeout time.Duration // limit for one attempt; 0: none
 	onSend  func()        // called before each attempt; may be nil
 }
 
@@ -88,7 +89,7 @@
 	return response, responseError(member, httpResponse.StatusCode, response)
 }
 
-// responseError returns the typed error of a response.
+// responseError returns the error that a response reports: the typed error of its code, or one with the HTTP status.
 func responseError(member string, status int, response Response) error {
 	known, ok := errorCodes[response.Code]
 	switch {
@@ -102,7 +103,8 @@
 	return fmt.Errorf("%s: status %d: %s", member, status, response.Error)
 }
 
-// isFinal reports whether the result of an attempt is the group's answer. Any other result may change with a retry.
+// isFinal reports whether the result of an attempt is the group's answer to the request. Any other result may be
+// different on a retry.
 func isFinal(response Response, err error) bool {
 	if err == nil {
 		return true
@@ -112,12 +114,14 @@
 	return response.Code != "" && !isTransient
 }
 
-// send retries a request until the group has answered or ctx ends. An attempt that was lost may have been carried out, so the request must
-// be idempotent.
+// send retries a request until the group has answered or ctx ends. An attempt without an answer may have been carried
+// out, so the request must be idempotent.
 func (c *Client) send(ctx context.Context, call groupRequest) (Response, error) {
 	lastErr := ErrNoMembers
 	nextMember := rand.IntN(len(c.members))
-	unresponsive := "" // the others may still believe that it leads: to be redirected there would take up the remaining time
+	// Other members may still believe that the member that did not answer is the leader. Following their redirects to
+	// it would use up the remaining time.
+	unresponsive := ""
 	member := c.responder()
 	for redirects := 0; ; {
 		if member == "" {
@@ -163,7 +167,8 @@
 	c.lastResponder = member
 }
 
-// SendCommand has the group carry out a command, with retries. An Acquire must have a RequestID of its own, so that it is idempotent.
+// SendCommand sends a command on a lease to the group, with retries, and returns the resulting grant. To be idempotent,
+// each Acquire command must have a RequestID of its own.
 func (c *Client) SendCommand(ctx context.Context, verb string, command lease.Command) (lease.Grant, error) {
 	response, err := c.send(ctx, groupRequest{method: http.MethodPost, path: pathLease + verb, body: command, timeout: attemptTimeout})
 	if err != nil || response.Grant == nil {
@@ -172,17 +177,17 @@
 	return *response.Grant, nil
 }
 
-// ReadStatus returns what the group has agreed on by now.
+// ReadStatus returns the status of the group, which includes everything that it agreed on before the call.
 func (c *Client) ReadStatus(ctx context.Context) (consensus.Status, error) {
 	return checkedStatus(c.send(ctx, groupRequest{method: http.MethodGet, path: pathLeases, timeout: attemptTimeout}))
 }
 
-// Status returns what one member knows, which may be stale.
+// Status returns the status of the group as one member knows it, which may be stale.
 func (c *Client) Status(ctx context.Context, member string) (consensus.Status, error) {
 	return checkedStatus(c.attempt(ctx, member, groupRequest{method: http.MethodGet, path: pathStatus, timeout: attemptTimeout}))
 }
 
-// checkedStatus returns the status in a response, and checks that an agent can have sent it.
+// checkedStatus returns the status in a response, or an error if it is missing or incomplete.
 func checkedStatus(response Response, err error) (consensus.Status, error) {
 	if err != nil {
 		return consensus.Status{}, err
@@ -194,8 +199,9 @@
 	return *status, nil
 }
 
-// ChangeMembers changes the members, and returns once that is done. A change is sent again only if it was certainly not made; if that is
-// not known, since the leader has changed, the list of members shows it.
+// ChangeMembers changes the members of the group, and returns once the change has been made. It sends the change again
+// only if it was certainly not made. If the outcome is unknown, since the leader has changed, it waits until the list
+// of members shows the change.
 func (c *Client) ChangeMembers(ctx context.Context, change MembershipChange) error {
 	for {
 		status, err := c.ReadStatus(ctx)
@@ -218,7 +224,7 @@
 	}
 }
 
-// awaitChange waits until the members are as a change has them.
+// awaitChange waits until the list of members shows a change.
 func (c *Client) awaitChange(ctx context.Context, change MembershipChange) error {
 	for {
 		status, err := c.ReadStatus(ctx)
@@ -234,7 +240,7 @@
 	}
 }
 
-// isApplied reports whether the members are as the change has them.
+// isApplied reports whether a list of members, by ID, contains all added members and none of the removed ones.
 func (m MembershipChange) isApplied(members map[uint64]string) bool {
 	for id := range m.Add {
 		if members[id] == "" {
@@ -249,7 +255,7 @@
 	return true
 }
 
-// sleepContext waits, or returns why ctx has ended.
+// sleepContext waits for a duration. If ctx ends first, it returns the error of ctx.
 func sleepContext(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/agent/client_test.go
+++ b/internal/agent/client_test.go
@@ -15,7 +15,7 @@
 	"tulipglade/internal/lease"
 )
 
-// serveFakeMember serves answers that a test gives, by the number of the request, and counts the requests.
+// serveFakeMember starts a server that answers the nth request with the result of answer(n), and counts the requests.
 func serveFakeMember(t *testing.T, answer func(n int64) (int, Response)) (address string, requests *atomic.Int64) {
 	t.Helper()
 	requests = &atomic.Int64{}
@@ -27,14 +27,15 @@
 	return server.Listener.Addr().String(), requests
 }
 
-// A leader whose process is stopped accepts connections and does not answer, and for a while the others still redirect clients to it. The
-// client tries it once and not repeatedly: a lease would expire meanwhile.
+// A leader whose process is stopped still accepts connections but does not answer, and for a while the other members
+// still redirect clients to it. The client must try such a leader only once: if it followed every redirect, a lease
+// could expire before it is renewed.
 func TestClientSkipsUnresponsiveLeader(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = ln.Close() }() // only ends the test's server
+	defer func() { _ = ln.Close() }() // only stops the server of this test
 	var connections atomic.Int64
 	go func() {
 		for {
@@ -68,8 +69,8 @@
 	}
 }
 
-// A rejection is returned as the typed error that it stands for, a request without a known outcome is retried, and the end of the context
-// is returned with the last error.
+// The client must return a rejection as the typed error of its code, and retry a request with an unknown outcome or to
+// a busy member. If the context ends first, the error must also contain the error of the last attempt.
 func TestClientReturnsTypedErrors(t *testing.T) {
 	for code, known := range errorCodes {
 		address, requests := serveFakeMember(t, func(n int64) (int, Response) {
@@ -94,14 +95,15 @@
 	}
 }
 
-// Each acquisition of a process has a request ID of its own: under an earlier one it would be answered with the earlier grant.
+// Each acquisition of a process must have a new request ID. If an ID were repeated, the group would answer with the
+// earlier grant, which expires sooner.
 func TestEachAcquireHasItsOwnRequestID(t *testing.T) {
 	seen := map[uint64]bool{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		terms := lease.Terms{Interval: time.Second}
 		var command lease.Command
 		if r.Method == http.MethodPost {
-			_ = json.NewDecoder(r.Body).Decode(&command) // a failure leaves ID 0, which is found below
+			_ = json.NewDecoder(r.Body).Decode(&command) // if this fails, the ID remains 0, which is reported below
 		}
 		if r.URL.Path == "/lease/acquire" {
 			if seen[command.RequestID] || command.RequestID == 0 {
--- a/internal/agent/failover_leader.go
+++ b/internal/agent/failover_leader.go
@@ -15,23 +15,27 @@
 	"tulipglade/internal/lease"
 )
 
-// FailoverOptions have an agent take part in failover: it accepts digests of its machine's nodes, and makes plans while it holds the
-// failover leader's lease.
+// FailoverOptions configure an agent that participates in failover. Such an agent accepts the digests of its machine's
+// nodes, and makes plans while it holds the failover leader's lease.
 type FailoverOptions struct {
 	Topology        failover.Topology
-	PriorityWeights []float64 // by class, of a core-second
+	PriorityWeights []float64 // weight of a core-second of each class
 	Rules           failover.Rules
 }
 
 const (
-	// failoverLeaseName is the name of the failover leader's lease. The plan is its note, so only the holder can replace it.
+	// failoverLeaseName is the name of the failover leader's lease. The plan is stored in the note of the lease, so
+	// that only the holder can replace it.
 	failoverLeaseName     = "director"
 	failoverLeaseDuration = 2 * time.Second
-	// failoverInterval is how often nodes send digests, agents forward them, and the failover leader makes a plan.
+	// failoverInterval is the interval at which nodes send digests, agents forward them, and the failover leader makes
+	// a plan.
 	failoverInterval = 500 * time.Millisecond
-	// digestCollectionTime is for how long a new failover leader only collects digests, so that it has one of each node.
+	// digestCollectionTime is the time for which a new failover leader only collects digests, so that it has one of
+	// each node before it makes a plan.
 	digestCollectionTime = 3 * failoverInterval
-	// maxDigestsBytes bounds the digests of one agent: 4 KB for each node that a Collector remembers.
+	// maxDigestsBytes limits the size of the digests that one agent forwards: 4 KB for each node that a Collector
+	// remembers.
 	maxDigestsBytes = failover.MaxNodes << 12
 )
 
@@ -40,18 +44,18 @@
 	errAgentStopped = errors.New("this agent ends")
 )
 
-// failoverParticipant is an agent's part in failover, whether or not it is the leader.
+// failoverParticipant is the state of an agent that participates in failover, whether or not it is the failover leader.
 type failoverParticipant struct {
 	agent   *Agent
 	options FailoverOptions
 	client  *Client
 
 	mu        sync.Mutex
-	collector *failover.Collector        // of all digests, while this agent is the leader
-	digests   map[string]failover.Digest // of this agent's nodes, since they were last forwarded
+	collector *failover.Collector        // holds the digests of all agents' nodes while this agent is the leader
+	digests   map[string]failover.Digest // latest digests of this agent's nodes by node name, not yet forwarded
 }
 
-// startFailover adds failover to an agent's interface, and starts its goroutines.
+// startFailover registers the HTTP handlers of failover, and starts the goroutines that forward digests and make plans.
 func (a *Agent) startFailover(ctx context.Context, mux *http.ServeMux) error {
 	participant, err := newFailoverParticipant(a, *a.options.Failover)
 	if err != nil {
@@ -69,14 +73,14 @@
 	}
 	zones, classes := len(options.Topology.Zones), len(options.PriorityWeights)
 	if size := failover.MaxPlanSize(zones, classes); size > lease.MaxNoteBytes {
-		return nil, fmt.Errorf("topology: a plan of %d zones and %d classes may have %d bytes, and a note %d",
+		return nil, fmt.Errorf("topology: a plan of %d zones and %d classes may have %d bytes, but a note at most %d",
 			zones, classes, size, lease.MaxNoteBytes)
 	}
 	var members []string
 	for _, address := range agent.member.Status().Members {
 		members = append(members, address)
 	}
-	if len(members) == 0 { // a joining member knows only itself yet, and learns the leader from its own answer
+	if len(members) == 0 { // a joining member has no list of members yet: its own agent redirects to the leader
 		members = []string{agent.identity.Address}
 	}
 	return &failoverParticipant{
@@ -88,14 +92,14 @@
 	}, nil
 }
 
-// registerRoutes adds the requests of nodes and of other agents.
+// registerRoutes registers the handlers for the requests of nodes and of other agents.
 func (f *failoverParticipant) registerRoutes(ctx context.Context, mux *http.ServeMux) {
 	mux.HandleFunc("POST /digest", f.handleDigest)
 	mux.HandleFunc("POST "+pathDigests, f.handleDigests)
 	mux.HandleFunc("GET /plan", func(w http.ResponseWriter, _ *http.Request) { f.handlePlan(ctx, w) })
 }
 
-// handleDigest accepts the digest of a node. The failover leader validates it.
+// handleDigest stores the digest of a node until it is forwarded. Its values are checked only by the failover leader.
 func (f *failoverParticipant) handleDigest(w http.ResponseWriter, r *http.Request) {
 	var digest failover.Digest
 	if !readRequest(w, r, &digest) {
@@ -109,7 +113,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// handleDigests accepts the digests of another agent's nodes.
+// handleDigests accepts the digests that another agent forwards for its nodes.
 func (f *failoverParticipant) handleDigests(w http.ResponseWriter, r *http.Request) {
 	var digests []failover.Digest
 	if r.Header.Get(groupHeader) != f.agent.identity.Group {
@@ -124,7 +128,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// handlePlan answers with the current plan, as far as this agent knows.
+// handlePlan answers with the current plan as this agent knows it, which may be stale.
 func (f *failoverParticipant) handlePlan(ctx context.Context, w http.ResponseWriter) {
 	current, err := f.currentLeadership(ctx)
 	switch {
@@ -146,10 +150,10 @@
 	}
 }
 
-// leadership is the plan and the address of the failover leader; both are empty where there is none.
+// leadership holds the current plan and the address of the failover leader. Each is empty if there is none.
 type leadership struct{ plan, leader string }
 
-// currentLeadership returns the leadership, as far as this agent knows.
+// currentLeadership returns the plan and the failover leader as this agent knows them, which may be stale.
 func (f *failoverParticipant) currentLeadership(ctx context.Context) (leadership, error) {
 	results := make(chan leadership, 1)
 	task := func() {
@@ -177,7 +181,8 @@
 	return leadership{}, errAgentStopped
 }
 
-// forwardDigests sends the digests of this agent's nodes to the failover leader.
+// forwardDigests sends the digests of this agent's nodes to the failover leader, once per failoverInterval until ctx
+// ends.
 func (f *failoverParticipant) forwardDigests(ctx context.Context) {
 	ticker := time.NewTicker(failoverInterval)
 	defer ticker.Stop()
@@ -189,7 +194,7 @@
 		}
 		current, err := f.currentLeadership(ctx)
 		if err != nil || current.leader == "" {
-			continue // newer digests meanwhile replace the older ones of the same nodes
+			continue // the digests stay; newer ones of the same nodes replace them
 		}
 		digests := f.takeDigests()
 		if current.leader == f.agent.identity.Address {
@@ -200,7 +205,7 @@
 	}
 }
 
-// takeDigests returns the digests that have not been forwarded, and forgets them.
+// takeDigests removes and returns the digests that have not been forwarded.
 func (f *failoverParticipant) takeDigests() []failover.Digest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -212,11 +217,11 @@
 	return digests
 }
 
-// sendDigests sends digests to another agent, once: nodes send newer ones soon.
+// sendDigests sends digests to another agent. A failure is not retried, since nodes soon send newer digests.
 func (f *failoverParticipant) sendDigests(ctx context.Context, address string, digests []failover.Digest) {
 	raw, err := json.Marshal(digests)
 	if err != nil {
-		return // impossible: the numbers were read from JSON
+		return // impossible: values decoded from JSON can be encoded again
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+pathDigests, bytes.NewReader(raw))
 	if err != nil {
@@ -228,7 +233,8 @@
 	}
 }
 
-// campaign makes plans whenever this agent holds the failover leader's lease.
+// campaign repeatedly acquires the failover leader's lease and publishes plans while this agent holds it, until ctx
+// ends.
 func (f *failoverParticipant) campaign(ctx context.Context) {
 	for ctx.Err() == nil {
 		leaderLease, err := Acquire(ctx, f.client, LeaseOptions{
@@ -249,17 +255,18 @@
 	}
 }
 
-// releaseLease releases the lease, if it is certain, so that another agent need not wait until it expires.
+// releaseLease releases the lease unless it has become uncertain, so that the next leader need not wait for its expiry.
 func (f *failoverParticipant) releaseLease(ctx context.Context, leaderLease *Lease) {
 	if leaderLease.EndReason() != nil {
 		return
 	}
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), failoverInterval)
 	defer stop()
-	_ = leaderLease.Release(ctx) // otherwise it expires
+	_ = leaderLease.Release(ctx) // on failure the lease expires by itself
 }
 
-// publishPlans publishes plans until the lease is uncertain.
+// publishPlans publishes a plan per failoverInterval until ctx ends, the lease becomes uncertain, or a plan can't be
+// published.
 func (f *failoverParticipant) publishPlans(ctx context.Context, leaderLease *Lease) error {
 	planner, err := failover.NewPlanner(f.options.Topology, f.options.PriorityWeights, f.options.Rules)
 	if err != nil {
@@ -288,7 +295,8 @@
 			continue
 		}
 		err := f.publishPlan(ctx, leaderLease, planner, now, f.totals(now))
-		if err != nil && !errors.Is(err, failover.ErrNoCapacity) { // without capacity the last plan stays until it is too old
+		// If no capacity is known, the last plan remains in the note until nodes consider it too old.
+		if err != nil && !errors.Is(err, failover.ErrNoCapacity) {
 			return err
 		}
 	}
@@ -300,7 +308,7 @@
 	return f.collector.Totals(now)
 }
 
-// publishPlan makes the next plan, and writes it into the note of the lease.
+// publishPlan makes the next plan, and stores it in the note of the lease.
 func (f *failoverParticipant) publishPlan(
 	ctx context.Context, leaderLease *Lease, planner *failover.Planner, now time.Duration, totals failover.Totals,
 ) error {
@@ -324,7 +332,7 @@
 	return nil
 }
 
-// lastPlan returns the plan that was published last, or nil if there is none that this version can read.
+// lastPlan returns the plan that was published last, or nil if there is none or this version can't decode it.
 func (f *failoverParticipant) lastPlan(ctx context.Context) (*failover.Plan, error) {
 	status, err := f.client.ReadStatus(ctx)
 	if err != nil {
--- a/internal/agent/failover_leader_test.go
+++ b/internal/agent/failover_leader_test.go
@@ -14,8 +14,9 @@
 	"tulipglade/internal/failover"
 )
 
-// An agent accepts the digests of 1,024 nodes with 64 zones and 20 classes, in numbers with as many digits as possible, and the failover
-// leader accepts all of them in one message of another agent. Regression: such a message was limited to 1 MB, and rejected beyond that.
+// An agent must accept the digests of 1,024 nodes with 64 zones and 20 classes, in numbers with as many digits as
+// possible. The failover leader must accept all of them in one message from another agent. Such a message was once
+// limited to 1 MB, and larger ones were rejected.
 func TestDigestsOfManyNodesAreAccepted(t *testing.T) {
 	const zones, classes, nodes = 64, 20, 1024
 	participant := &failoverParticipant{
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -22,10 +22,12 @@
 	"tulipglade/internal/lease"
 )
 
-// goldenMessages is what commit f2517d9 sent between agents and clients; TULIPGLADE_WRITE_GOLDEN=1 writes it anew.
+// goldenMessages is the file with the messages between agents and clients of commit f2517d9. A test run with
+// TULIPGLADE_WRITE_GOLDEN=1 replaces it.
 const goldenMessages = "testdata/messages.golden"
 
-// serveCopy runs the member of a folder at an address of the test's own until the test ends.
+// serveCopy runs the member in a folder until the test ends. The member listens on a free port instead of its own
+// address.
 func serveCopy(t *testing.T, dir string) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -44,7 +46,8 @@
 	return listener.Addr().String()
 }
 
-// TestOpensFolderOfEarlierVersion serves a folder that commit f2517d9 wrote, with a lease of two slots, a grant and a note.
+// TestOpensFolderOfEarlierVersion checks that an agent can read and continue from a folder that commit f2517d9 wrote.
+// The folder contains a lease with two slots, a grant and a note.
 func TestOpensFolderOfEarlierVersion(t *testing.T) {
 	raw, err := os.ReadFile("testdata/f2517d9/group.db")
 	if err != nil {
@@ -75,10 +78,11 @@
 	}
 }
 
-// changingNumbers differ between runs, as time goes on.
+// changingNumbers matches the fields whose values depend on timing and therefore differ between runs.
 var changingNumbers = regexp.MustCompile(`"(tick|applied|till|term)":\d+`)
 
-// TestMessagesAreUnchanged compares the requests of clients and the answers of an agent with those of commit f2517d9.
+// TestMessagesAreUnchanged guards against messages that processes of older builds can't read. It compares the requests
+// of clients and the answers of an agent with those of commit f2517d9.
 func TestMessagesAreUnchanged(t *testing.T) {
 	var text strings.Builder
 	for _, request := range clientRequests(t) {
@@ -129,7 +133,7 @@
 	}
 }
 
-// clientRequests are the requests that a Client sends, as a recording server saw them.
+// clientRequests returns the requests that a Client sends for each kind of call, as a server recorded them.
 func clientRequests(t *testing.T) []string {
 	t.Helper()
 	var mu sync.Mutex
@@ -166,7 +170,7 @@
 	return requests
 }
 
-// awaitLeader waits until the member leads its group.
+// awaitLeader waits until the member at an address is the leader of its group.
 func awaitLeader(t *testing.T, address string) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -177,7 +181,7 @@
 	t.Fatal("no leader")
 }
 
-// exchange returns the status and the body of an agent's answer.
+// exchange sends a request to an agent, and returns the status and the body of the answer.
 func exchange(t *testing.T, method, address, path, body string) string {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+address+path, bytes.NewReader([]byte(body)))
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -17,14 +17,15 @@
 	"tulipglade/internal/lease"
 )
 
-// releasePollInterval is how often Release checks whether all actions under the lease are over.
+// releasePollInterval is the interval at which Release checks whether all actions under the lease have ended.
 const releasePollInterval = 10 * time.Millisecond
 
-// Clock is a monotonic clock that goes on while the machine is suspended, as the group's does.
+// Clock returns the time of a monotonic clock that also advances while the machine is suspended, as the group's clock
+// does.
 func Clock() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		panic(err) // the clock exists since Linux 2.6.39
+		panic(err) // impossible: Linux has had this clock since version 2.6.39
 	}
 	return time.Duration(now.Nano())
 }
@@ -32,36 +33,37 @@
 // LeaseOptions describe a lease to acquire.
 type LeaseOptions struct {
 	Name          string
-	Duration      time.Duration        // for how long the lease lasts without a renewal
-	Margin        time.Duration        // the lease counts as uncertain this long before it may expire
+	Duration      time.Duration        // guaranteed time that the lease lasts without a renewal
+	Margin        time.Duration        // time before the possible expiry from which the lease is uncertain
 	Holder        string               // shown to operators; default: HolderName
 	Clock         func() time.Duration // default: Clock
-	RetryInterval time.Duration        // between attempts while all slots are held; 0: no retry
+	RetryInterval time.Duration        // time between attempts while all slots are held; 0: no retry
 }
 
-// Lease is a lease that this process holds, as far as it knows. It is renewed until it is released or lost. It is safe for concurrent use.
+// Lease is a lease that this process holds, as far as it knows. It is renewed in the background until it is released or
+// lost. It is safe for concurrent use.
 type Lease struct {
 	client    *Client
 	options   LeaseOptions
-	ticks     uint64        // of each grant
-	uncertain chan struct{} // closed when reason is set
+	ticks     uint64        // duration of each grant in ticks of the group
+	uncertain chan struct{} // closed when endReason is set
 	stop      context.CancelFunc
-	stopped   chan struct{} // closed when renewals have ended
+	stopped   chan struct{} // closed when the goroutine that renews the lease has ended
 
 	mu        sync.Mutex
 	guard     lease.Guard
-	endReason error // why nothing may begin under the lease any more
+	endReason error // why no action may begin under the lease any more; nil while it may
 }
 
 var (
-	// ErrUncertain is the reason of a lease that could not be renewed in time.
-	ErrUncertain = errors.New("the lease is in doubt")
+	// ErrUncertain is the end reason of a lease that could not be renewed in time, so that another process may hold it.
+	ErrUncertain = errors.New("the lease is uncertain: it was not renewed in time")
 
 	errReleased = errors.New("the lease was released")
-	errNoTerms  = errors.New("a group without terms")
+	errNoTerms  = errors.New("the group's status has no lease terms")
 )
 
-// HolderName returns a name of the machine, the process and a random number.
+// HolderName returns a holder name made of the host name, the process ID and a random number.
 func HolderName() string {
 	host, err := os.Hostname()
 	if err != nil {
@@ -72,13 +74,14 @@
 	return fmt.Sprintf("%.64s/%d/%s", host, os.Getpid(), hex.EncodeToString(random[:]))
 }
 
-// lastRequestID numbers the acquisitions of this process. A repeated ID would be answered with the earlier grant, which expires sooner than
-// a new one. So IDs start from the clock: a process that restarts under the same holder name does not repeat those of the one before.
+// lastRequestID is the ID of this process's last request for a lease. The group answers a repeated ID with the earlier
+// grant, which expires sooner than a new one. IDs therefore start from the clock, so that a process that restarts under
+// the same holder name does not repeat the IDs of its predecessor.
 var lastRequestID atomic.Uint64
 
 func init() { lastRequestID.Store(uint64(Clock())) }
 
-// Acquire acquires a lease, and retries while all slots are held if the options say so.
+// Acquire acquires a lease and starts to renew it. If all slots are held, it retries if RetryInterval is set.
 func Acquire(ctx context.Context, client *Client, options LeaseOptions) (*Lease, error) {
 	if options.Clock == nil {
 		options.Clock = Clock
@@ -110,7 +113,7 @@
 	return l, nil
 }
 
-// ticksFor returns the fewest ticks, and at least 2, that guarantee a duration.
+// ticksFor returns the smallest number of ticks that guarantees a duration, and at least 2.
 func ticksFor(terms lease.Terms, duration time.Duration) uint64 {
 	ticks := uint64(2)
 	for terms.GuaranteedDuration(ticks) < duration {
@@ -119,11 +122,11 @@
 	return ticks
 }
 
-// acquire requests the lease until it is granted in time.
+// acquire requests the lease until a grant arrives before it may have expired.
 func (l *Lease) acquire(ctx context.Context) error {
 	for {
 		requestID := lastRequestID.Add(1)
-		sentAt := l.options.Clock() // of the first attempt: the grant may be the result of any of them
+		sentAt := l.options.Clock() // before the first attempt, since any attempt may have resulted in the grant
 		grant, err := l.client.SendCommand(ctx, verbAcquire, lease.Command{
 			Name:      l.options.Name,
 			Holder:    l.options.Holder,
@@ -135,7 +138,7 @@
 			if _, ok := l.guard.BeginAction(l.options.Clock(), 0); ok {
 				return nil
 			}
-			// The answer came so late that the grant may have expired.
+			// The answer arrived so late that the grant may have expired.
 			_, _ = l.client.SendCommand(ctx, verbRelease, lease.Command{Name: grant.Name, Token: grant.Token})
 			continue
 		}
@@ -148,7 +151,7 @@
 	}
 }
 
-// renewUntilDone renews the lease until ctx ends, the group rejects a renewal, or the lease has become uncertain.
+// renewUntilDone renews the lease until ctx ends, the group rejects a renewal, or the lease becomes uncertain.
 func (l *Lease) renewUntilDone(ctx context.Context) {
 	defer close(l.stopped)
 	for {
@@ -168,7 +171,7 @@
 	}
 }
 
-// renew renews the lease once, with retries for as long as it is certain.
+// renew renews the lease once, and retries until the lease becomes uncertain.
 func (l *Lease) renew(ctx context.Context) error {
 	grant, _ := l.Grant()
 	ctx, stop := context.WithTimeout(ctx, max(l.Remaining()-l.options.Margin, time.Millisecond))
@@ -189,7 +192,7 @@
 	return err
 }
 
-// setEndReason sets the reason, unless there is one.
+// setEndReason sets the reason and marks the lease as uncertain, unless a reason has been set before.
 func (l *Lease) setEndReason(reason error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -199,52 +202,55 @@
 	}
 }
 
-// Uncertain returns a channel that is closed once nothing may begin under the lease any more. Reason then says why.
+// Uncertain returns a channel that is closed once no action may begin under the lease any more. EndReason then returns
+// the reason.
 func (l *Lease) Uncertain() <-chan struct{} { return l.uncertain }
 
-// EndReason returns why nothing may begin under the lease any more, or nil.
+// EndReason returns the reason why no action may begin under the lease any more, or nil if actions may begin.
 func (l *Lease) EndReason() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.endReason
 }
 
-// BeginAction returns the grant under which an action may begin that takes at most this long, or why none may.
-func (l *Lease) BeginAction(longest time.Duration) (lease.Grant, error) {
+// BeginAction returns the grant under which an action of at most this duration may begin, or an error with the reason
+// why it may not.
+func (l *Lease) BeginAction(maxDuration time.Duration) (lease.Grant, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.endReason != nil {
 		return lease.Grant{}, l.endReason
 	}
-	grant, ok := l.guard.BeginAction(l.options.Clock(), longest)
+	grant, ok := l.guard.BeginAction(l.options.Clock(), maxDuration)
 	if !ok {
 		return grant, ErrUncertain
 	}
 	return grant, nil
 }
 
-// Grant returns the current grant, as far as this process knows.
+// Grant returns the current grant as far as this process knows, and whether there is one.
 func (l *Lease) Grant() (lease.Grant, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.guard.Grant()
 }
 
-// Remaining returns for how long the lease is guaranteed to last without a renewal.
+// Remaining returns the time for which the lease is guaranteed to last without a renewal.
 func (l *Lease) Remaining() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.guard.Remaining(l.options.Clock())
 }
 
-// SetNote replaces the note for the next holder.
+// SetNote replaces the note of the lease, which the next holder can read.
 func (l *Lease) SetNote(ctx context.Context, text string) error {
 	grant, _ := l.Grant()
 	_, err := l.client.SendCommand(ctx, verbSetNote, lease.Command{Name: grant.Name, Token: grant.Token, NoteText: text})
 	return err
 }
 
-// Release ends the lease, once all actions that were begun under it must be over.
+// Release stops the renewals, waits until all actions that were begun under the lease must have ended, and then
+// releases the lease.
 func (l *Lease) Release(ctx context.Context) error {
 	l.stop()
 	<-l.stopped
@@ -256,13 +262,13 @@
 	}
 	grant, _ := l.Grant()
 	_, err := l.client.SendCommand(ctx, verbRelease, lease.Command{Name: grant.Name, Token: grant.Token})
-	if errors.Is(err, lease.ErrNotGranted) { // it has expired, or an earlier attempt has released it
+	if errors.Is(err, lease.ErrNotGranted) { // the lease has expired, or an earlier attempt has released it
 		return nil
 	}
 	return err
 }
 
-// actionsEnded reports whether all actions that were begun must be over.
+// actionsEnded reports whether all actions that were begun under the lease must have ended.
 func (l *Lease) actionsEnded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -10,7 +10,7 @@
 	"tulipglade/internal/lease"
 )
 
-// handler returns the agent's HTTP interface. Requests that wait are dropped when ctx ends.
+// handler returns the agent's HTTP interface. Requests that are still waiting when ctx ends get no result.
 func (a *Agent) handler(ctx context.Context) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /raft", a.handleRaftMessage)
@@ -24,7 +24,7 @@
 	return mux
 }
 
-// handleLeaseCommand has the group carry out a command.
+// handleLeaseCommand proposes a command on a lease to the group, and answers with the resulting grant.
 func (a *Agent) handleLeaseCommand(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	kind, ok := commandKinds[r.PathValue("verb")]
 	if !ok {
@@ -44,7 +44,7 @@
 	})
 }
 
-// handleLeases answers with the status of the group, as of now.
+// handleLeases answers with the status of the group, which includes everything agreed on before the request.
 func (a *Agent) handleLeases(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	a.handleOnMemberGoroutine(ctx, w, r, func(reply func(Response, error)) {
 		a.member.ReadIndex(func(err error) {
@@ -54,7 +54,7 @@
 	})
 }
 
-// handleStatus answers with what this member knows, which may be stale.
+// handleStatus answers with the status of the group as this member knows it, which may be stale.
 func (a *Agent) handleStatus(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	a.handleOnMemberGoroutine(ctx, w, r, func(reply func(Response, error)) {
 		status := a.member.Status()
@@ -62,7 +62,7 @@
 	})
 }
 
-// handleMembershipChange changes the members of the group, and answers once that is done.
+// handleMembershipChange changes the members of the group, and answers once the change has been made.
 func (a *Agent) handleMembershipChange(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	var change MembershipChange
 	if !readRequest(w, r, &change) {
@@ -79,7 +79,7 @@
 	})
 }
 
-// readRequest decodes the body of a request, or answers that it can't be decoded.
+// readRequest decodes the JSON body of a request. If that fails, it answers with status 400 and returns false.
 func readRequest(w http.ResponseWriter, r *http.Request, into any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err := decoder.Decode(into); err != nil {
@@ -95,7 +95,7 @@
 	_ = json.NewEncoder(w).Encode(response) // fails if the client has disconnected
 }
 
-// handleOnMemberGoroutine has the member's goroutine handle a request, and answers once that replies.
+// handleOnMemberGoroutine runs handle on the member's goroutine, and answers the request once handle calls reply.
 func (a *Agent) handleOnMemberGoroutine(ctx context.Context, w http.ResponseWriter, r *http.Request, handle func(reply func(Response, error))) {
 	type result struct {
 		response Response
@@ -120,7 +120,7 @@
 	}
 }
 
-// writeError answers with an error, its code and its status.
+// writeError answers with an error, and with the code and the HTTP status that belong to it.
 func writeError(w http.ResponseWriter, err error) {
 	response := Response{Error: err.Error()}
 	status := http.StatusInternalServerError
--- a/internal/agent/storage.go
+++ b/internal/agent/storage.go
@@ -17,22 +17,22 @@
 	"tulipglade/internal/consensus"
 )
 
-// Identity says who a member is. It is written once, when its folder is created.
+// Identity identifies a member. It is written once, when the member's folder is created, and never changes.
 type Identity struct {
-	Version int    `json:"form"` // of the storage
+	Version int    `json:"form"` // version of the storage format
 	Group   string `json:"group"`
 	ID      uint64 `json:"id"`
-	Address string `json:"address"` // where the other members reach it
+	Address string `json:"address"` // address at which the other members reach this one
 }
 
 const (
 	storageVersion  = 1
 	storageFileName = "group.db"
-	// lockTimeout is for how long opening waits for another process that has the file open.
+	// lockTimeout limits how long opening the file waits for another process to close it.
 	lockTimeout = time.Second
 )
 
-// Names of the buckets and keys of the file.
+// Names of the buckets in the file, and the keys of metaBucket.
 var (
 	metaBucket   = []byte("meta")
 	logBucket    = []byte("log")
@@ -42,24 +42,26 @@
 )
 
 var (
-	errNoStorage      = errors.New("no member lives here: make one by init or join")
-	errStorageExists  = errors.New("a member lives here already; one that has lost its disk can only come as a new one")
-	errNotStorage     = errors.New("not a member's file")
-	errEntryMisplaced = errors.New("not in its place")
+	errNoStorage      = errors.New("no member in this folder: create one with init or join")
+	errStorageExists  = errors.New("the folder already contains a member; a member that has lost its disk must join with a new ID")
+	errNotStorage     = errors.New("not the file of a member: buckets are missing")
+	errEntryMisplaced = errors.New("its index does not match its key, or does not follow the previous index")
 )
 
-// marshalOptions make equal messages equal bytes.
+// marshalOptions encode equal messages as equal bytes.
 var marshalOptions = proto.MarshalOptions{Deterministic: true}
 
 var _ consensus.Storage = (*Storage)(nil)
 
-// Storage is a member's folder with a bbolt file. Each Save is one transaction, which is durable when it returns.
+// Storage keeps a member's state in a bbolt file in the member's folder. Each Save is one transaction, which is durable
+// when Save returns.
 type Storage struct {
 	db       *bbolt.DB
 	Identity Identity
 }
 
-// CreateStorage creates a member's folder with its initial state.
+// CreateStorage creates a member's folder with its identity and initial state. It does not overwrite an existing
+// member.
 func CreateStorage(dir string, identity Identity, durable consensus.DurableState) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -81,7 +83,7 @@
 	return errors.Join(err, db.Close())
 }
 
-// OpenStorage opens a member's folder, which no other process may have open, and returns its state.
+// OpenStorage opens a member's folder and returns its state. It fails if another process has the folder open.
 func OpenStorage(dir string) (*Storage, consensus.DurableState, error) {
 	path := filepath.Join(dir, storageFileName)
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
@@ -123,7 +125,7 @@
 	})
 }
 
-// load reads the whole file.
+// load reads the identity and the durable state from the file.
 func (s *Storage) load() (durable consensus.DurableState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
@@ -155,15 +157,15 @@
 		return fmt.Errorf("identity: %w", err)
 	}
 	if s.Identity.Version != storageVersion {
-		return fmt.Errorf("form %d, this program reads %d", s.Identity.Version, storageVersion)
+		return fmt.Errorf("storage format version %d is not supported: this program reads version %d", s.Identity.Version, storageVersion)
 	}
 	return nil
 }
 
-// loadEntries reads the log, and checks that its indexes are consecutive and agree with their keys.
+// loadEntries reads the entries of the log, and checks that their indexes are consecutive and match their keys.
 func loadEntries(log *bbolt.Bucket) ([]*pb.Entry, error) {
 	var entries []*pb.Entry
-	nextIndex := uint64(0) // 0: any
+	nextIndex := uint64(0) // 0: the first entry may have any index
 	err := log.ForEach(func(key, value []byte) error {
 		entry := &pb.Entry{}
 		if err := proto.Unmarshal(value, entry); err != nil {
@@ -180,7 +182,7 @@
 	return entries, err
 }
 
-// Save applies an update in one transaction.
+// Save writes an update to the file in one transaction.
 func (s *Storage) Save(update consensus.StorageUpdate) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if err := saveMeta(tx.Bucket(metaBucket), update); err != nil {
@@ -232,10 +234,10 @@
 	return bucket.Put(key, raw)
 }
 
-// entryKey returns the key of an entry: keys sort as their indexes do.
+// entryKey returns the key of an entry. It is big-endian, so that keys sort by index.
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// deleteEntries deletes the entries with these indexes, both included.
+// deleteEntries deletes the entries with indexes from first to last, both included.
 func deleteEntries(log *bbolt.Bucket, first, last uint64) error {
 	cursor := log.Cursor()
 	start := entryKey(first)
@@ -247,5 +249,5 @@
 	return nil
 }
 
-// Close closes the folder.
+// Close closes the file, so that another process can open the folder.
 func (s *Storage) Close() error { return s.db.Close() }
--- a/internal/agent/storage_test.go
+++ b/internal/agent/storage_test.go
@@ -18,14 +18,15 @@
 	"tulipglade/internal/lease"
 )
 
-// After any updates, what is read after a restart is what DurableState.EntriesAfter gives.
+// After any sequence of updates and restarts, OpenStorage must return the state that DurableState.Apply computes from
+// the same updates.
 func TestStorageReturnsWhatWasSaved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "storage")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = os.RemoveAll(dir) }() // in the system's folder for temporary files
+		defer func() { _ = os.RemoveAll(dir) }() // the folder is temporary, so a failure is harmless
 		want, err := consensus.Bootstrap(map[uint64]string{1: "127.0.0.1:1"}, lease.Terms{})
 		if err != nil {
 			t.Fatal(err)
@@ -65,24 +66,24 @@
 	})
 }
 
-// drawnLog are the indexes of a log that drawn updates make.
+// drawnLog tracks the indexes of the log that results from the drawn updates.
 type drawnLog struct {
-	compacted uint64 // up to this index entries may be gone
+	compacted uint64 // entries up to this index may have been deleted
 	last      uint64
 }
 
-// drawUpdate draws an update that a member could save next.
+// drawUpdate draws a random update that a member could save next.
 func (l *drawnLog) drawUpdate(t *rapid.T) consensus.StorageUpdate {
 	var update consensus.StorageUpdate
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
 		term := rapid.Uint64().Draw(t, "term")
 		update.HardState = &pb.HardState{Term: proto.Uint64(term), Commit: proto.Uint64(l.compacted)}
-	case 1: // a snapshot of this member
+	case 1: // a snapshot that this member took
 		l.compacted = rapid.Uint64Range(l.compacted, l.last).Draw(t, "before")
 		update.CompactIndex = l.compacted
 		update.Snapshot = testSnapshot(l.last)
-	case 2: // a snapshot of another member
+	case 2: // a snapshot that another member sent
 		l.last += rapid.Uint64Range(1, 300).Draw(t, "ahead")
 		l.compacted = l.last
 		update.ReplaceLog = true
@@ -105,7 +106,7 @@
 	return update
 }
 
-// closeStorage closes a storage, and fails the test if that fails.
+// closeStorage closes a storage, and reports a failure as an error of the test.
 func closeStorage(t rapid.TB, storage *Storage) {
 	t.Helper()
 	if err := storage.Close(); err != nil {
@@ -117,7 +118,8 @@
 	return &pb.Snapshot{Data: []byte("x"), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(index), Term: proto.Uint64(1)}}
 }
 
-// A folder is opened by one process at a time and is never overwritten, and an error is one line.
+// Two processes must not open the same folder at a time, and an existing member must never be overwritten. The error
+// about a file of another kind must be one line.
 func TestStorageFolderErrors(t *testing.T) {
 	dir := t.TempDir()
 	if _, _, err := OpenStorage(dir); !errors.Is(err, errNoStorage) {
--- a/internal/agent/transport.go
+++ b/internal/agent/transport.go
@@ -11,10 +11,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// peerQueueSize bounds the messages that wait for one other member.
+// peerQueueSize is the maximum number of messages that wait to be sent to one other member.
 const peerQueueSize = 256
 
-// Headers of the messages between members.
+// Headers of the messages between members: the group and the address of the sender.
 const (
 	groupHeader   = "X-Group"
 	addressHeader = "X-Address"
@@ -27,11 +27,12 @@
 	isSnapshot bool
 }
 
-// queueMessage queues a message. It is called on the member's goroutine, and never blocks: raft repeats what is lost.
+// queueMessage queues a message to another member. It runs on the member's goroutine and never blocks: if the queue is
+// full, the message is dropped, since raft repeats lost messages.
 func (a *Agent) queueMessage(address string, msg *pb.Message) {
 	raw, err := proto.Marshal(msg)
 	if err != nil {
-		a.log.Error("message not sent", "err", err)
+		a.log.Error("raft message not encoded", "err", err)
 		return
 	}
 	outbound := outboundMessage{to: msg.GetTo(), raw: raw, isSnapshot: msg.GetType() == pb.MsgSnap}
@@ -52,7 +53,8 @@
 	}
 }
 
-// sendQueuedMessages sends the messages to one address, in order, until there has been none for idleTimeout.
+// sendQueuedMessages sends the queued messages to one address, in order. It returns when the member's goroutine has
+// ended, or when no message was queued for idleTimeout.
 func (a *Agent) sendQueuedMessages(address string, queue chan outboundMessage) {
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
@@ -77,7 +79,7 @@
 	}
 }
 
-// removeQueueIfEmpty removes a queue unless a message has just been added to it.
+// removeQueueIfEmpty removes a queue, unless a message has just been added to it. It reports whether it did.
 func (a *Agent) removeQueueIfEmpty(address string, queue chan outboundMessage) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -88,7 +90,7 @@
 	return true
 }
 
-// sendMessage sends one message, and returns once the other member has accepted it.
+// sendMessage sends one message, and returns nil once the other member has accepted it.
 func (a *Agent) sendMessage(address string, raw []byte) error {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/raft", bytes.NewReader(raw))
 	if err != nil {
@@ -110,10 +112,11 @@
 	return nil
 }
 
-// closeBody closes a response that has been read. An error of that says nothing about what was read.
+// closeBody closes the body of a response. Errors are ignored, since they do not affect the data that was read.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
-// handleRaftMessage accepts a message of another member. The answer says nothing about its effect, which is a message in turn.
+// handleRaftMessage accepts a raft message of another member. The HTTP answer only confirms that the message was
+// queued; the reply of this member is a message of its own.
 func (a *Agent) handleRaftMessage(w http.ResponseWriter, r *http.Request) {
 	if got := r.Header.Get(groupHeader); got != a.identity.Group {
 		http.Error(w, "not of this group", http.StatusForbidden)
@@ -131,7 +134,7 @@
 	from := r.Header.Get(addressHeader)
 	step := func() {
 		if err := a.member.Step(from, &msg); err != nil {
-			a.log.Warn("message not taken", "from", msg.GetFrom(), "err", err)
+			a.log.Warn("raft message rejected", "from", msg.GetFrom(), "err", err)
 		}
 	}
 	if CheckAddress(from) != nil || !a.enqueueTask(step) {
