--- a/cmd/tulipctl/lease.go
+++ b/cmd/tulipctl/lease.go
@@ -33,7 +33,8 @@
 	return &cli.DurationFlag{Name: "within", Value: 5 * time.Second, Usage: "timeout `TIME` of calls to the agents"}
 }
 
-// agentFlags returns the flags of a sub-command that calls the agents, and those of its own.
+// agentFlags returns the flags that every sub-command which calls the agents has, followed by the sub-command's own
+// flags.
 func agentFlags(own ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{agentsFlag(), withinFlag()}, own...)
 }
@@ -111,7 +112,7 @@
 	}}
 }
 
-// agentClient returns a client of the agents, and a context that ends after --within.
+// agentClient returns a client of the agents given by --agents, and a context that ends after the time of --within.
 func agentClient(ctx context.Context, cmd *cli.Command) (*agent.Client, context.Context, context.CancelFunc) {
 	ctx, stop := context.WithTimeout(ctx, cmd.Duration("within"))
 	return agent.NewClient(cmd.StringSlice("agents"), nil), ctx, stop
@@ -120,47 +121,47 @@
 func listLeases(ctx context.Context, cmd *cli.Command) error {
 	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
-	v, err := c.ReadStatus(ctx)
+	status, err := c.ReadStatus(ctx)
 	if err != nil {
 		return negativeAnswer("leases: %v", err)
 	}
 	name := cmd.StringArg("name")
 	if cmd.Name == "show" {
 		if name == "" {
-			return errors.New("lease show: which NAME?")
+			return errors.New("lease show: the argument NAME is missing")
 		}
-		v.Leases = slices.DeleteFunc(v.Leases, func(l lease.Lease) bool { return l.Name != name })
+		status.Leases = slices.DeleteFunc(status.Leases, func(groupLease lease.Lease) bool { return groupLease.Name != name })
 	}
 	if cmd.Bool("json") {
-		return printJSON(cmd.Root().Writer, v.Leases)
-	}
-	t := table(cmd)
-	writeln(t, "name\tslot\tholder\ttoken\texpires within\tslots")
-	for _, l := range v.Leases {
-		for _, g := range l.Grants {
-			// An upper bound: this client does not know how much of the current tick has passed.
-			expiresWithin := time.Duration(g.ExpiresAt-v.Tick) * v.Terms.Interval
-			writef(t, "%s\t%d\t%s\t%d\t%v\t%d\n", l.Name, g.Slot, g.Holder, g.Token, expiresWithin, l.MaxHolders)
+		return printJSON(cmd.Root().Writer, status.Leases)
+	}
+	rows := table(cmd)
+	writeln(rows, "name\tslot\tholder\ttoken\texpires within\tslots")
+	for _, groupLease := range status.Leases {
+		for _, grant := range groupLease.Grants {
+			// This is an upper bound, since this client does not know how much of the current tick has passed.
+			expiresWithin := time.Duration(grant.ExpiresAt-status.Tick) * status.Terms.Interval
+			writef(rows, "%s\t%d\t%s\t%d\t%v\t%d\n", groupLease.Name, grant.Slot, grant.Holder, grant.Token, expiresWithin, groupLease.MaxHolders)
 		}
-		if len(l.Grants) == 0 {
-			writef(t, "%s\t-\t-\t-\t-\t%d\n", l.Name, l.MaxHolders)
+		if len(groupLease.Grants) == 0 {
+			writef(rows, "%s\t-\t-\t-\t-\t%d\n", groupLease.Name, groupLease.MaxHolders)
 		}
 	}
-	if err := t.Flush(); err != nil {
+	if err := rows.Flush(); err != nil {
 		return err
 	}
-	for _, l := range v.Leases {
-		if cmd.Name == "show" && l.Note != "" {
-			writef(cmd.Root().Writer, "note: %s\n", l.Note)
+	for _, groupLease := range status.Leases {
+		if cmd.Name == "show" && groupLease.Note != "" {
+			writef(cmd.Root().Writer, "note: %s\n", groupLease.Note)
 		}
 	}
-	if cmd.Name == "show" && len(v.Leases) == 0 {
-		return negativeAnswer("nobody holds %q", name)
+	if cmd.Name == "show" && len(status.Leases) == 0 {
+		return negativeAnswer("there is no lease %q", name)
 	}
 	return nil
 }
 
-// leaseMargin is how long before the earliest end of a lease all actions under it must have ended.
+// leaseMargin is the time before the earliest possible expiry of a lease at which all actions under it must have ended.
 const leaseMargin = 200 * time.Millisecond
 
 // leaseRetryInterval is the time between two requests for a lease that others hold.
@@ -172,20 +173,20 @@
 		args = slices.Delete(args, 1, 2)
 	}
 	if len(args) < 2 {
-		return errors.New("lease run: NAME -- COMMAND, please")
+		return errors.New("lease run: the arguments must be NAME -- COMMAND")
 	}
 	if shortest := 2*deadlineexec.TerminationNotice + leaseMargin; cmd.Duration("for") < shortest {
 		return fmt.Errorf("--for: %v is below %v", cmd.Duration("for"), shortest)
 	}
 	c := agent.NewClient(cmd.StringSlice("agents"), nil)
-	l, err := acquireLease(ctx, cmd, c, args[0], leaseRetryInterval)
+	held, err := acquireLease(ctx, cmd, c, args[0], leaseRetryInterval)
 	if err != nil {
 		return negativeAnswer("lease %s: %v", args[0], err)
 	}
-	err = runCommandUnderLease(ctx, cmd, l, nil, args[1:])
-	releaseWithin(ctx, cmd, l, max(cmd.Duration("within"), cmd.Duration("wait")))
+	err = runCommandUnderLease(ctx, cmd, held, nil, args[1:])
+	releaseWithin(ctx, cmd, held, max(cmd.Duration("within"), cmd.Duration("wait")))
 	if errors.Is(err, deadlineexec.ErrKilled) {
-		reason := l.EndReason()
+		reason := held.EndReason()
 		if ctx.Err() != nil {
 			reason = errors.New("interrupted")
 		}
@@ -198,7 +199,8 @@
 	return err
 }
 
-// acquireLease acquires a lease by the flags --within, --wait and --for. With --wait it retries while others hold it.
+// acquireLease acquires a lease as the flags --within, --wait and --for specify. With --wait, it retries while others
+// hold all slots.
 func acquireLease(ctx context.Context, cmd *cli.Command, c *agent.Client, name string, retryInterval time.Duration) (*agent.Lease, error) {
 	within, wait := cmd.Duration("within"), cmd.Duration("wait")
 	options := agent.LeaseOptions{Name: name, Duration: cmd.Duration("for"), Margin: leaseMargin}
@@ -211,7 +213,7 @@
 	return agent.Acquire(ctx, c, options)
 }
 
-// releaseWithin releases a lease, unless it has ended.
+// releaseWithin releases a lease within a time limit, unless the lease has already ended. A failure is only reported.
 func releaseWithin(ctx context.Context, cmd *cli.Command, l *agent.Lease, within time.Duration) {
 	if l.EndReason() != nil {
 		return
@@ -219,11 +221,12 @@
 	release, stop := context.WithTimeout(context.WithoutCancel(ctx), within)
 	defer stop()
 	if err := l.Release(release); err != nil {
-		writeln(cmd.Root().ErrWriter, "tulipctl: the lease was not released, and ends by itself:", err)
+		writeln(cmd.Root().ErrWriter, "tulipctl: the lease was not released and will expire by itself:", err)
 	}
 }
 
-// runCommandUnderLease runs a command that ends before the lease may end, even if this process is stopped.
+// runCommandUnderLease runs a command, and extends its deadline while the lease is renewed. The command is killed
+// before the lease may expire, even if this process is stopped.
 func runCommandUnderLease(ctx context.Context, cmd *cli.Command, l *agent.Lease, env, args []string) error {
 	grant, _ := l.Grant()
 	deadline := func() time.Duration { return agent.Clock() + l.Remaining() - leaseMargin }
@@ -258,7 +261,7 @@
 func releaseLease(ctx context.Context, cmd *cli.Command) error {
 	token, err := strconv.ParseUint(cmd.Args().Get(1), 10, 64)
 	if err != nil {
-		return errors.New("lease release: NAME TOKEN, please; lease list shows tokens")
+		return errors.New("lease release: the arguments must be NAME TOKEN; lease list shows the tokens")
 	}
 	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
@@ -270,15 +273,15 @@
 
 func setLeaseNote(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 2 {
-		return errors.New("lease note: NAME TEXT, please")
+		return errors.New("lease note: the arguments must be NAME TEXT")
 	}
 	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
-	l, err := agent.Acquire(ctx, c, agent.LeaseOptions{Name: cmd.Args().Get(0), Duration: 2 * time.Second})
+	held, err := agent.Acquire(ctx, c, agent.LeaseOptions{Name: cmd.Args().Get(0), Duration: 2 * time.Second})
 	if err != nil {
 		return negativeAnswer("lease note: %v", err)
 	}
-	if err := errors.Join(l.SetNote(ctx, cmd.Args().Get(1)), l.Release(ctx)); err != nil {
+	if err := errors.Join(held.SetNote(ctx, cmd.Args().Get(1)), held.Release(ctx)); err != nil {
 		return negativeAnswer("lease note: %v", err)
 	}
 	return nil
@@ -287,7 +290,7 @@
 func setLeaseSlots(ctx context.Context, cmd *cli.Command) error {
 	maxHolders, err := strconv.Atoi(cmd.Args().Get(1))
 	if err != nil {
-		return errors.New("lease slots: NAME NUMBER, please")
+		return errors.New("lease slots: the arguments must be NAME NUMBER")
 	}
 	c, ctx, stop := agentClient(ctx, cmd)
 	defer stop()
@@ -307,39 +310,39 @@
 	}
 	var all []agentRow
 	agentsWithLeader, memberCount := 0, 0
-	for _, a := range cmd.StringSlice("agents") {
-		v, err := c.Status(ctx, a)
-		l := agentRow{Address: a, Status: v}
+	for _, address := range cmd.StringSlice("agents") {
+		status, err := c.Status(ctx, address)
+		row := agentRow{Address: address, Status: status}
 		if err != nil {
-			l.Error = err.Error()
+			row.Error = err.Error()
 		} else {
-			memberCount = max(memberCount, len(v.Members))
-			if v.Leader != 0 {
+			memberCount = max(memberCount, len(status.Members))
+			if status.Leader != 0 {
 				agentsWithLeader++
 			}
 		}
-		all = append(all, l)
+		all = append(all, row)
 	}
 	if cmd.Bool("json") {
 		if err := printJSON(cmd.Root().Writer, all); err != nil {
 			return err
 		}
 	} else {
-		t := table(cmd)
-		writeln(t, "agent\tid\tleader\tterm\tapplied\tmembers\tproblem")
-		for _, l := range all {
+		rows := table(cmd)
+		writeln(rows, "agent\tid\tleader\tterm\tapplied\tmembers\tproblem")
+		for _, row := range all {
 			var members []string
-			for _, id := range slices.Sorted(maps.Keys(l.Members)) {
-				members = append(members, fmt.Sprintf("%d=%s", id, l.Members[id]))
+			for _, id := range slices.Sorted(maps.Keys(row.Members)) {
+				members = append(members, fmt.Sprintf("%d=%s", id, row.Members[id]))
 			}
-			writef(t, "%s\t%d\t%d\t%d\t%d\t%s\t%s\n", l.Address, l.ID, l.Leader, l.Term, l.Applied, strings.Join(members, " "), l.Error)
+			writef(rows, "%s\t%d\t%d\t%d\t%d\t%s\t%s\n", row.Address, row.ID, row.Leader, row.Term, row.Applied, strings.Join(members, " "), row.Error)
 		}
-		if err := t.Flush(); err != nil {
+		if err := rows.Flush(); err != nil {
 			return err
 		}
 	}
 	if 2*agentsWithLeader <= memberCount || memberCount == 0 {
-		return negativeAnswer("%d agents that answer know a leader, of %d members: no majority is seen from here", agentsWithLeader, memberCount)
+		return negativeAnswer("%d agents answer and know a leader, in a group of %d members: no majority can be reached from here", agentsWithLeader, memberCount)
 	}
 	return nil
 }
@@ -360,7 +363,7 @@
 	for _, m := range cmd.StringSlice("remove") {
 		id, err := strconv.ParseUint(m, 10, 64)
 		if err != nil {
-			return fmt.Errorf("--remove: %q is no id", m)
+			return fmt.Errorf("--remove: %q is not a numeric member ID", m)
 		}
 		change.Remove = append(change.Remove, id)
 	}
--- a/cmd/tulipctl/rollout.go
+++ b/cmd/tulipctl/rollout.go
@@ -39,31 +39,32 @@
 	}
 }
 
-// maxCallDuration is the longest time that a call to a node may take, from the check of the lease to its effect on the node.
+// maxCallDuration is the longest time that a call to a node may take, from the check of the lease to the effect of the
+// call on the node.
 const maxCallDuration = 1500 * time.Millisecond
 
 const (
-	rolloutRetryInterval = 300 * time.Millisecond // between two requests for the lease
-	pollInterval         = 50 * time.Millisecond  // between two polls of a node's state
+	rolloutRetryInterval = 300 * time.Millisecond // time between two requests for the lease
+	pollInterval         = 50 * time.Millisecond  // time between two polls of a node's state
 	maxStatePolls        = 100
 	maxPutAttempts       = 5
 	putRetryInterval     = 200 * time.Millisecond
 )
 
-// rolloutRunner performs the tasks of a rollout under a lease.
+// rolloutRunner performs the tasks of a rollout while this process holds the lease.
 type rolloutRunner struct {
 	cmd        *cli.Command
 	lease      *agent.Lease
 	args       []string
 	httpClient *http.Client
-	mu         sync.Mutex // guards rollout, and keeps the notes of the lease in order
+	mu         sync.Mutex // guards rollout, and serializes updates of the lease's note
 	rollout    *rollout.Rollout
 }
 
 func runRollout(ctx context.Context, cmd *cli.Command) error {
 	args := cmd.Args().Slice()
 	if len(args) == 0 {
-		return errors.New("rollout: -- COMMAND, please")
+		return errors.New("rollout: the arguments must be -- COMMAND")
 	}
 	if cmd.Int("max-unavailable") < 1 {
 		return fmt.Errorf("--max-unavailable: %d is below 1", cmd.Int("max-unavailable"))
@@ -75,31 +76,31 @@
 		return fmt.Errorf("--nodes: %w", err)
 	}
 	if url.QueryEscape(cmd.String("lease")) != cmd.String("lease") {
-		return fmt.Errorf("--lease: %q does not go into a node's call as it is", cmd.String("lease"))
+		return fmt.Errorf("--lease: %q contains characters that are not allowed in the query of a URL", cmd.String("lease"))
 	}
 	if _, err := rollout.New(fleet.Node, cmd.Int("max-unavailable"), cmd.String("change"), ""); err != nil {
 		return fmt.Errorf("%s: %w", cmd.String("nodes"), err)
 	}
-	c := agent.NewClient(cmd.StringSlice("agents"), nil)
-	l, err := acquireLease(ctx, cmd, c, cmd.String("lease"), rolloutRetryInterval)
+	client := agent.NewClient(cmd.StringSlice("agents"), nil)
+	held, err := acquireLease(ctx, cmd, client, cmd.String("lease"), rolloutRetryInterval)
 	if err != nil {
 		return negativeAnswer("rollout: lease %s: %v", cmd.String("lease"), err)
 	}
-	defer releaseWithin(ctx, cmd, l, cmd.Duration("within"))
-	note, err := readNote(ctx, c, l, cmd.Duration("within"))
+	defer releaseWithin(ctx, cmd, held, cmd.Duration("within"))
+	note, err := readNote(ctx, client, held, cmd.Duration("within"))
 	if err != nil {
 		return negativeAnswer("rollout: %v", err)
 	}
 	r := &rolloutRunner{
 		cmd:        cmd,
-		lease:      l,
+		lease:      held,
 		args:       args,
 		httpClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second},
 	}
 	if r.rollout, err = rollout.New(fleet.Node, cmd.Int("max-unavailable"), cmd.String("change"), note); err != nil {
 		return negativeAnswer("rollout: %v; finish that first, or end it: tulipctl lease note %s \"\"", err, cmd.String("lease"))
 	}
-	// Finished nodes learn the new token, so that they reject the former holder if it is still running.
+	// Nodes that are done are called with the new token, so that they reject the former holder if it is still running.
 	for _, n := range fleet.Node {
 		for _, name := range r.rollout.DoneNodes() {
 			if n.Name == name && note != "" {
@@ -112,24 +113,25 @@
 	return r.runAll(ctx, len(fleet.Node))
 }
 
-// readNote returns the note of the former holder.
+// readNote returns the note of the lease, which the former holder has written.
 func readNote(ctx context.Context, c *agent.Client, l *agent.Lease, within time.Duration) (string, error) {
 	ctx, stop := context.WithTimeout(ctx, within)
 	defer stop()
-	v, err := c.ReadStatus(ctx)
+	status, err := c.ReadStatus(ctx)
 	if err != nil {
 		return "", err
 	}
-	g, _ := l.Grant()
-	for _, known := range v.Leases {
-		if known.Name == g.Name {
+	grant, _ := l.Grant()
+	for _, known := range status.Leases {
+		if known.Name == grant.Name {
 			return known.Note, nil
 		}
 	}
 	return "", agent.ErrUncertain
 }
 
-// runAll performs tasks until none is left or one has failed.
+// runAll performs the tasks of the rollout until all are done. After a failure it starts no new tasks, and returns once
+// the running ones have ended.
 func (r *rolloutRunner) runAll(ctx context.Context, nodeCount int) error {
 	type result struct {
 		rollout.Task
@@ -168,7 +170,7 @@
 		r.mu.Unlock()
 	}
 	if failures != nil {
-		return negativeAnswer("rollout: %v; what was begun is written down: the same command goes on", failures)
+		return negativeAnswer("rollout: %v; the progress is stored in the note of the lease: run the same command again to continue", failures)
 	}
 	writef(r.cmd.Root().Writer, "%s: all %d nodes are done\n", r.cmd.String("change"), nodeCount)
 	return nil
@@ -180,7 +182,8 @@
 	return r.rollout.RunningTasks()
 }
 
-// updateNote changes the rollout's state, and stores it in the lease's updateNote before it returns.
+// updateNote applies a change to the rollout's state, and stores the new state in the note of the lease before it
+// returns.
 func (r *rolloutRunner) updateNote(ctx context.Context, change func()) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,7 +196,7 @@
 	return r.lease.SetNote(ctx, r.rollout.Note())
 }
 
-// runNode performs what is left of one node's steps.
+// runNode performs the remaining steps of one node's change.
 func (r *rolloutRunner) runNode(ctx context.Context, t rollout.Task) error {
 	out := r.cmd.Root().Writer
 	writef(out, "%s: %s%s\n", t.Name, t.Step, map[bool]string{true: ", taken over"}[t.Retry])
@@ -201,7 +204,7 @@
 	if t.Retry && step == rollout.Change {
 		step = r.currentStep(ctx, t.Node)
 		if step == rollout.Resume {
-			writef(out, "%s: it has had the command\n", t.Name)
+			writef(out, "%s: the command has already run\n", t.Name)
 		}
 	}
 	if step == rollout.Standby {
@@ -221,10 +224,10 @@
 	return r.setServiceState(ctx, t.Node, "active")
 }
 
-// standBy takes a node out of service, and waits for its clients to move.
+// standBy puts a node on standby, and waits for --drain-delay so that its clients can move to other nodes.
 func (r *rolloutRunner) standBy(ctx context.Context, t rollout.Task) error {
 	err := r.setServiceState(ctx, t.Node, "standby")
-	if err != nil && !t.Retry { // on a retry the process may have ended; the command replaces it
+	if err != nil && !t.Retry { // on a retry the node's process may have ended; the command starts a new one
 		return err
 	}
 	if err := sleepContext(ctx, r.cmd.Duration("drain-delay")); err != nil {
@@ -233,7 +236,7 @@
 	return r.updateNote(ctx, func() { r.rollout.RecordStep(t.Name, rollout.Change) })
 }
 
-// runNodeCommand runs the command for a node.
+// runNodeCommand runs the command for a node under the lease, and records that the node is to resume service.
 func (r *rolloutRunner) runNodeCommand(ctx context.Context, t rollout.Task) error {
 	if _, err := r.lease.BeginAction(0); err != nil {
 		return err
@@ -250,13 +253,13 @@
 	return r.updateNote(ctx, func() { r.rollout.RecordStep(t.Name, rollout.Resume) })
 }
 
-// awaitServing waits until a node answers at its admin address.
+// awaitServing waits until a node answers at its admin address, and fails after --ready-timeout.
 func (r *rolloutRunner) awaitServing(ctx context.Context, t rollout.Task) error {
 	timeout := r.cmd.Duration("ready-timeout")
 	deadline := time.Now().Add(timeout)
 	for !r.succeeds(ctx, "GET", "http://"+t.AdminAddress+"/status") {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("it does not serve within %v after the command", timeout)
+			return fmt.Errorf("no answer at its admin address within %v after the command", timeout)
 		}
 		if err := sleepContext(ctx, pollInterval); err != nil {
 			return err
@@ -265,9 +268,10 @@
 	return nil
 }
 
-// currentStep finds out whether the command of a former holder has run on a node: standby ends with the node's process.
+// currentStep determines whether the command of a former holder has already run on a node. A node that is ready is no
+// longer on standby, so its process was replaced by the command: the standby state ends with the process.
 func (r *rolloutRunner) currentStep(ctx context.Context, n rollout.Node) rollout.Step {
-	for range maxStatePolls { // a new process needs its endpoint list before it is ready
+	for range maxStatePolls { // a new process is ready only once it has an endpoint list
 		switch {
 		case !r.succeeds(ctx, "GET", "http://"+n.AdminAddress+"/status"):
 		case r.succeeds(ctx, "GET", "http://"+n.ClientAddress+"/ready"):
@@ -305,20 +309,21 @@
 	if err != nil {
 		return 0, "", err
 	}
-	defer func() { _ = resp.Body.Close() }() // the body has been read or the read's error is returned
+	defer func() { _ = resp.Body.Close() }() // a failure to read the body is returned below
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, 4096))
 	return resp.StatusCode, string(raw), err
 }
 
-// setServiceState calls a node's admin address under the lease, and retries for a while if the node does not answer.
+// setServiceState sets a node to active or standby by a call to its admin address under the lease. If the call fails,
+// it retries up to maxPutAttempts times in all, unless the node answers with status 409.
 func (r *rolloutRunner) setServiceState(ctx context.Context, n rollout.Node, state string) error {
-	var last error
+	var lastErr error
 	for range maxPutAttempts {
-		g, err := r.lease.BeginAction(maxCallDuration)
+		grant, err := r.lease.BeginAction(maxCallDuration)
 		if err != nil {
 			return err
 		}
-		status, text, err := r.call(ctx, "PUT", withLeaseToken(g, "http://"+n.AdminAddress+"/"+state))
+		status, text, err := r.call(ctx, "PUT", withLeaseToken(grant, "http://"+n.AdminAddress+"/"+state))
 		switch {
 		case err == nil && status == 200:
 			return nil
@@ -327,12 +332,12 @@
 		case err == nil:
 			err = fmt.Errorf("status %d: %s", status, text)
 		}
-		last = fmt.Errorf("PUT /%s: %w", state, err)
+		lastErr = fmt.Errorf("PUT /%s: %w", state, err)
 		if err := sleepContext(ctx, putRetryInterval); err != nil {
 			return err
 		}
 	}
-	return last
+	return lastErr
 }
 
 func withLeaseToken(g lease.Grant, url string) string {
