--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -223,7 +223,7 @@
 func (a *Agent) runMember(ctx context.Context) error {
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
-	watch := statusTracker{agent: a}
+	tracker := statusTracker{agent: a}
 	for {
 		select {
 		case <-ctx.Done():
@@ -241,8 +241,8 @@
 			a.log.Error("storage failed", "err", err)
 			return fmt.Errorf("disk: %w", err)
 		}
-		watch.logLeadership()
-		if watch.removalGraceEnded() {
+		tracker.logLeadership()
+		if tracker.removalGraceEnded() {
 			return nil
 		}
 	}
