--- a/internal/agent/failover_leader.go
+++ b/internal/agent/failover_leader.go
@@ -15,23 +15,27 @@
 	"tulipglade/internal/lease"
 )
 
-// FailoverOptions have an agent take part in failover: it accepts digests of its machine's nodes, and makes plans while it holds the
-// failover leader's lease.
+// FailoverOptions configure an agent that participates in failover. Such an agent accepts the digests of its machine's
+// nodes, and makes plans while it holds the failover leader's lease.
 type FailoverOptions struct {
 	Topology        failover.Topology
-	PriorityWeights []float64 // by class, of a core-second
+	PriorityWeights []float64 // weight of a core-second of each class
 	Rules           failover.Rules
 }
 
 const (
-	// failoverLease is the name of the failover leader's lease. The plan is its note, so only the holder can replace it.
-	failoverLease         = "director"
+	// failoverLeaseName is the name of the failover leader's lease. The plan is stored in the note of the lease, so
+	// that only the holder can replace it.
+	failoverLeaseName     = "director"
 	failoverLeaseDuration = 2 * time.Second
-	// failoverInterval is how often nodes send digests, agents forward them, and the failover leader makes a plan.
+	// failoverInterval is the interval at which nodes send digests, agents forward them, and the failover leader makes
+	// a plan.
 	failoverInterval = 500 * time.Millisecond
-	// collectionTime is for how long a new failover leader only collects digests, so that it has one of each node.
-	collectionTime = 3 * failoverInterval
-	// maxDigestsBytes bounds the digests of one agent: 4 KB for each node that a Collector remembers.
+	// digestCollectionTime is the time for which a new failover leader only collects digests, so that it has one of
+	// each node before it makes a plan.
+	digestCollectionTime = 3 * failoverInterval
+	// maxDigestsBytes limits the size of the digests that one agent forwards: 4 KB for each node that a Collector
+	// remembers.
 	maxDigestsBytes = failover.MaxNodes << 12
 )
 
@@ -40,46 +44,46 @@
 	errAgentStopped = errors.New("this agent ends")
 )
 
-// failoverLeader is an agent's part in failover, whether or not it is the leader.
-type failoverLeader struct {
+// failoverParticipant is the state of an agent that participates in failover, whether or not it is the failover leader.
+type failoverParticipant struct {
 	agent   *Agent
 	options FailoverOptions
 	client  *Client
 
 	mu        sync.Mutex
-	collector *failover.Collector        // of all digests, while this agent is the leader
-	digests   map[string]failover.Digest // of this agent's nodes, since they were last forwarded
+	collector *failover.Collector        // holds the digests of all agents' nodes while this agent is the leader
+	digests   map[string]failover.Digest // latest digests of this agent's nodes by node name, not yet forwarded
 }
 
-// startFailover adds failover to an agent's interface, and starts its goroutines.
+// startFailover registers the HTTP handlers of failover, and starts the goroutines that forward digests and make plans.
 func (a *Agent) startFailover(ctx context.Context, mux *http.ServeMux) error {
-	leader, err := newFailoverLeader(a, *a.options.Failover)
+	participant, err := newFailoverParticipant(a, *a.options.Failover)
 	if err != nil {
 		return err
 	}
-	leader.registerRoutes(ctx, mux)
-	a.background.Go(func() { leader.forwardDigests(ctx) })
-	a.background.Go(func() { leader.campaign(ctx) })
+	participant.registerRoutes(ctx, mux)
+	a.background.Go(func() { participant.forwardDigests(ctx) })
+	a.background.Go(func() { participant.campaign(ctx) })
 	return nil
 }
 
-func newFailoverLeader(agent *Agent, options FailoverOptions) (*failoverLeader, error) {
+func newFailoverParticipant(agent *Agent, options FailoverOptions) (*failoverParticipant, error) {
 	if _, err := failover.NewPlanner(options.Topology, options.PriorityWeights, options.Rules); err != nil {
 		return nil, err
 	}
 	zones, classes := len(options.Topology.Zones), len(options.PriorityWeights)
 	if size := failover.MaxPlanSize(zones, classes); size > lease.MaxNoteBytes {
-		return nil, fmt.Errorf("topology: a plan of %d zones and %d classes may have %d bytes, and a note %d",
+		return nil, fmt.Errorf("topology: a plan of %d zones and %d classes may have %d bytes, but a note at most %d",
 			zones, classes, size, lease.MaxNoteBytes)
 	}
 	var members []string
 	for _, address := range agent.member.Status().Members {
 		members = append(members, address)
 	}
-	if len(members) == 0 { // a joining member knows only itself yet, and learns the leader from its own answer
+	if len(members) == 0 { // a joining member has no list of members yet: its own agent redirects to the leader
 		members = []string{agent.identity.Address}
 	}
-	return &failoverLeader{
+	return &failoverParticipant{
 		agent:     agent,
 		options:   options,
 		client:    NewClient(members, agent.httpClient.Transport),
@@ -88,15 +92,15 @@
 	}, nil
 }
 
-// registerRoutes adds the requests of nodes and of other agents.
-func (f *failoverLeader) registerRoutes(ctx context.Context, mux *http.ServeMux) {
+// registerRoutes registers the handlers for the requests of nodes and of other agents.
+func (f *failoverParticipant) registerRoutes(ctx context.Context, mux *http.ServeMux) {
 	mux.HandleFunc("POST /digest", f.handleDigest)
 	mux.HandleFunc("POST "+pathDigests, f.handleDigests)
 	mux.HandleFunc("GET /plan", func(w http.ResponseWriter, _ *http.Request) { f.handlePlan(ctx, w) })
 }
 
-// handleDigest accepts the digest of a node. The failover leader validates it.
-func (f *failoverLeader) handleDigest(w http.ResponseWriter, r *http.Request) {
+// handleDigest stores the digest of a node until it is forwarded. Its values are checked only by the failover leader.
+func (f *failoverParticipant) handleDigest(w http.ResponseWriter, r *http.Request) {
 	var digest failover.Digest
 	if !readRequest(w, r, &digest) {
 		return
@@ -109,8 +113,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// handleDigests accepts the digests of another agent's nodes.
-func (f *failoverLeader) handleDigests(w http.ResponseWriter, r *http.Request) {
+// handleDigests accepts the digests that another agent forwards for its nodes.
+func (f *failoverParticipant) handleDigests(w http.ResponseWriter, r *http.Request) {
 	var digests []failover.Digest
 	if r.Header.Get(groupHeader) != f.agent.identity.Group {
 		http.Error(w, "not of this group", http.StatusForbidden)
@@ -120,13 +124,13 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f.collect(digests)
+	f.addDigests(digests)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// handlePlan answers with the current plan, as far as this agent knows.
-func (f *failoverLeader) handlePlan(ctx context.Context, w http.ResponseWriter) {
-	current, err := f.current(ctx)
+// handlePlan answers with the current plan as this agent knows it, which may be stale.
+func (f *failoverParticipant) handlePlan(ctx context.Context, w http.ResponseWriter) {
+	current, err := f.currentLeadership(ctx)
 	switch {
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -138,7 +142,7 @@
 	}
 }
 
-func (f *failoverLeader) collect(digests []failover.Digest) {
+func (f *failoverParticipant) addDigests(digests []failover.Digest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, digest := range digests {
@@ -146,16 +150,16 @@
 	}
 }
 
-// leadership is the plan and the address of the failover leader; both are empty where there is none.
+// leadership holds the current plan and the address of the failover leader. Each is empty if there is none.
 type leadership struct{ plan, leader string }
 
-// current returns the leadership, as far as this agent knows.
-func (f *failoverLeader) current(ctx context.Context) (leadership, error) {
+// currentLeadership returns the plan and the failover leader as this agent knows them, which may be stale.
+func (f *failoverParticipant) currentLeadership(ctx context.Context) (leadership, error) {
 	results := make(chan leadership, 1)
 	task := func() {
 		var current leadership
 		for _, l := range f.agent.member.Status().Leases {
-			if l.Name != failoverLease {
+			if l.Name != failoverLeaseName {
 				continue
 			}
 			current.plan = l.Note
@@ -165,7 +169,7 @@
 		}
 		results <- current
 	}
-	if !f.agent.post(task) {
+	if !f.agent.enqueueTask(task) {
 		return leadership{}, errAgentBusy
 	}
 	select {
@@ -177,8 +181,9 @@
 	return leadership{}, errAgentStopped
 }
 
-// forwardDigests sends the digests of this agent's nodes to the failover leader.
-func (f *failoverLeader) forwardDigests(ctx context.Context) {
+// forwardDigests sends the digests of this agent's nodes to the failover leader, once per failoverInterval until ctx
+// ends.
+func (f *failoverParticipant) forwardDigests(ctx context.Context) {
 	ticker := time.NewTicker(failoverInterval)
 	defer ticker.Stop()
 	for {
@@ -187,21 +192,21 @@
 			return
 		case <-ticker.C:
 		}
-		current, err := f.current(ctx)
+		current, err := f.currentLeadership(ctx)
 		if err != nil || current.leader == "" {
-			continue // newer digests meanwhile replace the older ones of the same nodes
+			continue // the digests stay; newer ones of the same nodes replace them
 		}
 		digests := f.takeDigests()
 		if current.leader == f.agent.identity.Address {
-			f.collect(digests)
+			f.addDigests(digests)
 		} else if len(digests) > 0 {
 			f.sendDigests(ctx, current.leader, digests)
 		}
 	}
 }
 
-// takeDigests returns the digests that have not been forwarded, and forgets them.
-func (f *failoverLeader) takeDigests() []failover.Digest {
+// takeDigests removes and returns the digests that have not been forwarded.
+func (f *failoverParticipant) takeDigests() []failover.Digest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var digests []failover.Digest
@@ -212,11 +217,11 @@
 	return digests
 }
 
-// sendDigests sends digests to another agent, once: nodes send newer ones soon.
-func (f *failoverLeader) sendDigests(ctx context.Context, address string, digests []failover.Digest) {
+// sendDigests sends digests to another agent. A failure is not retried, since nodes soon send newer digests.
+func (f *failoverParticipant) sendDigests(ctx context.Context, address string, digests []failover.Digest) {
 	raw, err := json.Marshal(digests)
 	if err != nil {
-		return // impossible: the numbers were read from JSON
+		return // impossible: values decoded from JSON can be encoded again
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+pathDigests, bytes.NewReader(raw))
 	if err != nil {
@@ -228,11 +233,12 @@
 	}
 }
 
-// campaign makes plans whenever this agent holds the failover leader's lease.
-func (f *failoverLeader) campaign(ctx context.Context) {
+// campaign repeatedly acquires the failover leader's lease and publishes plans while this agent holds it, until ctx
+// ends.
+func (f *failoverParticipant) campaign(ctx context.Context) {
 	for ctx.Err() == nil {
 		leaderLease, err := Acquire(ctx, f.client, LeaseOptions{
-			Name:          failoverLease,
+			Name:          failoverLeaseName,
 			Duration:      failoverLeaseDuration,
 			Margin:        failoverInterval / 2,
 			Holder:        f.agent.identity.Address,
@@ -241,26 +247,27 @@
 		})
 		if err == nil {
 			f.agent.log.Info("failover leadership changed", "is_leader", true)
-			err = f.lead(ctx, leaderLease)
+			err = f.publishPlans(ctx, leaderLease)
 			f.agent.log.Info("failover leadership changed", "is_leader", false, "err", err)
-			f.release(ctx, leaderLease)
+			f.releaseLease(ctx, leaderLease)
 		}
-		_ = sleep(ctx, failoverInterval) // the loop ends with ctx
+		_ = sleepContext(ctx, failoverInterval) // the loop ends with ctx
 	}
 }
 
-// release releases the lease, if it is certain, so that another agent need not wait until it expires.
-func (f *failoverLeader) release(ctx context.Context, leaderLease *Lease) {
-	if leaderLease.Reason() != nil {
+// releaseLease releases the lease unless it has become uncertain, so that the next leader need not wait for its expiry.
+func (f *failoverParticipant) releaseLease(ctx context.Context, leaderLease *Lease) {
+	if leaderLease.EndReason() != nil {
 		return
 	}
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), failoverInterval)
 	defer stop()
-	_ = leaderLease.Release(ctx) // otherwise it expires
+	_ = leaderLease.Release(ctx) // on failure the lease expires by itself
 }
 
-// lead publishes plans until the lease is uncertain.
-func (f *failoverLeader) lead(ctx context.Context, leaderLease *Lease) error {
+// publishPlans publishes a plan per failoverInterval until ctx ends, the lease becomes uncertain, or a plan can't be
+// published.
+func (f *failoverParticipant) publishPlans(ctx context.Context, leaderLease *Lease) error {
 	planner, err := failover.NewPlanner(f.options.Topology, f.options.PriorityWeights, f.options.Rules)
 	if err != nil {
 		return err
@@ -280,28 +287,29 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-leaderLease.Uncertain():
-			return leaderLease.Reason()
+			return leaderLease.EndReason()
 		case <-ticker.C:
 		}
 		now := f.agent.options.Clock()
-		if now-start < collectionTime {
+		if now-start < digestCollectionTime {
 			continue
 		}
-		err := f.publish(ctx, leaderLease, planner, now, f.totals(now))
-		if err != nil && !errors.Is(err, failover.ErrNoCapacity) { // without capacity the last plan stays until it is too old
+		err := f.publishPlan(ctx, leaderLease, planner, now, f.totals(now))
+		// If no capacity is known, the last plan remains in the note until nodes consider it too old.
+		if err != nil && !errors.Is(err, failover.ErrNoCapacity) {
 			return err
 		}
 	}
 }
 
-func (f *failoverLeader) totals(now time.Duration) failover.Totals {
+func (f *failoverParticipant) totals(now time.Duration) failover.Totals {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.collector.Totals(now)
 }
 
-// publish makes the next plan, and writes it into the note of the lease.
-func (f *failoverLeader) publish(
+// publishPlan makes the next plan, and stores it in the note of the lease.
+func (f *failoverParticipant) publishPlan(
 	ctx context.Context, leaderLease *Lease, planner *failover.Planner, now time.Duration, totals failover.Totals,
 ) error {
 	grant, err := leaderLease.BeginAction(failoverInterval)
@@ -324,14 +332,14 @@
 	return nil
 }
 
-// lastPlan returns the plan that was published last, or nil if there is none that this version can read.
-func (f *failoverLeader) lastPlan(ctx context.Context) (*failover.Plan, error) {
+// lastPlan returns the plan that was published last, or nil if there is none or this version can't decode it.
+func (f *failoverParticipant) lastPlan(ctx context.Context) (*failover.Plan, error) {
 	status, err := f.client.ReadStatus(ctx)
 	if err != nil {
 		return nil, err
 	}
 	for _, l := range status.Leases {
-		if l.Name == failoverLease && l.Note != "" {
+		if l.Name == failoverLeaseName && l.Note != "" {
 			var plan failover.Plan
 			if json.Unmarshal([]byte(l.Note), &plan) != nil {
 				return nil, nil
--- a/internal/agent/failover_leader_test.go
+++ b/internal/agent/failover_leader_test.go
@@ -14,11 +14,12 @@
 	"tulipglade/internal/failover"
 )
 
-// An agent accepts the digests of 1,024 nodes with 64 zones and 20 classes, in numbers with as many digits as possible, and the failover
-// leader accepts all of them in one message of another agent. Regression: such a message was limited to 1 MB, and rejected beyond that.
+// An agent must accept the digests of 1,024 nodes with 64 zones and 20 classes, in numbers with as many digits as
+// possible. The failover leader must accept all of them in one message from another agent. Such a message was once
+// limited to 1 MB, and larger ones were rejected.
 func TestDigestsOfManyNodesAreAccepted(t *testing.T) {
 	const zones, classes, nodes = 64, 20, 1024
-	leader := &failoverLeader{
+	participant := &failoverParticipant{
 		agent: &Agent{
 			identity: Identity{Group: "g"},
 			options:  Options{Clock: func() time.Duration { return 0 }},
@@ -28,7 +29,7 @@
 		collector: failover.NewCollector(zones, classes),
 	}
 	mux := http.NewServeMux()
-	leader.registerRoutes(t.Context(), mux)
+	participant.registerRoutes(t.Context(), mux)
 	post := func(path string, v any) {
 		t.Helper()
 		raw, err := json.Marshal(v)
@@ -60,11 +61,11 @@
 		all = append(all, digest)
 		post("/digest", digest)
 	}
-	if len(leader.digests) != nodes {
-		t.Errorf("digests of %d of %d nodes", len(leader.digests), nodes)
+	if len(participant.digests) != nodes {
+		t.Errorf("digests of %d of %d nodes", len(participant.digests), nodes)
 	}
 	post("/digests", all)
-	if s := leader.collector.Totals(0); s.Demand[0][0] < nodes/zones*math.Pi*0.99 {
+	if s := participant.collector.Totals(0); s.Demand[0][0] < nodes/zones*math.Pi*0.99 {
 		t.Errorf("demand of zone 0: %v", s.Demand[0][0])
 	}
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -10,7 +10,7 @@
 	"tulipglade/internal/lease"
 )
 
-// handler returns the agent's HTTP interface. Requests that wait are dropped when ctx ends.
+// handler returns the agent's HTTP interface. Requests that are still waiting when ctx ends get no result.
 func (a *Agent) handler(ctx context.Context) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /raft", a.handleRaftMessage)
@@ -24,7 +24,7 @@
 	return mux
 }
 
-// handleLeaseCommand has the group carry out a command.
+// handleLeaseCommand proposes a command on a lease to the group, and answers with the resulting grant.
 func (a *Agent) handleLeaseCommand(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	kind, ok := commandKinds[r.PathValue("verb")]
 	if !ok {
@@ -36,7 +36,7 @@
 		return
 	}
 	command.Kind = kind
-	a.answer(ctx, w, r, func(reply func(Response, error)) {
+	a.handleOnMemberGoroutine(ctx, w, r, func(reply func(Response, error)) {
 		a.member.Propose(command, func(grant lease.Grant, err error) {
 			terms := a.member.Terms()
 			reply(Response{Grant: &grant, Terms: &terms}, err)
@@ -44,9 +44,9 @@
 	})
 }
 
-// handleLeases answers with the status of the group, as of now.
+// handleLeases answers with the status of the group, which includes everything agreed on before the request.
 func (a *Agent) handleLeases(ctx context.Context, w http.ResponseWriter, r *http.Request) {
-	a.answer(ctx, w, r, func(reply func(Response, error)) {
+	a.handleOnMemberGoroutine(ctx, w, r, func(reply func(Response, error)) {
 		a.member.ReadIndex(func(err error) {
 			status := a.member.Status()
 			reply(Response{Status: &status}, err)
@@ -54,15 +54,15 @@
 	})
 }
 
-// handleStatus answers with what this member knows, which may be stale.
+// handleStatus answers with the status of the group as this member knows it, which may be stale.
 func (a *Agent) handleStatus(ctx context.Context, w http.ResponseWriter, r *http.Request) {
-	a.answer(ctx, w, r, func(reply func(Response, error)) {
+	a.handleOnMemberGoroutine(ctx, w, r, func(reply func(Response, error)) {
 		status := a.member.Status()
 		reply(Response{Status: &status}, nil)
 	})
 }
 
-// handleMembershipChange changes the members of the group, and answers once that is done.
+// handleMembershipChange changes the members of the group, and answers once the change has been made.
 func (a *Agent) handleMembershipChange(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	var change MembershipChange
 	if !readRequest(w, r, &change) {
@@ -74,12 +74,12 @@
 			return
 		}
 	}
-	a.answer(ctx, w, r, func(reply func(Response, error)) {
+	a.handleOnMemberGoroutine(ctx, w, r, func(reply func(Response, error)) {
 		a.member.ChangeMembers(change.Add, change.Remove, func(err error) { reply(Response{}, err) })
 	})
 }
 
-// readRequest decodes the body of a request, or answers that it can't be decoded.
+// readRequest decodes the JSON body of a request. If that fails, it answers with status 400 and returns false.
 func readRequest(w http.ResponseWriter, r *http.Request, into any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err := decoder.Decode(into); err != nil {
@@ -95,15 +95,15 @@
 	_ = json.NewEncoder(w).Encode(response) // fails if the client has disconnected
 }
 
-// answer has the member's goroutine handle a request, and answers once that replies.
-func (a *Agent) answer(ctx context.Context, w http.ResponseWriter, r *http.Request, handle func(reply func(Response, error))) {
+// handleOnMemberGoroutine runs handle on the member's goroutine, and answers the request once handle calls reply.
+func (a *Agent) handleOnMemberGoroutine(ctx context.Context, w http.ResponseWriter, r *http.Request, handle func(reply func(Response, error))) {
 	type result struct {
 		response Response
 		err      error
 	}
 	results := make(chan result, 1)
 	reply := func(response Response, err error) { results <- result{response, err} }
-	if !a.post(func() { handle(reply) }) {
+	if !a.enqueueTask(func() { handle(reply) }) {
 		writeResponse(w, http.StatusServiceUnavailable, Response{Code: codeBusy, Error: consensus.ErrBusy.Error()})
 		return
 	}
@@ -120,7 +120,7 @@
 	}
 }
 
-// writeError answers with an error, its code and its status.
+// writeError answers with an error, and with the code and the HTTP status that belong to it.
 func writeError(w http.ResponseWriter, err error) {
 	response := Response{Error: err.Error()}
 	status := http.StatusInternalServerError
--- a/internal/agent/transport.go
+++ b/internal/agent/transport.go
@@ -11,10 +11,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// peerQueueSize bounds the messages that wait for one other member.
+// peerQueueSize is the maximum number of messages that wait to be sent to one other member.
 const peerQueueSize = 256
 
-// Headers of the messages between members.
+// Headers of the messages between members: the group and the address of the sender.
 const (
 	groupHeader   = "X-Group"
 	addressHeader = "X-Address"
@@ -27,11 +27,12 @@
 	isSnapshot bool
 }
 
-// send queues a message. It is called on the member's goroutine, and never blocks: raft repeats what is lost.
-func (a *Agent) send(address string, msg *pb.Message) {
+// queueMessage queues a message to another member. It runs on the member's goroutine and never blocks: if the queue is
+// full, the message is dropped, since raft repeats lost messages.
+func (a *Agent) queueMessage(address string, msg *pb.Message) {
 	raw, err := proto.Marshal(msg)
 	if err != nil {
-		a.log.Error("message not sent", "err", err)
+		a.log.Error("raft message not encoded", "err", err)
 		return
 	}
 	outbound := outboundMessage{to: msg.GetTo(), raw: raw, isSnapshot: msg.GetType() == pb.MsgSnap}
@@ -41,19 +42,20 @@
 	if queue == nil {
 		queue = make(chan outboundMessage, peerQueueSize)
 		a.peers[address] = queue
-		a.background.Go(func() { a.sendQueue(address, queue) })
+		a.background.Go(func() { a.sendQueuedMessages(address, queue) })
 	}
 	select {
 	case queue <- outbound:
 	default:
 		if outbound.isSnapshot {
-			a.post(func() { a.member.ReportSnapshot(outbound.to, false) })
+			a.enqueueTask(func() { a.member.ReportSnapshot(outbound.to, false) })
 		}
 	}
 }
 
-// sendQueue sends the messages to one address, in order, until there has been none for idleTimeout.
-func (a *Agent) sendQueue(address string, queue chan outboundMessage) {
+// sendQueuedMessages sends the queued messages to one address, in order. It returns when the member's goroutine has
+// ended, or when no message was queued for idleTimeout.
+func (a *Agent) sendQueuedMessages(address string, queue chan outboundMessage) {
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for {
@@ -62,23 +64,23 @@
 		case <-a.stopped:
 			return
 		case <-idle.C:
-			if a.removeEmptyQueue(address, queue) {
+			if a.removeQueueIfEmpty(address, queue) {
 				return
 			}
 		case outbound := <-queue:
 			err := a.sendMessage(address, outbound.raw)
 			switch {
 			case outbound.isSnapshot:
-				a.post(func() { a.member.ReportSnapshot(outbound.to, err == nil) })
+				a.enqueueTask(func() { a.member.ReportSnapshot(outbound.to, err == nil) })
 			case err != nil:
-				a.post(func() { a.member.ReportUnreachable(outbound.to) })
+				a.enqueueTask(func() { a.member.ReportUnreachable(outbound.to) })
 			}
 		}
 	}
 }
 
-// removeEmptyQueue removes a queue unless a message has just been added to it.
-func (a *Agent) removeEmptyQueue(address string, queue chan outboundMessage) bool {
+// removeQueueIfEmpty removes a queue, unless a message has just been added to it. It reports whether it did.
+func (a *Agent) removeQueueIfEmpty(address string, queue chan outboundMessage) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(queue) > 0 {
@@ -88,7 +90,7 @@
 	return true
 }
 
-// sendMessage sends one message, and returns once the other member has accepted it.
+// sendMessage sends one message, and returns nil once the other member has accepted it.
 func (a *Agent) sendMessage(address string, raw []byte) error {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/raft", bytes.NewReader(raw))
 	if err != nil {
@@ -110,10 +112,11 @@
 	return nil
 }
 
-// closeBody closes a response that has been read. An error of that says nothing about what was read.
+// closeBody closes the body of a response. Errors are ignored, since they do not affect the data that was read.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
-// handleRaftMessage accepts a message of another member. The answer says nothing about its effect, which is a message in turn.
+// handleRaftMessage accepts a raft message of another member. The HTTP answer only confirms that the message was
+// queued; the reply of this member is a message of its own.
 func (a *Agent) handleRaftMessage(w http.ResponseWriter, r *http.Request) {
 	if got := r.Header.Get(groupHeader); got != a.identity.Group {
 		http.Error(w, "not of this group", http.StatusForbidden)
@@ -131,10 +134,10 @@
 	from := r.Header.Get(addressHeader)
 	step := func() {
 		if err := a.member.Step(from, &msg); err != nil {
-			a.log.Warn("message not taken", "from", msg.GetFrom(), "err", err)
+			a.log.Warn("raft message rejected", "from", msg.GetFrom(), "err", err)
 		}
 	}
-	if CheckAddress(from) != nil || !a.post(step) {
+	if CheckAddress(from) != nil || !a.enqueueTask(step) {
 		http.Error(w, "not now", http.StatusServiceUnavailable)
 		return
 	}
