--- a/cmd/tulipctl/cluster.go
+++ b/cmd/tulipctl/cluster.go
@@ -103,7 +103,7 @@
 		}
 	}
 	var err error
-	c.fake, err = fake.Start(ctx, sc, fake.Options{Seed: seed, Log: log, Nodes: nodes, Ready: notifyReady})
+	c.fake, err = fake.Start(ctx, sc, fake.Options{Seed: seed, Log: log, Nodes: nodes, OnReady: notifyReady})
 	if err != nil {
 		return nil, err
 	}
@@ -161,7 +161,7 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, cluster.close()) }()
-	control, err := cluster.fake.Control(cmd.String("control"))
+	control, err := cluster.fake.ServeControl(cmd.String("control"))
 	if err != nil {
 		return err
 	}
--- a/cmd/tulipctl/load_record.go
+++ b/cmd/tulipctl/load_record.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	n, err := fake.Trace(in, w, sc)
+	n, err := fake.WriteTrace(in, w, sc)
 	if err := errors.Join(err, done()); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -25,8 +25,8 @@
 	Port int
 	// Nodes are the addresses of the nodes behind the frontends, by number.
 	Nodes []string
-	// Ready is called when the frontends put a node into rotation.
-	Ready func(node int)
+	// OnReady is called when the frontends put a node into rotation.
+	OnReady func(node int)
 }
 
 const (
--- a/internal/fake/control.go
+++ b/internal/fake/control.go
@@ -29,14 +29,14 @@
 	Executions int `json:"runs"`
 }
 
-// Control serves a small HTTP port by which faults are injected and figures read, until the cluster is closed. It returns
+// ServeControl serves a small HTTP port by which faults are injected and figures read, until the cluster is closed. It returns
 // the address.
 //
 //	POST /faults          injects a fault, as JSON in the form of scenarios; answers {"id": N, "fault": {...}}, complete
 //	DELETE /faults/{id}   ends it
 //	GET /report           the figures so far
 //	GET /runs/{id}        how often the request of that ID has begun to run
-func (cl *Cluster) Control(addr string) (string, error) {
+func (cl *Cluster) ServeControl(addr string) (string, error) {
 	listener, err := Listen(addr)
 	if err != nil {
 		return "", fmt.Errorf("control: %w", err)
@@ -81,7 +81,7 @@
 
 func (cl *Cluster) handleLift(response http.ResponseWriter, request *http.Request) {
 	id, err := strconv.Atoi(request.PathValue("id"))
-	if err != nil || !cl.Lift(id) {
+	if err != nil || !cl.EndFault(id) {
 		http.Error(response, "there is no such fault, or it has ended", http.StatusNotFound)
 		return
 	}
--- a/internal/fake/control_test.go
+++ b/internal/fake/control_test.go
@@ -16,7 +16,7 @@
 func startControl(t *testing.T) (cl *Cluster, addr string) {
 	t.Helper()
 	cl = start(t, Options{})
-	addr, err := cl.Control("127.0.0.1:0")
+	addr, err := cl.ServeControl("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 }
 
 func TestControlListensOnLoopbackOnly(t *testing.T) {
-	if _, err := start(t, Options{}).Control("0.0.0.0:0"); !errors.Is(err, loopback.ErrNotLoopback) {
+	if _, err := start(t, Options{}).ServeControl("0.0.0.0:0"); !errors.Is(err, loopback.ErrNotLoopback) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/fake/discovery_test.go
+++ b/internal/fake/discovery_test.go
@@ -48,7 +48,7 @@
 		got.list.Endpoints[0].State != "terminated" || got.at-killedAt > 5*time.Second {
 		t.Errorf("%+v after %v", got.list, got.at-killedAt)
 	}
-	cl.Lift(id)
+	cl.EndFault(id)
 	if list = fetchList(t, cl, 0, "?since=5&timeout_ms=5000"); len(list.Endpoints) == 0 {
 		t.Fatal("the backend that came back is not listed")
 	}
@@ -78,7 +78,7 @@
 		_ = r.Body.Close() // nothing more is read
 		t.Errorf("status %d while it is down", r.StatusCode)
 	}
-	cl.Lift(id)
+	cl.EndFault(id)
 	if list = fetchList(t, cl, 1, ""); len(list.Endpoints) != 4 {
 		t.Errorf("%+v", list)
 	}
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -107,8 +107,8 @@
 	return id, complete, nil
 }
 
-// Lift ends a fault that Inject began, and reports whether there was one.
-func (cl *Cluster) Lift(id int) (existed bool) {
+// EndFault ends a fault that Inject began, and reports whether there was one.
+func (cl *Cluster) EndFault(id int) (existed bool) {
 	cl.call(func() {
 		if _, existed = cl.faults[id]; existed {
 			delete(cl.faults, id)
--- a/internal/fake/faults_test.go
+++ b/internal/fake/faults_test.go
@@ -25,7 +25,7 @@
 		closeQuietly(refused)
 		t.Error("a dead process accepts")
 	}
-	if !cl.Lift(id) || cl.Lift(id) {
+	if !cl.EndFault(id) || cl.EndFault(id) {
 		t.Error("lifted not at all, or twice")
 	}
 	conn = dial(t, cl.backendAddr(1, 0))
@@ -55,7 +55,7 @@
 	} else {
 		closeQuietly(conn)
 	}
-	cl.Lift(id)
+	cl.EndFault(id)
 	if _, err := far.readResponse(5 * time.Second); err != nil { // the response is delivered late
 		t.Errorf("after the partition: %v", err)
 	}
@@ -68,7 +68,7 @@
 	conn := dial(t, cl.backendAddr(0, 0))
 	conn.sendRequest("/read", "a", "")
 	conn.wantStatus(500)
-	cl.Lift(id)
+	cl.EndFault(id)
 	conn.sendRequest("/read", "b", "")
 	conn.wantStatus(200)
 	id = inject(t, cl, faultinject.Fault{Kind: faultinject.Interim, Backends: []int{0}, Size: 1})
@@ -76,7 +76,7 @@
 	conn.wantStatus(100)
 	conn.wantStatus(103)
 	conn.wantStatus(200)
-	cl.Lift(id)
+	cl.EndFault(id)
 	id = inject(t, cl, faultinject.Fault{Kind: faultinject.Garbage, Backends: []int{0}, Size: 1})
 	conn.sendRequest("/start", "g", "")
 	if r, err := conn.readResponse(5 * time.Second); err == nil {
@@ -85,7 +85,7 @@
 	if n := cl.Executions("g"); n != 1 {
 		t.Errorf("garbage after the request: it ran %d times", n)
 	}
-	cl.Lift(id)
+	cl.EndFault(id)
 	conn = dial(t, cl.backendAddr(0, 0))
 	conn.sendRequest("/read", "h", "")
 	conn.wantStatus(200)
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -48,8 +48,8 @@
 	if ready {
 		if !n.ready.Swap(true) {
 			cl.log.write(logEvent{Time: cl.now(), Kind: eventNodeIn, Node: n.index})
-			if cl.options.Ready != nil {
-				cl.options.Ready(n.index)
+			if cl.options.OnReady != nil {
+				cl.options.OnReady(n.index)
 			}
 		}
 		return time.Time{}
--- a/internal/fake/trace.go
+++ b/internal/fake/trace.go
@@ -12,10 +12,10 @@
 
 const maxEventBytes = 1 << 20
 
-// Trace turns an event log into a trace of calls for the load generator: each request that came to a backend, at its time
+// WriteTrace turns an event log into a trace of calls for the load generator: each request that came to a backend, at its time
 // since the first of them. Further arrivals of a request, as retries or at another backend, are left out. It returns the
 // number of calls.
-func Trace(events io.Reader, out io.Writer, config *scenario.Scenario) (int, error) {
+func WriteTrace(events io.Reader, out io.Writer, config *scenario.Scenario) (int, error) {
 	classes, tenants := map[string]int{}, map[string]int{}
 	for i := range config.Classes {
 		classes[config.Classes[i].Name] = i
--- a/internal/processtest/rollout_fleet_test.go
+++ b/internal/processtest/rollout_fleet_test.go
@@ -140,7 +140,7 @@
 	}
 	listenAddresses, adminAddresses := addresses[:parsed.Nodes.Count], addresses[parsed.Nodes.Count:]
 	ready := make(chan int, 100)
-	options := fake.Options{Seed: 1, Nodes: listenAddresses, Ready: func(node int) { ready <- node }}
+	options := fake.Options{Seed: 1, Nodes: listenAddresses, OnReady: func(node int) { ready <- node }}
 	f.cluster, err = fake.Start(t.Context(), parsed, options)
 	if err != nil {
 		t.Fatal(err)
