--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -91,7 +91,7 @@
 // Each call that was due ends with exactly one outcome. Its memory is bounded by the calls in flight and a few seconds.
 type recorder struct {
 	scenario  *scenario.Scenario
-	retry     *workload.Retry
+	retry     *workload.RetryPolicy
 	lateSend  int64 // lag in µs beyond which a send does not count as in time
 	warmUp    int64
 	onClose   func(*interval) error // called once for each interval, in order
@@ -127,7 +127,7 @@
 func newRecorder(sc *scenario.Scenario, seed uint64, lagBound time.Duration, onClose func(*interval) error) *recorder {
 	r := &recorder{
 		scenario: sc,
-		retry:    workload.NewRetry(sc, seed),
+		retry:    workload.NewRetryPolicy(sc, seed),
 		lateSend: max(lateSendFactor*lagBound.Microseconds(), minLateSend),
 		warmUp:   int64(sc.WarmUp * microsPerSecond),
 		onClose:  onClose,
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -43,7 +43,7 @@
 	dst = appendHeader(dst, "X-Qos", class.Name)
 	dst = appendHeader(dst, "X-Customer", sc.Tenants[call.Tenant].Name)
 	dst = appendIntHeader(dst, "X-Expires-In-Ms", max((a.deadline-a.due)/microsPerMilli, 1))
-	if hint := workload.Hint(sc, r.plan.Seed, call); hint > 0 {
+	if hint := workload.SizeHint(sc, r.plan.Seed, call); hint > 0 {
 		dst = appendIntHeader(dst, "X-Size-Hint", hint)
 	}
 	if sc.Clients.MarkRetries && a.state.attempts > 1 {
--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -45,7 +45,7 @@
 	callCount       uint64
 	lastRequestID   balancer.RequestID
 	arrivals        *workload.Schedule
-	retryPolicy     *workload.Retry
+	retryPolicy     *workload.RetryPolicy
 	nextCall        workload.Call
 	onlyCalls       map[int]bool // numbers of the calls that are sent; nil: all
 	quotaSecond     int64        // the second that remainingQuotas belongs to
@@ -58,7 +58,7 @@
 		source:      eventqueue.NewSource(sourceClients),
 		random:      eventqueue.NewStream(s.seed, "clients"),
 		quotaSecond: -1,
-		retryPolicy: workload.NewRetry(s.scenario, s.seed),
+		retryPolicy: workload.NewRetryPolicy(s.scenario, s.seed),
 	}
 	if len(s.scenario.OnlyCalls) > 0 {
 		p.onlyCalls = map[int]bool{}
--- a/internal/simulation/emulator/node_requests.go
+++ b/internal/simulation/emulator/node_requests.go
@@ -48,7 +48,7 @@
 		Class:       r.call.Class,
 		Tenant:      r.call.Tenant,
 		Deadline:    r.deadline + n.incarnation.clockOffset,
-		CostHint:    workload.Hint(n.simulation.scenario, n.simulation.seed, &r.call.Call),
+		CostHint:    workload.SizeHint(n.simulation.scenario, n.simulation.seed, &r.call.Call),
 		IsRetry:     n.simulation.scenario.Clients.MarkRetries && r.number > 0,
 	})
 }
--- a/internal/workload/retry.go
+++ b/internal/workload/retry.go
@@ -25,28 +25,28 @@
 	return [...]string{"served", "refused", "failed", "timed-out", "unreachable"}[a]
 }
 
-// Retry is the retry policy of the platform's clients.
-type Retry struct {
+// RetryPolicy is the retry policy of the platform's clients.
+type RetryPolicy struct {
 	clients *scenario.Clients
 	seed    uint64
 	classes []balancer.Class
 }
 
-// NewRetry returns the retry policy of a scenario's clients.
-func NewRetry(sc *scenario.Scenario, seed uint64) *Retry {
+// NewRetryPolicy returns the retry policy of a scenario's clients.
+func NewRetryPolicy(sc *scenario.Scenario, seed uint64) *RetryPolicy {
 	classes := sc.Config(0, make([]float64, len(sc.Tenants))).Classes
-	return &Retry{clients: &sc.Clients, seed: seed, classes: classes}
+	return &RetryPolicy{clients: &sc.Clients, seed: seed, classes: classes}
 }
 
 // Timeout is how long a client waits for an attempt that begins so long after its call was due, in µs.
-func (r *Retry) Timeout(call *Call, since eventqueue.Span) eventqueue.Span {
+func (r *RetryPolicy) Timeout(call *Call, since eventqueue.Span) eventqueue.Span {
 	deadline := r.classes[call.Class].Deadline
 	return min(eventqueue.Span(r.clients.TimeoutShare*float64(deadline)), deadline-since)
 }
 
 // Next reports whether a client retries its call, and after how long. Attempts are those made so far, since is the time
 // since the call was due, and retryAfter what the answer advised; all times are in µs.
-func (r *Retry) Next(
+func (r *RetryPolicy) Next(
 	call *Call, answer Answer, attempts int, since, retryAfter eventqueue.Span,
 ) (wait eventqueue.Span, retry bool) {
 	class := &r.classes[call.Class]
@@ -59,7 +59,7 @@
 
 // mayRetry reports whether a retry does no harm. Idempotent requests are retried after any failure, and so are those whose
 // key all backends know, within the idempotency window; others only after a rejection, or where no node was reached.
-func (r *Retry) mayRetry(class *balancer.Class, answer Answer, since eventqueue.Span) bool {
+func (r *RetryPolicy) mayRetry(class *balancer.Class, answer Answer, since eventqueue.Span) bool {
 	if answer == Rejected || answer == Unreachable || r.clients.RetryFailed {
 		return true
 	}
@@ -75,7 +75,7 @@
 
 // backoff draws the wait before the next attempt. Some clients wait for at least as long as Retry-After says, up to a
 // limit of theirs.
-func (r *Retry) backoff(call *Call, attempts int, retryAfter eventqueue.Span) eventqueue.Span {
+func (r *RetryPolicy) backoff(call *Call, attempts int, retryAfter eventqueue.Span) eventqueue.Span {
 	clients := r.clients
 	draws := eventqueue.NewDraws(r.seed, call.Number<<8|uint64(attempts-1), drawRetry)
 	millis := clients.Backoff * math.Pow(clients.Growth, float64(attempts-1))
--- a/internal/workload/retry_test.go
+++ b/internal/workload/retry_test.go
@@ -50,14 +50,14 @@
 			} else {
 				text += c.settings
 			}
-			policy := NewRetry(parse(t, text), 1)
+			policy := NewRetryPolicy(parse(t, text), 1)
 			wait, retry := policy.Next(&Call{Class: c.class}, c.answer, c.attempts, c.since*ms, c.retryAfter*ms)
 			if retry != (c.wait >= 0) || retry && wait != c.wait*ms {
 				t.Errorf("retry %v after %d µs, want %d ms", retry, wait, c.wait)
 			}
 		})
 	}
-	policy := NewRetry(parse(t, base), 1)
+	policy := NewRetryPolicy(parse(t, base), 1)
 	if timeout := policy.Timeout(&Call{Class: idempotent}, 0); timeout != 900*ms {
 		t.Errorf("a first attempt is given %d µs", timeout)
 	}
--- a/internal/workload/work.go
+++ b/internal/workload/work.go
@@ -17,8 +17,8 @@
 // roughHintSigma is the standard deviation of the logarithm of a rough hint's ratio to the work.
 const roughHintSigma = 0.6
 
-// Hint is what a client estimates of a call's work, in µs; 0: nothing. All attempts of a call have the same.
-func Hint(sc *scenario.Scenario, seed uint64, call *Call) int64 {
+// SizeHint is what a client estimates of a call's work, in µs; 0: nothing. All attempts of a call have the same.
+func SizeHint(sc *scenario.Scenario, seed uint64, call *Call) int64 {
 	switch sc.Clients.Hints {
 	case "exact":
 		return int64(call.Work)
