--- a/cmd/tulipctl/cluster.go
+++ b/cmd/tulipctl/cluster.go
@@ -51,7 +51,7 @@
 func lagFlag() cli.Flag {
 	return &cli.DurationFlag{
 		Name:  "lag",
-		Value: load.DefaultLag,
+		Value: load.DefaultMaxLag,
 		Usage: "the run is invalid if requests are sent later than `TIME` after they are due, at p99",
 	}
 }
--- a/cmd/tulipctl/demo.go
+++ b/cmd/tulipctl/demo.go
@@ -133,7 +133,7 @@
 		Targets:  targets,
 		Capacity: live.Capacity(),
 		Faults:   faults,
-		Lag:      cmd.Duration("lag"),
+		MaxLag:   cmd.Duration("lag"),
 	})
 	if err != nil {
 		return nil, err
--- a/cmd/tulipctl/load.go
+++ b/cmd/tulipctl/load.go
@@ -39,7 +39,7 @@
 	return append([]cli.Flag{
 		&cli.StringSliceFlag{Name: "target", Required: true, Usage: "`ADDRESS` on loopback, repeatable: one for each site in turn"},
 		seedFlag(),
-		&cli.IntFlag{Name: "conns", Value: load.DefaultConns, Usage: "at most `N` connections"},
+		&cli.IntFlag{Name: "conns", Value: load.DefaultMaxConns, Usage: "at most `N` connections"},
 		lagFlag(),
 		&cli.FloatFlag{Name: "seconds", Usage: "length `X`, instead of the scenario's"},
 		jsonFlag,
@@ -92,8 +92,8 @@
 		Scenario: sc,
 		Seed:     seed,
 		Targets:  cmd.StringSlice("target"),
-		Conns:    cmd.Int("conns"),
-		Lag:      cmd.Duration("lag"),
+		MaxConns: cmd.Int("conns"),
+		MaxLag:   cmd.Duration("lag"),
 		Capacity: live.Capacity(),
 		Faults:   emulator.Faults(sc, seed),
 	}, nil
@@ -136,12 +136,12 @@
 	if hlog != nil {
 		plan.Intervals = load.NewIntervalLog(hlog)
 	}
-	if plan.Record, err = open("record"); err != nil {
+	if plan.TraceWriter, err = open("record"); err != nil {
 		return err
 	}
 	if bar := progress(cmd.Root().ErrWriter, "load"); bar != nil {
 		all := int(plan.Scenario.Seconds)
-		plan.Each = func(s load.Second) { bar(min(int(s.Start)+1, all), all) }
+		plan.OnSecond = func(s load.Second) { bar(min(int(s.Start)+1, all), all) }
 	}
 	res, err := load.Run(ctx, plan)
 	for _, done := range closers {
@@ -190,7 +190,7 @@
 	writef(out, "%s, seed %d: %d calls in %.1f s (%.0f/s), %d requests of which %d retries, value served in time %.3f\n",
 		r.Scenario, r.Seed, r.Calls, r.Seconds, r.PerS, r.Sent, r.Retries, r.ServedValue)
 	writef(out, "lag p50 %.3f ms, p99 %.3f ms, max %.3f ms; at most %d connections; %.1f µs of processor time per request\n\n", r.Lag.P50,
-		r.Lag.P99, r.Lag.Max, r.Conns, r.CPU)
+		r.Lag.P99, r.Lag.Max, r.PeakConns, r.CPUPerAttempt)
 	t := table(cmd)
 	writeln(t, "\t"+strings.Join(load.OutcomeNames[:], "\t")+"\tmean ms\tp50\tp90\tp99\tp99.9\tmax")
 	row := func(name string, by map[string]int64, l load.Latency) {
--- a/cmd/tulipctl/load_compare.go
+++ b/cmd/tulipctl/load_compare.go
@@ -57,7 +57,7 @@
 	writeln(t, "target\tµs CPU per call\tratio\tp50 ms\tp99 ms\tratio\tnot served\tpeak MB\tinvalid rounds")
 	invalid := 0
 	for _, s := range all {
-		writef(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%d\n", s.Name, sp(s.CPU, 1), sp(s.CPURatio, 2), sp(s.P50, 2), sp(s.P99, 2),
+		writef(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%d\n", s.Name, sp(s.CPUPerCall, 1), sp(s.CPURatio, 2), sp(s.P50, 2), sp(s.P99, 2),
 			sp(s.P99Ratio, 2), sp(s.NotServed, 4), s.PeakMB, s.Invalid)
 		invalid += s.Invalid
 	}
--- a/cmd/tulipctl/load_find.go
+++ b/cmd/tulipctl/load_find.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	s := load.Search{
+	s := load.SearchOptions{
 		Objective:     load.Objective{P99: cmd.Duration("p99"), MaxRejectedShare: cmd.Float("rejected")},
 		MinRate:       cmd.Float("from"),
 		MaxRate:       cmd.Float("to"),
@@ -43,7 +43,7 @@
 	if s.MinRate <= 0 || s.MaxRate < s.MinRate || s.Tolerance <= 0 || s.Confirmations < 1 {
 		return fmt.Errorf("find: --from, --to, --close and --confirmations must be above 0, and --to not below --from")
 	}
-	found, err := load.Find(ctx, s, func(ctx context.Context, perS float64) (*load.Result, error) {
+	found, err := load.FindMaxRate(ctx, s, func(ctx context.Context, perS float64) (*load.Result, error) {
 		sc := *plan.Scenario
 		sc.Load.PerS, sc.Load.Shape = perS, "steady"
 		p := plan
--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -14,14 +14,14 @@
 	Pid  int
 }
 
-// Standing is how one contender did, over the rounds: medians, with the least and the most.
-type Standing struct {
-	Name      string  `json:"name"`
-	CPU       Spread  `json:"cpu_us_per_call"` // of its process
-	P50       Spread  `json:"p50_ms"`
-	P99       Spread  `json:"p99_ms"`
-	NotServed Spread  `json:"not_served"`
-	PeakMB    float64 `json:"peak_mb"`
+// ContenderResult is how one contender did, over the rounds: medians, with the least and the most.
+type ContenderResult struct {
+	Name       string  `json:"name"`
+	CPUPerCall Spread  `json:"cpu_us_per_call"` // of its process
+	P50        Spread  `json:"p50_ms"`
+	P99        Spread  `json:"p99_ms"`
+	NotServed  Spread  `json:"not_served"`
+	PeakMB     float64 `json:"peak_mb"`
 	// The ratios to the first contender, round by round.
 	CPURatio Spread `json:"cpu_ratio"`
 	P99Ratio Spread `json:"p99_ratio"`
@@ -84,17 +84,17 @@
 	s.p99Ratio = append(s.p99Ratio, round.p99/first.p99)
 }
 
-func (s *samples) standing(name string, peakMB float64) Standing {
-	return Standing{
-		Name:      name,
-		CPU:       newSpread(s.cpu),
-		P50:       newSpread(s.p50),
-		P99:       newSpread(s.p99),
-		NotServed: newSpread(s.notServed),
-		PeakMB:    peakMB,
-		CPURatio:  newSpread(s.cpuRatio),
-		P99Ratio:  newSpread(s.p99Ratio),
-		Invalid:   s.invalid,
+func (s *samples) standing(name string, peakMB float64) ContenderResult {
+	return ContenderResult{
+		Name:       name,
+		CPUPerCall: newSpread(s.cpu),
+		P50:        newSpread(s.p50),
+		P99:        newSpread(s.p99),
+		NotServed:  newSpread(s.notServed),
+		PeakMB:     peakMB,
+		CPURatio:   newSpread(s.cpuRatio),
+		P99Ratio:   newSpread(s.p99Ratio),
+		Invalid:    s.invalid,
 	}
 }
 
@@ -105,7 +105,7 @@
 // meanwhile hits all alike.
 func Compare(
 	ctx context.Context, contenders []Contender, rounds int, run func(ctx context.Context, addr string) (*Result, error),
-) ([]Standing, error) {
+) ([]ContenderResult, error) {
 	all := make([]samples, len(contenders))
 	for range rounds {
 		round, err := compareRound(ctx, contenders, run)
@@ -119,7 +119,7 @@
 			}
 		}
 	}
-	standings := make([]Standing, 0, len(contenders))
+	standings := make([]ContenderResult, 0, len(contenders))
 	for i, contender := range contenders {
 		peakMB, err := processPeakMemory(contender.Pid)
 		if err != nil {
--- a/internal/load/connection.go
+++ b/internal/load/connection.go
@@ -38,7 +38,7 @@
 		r.send(idle[last], a)
 		return
 	}
-	if r.connCount < r.plan.Conns {
+	if r.connCount < r.plan.MaxConns {
 		r.addConn()
 		r.recorder.recordSend(a.state, a.due, r.now())
 		r.dial(a)
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -23,25 +23,25 @@
 	Seed     uint64
 	// Targets are where clients connect, by site; where there are fewer than sites, sites share them in turn.
 	Targets []string
-	// Conns bounds the connections, all targets together.
-	Conns int
-	// Lag bounds the p99 of the time from when an attempt was due to its sending; beyond it the run is invalid.
-	Lag time.Duration
+	// MaxConns bounds the connections, all targets together.
+	MaxConns int
+	// MaxLag bounds the p99 of the time from when an attempt was due to its sending; beyond it the run is invalid.
+	MaxLag time.Duration
 	// Capacity is what the fleet behind the target can do, in µs of work for each µs, where the load is a level of it.
 	Capacity float64
 	Faults   []faultinject.Fault // of which the surges are the clients'
-	// Each is called with every second once all its calls have ended.
-	Each func(Second)
+	// OnSecond is called with every second once all its calls have ended.
+	OnSecond func(Second)
 	// Intervals receives the HDR histogram of each second, if it is set.
 	Intervals *IntervalLog
-	// Record receives every call as it falls due, as a line of a trace, if it is set.
-	Record io.Writer
+	// TraceWriter receives every call as it falls due, as a line of a trace, if it is set.
+	TraceWriter io.Writer
 }
 
-// DefaultConns and DefaultLag are used where a Plan leaves them 0.
+// DefaultMaxConns and DefaultMaxLag are used where a Plan leaves them 0.
 const (
-	DefaultConns = 4096
-	DefaultLag   = time.Millisecond
+	DefaultMaxConns = 4096
+	DefaultMaxLag   = time.Millisecond
 )
 
 // spareDescriptors are those that a run needs beside its connections.
@@ -50,11 +50,11 @@
 var errNoTarget = errors.New("target: none is given")
 
 func (p *Plan) applyDefaults() {
-	if p.Conns == 0 {
-		p.Conns = DefaultConns
+	if p.MaxConns == 0 {
+		p.MaxConns = DefaultMaxConns
 	}
-	if p.Lag == 0 {
-		p.Lag = DefaultLag
+	if p.MaxLag == 0 {
+		p.MaxLag = DefaultMaxLag
 	}
 }
 
@@ -92,7 +92,7 @@
 		runtime.GOMAXPROCS(2)
 		defer runtime.GOMAXPROCS(processors)
 	}
-	growDescriptorTable(2*p.Conns + spareDescriptors)
+	growDescriptorTable(2*p.MaxConns + spareDescriptors)
 	if err := r.run(ctx, schedule); err != nil {
 		return nil, err
 	}
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -16,21 +16,21 @@
 	Seed     uint64   `json:"seed"`
 	Targets  []string `json:"targets"`
 
-	Seconds     float64            `json:"seconds"`
-	Calls       int64              `json:"calls"` // due after the warm-up
-	PerS        float64            `json:"calls_per_s"`
-	Sent        int64              `json:"sent"`    // attempts, the warm-up's included
-	Retries     int64              `json:"repeats"` // of them, by the clients
-	Outcomes    map[string]int64   `json:"outcomes"`
-	ServedValue float64            `json:"worth"`      // share of the possible value
-	Latency     Latency            `json:"latency_ms"` // of served and late calls
-	Until       map[string]Latency `json:"until_ms"`   // from when calls were due to their ends, by outcome
-	Classes     []Part             `json:"classes"`
-	Tenants     []Part             `json:"tenants"`
-	Lag         LagReport          `json:"lag"`
-	Conns       int                `json:"peak_connections"`
-	CPU         float64            `json:"cpu_us_per_try"` // of the generator
-	Series      []Second           `json:"series"`
+	Seconds       float64            `json:"seconds"`
+	Calls         int64              `json:"calls"` // due after the warm-up
+	PerS          float64            `json:"calls_per_s"`
+	Sent          int64              `json:"sent"`    // attempts, the warm-up's included
+	Retries       int64              `json:"repeats"` // of them, by the clients
+	Outcomes      map[string]int64   `json:"outcomes"`
+	ServedValue   float64            `json:"worth"`      // share of the possible value
+	Latency       Latency            `json:"latency_ms"` // of served and late calls
+	Until         map[string]Latency `json:"until_ms"`   // from when calls were due to their ends, by outcome
+	Classes       []GroupResult      `json:"classes"`
+	Tenants       []GroupResult      `json:"tenants"`
+	Lag           LagReport          `json:"lag"`
+	PeakConns     int                `json:"peak_connections"`
+	CPUPerAttempt float64            `json:"cpu_us_per_try"` // of the generator
+	Series        []Second           `json:"series"`
 
 	latency *hdrhistogram.Histogram // of served and late calls
 }
@@ -45,8 +45,8 @@
 	Max  float64 `json:"max"`
 }
 
-// Part is one class or tenant.
-type Part struct {
+// GroupResult is one class or tenant.
+type GroupResult struct {
 	Name     string           `json:"name"`
 	Outcomes map[string]int64 `json:"outcomes"`
 	Latency  Latency          `json:"latency_ms"`
@@ -102,7 +102,7 @@
 		Scenario: p.Scenario.Name,
 		Seed:     p.Seed,
 		Targets:  p.Targets,
-		Lag:      LagReport{BoundMs: millis(p.Lag.Microseconds())},
+		Lag:      LagReport{BoundMs: millis(p.MaxLag.Microseconds())},
 	}
 }
 
@@ -118,8 +118,8 @@
 		Max:      latency.Max,
 	}
 	res.Series = append(res.Series, second)
-	if p.Each != nil {
-		p.Each(second)
+	if p.OnSecond != nil {
+		p.OnSecond(second)
 	}
 	if p.Intervals != nil {
 		return p.Intervals.write(i)
@@ -158,16 +158,16 @@
 	res.Lag.P99 = lag.P99
 	res.Lag.Max = lag.Max
 	res.Lag.SecondsShort = rec.shortIntervals
-	res.Conns = r.peakConns
+	res.PeakConns = r.peakConns
 	if rec.sent > 0 {
-		res.CPU = float64(cpu.Microseconds()) / float64(rec.sent)
+		res.CPUPerAttempt = float64(cpu.Microseconds()) / float64(rec.sent)
 	}
 	res.Invalid = invalidReasons(res.Lag, r, cpu, elapsed)
 	res.Valid = len(res.Invalid) == 0
 }
 
-func (g *group) part(name string) Part {
-	return Part{Name: name, Outcomes: g.outcomes.byName(), Latency: newLatency(g.latency)}
+func (g *group) part(name string) GroupResult {
+	return GroupResult{Name: name, Outcomes: g.outcomes.byName(), Latency: newLatency(g.latency)}
 }
 
 // notServed is the share of calls that were rejected, failed or timed out. There must be calls.
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -65,7 +65,7 @@
 		events:   make(chan event, eventQueueLength),
 		done:     make(chan struct{}),
 		nonce:    uint64(time.Now().UnixNano()),
-		recorder: newRecorder(p.Scenario, p.Seed, p.Lag, onInterval),
+		recorder: newRecorder(p.Scenario, p.Seed, p.MaxLag, onInterval),
 		open:     map[*connection]bool{},
 		idle:     make([][]*connection, len(p.Targets)),
 		waiting:  make([][]*attempt, len(p.Targets)),
@@ -155,8 +155,8 @@
 // startNext starts the call that is due.
 func (r *runner) startNext(source *callSource) error {
 	call := source.next
-	if r.plan.Record != nil {
-		_, err := fmt.Fprintln(r.plan.Record, call.Due, call.Class, call.Tenant, call.Site, call.Key)
+	if r.plan.TraceWriter != nil {
+		_, err := fmt.Fprintln(r.plan.TraceWriter, call.Due, call.Class, call.Tenant, call.Site, call.Key)
 		if err != nil {
 			return fmt.Errorf("record: %w", err)
 		}
--- a/internal/load/runner_test.go
+++ b/internal/load/runner_test.go
@@ -27,7 +27,7 @@
 // run plays a scenario against a target, and checks that each call has one outcome.
 func run(t *testing.T, text, addr string, change func(*Plan)) *Result {
 	t.Helper()
-	p := Plan{Scenario: parse(t, text), Seed: 1, Targets: []string{addr}, Lag: time.Minute}
+	p := Plan{Scenario: parse(t, text), Seed: 1, Targets: []string{addr}, MaxLag: time.Minute}
 	if change != nil {
 		change(&p)
 	}
@@ -106,7 +106,7 @@
 	slow := startTarget(t, func(c net.Conn) {
 		answerAll(c, func(*http.Request, int) string { time.Sleep(50 * time.Millisecond); return okResponse })
 	})
-	r := run(t, quick, slow, func(p *Plan) { p.Conns, p.Lag = 1, time.Millisecond })
+	r := run(t, quick, slow, func(p *Plan) { p.MaxConns, p.MaxLag = 1, time.Millisecond })
 	if r.Valid || !strings.Contains(strings.Join(r.Invalid, "\n"), "connections:") || r.Lag.P99 < 10 {
 		t.Errorf("one connection for 5 times what it can carry: valid %v, %v, lag %+v", r.Valid, r.Invalid, r.Lag)
 	}
@@ -120,7 +120,7 @@
 	}
 	defer null.Close()
 	text := strings.Replace(strings.Replace(quick, "per_s = 200.0", "per_s = 500000.0", 1), "seconds = 1.0", "seconds = 0.3", 1)
-	r := run(t, text, null.Addr(), func(p *Plan) { p.Conns, p.Lag = 256, time.Millisecond })
+	r := run(t, text, null.Addr(), func(p *Plan) { p.MaxConns, p.MaxLag = 256, time.Millisecond })
 	if r.Valid || r.Calls < 145_000 || r.Sent != r.Calls {
 		t.Errorf("valid %v: %v; %d calls, %d sent", r.Valid, r.Invalid, r.Calls, r.Sent)
 	}
@@ -146,13 +146,13 @@
 	}
 	defer null.Close()
 	var recorded, replayed bytes.Buffer
-	original := run(t, quick, null.Addr(), func(p *Plan) { p.Record = &recorded })
+	original := run(t, quick, null.Addr(), func(p *Plan) { p.TraceWriter = &recorded })
 	path := t.TempDir() + "/trace"
 	if err := os.WriteFile(path, recorded.Bytes(), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	text := strings.Replace(quick, "per_s = 200.0", "shape = 'trace'\ntrace = '"+path+"'", 1)
-	replay := run(t, text, null.Addr(), func(p *Plan) { p.Record = &replayed })
+	replay := run(t, text, null.Addr(), func(p *Plan) { p.TraceWriter = &replayed })
 	if original.Calls != replay.Calls || recorded.String() != replayed.String() {
 		t.Errorf("%d calls, %d when replayed; the same lines: %v", original.Calls, replay.Calls, recorded.String() == replayed.String())
 	}
@@ -171,7 +171,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.ReportMetric(r.CPU, "us-cpu/call")
+		b.ReportMetric(r.CPUPerAttempt, "us-cpu/call")
 		b.ReportMetric(r.Lag.P99, "ms-lag-p99")
 		b.ReportMetric(float64(r.Outcomes["served"])/r.Seconds, "served/s")
 	}
--- a/internal/load/search.go
+++ b/internal/load/search.go
@@ -31,8 +31,8 @@
 	Steps          []Step  `json:"steps"`
 }
 
-// Search says where to look.
-type Search struct {
+// SearchOptions says where to look.
+type SearchOptions struct {
 	Objective
 	MinRate, MaxRate float64 // calls a second
 	Tolerance        float64 // the search ends when High/Low is at most 1 and this
@@ -41,18 +41,20 @@
 
 // searcher is the state of a search. The bracket is from low to high; 0: that end has not been found.
 type searcher struct {
-	Search
+	SearchOptions
 	run    func(ctx context.Context, perS float64) (*Result, error)
 	result SearchResult
 	low    float64
 	high   float64
 }
 
-// Find bisects for the highest rate that run carries, on a scale of ratios. Each rate is run once during the search; both
-// ends of the bracket are then run again, until each has as many runs as Confirmations says, and the bracket widens where
+// FindMaxRate bisects for the highest rate that run carries, on a scale of ratios. Each rate is run once during the
+// search; both ends of the bracket are then run again, until each has as many runs as Confirmations says, and the bracket widens where
 // most runs of an end contradict it. An invalid run ends the search: there the generator, not the target, is the limit.
-func Find(ctx context.Context, s Search, run func(ctx context.Context, perS float64) (*Result, error)) (SearchResult, error) {
-	f := &searcher{Search: s, run: run}
+func FindMaxRate(
+	ctx context.Context, s SearchOptions, run func(ctx context.Context, perS float64) (*Result, error),
+) (SearchResult, error) {
+	f := &searcher{SearchOptions: s, run: run}
 	for _, phase := range []func(context.Context) error{f.bracket, f.bisect, f.confirmLow, f.confirmHigh} {
 		if err := phase(ctx); err != nil {
 			return f.result, err
--- a/internal/load/search_test.go
+++ b/internal/load/search_test.go
@@ -10,7 +10,7 @@
 
 // Find against targets whose limit is known: steep, noisy, beyond the generator's own, and none.
 func TestFindReturnsTheKnownLimit(t *testing.T) {
-	search := Search{
+	search := SearchOptions{
 		Objective:     Objective{P99: 50 * time.Millisecond, MaxRejectedShare: 0.01},
 		MinRate:       100,
 		MaxRate:       100000,
@@ -50,7 +50,7 @@
 		"not even the first":           {50, 1e9, 0, 0, 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, err := Find(t.Context(), search, target(c.limit, c.generator, c.noise))
+			f, err := FindMaxRate(t.Context(), search, target(c.limit, c.generator, c.noise))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -65,7 +65,7 @@
 		})
 	}
 	broken := errors.New("broken")
-	_, err := Find(t.Context(), search, func(context.Context, float64) (*Result, error) { return nil, broken })
+	_, err := FindMaxRate(t.Context(), search, func(context.Context, float64) (*Result, error) { return nil, broken })
 	if !errors.Is(err, broken) {
 		t.Errorf("%v", err)
 	}
--- a/internal/load/validity.go
+++ b/internal/load/validity.go
@@ -17,7 +17,7 @@
 	}
 	causes := processorReasons(cpu, elapsed)
 	if r.waitedAtBound > 0 {
-		causes = append(causes, fmt.Sprintf("connections: %d requests waited at the bound of %d", r.waitedAtBound, r.plan.Conns))
+		causes = append(causes, fmt.Sprintf("connections: %d requests waited at the bound of %d", r.waitedAtBound, r.plan.MaxConns))
 	}
 	causes = append(causes, descriptorReasons(r)...)
 	if len(causes) == 0 {
--- a/internal/load/validity_test.go
+++ b/internal/load/validity_test.go
@@ -41,7 +41,7 @@
 		want   string
 	}{
 		"processor":   {func(*runner) {}, time.Hour, "CPU: the generator used"},
-		"connections": {func(r *runner) { r.waitedAtBound, r.plan.Conns = 7, 3 }, 0, "connections: 7 requests waited at the bound of 3"},
+		"connections": {func(r *runner) { r.waitedAtBound, r.plan.MaxConns = 7, 3 }, 0, "connections: 7 requests waited at the bound of 3"},
 		"descriptors": {func(r *runner) { r.descriptorErrors = 2 }, 0, "descriptors: 2 connections"},
 		"others":      {func(*runner) {}, 0, "cause not seen"},
 	} {
--- a/internal/load/verify.go
+++ b/internal/load/verify.go
@@ -14,8 +14,8 @@
 	"tulipglade/internal/workload"
 )
 
-// Check is one figure of a run against a fake whose delays are known.
-type Check struct {
+// LatencyCheck is one figure of a run against a fake whose delays are known.
+type LatencyCheck struct {
 	Name   string  `json:"name"`
 	Got    float64 `json:"got_ms"`
 	Want   float64 `json:"want_ms"`
@@ -63,8 +63,8 @@
 // Verify runs against a fake with each of the known patterns, and compares what is reported with what an observer who
 // does not wait for responses must see: quantiles computed from the schedule itself. It returns the runs beside the
 // checks, as an invalid one proves nothing.
-func Verify(ctx context.Context, perS, seconds float64, bound time.Duration) ([]Check, []*Result, error) {
-	var checks []Check
+func Verify(ctx context.Context, perS, seconds float64, bound time.Duration) ([]LatencyCheck, []*Result, error) {
+	var checks []LatencyCheck
 	var runs []*Result
 	for _, pattern := range delayPatterns {
 		sc, err := verifyScenario(pattern.name, perS, seconds)
@@ -81,7 +81,7 @@
 		}
 		runs = append(runs, result)
 		for _, q := range verifiedQuantiles {
-			check := Check{
+			check := LatencyCheck{
 				Name: fmt.Sprintf("%s, p%g", pattern.name, q),
 				Got:  millis(result.latency.ValueAtQuantile(q)),
 				Want: millis(want.ValueAtQuantile(q)),
