--- a/internal/fake/backend_conn.go
+++ b/internal/fake/backend_conn.go
@@ -81,8 +81,8 @@
 	closeQuietly(c.conn)
 	cl := b.cluster
 	cl.post(func() {
-		if c.counted && cl.live.Incarnation(b.place) == c.incarnation {
-			cl.live.AddConnections(b.place, -1)
+		if c.counted && cl.live.Incarnation(b.addressIndex) == c.incarnation {
+			cl.live.AddConnections(b.addressIndex, -1)
 		}
 		if c.inFlight != nil && !c.inFlight.ended {
 			c.inFlight.ended = true
@@ -219,12 +219,12 @@
 	var response []byte
 	cl.call(func() {
 		cl.ledger.totals.HealthChecks++
-		if cl.live.Incarnation(b.place) != c.incarnation {
+		if cl.live.Incarnation(b.addressIndex) != c.incarnation {
 			return
 		}
 		body := ""
 		if path == loadReportPath {
-			body = formatLoadReport(cl.live.CheckHealth(cl.now(), b.place))
+			body = formatLoadReport(cl.live.CheckHealth(cl.now(), b.addressIndex))
 		}
 		response = fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	})
@@ -265,7 +265,7 @@
 		return attempt, http.StatusBadRequest
 	}
 	attempt = emulator.Attempt{
-		AddressIndex:   c.backend.place,
+		AddressIndex:   c.backend.addressIndex,
 		Node:           c.backend.node,
 		ID:             id,
 		IdempotencyKey: id,
--- a/internal/fake/backend_listener.go
+++ b/internal/fake/backend_listener.go
@@ -19,10 +19,10 @@
 
 // backendListener serves one backend's address for one node. Its goroutines share the fields below mu.
 type backendListener struct {
-	cluster *Cluster
-	place   int // index of the backend's address
-	node    int
-	addr    string
+	cluster      *Cluster
+	addressIndex int // index of the backend's address
+	node         int
+	addr         string
 
 	mu           sync.Mutex
 	listener     *net.TCPListener // nil: the process does not run
@@ -35,14 +35,14 @@
 	closed       bool
 }
 
-func newBackendListener(cluster *Cluster, place, node int, addr string) (*backendListener, error) {
+func newBackendListener(cluster *Cluster, addressIndex, node int, addr string) (*backendListener, error) {
 	b := &backendListener{
-		cluster:     cluster,
-		place:       place,
-		node:        node,
-		addr:        addr,
-		conns:       map[*backendConn]bool{},
-		incarnation: cluster.live.Incarnation(place),
+		cluster:      cluster,
+		addressIndex: addressIndex,
+		node:         node,
+		addr:         addr,
+		conns:        map[*backendConn]bool{},
+		incarnation:  cluster.live.Incarnation(addressIndex),
 	}
 	b.stateChanged = sync.NewCond(&b.mu)
 	return b, b.listen()
@@ -52,7 +52,7 @@
 func (b *backendListener) listen() error {
 	ln, err := net.Listen("tcp4", b.addr)
 	if err != nil {
-		return fmt.Errorf("backend %d for node %d: %w", b.place, b.node, err)
+		return fmt.Errorf("backend %d for node %d: %w", b.addressIndex, b.node, err)
 	}
 	b.listener = ln.(*net.TCPListener)
 	b.addr = ln.Addr().String()
@@ -149,10 +149,10 @@
 
 func (b *backendListener) logError(operation string, err error) {
 	b.cluster.log.write(logEvent{
-		Time:  b.cluster.now(),
-		Kind:  errorEvent(operation, err),
-		Node:  b.node,
-		Place: b.place,
+		Time:         b.cluster.now(),
+		Kind:         errorEvent(operation, err),
+		Node:         b.node,
+		AddressIndex: b.addressIndex,
 	})
 }
 
@@ -217,8 +217,8 @@
 	cl := b.cluster
 	cl.post(func() {
 		cl.ledger.totals.Connections++
-		if cl.live.Incarnation(b.place) == c.incarnation {
-			cl.live.AddConnections(b.place, 1)
+		if cl.live.Incarnation(b.addressIndex) == c.incarnation {
+			cl.live.AddConnections(b.addressIndex, 1)
 			c.counted = true
 		}
 	})
--- a/internal/fake/backend_test.go
+++ b/internal/fake/backend_test.go
@@ -7,8 +7,8 @@
 )
 
 func TestBackendsAnswerAndCountExecutions(t *testing.T) {
-	cl := start(t, Options{})
-	conn := dial(t, cl.backendAddr(0, 0))
+	cl := startCluster(t, Options{})
+	conn := dialBackend(t, cl.backendAddr(0, 0))
 	for i := range 3 {
 		conn.sendRequest("/read?obj=7", fmt.Sprint("r", i), "")
 		conn.wantStatus(200)
@@ -26,7 +26,7 @@
 		t.Errorf("ran %d times, %+v", n, report)
 	}
 	// A repeat by key within the rack is dropped: the second has its answer from the first execution.
-	first, second := dial(t, cl.backendAddr(0, 0)), dial(t, cl.backendAddr(2, 0))
+	first, second := dialBackend(t, cl.backendAddr(0, 0)), dialBackend(t, cl.backendAddr(2, 0))
 	first.sendRequest("/settle", "k1", "Idempotency-Key: one\r\n")
 	second.sendRequest("/settle", "k2", "Idempotency-Key: one\r\n")
 	first.wantStatus(200)
@@ -37,7 +37,7 @@
 }
 
 func TestMalformedRequestsAreRejected(t *testing.T) {
-	cl := start(t, Options{})
+	cl := startCluster(t, Options{})
 	for text, status := range map[string]int{
 		"nonsense\r\n\r\n":                                           400,
 		"GET /read HTTP/1.1\r\nHost: x\r\n\r\n":                      404, // no id
@@ -45,7 +45,7 @@
 		"GET /read?%zz HTTP/1.1\r\nHost: x\r\nX-Trace-Id:\r\n\r\n":   404,
 		"GET read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\nA\r\n\r\n": 400,
 	} {
-		conn := dial(t, cl.backendAddr(0, 0))
+		conn := dialBackend(t, cl.backendAddr(0, 0))
 		if _, err := io.WriteString(conn.conn, text); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -95,8 +95,8 @@
 }
 
 // backendIP is the address of a backend for a node: each has one of its own in 127.0.0.0/8.
-func backendIP(node, place int) string {
-	return fmt.Sprintf("127.%d.%d.%d", nodeNetwork(node), place/250, 1+place%250)
+func backendIP(node, addressIndex int) string {
+	return fmt.Sprintf("127.%d.%d.%d", nodeNetwork(node), addressIndex/250, 1+addressIndex%250)
 }
 
 // discoveryIP is the address of discovery for a node, of which it knows the node.
@@ -110,8 +110,8 @@
 // listen opens all listening sockets.
 func (cl *Cluster) listen() error {
 	nodeCount := max(cl.scenario.Nodes.Count, len(cl.options.Nodes))
-	for place := range cl.scenario.Fleet.Backends {
-		listeners, err := cl.listenBackend(place, nodeCount)
+	for addressIndex := range cl.scenario.Fleet.Backends {
+		listeners, err := cl.listenBackend(addressIndex, nodeCount)
 		if err != nil {
 			return err
 		}
@@ -138,11 +138,11 @@
 }
 
 // listenBackend opens the sockets of one backend, one for each node.
-func (cl *Cluster) listenBackend(place, nodeCount int) ([]*backendListener, error) {
+func (cl *Cluster) listenBackend(addressIndex, nodeCount int) ([]*backendListener, error) {
 	var listeners []*backendListener
 	for node := range nodeCount {
-		addr := fmt.Sprintf("%s:%d", backendIP(node, place), cl.options.Port)
-		b, err := newBackendListener(cl, place, node, addr)
+		addr := fmt.Sprintf("%s:%d", backendIP(node, addressIndex), cl.options.Port)
+		b, err := newBackendListener(cl, addressIndex, node, addr)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/fake/control_test.go
+++ b/internal/fake/control_test.go
@@ -15,7 +15,7 @@
 // startControl serves a cluster's control port.
 func startControl(t *testing.T) (cl *Cluster, addr string) {
 	t.Helper()
-	cl = start(t, Options{})
+	cl = startCluster(t, Options{})
 	addr, err := cl.ServeControl("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 	if err := json.Unmarshal([]byte(body), &injected); err != nil {
 		t.Fatal(err)
 	}
-	conn := dial(t, cl.backendAddr(0, 0))
+	conn := dialBackend(t, cl.backendAddr(0, 0))
 	conn.sendRequest("/read", "a", "")
 	conn.wantStatus(500)
 	for _, want := range []int{204, 404} {
@@ -91,7 +91,7 @@
 }
 
 func TestControlListensOnLoopbackOnly(t *testing.T) {
-	if _, err := start(t, Options{}).ServeControl("0.0.0.0:0"); !errors.Is(err, loopback.ErrNotLoopback) {
+	if _, err := startCluster(t, Options{}).ServeControl("0.0.0.0:0"); !errors.Is(err, loopback.ErrNotLoopback) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -247,13 +247,13 @@
 				continue
 			}
 			cl.log.write(logEvent{
-				Time:     now,
-				Kind:     eventNotified,
-				Node:     d.node,
-				Backend:  record.Backend,
-				Place:    record.AddressIndex,
-				Phase:    phaseNames[record.Phase],
-				Revision: list.Revision,
+				Time:         now,
+				Kind:         eventNotified,
+				Node:         d.node,
+				Backend:      record.Backend,
+				AddressIndex: record.AddressIndex,
+				Phase:        phaseNames[record.Phase],
+				Revision:     list.Revision,
 			})
 		}
 	})
--- a/internal/fake/discovery_test.go
+++ b/internal/fake/discovery_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestDiscovery(t *testing.T) {
-	cl := start(t, Options{})
+	cl := startCluster(t, Options{})
 	list := fetchList(t, cl, 1, "")
 	if !list.Full || len(list.Endpoints) != 4 || list.Revision != 4 ||
 		list.Endpoints[3].Endpoint != cl.backendAddr(3, 1) || list.Endpoints[3].Zone != "west" ||
@@ -42,7 +42,7 @@
 		notified <- notification{list, cl.Elapsed()}
 	}()
 	killedAt := cl.Elapsed()
-	id := inject(t, cl, faultinject.Fault{Kind: faultinject.Kill, Backends: []int{2}})
+	id := injectFault(t, cl, faultinject.Fault{Kind: faultinject.Kill, Backends: []int{2}})
 	got := <-notified
 	if got.list.Full || len(got.list.Endpoints) != 1 || got.list.Endpoints[0].UID != "box-3" ||
 		got.list.Endpoints[0].State != "terminated" || got.at-killedAt > 5*time.Second {
@@ -70,7 +70,7 @@
 		}
 		ended <- err
 	}()
-	id = inject(t, cl, faultinject.Fault{Kind: faultinject.DiscoveryDown})
+	id = injectFault(t, cl, faultinject.Fault{Kind: faultinject.DiscoveryDown})
 	if err := <-ended; err == nil {
 		t.Error("a watch outlives discovery")
 	}
--- a/internal/fake/endpoints.go
+++ b/internal/fake/endpoints.go
@@ -61,10 +61,10 @@
 }
 
 // backendAt is the number of the newest process at an address.
-func (cl *Cluster) backendAt(place int) int {
+func (cl *Cluster) backendAt(addressIndex int) int {
 	backend := 0
 	for _, record := range cl.endpoints {
-		if record.AddressIndex == place {
+		if record.AddressIndex == addressIndex {
 			backend = max(backend, record.Backend)
 		}
 	}
--- a/internal/fake/eventlog.go
+++ b/internal/fake/eventlog.go
@@ -34,20 +34,20 @@
 
 // logEvent is one line of the log. Times are µs since the start.
 type logEvent struct {
-	Time     int64              `json:"us"`
-	Kind     eventKind          `json:"what"`
-	ID       string             `json:"id,omitempty"`
-	Node     int                `json:"node"`
-	Backend  int                `json:"box,omitempty"` // the process's number, from 1
-	Place    int                `json:"place"`         // its address's number, from 0
-	Class    string             `json:"class,omitempty"`
-	Tenant   string             `json:"tenant,omitempty"`
-	Key      uint64             `json:"key,omitempty"`
-	Outcome  string             `json:"outcome,omitempty"`
-	Ran      bool               `json:"ran,omitempty"`
-	Phase    string             `json:"phase,omitempty"`
-	Revision int                `json:"rev,omitempty"`
-	Fault    *faultinject.Fault `json:"fault,omitempty"`
+	Time         int64              `json:"us"`
+	Kind         eventKind          `json:"what"`
+	ID           string             `json:"id,omitempty"`
+	Node         int                `json:"node"`
+	Backend      int                `json:"box,omitempty"` // the process's number, from 1
+	AddressIndex int                `json:"place"`         // its address's number, from 0
+	Class        string             `json:"class,omitempty"`
+	Tenant       string             `json:"tenant,omitempty"`
+	Key          uint64             `json:"key,omitempty"`
+	Outcome      string             `json:"outcome,omitempty"`
+	Ran          bool               `json:"ran,omitempty"`
+	Phase        string             `json:"phase,omitempty"`
+	Revision     int                `json:"rev,omitempty"`
+	Fault        *faultinject.Fault `json:"fault,omitempty"`
 }
 
 // eventLog writes events as JSON lines. It keeps the first error for flush.
--- a/internal/fake/exchange.go
+++ b/internal/fake/exchange.go
@@ -43,14 +43,14 @@
 	b := x.conn.backend
 	cl := b.cluster
 	now := cl.now()
-	if cl.live.Incarnation(b.place) != x.conn.incarnation {
+	if cl.live.Incarnation(b.addressIndex) != x.conn.incarnation {
 		x.ended = true
 		x.response <- nil
 		return
 	}
 	x.conn.inFlight = x
-	x.backend = cl.backendAt(b.place)
-	afterDrain := cl.ledger.recordArrival(now, b.node, b.place, x.backend)
+	x.backend = cl.backendAt(b.addressIndex)
+	afterDrain := cl.ledger.recordArrival(now, b.node, b.addressIndex, x.backend)
 	arrival := x.event(now, eventArrived)
 	arrival.Class = cl.scenario.Classes[x.class].Name
 	arrival.Tenant = tenant
@@ -93,7 +93,7 @@
 // event is a line of the event log about this request.
 func (x *exchange) event(now int64, kind eventKind) logEvent {
 	b := x.conn.backend
-	return logEvent{Time: now, Kind: kind, ID: x.id, Node: b.node, Backend: x.backend, Place: b.place}
+	return logEvent{Time: now, Kind: kind, ID: x.id, Node: b.node, Backend: x.backend, AddressIndex: b.addressIndex}
 }
 
 // formatResponse returns a response in the form that PROTOCOL gives it; nil is a reset.
@@ -126,7 +126,7 @@
 func (cl *Cluster) responseFault(x *exchange) faultinject.Kind {
 	draw := float64(xxhash.Sum64String(x.id)>>11) / (1 << 53)
 	for _, fault := range cl.responseFaults {
-		if slices.Contains(fault.Backends, x.conn.backend.place) && draw < fault.Size {
+		if slices.Contains(fault.Backends, x.conn.backend.addressIndex) && draw < fault.Size {
 			return fault.Kind
 		}
 	}
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -21,7 +21,7 @@
 // Ran counts an execution as it begins: an attempt that its node cancels has no end, but it has run.
 func (h eventHandler) Ran(pending any) {
 	x, cl := pending.(*exchange), h.cluster
-	if cl.ledger.recordExecution(x.id, x.class, x.conn.backend.place) {
+	if cl.ledger.recordExecution(x.id, x.class, x.conn.backend.addressIndex) {
 		cl.log.write(x.event(cl.now(), eventRanTwice))
 	}
 }
@@ -31,12 +31,12 @@
 	cl := h.cluster
 	cl.updateEndpoint(entry)
 	cl.log.write(logEvent{
-		Time:     cl.now(),
-		Kind:     eventListed,
-		Backend:  entry.Backend,
-		Place:    entry.AddressIndex,
-		Phase:    phaseNames[entry.Phase],
-		Revision: cl.revision,
+		Time:         cl.now(),
+		Kind:         eventListed,
+		Backend:      entry.Backend,
+		AddressIndex: entry.AddressIndex,
+		Phase:        phaseNames[entry.Phase],
+		Revision:     cl.revision,
 	})
 }
 
@@ -80,10 +80,10 @@
 
 // updateListeners brings the sockets of all backends in line with their processes and links.
 func (cl *Cluster) updateListeners() {
-	for place, listeners := range cl.backends {
-		running, silent := cl.live.Up(place)
+	for addressIndex, listeners := range cl.backends {
+		running, silent := cl.live.Up(addressIndex)
 		for node, b := range listeners {
-			b.setState(running, silent || cl.live.Partitioned(node, place), cl.live.Incarnation(place))
+			b.setState(running, silent || cl.live.Partitioned(node, addressIndex), cl.live.Incarnation(addressIndex))
 		}
 	}
 }
--- a/internal/fake/faults_test.go
+++ b/internal/fake/faults_test.go
@@ -13,11 +13,11 @@
 )
 
 func TestKilledBackendResetsAndRefusesConnections(t *testing.T) {
-	cl := start(t, Options{})
-	conn := dial(t, cl.backendAddr(1, 0))
+	cl := startCluster(t, Options{})
+	conn := dialBackend(t, cl.backendAddr(1, 0))
 	conn.sendRequest("/read", "a", "")
 	conn.wantStatus(200)
-	id := inject(t, cl, faultinject.Fault{Kind: faultinject.Kill, Backends: []int{1}})
+	id := injectFault(t, cl, faultinject.Fault{Kind: faultinject.Kill, Backends: []int{1}})
 	if _, err := conn.readResponse(5 * time.Second); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("an open connection ends with %v, want a reset", err)
 	}
@@ -28,18 +28,18 @@
 	if !cl.EndFault(id) || cl.EndFault(id) {
 		t.Error("lifted not at all, or twice")
 	}
-	conn = dial(t, cl.backendAddr(1, 0))
+	conn = dialBackend(t, cl.backendAddr(1, 0))
 	conn.sendRequest("/read", "b", "")
 	conn.wantStatus(200)
 }
 
 func TestPartitionedBackendIsSilentUntilItHeals(t *testing.T) {
-	cl := start(t, Options{})
+	cl := startCluster(t, Options{})
 	// Node 0 is in east, backend 1 in west; backend 0 is at node 0's site.
-	far, near := dial(t, cl.backendAddr(1, 0)), dial(t, cl.backendAddr(0, 0))
+	far, near := dialBackend(t, cl.backendAddr(1, 0)), dialBackend(t, cl.backendAddr(0, 0))
 	far.sendRequest("/read", "a", "")
 	far.wantStatus(200)
-	id := inject(t, cl, faultinject.Fault{Kind: faultinject.SitePartition, Site: "west"})
+	id := injectFault(t, cl, faultinject.Fault{Kind: faultinject.SitePartition, Site: "west"})
 	far.sendRequest("/read", "b", "")
 	near.sendRequest("/read", "c", "")
 	near.wantStatus(200)
@@ -59,25 +59,25 @@
 	if _, err := far.readResponse(5 * time.Second); err != nil { // the response is delivered late
 		t.Errorf("after the partition: %v", err)
 	}
-	dial(t, cl.backendAddr(1, 0))
+	dialBackend(t, cl.backendAddr(1, 0))
 }
 
 func TestErrorsAlteredResponsesResetsAndOverload(t *testing.T) {
-	cl := start(t, Options{})
-	id := inject(t, cl, faultinject.Fault{Kind: faultinject.FastErrors, Backends: []int{0}, Size: 1})
-	conn := dial(t, cl.backendAddr(0, 0))
+	cl := startCluster(t, Options{})
+	id := injectFault(t, cl, faultinject.Fault{Kind: faultinject.FastErrors, Backends: []int{0}, Size: 1})
+	conn := dialBackend(t, cl.backendAddr(0, 0))
 	conn.sendRequest("/read", "a", "")
 	conn.wantStatus(500)
 	cl.EndFault(id)
 	conn.sendRequest("/read", "b", "")
 	conn.wantStatus(200)
-	id = inject(t, cl, faultinject.Fault{Kind: faultinject.Interim, Backends: []int{0}, Size: 1})
+	id = injectFault(t, cl, faultinject.Fault{Kind: faultinject.Interim, Backends: []int{0}, Size: 1})
 	conn.sendRequest("/read", "i", "")
 	conn.wantStatus(100)
 	conn.wantStatus(103)
 	conn.wantStatus(200)
 	cl.EndFault(id)
-	id = inject(t, cl, faultinject.Fault{Kind: faultinject.Garbage, Backends: []int{0}, Size: 1})
+	id = injectFault(t, cl, faultinject.Fault{Kind: faultinject.Garbage, Backends: []int{0}, Size: 1})
 	conn.sendRequest("/start", "g", "")
 	if r, err := conn.readResponse(5 * time.Second); err == nil {
 		t.Errorf("garbage is read as %d", r.status)
@@ -86,10 +86,10 @@
 		t.Errorf("garbage after the request: it ran %d times", n)
 	}
 	cl.EndFault(id)
-	conn = dial(t, cl.backendAddr(0, 0))
+	conn = dialBackend(t, cl.backendAddr(0, 0))
 	conn.sendRequest("/read", "h", "")
 	conn.wantStatus(200)
-	inject(t, cl, faultinject.Fault{Kind: faultinject.Resets, Backends: []int{0}, Size: 1})
+	injectFault(t, cl, faultinject.Fault{Kind: faultinject.Resets, Backends: []int{0}, Size: 1})
 	conn.sendRequest("/start", "c", "")
 	if _, err := conn.readResponse(5 * time.Second); err == nil {
 		t.Error("no reset")
@@ -97,7 +97,7 @@
 	if n := cl.Executions("c"); n != 1 {
 		t.Errorf("a reset after the request: it ran %d times", n)
 	}
-	inject(t, cl, faultinject.Fault{Kind: faultinject.Freeze, Backends: []int{2}})
+	injectFault(t, cl, faultinject.Fault{Kind: faultinject.Freeze, Backends: []int{2}})
 	cancelTwice(t, cl)
 	if rejected := overload(t, cl); rejected != 6 {
 		t.Errorf("%d rejected, want 6", rejected)
@@ -108,7 +108,7 @@
 func cancelTwice(t *testing.T, cl *Cluster) {
 	t.Helper()
 	for want := 1; want <= 2; want++ {
-		conn := dial(t, cl.backendAddr(2, 0))
+		conn := dialBackend(t, cl.backendAddr(2, 0))
 		conn.sendRequest("/start", "given up", "")
 		for cl.Executions("given up") < want {
 			time.Sleep(time.Millisecond)
@@ -125,7 +125,7 @@
 	t.Helper()
 	before := cl.Report().Arrived
 	for i := range int64(28) { // 8 slots, of which 2 are taken, and 16 places in the queue
-		conn := dial(t, cl.backendAddr(2, 0))
+		conn := dialBackend(t, cl.backendAddr(2, 0))
 		conn.sendRequest("/start", fmt.Sprint("f", i), "")
 		for cl.Report().Arrived < before+i+1 { // one after the other
 			time.Sleep(time.Millisecond)
@@ -141,9 +141,9 @@
 
 func TestArrivalsLongAfterTheDrainNotificationAreCounted(t *testing.T) {
 	var log bytes.Buffer
-	cl := start(t, Options{Log: &log})
-	inject(t, cl, faultinject.Fault{Kind: faultinject.Drain, Backends: []int{3}})
-	conn := dial(t, cl.backendAddr(3, 0))
+	cl := startCluster(t, Options{Log: &log})
+	injectFault(t, cl, faultinject.Fault{Kind: faultinject.Drain, Backends: []int{3}})
+	conn := dialBackend(t, cl.backendAddr(3, 0))
 	conn.sendRequest("/read", "a", "")
 	if r := conn.wantStatus(503); r.header.Get("X-Never-Ran") != "1" {
 		t.Error("not said to have never run")
@@ -156,10 +156,10 @@
 		}
 		conn.sendRequest("/read", fmt.Sprint("b", n), "")
 		if _, err := conn.readResponse(5 * time.Second); err != nil {
-			conn = dial(t, cl.backendAddr(3, 0))
+			conn = dialBackend(t, cl.backendAddr(3, 0))
 		}
 	}
-	other := dial(t, cl.backendAddr(3, 1)) // node 1 was not notified
+	other := dialBackend(t, cl.backendAddr(3, 1)) // node 1 was not notified
 	before := cl.Report().AfterDrain
 	other.sendRequest("/read", "c", "")
 	other.wantStatus(503)
--- a/internal/fake/frontend_test.go
+++ b/internal/fake/frontend_test.go
@@ -41,7 +41,7 @@
 	firstServer, firstAddr := startNode(t, "node0", &ready[0])
 	_, secondAddr := startNode(t, "node1", &ready[1])
 	inRotation := make(chan int, 4)
-	cl := start(t, Options{Nodes: []string{firstAddr, secondAddr}, OnReady: func(node int) { inRotation <- node }})
+	cl := startCluster(t, Options{Nodes: []string{firstAddr, secondAddr}, OnReady: func(node int) { inRotation <- node }})
 	nodeOf := func(site int) string {
 		conn, err := net.Dial("tcp4", cl.Frontend(site))
 		if err != nil {
--- a/internal/fake/helpers_test.go
+++ b/internal/fake/helpers_test.go
@@ -15,8 +15,8 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// small is a scenario of four backends at two sites.
-const small = `
+// smallScenario is a scenario of four backends at two sites.
+const smallScenario = `
 seconds = 60.0
 [fleet]
 boxes = 4
@@ -70,20 +70,20 @@
 window_ms = 5000.0
 `
 
-func parseSmall(t *testing.T) *scenario.Scenario {
+func parseSmallScenario(t *testing.T) *scenario.Scenario {
 	t.Helper()
-	config, err := scenario.Parse("small", []byte(small))
+	config, err := scenario.Parse("small", []byte(smallScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return config
 }
 
-// start serves the small scenario until the end of the test, which must leave no goroutine behind.
-func start(t *testing.T, opts Options) *Cluster {
+// startCluster serves the small scenario until the end of the test, which must leave no goroutine behind.
+func startCluster(t *testing.T, opts Options) *Cluster {
 	t.Helper()
 	ignoreEarlier := goleak.IgnoreCurrent()
-	cl, err := Start(t.Context(), parseSmall(t), opts)
+	cl, err := Start(t.Context(), parseSmallScenario(t), opts)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,9 @@
 	return cl
 }
 
-func (cl *Cluster) backendAddr(place, node int) string { return cl.backends[place][node].addr }
+func (cl *Cluster) backendAddr(addressIndex, node int) string {
+	return cl.backends[addressIndex][node].addr
+}
 
 // client is one connection to a backend.
 type client struct {
@@ -106,7 +108,7 @@
 	reader *bufio.Reader
 }
 
-func dial(t *testing.T, addr string) *client {
+func dialBackend(t *testing.T, addr string) *client {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp4", addr, 5*time.Second)
 	if err != nil {
@@ -153,7 +155,7 @@
 	return r
 }
 
-func inject(t *testing.T, cl *Cluster, fault faultinject.Fault) int {
+func injectFault(t *testing.T, cl *Cluster, fault faultinject.Fault) int {
 	t.Helper()
 	id, _, err := cl.Inject(fault)
 	if err != nil {
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -17,33 +17,33 @@
 
 // ledger counts what arrives and what is executed. It belongs to the cluster's goroutine.
 type ledger struct {
-	classes           []balancer.Class
-	drainGrace        int64 // µs
-	executions        map[string]int
-	rememberedIDs     []string // in the order of their first execution; a ring once it is full
-	oldest            int      // index in rememberedIDs
-	arrivalsByPlace   map[int]int64
-	executionsByPlace map[int]int64
-	notifiedAt        map[notificationKey]int64 // when a node was notified that a backend is draining or removed
-	totals            Report
+	classes             []balancer.Class
+	drainGrace          int64 // µs
+	executions          map[string]int
+	rememberedIDs       []string // in the order of their first execution; a ring once it is full
+	oldest              int      // index in rememberedIDs
+	arrivalsByAddress   map[int]int64
+	executionsByAddress map[int]int64
+	notifiedAt          map[notificationKey]int64 // when a node was notified that a backend is draining or removed
+	totals              Report
 }
 
 func newLedger(config *scenario.Scenario) *ledger {
 	return &ledger{
-		classes:           config.Config(0, make([]float64, len(config.Tenants))).Classes,
-		drainGrace:        int64(config.Rules.DrainGrace*microsPerMilli) + socketTolerance,
-		executions:        map[string]int{},
-		arrivalsByPlace:   map[int]int64{},
-		executionsByPlace: map[int]int64{},
-		notifiedAt:        map[notificationKey]int64{},
+		classes:             config.Config(0, make([]float64, len(config.Tenants))).Classes,
+		drainGrace:          int64(config.Rules.DrainGrace*microsPerMilli) + socketTolerance,
+		executions:          map[string]int{},
+		arrivalsByAddress:   map[int]int64{},
+		executionsByAddress: map[int]int64{},
+		notifiedAt:          map[notificationKey]int64{},
 	}
 }
 
 // recordArrival counts a request at a backend. It reports whether the node should have known for longer than the grace
 // that the backend is draining or removed.
-func (l *ledger) recordArrival(now int64, node, place, backend int) (afterDrain bool) {
+func (l *ledger) recordArrival(now int64, node, addressIndex, backend int) (afterDrain bool) {
 	l.totals.Arrived++
-	l.arrivalsByPlace[place]++
+	l.arrivalsByAddress[addressIndex]++
 	if at, ok := l.notifiedAt[notificationKey{node, backend}]; ok && now > at+l.drainGrace {
 		l.totals.AfterDrain++
 		return true
@@ -53,8 +53,8 @@
 
 // recordExecution counts an execution. It reports whether the request had been executed before although its class is not
 // idempotent.
-func (l *ledger) recordExecution(id string, class, place int) (duplicate bool) {
-	l.executionsByPlace[place]++
+func (l *ledger) recordExecution(id string, class, addressIndex int) (duplicate bool) {
+	l.executionsByAddress[addressIndex]++
 	before := l.executions[id]
 	if before == 0 {
 		l.remember(id)
--- a/internal/fake/report.go
+++ b/internal/fake/report.go
@@ -28,13 +28,13 @@
 		report = cl.ledger.totals
 		report.Seconds = cl.Elapsed().Seconds()
 		report.Executions = cl.live.Executions()
-		for place := range cl.backends {
+		for addressIndex := range cl.backends {
 			backend := BackendReport{
-				Number:  place,
-				Arrived: cl.ledger.arrivalsByPlace[place],
-				Ran:     cl.ledger.executionsByPlace[place],
+				Number:  addressIndex,
+				Arrived: cl.ledger.arrivalsByAddress[addressIndex],
+				Ran:     cl.ledger.executionsByAddress[addressIndex],
 			}
-			backend.Up, _ = cl.live.Up(place)
+			backend.Up, _ = cl.live.Up(addressIndex)
 			report.Backends = append(report.Backends, backend)
 		}
 	})
--- a/internal/fake/trace_test.go
+++ b/internal/fake/trace_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestTraceReadsEventLog(t *testing.T) {
-	config := parseSmall(t)
+	config := parseSmallScenario(t)
 	log := `{"us":100,"what":"listed","node":0,"place":1}
 {"us":500,"what":"arrived","id":"a","node":1,"place":0,"class":"start","tenant":"middle","key":9}
 {"us":700,"what":"arrived","id":"b","node":0,"place":0,"class":"read","tenant":"large"}
