--- a/internal/fake/backend_conn.go
+++ b/internal/fake/backend_conn.go
@@ -38,11 +38,11 @@
 	closed       bool       // under the listener's mutex
 
 	// The cluster's goroutine owns these.
-	counted  bool      // in the backend's number of connections
-	inFlight *exchange // at the backend, or nil
+	counted  bool      // the backend's number of open connections includes this one
+	inFlight *exchange // the request that the backend is processing; nil: none
 }
 
-// reset ends the connection as a dying process does. The caller holds the listener's mutex.
+// reset closes the connection with a TCP reset, as the end of a process does. The caller holds the listener's mutex.
 func (c *backendConn) reset() {
 	if !c.closed {
 		c.closed = true
@@ -62,7 +62,7 @@
 	return !c.closed
 }
 
-// serve answers the requests of a connection, one after the other.
+// serve answers the requests on the connection one after the other, until it is to be closed.
 func (c *backendConn) serve() {
 	defer c.close()
 	buf := make([]byte, 0, protocol.BufferSize)
@@ -71,7 +71,7 @@
 	}
 }
 
-// close ends the connection and cancels the request that is in flight on it.
+// close closes the connection, removes it from the backend's count and abandons the request that is in flight on it.
 func (c *backendConn) close() {
 	b := c.backend
 	b.mu.Lock()
@@ -91,8 +91,8 @@
 	})
 }
 
-// serveRequest answers the request that begins in buf. It returns what has come of the next one, and false where the
-// connection is to be closed.
+// serveRequest reads and answers one request, the first bytes of which may already be in buf. It returns the bytes
+// received so far of the next request, and false if the connection is to be closed.
 func (c *backendConn) serveRequest(buf []byte) ([]byte, bool) {
 	var message protocol.Message
 	buf, ok := c.readRequest(&message, buf)
@@ -137,8 +137,8 @@
 	return append(buf, ahead.data...), true
 }
 
-// readRequest reads until the message is complete. It answers a malformed one, and returns false where nothing more
-// can be read from the connection.
+// readRequest reads until the message is complete. It rejects a malformed message, and returns false if no further
+// request can be read from the connection.
 func (c *backendConn) readRequest(message *protocol.Message, buf []byte) ([]byte, bool) {
 	for {
 		size, complete, err := message.Request(buf)
@@ -156,23 +156,23 @@
 	}
 }
 
-// reject answers a request that is not what PROTOCOL says, and counts it.
+// reject answers a request that does not conform to PROTOCOL with an error status, and counts it.
 func (c *backendConn) reject(status int) {
 	cl := c.backend.cluster
 	cl.post(func() { cl.ledger.totals.Unreadable++ })
 	c.write(emptyResponse(status))
 }
 
-// emptyResponse is a response without a body, after which the connection is closed.
+// emptyResponse returns a response without a body that announces the close of the connection.
 func emptyResponse(status int) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", status, http.StatusText(status))
 }
 
-// readAhead is one read that runs while a request is executed: a node that cancels closes its connection, or shuts down
-// its sending side.
+// readAhead is one read that runs while a request is executed. It detects that the node cancels the request: the node
+// then closes its connection, or shuts down its sending side.
 type readAhead struct {
 	done chan struct{} // closed at the end of the read
-	data []byte        // after done: what came of the next request; nil: the node has closed the connection
+	data []byte        // valid after done: the first bytes of the next request; nil: the node has closed the connection
 }
 
 func (c *backendConn) startReadAhead() *readAhead {
@@ -187,7 +187,7 @@
 	return ahead
 }
 
-// read appends what comes next to buf; nil: the buffer is full, or the connection has ended.
+// read appends the bytes of the next read to buf. It returns nil if the buffer is full or the connection has ended.
 func (c *backendConn) read(buf []byte) []byte {
 	if len(buf) == cap(buf) {
 		return nil
@@ -201,15 +201,15 @@
 	return buf[:len(buf)+n]
 }
 
-// write reports whether all of the response was written.
+// write writes a response, and reports whether all of it was written.
 func (c *backendConn) write(response []byte) bool {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(backendWriteTimeout)) // Write reports a closed connection
 	_, err := c.conn.Write(response)
 	return err == nil
 }
 
-// answerHealthCheck returns the response to a health check, which does not queue; nil: the message is none. Where the
-// rules forbid health checks, their paths are like any other.
+// answerHealthCheck returns the response to a health check, which is answered without queueing. It returns nil if the
+// message is not a health check. If the rules forbid health checks, their paths are treated like any other path.
 func (c *backendConn) answerHealthCheck(message *protocol.Message) []byte {
 	b, path := c.backend, string(message.Target)
 	cl := b.cluster
@@ -228,13 +228,13 @@
 		}
 		response = fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	})
-	if response == nil { // the process of this connection has ended
+	if response == nil { // the process that accepted this connection has ended
 		return emptyResponse(http.StatusServiceUnavailable)
 	}
 	return response
 }
 
-// dispatch hands a complete request to the backend; nil: it is rejected with the status.
+// dispatch passes a complete request to the backend. If x is nil, the request is rejected with rejectStatus.
 func (c *backendConn) dispatch(message *protocol.Message) (x *exchange, rejectStatus int) {
 	attempt, rejectStatus := c.parseAttempt(message)
 	if rejectStatus != 0 {
@@ -249,7 +249,7 @@
 	return x, 0
 }
 
-// parseAttempt reads what a backend needs to know of a request; a status other than 0 rejects it.
+// parseAttempt converts a request into the emulator's attempt. A rejectStatus other than 0 rejects the request.
 func (c *backendConn) parseAttempt(message *protocol.Message) (attempt emulator.Attempt, rejectStatus int) {
 	id := string(message.Get("x-trace-id"))
 	if id == "" {
--- a/internal/fake/backend_listener.go
+++ b/internal/fake/backend_listener.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// queueFillTimeout is how long the connection that fills the accept queue may take to come up.
+	// queueFillTimeout bounds how long the connection that fills the accept queue may take to be established.
 	queueFillTimeout = 100 * time.Millisecond
-	// acceptRetryDelay is the pause after an accept that failed.
+	// acceptRetryDelay is the delay before accept is called again after an error.
 	acceptRetryDelay = time.Millisecond
 )
 
-// backendListener serves one backend's address for one node. Its goroutines share the fields below mu.
+// backendListener serves the address of one backend that one node connects to. mu protects the fields below it.
 type backendListener struct {
 	cluster      *Cluster
 	addressIndex int // index of the backend's address
@@ -25,13 +25,13 @@
 	addr         string
 
 	mu           sync.Mutex
-	listener     *net.TCPListener // nil: the process does not run
-	unreachable  bool             // the machine has vanished, or the link is cut
+	listener     *net.TCPListener // nil: the backend's process is not running
+	unreachable  bool             // the machine does not respond, or the link to the node is cut
 	queueFiller  net.Conn         // fills the accept queue while the backend is unreachable
 	incarnation  any
 	conns        map[*backendConn]bool
-	stateChanged *sync.Cond // listener, unreachable, acceptParked or closed has changed
-	acceptParked bool       // accept waits, and takes no connection until it is woken
+	stateChanged *sync.Cond // signaled when listener, unreachable, acceptParked or closed has changed
+	acceptParked bool       // the accept loop waits for stateChanged, and accepts no connection meanwhile
 	closed       bool
 }
 
@@ -48,7 +48,7 @@
 	return b, b.listen()
 }
 
-// listen opens the listening socket. The caller holds mu, or is the only user.
+// listen opens the listening socket. The caller holds mu, or no other goroutine uses b yet.
 func (b *backendListener) listen() error {
 	ln, err := net.Listen("tcp4", b.addr)
 	if err != nil {
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// setState brings the sockets in line with the backend. A process that has died resets its connections and refuses new
-// ones; the connections of an unreachable machine stay open and silent, and new ones are never established.
+// setState adapts the sockets to the state of the backend. A process that has died resets its connections and refuses
+// new ones; the connections of an unreachable machine stay open and silent, and new ones are never established.
 func (b *backendListener) setState(running, unreachable bool, incarnation any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -100,13 +100,14 @@
 		return
 	}
 	b.allowNewConnections()
-	for c := range b.conns { // what was written meanwhile is delivered now
+	for c := range b.conns { // data written during the outage is delivered now
 		c.stateChanged.Broadcast()
 	}
 }
 
-// blockNewConnections keeps new connections from being established: the accept queue is cut to one, which a connection of
-// our own fills, and the kernel drops further SYNs as if the machine were gone. The caller holds mu.
+// blockNewConnections prevents new connections from being established: it shortens the accept queue to one entry and
+// fills that with a connection of its own, so that the kernel drops further SYNs as if the machine were gone. The caller
+// holds mu.
 func (b *backendListener) blockNewConnections() {
 	if b.listener == nil {
 		return
@@ -115,17 +116,17 @@
 	// A deadline in the past ends Accept, and the loop parks until the backend is reachable. An error means that the
 	// listener is closed.
 	_ = b.listener.SetDeadline(time.Unix(1, 0))
-	for !b.acceptParked && !b.closed { // before that, accept might take the filler
+	for !b.acceptParked && !b.closed { // until it is parked, the accept loop could accept the queue filler
 		b.stateChanged.Wait()
 	}
 	if b.closed {
 		return
 	}
-	// An error leaves room for one connection, which accept does not take while it is parked.
+	// After an error the queue has room for one connection, which the parked accept loop does not accept.
 	b.queueFiller, _ = net.DialTimeout("tcp4", b.addr, queueFillTimeout)
 }
 
-// allowNewConnections undoes blockNewConnections. The caller holds mu.
+// allowNewConnections reverses blockNewConnections. The caller holds mu.
 func (b *backendListener) allowNewConnections() {
 	if b.queueFiller != nil {
 		closeQuietly(b.queueFiller)
@@ -172,7 +173,7 @@
 	b.stateChanged.Broadcast()
 }
 
-// accept serves connections until the cluster is closed.
+// accept accepts connections and serves each, until the cluster is closed.
 func (b *backendListener) accept() {
 	for {
 		ln := b.awaitListener()
@@ -183,14 +184,15 @@
 		switch {
 		case errors.Is(err, net.ErrClosed), errors.Is(err, unix.ECONNABORTED):
 		case err != nil:
-			time.Sleep(acceptRetryDelay) // the deadline of blockNewConnections, or descriptors that ran out
+			time.Sleep(acceptRetryDelay) // the deadline set by blockNewConnections, or a lack of descriptors
 		default:
 			b.startConn(conn)
 		}
 	}
 }
 
-// awaitListener waits until the backend runs and is reachable, and returns its listener; nil: the cluster is closed.
+// awaitListener waits until the backend runs and is reachable, and returns its listener. It returns nil once the cluster
+// is closed.
 func (b *backendListener) awaitListener() *net.TCPListener {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fake/backend_test.go
+++ b/internal/fake/backend_test.go
@@ -18,14 +18,14 @@
 	if n := cl.Executions("s"); n != 1 {
 		t.Errorf("ran %d times", n)
 	}
-	conn.sendRequest("/start", "s", "") // a node that retries a non-idempotent request
+	conn.sendRequest("/start", "s", "") // a non-idempotent request that the node wrongly retries
 	conn.wantStatus(200)
 	report := cl.Report()
 	if n := cl.Executions("s"); n != 2 || report.DuplicateRuns != 1 || report.Executions != 5 || report.Arrived != 5 ||
 		report.Backends[0].Ran != 5 || report.Connections != 1 {
 		t.Errorf("ran %d times, %+v", n, report)
 	}
-	// A repeat by key within the rack is dropped: the second has its answer from the first execution.
+	// Backends of one rack share idempotency keys: the second request is answered from the execution of the first.
 	first, second := dialBackend(t, cl.backendAddr(0, 0)), dialBackend(t, cl.backendAddr(2, 0))
 	first.sendRequest("/settle", "k1", "Idempotency-Key: one\r\n")
 	second.sendRequest("/settle", "k2", "Idempotency-Key: one\r\n")
@@ -40,7 +40,7 @@
 	cl := startCluster(t, Options{})
 	for text, status := range map[string]int{
 		"nonsense\r\n\r\n":                                           400,
-		"GET /read HTTP/1.1\r\nHost: x\r\n\r\n":                      404, // no id
+		"GET /read HTTP/1.1\r\nHost: x\r\n\r\n":                      404, // no trace ID
 		"GET /other HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\n\r\n":    400,
 		"GET /read?%zz HTTP/1.1\r\nHost: x\r\nX-Trace-Id:\r\n\r\n":   404,
 		"GET read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\nA\r\n\r\n": 400,
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -1,6 +1,7 @@
-// Package fake serves what surrounds the nodes of a deployment on loopback sockets: backends, discovery, and frontends
-// that balance clients' connections over the nodes. The backends are those of the emulator, driven in real time, and
-// faults are those of package faultinject. A log records what happened, as the reference for nodes and load tools.
+// Package fake serves the surroundings of a deployment's nodes on loopback sockets: backends, discovery, and frontends
+// that balance clients' connections over the nodes. The backends are those of the emulator, driven in real time, and the
+// faults are those of package faultinject. An event log records every arrival, response, list change and fault. It is
+// the reference to which the figures of nodes and load tools are compared.
 package fake
 
 import (
@@ -16,51 +17,52 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// Options say how a Cluster is served.
+// Options configure a Cluster.
 type Options struct {
 	Seed uint64
-	// Log receives the event log as JSON lines; nil: none is written.
+	// Log receives the event log as JSON lines; nil: no log is written.
 	Log io.Writer
-	// Port is that of every backend, each of which has an address of its own for each node; 0: any port.
+	// Port is the port of every backend, at each of its per-node addresses; 0: the system chooses the ports.
 	Port int
-	// Nodes are the addresses of the nodes behind the frontends, by number.
+	// Nodes are the addresses of the nodes behind the frontends, by node index.
 	Nodes []string
 	// OnReady is called when the frontends put a node into rotation.
 	OnReady func(node int)
 }
 
 const (
-	// taskQueueLength is how many tasks can wait for the cluster's goroutine.
+	// taskQueueLength is the number of tasks that can wait for the cluster's goroutine.
 	taskQueueLength = 1024
 	// maxIdle is the longest time for which the cluster's goroutine sleeps.
 	maxIdle = time.Second
 )
 
-// Cluster is a running set of fakes. One goroutine owns the state below live; all else posts tasks to it.
+// Cluster is a running set of fake backends, discovery services and frontends. One goroutine owns live and the fields
+// below it; other goroutines access them by posting tasks to it.
 type Cluster struct {
 	scenario  *scenario.Scenario
 	options   Options
 	startedAt time.Time
 	tasks     chan func()
-	done      chan struct{} // closed as run ends
+	done      chan struct{} // closed when run returns
 	ctx       context.Context
 	stop      context.CancelFunc
 	wg        sync.WaitGroup
 	log       *eventLog
 
-	backends         [][]*backendListener // by place and node
+	backends         [][]*backendListener // by address index and node
 	discoveries      []*discovery         // by node
 	discoveryLimiter rateLimiter
 	frontends        []*frontend // by site
 	nodes            []*frontendNode
 
 	live            *emulator.LiveBackends
-	faults          map[int]faultinject.Fault // begun through Inject
-	discoveryFaults int                       // active faults under which discovery is down
-	responseFaults  []faultinject.Fault       // active faults that alter the form of responses
-	endpoints       []endpointRecord          // what discovery knows, by backend
+	faults          map[int]faultinject.Fault // active faults that were begun by Inject
+	discoveryFaults int                       // number of active faults that keep discovery down
+	responseFaults  []faultinject.Fault       // active faults that alter the bytes of responses
+	endpoints       []endpointRecord          // discovery's endpoint list, one entry for each backend process
 	revision        int
-	listChanged     chan struct{} // closed at the next change
+	listChanged     chan struct{} // closed at the next change of the endpoint list
 	ledger          *ledger
 	processes       *Processes // nil: the nodes are not started by the cluster
 }
@@ -94,17 +96,17 @@
 	return cl, nil
 }
 
-// backendIP is the address of a backend for a node: each has one of its own in 127.0.0.0/8.
+// backendIP returns the address in 127.0.0.0/8 at which a node reaches a backend; it differs for each pair of them.
 func backendIP(node, addressIndex int) string {
 	return fmt.Sprintf("127.%d.%d.%d", nodeNetwork(node), addressIndex/250, 1+addressIndex%250)
 }
 
-// discoveryIP is the address of discovery for a node, of which it knows the node.
+// discoveryIP returns the address at which a node reaches discovery, which tells its callers apart by this address.
 func discoveryIP(node int) string {
 	return fmt.Sprintf("127.%d.255.1", nodeNetwork(node))
 }
 
-// nodeNetwork is the second byte of all addresses that only one node uses.
+// nodeNetwork returns the second byte of all addresses that only the given node uses.
 func nodeNetwork(node int) int { return 64 + node%128 }
 
 // listen opens all listening sockets.
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// listenBackend opens the sockets of one backend, one for each node.
+// listenBackend opens the listening sockets of one backend, one for each node.
 func (cl *Cluster) listenBackend(addressIndex, nodeCount int) ([]*backendListener, error) {
 	var listeners []*backendListener
 	for node := range nodeCount {
@@ -169,16 +171,17 @@
 	}
 }
 
-// Elapsed is the time since the start.
+// Elapsed returns the time since the start.
 func (cl *Cluster) Elapsed() time.Duration { return time.Since(cl.startedAt) }
 
-// Discovery is the address of discovery for a node: each has one of its own, by which discovery knows the node.
+// Discovery returns the address at which a node reaches discovery. Each node has its own address, by which discovery
+// identifies it.
 func (cl *Cluster) Discovery(node int) string { return cl.discoveries[node].addr }
 
-// Frontend is the address at which clients of a site reach its nodes.
+// Frontend returns the address at which the clients of a site reach the nodes.
 func (cl *Cluster) Frontend(site int) string { return cl.frontends[site].listener.Addr().String() }
 
-// Close ends all that was started, and returns the first error of the event log.
+// Close stops all servers and goroutines of the cluster, and returns the first error in writing the event log.
 func (cl *Cluster) Close() error {
 	cl.stop()
 	cl.closeListeners()
@@ -200,7 +203,7 @@
 	}
 }
 
-// post has the cluster's goroutine run a task. It returns false once the cluster is closed.
+// post queues a task for the cluster's goroutine. It returns false once the cluster is closed.
 func (cl *Cluster) post(task func()) bool {
 	select {
 	case cl.tasks <- task:
@@ -210,7 +213,8 @@
 	}
 }
 
-// call has the cluster's goroutine run a task and waits for its end. It returns false once the cluster is closed.
+// call runs a task on the cluster's goroutine and waits until it has returned. It returns false once the cluster is
+// closed.
 func (cl *Cluster) call(task func()) bool {
 	ran := make(chan struct{})
 	posted := cl.post(func() {
@@ -228,10 +232,10 @@
 	}
 }
 
-// now is the time since the start in µs.
+// now returns the time since the start in µs.
 func (cl *Cluster) now() int64 { return time.Since(cl.startedAt).Microseconds() }
 
-// run advances the backends as time passes, and runs tasks.
+// run advances the emulated backends in real time and runs posted tasks, until the cluster is closed.
 func (cl *Cluster) run() {
 	defer close(cl.done)
 	timer := time.NewTimer(maxIdle)
@@ -249,7 +253,7 @@
 	}
 }
 
-// classIndex is the class of that name, or -1.
+// classIndex returns the index of the class with this name, or -1.
 func (cl *Cluster) classIndex(name string) int {
 	for i := range cl.scenario.Classes {
 		if cl.scenario.Classes[i].Name == name {
--- a/internal/fake/control.go
+++ b/internal/fake/control.go
@@ -12,30 +12,31 @@
 )
 
 const (
-	// headerTimeout bounds how long a request's header may take at the HTTP servers of this package.
+	// headerTimeout bounds the time in which the HTTP servers of this package must receive a request's header.
 	headerTimeout = 5 * time.Second
-	// maxFaultBytes bounds the body that describes a fault.
+	// maxFaultBytes bounds the size of a request body that describes a fault.
 	maxFaultBytes = 64 << 10
 )
 
-// injectedFault answers the injection of a fault.
+// injectedFault is the response to the injection of a fault.
 type injectedFault struct {
 	Fault faultinject.Fault `json:"fault"`
 	ID    int               `json:"id"`
 }
 
-// executionCount answers how often a request was executed.
+// executionCount is the response that states how often a request was executed.
 type executionCount struct {
 	Executions int `json:"runs"`
 }
 
-// ServeControl serves a small HTTP port by which faults are injected and figures read, until the cluster is closed. It returns
-// the address.
+// ServeControl serves a small HTTP interface that injects faults and reports figures, until the cluster is closed. It
+// returns the address that it listens on.
 //
-//	POST /faults          injects a fault, as JSON in the form of scenarios; answers {"id": N, "fault": {...}}, complete
-//	DELETE /faults/{id}   ends it
-//	GET /report           the figures so far
-//	GET /runs/{id}        how often the request of that ID has begun to run
+//	POST /faults          injects a fault, given as JSON with the fields that scenarios use; the response is
+//	                      {"id": N, "fault": {...}}, with the defaults of the fault filled in
+//	DELETE /faults/{id}   ends the fault with this ID
+//	GET /report           returns the figures counted so far
+//	GET /runs/{id}        returns how often the request with this ID has begun to run
 func (cl *Cluster) ServeControl(addr string) (string, error) {
 	listener, err := Listen(addr)
 	if err != nil {
@@ -90,5 +91,5 @@
 
 func writeJSON(response http.ResponseWriter, value any) {
 	response.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(response).Encode(value) // an error means that the caller has closed the connection
+	_ = json.NewEncoder(response).Encode(value) // an error means that the client has closed the connection
 }
--- a/internal/fake/control_test.go
+++ b/internal/fake/control_test.go
@@ -12,7 +12,7 @@
 	"tulipglade/internal/loopback"
 )
 
-// startControl serves a cluster's control port.
+// startControl starts a cluster and serves its control port.
 func startControl(t *testing.T) (cl *Cluster, addr string) {
 	t.Helper()
 	cl = startCluster(t, Options{})
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	raw, err := io.ReadAll(r.Body)
-	_ = r.Body.Close() // it has been read to its end
+	_ = r.Body.Close() // the body has been read to its end
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = r.Body.Close() // the status is all that is looked at
+	_ = r.Body.Close() // only the status is checked
 	return r.StatusCode
 }
 
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -14,7 +14,7 @@
 	"tulipglade/internal/balancer"
 )
 
-// discovery is the service of the endpoint list as one node reaches it. All nodes share its capacity and its state.
+// discovery serves the endpoint list to one node. The instances for all nodes share one capacity and one list.
 type discovery struct {
 	cluster  *Cluster
 	node     int
@@ -67,7 +67,7 @@
 	closeQuietly(d.listener)
 }
 
-// resetConnections resets all connections, as the outage of discovery begins.
+// resetConnections resets all connections when an outage of discovery begins.
 func (d *discovery) resetConnections() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,13 +76,14 @@
 	}
 }
 
-// rateLimiter spaces calls to the rate that the scenario gives discovery.
+// rateLimiter delays calls to the rate at which discovery can serve them in the scenario.
 type rateLimiter struct {
 	mu     sync.Mutex
 	freeAt time.Time
 }
 
-// reserve returns how long a call that takes this long must wait before it is served; false: longer than maxWait.
+// reserve books the next free period for a call that takes the given duration. It returns the time until the call is
+// complete, or false, without booking, if that exceeds maxWait.
 func (l *rateLimiter) reserve(duration, maxWait time.Duration) (wait time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +101,7 @@
 	return wait, true
 }
 
-// listedEndpoint is an endpoint in discovery's form.
+// listedEndpoint is the JSON form of an endpoint in discovery's responses.
 type listedEndpoint struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -112,24 +113,24 @@
 	BootMs   int64   `json:"boot_ms"`
 }
 
-// endpointList is what discovery answers: all endpoints, or those that changed since a revision.
+// endpointList is a response of discovery: all endpoints, or those that changed since a revision.
 type endpointList struct {
 	Revision  int              `json:"rev"`
 	Full      bool             `json:"all"`
 	Endpoints []listedEndpoint `json:"targets"`
 }
 
-// maxWatchDuration is the longest that a watch may wait.
+// maxWatchDuration bounds how long a watch waits for a change.
 const maxWatchDuration = time.Minute
 
-// allRevisions is the revision that is older than any: the answer is a full list.
+// allRevisions is older than every revision: the response to a query since allRevisions is a full list.
 const allRevisions = -1
 
-// listQuery is what a call asks for: the full list, or a watch of the changes since a revision.
+// listQuery holds the parameters of a call: it asks for the full list, or watches for changes since a revision.
 type listQuery struct {
 	watch   bool
 	since   int
-	timeout time.Duration // of a watch without changes
+	timeout time.Duration // after which a watch without changes returns an empty list
 }
 
 func parseListQuery(values url.Values) (listQuery, error) {
@@ -167,7 +168,8 @@
 	d.answer(response, request, query)
 }
 
-// reserve returns how long the call must wait for discovery's capacity; false: longer than callers would.
+// reserve returns how long the call must wait for discovery's capacity, or false if that exceeds the timeout of its
+// callers.
 func (d *discovery) reserve(query listQuery) (wait time.Duration, ok bool) {
 	limits := &d.cluster.scenario.Discovery
 	lines := 0
@@ -178,7 +180,7 @@
 	return d.cluster.discoveryLimiter.reserve(duration, time.Duration(limits.Timeout)*time.Millisecond)
 }
 
-// answer writes the list, or waits for its next change and writes that.
+// answer writes the list or, for a watch, the changes since its revision, which it awaits if there are none yet.
 func (d *discovery) answer(response http.ResponseWriter, request *http.Request, query listQuery) {
 	cl := d.cluster
 	timeout := time.After(query.timeout)
@@ -191,7 +193,7 @@
 			d.resetRequest(response)
 			return
 		}
-		if query.watch && changes.revision < query.since { // a revision of another incarnation: the full list
+		if query.watch && changes.revision < query.since { // of another incarnation of discovery: send the full list
 			query = listQuery{since: allRevisions}
 			continue
 		}
@@ -214,7 +216,7 @@
 	}
 }
 
-// resetRequest ends a call with a reset of its connection.
+// resetRequest ends a call by resetting its connection.
 func (d *discovery) resetRequest(response http.ResponseWriter) {
 	hijacker, ok := response.(http.Hijacker)
 	if !ok {
@@ -225,7 +227,7 @@
 	}
 }
 
-// writeList writes the list, and notes which changes the node has been notified of.
+// writeList writes the list, and then records that the node has been notified of the changes in it.
 func (d *discovery) writeList(response http.ResponseWriter, list endpointList, records []endpointRecord) {
 	cl := d.cluster
 	list.Endpoints = []listedEndpoint{}
@@ -234,7 +236,7 @@
 	}
 	response.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(response).Encode(list); err != nil {
-		return // the node has closed the connection: it was not notified
+		return // the node has closed the connection, so it was not notified
 	}
 	if flusher, ok := response.(http.Flusher); ok {
 		flusher.Flush()
--- a/internal/fake/discovery_test.go
+++ b/internal/fake/discovery_test.go
@@ -31,7 +31,7 @@
 		list.Endpoints[0].State != "in_service" || list.Endpoints[0].BootMs != 0 {
 		t.Errorf("%+v", list)
 	}
-	// A watch ends with the change, and with an empty list at its timeout.
+	// A watch returns at the next change, or with an empty list at its timeout.
 	type notification struct {
 		list endpointList
 		at   time.Duration
@@ -50,18 +50,18 @@
 	}
 	cl.EndFault(id)
 	if list = fetchList(t, cl, 0, "?since=5&timeout_ms=5000"); len(list.Endpoints) == 0 {
-		t.Fatal("the backend that came back is not listed")
+		t.Fatal("the restarted backend is not listed")
 	}
 	if list.Endpoints[0].State != "in_service" || time.Since(time.UnixMilli(list.Endpoints[0].BootMs)) > time.Minute {
 		t.Errorf("%+v", list)
 	}
 	if list = fetchList(t, cl, 0, "?since=6&timeout_ms=50"); list.Full || len(list.Endpoints) != 0 || list.Revision != 6 {
-		t.Errorf("no changes: %+v", list)
+		t.Errorf("a watch without changes returns %+v, want an empty list of revision 6", list)
 	}
 	if list = fetchList(t, cl, 0, "?since=99&timeout_ms=50"); !list.Full || len(list.Endpoints) != 4 {
-		t.Errorf("a revision of another incarnation: %+v", list)
+		t.Errorf("a watch since a revision of another incarnation returns %+v, want the full list", list)
 	}
-	// While it is down, it resets calls and watches.
+	// While discovery is down, it resets calls and watches.
 	ended := make(chan error, 1)
 	go func() {
 		r, err := http.Get("http://" + cl.Discovery(0) + "/v1/endpoints?since=6&timeout_ms=20000")
@@ -72,11 +72,11 @@
 	}()
 	id = injectFault(t, cl, faultinject.Fault{Kind: faultinject.DiscoveryDown})
 	if err := <-ended; err == nil {
-		t.Error("a watch outlives discovery")
+		t.Error("a watch was not reset when discovery went down")
 	}
 	if r, err := http.Get("http://" + cl.Discovery(1) + "/v1/endpoints"); err == nil {
 		_ = r.Body.Close() // nothing more is read
-		t.Errorf("status %d while it is down", r.StatusCode)
+		t.Errorf("status %d while discovery is down", r.StatusCode)
 	}
 	cl.EndFault(id)
 	if list = fetchList(t, cl, 1, ""); len(list.Endpoints) != 4 {
--- a/internal/fake/endpoints.go
+++ b/internal/fake/endpoints.go
@@ -9,28 +9,28 @@
 	"tulipglade/internal/simulation/emulator"
 )
 
-// phaseNames are the phases of an endpoint in discovery's form.
+// phaseNames are the names of an endpoint's phases in discovery's responses.
 var phaseNames = map[balancer.Phase]string{
 	balancer.PhaseReady:    "in_service",
 	balancer.PhaseDraining: "terminating",
 	balancer.PhaseRemoved:  "terminated",
 }
 
-// endpointRecord is an entry of discovery's list, with the revision that brought it.
+// endpointRecord is an entry of discovery's list, with the revision at which it last changed.
 type endpointRecord struct {
 	emulator.EndpointEntry
 	revision int
 }
 
-// listChanges are the entries of discovery's list that changed after some revision, or all of them.
+// listChanges holds the entries of discovery's list that changed after some revision, or all of them.
 type listChanges struct {
-	records       []endpointRecord // by revision
-	revision      int              // the newest one
+	records       []endpointRecord // in the order of their revisions
+	revision      int              // the current revision of the list
 	discoveryDown bool
-	next          <-chan struct{} // closed at the next change
+	next          <-chan struct{} // closed at the next change of the list
 }
 
-// updateEndpoint takes an entry into discovery's list and wakes the watches.
+// updateEndpoint adds or replaces an entry of discovery's list, and wakes the watches.
 func (cl *Cluster) updateEndpoint(entry emulator.EndpointEntry) {
 	cl.revision++
 	record := endpointRecord{entry, cl.revision}
@@ -44,7 +44,8 @@
 	cl.listChanged = make(chan struct{})
 }
 
-// endpointsSince returns what has changed after a revision. After allRevisions it is all but the removed endpoints.
+// endpointsSince returns the entries that changed after a revision. Since allRevisions, these are all endpoints except
+// the removed ones.
 func (cl *Cluster) endpointsSince(since int) listChanges {
 	changes := listChanges{
 		revision:      cl.revision,
@@ -60,7 +61,7 @@
 	return changes
 }
 
-// backendAt is the number of the newest process at an address.
+// backendAt returns the number of the newest backend process at an address.
 func (cl *Cluster) backendAt(addressIndex int) int {
 	backend := 0
 	for _, record := range cl.endpoints {
@@ -71,7 +72,7 @@
 	return backend
 }
 
-// listedEndpoint is an entry in discovery's form, with the address that it has for the node.
+// listedEndpoint returns the JSON form of an entry, with the address at which the node reaches the backend.
 func (cl *Cluster) listedEndpoint(node int, record endpointRecord) listedEndpoint {
 	endpoint := listedEndpoint{
 		UID:      fmt.Sprintf("box-%d", record.Backend),
--- a/internal/fake/eventlog.go
+++ b/internal/fake/eventlog.go
@@ -9,7 +9,7 @@
 	"tulipglade/internal/faultinject"
 )
 
-// eventKind says what an event of the log is. Events of errors have the error's text as their kind.
+// eventKind is the kind of an event in the log. An event that reports an error has the error's text as its kind.
 type eventKind string
 
 const (
@@ -27,7 +27,7 @@
 	eventNodeOut     eventKind = "node-out"
 )
 
-// errorEvent is the kind of an event that reports a failed operation.
+// errorEvent returns the kind of an event that reports a failed operation.
 func errorEvent(operation string, err error) eventKind {
 	return eventKind(operation + ": " + err.Error())
 }
@@ -38,8 +38,8 @@
 	Kind         eventKind          `json:"what"`
 	ID           string             `json:"id,omitempty"`
 	Node         int                `json:"node"`
-	Backend      int                `json:"box,omitempty"` // the process's number, from 1
-	AddressIndex int                `json:"place"`         // its address's number, from 0
+	Backend      int                `json:"box,omitempty"` // number of the backend process, from 1
+	AddressIndex int                `json:"place"`         // index of the backend's address, from 0
 	Class        string             `json:"class,omitempty"`
 	Tenant       string             `json:"tenant,omitempty"`
 	Key          uint64             `json:"key,omitempty"`
@@ -50,10 +50,10 @@
 	Fault        *faultinject.Fault `json:"fault,omitempty"`
 }
 
-// eventLog writes events as JSON lines. It keeps the first error for flush.
+// eventLog writes events as JSON lines. It keeps the first error, which flush returns.
 type eventLog struct {
 	mu      sync.Mutex
-	buffer  *bufio.Writer // nil: no log is written
+	buffer  *bufio.Writer // nil: events are discarded
 	encoder *json.Encoder
 	err     error
 }
--- a/internal/fake/exchange.go
+++ b/internal/fake/exchange.go
@@ -12,8 +12,8 @@
 	"tulipglade/internal/simulation/emulator"
 )
 
-// exchange is one request on a connection and its response. All but response belongs to the cluster's goroutine once the
-// request has been started.
+// exchange is one request on a connection and its response. Once start has been posted, the cluster's goroutine owns all
+// fields except response.
 type exchange struct {
 	conn     *backendConn
 	id       string
@@ -21,10 +21,10 @@
 	backend  int // the number of the process that executes it
 	pending  emulator.Pending
 	ended    bool
-	response chan []byte // what to write; nil: reset the connection
+	response chan []byte // receives the bytes to write; nil: reset the connection
 }
 
-// outcomeNames are the outcomes in the event log.
+// outcomeNames are the names of outcomes in the event log.
 var outcomeNames = map[balancer.Outcome]string{
 	balancer.OutcomeOK:          "ok",
 	balancer.OutcomeServerError: "error",
@@ -32,13 +32,13 @@
 	balancer.OutcomeReset:       "reset",
 }
 
-// garbageResponse is what a backend writes under the fault of that name: the beginning of a TLS record.
+// garbageResponse is written in place of a response during a Garbage fault: it begins like a TLS record.
 const garbageResponse = "\x15\x03\x01\x00\x02noise instead of an answer\r\n\r\n"
 
-// interimResponses are what precedes a response under the fault of that name.
+// interimResponses are written before a response during an Interim fault.
 const interimResponses = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
 
-// start hands the request to its backend, on the cluster's goroutine.
+// start passes the request to its backend. It runs on the cluster's goroutine.
 func (x *exchange) start(attempt emulator.Attempt, tenant string) {
 	b := x.conn.backend
 	cl := b.cluster
@@ -62,7 +62,7 @@
 	x.pending = cl.live.Arrive(now, attempt)
 }
 
-// finish ends the exchange at its backend, on the cluster's goroutine.
+// finish ends the exchange with the outcome at the backend. It runs on the cluster's goroutine.
 func (x *exchange) finish(result emulator.Pending, outcome balancer.Outcome) {
 	if x.ended {
 		return
@@ -77,7 +77,7 @@
 	x.response <- cl.formatResponse(x, result, outcome)
 }
 
-// await waits for the response. It returns false if the node has closed the connection before.
+// await waits for the response. It returns false if the node closes the connection first.
 func (x *exchange) await(ahead *readAhead) (response []byte, ok bool) {
 	select {
 	case response = <-x.response:
@@ -90,13 +90,13 @@
 	return <-x.response, true // the next request was pipelined behind this one
 }
 
-// event is a line of the event log about this request.
+// event returns an event of the log about this request.
 func (x *exchange) event(now int64, kind eventKind) logEvent {
 	b := x.conn.backend
 	return logEvent{Time: now, Kind: kind, ID: x.id, Node: b.node, Backend: x.backend, AddressIndex: b.addressIndex}
 }
 
-// formatResponse returns a response in the form that PROTOCOL gives it; nil is a reset.
+// formatResponse returns the bytes of a response as PROTOCOL defines it; nil: the connection is to be reset.
 func (cl *Cluster) formatResponse(x *exchange, result emulator.Pending, outcome balancer.Outcome) []byte {
 	status, headers, body := http.StatusOK, "", "ran "+x.id+"\n"
 	switch outcome {
@@ -121,8 +121,8 @@
 		interim, status, http.StatusText(status), headers, len(body), body)
 }
 
-// responseFault is the fault that alters the form of this response; empty: none. The draw is a hash of the request's ID,
-// so that all attempts of one request meet the same fault.
+// responseFault returns the kind of the fault that alters this response; empty: none does. The draw is a hash of the
+// request's ID, so that all attempts with that ID are subject to the same fault.
 func (cl *Cluster) responseFault(x *exchange) faultinject.Kind {
 	draw := float64(xxhash.Sum64String(x.id)>>11) / (1 << 53)
 	for _, fault := range cl.responseFaults {
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -10,15 +10,15 @@
 	"tulipglade/internal/simulation/emulator"
 )
 
-// eventHandler receives the effects of the emulated backends, on the cluster's goroutine.
+// eventHandler receives the events of the emulated backends. Its methods run on the cluster's goroutine.
 type eventHandler struct{ cluster *Cluster }
 
-// Answered ends an exchange at its backend.
+// Answered ends the exchange of a request that the backend has answered.
 func (h eventHandler) Answered(result emulator.Pending, outcome balancer.Outcome) {
 	result.Context.(*exchange).finish(result, outcome)
 }
 
-// Ran counts an execution as it begins: an attempt that its node cancels has no end, but it has run.
+// Ran counts an execution when it begins, because an attempt that its node cancels never ends but has been executed.
 func (h eventHandler) Ran(pending any) {
 	x, cl := pending.(*exchange), h.cluster
 	if cl.ledger.recordExecution(x.id, x.class, x.conn.backend.addressIndex) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// Listed takes a change of an endpoint into discovery's list.
+// Listed applies a change of an endpoint to discovery's list.
 func (h eventHandler) Listed(entry emulator.EndpointEntry) {
 	cl := h.cluster
 	cl.updateEndpoint(entry)
@@ -40,7 +40,7 @@
 	})
 }
 
-// Began applies a fault to what the emulator does not have: node processes, discovery and the form of responses.
+// Began applies a fault to what the emulator does not emulate: node processes, discovery and the bytes of responses.
 func (h eventHandler) Began(fault faultinject.Fault) {
 	cl := h.cluster
 	cl.log.write(logEvent{Time: cl.now(), Kind: eventFaultBegan, Fault: &fault})
@@ -59,7 +59,7 @@
 	cl.updateListeners()
 }
 
-// Ended undoes what Began did.
+// Ended reverses the effects of Began.
 func (h eventHandler) Ended(fault faultinject.Fault) {
 	cl := h.cluster
 	cl.log.write(logEvent{Time: cl.now(), Kind: eventFaultEnded, Fault: &fault})
@@ -78,7 +78,7 @@
 	cl.updateListeners()
 }
 
-// updateListeners brings the sockets of all backends in line with their processes and links.
+// updateListeners adapts the sockets of all backends to the states of their processes and links.
 func (cl *Cluster) updateListeners() {
 	for addressIndex, listeners := range cl.backends {
 		running, silent := cl.live.Up(addressIndex)
@@ -88,7 +88,7 @@
 	}
 }
 
-// Inject begins a fault now. It returns the number by which Lift ends it, and the fault with its defaults filled in.
+// Inject begins a fault now. It returns the ID to pass to EndFault, and the fault with its defaults filled in.
 func (cl *Cluster) Inject(fault faultinject.Fault) (id int, complete faultinject.Fault, err error) {
 	if err := fault.Check("fault", cl.scenario.Scope(nil, nil)); err != nil {
 		return 0, fault, err
@@ -107,7 +107,7 @@
 	return id, complete, nil
 }
 
-// EndFault ends a fault that Inject began, and reports whether there was one.
+// EndFault ends a fault that Inject began, and reports whether a fault with this ID was active.
 func (cl *Cluster) EndFault(id int) (existed bool) {
 	cl.call(func() {
 		if _, existed = cl.faults[id]; existed {
--- a/internal/fake/faults_test.go
+++ b/internal/fake/faults_test.go
@@ -19,14 +19,14 @@
 	conn.wantStatus(200)
 	id := injectFault(t, cl, faultinject.Fault{Kind: faultinject.Kill, Backends: []int{1}})
 	if _, err := conn.readResponse(5 * time.Second); err == nil || errors.Is(err, io.EOF) {
-		t.Errorf("an open connection ends with %v, want a reset", err)
+		t.Errorf("an open connection to a killed backend ends with %v, want a reset", err)
 	}
 	if refused, err := net.DialTimeout("tcp4", cl.backendAddr(1, 0), time.Second); err == nil {
 		closeQuietly(refused)
-		t.Error("a dead process accepts")
+		t.Error("a killed backend accepts a connection")
 	}
 	if !cl.EndFault(id) || cl.EndFault(id) {
-		t.Error("lifted not at all, or twice")
+		t.Error("the fault did not end exactly once")
 	}
 	conn = dialBackend(t, cl.backendAddr(1, 0))
 	conn.sendRequest("/read", "b", "")
@@ -44,7 +44,7 @@
 	near.sendRequest("/read", "c", "")
 	near.wantStatus(200)
 	if r, err := far.readResponse(300 * time.Millisecond); err == nil {
-		t.Errorf("%d through a partition", r.status)
+		t.Errorf("status %d through a partition", r.status)
 	}
 	if conn, err := net.DialTimeout("tcp4", cl.backendAddr(1, 0), 300*time.Millisecond); err == nil {
 		closeQuietly(conn)
@@ -56,8 +56,8 @@
 		closeQuietly(conn)
 	}
 	cl.EndFault(id)
-	if _, err := far.readResponse(5 * time.Second); err != nil { // the response is delivered late
-		t.Errorf("after the partition: %v", err)
+	if _, err := far.readResponse(5 * time.Second); err != nil { // the response written during the partition
+		t.Errorf("no response after the partition: %v", err)
 	}
 	dialBackend(t, cl.backendAddr(1, 0))
 }
@@ -83,7 +83,7 @@
 		t.Errorf("garbage is read as %d", r.status)
 	}
 	if n := cl.Executions("g"); n != 1 {
-		t.Errorf("garbage after the request: it ran %d times", n)
+		t.Errorf("a request answered with garbage ran %d times, want 1", n)
 	}
 	cl.EndFault(id)
 	conn = dialBackend(t, cl.backendAddr(0, 0))
@@ -92,10 +92,10 @@
 	injectFault(t, cl, faultinject.Fault{Kind: faultinject.Resets, Backends: []int{0}, Size: 1})
 	conn.sendRequest("/start", "c", "")
 	if _, err := conn.readResponse(5 * time.Second); err == nil {
-		t.Error("no reset")
+		t.Error("a response instead of a reset")
 	}
 	if n := cl.Executions("c"); n != 1 {
-		t.Errorf("a reset after the request: it ran %d times", n)
+		t.Errorf("a request whose connection was reset ran %d times, want 1", n)
 	}
 	injectFault(t, cl, faultinject.Fault{Kind: faultinject.Freeze, Backends: []int{2}})
 	cancelTwice(t, cl)
@@ -104,7 +104,8 @@
 	}
 }
 
-// cancelTwice has a node cancel a request that has begun, and its retry: each has run, and the retry is a second execution.
+// cancelTwice cancels a request and its retry after each has begun to run. Both count as executions, the retry as a
+// duplicate one.
 func cancelTwice(t *testing.T, cl *Cluster) {
 	t.Helper()
 	for want := 1; want <= 2; want++ {
@@ -116,18 +117,18 @@
 		closeQuietly(conn.conn)
 	}
 	if n := cl.Report().DuplicateRuns; n != 1 {
-		t.Errorf("%d second runs counted, want 1", n)
+		t.Errorf("%d duplicate executions counted, want 1", n)
 	}
 }
 
-// overload sends more than the frozen backend can hold, and returns how many it has rejected.
+// overload sends more requests than the frozen backend can hold, and returns how many of them it rejects.
 func overload(t *testing.T, cl *Cluster) (rejected int) {
 	t.Helper()
 	before := cl.Report().Arrived
-	for i := range int64(28) { // 8 slots, of which 2 are taken, and 16 places in the queue
+	for i := range int64(28) { // 8 slots, of which cancelTwice has taken 2, and 16 places in the queue
 		conn := dialBackend(t, cl.backendAddr(2, 0))
 		conn.sendRequest("/start", fmt.Sprint("f", i), "")
-		for cl.Report().Arrived < before+i+1 { // one after the other
+		for cl.Report().Arrived < before+i+1 { // send the requests one after the other
 			time.Sleep(time.Millisecond)
 		}
 		if i >= 22 {
@@ -146,7 +147,7 @@
 	conn := dialBackend(t, cl.backendAddr(3, 0))
 	conn.sendRequest("/read", "a", "")
 	if r := conn.wantStatus(503); r.header.Get("X-Never-Ran") != "1" {
-		t.Error("not said to have never run")
+		t.Error("a rejection without X-Never-Ran: 1")
 	}
 	fetchList(t, cl, 0, "") // from here on node 0 has been notified
 	deadline := time.Now().Add(10 * time.Second)
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// readinessInterval is the time between two readiness checks of a node.
+	// readinessInterval is the interval of the readiness checks of a node.
 	readinessInterval = 100 * time.Millisecond
-	// nodeTimeout bounds a readiness check, and each connect to a node.
+	// nodeTimeout bounds each readiness check, and each connection attempt to a node.
 	nodeTimeout = time.Second
 )
 
-// frontendNode is a node as the frontends see it: in rotation once its /ready has answered 200, and out of rotation some
-// time after its readiness checks begin to fail.
+// frontendNode is the state that the frontends keep of a node. The node is in rotation once its /ready has answered 200,
+// and is taken out of rotation when its readiness checks have failed for the scenario's notice period.
 type frontendNode struct {
 	cluster *Cluster
 	index   int
@@ -27,7 +27,7 @@
 	ready   atomic.Bool
 }
 
-// monitor checks the node's readiness until the cluster is closed.
+// monitor checks the node's readiness periodically, until the cluster is closed.
 func (n *frontendNode) monitor() {
 	ticker := time.NewTicker(readinessInterval)
 	defer ticker.Stop()
@@ -42,7 +42,8 @@
 	}
 }
 
-// update puts the node into rotation or out of it, after a readiness check. It returns since when checks have failed.
+// update puts the node into rotation or takes it out, according to the result of a readiness check. It returns the time
+// since which the checks have failed; zero: the last one succeeded.
 func (n *frontendNode) update(ready bool, failingSince time.Time) time.Time {
 	cl := n.cluster
 	if ready {
@@ -117,7 +118,8 @@
 	}
 }
 
-// accept relays connections until the frontend is closed. It resets those that no node can take.
+// accept accepts connections and relays each to a node, until the frontend is closed. It resets a connection if no node
+// is in rotation.
 func (f *frontend) accept() {
 	for {
 		conn, err := f.listener.Accept()
@@ -133,7 +135,8 @@
 	}
 }
 
-// nextNode returns the next node of the site that is in rotation, else one of any site; nil: there is none.
+// nextNode returns the next node in rotation at the frontend's site or, if there is none, at any site. It returns nil if
+// no node is in rotation.
 func (f *frontend) nextNode() *frontendNode {
 	f.nextIndex++
 	nodes := f.cluster.nodes
@@ -148,7 +151,7 @@
 	return nil
 }
 
-// relay passes bytes between a client and a node until both sides have ended.
+// relay copies bytes between a client and a node until both directions have ended.
 func (f *frontend) relay(clientConn net.Conn, node *frontendNode) {
 	nodeConn, err := net.DialTimeout("tcp4", node.addr, nodeTimeout)
 	if err != nil {
@@ -167,7 +170,7 @@
 	f.unregister(clientConn, nodeConn)
 }
 
-// register lets close end the connections. It returns false once the frontend is closed.
+// register adds connections to those that close ends. It returns false once the frontend is closed.
 func (f *frontend) register(conns ...net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -188,7 +191,8 @@
 	}
 }
 
-// relayBytes copies one direction. An end of the source becomes an end of the destination, and a reset a reset.
+// relayBytes copies one direction of a connection. When the source ends, it shuts down the sending side of the
+// destination; after an error it resets the destination.
 func relayBytes(destination, source net.Conn) {
 	if _, err := io.Copy(destination, source); err != nil {
 		resetConn(destination)
--- a/internal/fake/frontend_test.go
+++ b/internal/fake/frontend_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// startNode serves a node that answers with its name, and whose /ready says what ready holds.
+// startNode starts a node that answers with its name, and whose /ready answers 200 only while ready is true.
 func startNode(t *testing.T, name string, ready *atomic.Bool) (server *http.Server, addr string) {
 	t.Helper()
 	listener, err := Listen("127.0.0.1:0")
@@ -24,7 +24,7 @@
 			response.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		_, _ = fmt.Fprint(response, name) // the client sees a response that is cut short
+		_, _ = fmt.Fprint(response, name) // after an error, the client receives a truncated response
 	})}
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -35,7 +35,8 @@
 	return server, listener.Addr().String()
 }
 
-// The frontend balances connections over the ready nodes of its site, and takes a dead one out of rotation after a while.
+// Frontends must prefer the ready nodes of their own site, fall back to another site's nodes, and take a node out of
+// rotation after it has died.
 func TestFrontendBalancesOverReadyNodes(t *testing.T) {
 	var ready [2]atomic.Bool
 	firstServer, firstAddr := startNode(t, "node0", &ready[0])
@@ -59,11 +60,11 @@
 		return string(raw[len(raw)-5:])
 	}
 	if got := nodeOf(0); !strings.HasPrefix(got, "nothing") {
-		t.Errorf("with no node ready: %q", got)
+		t.Errorf("a response while no node is ready: %q", got)
 	}
 	ready[1].Store(true)
 	if node := <-inRotation; node != 1 {
-		t.Fatalf("node %d is put into rotation", node)
+		t.Fatalf("node %d is put into rotation, want node 1", node)
 	}
 	if east, west := nodeOf(0), nodeOf(1); east != "node1" || west != "node1" {
 		t.Errorf("%q and %q, want node1 for both sites", east, west)
@@ -71,7 +72,7 @@
 	ready[0].Store(true)
 	<-inRotation
 	if east, west := nodeOf(0), nodeOf(1); east != "node0" || west != "node1" {
-		t.Errorf("%q and %q, want each site's own", east, west)
+		t.Errorf("%q and %q, want the node of each client's site", east, west)
 	}
 	closeQuietly(firstServer)
 	deadline := time.Now().Add(20 * time.Second)
--- a/internal/fake/helpers_test.go
+++ b/internal/fake/helpers_test.go
@@ -79,7 +79,7 @@
 	return config
 }
 
-// startCluster serves the small scenario until the end of the test, which must leave no goroutine behind.
+// startCluster runs the small scenario until the end of the test, and checks that closing it leaves no goroutine behind.
 func startCluster(t *testing.T, opts Options) *Cluster {
 	t.Helper()
 	ignoreEarlier := goleak.IgnoreCurrent()
@@ -126,7 +126,7 @@
 	}
 }
 
-// response is what the tests look at of a response whose body has been read.
+// response holds the status and header of a response whose body has been read.
 type response struct {
 	status int
 	header http.Header
@@ -139,7 +139,7 @@
 		return response{}, err
 	}
 	_, err = io.Copy(io.Discard, r.Body)
-	_ = r.Body.Close() // it has been read to its end
+	_ = r.Body.Close() // the body has been read to its end
 	return response{r.StatusCode, r.Header}, err
 }
 
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -5,26 +5,26 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// maxRememberedIDs is how many request IDs are known at once; the oldest is forgotten first. At 10,000 requests a second
-// that is more than twice the longest deadline.
+// maxRememberedIDs is the number of request IDs whose executions are counted; the oldest is forgotten first. At 10,000
+// requests a second they cover more than twice the longest deadline.
 const maxRememberedIDs = 1 << 17
 
-// socketTolerance is added to every time limit that is checked on sockets, in µs.
+// socketTolerance is added to each time limit that is checked on sockets, in µs.
 const socketTolerance = 50_000
 
-// notificationKey is a process of a backend, as one node knows it.
+// notificationKey identifies a backend process in the endpoint list of one node.
 type notificationKey struct{ node, backend int }
 
-// ledger counts what arrives and what is executed. It belongs to the cluster's goroutine.
+// ledger counts requests that arrive at backends, and their executions. The cluster's goroutine owns it.
 type ledger struct {
 	classes             []balancer.Class
 	drainGrace          int64 // µs
 	executions          map[string]int
-	rememberedIDs       []string // in the order of their first execution; a ring once it is full
-	oldest              int      // index in rememberedIDs
+	rememberedIDs       []string // in the order of their first executions; a ring buffer once it is full
+	oldest              int      // index of the oldest ID in rememberedIDs, once that is full
 	arrivalsByAddress   map[int]int64
 	executionsByAddress map[int]int64
-	notifiedAt          map[notificationKey]int64 // when a node was notified that a backend is draining or removed
+	notifiedAt          map[notificationKey]int64 // when a node was first notified that a backend is draining or removed
 	totals              Report
 }
 
@@ -39,8 +39,8 @@
 	}
 }
 
-// recordArrival counts a request at a backend. It reports whether the node should have known for longer than the grace
-// that the backend is draining or removed.
+// recordArrival counts a request that arrives at a backend. It reports whether the node was notified longer than the
+// drain grace ago that the backend is draining or removed.
 func (l *ledger) recordArrival(now int64, node, addressIndex, backend int) (afterDrain bool) {
 	l.totals.Arrived++
 	l.arrivalsByAddress[addressIndex]++
@@ -51,8 +51,8 @@
 	return false
 }
 
-// recordExecution counts an execution. It reports whether the request had been executed before although its class is not
-// idempotent.
+// recordExecution counts an execution. It reports whether it is a duplicate: the request has been executed before, and
+// its class is not idempotent.
 func (l *ledger) recordExecution(id string, class, addressIndex int) (duplicate bool) {
 	l.executionsByAddress[addressIndex]++
 	before := l.executions[id]
@@ -67,7 +67,7 @@
 	return false
 }
 
-// remember keeps an ID, and forgets the oldest one where there are too many.
+// remember stores an ID, in place of the oldest one if there are maxRememberedIDs.
 func (l *ledger) remember(id string) {
 	if len(l.rememberedIDs) < maxRememberedIDs {
 		l.rememberedIDs = append(l.rememberedIDs, id)
@@ -78,7 +78,8 @@
 	l.oldest = (l.oldest + 1) % maxRememberedIDs
 }
 
-// recordNotification notes the first time that a node was notified of a backend's drain or removal.
+// recordNotification stores when a node was first notified that a backend is draining or removed. A notification that
+// the backend is ready clears that.
 func (l *ledger) recordNotification(now int64, node, backend int, phase balancer.Phase) {
 	key := notificationKey{node, backend}
 	if phase == balancer.PhaseReady {
--- a/internal/fake/loadreport.go
+++ b/internal/fake/loadreport.go
@@ -7,11 +7,11 @@
 	"tulipglade/internal/balancer"
 )
 
-// loadReportField is a value that a load report may have.
+// loadReportField is a value that a load report may contain.
 type loadReportField struct {
-	scenario string // its name in scenarios
-	setting  string // its name in the settings of a node
-	wire     string // its name on sockets
+	scenario string // field name in scenarios
+	setting  string // field name in the settings of a node
+	wire     string // field name in the header and the status response
 	value    func(balancer.LoadReport) float64
 }
 
@@ -21,7 +21,7 @@
 	{"util", "utilization", "util", func(r balancer.LoadReport) float64 { return r.Utilization }},
 }
 
-// formatLoadReport returns a load report as it is written on sockets, empty where it has no values.
+// formatLoadReport returns the text form of a load report, or an empty string if the report has no values.
 func formatLoadReport(report balancer.LoadReport) string {
 	var parts []string
 	for _, field := range loadReportFields {
--- a/internal/fake/nodeconfig.go
+++ b/internal/fake/nodeconfig.go
@@ -7,7 +7,7 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// NodeLimits are what a node may use.
+// NodeLimits are the resources that a node may use.
 type NodeLimits struct {
 	Cores       float64
 	MemoryMB    int
@@ -15,11 +15,11 @@
 	MaxInFlight int
 }
 
-// DefaultLimits are those of the platform's scored days.
+// DefaultLimits are the limits that the platform sets on scored days.
 var DefaultLimits = NodeLimits{Cores: 1, MemoryMB: 192, Descriptors: 1024, MaxInFlight: 20000}
 
-// nodeConfig is a node's configuration file in the platform's form. The fields of these types stand in the order of
-// their keys, which is that of the files that earlier versions wrote.
+// nodeConfig is a node's configuration file in the platform's format. The fields of this type and of those below are
+// sorted by their keys, so that the files equal those that earlier versions wrote.
 type nodeConfig struct {
 	Discovery string       `json:"discovery"`
 	Known     endpointList `json:"known"`
@@ -36,7 +36,7 @@
 	Descriptors int     `json:"sockets"`
 }
 
-// nodeSettings are a deployment's settings.
+// nodeSettings are the settings of a deployment, as one of its nodes receives them.
 type nodeSettings struct {
 	Clients       clientSettings   `json:"clients"`
 	DiscoveryMode string           `json:"discovery"`
@@ -110,10 +110,10 @@
 	KeyAffinity bool `json:"warm_keys"`
 }
 
-// micros turns the milliseconds of a scenario into the microseconds of settings.
+// micros converts the milliseconds of a scenario to the microseconds of settings.
 func micros(millis float64) int64 { return int64(millis * microsPerMilli) }
 
-// NodeConfig is the configuration file of a node of this cluster, as the platform would write it.
+// NodeConfig returns the configuration file of a node of this cluster, as the platform would write it.
 func (cl *Cluster) NodeConfig(node int, limits NodeLimits) ([]byte, error) {
 	config := nodeConfig{
 		Discovery: cl.Discovery(node),
@@ -127,7 +127,7 @@
 	return json.MarshalIndent(config, "", "  ")
 }
 
-// fullList is the endpoint list that a node is started with.
+// fullList returns the endpoint list that a node is started with.
 func (cl *Cluster) fullList(node int) endpointList {
 	list := endpointList{Full: true, Endpoints: []listedEndpoint{}}
 	cl.call(func() {
@@ -189,7 +189,8 @@
 	}
 }
 
-// newReportSettings says which values backends report, and whether with responses or to health checks.
+// newReportSettings returns which values backends report, and whether they send them with responses or in answer to
+// health checks.
 func newReportSettings(report *scenario.Report) reportSettings {
 	settings := reportSettings{Fields: []string{}, Delivery: "silent"}
 	for _, field := range loadReportFields {
@@ -207,7 +208,7 @@
 	return settings
 }
 
-// keyScopes are the scopes of idempotency keys in settings, by their names in scenarios.
+// keyScopes maps the names of the scopes of idempotency keys in scenarios to those in settings.
 var keyScopes = map[string]string{"": "all", "all": "all", "site": "zone", "rack": "cell"}
 
 func newClassSettings(classes []scenario.Class) []classSettings {
--- a/internal/fake/nullserver.go
+++ b/internal/fake/nullserver.go
@@ -9,8 +9,8 @@
 	"tulipglade/internal/protocol"
 )
 
-// NullServer answers every request with a 200 after a delay that is known exactly, and does nothing else: the server that a
-// load generator is measured against.
+// NullServer answers every request with status 200 after a delay that is known exactly, and does nothing else. The
+// figures of a load generator are verified against it.
 type NullServer struct {
 	listener net.Listener
 	delay    func(arrived time.Time) time.Time
@@ -22,8 +22,8 @@
 	wg     sync.WaitGroup
 }
 
-// StartNullServer serves on a loopback address. Delay returns when the response to a request that arrived at the given time is
-// due; nil: at once. Sleep waits for that time.
+// StartNullServer starts a server on a loopback address. delay returns the time at which the response to a request that
+// arrived at the given time is due; if it is nil, responses are sent at once. sleep waits until that time.
 func StartNullServer(addr string, delay func(time.Time) time.Time, sleep func(time.Time)) (*NullServer, error) {
 	listener, err := Listen(addr)
 	if err != nil {
@@ -34,10 +34,10 @@
 	return n, nil
 }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (n *NullServer) Addr() string { return n.listener.Addr().String() }
 
-// Close ends the server with its connections, and waits for its goroutines.
+// Close closes the server and its connections, and waits for its goroutines.
 func (n *NullServer) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -71,7 +71,7 @@
 	}
 }
 
-// register lets Close end the connection. It returns false once the server is closed.
+// register adds the connection to those that Close ends. It returns false once the server is closed.
 func (n *NullServer) register(conn net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -90,7 +90,7 @@
 
 var nullResponse = []byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n")
 
-// serve answers the requests of a connection, pipelined ones in their order.
+// serve answers the requests on a connection in the order in which they arrive, pipelined ones included.
 func (n *NullServer) serve(conn net.Conn) {
 	buf := make([]byte, 0, protocol.BufferSize)
 	var message protocol.Message
@@ -123,7 +123,7 @@
 	}
 }
 
-// respond writes a response when it is due. It returns false once the connection has ended.
+// respond writes a response when it is due. It returns false if the connection has ended.
 func (n *NullServer) respond(conn net.Conn, arrived time.Time) bool {
 	if n.delay != nil {
 		n.sleep(n.delay(arrived))
--- a/internal/fake/processes.go
+++ b/internal/fake/processes.go
@@ -14,10 +14,10 @@
 	"tulipglade/internal/faultinject"
 )
 
-// stopTimeout is how long a node may take to shut down gracefully before it is killed.
+// stopTimeout bounds the graceful shutdown of a node; after it the node is killed.
 const stopTimeout = 10 * time.Second
 
-// Processes are node processes that a cluster starts, kills as its faults say, and stops.
+// Processes manages the node processes of a cluster: it starts and stops them, and kills and restarts them with faults.
 type Processes struct {
 	program string
 	dir     string
@@ -25,14 +25,15 @@
 	limits  NodeLimits
 
 	mu         sync.Mutex
-	commands   []*exec.Cmd // by node; nil: it does not run
+	commands   []*exec.Cmd // by node; nil: the node is not running
 	logs       []*os.File
-	killFaults []int // by node: the active faults that keep it from running
+	killFaults []int // by node: the number of active faults during which it must not run
 	stopped    bool
 	wg         sync.WaitGroup
 }
 
-// StartNodes starts a process of the program for each of the cluster's nodes. Configurations and logs are left in dir.
+// StartNodes starts a process of the program for each of the cluster's nodes. It writes their configurations and logs to
+// files in dir, which it leaves there.
 func (cl *Cluster) StartNodes(program, dir string, limits NodeLimits) (*Processes, error) {
 	count := len(cl.options.Nodes)
 	p := &Processes{
@@ -89,7 +90,7 @@
 	p.cluster.log.write(logEvent{Time: p.cluster.now(), Kind: kind, Node: node})
 }
 
-// Pid is the process that serves as a node, 0 while there is none.
+// Pid returns the process ID of a node, or 0 while the node is not running.
 func (p *Processes) Pid(node int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,8 +100,8 @@
 	return 0
 }
 
-// applyFault kills the nodes that a fault hits as it begins, and starts them again at its end. It is called on the
-// cluster's goroutine, which must not wait for processes.
+// applyFault kills the nodes that a fault affects when it begins, and starts them again when it ends. It is called on
+// the cluster's goroutine, which must not wait for processes, and therefore does the work on another one.
 func (p *Processes) applyFault(fault faultinject.Fault, begins bool) {
 	hit := p.nodesHit(fault)
 	if len(hit) == 0 {
@@ -115,7 +116,7 @@
 	})
 }
 
-// nodesHit are the nodes that do not run during the fault.
+// nodesHit returns the nodes that must not run during the fault.
 func (p *Processes) nodesHit(fault faultinject.Fault) []int {
 	if fault.Kind == faultinject.NodeKill {
 		return fault.Nodes
@@ -133,7 +134,8 @@
 	return hit
 }
 
-// applyNodeFault counts the beginning or the end of a fault, and kills or starts the node where the count asks for it.
+// applyNodeFault counts the beginning or the end of a fault of a node. It kills the node if a fault is active and the
+// node is running, and starts it if no fault is active and the node is not running.
 func (p *Processes) applyNodeFault(node int, begins bool) {
 	p.mu.Lock()
 	command, stopped := p.commands[node], p.stopped
@@ -151,8 +153,8 @@
 	case stopped:
 	case killed && command != nil:
 		p.logEvent(eventNodeKilled, node)
-		_ = command.Process.Kill() // it may have ended by itself
-		_ = command.Wait()         // the status is that of the kill
+		_ = command.Process.Kill() // an error means that the process has already ended
+		_ = command.Wait()         // the exit status only reports the kill
 	case !killed && command == nil:
 		if err := p.start(node); err != nil {
 			p.logEvent(errorEvent("node not started", err), node)
@@ -160,7 +162,7 @@
 	}
 }
 
-// Stop ends the processes as the platform does, with SIGTERM, and reports those that did not exit cleanly.
+// Stop ends the processes with SIGTERM, as the platform does. Its error names those that did not exit with status 0.
 func (p *Processes) Stop() error {
 	p.mu.Lock()
 	p.stopped = true
@@ -184,9 +186,9 @@
 	return errors.Join(errs...)
 }
 
-// terminate sends SIGTERM and waits, and kills a process that does not end in time.
+// terminate sends SIGTERM to a process and waits for its end. It kills the process after stopTimeout.
 func terminate(command *exec.Cmd) error {
-	_ = command.Process.Signal(syscall.SIGTERM) // it may have ended by itself; Wait reports that
+	_ = command.Process.Signal(syscall.SIGTERM) // an error means that the process has already ended, which Wait reports
 	timer := time.AfterFunc(stopTimeout, func() { _ = command.Process.Kill() })
 	defer timer.Stop()
 	return command.Wait()
--- a/internal/fake/report.go
+++ b/internal/fake/report.go
@@ -1,19 +1,21 @@
 package fake
 
-// Report is what a cluster has counted so far.
+// Report holds the figures that a cluster has counted so far.
 type Report struct {
-	Seconds       float64         `json:"seconds"`
-	Arrived       int64           `json:"arrived"`     // complete requests at backends
-	Executions    int64           `json:"executions"`  // that began to run
-	DuplicateRuns int64           `json:"twice"`       // of a non-idempotent class: executions beyond the first of one ID
-	AfterDrain    int64           `json:"after_drain"` // requests to a backend later than the grace and 50 ms after the node was notified
-	Unreadable    int64           `json:"unreadable"`  // requests that were not what PROTOCOL says
-	Connections   int64           `json:"connections"` // made to backends
-	Backends      []BackendReport `json:"boxes"`
-	HealthChecks  int64           `json:"probes"`
+	Seconds       float64 `json:"seconds"`
+	Arrived       int64   `json:"arrived"`    // complete requests that arrived at backends
+	Executions    int64   `json:"executions"` // executions that began
+	DuplicateRuns int64   `json:"twice"`      // executions beyond the first of one ID, in non-idempotent classes
+	// AfterDrain counts requests that arrive at a draining or removed backend later than the drain grace and 50 ms after
+	// their node was notified.
+	AfterDrain   int64           `json:"after_drain"`
+	Unreadable   int64           `json:"unreadable"`  // requests that did not conform to PROTOCOL
+	Connections  int64           `json:"connections"` // connections accepted by backends
+	Backends     []BackendReport `json:"boxes"`
+	HealthChecks int64           `json:"probes"`
 }
 
-// BackendReport is what was counted at one backend's address.
+// BackendReport holds the figures counted at one backend's address.
 type BackendReport struct {
 	Number  int   `json:"place"`
 	Arrived int64 `json:"arrived"`
@@ -21,7 +23,7 @@
 	Up      bool  `json:"up"`
 }
 
-// Report returns the figures so far.
+// Report returns the figures counted so far.
 func (cl *Cluster) Report() Report {
 	var report Report
 	cl.call(func() {
@@ -41,7 +43,8 @@
 	return report
 }
 
-// Executions is how often the request of that ID has begun to run, while the ID is remembered.
+// Executions returns how often the request with this ID has begun to run. It returns 0 once the ID has been forgotten,
+// after maxRememberedIDs newer ones.
 func (cl *Cluster) Executions(id string) (count int) {
 	cl.call(func() { count = cl.ledger.executions[id] })
 	return count
--- a/internal/fake/trace.go
+++ b/internal/fake/trace.go
@@ -12,9 +12,9 @@
 
 const maxEventBytes = 1 << 20
 
-// WriteTrace turns an event log into a trace of calls for the load generator: each request that came to a backend, at its time
-// since the first of them. Further arrivals of a request, as retries or at another backend, are left out. It returns the
-// number of calls.
+// WriteTrace converts an event log to a trace of calls for the load generator. Each request that arrived at a backend
+// becomes a call at the time of its first arrival, counted from that of the first request; later arrivals with the same
+// ID, which are retries, are left out. It returns the number of calls.
 func WriteTrace(events io.Reader, out io.Writer, config *scenario.Scenario) (int, error) {
 	classes, tenants := map[string]int{}, map[string]int{}
 	for i := range config.Classes {
@@ -39,7 +39,7 @@
 		}
 		class, known := classes[event.Class]
 		if !known {
-			return calls, fmt.Errorf("line %d: class: %q is none of the scenario's", line, event.Class)
+			return calls, fmt.Errorf("line %d: class: %q is not a class of the scenario", line, event.Class)
 		}
 		seen[event.ID] = true
 		if start < 0 {
