--- a/internal/workload/rate.go
+++ b/internal/workload/rate.go
@@ -49,7 +49,7 @@
 	if sum == 0 {
 		return 0, s.tenants
 	}
-	return level * sum, cumulate(weights)
+	return level * sum, cumulativeShares(weights)
 }
 
 // surgeWeights are the tenants' weights during the surges that are active at a time in µs; nil: none is.
@@ -61,7 +61,7 @@
 			continue
 		}
 		if weights == nil {
-			weights = differences(s.tenants)
+			weights = weightsFromCumulative(s.tenants)
 		}
 		for tenant := range weights {
 			if surge.Tenant == "" || surge.Tenant == s.scenario.Tenants[tenant].Name {
@@ -72,8 +72,8 @@
 	return weights
 }
 
-// differences undoes cumulate.
-func differences(cumulative []float64) []float64 {
+// weightsFromCumulative undoes cumulate.
+func weightsFromCumulative(cumulative []float64) []float64 {
 	weights := make([]float64, len(cumulative))
 	for i := range weights {
 		weights[i] = cumulative[i]
--- a/internal/workload/schedule.go
+++ b/internal/workload/schedule.go
@@ -57,10 +57,10 @@
 		scenario: sc,
 		seed:     seed,
 		random:   eventqueue.NewStream(seed, "arrivals"),
-		classes:  cumulate(classWeights(sc)),
-		tenants:  cumulate(tenantWeights(sc)),
-		sites:    cumulate(siteWeights(sc)),
-		keys:     cumulate(keyWeights(sc)),
+		classes:  cumulativeShares(classWeights(sc)),
+		tenants:  cumulativeShares(tenantWeights(sc)),
+		sites:    cumulativeShares(siteWeights(sc)),
+		keys:     cumulativeShares(keyWeights(sc)),
 	}
 	for _, fault := range faults {
 		if fault.Kind == faultinject.Surge {
@@ -121,8 +121,8 @@
 	return weights
 }
 
-// cumulate returns the cumulative shares of weights.
-func cumulate(weights []float64) []float64 {
+// cumulativeShares returns the cumulative shares of weights.
+func cumulativeShares(weights []float64) []float64 {
 	sum := 0.0
 	cumulative := make([]float64, len(weights))
 	for i, weight := range weights {
@@ -135,8 +135,8 @@
 	return cumulative
 }
 
-// pick returns the index whose part of the cumulative shares holds x, which is within 0 and 1.
-func pick(cumulative []float64, x float64) int {
+// pickIndex returns the index whose part of the cumulative shares holds x, which is within 0 and 1.
+func pickIndex(cumulative []float64, x float64) int {
 	return min(sort.SearchFloat64s(cumulative, x), len(cumulative)-1)
 }
 
@@ -151,11 +151,11 @@
 	call := Call{Number: s.count, Due: eventqueue.Time(s.now)}
 	s.count++
 	_, tenants := s.levelWithSurges(s.now)
-	call.Class = pick(s.classes, s.random.Float64())
-	call.Tenant = pick(tenants, s.random.Float64())
-	call.Site = pick(s.sites, s.random.Float64())
+	call.Class = pickIndex(s.classes, s.random.Float64())
+	call.Tenant = pickIndex(tenants, s.random.Float64())
+	call.Site = pickIndex(s.sites, s.random.Float64())
 	if s.scenario.Load.Keys > 0 {
-		call.Key = uint64(pick(s.keys, s.random.Float64())) + 1
+		call.Key = uint64(pickIndex(s.keys, s.random.Float64())) + 1
 	}
 	call.Work = DrawWork(s.scenario, s.seed, call.Number, call.Class)
 	return call, nil
