--- a/internal/fake/control.go
+++ b/internal/fake/control.go
@@ -44,7 +44,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /faults", cl.handleInject)
-	mux.HandleFunc("DELETE /faults/{id}", cl.handleLift)
+	mux.HandleFunc("DELETE /faults/{id}", cl.handleEndFault)
 	mux.HandleFunc("GET /report", func(response http.ResponseWriter, _ *http.Request) {
 		writeJSON(response, cl.Report())
 	})
@@ -80,7 +80,7 @@
 	writeJSON(response, injectedFault{Fault: complete, ID: id})
 }
 
-func (cl *Cluster) handleLift(response http.ResponseWriter, request *http.Request) {
+func (cl *Cluster) handleEndFault(response http.ResponseWriter, request *http.Request) {
 	id, err := strconv.Atoi(request.PathValue("id"))
 	if err != nil || !cl.EndFault(id) {
 		http.Error(response, "there is no such fault, or it has ended", http.StatusNotFound)
--- a/internal/fake/control_test.go
+++ b/internal/fake/control_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestControlInjectsAndLiftsFaults(t *testing.T) {
+func TestControlInjectsAndEndsFaults(t *testing.T) {
 	cl, addr := startControl(t)
 	status, body := postFault(t, addr, `{"kind":"fast-errors","boxes":[0],"size":1}`)
 	if status != 200 || !strings.Contains(body, `"boxes":[0]`) {
