--- a/internal/workload/rate.go
+++ b/internal/workload/rate.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// The shapes of the load that are computed here; any other is steady.
+// The load shapes with a meaning of their own; any other shape is a steady load.
 const (
 	shapeConstant = "constant"
 	shapeRamp     = "ramp"
@@ -12,10 +12,10 @@
 	shapeWave     = "wave"
 )
 
-// rateInterval is the longest time for which the rate is taken to be constant, in µs.
+// rateInterval is the longest interval over which the rate is treated as constant, in µs.
 const rateInterval = 10_000
 
-// level is the load at a time in µs as a multiple of the rate, without faults.
+// level returns the load at a time in µs, without faults, as a multiple of the scenario's base rate.
 func (s *Schedule) level(at float64) float64 {
 	load, seconds := &s.scenario.Load, at/microsPerSecond
 	switch load.Shape {
@@ -35,7 +35,7 @@
 	return 1
 }
 
-// levelWithSurges is the level with the surges among the faults, and the tenants' cumulative shares of it.
+// levelWithSurges returns the level with the surges among the faults applied, and the tenants' cumulative shares of it.
 func (s *Schedule) levelWithSurges(at float64) (level float64, tenants []float64) {
 	level = s.level(at)
 	weights := s.surgeWeights(at)
@@ -52,7 +52,7 @@
 	return level * sum, cumulativeShares(weights)
 }
 
-// surgeWeights are the tenants' weights during the surges that are active at a time in µs; nil: none is.
+// surgeWeights returns the tenants' weights under the surges that are active at a time in µs, or nil if none is active.
 func (s *Schedule) surgeWeights(at float64) []float64 {
 	var weights []float64
 	for i := range s.surges {
@@ -72,7 +72,7 @@
 	return weights
 }
 
-// weightsFromCumulative undoes cumulate.
+// weightsFromCumulative returns the share of each index; it is the inverse of cumulativeShares.
 func weightsFromCumulative(cumulative []float64) []float64 {
 	weights := make([]float64, len(cumulative))
 	for i := range weights {
--- a/internal/workload/retry.go
+++ b/internal/workload/retry.go
@@ -8,10 +8,11 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// Answer is what a client makes of one attempt.
+// Answer is the result of one attempt, as the client classifies it.
 type Answer uint8
 
-// The answers. Unreachable is a node that could not be reached, which proves that the attempt never ran.
+// The possible answers. Unreachable means that no connection to a node was established, which proves that the attempt
+// never ran.
 const (
 	Served Answer = iota
 	Rejected
@@ -20,7 +21,7 @@
 	Unreachable
 )
 
-// String returns the name that results have for it.
+// String returns the name of the answer in results.
 func (a Answer) String() string {
 	return [...]string{"served", "refused", "failed", "timed-out", "unreachable"}[a]
 }
@@ -38,14 +39,16 @@
 	return &RetryPolicy{clients: &sc.Clients, seed: seed, classes: classes}
 }
 
-// Timeout is how long a client waits for an attempt that begins so long after its call was due, in µs.
+// Timeout returns how long a client waits for the answer to an attempt, in µs. since is the time from when the call was
+// due to the start of the attempt.
 func (r *RetryPolicy) Timeout(call *Call, since eventqueue.Span) eventqueue.Span {
 	deadline := r.classes[call.Class].Deadline
 	return min(eventqueue.Span(r.clients.TimeoutShare*float64(deadline)), deadline-since)
 }
 
-// Next reports whether a client retries its call, and after how long. Attempts are those made so far, since is the time
-// since the call was due, and retryAfter what the answer advised; all times are in µs.
+// Next reports whether a client retries its call after an answer, and how long it waits before that. attempts is the
+// number of attempts made so far, since the time since the call was due, and retryAfter the wait that the answer asked
+// for; all times are in µs.
 func (r *RetryPolicy) Next(
 	call *Call, answer Answer, attempts int, since, retryAfter eventqueue.Span,
 ) (wait eventqueue.Span, retry bool) {
@@ -57,8 +60,9 @@
 	return wait, since+wait < class.Deadline
 }
 
-// mayRetry reports whether a retry does no harm. Idempotent requests are retried after any failure, and so are those whose
-// key all backends know, within the idempotency window; others only after a rejection, or where no node was reached.
+// mayRetry reports whether a retry is safe. Idempotent requests are retried after any failure, and so are requests with an
+// idempotency key that all backends share, within the idempotency window. Other requests are retried only after a
+// rejection, or if no node was reached. Clients that are set to retry any failure ignore these rules.
 func (r *RetryPolicy) mayRetry(class *balancer.Class, answer Answer, since eventqueue.Span) bool {
 	if answer == Rejected || answer == Unreachable || r.clients.RetryFailed {
 		return true
@@ -73,8 +77,8 @@
 	}
 }
 
-// backoff draws the wait before the next attempt. Some clients wait for at least as long as Retry-After says, up to a
-// limit of theirs.
+// backoff draws the wait before the next attempt. Clients that heed Retry-After, a share that the scenario sets, wait at
+// least as long as that header says, up to the scenario's limit.
 func (r *RetryPolicy) backoff(call *Call, attempts int, retryAfter eventqueue.Span) eventqueue.Span {
 	clients := r.clients
 	draws := eventqueue.NewDraws(r.seed, call.Number<<8|uint64(attempts-1), drawRetry)
--- a/internal/workload/retry_test.go
+++ b/internal/workload/retry_test.go
@@ -16,13 +16,13 @@
 `
 	const idempotent, nonIdempotent, keyedInRack, ms = 0, 1, 2, 1000
 	for name, c := range map[string]struct {
-		settings   string // added to base, or in place of one of its lines
+		settings   string // added to base, or replaces the line of base with the same key
 		class      int
 		answer     Answer
 		attempts   int
-		since      int64 // ms, as are those below
+		since      int64 // ms, as retryAfter and wait are
 		retryAfter int64
-		wait       int64 // below 0: no retry
+		wait       int64 // expected wait; negative: no retry is expected
 	}{
 		"served":                               {"", idempotent, Served, 1, 10, 0, -1},
 		"idempotent, failed":                   {"", idempotent, Failed, 1, 10, 0, 100},
@@ -59,9 +59,9 @@
 	}
 	policy := NewRetryPolicy(parse(t, base), 1)
 	if timeout := policy.Timeout(&Call{Class: idempotent}, 0); timeout != 900*ms {
-		t.Errorf("a first attempt is given %d µs", timeout)
+		t.Errorf("timeout of a first attempt %d µs, want 900 ms", timeout)
 	}
 	if timeout := policy.Timeout(&Call{Class: idempotent}, 1000*ms); timeout != 500*ms {
-		t.Errorf("a late attempt is given %d µs", timeout)
+		t.Errorf("timeout of an attempt 1000 ms after the call was due %d µs, want 500 ms", timeout)
 	}
 }
--- a/internal/workload/schedule.go
+++ b/internal/workload/schedule.go
@@ -1,6 +1,6 @@
-// Package workload defines how clients behave: when they call and for what, and when they retry. It does no I/O but to
-// read traces, and has no clock: the emulator plays it in virtual time and the load generator on sockets, so both send the
-// same calls.
+// Package workload defines how clients behave: at what times they call, with which class, tenant, site and key, and when
+// they retry. It does no I/O except to read traces, and has no clock: the emulator runs it in virtual time and the load
+// generator on sockets, so both send the same calls.
 package workload
 
 import (
@@ -20,38 +20,40 @@
 	microsPerSecond = 1e6
 )
 
-// Call is what a client wants: a first attempt, and its retries.
+// Call is one request of a client. It is sent as a first attempt, which may be followed by retries.
 type Call struct {
-	Number uint64          // its number in the schedule, from 0
-	Due    eventqueue.Time // when it is due, µs since the start
+	Number uint64          // position in the schedule, from 0
+	Due    eventqueue.Time // time at which the first attempt is to be sent, µs since the start
 	Class  int
 	Tenant int
 	Site   int
-	Key    uint64  // the object that it is about; 0: none
-	Work   float64 // µs on one core of speed 1
+	Key    uint64  // the object that the request concerns; 0: none
+	Work   float64 // execution time in µs on one core of speed 1
 }
 
-// Schedule is all calls of a run, in order. It is fixed by scenario, seed and capacity before the first is made and
-// does not wait for answers; it holds no more of them than the next.
+// Schedule yields all calls of a run in the order in which they are due. The scenario, the seed, the capacity and the
+// faults determine them in advance, and they do not depend on answers. Each call is drawn when Next is called, so a
+// schedule stores none of them.
 type Schedule struct {
 	scenario     *scenario.Scenario
 	seed         uint64
 	random       eventqueue.Stream
-	ratePerMicro float64 // calls at level 1
-	now          float64 // µs
+	ratePerMicro float64 // calls per µs at level 1
+	now          float64 // time of the latest arrival, µs since the start
 	count        uint64  // calls returned by Next
 	surges       []faultinject.Fault
-	trace        *Trace // nil: arrivals are drawn
+	trace        *Trace // nil: arrivals are drawn at random
 
-	// Cumulative shares, up to 1.
+	// Cumulative shares by index; the last one is 1.
 	classes []float64
 	tenants []float64
 	sites   []float64
 	keys    []float64
 }
 
-// NewSchedule returns the schedule of a scenario over a fleet that can do so many µs of work in each µs, with the
-// surges among the faults, whose defaults have been filled in.
+// NewSchedule returns the schedule of a scenario. capacity is the work in µs that the fleet can do in each µs; it sets the
+// rate if the scenario states the load as a level of it. The surges among the faults, whose defaults must have been
+// filled in, are applied to the load.
 func NewSchedule(sc *scenario.Scenario, seed uint64, capacity float64, faults []faultinject.Fault) (*Schedule, error) {
 	s := &Schedule{
 		scenario: sc,
@@ -98,7 +100,7 @@
 	return weights
 }
 
-// siteWeights fall evenly from the first site to the last one, by the skew.
+// siteWeights returns weights that decrease linearly from the first site to the last one, by the scenario's skew.
 func siteWeights(sc *scenario.Scenario) []float64 {
 	var weights []float64
 	last := len(sc.Fleet.Sites) - 1
@@ -112,7 +114,7 @@
 	return weights
 }
 
-// keyWeights are Zipf's.
+// keyWeights returns the weights of a Zipf distribution with the scenario's exponent.
 func keyWeights(sc *scenario.Scenario) []float64 {
 	var weights []float64
 	for i := range sc.Load.Keys {
@@ -135,7 +137,7 @@
 	return cumulative
 }
 
-// pickIndex returns the index whose part of the cumulative shares holds x, which is within 0 and 1.
+// pickIndex returns the index whose interval in the cumulative shares contains x, which must lie between 0 and 1.
 func pickIndex(cumulative []float64, x float64) int {
 	return min(sort.SearchFloat64s(cumulative, x), len(cumulative)-1)
 }
@@ -161,7 +163,8 @@
 	return call, nil
 }
 
-// nextOfTrace returns the next call of the trace at the scenario's speed, with work drawn as for any other.
+// nextOfTrace returns the next call of the trace, replayed at the scenario's speed. Its work is drawn like that of any
+// other call.
 func (s *Schedule) nextOfTrace() (Call, error) {
 	call, err := s.trace.Next()
 	if err != nil {
@@ -177,9 +180,10 @@
 	return call, nil
 }
 
-// advance moves now to the next arrival. It returns false where the run ends before that.
+// advance moves now to the next arrival. It returns false if the run ends before that.
 func (s *Schedule) advance() bool {
-	// As many expected arrivals as one call stands for must pass: 1 for even gaps, exponential for a Poisson process.
+	// The next arrival occurs when the integral of the rate reaches needed: 1 for even gaps, and an exponentially
+	// distributed number for a Poisson process.
 	needed := 1.0
 	if s.scenario.Load.Shape != shapeConstant {
 		needed = s.random.ExpFloat64()
--- a/internal/workload/schedule_test.go
+++ b/internal/workload/schedule_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// count returns how many calls are due within so many seconds.
+// count returns the number of calls due between two times, in seconds since the start; until is excluded.
 func count(calls []Call, from, until float64) (n int) {
 	for _, c := range calls {
 		if at := float64(c.Due) / 1e6; at >= from && at < until {
@@ -56,7 +56,7 @@
 	const head = "seconds = 100.0\n[load]\nper_s = 200.0\n"
 	for name, c := range map[string]struct {
 		text  string
-		parts map[[2]float64]float64 // expected calls in these seconds
+		parts map[[2]float64]float64 // expected number of calls, by the start and end of a period in seconds
 	}{
 		"steady": {"shape = 'steady'", map[[2]float64]float64{{0, 50}: 10000, {50, 100}: 10000}},
 		"ramp":   {"shape = 'ramp'\npeak = 3.0", map[[2]float64]float64{{0, 50}: 15000, {50, 100}: 25000}},
@@ -81,7 +81,8 @@
 	}
 }
 
-// Even gaps stay even at any rate, also where they are longer than the interval for which the rate is constant.
+// The gaps of a constant load must be even at any rate, also if they are longer than rateInterval, so that the search for
+// the next arrival spans several intervals.
 func TestConstantLoadHasEvenGaps(t *testing.T) {
 	for _, perS := range []float64{0.5, 7, 1000, 30000} {
 		calls := allCalls(t, parse(t, fmt.Sprintf("seconds = 20.0\nload.shape = 'constant'\nload.per_s = %.1f", perS)))
@@ -99,7 +100,7 @@
 func TestSurgeMultipliesOneTenant(t *testing.T) {
 	surge := faultinject.Fault{Kind: faultinject.Surge, Start: 20000, Duration: 20000, Size: 5, Tenant: "small"}
 	calls := allCalls(t, parse(t, "seconds = 60.0\nload.per_s = 500.0"), surge)
-	var byPeriod [3][3]float64 // and tenant
+	var byPeriod [3][3]float64 // number of calls by period of 20 s and tenant
 	for _, c := range calls {
 		byPeriod[c.Due/20e6][c.Tenant]++
 	}
@@ -118,7 +119,7 @@
 	silence := faultinject.Fault{Kind: faultinject.Surge, Start: 3000, Duration: 3000, Size: 0}
 	silent := allCalls(t, parse(t, "seconds = 9.0\nload.per_s = 500.0"), silence)
 	if count(silent, 3.02, 6) != 0 || count(silent, 6.02, 9) < 1200 {
-		t.Errorf("%d calls while there are none, %d after", count(silent, 3.02, 6), count(silent, 6.02, 9))
+		t.Errorf("%d calls during a surge of size 0, %d after it", count(silent, 3.02, 6), count(silent, 6.02, 9))
 	}
 }
 
--- a/internal/workload/trace.go
+++ b/internal/workload/trace.go
@@ -12,7 +12,7 @@
 	"tulipglade/internal/simulation/eventqueue"
 )
 
-// TraceError is an invalid field of a trace.
+// TraceError reports an invalid field of a trace.
 type TraceError struct {
 	File  string
 	Line  int
@@ -20,16 +20,17 @@
 	Err   error
 }
 
-// Error names file, line and field.
+// Error returns a message that names the file, line and field.
 func (e *TraceError) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %v", e.File, e.Line, e.Field, e.Err)
 }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the error in the field.
 func (e *TraceError) Unwrap() error { return e.Err }
 
-// Trace reads a recorded trace: text, gzipped or not, one call a line, "µs class tenant site key" with numbers from 0,
-// in the order of time. Lines that begin with # are skipped.
+// Trace reads a recorded trace. A trace is a text file, gzipped if its name ends in .gz, with one call a line in the order
+// of time: "µs class tenant site key", where class, tenant and site are indexes from 0. Empty lines and lines that begin
+// with # are skipped.
 type Trace struct {
 	name    string
 	file    *os.File
@@ -41,10 +42,10 @@
 	sites   int
 }
 
-// traceFields are the fields of a line.
+// traceFields are the names of the fields of a line, in order.
 var traceFields = [...]string{"µs", "class", "tenant", "site", "key"}
 
-// OpenTrace opens a trace for a scenario with so many classes, tenants and sites.
+// OpenTrace opens a trace for a scenario with the given numbers of classes, tenants and sites.
 func OpenTrace(name string, classes, tenants, sites int) (*Trace, error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -70,7 +71,7 @@
 // Close closes the file.
 func (t *Trace) Close() error { return t.file.Close() }
 
-// Next returns the next call, or io.EOF; an invalid line is a *TraceError.
+// Next returns the next call, or io.EOF after the last one. For an invalid line it returns a *TraceError.
 func (t *Trace) Next() (Call, error) {
 	for t.lines.Scan() {
 		t.line++
@@ -98,7 +99,7 @@
 		return call, t.invalid(traceFields[min(n, len(traceFields)-1)], err)
 	}
 	if call.Due < t.last {
-		return call, t.invalid("µs", fmt.Errorf("%d is before the line above or the start", call.Due))
+		return call, t.invalid("µs", fmt.Errorf("%d is before the previous call or before the start", call.Due))
 	}
 	for _, index := range []struct {
 		field string
--- a/internal/workload/trace_test.go
+++ b/internal/workload/trace_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// writeTrace writes a trace, gzipped if its name says so, and returns its path.
+// writeTrace writes a trace to a file, gzipped if its name ends in .gz, and returns its path.
 func writeTrace(t *testing.T, name, text string) string {
 	t.Helper()
 	content := []byte(text)
@@ -48,7 +48,7 @@
 	}
 	fast := allCalls(t, parse(t, "seconds = 5.0\n[load]\nshape = 'trace'\ntrace_speed = 3.0\ntrace = '"+writeTrace(t, "t", text)+"'"))
 	if len(fast) != 4 || fast[1].Due != 500 || fast[3].Due != 3000000 {
-		t.Errorf("three times as fast: %+v", fast)
+		t.Errorf("replayed at three times its speed: %+v", fast)
 	}
 }
 
@@ -72,6 +72,6 @@
 	}
 	if _, err := NewSchedule(parse(t, "[load]\nshape = 'trace'\ntrace = 'nowhere'"), 1, 40, nil); err == nil ||
 		!strings.HasPrefix(err.Error(), "load.trace: ") {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("a file that does not exist: %v", err)
 	}
 }
--- a/internal/workload/work.go
+++ b/internal/workload/work.go
@@ -7,17 +7,19 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// The purposes of a call's own draws. Each has a stream of its own, so that one more draw changes no other.
+// The streams of random draws that each call has, by purpose. An additional draw in one stream does not change the draws
+// of another.
 const (
 	drawWork  = 0
 	drawRetry = 2
 	drawHint  = 4
 )
 
-// roughHintSigma is the standard deviation of the logarithm of a rough hint's ratio to the work.
+// roughHintSigma is the standard deviation of the logarithm of the ratio of a rough hint to the actual work.
 const roughHintSigma = 0.6
 
-// SizeHint is what a client estimates of a call's work, in µs; 0: nothing. All attempts of a call have the same.
+// SizeHint returns a client's estimate of a call's work, in µs, or 0 if the client gives none. All attempts of a call
+// carry the same hint.
 func SizeHint(sc *scenario.Scenario, seed uint64, call *Call) int64 {
 	switch sc.Clients.Hints {
 	case "exact":
@@ -29,7 +31,7 @@
 	return 0
 }
 
-// MeanWork is the mean work of a call, in µs.
+// MeanWork returns the mean work of the scenario's calls, in µs.
 func MeanWork(sc *scenario.Scenario) float64 {
 	work, shares := 0.0, 0.0
 	for i := range sc.Classes {
@@ -40,7 +42,7 @@
 	return work / shares
 }
 
-// DrawWork is the work of the call with this number, in µs on one core of speed 1.
+// DrawWork returns the work of the call with this number, in µs on one core of speed 1. Equal arguments give equal work.
 func DrawWork(sc *scenario.Scenario, seed, number uint64, class int) float64 {
 	draws := eventqueue.NewDraws(seed, number, drawWork)
 	c := &sc.Classes[class]
@@ -54,5 +56,6 @@
 	return work
 }
 
-// Lognormal has mean 1, with this standard deviation of its logarithm, for a standard normal draw.
+// Lognormal converts a standard normal draw to a draw from the lognormal distribution with mean 1 and sigma as the standard
+// deviation of the logarithm.
 func Lognormal(sigma, norm float64) float64 { return math.Exp(sigma*norm - sigma*sigma/2) }
