--- a/internal/fake/backend_listener.go
+++ b/internal/fake/backend_listener.go
@@ -106,8 +106,8 @@
 }
 
 // blockNewConnections prevents new connections from being established: it shortens the accept queue to one entry and
-// fills that with a connection of its own, so that the kernel drops further SYNs as if the machine were gone. The caller
-// holds mu.
+// fills that with a connection of its own, so that the kernel drops further SYNs as if the machine were gone. The
+// caller holds mu.
 func (b *backendListener) blockNewConnections() {
 	if b.listener == nil {
 		return
@@ -191,8 +191,8 @@
 	}
 }
 
-// awaitListener waits until the backend runs and is reachable, and returns its listener. It returns nil once the cluster
-// is closed.
+// awaitListener waits until the backend runs and is reachable, and returns its listener. It returns nil once the
+// cluster is closed.
 func (b *backendListener) awaitListener() *net.TCPListener {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -1,7 +1,7 @@
 // Package fake serves the surroundings of a deployment's nodes on loopback sockets: backends, discovery, and frontends
-// that balance clients' connections over the nodes. The backends are those of the emulator, driven in real time, and the
-// faults are those of package faultinject. An event log records every arrival, response, list change and fault. It is
-// the reference to which the figures of nodes and load tools are compared.
+// that balance clients' connections over the nodes. The backends are those of the emulator, driven in real time, and
+// the faults are those of package faultinject. An event log records every arrival, response, list change and fault. It
+// is the reference to which the figures of nodes and load tools are compared.
 package fake
 
 import (
--- a/internal/fake/exchange.go
+++ b/internal/fake/exchange.go
@@ -12,8 +12,8 @@
 	"tulipglade/internal/simulation/emulator"
 )
 
-// exchange is one request on a connection and its response. Once start has been posted, the cluster's goroutine owns all
-// fields except response.
+// exchange is one request on a connection and its response. Once start has been posted, the cluster's goroutine owns
+// all fields except response.
 type exchange struct {
 	conn     *backendConn
 	id       string
--- a/internal/fake/frontend.go
+++ b/internal/fake/frontend.go
@@ -18,8 +18,8 @@
 	nodeTimeout = time.Second
 )
 
-// frontendNode is the state that the frontends keep of a node. The node is in rotation once its /ready has answered 200,
-// and is taken out of rotation when its readiness checks have failed for the scenario's notice period.
+// frontendNode is the state that the frontends keep of a node. The node is in rotation once its /ready has answered
+// 200, and is taken out of rotation when its readiness checks have failed for the scenario's notice period.
 type frontendNode struct {
 	cluster *Cluster
 	index   int
@@ -135,8 +135,8 @@
 	}
 }
 
-// nextNode returns the next node in rotation at the frontend's site or, if there is none, at any site. It returns nil if
-// no node is in rotation.
+// nextNode returns the next node in rotation at the frontend's site or, if there is none, at any site. It returns nil
+// if no node is in rotation.
 func (f *frontend) nextNode() *frontendNode {
 	f.nextIndex++
 	nodes := f.cluster.nodes
--- a/internal/fake/helpers_test.go
+++ b/internal/fake/helpers_test.go
@@ -79,7 +79,8 @@
 	return config
 }
 
-// startCluster runs the small scenario until the end of the test, and checks that closing it leaves no goroutine behind.
+// startCluster runs the small scenario until the end of the test, and checks that closing it leaves no goroutine
+// behind.
 func startCluster(t *testing.T, opts Options) *Cluster {
 	t.Helper()
 	ignoreEarlier := goleak.IgnoreCurrent()
--- a/internal/fake/processes.go
+++ b/internal/fake/processes.go
@@ -32,8 +32,8 @@
 	wg         sync.WaitGroup
 }
 
-// StartNodes starts a process of the program for each of the cluster's nodes. It writes their configurations and logs to
-// files in dir, which it leaves there.
+// StartNodes starts a process of the program for each of the cluster's nodes. It writes their configurations and logs
+// to files in dir, which it leaves there.
 func (cl *Cluster) StartNodes(program, dir string, limits NodeLimits) (*Processes, error) {
 	count := len(cl.options.Nodes)
 	p := &Processes{
--- a/internal/fake/report.go
+++ b/internal/fake/report.go
@@ -6,8 +6,8 @@
 	Arrived       int64   `json:"arrived"`    // complete requests that arrived at backends
 	Executions    int64   `json:"executions"` // executions that began
 	DuplicateRuns int64   `json:"twice"`      // executions beyond the first of one ID, in non-idempotent classes
-	// AfterDrain counts requests that arrive at a draining or removed backend later than the drain grace and 50 ms after
-	// their node was notified.
+	// AfterDrain counts requests that arrive at a draining or removed backend later than the drain grace and 50 ms
+	// after their node was notified.
 	AfterDrain   int64           `json:"after_drain"`
 	Unreadable   int64           `json:"unreadable"`  // requests that did not conform to PROTOCOL
 	Connections  int64           `json:"connections"` // connections accepted by backends
--- a/internal/workload/retry.go
+++ b/internal/workload/retry.go
@@ -60,8 +60,8 @@
 	return wait, since+wait < class.Deadline
 }
 
-// mayRetry reports whether a retry is safe. Idempotent requests are retried after any failure, and so are requests with an
-// idempotency key that all backends share, within the idempotency window. Other requests are retried only after a
+// mayRetry reports whether a retry is safe. Idempotent requests are retried after any failure, and so are requests with
+// an idempotency key that all backends share, within the idempotency window. Other requests are retried only after a
 // rejection, or if no node was reached. Clients that are set to retry any failure ignore these rules.
 func (r *RetryPolicy) mayRetry(class *balancer.Class, answer Answer, since eventqueue.Span) bool {
 	if answer == Rejected || answer == Unreachable || r.clients.RetryFailed {
@@ -77,8 +77,8 @@
 	}
 }
 
-// backoff draws the wait before the next attempt. Clients that heed Retry-After, a share that the scenario sets, wait at
-// least as long as that header says, up to the scenario's limit.
+// backoff draws the wait before the next attempt. Clients that heed Retry-After, a share that the scenario sets, wait
+// at least as long as that header says, up to the scenario's limit.
 func (r *RetryPolicy) backoff(call *Call, attempts int, retryAfter eventqueue.Span) eventqueue.Span {
 	clients := r.clients
 	draws := eventqueue.NewDraws(r.seed, call.Number<<8|uint64(attempts-1), drawRetry)
--- a/internal/workload/schedule.go
+++ b/internal/workload/schedule.go
@@ -1,6 +1,6 @@
-// Package workload defines how clients behave: at what times they call, with which class, tenant, site and key, and when
-// they retry. It does no I/O except to read traces, and has no clock: the emulator runs it in virtual time and the load
-// generator on sockets, so both send the same calls.
+// Package workload defines how clients behave: at what times they call, with which class, tenant, site and key, and
+// when they retry. It does no I/O except to read traces, and has no clock: the emulator runs it in virtual time and the
+// load generator on sockets, so both send the same calls.
 package workload
 
 import (
@@ -51,8 +51,8 @@
 	keys    []float64
 }
 
-// NewSchedule returns the schedule of a scenario. capacity is the work in µs that the fleet can do in each µs; it sets the
-// rate if the scenario states the load as a level of it. The surges among the faults, whose defaults must have been
+// NewSchedule returns the schedule of a scenario. capacity is the work in µs that the fleet can do in each µs; it sets
+// the rate if the scenario states the load as a level of it. The surges among the faults, whose defaults must have been
 // filled in, are applied to the load.
 func NewSchedule(sc *scenario.Scenario, seed uint64, capacity float64, faults []faultinject.Fault) (*Schedule, error) {
 	s := &Schedule{
--- a/internal/workload/schedule_test.go
+++ b/internal/workload/schedule_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// The gaps of a constant load must be even at any rate, also if they are longer than rateInterval, so that the search for
-// the next arrival spans several intervals.
+// The gaps of a constant load must be even at any rate, also if they are longer than rateInterval, so that the search
+// for the next arrival spans several intervals.
 func TestConstantLoadHasEvenGaps(t *testing.T) {
 	for _, perS := range []float64{0.5, 7, 1000, 30000} {
 		calls := allCalls(t, parse(t, fmt.Sprintf("seconds = 20.0\nload.shape = 'constant'\nload.per_s = %.1f", perS)))
--- a/internal/workload/trace.go
+++ b/internal/workload/trace.go
@@ -28,9 +28,9 @@
 // Unwrap returns the error in the field.
 func (e *TraceError) Unwrap() error { return e.Err }
 
-// Trace reads a recorded trace. A trace is a text file, gzipped if its name ends in .gz, with one call a line in the order
-// of time: "µs class tenant site key", where class, tenant and site are indexes from 0. Empty lines and lines that begin
-// with # are skipped.
+// Trace reads a recorded trace. A trace is a text file, gzipped if its name ends in .gz, with one call a line in the
+// order of time: "µs class tenant site key", where class, tenant and site are indexes from 0. Empty lines and lines
+// that begin with # are skipped.
 type Trace struct {
 	name    string
 	file    *os.File
--- a/internal/workload/work.go
+++ b/internal/workload/work.go
@@ -7,8 +7,8 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// The streams of random draws that each call has, by purpose. An additional draw in one stream does not change the draws
-// of another.
+// The streams of random draws that each call has, by purpose. An additional draw in one stream does not change the
+// draws of another.
 const (
 	drawWork  = 0
 	drawRetry = 2
@@ -42,7 +42,8 @@
 	return work / shares
 }
 
-// DrawWork returns the work of the call with this number, in µs on one core of speed 1. Equal arguments give equal work.
+// DrawWork returns the work of the call with this number, in µs on one core of speed 1. Equal arguments give equal
+// work.
 func DrawWork(sc *scenario.Scenario, seed, number uint64, class int) float64 {
 	draws := eventqueue.NewDraws(seed, number, drawWork)
 	c := &sc.Classes[class]
@@ -56,6 +57,6 @@
 	return work
 }
 
-// Lognormal converts a standard normal draw to a draw from the lognormal distribution with mean 1 and sigma as the standard
-// deviation of the logarithm.
+// Lognormal converts a standard normal draw to a draw from the lognormal distribution with mean 1 and sigma as the
+// standard deviation of the logarithm.
 func Lognormal(sigma, norm float64) float64 { return math.Exp(sigma*norm - sigma*sigma/2) }
