--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -84,7 +84,7 @@
 	s.p99Ratio = append(s.p99Ratio, round.p99/first.p99)
 }
 
-func (s *samples) standing(name string, peakMB float64) ContenderResult {
+func (s *samples) result(name string, peakMB float64) ContenderResult {
 	return ContenderResult{
 		Name:       name,
 		CPUPerCall: newSpread(s.cpu),
@@ -119,15 +119,15 @@
 			}
 		}
 	}
-	standings := make([]ContenderResult, 0, len(contenders))
+	results := make([]ContenderResult, 0, len(contenders))
 	for i, contender := range contenders {
 		peakMB, err := processPeakMemory(contender.Pid)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", contender.Name, err)
 		}
-		standings = append(standings, all[i].standing(contender.Name, peakMB))
+		results = append(results, all[i].result(contender.Name, peakMB))
 	}
-	return standings, nil
+	return results, nil
 }
 
 func allValid(round []sample) bool {
--- a/internal/load/connection.go
+++ b/internal/load/connection.go
@@ -29,8 +29,8 @@
 	request  []byte // buffer, reused
 }
 
-// assign gives the attempt a connection: one that is idle, a new one, or the next to become idle.
-func (r *runner) assign(a *attempt) {
+// assignConn gives the attempt a connection: one that is idle, a new one, or the next to become idle.
+func (r *runner) assignConn(a *attempt) {
 	idle := r.idle[a.target]
 	if last := len(idle) - 1; last >= 0 {
 		r.idle[a.target] = idle[:last]
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -107,7 +107,7 @@
 	if err := r.recorder.checkBalance(); err != nil {
 		return nil, err
 	}
-	result.fill(r, cpuAfter-cpuBefore, time.Since(r.startedAt))
+	result.computeFigures(r, cpuAfter-cpuBefore, time.Since(r.startedAt))
 	return result, nil
 }
 
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -113,9 +113,9 @@
 	servedValue   float64
 	possibleValue float64
 
-	lag            *hdrhistogram.Histogram
-	shortIntervals int // whose schedule was not kept
-	firstShort     int64
+	lag               *hdrhistogram.Histogram
+	lateIntervals     int // whose schedule was not kept
+	firstLateInterval int64
 }
 
 // A send is late beyond ten times the bound of the lag, and at least minLateSend.
@@ -181,10 +181,10 @@
 	oldest := r.intervals[0]
 	r.intervals = r.intervals[1:]
 	if missed := oldest.due - oldest.onTime; missed > max(1, oldest.due/1000) {
-		if r.shortIntervals == 0 {
-			r.firstShort = oldest.start
+		if r.lateIntervals == 0 {
+			r.firstLateInterval = oldest.start
 		}
-		r.shortIntervals++
+		r.lateIntervals++
 	}
 	if err := r.onClose(oldest); err != nil && r.closeErr == nil {
 		r.closeErr = err
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// fill works out the figures from what was recorded, and whether they are valid.
-func (res *Result) fill(r *runner, cpu, elapsed time.Duration) {
+// computeFigures works out the figures from what was recorded, and whether they are valid.
+func (res *Result) computeFigures(r *runner, cpu, elapsed time.Duration) {
 	rec, sc := r.recorder, r.plan.Scenario
 	res.Calls = rec.counted
 	res.Sent = rec.sent
@@ -148,16 +148,16 @@
 		res.Until[OutcomeNames[outcome]] = newLatency(histogram)
 	}
 	for i := range rec.classes {
-		res.Classes = append(res.Classes, rec.classes[i].part(sc.Classes[i].Name))
+		res.Classes = append(res.Classes, rec.classes[i].result(sc.Classes[i].Name))
 	}
 	for i := range rec.tenants {
-		res.Tenants = append(res.Tenants, rec.tenants[i].part(sc.Tenants[i].Name))
+		res.Tenants = append(res.Tenants, rec.tenants[i].result(sc.Tenants[i].Name))
 	}
 	lag := newLatency(rec.lag)
 	res.Lag.P50 = lag.P50
 	res.Lag.P99 = lag.P99
 	res.Lag.Max = lag.Max
-	res.Lag.SecondsShort = rec.shortIntervals
+	res.Lag.SecondsShort = rec.lateIntervals
 	res.PeakConns = r.peakConns
 	if rec.sent > 0 {
 		res.CPUPerAttempt = float64(cpu.Microseconds()) / float64(rec.sent)
@@ -166,7 +166,7 @@
 	res.Valid = len(res.Invalid) == 0
 }
 
-func (g *group) part(name string) GroupResult {
+func (g *group) result(name string) GroupResult {
 	return GroupResult{Name: name, Outcomes: g.outcomes.byName(), Latency: newLatency(g.latency)}
 }
 
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -81,7 +81,7 @@
 		}
 	}
 	defer r.close()
-	return r.play(ctx, schedule)
+	return r.runSchedule(ctx, schedule)
 }
 
 // now is the time since the start in µs.
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// play sends each call at its moment, and handles timers and events in between, until all calls have ended.
-func (r *runner) play(ctx context.Context, schedule *workload.Schedule) error {
+// runSchedule sends each call at its moment, and handles timers and events in between, until all calls have ended.
+func (r *runner) runSchedule(ctx context.Context, schedule *workload.Schedule) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	source := &callSource{schedule: schedule}
@@ -208,7 +208,7 @@
 		traceID:  r.traceID(state),
 	}
 	r.timers.add(timer{at: a.deadline, timeout: a})
-	r.assign(a)
+	r.assignConn(a)
 }
 
 // endAttempt ends an attempt: the call ends with it, or a retry is set.
--- a/internal/load/runner_test.go
+++ b/internal/load/runner_test.go
@@ -13,8 +13,8 @@
 	"tulipglade/internal/fake"
 )
 
-// quick is a run whose bounds a busy machine keeps: `tulipctl load verify` measures the narrow ones.
-const quick = `seconds = 1.0
+// quickScenario is a run whose bounds a busy machine keeps: `tulipctl load verify` measures the narrow ones.
+const quickScenario = `seconds = 1.0
 warm_up_s = 0.0
 [load]
 per_s = 200.0
@@ -24,8 +24,8 @@
 impatient = 0.0
 `
 
-// run plays a scenario against a target, and checks that each call has one outcome.
-func run(t *testing.T, text, addr string, change func(*Plan)) *Result {
+// runScenario plays a scenario against a target, and checks that each call has one outcome.
+func runScenario(t *testing.T, text, addr string, change func(*Plan)) *Result {
 	t.Helper()
 	p := Plan{Scenario: parse(t, text), Seed: 1, Targets: []string{addr}, MaxLag: time.Minute}
 	if change != nil {
@@ -65,7 +65,7 @@
 			return "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 		})
 	})
-	r := run(t, strings.Replace(quick, "retries = 0", "retries = 1\nbackoff_ms = 10.0", 1), addr, nil)
+	r := runScenario(t, strings.Replace(quickScenario, "retries = 0", "retries = 1\nbackoff_ms = 10.0", 1), addr, nil)
 	if invalid != "" {
 		t.Error("unlike PROTOCOL: ", invalid)
 	}
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	defer null.Close()
-	r := run(t, strings.Replace(quick, "seconds = 1.0", "seconds = 4.0", 1), null.Addr(), nil)
+	r := runScenario(t, strings.Replace(quickScenario, "seconds = 1.0", "seconds = 4.0", 1), null.Addr(), nil)
 	// 30% of calls are due in the stall and wait from 0 to 300 ms: by chance and by a busy machine a few more or less.
 	if r.Latency.P50 > 100 || r.Latency.P90 < 120 || r.Latency.P99 < 240 || r.Latency.P99 > 600 {
 		t.Errorf("%+v", r.Latency)
@@ -106,7 +106,7 @@
 	slow := startTarget(t, func(c net.Conn) {
 		answerAll(c, func(*http.Request, int) string { time.Sleep(50 * time.Millisecond); return okResponse })
 	})
-	r := run(t, quick, slow, func(p *Plan) { p.MaxConns, p.MaxLag = 1, time.Millisecond })
+	r := runScenario(t, quickScenario, slow, func(p *Plan) { p.MaxConns, p.MaxLag = 1, time.Millisecond })
 	if r.Valid || !strings.Contains(strings.Join(r.Invalid, "\n"), "connections:") || r.Lag.P99 < 10 {
 		t.Errorf("one connection for 5 times what it can carry: valid %v, %v, lag %+v", r.Valid, r.Invalid, r.Lag)
 	}
@@ -119,8 +119,8 @@
 		t.Fatal(err)
 	}
 	defer null.Close()
-	text := strings.Replace(strings.Replace(quick, "per_s = 200.0", "per_s = 500000.0", 1), "seconds = 1.0", "seconds = 0.3", 1)
-	r := run(t, text, null.Addr(), func(p *Plan) { p.MaxConns, p.MaxLag = 256, time.Millisecond })
+	text := strings.Replace(strings.Replace(quickScenario, "per_s = 200.0", "per_s = 500000.0", 1), "seconds = 1.0", "seconds = 0.3", 1)
+	r := runScenario(t, text, null.Addr(), func(p *Plan) { p.MaxConns, p.MaxLag = 256, time.Millisecond })
 	if r.Valid || r.Calls < 145_000 || r.Sent != r.Calls {
 		t.Errorf("valid %v: %v; %d calls, %d sent", r.Valid, r.Invalid, r.Calls, r.Sent)
 	}
@@ -132,7 +132,7 @@
 
 func TestRunRejectsTargetsOffLoopback(t *testing.T) {
 	for _, addr := range []string{"10.0.0.1:80", "192.168.1.1:80", "example.org:80", "127.0.0.1", "0.0.0.0:80", ":80"} {
-		_, err := Run(t.Context(), Plan{Scenario: parse(t, quick), Targets: []string{addr}})
+		_, err := Run(t.Context(), Plan{Scenario: parse(t, quickScenario), Targets: []string{addr}})
 		if err == nil || !strings.HasPrefix(err.Error(), "target ") {
 			t.Errorf("%s: %v", addr, err)
 		}
@@ -146,13 +146,13 @@
 	}
 	defer null.Close()
 	var recorded, replayed bytes.Buffer
-	original := run(t, quick, null.Addr(), func(p *Plan) { p.TraceWriter = &recorded })
+	original := runScenario(t, quickScenario, null.Addr(), func(p *Plan) { p.TraceWriter = &recorded })
 	path := t.TempDir() + "/trace"
 	if err := os.WriteFile(path, recorded.Bytes(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	text := strings.Replace(quick, "per_s = 200.0", "shape = 'trace'\ntrace = '"+path+"'", 1)
-	replay := run(t, text, null.Addr(), func(p *Plan) { p.TraceWriter = &replayed })
+	text := strings.Replace(quickScenario, "per_s = 200.0", "shape = 'trace'\ntrace = '"+path+"'", 1)
+	replay := runScenario(t, text, null.Addr(), func(p *Plan) { p.TraceWriter = &replayed })
 	if original.Calls != replay.Calls || recorded.String() != replayed.String() {
 		t.Errorf("%d calls, %d when replayed; the same lines: %v", original.Calls, replay.Calls, recorded.String() == replayed.String())
 	}
--- a/internal/load/search.go
+++ b/internal/load/search.go
@@ -62,11 +62,11 @@
 	}
 	f.result.Low, f.result.High = f.low, f.high
 	if f.low > 0 {
-		kept, runs := f.count(f.low)
+		kept, runs := f.countRuns(f.low)
 		f.result.LowConfidence = fmt.Sprintf("%d of %d runs", kept, runs)
 	}
 	if f.high > 0 {
-		kept, runs := f.count(f.high)
+		kept, runs := f.countRuns(f.high)
 		f.result.HighConfidence = fmt.Sprintf("%d of %d runs", runs-kept, runs)
 	}
 	return f.result, nil
@@ -140,7 +140,7 @@
 		if err != nil || !confirmed {
 			return err
 		}
-		kept, runs := f.count(f.low)
+		kept, runs := f.countRuns(f.low)
 		if 2*kept >= runs {
 			return nil
 		}
@@ -156,7 +156,7 @@
 		if err != nil || !confirmed {
 			return err
 		}
-		kept, runs := f.count(f.high)
+		kept, runs := f.countRuns(f.high)
 		if 2*kept <= runs || f.high >= f.MaxRate {
 			return nil
 		}
@@ -168,7 +168,7 @@
 // confirm runs a rate until it has as many valid runs as the search asks for. It returns false after an invalid one.
 func (f *searcher) confirm(ctx context.Context, perS float64) (bool, error) {
 	for {
-		if _, runs := f.count(perS); runs >= f.Confirmations {
+		if _, runs := f.countRuns(perS); runs >= f.Confirmations {
 			return true, nil
 		}
 		step, err := f.step(ctx, perS)
@@ -178,8 +178,8 @@
 	}
 }
 
-// count returns how many valid runs a rate has had, and how many of them kept the objective.
-func (f *searcher) count(perS float64) (kept, runs int) {
+// countRuns returns how many valid runs a rate has had, and how many of them kept the objective.
+func (f *searcher) countRuns(perS float64) (kept, runs int) {
 	for _, step := range f.result.Steps {
 		if step.PerS != perS || step.Invalid != "" {
 			continue
--- a/internal/load/targets_test.go
+++ b/internal/load/targets_test.go
@@ -133,7 +133,7 @@
 		"closes between requests": {answerOnce, "served"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			wantAll(t, run(t, quick, startTarget(t, target.serve), nil), target.outcome)
+			wantAll(t, runScenario(t, quickScenario, startTarget(t, target.serve), nil), target.outcome)
 		})
 	}
 	t.Run("is not there", func(t *testing.T) {
@@ -141,12 +141,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		wantAll(t, run(t, quick, addrs[0], nil), "unreachable")
+		wantAll(t, runScenario(t, quickScenario, addrs[0], nil), "unreachable")
 	})
 	t.Run("stops answering during the run", func(t *testing.T) {
 		var stopped atomic.Bool
 		time.AfterFunc(500*time.Millisecond, func() { stopped.Store(true) })
-		r := run(t, quick, startTarget(t, func(conn net.Conn) {
+		r := runScenario(t, quickScenario, startTarget(t, func(conn net.Conn) {
 			answerAll(conn, func(*http.Request, int) string {
 				if stopped.Load() {
 					return ""
--- a/internal/load/validity.go
+++ b/internal/load/validity.go
@@ -32,9 +32,9 @@
 	if lag.P99 > lag.BoundMs {
 		reasons = append(reasons, fmt.Sprintf("requests were sent %.3f ms late at p99, over the bound of %.3f ms", lag.P99, lag.BoundMs))
 	}
-	if rec.shortIntervals > 0 {
+	if rec.lateIntervals > 0 {
 		reasons = append(reasons, fmt.Sprintf("in %d seconds, the first at %d s, over 0.1%% of the schedule went out more than %.0f ms late",
-			rec.shortIntervals, rec.firstShort, millis(rec.lateSend)))
+			rec.lateIntervals, rec.firstLateInterval, millis(rec.lateSend)))
 	}
 	return reasons
 }
--- a/internal/load/validity_test.go
+++ b/internal/load/validity_test.go
@@ -24,10 +24,10 @@
 	rec.closeAll()
 	res := &Result{Lag: LagReport{BoundMs: 1}}
 	r := &runner{plan: Plan{Scenario: parse(t, noRetries)}, recorder: rec}
-	res.fill(r, time.Second, 10*time.Second)
-	if res.Valid || rec.shortIntervals != 1 || rec.firstShort != 3 || len(res.Invalid) < 2 ||
+	res.computeFigures(r, time.Second, 10*time.Second)
+	if res.Valid || rec.lateIntervals != 1 || rec.firstLateInterval != 3 || len(res.Invalid) < 2 ||
 		!strings.Contains(res.Invalid[0], "in 1 seconds, the first at 3 s") {
-		t.Errorf("valid %v, %d short seconds: %v", res.Valid, rec.shortIntervals, res.Invalid)
+		t.Errorf("valid %v, %d short seconds: %v", res.Valid, rec.lateIntervals, res.Invalid)
 	}
 	if res.Lag.P99 > 1 {
 		t.Errorf("lag p99 %.3f ms: the run as a whole must be within the bound", res.Lag.P99)
@@ -52,7 +52,7 @@
 		r := &runner{plan: Plan{Scenario: parse(t, noRetries)}, recorder: rec}
 		c.change(r)
 		res := &Result{Lag: LagReport{BoundMs: 1}}
-		res.fill(r, c.cpu, time.Second)
+		res.computeFigures(r, c.cpu, time.Second)
 		if res.Valid || !strings.Contains(strings.Join(res.Invalid, "\n"), c.want) {
 			t.Errorf("%s: valid %v: %q", name, res.Valid, res.Invalid)
 		}
