--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Contender is a target to be compared, and the process that serves it; 0: not known.
+// Contender is a target to be compared. Pid is the process that serves it; 0: the process is not known.
 type Contender struct {
 	Name string
 	Addr string
 	Pid  int
 }
 
-// ContenderResult is how one contender did, over the rounds: medians, with the least and the most.
+// ContenderResult summarizes the valid rounds of one contender: medians, with minimum and maximum.
 type ContenderResult struct {
 	Name       string  `json:"name"`
-	CPUPerCall Spread  `json:"cpu_us_per_call"` // of its process
+	CPUPerCall Spread  `json:"cpu_us_per_call"` // of the contender's process
 	P50        Spread  `json:"p50_ms"`
 	P99        Spread  `json:"p99_ms"`
 	NotServed  Spread  `json:"not_served"`
 	PeakMB     float64 `json:"peak_mb"`
-	// The ratios to the first contender, round by round.
+	// The ratios to the first contender's figures in the same round, of rounds in which all contenders are valid.
 	CPURatio Spread `json:"cpu_ratio"`
 	P99Ratio Spread `json:"p99_ratio"`
-	Invalid  int    `json:"invalid_rounds"` // left out of all figures
+	Invalid  int    `json:"invalid_rounds"` // number of rounds that are left out of all figures
 }
 
-// Spread is a median, and what it lies between.
+// Spread is the median of some values, with the minimum and the maximum.
 type Spread struct {
 	Median float64 `json:"median"`
 	Min    float64 `json:"min"`
@@ -48,16 +48,16 @@
 	return Spread{Median: median, Min: sorted[0], Max: sorted[len(sorted)-1]}
 }
 
-// sample is what one contender did in one round.
+// sample holds the figures of one contender in one round.
 type sample struct {
 	valid     bool
-	cpu       float64 // µs a call
+	cpu       float64 // processor time, µs per call
 	p50       float64
 	p99       float64
 	notServed float64
 }
 
-// samples are what one contender did in its valid rounds.
+// samples holds the figures of one contender in its valid rounds, in order.
 type samples struct {
 	cpu       []float64
 	p50       []float64
@@ -98,11 +98,11 @@
 	}
 }
 
-// runTarget runs the schedule against one target.
+// runTarget runs the schedule against the target at an address.
 type runTarget func(ctx context.Context, addr string) (*Result, error)
 
-// Compare runs the same schedule against each contender in turn, round after round, so that what the machine does
-// meanwhile hits all alike.
+// Compare runs the same schedule against each contender in turn, round after round, so that other load on the machine
+// affects all contenders alike.
 func Compare(
 	ctx context.Context, contenders []Contender, rounds int, run func(ctx context.Context, addr string) (*Result, error),
 ) ([]ContenderResult, error) {
@@ -134,7 +134,7 @@
 	return !slices.ContainsFunc(round, func(s sample) bool { return !s.valid })
 }
 
-// compareRound runs each contender once.
+// compareRound runs the schedule against each contender once.
 func compareRound(ctx context.Context, contenders []Contender, run runTarget) ([]sample, error) {
 	var round []sample
 	for _, contender := range contenders {
@@ -147,7 +147,7 @@
 	return round, nil
 }
 
-// measure runs a contender once and takes the processor time of its process.
+// measure runs the schedule against a contender once, and measures the processor time that its process uses.
 func measure(ctx context.Context, contender Contender, run runTarget) (sample, error) {
 	before, err := processCPU(contender.Pid)
 	if err != nil {
--- a/internal/load/compare_test.go
+++ b/internal/load/compare_test.go
@@ -33,6 +33,6 @@
 		t.Errorf("%+v", spread)
 	}
 	if cpu, err := processCPU(1 << 30); err == nil {
-		t.Errorf("a process that is not there used %v", cpu)
+		t.Errorf("a process that does not exist used %v", cpu)
 	}
 }
--- a/internal/load/connection.go
+++ b/internal/load/connection.go
@@ -14,22 +14,23 @@
 const (
 	initialReadBuffer = 4096
 	readBufferGrowth  = 4
-	// maxRetryAfter is the longest Retry-After that is believed, in seconds.
+	// maxRetryAfter is the longest Retry-After that is accepted, in seconds; longer ones are ignored.
 	maxRetryAfter = 1e6
 )
 
-// connection is one connection to a target. All but its reader belongs to the scheduler.
+// connection is one connection to a target. The scheduler's goroutine owns its fields; only read runs on another one.
 type connection struct {
 	runner   *runner
 	conn     net.Conn
 	target   int
-	requests int // sent on it
+	requests int // number of requests sent on it
 	current  *attempt
 	closed   bool
-	request  []byte // buffer, reused
+	request  []byte // buffer for the bytes of a request, reused
 }
 
-// assignConn gives the attempt a connection: one that is idle, a new one, or the next to become idle.
+// assignConn sends the attempt on an idle connection or, if there is none, on a new one. If the bound on connections
+// has been reached, the attempt waits for the next connection to become free.
 func (r *runner) assignConn(a *attempt) {
 	idle := r.idle[a.target]
 	if last := len(idle) - 1; last >= 0 {
@@ -54,7 +55,8 @@
 	r.peakConns = max(r.peakConns, r.connCount)
 }
 
-// nextWaiting removes and returns the first attempt that still waits for a connection to the target; nil: there is none.
+// nextWaiting removes and returns the first attempt that still waits for a connection to the target. It returns nil if
+// there is none.
 func (r *runner) nextWaiting(target int) *attempt {
 	for len(r.waiting[target]) > 0 {
 		a := r.waiting[target][0]
@@ -66,30 +68,31 @@
 	return nil
 }
 
-// dial opens a connection for the attempt, which is sent on it.
+// dial opens a connection for the attempt on a goroutine of its own. The scheduler then sends the attempt on it.
 func (r *runner) dial(a *attempt) {
 	timeout := time.Duration(max(a.deadline-r.now(), 1)) * time.Microsecond
 	r.wg.Go(func() {
 		conn, err := net.DialTimeout("tcp4", r.plan.Targets[a.target], timeout)
 		taken := r.post(dialEnded{at: r.now(), attempt: a, conn: conn, err: err})
 		if !taken && conn != nil {
-			_ = conn.Close() // it was never used
+			_ = conn.Close() // the run has ended, so the connection is not used
 		}
 	})
 }
 
-// send writes the request. It is small and alone on its connection, so the system takes it at once.
+// send writes the request of the attempt. The request is small and the only one in flight on its connection, so it fits
+// into the socket's send buffer and the write does not block.
 func (r *runner) send(c *connection, a *attempt) {
 	c.current = a
 	a.conn = c
 	c.requests++
 	c.request = r.appendRequest(c.request[:0], a)
 	if _, err := c.conn.Write(c.request); err != nil {
-		_ = c.conn.Close() // the reader sees the end and posts it
+		_ = c.conn.Close() // the reader detects that and posts connBroken
 	}
 }
 
-// reuse makes a connection ready for the next attempt, or gives it to one that waits.
+// reuse sends the next waiting attempt on a connection that has become free, or adds the connection to the idle ones.
 func (r *runner) reuse(c *connection) {
 	c.current = nil
 	if a := r.nextWaiting(c.target); a != nil {
@@ -100,14 +103,14 @@
 	r.idle[c.target] = append(r.idle[c.target], c)
 }
 
-// closeConn closes a connection, and lets an attempt that waits dial in its place.
+// closeConn closes a connection, and dials a new one in its place if an attempt waits for a connection to the target.
 func (r *runner) closeConn(c *connection) {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	c.current = nil
-	_ = c.conn.Close() // nothing more is expected of it
+	_ = c.conn.Close() // the connection is not used any more
 	delete(r.open, c)
 	r.connCount--
 	r.removeIdle(c)
@@ -128,17 +131,17 @@
 	}
 }
 
-// close ends all connections, and waits for their goroutines.
+// close closes all connections, and waits for their goroutines and for dials.
 func (r *runner) close() {
 	close(r.done)
 	for c := range r.open {
-		_ = c.conn.Close() // nothing more is expected of it
+		_ = c.conn.Close() // the connection is not used any more
 	}
 	r.wg.Wait()
 	for {
 		select {
 		case e := <-r.events:
-			if dial, ok := e.(dialEnded); ok && dial.conn != nil { // established in the last moment
+			if dial, ok := e.(dialEnded); ok && dial.conn != nil { // established as the run ended
 				_ = dial.conn.Close()
 			}
 		default:
@@ -147,7 +150,7 @@
 	}
 }
 
-// read receives the responses of one connection, on a goroutine of its own.
+// read receives the responses on the connection and posts them to the scheduler. It runs on a goroutine of its own.
 func (c *connection) read() {
 	r := c.runner
 	buf := make([]byte, 0, initialReadBuffer)
@@ -180,7 +183,8 @@
 	}
 }
 
-// newResponse is the event of a complete response. Bytes behind it belong to no request: the connection is not reused.
+// newResponse returns the event of a complete response. If further bytes follow the response, the connection is not
+// reused, because they belong to no request.
 func newResponse(c *connection, at int64, message *protocol.Message, buf []byte) responseReceived {
 	response := responseReceived{
 		at:        at,
@@ -198,7 +202,8 @@
 	return response
 }
 
-// parseRetryAfter returns a wait in µs; 0: none is given, or it is no number of seconds.
+// parseRetryAfter returns the value of a Retry-After header in µs. It returns 0 if there is none, or if the value is
+// not a positive number of seconds below maxRetryAfter.
 func parseRetryAfter(value []byte) int64 {
 	seconds, err := strconv.ParseFloat(string(bytes.TrimSpace(value)), 64)
 	if err == nil && seconds > 0 && seconds < maxRetryAfter {
--- a/internal/load/events.go
+++ b/internal/load/events.go
@@ -8,7 +8,8 @@
 	"tulipglade/internal/workload"
 )
 
-// event is posted by the goroutine of a connection or of a dial, and applied by the scheduler.
+// event is an event on a connection. The goroutine of the connection or of a dial posts it, and the scheduler applies
+// it.
 type event interface {
 	apply(r *runner)
 }
@@ -23,7 +24,7 @@
 	}
 }
 
-// dialEnded is the end of a dial for an attempt.
+// dialEnded is the result of a dial for an attempt: a connection or an error.
 type dialEnded struct {
 	at      int64
 	attempt *attempt
@@ -53,17 +54,18 @@
 	r.send(c, a)
 }
 
-// isDescriptorError reports whether a dial failed for want of descriptors or local ports.
+// isDescriptorError reports whether a dial failed because the process ran out of descriptors or the system out of local
+// ports.
 func isDescriptorError(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
-// responseReceived is a complete response on a connection.
+// responseReceived is the arrival of a complete response on a connection.
 type responseReceived struct {
 	at         int64
 	conn       *connection
 	answer     workload.Answer
-	retryAfter int64 // µs; 0: none was given
+	retryAfter int64 // µs; 0: the response has no valid Retry-After
 	keepAlive  bool
 }
 
@@ -72,7 +74,7 @@
 	if c.closed {
 		return
 	}
-	if c.current == nil { // a response to no request
+	if c.current == nil { // the response belongs to no request
 		r.closeConn(c)
 		return
 	}
@@ -86,15 +88,16 @@
 	}
 }
 
-// connBroken is the end of a connection, or a response that is not HTTP.
+// connBroken is the end of a connection, or the arrival of bytes that are not an HTTP response.
 type connBroken struct {
 	at       int64
 	conn     *connection
-	received bool // part of a response had come
+	received bool // part of a response had been received
 }
 
-// apply ends the attempt on the connection. A reused connection that ends before any part of the response has come may
-// have been closed as the request was sent: the client then sends it once more on a new connection.
+// apply ends the attempt on the connection. If a reused connection ends before any part of the response has arrived,
+// the target may have closed it while the request was being sent: the client then sends the request once more on a new
+// connection.
 func (e connBroken) apply(r *runner) {
 	c := e.conn
 	if c.closed {
--- a/internal/load/intervallog.go
+++ b/internal/load/intervallog.go
@@ -10,8 +10,8 @@
 
 const millisPerSecond = 1000
 
-// IntervalLog writes one histogram a second in HdrHistogram's log form (version 1.3), by the second in which calls were
-// due, of calls that were served.
+// IntervalLog writes one latency histogram for each second in HdrHistogram's log format (version 1.3). The histogram of
+// a second contains the served calls, late ones included, that were due in that second.
 type IntervalLog struct {
 	writer    *hdrhistogram.HistogramLogWriter
 	startedAt time.Time
@@ -22,7 +22,7 @@
 	return &IntervalLog{writer: hdrhistogram.NewHistogramLogWriter(w)}
 }
 
-// begin writes the head of the log.
+// begin writes the header of the log.
 func (l *IntervalLog) begin(start time.Time) error {
 	l.startedAt = start
 	if err := l.writer.OutputLogFormatVersion(); err != nil {
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -17,34 +17,37 @@
 	"tulipglade/internal/workload"
 )
 
-// Plan is one run.
+// Plan configures a run of the load generator.
 type Plan struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
-	// Targets are where clients connect, by site; where there are fewer than sites, sites share them in turn.
+	// Targets are the addresses to which the clients of each site connect. If there are fewer targets than sites, the
+	// sites are assigned to them round robin.
 	Targets []string
-	// MaxConns bounds the connections, all targets together.
+	// MaxConns bounds the number of connections to all targets together; 0: DefaultMaxConns.
 	MaxConns int
-	// MaxLag bounds the p99 of the time from when an attempt was due to its sending; beyond it the run is invalid.
+	// MaxLag bounds the p99 of the lag, which is the time from when an attempt was due until it is sent. A run that
+	// exceeds it is invalid. 0: DefaultMaxLag.
 	MaxLag time.Duration
-	// Capacity is what the fleet behind the target can do, in µs of work for each µs, where the load is a level of it.
+	// Capacity is the work in µs that the fleet behind the targets can do in each µs. It sets the rate if the scenario
+	// states the load as a level of the capacity.
 	Capacity float64
-	Faults   []faultinject.Fault // of which the surges are the clients'
-	// OnSecond is called with every second once all its calls have ended.
+	Faults   []faultinject.Fault // only surges have an effect on the load
+	// OnSecond is called with the figures of each second once all calls that were due in it have ended, if it is set.
 	OnSecond func(Second)
-	// Intervals receives the HDR histogram of each second, if it is set.
+	// Intervals receives the latency histogram of each second, if it is set.
 	Intervals *IntervalLog
-	// TraceWriter receives every call as it falls due, as a line of a trace, if it is set.
+	// TraceWriter receives each call as a line of a trace when the call is due, if it is set.
 	TraceWriter io.Writer
 }
 
-// DefaultMaxConns and DefaultMaxLag are used where a Plan leaves them 0.
+// DefaultMaxConns and DefaultMaxLag replace fields of a Plan that are 0.
 const (
 	DefaultMaxConns = 4096
 	DefaultMaxLag   = time.Millisecond
 )
 
-// spareDescriptors are those that a run needs beside its connections.
+// spareDescriptors is the number of descriptors that a run needs in addition to those of its connections.
 const spareDescriptors = 64
 
 var errNoTarget = errors.New("target: none is given")
@@ -70,7 +73,7 @@
 	return nil
 }
 
-// Run plays the plan to its end: until every call that was due has ended, or ctx does.
+// Run runs the plan until every call that was due has ended, or until ctx is canceled.
 func Run(ctx context.Context, p Plan) (*Result, error) {
 	p.applyDefaults()
 	if err := p.check(); err != nil {
@@ -86,8 +89,9 @@
 	if err != nil {
 		return nil, err
 	}
-	// With one processor of the runtime, readers would wait while the scheduler sleeps in the kernel: on one core,
-	// 14,000 a second went out 1.5 ms late at p99, and 20,000 went out 0.2 ms late with two.
+	// With GOMAXPROCS=1, the goroutines that read from connections would wait while the scheduler sleeps in the kernel.
+	// On one core, 14,000 requests a second were sent 1.5 ms late at p99 with GOMAXPROCS=1, and 20,000 were sent 0.2 ms
+	// late with GOMAXPROCS=2.
 	if processors := runtime.GOMAXPROCS(0); processors < 2 {
 		runtime.GOMAXPROCS(2)
 		defer runtime.GOMAXPROCS(processors)
@@ -111,22 +115,22 @@
 	return result, nil
 }
 
-// growDescriptorTable makes the system's table of descriptors large enough for so many at once, while nothing is due. It
-// grows by doubling, and each time all threads of the process wait some 10 ms for it: measured as lag at the 128th and
-// the 256th connection.
+// growDescriptorTable makes the kernel's descriptor table of this process large enough for count descriptors, before
+// any call is due. The kernel would otherwise double the table during the run, and all threads of the process wait some
+// 10 ms each time: this was measured as lag at the 128th and the 256th connection.
 func growDescriptorTable(count int) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
-		return // it grows during the run, then
+		return // the table then grows during the run
 	}
 	fd, err := unix.FcntlInt(0, unix.F_DUPFD_CLOEXEC, int(min(uint64(count), limit.Cur-1)))
 	if err != nil {
 		return
 	}
-	_ = unix.Close(fd) // the descriptor has served its purpose
+	_ = unix.Close(fd) // the table keeps its size
 }
 
-// processorTime is what this process has used so far.
+// processorTime returns the processor time that this process has used so far.
 func processorTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/load/procfs.go
+++ b/internal/load/procfs.go
@@ -12,7 +12,8 @@
 // clockTicks is the unit of processor time in /proc: Linux reports it in 1/100 s on all machines.
 const clockTicks = 100
 
-// The fields of /proc/PID/stat behind the command's name, from 0: utime and stime are fields 14 and 15 of proc(5).
+// The indexes of fields of /proc/PID/stat, counted from 0 after the command's name: utime and stime, which are fields
+// 14 and 15 in proc(5).
 const (
 	userTimeField   = 11
 	systemTimeField = 12
@@ -20,7 +21,7 @@
 
 const kilobytesPerMegabyte = 1024
 
-// processCPU is the processor time that a process has used, with all its threads; 0 for the PID 0.
+// processCPU returns the processor time that all threads of a process have used, or 0 for PID 0.
 func processCPU(pid int) (time.Duration, error) {
 	if pid == 0 {
 		return 0, nil
@@ -29,10 +30,10 @@
 	if err != nil {
 		return 0, err
 	}
-	// The command's name, in brackets, may hold spaces.
+	// The command's name, in parentheses, may contain spaces, so the fields are counted from the last parenthesis.
 	fields := strings.Fields(string(raw[strings.LastIndexByte(string(raw), ')')+1:]))
 	if len(fields) <= systemTimeField {
-		return 0, fmt.Errorf("/proc/%d/stat: %d fields", pid, len(fields))
+		return 0, fmt.Errorf("/proc/%d/stat: %d fields after the command's name, too few", pid, len(fields))
 	}
 	user, userErr := strconv.ParseInt(fields[userTimeField], 10, 64)
 	system, systemErr := strconv.ParseInt(fields[systemTimeField], 10, 64)
@@ -42,7 +43,7 @@
 	return time.Duration(user+system) * time.Second / clockTicks, nil
 }
 
-// processPeakMemory is the most memory that a process has held, in MB; 0 for the PID 0.
+// processPeakMemory returns the peak resident memory of a process in MB, or 0 for PID 0.
 func processPeakMemory(pid int) (float64, error) {
 	if pid == 0 {
 		return 0, nil
@@ -57,5 +58,5 @@
 			return kb / kilobytesPerMegabyte, err
 		}
 	}
-	return 0, fmt.Errorf("/proc/%d/status: no VmHWM", pid)
+	return 0, fmt.Errorf("/proc/%d/status: no line VmHWM", pid)
 }
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -1,6 +1,6 @@
-// Package load is an open-loop load generator: it calls a running target by a schedule that does not wait for responses,
-// and measures latency from the moment at which each call was due. Where it could not keep its own schedule it reports
-// that, and its figures are invalid.
+// Package load is an open-loop load generator: it sends calls to running targets by a schedule that does not wait for
+// responses, and measures latency from the time at which each call was due. If the generator could not keep its
+// schedule, it reports why and marks the figures as invalid.
 package load
 
 import (
@@ -13,10 +13,10 @@
 	"tulipglade/internal/workload"
 )
 
-// Outcome is how a call ended, its retries included.
+// Outcome is the final result of a call, after its retries.
 type Outcome uint8
 
-// The outcomes. Late is served after the class's latency objective.
+// The possible outcomes. Late means that the call was served, but later than the class's latency objective.
 const (
 	Served Outcome = iota
 	Late
@@ -27,13 +27,13 @@
 	outcomeCount
 )
 
-// OutcomeNames are the outcomes' names in results, in order.
+// OutcomeNames are the names of the outcomes in results, by Outcome.
 var OutcomeNames = [outcomeCount]string{"served", "late", "refused", "failed", "timed-out", "unreachable"}
 
-// answered reports whether a call was served, late or not: its latency counts.
+// answered reports whether the call was served, on time or late. Only the latencies of such calls are summarized.
 func (o Outcome) answered() bool { return o == Served || o == Late }
 
-// outcomeOf is the outcome of a call that ended with this answer, as long as it is not late.
+// outcomeOf returns the outcome of a call whose last attempt had this answer. It does not distinguish Late from Served.
 func outcomeOf(answer workload.Answer) Outcome {
 	return [...]Outcome{
 		workload.Served:      Served,
@@ -44,7 +44,7 @@
 	}[answer]
 }
 
-// outcomeCounts are numbers of calls by outcome.
+// outcomeCounts holds the number of calls by outcome.
 type outcomeCounts [outcomeCount]int64
 
 const (
@@ -58,52 +58,53 @@
 	return hdrhistogram.New(1, maxLatencyMicros, histogramDigits)
 }
 
-// recordLatency records a time in µs. What is longer than the histogram can hold is recorded as its bound, so the only
-// error, that of a value out of range, cannot come.
+// recordLatency records a time in µs, limited to the range of the histogram. RecordValue has no error other than that
+// of a value out of range, so its error is ignored.
 func recordLatency(histogram *hdrhistogram.Histogram, micros int64) {
 	_ = histogram.RecordValue(min(max(micros, 1), maxLatencyMicros))
 }
 
-// callState is one call and its progress.
+// callState is one call, with the number of its attempts and whether it has ended.
 type callState struct {
 	call     workload.Call
 	attempts int
 	ended    bool
 }
 
-// interval is what was due within one second.
+// interval holds the figures of the calls that were due within one second.
 type interval struct {
-	start    int64 // s
+	start    int64 // s since the start of the run
 	due      int64
-	onTime   int64 // whose first attempt was sent in time
+	onTime   int64 // number of calls whose first attempt was sent on time
 	ended    int64
 	outcomes outcomeCounts
 	latency  *hdrhistogram.Histogram // of served and late calls
 }
 
-// group is a class or a tenant.
+// group holds the figures of a class or a tenant.
 type group struct {
 	outcomes outcomeCounts
 	latency  *hdrhistogram.Histogram
 }
 
-// recorder counts what becomes of the calls of a run. It does no I/O and reads no clock; all times are µs since the start.
-// Each call that was due ends with exactly one outcome. Its memory is bounded by the calls in flight and a few seconds.
+// recorder counts the calls, attempts and outcomes of a run. It does no I/O and reads no clock; all times are µs since
+// the start. Each call that was due ends with exactly one outcome. The memory of a recorder is bounded by the calls in
+// flight and the intervals of a few seconds.
 type recorder struct {
 	scenario  *scenario.Scenario
 	retry     *workload.RetryPolicy
-	lateSend  int64 // lag in µs beyond which a send does not count as in time
+	lateSend  int64 // lag in µs beyond which a send counts as late
 	warmUp    int64
-	onClose   func(*interval) error // called once for each interval, in order
+	onClose   func(*interval) error // called once for each interval when it is closed, in order
 	closeErr  error                 // the first error of onClose
-	intervals []*interval           // with calls that may still be in flight, the oldest first
+	intervals []*interval           // intervals that are not closed, the oldest first
 
 	due      int64
 	sent     int64
 	retries  int64
 	inFlight int64
 
-	// Of the calls that were due after the warm-up.
+	// Figures of the calls that were due after the warm-up.
 	counted       int64
 	outcomes      outcomeCounts
 	classes       []group
@@ -114,11 +115,11 @@
 	possibleValue float64
 
 	lag               *hdrhistogram.Histogram
-	lateIntervals     int // whose schedule was not kept
+	lateIntervals     int // number of intervals in which too many calls were sent late
 	firstLateInterval int64
 }
 
-// A send is late beyond ten times the bound of the lag, and at least minLateSend.
+// A send is late if its lag exceeds both lateSendFactor times the plan's bound and minLateSend.
 const (
 	lateSendFactor = 10
 	minLateSend    = 10_000 // µs
@@ -159,7 +160,7 @@
 	return added
 }
 
-// closeEnded closes the intervals that are over and of which all calls have ended.
+// closeEnded closes the oldest intervals, as long as their second is over and all their calls have ended.
 func (r *recorder) closeEnded(now int64) {
 	for len(r.intervals) > 0 {
 		oldest := r.intervals[0]
@@ -170,7 +171,7 @@
 	}
 }
 
-// closeAll closes all intervals, at the end of the run.
+// closeAll closes all remaining intervals at the end of the run.
 func (r *recorder) closeAll() {
 	for len(r.intervals) > 0 {
 		r.closeOldest()
@@ -191,7 +192,7 @@
 	}
 }
 
-// recordDue counts a call whose moment has come.
+// recordDue counts a call that is due, and returns its state.
 func (r *recorder) recordDue(call workload.Call) *callState {
 	r.due++
 	r.inFlight++
@@ -203,7 +204,7 @@
 	return &callState{call: call}
 }
 
-// recordSend counts an attempt that was due at one moment and is sent at another.
+// recordSend counts an attempt that was due at one time and is sent at now, and records the lag between them.
 func (r *recorder) recordSend(state *callState, due, now int64) {
 	lag := max(now-due, 0)
 	recordLatency(r.lag, lag)
@@ -219,8 +220,8 @@
 	}
 }
 
-// recordAnswer counts the end of an attempt. It reports whether the client retries, and after how long; if not, the call
-// has ended.
+// recordAnswer records the answer to an attempt. It reports whether the client retries, and how long it waits before
+// that; if the client does not retry, the call has ended.
 func (r *recorder) recordAnswer(state *callState, answer workload.Answer, now, retryAfter int64) (wait int64, retry bool) {
 	if state.ended {
 		return 0, false
@@ -233,7 +234,7 @@
 	return 0, false
 }
 
-// recordEnd counts the outcome of a call.
+// recordEnd ends a call, and counts its outcome.
 func (r *recorder) recordEnd(state *callState, answer workload.Answer, now int64) {
 	call := &state.call
 	class := &r.scenario.Classes[call.Class]
@@ -273,14 +274,15 @@
 	}
 }
 
-// checkBalance returns an error if a call has not ended with exactly one outcome, at the end of the run.
+// checkBalance returns an error if, at the end of the run, any call has not ended with exactly one outcome.
 func (r *recorder) checkBalance() error {
 	ended := int64(0)
 	for _, count := range r.outcomes {
 		ended += count
 	}
 	if r.inFlight != 0 || ended != r.counted {
-		return fmt.Errorf("accounts: %d calls due after the warm-up, %d ended, %d open", r.counted, ended, r.inFlight)
+		return fmt.Errorf("calls and outcomes do not balance: %d calls due after the warm-up, %d ended, %d in flight",
+			r.counted, ended, r.inFlight)
 	}
 	return nil
 }
--- a/internal/load/recorder_test.go
+++ b/internal/load/recorder_test.go
@@ -11,7 +11,8 @@
 	"tulipglade/internal/workload"
 )
 
-// TestMain draws cases from one seed, so that all runs have the same verdict. Others: go test -args -rapid.seed N.
+// TestMain sets a fixed seed for rapid, so that all runs check the same cases. To check others, run
+// go test -args -rapid.seed N.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -39,7 +40,7 @@
 heed = 0.0
 `
 
-// newTestRecorder returns a recorder with a bound of 1 ms, and the intervals that it has closed.
+// newTestRecorder returns a recorder with a lag bound of 1 ms, and the slice to which it appends closed intervals.
 func newTestRecorder(tb testing.TB, text string) (*recorder, *[]interval) {
 	tb.Helper()
 	var closed []interval
@@ -50,7 +51,8 @@
 	return rec, &closed
 }
 
-// A retry that succeeds makes one served call, whose latency counts from when the first attempt was due.
+// A call that is served by a retry must count as one served call, and its latency must include the first attempt and
+// the backoff: it is measured from when the first attempt was due.
 func TestRetriesCountAsOneCall(t *testing.T) {
 	rec, _ := newTestRecorder(t, twoRetries)
 	call := rec.recordDue(workload.Call{Due: 1_000_000})
@@ -61,7 +63,7 @@
 	}
 	rec.recordSend(call, 1_150_000, 1_150_000)
 	if _, retry := rec.recordAnswer(call, workload.Served, 1_400_000, 0); retry {
-		t.Fatal("a call that was served is retried")
+		t.Fatal("a served call is retried")
 	}
 	if rec.due != 1 || rec.sent != 2 || rec.retries != 1 || rec.outcomes != (outcomeCounts{Served: 1}) || rec.inFlight != 0 {
 		t.Errorf("due %d, sent %d, retries %d, %v, in flight %d", rec.due, rec.sent, rec.retries, rec.outcomes, rec.inFlight)
@@ -73,7 +75,7 @@
 		t.Error(err)
 	}
 	if _, retry := rec.recordAnswer(call, workload.Failed, 1_500_000, 0); retry || rec.outcomes[Failed] != 0 {
-		t.Error("a late answer of an attempt changes how the call ended")
+		t.Error("an answer after the end of a call changes its outcome")
 	}
 }
 
@@ -89,8 +91,8 @@
 	}
 }
 
-// Whatever answers come, in whatever order: every call that was due ends with one outcome, intervals are closed once and
-// in order, and what is retained does not grow with the length of the run.
+// For any answers in any order, every call that was due must end with exactly one outcome, intervals must be closed
+// once and in order, and the number of retained intervals must not grow with the length of the run.
 func TestEveryCallEndsWithOneOutcome(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rec, closed := newTestRecorder(t, twoRetries)
@@ -141,7 +143,7 @@
 	})
 }
 
-// The check of the balance must be able to fail.
+// checkBalance must return an error for a call that never ends, or it would not detect calls lost by the recorder.
 func TestCheckBalanceReportsALostCall(t *testing.T) {
 	rec, _ := newTestRecorder(t, noRetries)
 	rec.recordDue(workload.Call{})
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -10,10 +10,10 @@
 	"tulipglade/internal/workload"
 )
 
-// maxTraceIDInput is more than the length of what a trace ID is the hash of.
+// maxTraceIDInput is the capacity of the buffer for the hash input of a trace ID, which is shorter.
 const maxTraceIDInput = 64
 
-// traceID is new for each attempt.
+// traceID returns the ID of the call's next attempt. It differs for each attempt, and between runs.
 func (r *runner) traceID(state *callState) string {
 	input := make([]byte, 0, maxTraceIDInput)
 	input = append(input, byte(state.attempts))
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64(input))
 }
 
-// appendRequest appends an attempt in the form that PROTOCOL gives it.
+// appendRequest appends the request of an attempt, in the form that PROTOCOL defines.
 func (r *runner) appendRequest(dst []byte, a *attempt) []byte {
 	sc := r.plan.Scenario
 	call := &a.state.call
@@ -59,7 +59,7 @@
 	return append(dst, "\r\n\r\n"...)
 }
 
-// appendHeader ends the line before and appends a header.
+// appendHeader ends the previous line and appends a header without a line end.
 func appendHeader(dst []byte, name, value string) []byte {
 	dst = append(dst, "\r\n"...)
 	dst = append(dst, name...)
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -7,29 +7,29 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what a run has measured. Times are ms, and latencies count from the moment at which a call was due, its
-// retries included.
+// Result holds the figures of a run. Times are in ms. Latencies are measured from the time at which a call was due to
+// the end of its last attempt.
 type Result struct {
 	Valid    bool     `json:"valid"`
-	Invalid  []string `json:"invalid,omitempty"` // why the figures are invalid
+	Invalid  []string `json:"invalid,omitempty"` // reasons why the figures are invalid
 	Scenario string   `json:"scenario"`
 	Seed     uint64   `json:"seed"`
 	Targets  []string `json:"targets"`
 
 	Seconds       float64            `json:"seconds"`
-	Calls         int64              `json:"calls"` // due after the warm-up
+	Calls         int64              `json:"calls"` // number of calls that were due after the warm-up
 	PerS          float64            `json:"calls_per_s"`
-	Sent          int64              `json:"sent"`    // attempts, the warm-up's included
-	Retries       int64              `json:"repeats"` // of them, by the clients
+	Sent          int64              `json:"sent"`    // attempts sent, those of the warm-up included
+	Retries       int64              `json:"repeats"` // attempts among them that are retries of the clients
 	Outcomes      map[string]int64   `json:"outcomes"`
-	ServedValue   float64            `json:"worth"`      // share of the possible value
+	ServedValue   float64            `json:"worth"`      // value of the served calls as a share of the possible value
 	Latency       Latency            `json:"latency_ms"` // of served and late calls
-	Until         map[string]Latency `json:"until_ms"`   // from when calls were due to their ends, by outcome
+	Until         map[string]Latency `json:"until_ms"`   // time from when calls were due until they ended, by outcome
 	Classes       []GroupResult      `json:"classes"`
 	Tenants       []GroupResult      `json:"tenants"`
 	Lag           LagReport          `json:"lag"`
 	PeakConns     int                `json:"peak_connections"`
-	CPUPerAttempt float64            `json:"cpu_us_per_try"` // of the generator
+	CPUPerAttempt float64            `json:"cpu_us_per_try"` // processor time of the generator, µs per attempt
 	Series        []Second           `json:"series"`
 
 	latency *hdrhistogram.Histogram // of served and late calls
@@ -45,23 +45,23 @@
 	Max  float64 `json:"max"`
 }
 
-// GroupResult is one class or tenant.
+// GroupResult holds the figures of one class or tenant.
 type GroupResult struct {
 	Name     string           `json:"name"`
 	Outcomes map[string]int64 `json:"outcomes"`
 	Latency  Latency          `json:"latency_ms"`
 }
 
-// LagReport is how late the generator sent what was due.
+// LagReport summarizes the lag: how long after they were due the generator sent its attempts.
 type LagReport struct {
 	BoundMs      float64 `json:"bound_ms"`
 	P50          float64 `json:"p50_ms"`
 	P99          float64 `json:"p99_ms"`
 	Max          float64 `json:"max_ms"`
-	SecondsShort int     `json:"seconds_short"` // in which over 0.1% of the schedule was sent late
+	SecondsShort int     `json:"seconds_short"` // number of seconds in which over 0.1% of the schedule was sent late
 }
 
-// Second is what was due in one second.
+// Second holds the figures of the calls that were due in one second.
 type Second struct {
 	Start    int64            `json:"s"`
 	Due      int64            `json:"due"`
@@ -88,7 +88,7 @@
 	}
 }
 
-// byName returns the counts with the outcomes' names.
+// byName returns the counts by the names of the outcomes.
 func (c outcomeCounts) byName() map[string]int64 {
 	named := map[string]int64{}
 	for outcome, count := range c {
@@ -106,7 +106,7 @@
 	}
 }
 
-// addInterval adds one second of the run to the series, and passes it on as the plan says.
+// addInterval adds one second of the run to the series, and passes it to OnSecond and Intervals of the plan.
 func (res *Result) addInterval(i *interval, p *Plan) error {
 	latency := newLatency(i.latency)
 	second := Second{
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// computeFigures works out the figures from what was recorded, and whether they are valid.
+// computeFigures computes the figures from the recorder's counts, and determines whether they are valid.
 func (res *Result) computeFigures(r *runner, cpu, elapsed time.Duration) {
 	rec, sc := r.recorder, r.plan.Scenario
 	res.Calls = rec.counted
@@ -170,16 +170,17 @@
 	return GroupResult{Name: name, Outcomes: g.outcomes.byName(), Latency: newLatency(g.latency)}
 }
 
-// notServed is the share of calls that were rejected, failed or timed out. There must be calls.
+// notServed returns the share of calls that were neither served nor late. There must be at least one call.
 func (res *Result) notServed() float64 {
 	served := res.Outcomes[OutcomeNames[Served]] + res.Outcomes[OutcomeNames[Late]]
 	return 1 - float64(served)/float64(res.Calls)
 }
 
-// hgrmTicks is the number of percentiles that an .hgrm file has for each halving of the distance to 100%.
+// hgrmTicks is the number of percentiles that an .hgrm file lists for each halving of the distance to 100%.
 const hgrmTicks = 5
 
-// WriteHgrm writes the percentiles of all served calls in the .hgrm form that HdrHistogram's plotters read, in ms.
+// WriteHgrm writes the latency percentiles of all served calls, late ones included, in ms and in the .hgrm format that
+// HdrHistogram's plotters read.
 func (res *Result) WriteHgrm(w io.Writer) error {
 	_, err := res.latency.PercentilesPrint(w, hgrmTicks, microsPerMilli)
 	return err
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -15,47 +15,48 @@
 )
 
 const (
-	// eventQueueLength is how many events of connections can wait for the scheduler.
+	// eventQueueLength is the number of events of connections that can wait for the scheduler.
 	eventQueueLength = 1 << 14
-	// maxSleep is the longest time for which the scheduler does not look for events.
+	// maxSleep is the longest time for which the scheduler sleeps without checking for events.
 	maxSleep = 500 * time.Microsecond
-	// cancellationCheckInterval is the number of steps between two looks at the context.
+	// cancellationCheckInterval is the number of steps between two checks whether the context is canceled.
 	cancellationCheckInterval = 256
 )
 
-// attempt is one sending of a call.
+// attempt is the first attempt of a call, or one of its retries.
 type attempt struct {
 	state    *callState
 	due      int64
 	deadline int64
-	conn     *connection // nil: not sent
+	conn     *connection // the connection that it was sent on; nil: it has not been sent
 	ended    bool
-	resent   bool // on another connection, as the first one had been closed
+	resent   bool // sent again on a new connection, as the first one had been closed
 	target   int
 	traceID  string
 }
 
-// runner is the state of the scheduler: one goroutine, on a thread of its own, sends and records. The goroutines of
-// connections only take the time and post what has come, so that a burst of responses does not delay the schedule.
+// runner is the state of the scheduler: one goroutine, on an operating system thread of its own, sends attempts and
+// records answers. The goroutines of connections only read the clock and post events, so that a burst of responses does
+// not delay the schedule.
 type runner struct {
 	plan      Plan
 	startedAt time.Time
 	classes   []balancer.Class
 	events    chan event
-	done      chan struct{} // closed as the run ends: no more events are taken
-	nonce     uint64        // makes the IDs of this run unlike those of others
+	done      chan struct{} // closed when the run ends; no events are accepted after that
+	nonce     uint64        // makes the IDs of this run differ from those of other runs
 	wg        sync.WaitGroup
 
 	recorder *recorder
 	timers   timerQueue
 
 	open             map[*connection]bool
-	idle             [][]*connection // by target
-	waiting          [][]*attempt    // by target: for a connection
-	connCount        int             // open or being dialed
+	idle             [][]*connection // idle connections by target
+	waiting          [][]*attempt    // attempts that wait for a connection, by target
+	connCount        int             // number of connections that are open or being dialed
 	peakConns        int
 	waitedAtBound    int64 // attempts that had to wait for a connection
-	descriptorErrors int64 // dials that failed for want of descriptors or ports
+	descriptorErrors int64 // dials that failed for lack of descriptors or local ports
 }
 
 func newRunner(p Plan, onInterval func(*interval) error) *runner {
@@ -72,7 +73,7 @@
 	}
 }
 
-// run plays the schedule and closes all connections.
+// run runs the schedule, and then closes all connections.
 func (r *runner) run(ctx context.Context, schedule *workload.Schedule) error {
 	r.startedAt = time.Now()
 	if r.plan.Intervals != nil {
@@ -84,17 +85,17 @@
 	return r.runSchedule(ctx, schedule)
 }
 
-// now is the time since the start in µs.
+// now returns the time since the start in µs.
 func (r *runner) now() int64 { return time.Since(r.startedAt).Microseconds() }
 
-// callSource is a schedule with its next call taken from it.
+// callSource is a schedule with a lookahead of one call.
 type callSource struct {
 	schedule *workload.Schedule
 	next     workload.Call
-	more     bool // next holds a call
+	more     bool // next is valid: the schedule has not ended
 }
 
-// advance takes the next call from the schedule.
+// advance reads the next call from the schedule.
 func (s *callSource) advance() error {
 	call, err := s.schedule.Next()
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// runSchedule sends each call at its moment, and handles timers and events in between, until all calls have ended.
+// runSchedule sends each call when it is due, and handles timers and events in between, until all calls have ended.
 func (r *runner) runSchedule(ctx context.Context, schedule *workload.Schedule) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -131,8 +132,9 @@
 	}
 }
 
-// step does the one thing that comes next, and reports whether there was any. What is due goes before events: the
-// schedule must be kept. Timeouts go last: what was not received by then has timed out.
+// step performs at most one action, and reports whether it performed one. Calls and retries that are due come first, so
+// that the schedule is kept, and then events. Timeouts come last, so that a response that has already been received is
+// not counted as timed out.
 func (r *runner) step(source *callSource) (worked bool, err error) {
 	now := r.now()
 	if source.more && source.next.Due <= now {
@@ -152,7 +154,7 @@
 	return r.fireTimer(r.now()), nil
 }
 
-// startNext starts the call that is due.
+// startNext writes the next call to the trace, if one is written, and starts it.
 func (r *runner) startNext(source *callSource) error {
 	call := source.next
 	if r.plan.TraceWriter != nil {
@@ -165,7 +167,7 @@
 	return source.advance()
 }
 
-// fireTimer handles the next timer if it is due, and reports whether it was.
+// fireTimer fires the next timer if it is due, and reports whether it was due.
 func (r *runner) fireTimer(now int64) bool {
 	first, ok := r.timers.first()
 	if !ok || first.at > now {
@@ -185,7 +187,7 @@
 	return true
 }
 
-// sleep waits for what is due next, and for no longer than maxSleep.
+// sleep waits until the next call or timer is due, but no longer than maxSleep.
 func (r *runner) sleep(source *callSource) {
 	wake := int64(math.MaxInt64)
 	if first, ok := r.timers.first(); ok {
@@ -198,7 +200,7 @@
 	SleepUntil(r.startedAt.Add(time.Duration(wake) * time.Microsecond))
 }
 
-// startAttempt makes an attempt of a call that is due.
+// startAttempt creates the next attempt of a call, sets its timeout and assigns it to a connection.
 func (r *runner) startAttempt(state *callState, due int64) {
 	a := &attempt{
 		state:    state,
@@ -211,10 +213,10 @@
 	r.assignConn(a)
 }
 
-// endAttempt ends an attempt: the call ends with it, or a retry is set.
+// endAttempt ends an attempt with an answer. It schedules a retry if the client retries; otherwise the call has ended.
 func (r *runner) endAttempt(a *attempt, answer workload.Answer, now, retryAfter int64) {
 	a.ended = true
-	if a.state.attempts == 0 { // it never got a connection: it counts as sent when it was given up
+	if a.state.attempts == 0 { // it never had a connection: it counts as sent at the time at which it is given up
 		r.recorder.recordSend(a.state, a.due, now)
 	}
 	if wait, retry := r.recorder.recordAnswer(a.state, answer, now, retryAfter); retry {
--- a/internal/load/runner_test.go
+++ b/internal/load/runner_test.go
@@ -13,7 +13,8 @@
 	"tulipglade/internal/fake"
 )
 
-// quickScenario is a run whose bounds a busy machine keeps: `tulipctl load verify` measures the narrow ones.
+// quickScenario is a short scenario with a load so low that its runs stay within the tests' bounds on a busy machine
+// too. `tulipctl load verify` checks the narrow bounds.
 const quickScenario = `seconds = 1.0
 warm_up_s = 0.0
 [load]
@@ -24,7 +25,7 @@
 impatient = 0.0
 `
 
-// runScenario plays a scenario against a target, and checks that each call has one outcome.
+// runScenario runs a scenario against a target, and checks that each call has exactly one outcome.
 func runScenario(t *testing.T, text, addr string, change func(*Plan)) *Result {
 	t.Helper()
 	p := Plan{Scenario: parse(t, text), Seed: 1, Targets: []string{addr}, MaxLag: time.Minute}
@@ -45,7 +46,8 @@
 	return r
 }
 
-// Requests have the form that PROTOCOL gives them, with a new ID for each attempt.
+// Requests must have the form that PROTOCOL defines, with a new trace ID for each attempt and one idempotency key for
+// all attempts of a call.
 func TestRequestsHaveTheProtocolsForm(t *testing.T) {
 	var mu sync.Mutex
 	ids, keys, invalid := map[string]int{}, map[string]int{}, ""
@@ -67,7 +69,7 @@
 	})
 	r := runScenario(t, strings.Replace(quickScenario, "retries = 0", "retries = 1\nbackoff_ms = 10.0", 1), addr, nil)
 	if invalid != "" {
-		t.Error("unlike PROTOCOL: ", invalid)
+		t.Error("a request that does not conform to PROTOCOL: ", invalid)
 	}
 	if len(ids) != int(r.Sent) || r.Retries < r.Calls/2 {
 		t.Errorf("%d IDs for %d attempts, of which %d retries", len(ids), r.Sent, r.Retries)
@@ -79,7 +81,8 @@
 	}
 }
 
-// A stall must show in every call that was due while it lasted, and not only in those that were in flight.
+// A stall of the target must lengthen the latency of every call that was due while it lasted. A generator that waits
+// for responses would show it only in the calls that were in flight when it began (coordinated omission).
 func TestStallShowsInAllCallsThatWereDue(t *testing.T) {
 	startedAt := time.Now()
 	waker := newWaker()
@@ -95,13 +98,14 @@
 	}
 	defer null.Close()
 	r := runScenario(t, strings.Replace(quickScenario, "seconds = 1.0", "seconds = 4.0", 1), null.Addr(), nil)
-	// 30% of calls are due in the stall and wait from 0 to 300 ms: by chance and by a busy machine a few more or less.
+	// 30% of the calls are due in a stall and wait from 0 to 300 ms; chance and a busy machine change that a little.
 	if r.Latency.P50 > 100 || r.Latency.P90 < 120 || r.Latency.P99 < 240 || r.Latency.P99 > 600 {
 		t.Errorf("%+v", r.Latency)
 	}
 }
 
-// A generator that cannot keep its schedule never sends less without saying so.
+// A run whose bound on connections is too low for the schedule must be marked as invalid and name that cause. Otherwise
+// the generator would send fewer calls than scheduled without reporting it.
 func TestRunIsInvalidWithTooFewConnections(t *testing.T) {
 	slow := startTarget(t, func(c net.Conn) {
 		answerAll(c, func(*http.Request, int) string { time.Sleep(50 * time.Millisecond); return okResponse })
@@ -112,7 +116,8 @@
 	}
 }
 
-// Ten times and more what any core can send: every call is accounted for, and the run is invalid.
+// At a rate of at least ten times what any core can send, every call must still be counted, and the run must be
+// invalid.
 func TestRunIsInvalidBeyondTheProcessor(t *testing.T) {
 	null, err := fake.StartNullServer("127.0.0.1:0", nil, nil)
 	if err != nil {
@@ -124,7 +129,8 @@
 	if r.Valid || r.Calls < 145_000 || r.Sent != r.Calls {
 		t.Errorf("valid %v: %v; %d calls, %d sent", r.Valid, r.Invalid, r.Calls, r.Sent)
 	}
-	// How far behind it falls depends on the machine, and with that whether calls end served, late or timed out.
+	// How far the generator falls behind its schedule depends on the machine, and therefore also whether calls end as
+	// served, late or timed out.
 	if r.Until["served"].P50 <= 0 && r.Until["late"].P50 <= 0 && r.Until["timed-out"].P50 < 100 {
 		t.Errorf("%+v", r.Until)
 	}
@@ -158,7 +164,7 @@
 	}
 }
 
-// BenchmarkGenerator measures the processor time of the whole process for a call, the server included.
+// BenchmarkGenerator measures the processor time per call of the whole process, which includes the server.
 func BenchmarkGenerator(b *testing.B) {
 	null, err := fake.StartNullServer("127.0.0.1:0", nil, nil)
 	if err != nil {
--- a/internal/load/search.go
+++ b/internal/load/search.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Objective is what a run must keep for its rate to count as carried.
+// Objective holds the bounds within which a run must stay for its rate to count as carried.
 type Objective struct {
-	P99              time.Duration // of served calls
-	MaxRejectedShare float64       // share of calls that may be rejected, fail or time out
+	P99              time.Duration // bound on the p99 latency of served calls
+	MaxRejectedShare float64       // bound on the share of calls that are neither served nor late
 }
 
-// Step is one run of a search.
+// Step holds the figures of one run of a search.
 type Step struct {
 	PerS          float64 `json:"per_s"`
 	P99           float64 `json:"p99_ms"`
@@ -21,25 +21,25 @@
 	Invalid       string  `json:"invalid,omitempty"`
 }
 
-// SearchResult is the highest rate that was carried.
+// SearchResult is the result of a search: a bracket around the highest rate that is carried, and all runs.
 type SearchResult struct {
-	Low            float64 `json:"low"`  // the highest rate at which most runs kept the objective
-	High           float64 `json:"high"` // the lowest at which most did not; 0: none was found
+	Low            float64 `json:"low"`  // the highest rate at which most runs met the objective
+	High           float64 `json:"high"` // the lowest rate at which most runs did not meet it; 0: none was found
 	LowConfidence  string  `json:"low_kept"`
 	HighConfidence string  `json:"high_out"`
-	Limit          string  `json:"limit,omitempty"` // why the search ended early
+	Limit          string  `json:"limit,omitempty"` // reason why the search ended early
 	Steps          []Step  `json:"steps"`
 }
 
-// SearchOptions says where to look.
+// SearchOptions configures a search.
 type SearchOptions struct {
 	Objective
-	MinRate, MaxRate float64 // calls a second
-	Tolerance        float64 // the search ends when High/Low is at most 1 and this
-	Confirmations    int     // runs at each end of the bracket, in the end
+	MinRate, MaxRate float64 // range of the search, calls a second
+	Tolerance        float64 // the search ends when High/Low is at most 1+Tolerance
+	Confirmations    int     // number of valid runs that each end of the final bracket must have
 }
 
-// searcher is the state of a search. The bracket is from low to high; 0: that end has not been found.
+// searcher is the state of a search. low and high are the ends of the bracket; 0: that end has not been found.
 type searcher struct {
 	SearchOptions
 	run    func(ctx context.Context, perS float64) (*Result, error)
@@ -48,9 +48,10 @@
 	high   float64
 }
 
-// FindMaxRate bisects for the highest rate that run carries, on a scale of ratios. Each rate is run once during the
-// search; both ends of the bracket are then run again, until each has as many runs as Confirmations says, and the bracket widens where
-// most runs of an end contradict it. An invalid run ends the search: there the generator, not the target, is the limit.
+// FindMaxRate bisects for the highest rate at which run meets the objective, until the ratio of the bracket's ends is
+// at most 1+Tolerance. Each rate is run once during the bisection. Both ends of the bracket are then run again until
+// each has as many valid runs as Confirmations says, and the bracket is widened at an end that most of its runs
+// contradict. An invalid run ends the search, because at that rate the generator, not the target, is the limit.
 func FindMaxRate(
 	ctx context.Context, s SearchOptions, run func(ctx context.Context, perS float64) (*Result, error),
 ) (SearchResult, error) {
@@ -72,7 +73,7 @@
 	return f.result, nil
 }
 
-// step runs a rate once. An invalid run sets the limit of the search.
+// step runs the load at a rate once, and appends the run to the result. An invalid run sets the result's limit.
 func (f *searcher) step(ctx context.Context, perS float64) (Step, error) {
 	r, err := f.run(ctx, perS)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return step, nil
 }
 
-// bracket doubles the rate until it is not carried.
+// bracket doubles the rate until a run does not meet the objective, is invalid, or has reached MaxRate.
 func (f *searcher) bracket(ctx context.Context) error {
 	for perS := f.MinRate; ; perS = min(2*perS, f.MaxRate) {
 		step, err := f.step(ctx, perS)
@@ -114,7 +115,7 @@
 	}
 }
 
-// bisect narrows the bracket.
+// bisect halves the bracket until it is as narrow as the tolerance says, or the search has reached a limit.
 func (f *searcher) bisect(ctx context.Context) error {
 	for f.high > 0 && f.low > 0 && f.high/f.low > 1+f.Tolerance && f.result.Limit == "" {
 		middle := (f.low + f.high) / 2
@@ -132,8 +133,8 @@
 	return nil
 }
 
-// confirmLow runs the low end again, as noise may have tipped a single run, and lowers it while most runs do not keep the
-// objective.
+// confirmLow runs the low end again, because noise may have decided a single run, and lowers it while most of its runs
+// do not meet the objective.
 func (f *searcher) confirmLow(ctx context.Context) error {
 	for f.low > 0 {
 		confirmed, err := f.confirm(ctx, f.low)
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// confirmHigh runs the high end again, and raises it while most runs keep the objective.
+// confirmHigh runs the high end again, and raises it while most of its runs meet the objective.
 func (f *searcher) confirmHigh(ctx context.Context) error {
 	for f.high > 0 {
 		confirmed, err := f.confirm(ctx, f.high)
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// confirm runs a rate until it has as many valid runs as the search asks for. It returns false after an invalid one.
+// confirm repeats the run at a rate until it has Confirmations valid runs. It returns false after an invalid run.
 func (f *searcher) confirm(ctx context.Context, perS float64) (bool, error) {
 	for {
 		if _, runs := f.countRuns(perS); runs >= f.Confirmations {
@@ -178,7 +179,7 @@
 	}
 }
 
-// countRuns returns how many valid runs a rate has had, and how many of them kept the objective.
+// countRuns returns the number of valid runs at a rate, and how many of them met the objective.
 func (f *searcher) countRuns(perS float64) (kept, runs int) {
 	for _, step := range f.result.Steps {
 		if step.PerS != perS || step.Invalid != "" {
--- a/internal/load/search_test.go
+++ b/internal/load/search_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Find against targets whose limit is known: steep, noisy, beyond the generator's own, and none.
+// FindMaxRate must find the known limit of a target: a steep one, one with disturbed runs, one beyond the generator's
+// own limit, none at all, and one below the lowest rate.
 func TestFindReturnsTheKnownLimit(t *testing.T) {
 	search := SearchOptions{
 		Objective:     Objective{P99: 50 * time.Millisecond, MaxRejectedShare: 0.01},
@@ -40,7 +41,7 @@
 	for name, c := range map[string]struct {
 		limit, generator float64
 		noise            int
-		low, high        float64 // within which the answer must lie
+		low, high        float64 // range in which the result's Low must lie
 		want             string
 	}{
 		"a steep limit":                {7300, 1e9, 0, 6900, 7700, ""},
--- a/internal/load/targets_test.go
+++ b/internal/load/targets_test.go
@@ -15,10 +15,10 @@
 	"go.uber.org/goleak"
 )
 
-// closeQuietly closes what a test has no more use for.
+// closeQuietly closes a socket that a test does not use any more, and ignores the error.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// startTarget serves each connection by a function, and returns the address.
+// startTarget listens on a loopback address, calls serve for each connection, and returns the address.
 func startTarget(t *testing.T, serve func(c net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -55,7 +55,8 @@
 	return ln.Addr().String()
 }
 
-// answerAll reads requests and answers every one of them; an empty answer closes the connection.
+// answerAll reads the requests on a connection, and answers each with the text that answer returns for the request and
+// its number, from 0. An empty text closes the connection.
 func answerAll(conn net.Conn, answer func(r *http.Request, n int) string) {
 	reader := bufio.NewReader(conn)
 	for n := 0; ; n++ {
@@ -85,7 +86,7 @@
 	}
 }
 
-// fixedAnswer answers every request with the same text.
+// fixedAnswer returns a function that answers every request on a connection with the same text.
 func fixedAnswer(text string) func(net.Conn) {
 	return func(conn net.Conn) {
 		answerAll(conn, func(*http.Request, int) string { return text })
@@ -113,7 +114,8 @@
 	answerAll(conn, func(_ *http.Request, n int) string { return []string{okResponse, ""}[n] })
 }
 
-// Whatever a target does, every call that was due ends with one outcome, and nothing is left behind.
+// For any behavior of the target, every call that was due must end with exactly one outcome, and the run must leave no
+// goroutine behind.
 func TestEveryCallEndsWhateverTheTargetDoes(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const busyResponse = "HTTP/1.1 503 Busy\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n"
--- a/internal/load/validity.go
+++ b/internal/load/validity.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// busyShare is the share of all cores beyond which the generator is short of processor time.
+// busyShare is the share of the processor time of all cores above which a lack of it is named as a cause.
 const busyShare = 0.7
 
-// invalidReasons returns why the generator did not keep its schedule, and what it lacked; none: it kept it.
+// invalidReasons returns the reasons why a run is invalid: by how much the generator missed its schedule, and which
+// resources it lacked. It returns none if the run is valid. A lack of descriptors makes a run invalid by itself.
 func invalidReasons(lag LagReport, r *runner, cpu, elapsed time.Duration) []string {
 	reasons := missedSchedule(lag, r.recorder)
 	if len(reasons) == 0 {
@@ -26,7 +27,7 @@
 	return append(reasons, causes...)
 }
 
-// missedSchedule returns by how much the schedule was missed.
+// missedSchedule describes by how much the schedule was missed; it returns nothing if the schedule was kept.
 func missedSchedule(lag LagReport, rec *recorder) []string {
 	var reasons []string
 	if lag.P99 > lag.BoundMs {
--- a/internal/load/validity_test.go
+++ b/internal/load/validity_test.go
@@ -8,7 +8,8 @@
 	"tulipglade/internal/workload"
 )
 
-// A second in which the schedule was not kept invalidates a run that kept it on the whole.
+// One second in which too many calls are sent late must make a run invalid, although the lag of the whole run is within
+// its bound at p99.
 func TestOneShortSecondInvalidatesRun(t *testing.T) {
 	rec, _ := newTestRecorder(t, noRetries)
 	for n := range int64(20_000) {
--- a/internal/load/verify.go
+++ b/internal/load/verify.go
@@ -14,7 +14,7 @@
 	"tulipglade/internal/workload"
 )
 
-// LatencyCheck is one figure of a run against a fake whose delays are known.
+// LatencyCheck compares one measured figure with the expected one, in a run against a server whose delays are known.
 type LatencyCheck struct {
 	Name   string  `json:"name"`
 	Got    float64 `json:"got_ms"`
@@ -25,7 +25,8 @@
 // delayPattern is a known pattern of response times.
 type delayPattern struct {
 	name string
-	// answerAt returns when the request with this number, which arrives at that time since the start, is answered.
+	// answerAt returns the time at which a request is answered, given its arrival and its number, counted from 0. Both
+	// times are relative to the start.
 	answerAt func(arrival time.Duration, number int) time.Duration
 }
 
@@ -39,7 +40,7 @@
 	return arrival + 5*time.Millisecond
 }
 
-// answerOneIn95Late delays 1 in 95: at 1 in 100 the p99 would lie on the edge.
+// answerOneIn95Late delays 1 request in 95. With 1 in 100 the p99 would lie at the boundary between the two delays.
 func answerOneIn95Late(arrival time.Duration, number int) time.Duration {
 	if number%95 == 50 {
 		return arrival + 200*time.Millisecond
@@ -47,7 +48,7 @@
 	return arrival + time.Millisecond
 }
 
-// answerAfterStall answers nothing in the first 300 ms of each second.
+// answerAfterStall sends no answers in the first 300 ms of each second.
 func answerAfterStall(arrival time.Duration, _ int) time.Duration {
 	const stall = 300 * time.Millisecond
 	inSecond := arrival % time.Second
@@ -57,12 +58,12 @@
 	return arrival
 }
 
-// verifiedQuantiles are compared in each run, in percent.
+// verifiedQuantiles are the quantiles that are compared in each run, in percent.
 var verifiedQuantiles = []float64{50, 99, 99.9}
 
-// Verify runs against a fake with each of the known patterns, and compares what is reported with what an observer who
-// does not wait for responses must see: quantiles computed from the schedule itself. It returns the runs beside the
-// checks, as an invalid one proves nothing.
+// Verify runs the load generator against a server with each of the known delay patterns, and compares the reported
+// quantiles with those computed from the schedule and the pattern, which an observer who does not wait for responses
+// must see. It also returns the results of the runs, because the checks of an invalid run prove nothing.
 func Verify(ctx context.Context, perS, seconds float64, bound time.Duration) ([]LatencyCheck, []*Result, error) {
 	var checks []LatencyCheck
 	var runs []*Result
@@ -93,7 +94,7 @@
 	return checks, runs, nil
 }
 
-// verifyScenario is a load at even gaps, without retries.
+// verifyScenario returns a scenario of calls at even gaps, without retries.
 func verifyScenario(name string, perS, seconds float64) (*scenario.Scenario, error) {
 	sc := scenario.Default()
 	sc.Name = name
@@ -119,7 +120,8 @@
 	return &sc, nil
 }
 
-// patternClock tells a fake when to answer. It begins with the first request, which is due one gap after the start.
+// patternClock computes when the server answers each request, by a delay pattern. Its start is one gap before the
+// arrival of the first request, as the schedule's first call is due one gap after the start.
 type patternClock struct {
 	pattern delayPattern
 	gap     time.Duration
@@ -140,7 +142,7 @@
 	return c.startedAt.Add(c.pattern.answerAt(now.Sub(c.startedAt), number))
 }
 
-// runPattern runs the scenario against a fake with this pattern.
+// runPattern runs the scenario against a server that answers with this pattern.
 func runPattern(ctx context.Context, sc *scenario.Scenario, pattern delayPattern) (*Result, error) {
 	clock := &patternClock{pattern: pattern, gap: time.Duration(float64(time.Second) / sc.Load.PerS)}
 	waker := newWaker()
@@ -150,12 +152,12 @@
 		return nil, err
 	}
 	defer null.Close()
-	defer waker.close() // before the server: its Close waits for the responses that wait for the waker
+	defer waker.close() // runs before null.Close, which waits for responses that wait for the waker
 	return Run(ctx, Plan{Scenario: sc, Seed: 1, Targets: []string{null.Addr()}})
 }
 
-// expectedLatency is the distribution that the schedule and the pattern give, on a network and a machine that take no
-// time.
+// expectedLatency returns the latency distribution that results from the schedule and the pattern if the network and
+// the machine take no time.
 func expectedLatency(sc *scenario.Scenario, pattern delayPattern) (*hdrhistogram.Histogram, error) {
 	schedule, err := workload.NewSchedule(sc, 1, 1, nil)
 	if err != nil {
@@ -165,7 +167,7 @@
 	for number := 0; ; number++ {
 		call, err := schedule.Next()
 		if err != nil {
-			return histogram, nil // the end: a schedule without a trace has no other error
+			return histogram, nil // io.EOF: a schedule without a trace returns no other error
 		}
 		due := time.Duration(call.Due) * time.Microsecond
 		latency := pattern.answerAt(due, number) - due
--- a/internal/load/waker.go
+++ b/internal/load/waker.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// busyWait is the last part of a wait, which polls the clock: the kernel wakes a thread some 60 µs late.
+	// busyWait is the length of the last part of a wait, in which the thread polls the clock instead of sleeping,
+	// because the kernel wakes a thread some 60 µs late.
 	busyWait = 80 * time.Microsecond
-	// wakerInterval is how often the waker looks for a wait that ends sooner than those it knew.
+	// wakerInterval is the interval at which the waker checks for new waits that end earlier than those it has seen.
 	wakerInterval = 200 * time.Microsecond
 )
 
-// SleepUntil waits until t more exactly than the runtime's timers, which may be a millisecond late on an idle process:
-// the thread itself sleeps in the kernel.
+// SleepUntil waits until t. It is more exact than the runtime's timers, which may fire a millisecond late in an idle
+// process, because the thread itself sleeps in the kernel.
 func SleepUntil(t time.Time) {
 	for {
 		remaining := time.Until(t)
@@ -26,33 +27,34 @@
 			return
 		case remaining > busyWait:
 			timeout := unix.NsecToTimespec((remaining - busyWait).Nanoseconds())
-			_ = unix.Nanosleep(&timeout, nil) // cut short by a signal, the loop goes on
+			_ = unix.Nanosleep(&timeout, nil) // if a signal interrupts the sleep, the loop continues it
 		}
 	}
 }
 
-// waker ends many waits exactly, with one thread: a wait in the kernel for each would hold the runtime's processors.
+// waker ends many concurrent waits at exact times with a single thread. If each wait slept in the kernel by itself, the
+// waits would occupy the runtime's processors.
 type waker struct {
 	mu       sync.Mutex
 	waits    waitHeap
-	sequence int // of the newest wait
+	sequence int // sequence number of the newest wait
 	stop     chan struct{}
 	done     chan struct{}
 }
 
 type wait struct {
 	until    time.Time
-	sequence int // waits that end together end in the order in which they began
+	sequence int // orders waits with the same end by their beginning
 	ended    chan struct{}
 }
 
 // waitHeap implements heap.Interface.
 type waitHeap []wait
 
-// Len is the number of waits.
+// Len returns the number of waits.
 func (h waitHeap) Len() int { return len(h) }
 
-// Less orders waits by their ends.
+// Less orders waits by their ends, and waits with the same end by their sequence numbers.
 func (h waitHeap) Less(i, j int) bool {
 	if h[i].until.Equal(h[j].until) {
 		return h[i].sequence < h[j].sequence
@@ -94,7 +96,7 @@
 	}
 }
 
-// endDue ends the waits that are due, and returns when to look again.
+// endDue ends the waits that are due, and returns the time at which to check again.
 func (w *waker) endDue() time.Time {
 	next := time.Now().Add(wakerInterval)
 	w.mu.Lock()
@@ -108,7 +110,7 @@
 	return next
 }
 
-// waitUntil waits for the moment t, or for the end of the waker.
+// waitUntil waits until t, or until the waker has ended.
 func (w *waker) waitUntil(t time.Time) {
 	if !t.After(time.Now()) {
 		return
