--- a/internal/fake/control_test.go
+++ b/internal/fake/control_test.go
@@ -12,11 +12,11 @@
 	"tulipglade/internal/loopback"
 )
 
-// startControl serves a cluster's control port.
+// startControl starts a cluster and serves its control port.
 func startControl(t *testing.T) (cl *Cluster, addr string) {
 	t.Helper()
-	cl = start(t, Options{})
-	addr, err := cl.Control("127.0.0.1:0")
+	cl = startCluster(t, Options{})
+	addr, err := cl.ServeControl("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	raw, err := io.ReadAll(r.Body)
-	_ = r.Body.Close() // it has been read to its end
+	_ = r.Body.Close() // the body has been read to its end
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = r.Body.Close() // the status is all that is looked at
+	_ = r.Body.Close() // only the status is checked
 	return r.StatusCode
 }
 
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestControlInjectsAndLiftsFaults(t *testing.T) {
+func TestControlInjectsAndEndsFaults(t *testing.T) {
 	cl, addr := startControl(t)
 	status, body := postFault(t, addr, `{"kind":"fast-errors","boxes":[0],"size":1}`)
 	if status != 200 || !strings.Contains(body, `"boxes":[0]`) {
@@ -78,7 +78,7 @@
 	if err := json.Unmarshal([]byte(body), &injected); err != nil {
 		t.Fatal(err)
 	}
-	conn := dial(t, cl.backendAddr(0, 0))
+	conn := dialBackend(t, cl.backendAddr(0, 0))
 	conn.sendRequest("/read", "a", "")
 	conn.wantStatus(500)
 	for _, want := range []int{204, 404} {
@@ -91,7 +91,7 @@
 }
 
 func TestControlListensOnLoopbackOnly(t *testing.T) {
-	if _, err := start(t, Options{}).Control("0.0.0.0:0"); !errors.Is(err, loopback.ErrNotLoopback) {
+	if _, err := startCluster(t, Options{}).ServeControl("0.0.0.0:0"); !errors.Is(err, loopback.ErrNotLoopback) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/load/intervallog_test.go
+++ b/internal/load/intervallog_test.go
@@ -25,6 +25,6 @@
 		t.Errorf("%s", text)
 	}
 	if !strings.Contains(text, "\n1002.000000,1.000000,0.003") {
-		t.Errorf("no interval at the third second:\n%s", text)
+		t.Errorf("no interval for the third second:\n%s", text)
 	}
 }
--- a/internal/load/search_test.go
+++ b/internal/load/search_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// Find against targets whose limit is known: steep, noisy, beyond the generator's own, and none.
+// FindMaxRate must find the known limit of a target: a steep one, one with disturbed runs, one beyond the generator's
+// own limit, none at all, and one below the lowest rate.
 func TestFindReturnsTheKnownLimit(t *testing.T) {
-	search := Search{
+	search := SearchOptions{
 		Objective:     Objective{P99: 50 * time.Millisecond, MaxRejectedShare: 0.01},
 		MinRate:       100,
 		MaxRate:       100000,
@@ -40,7 +41,7 @@
 	for name, c := range map[string]struct {
 		limit, generator float64
 		noise            int
-		low, high        float64 // within which the answer must lie
+		low, high        float64 // range in which the result's Low must lie
 		want             string
 	}{
 		"a steep limit":                {7300, 1e9, 0, 6900, 7700, ""},
@@ -50,7 +51,7 @@
 		"not even the first":           {50, 1e9, 0, 0, 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, err := Find(t.Context(), search, target(c.limit, c.generator, c.noise))
+			f, err := FindMaxRate(t.Context(), search, target(c.limit, c.generator, c.noise))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -65,7 +66,7 @@
 		})
 	}
 	broken := errors.New("broken")
-	_, err := Find(t.Context(), search, func(context.Context, float64) (*Result, error) { return nil, broken })
+	_, err := FindMaxRate(t.Context(), search, func(context.Context, float64) (*Result, error) { return nil, broken })
 	if !errors.Is(err, broken) {
 		t.Errorf("%v", err)
 	}
--- a/internal/load/validity.go
+++ b/internal/load/validity.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// busyShare is the share of all cores beyond which the generator is short of processor time.
+// busyShare is the share of the processor time of all cores above which a lack of it is named as a cause.
 const busyShare = 0.7
 
-// invalidReasons returns why the generator did not keep its schedule, and what it lacked; none: it kept it.
+// invalidReasons returns the reasons why a run is invalid: by how much the generator missed its schedule, and which
+// resources it lacked. It returns none if the run is valid. A lack of descriptors makes a run invalid by itself.
 func invalidReasons(lag LagReport, r *runner, cpu, elapsed time.Duration) []string {
 	reasons := missedSchedule(lag, r.recorder)
 	if len(reasons) == 0 {
@@ -17,7 +18,7 @@
 	}
 	causes := processorReasons(cpu, elapsed)
 	if r.waitedAtBound > 0 {
-		causes = append(causes, fmt.Sprintf("connections: %d requests waited at the bound of %d", r.waitedAtBound, r.plan.Conns))
+		causes = append(causes, fmt.Sprintf("connections: %d requests waited at the bound of %d", r.waitedAtBound, r.plan.MaxConns))
 	}
 	causes = append(causes, descriptorReasons(r)...)
 	if len(causes) == 0 {
@@ -26,15 +27,15 @@
 	return append(reasons, causes...)
 }
 
-// missedSchedule returns by how much the schedule was missed.
+// missedSchedule describes by how much the schedule was missed; it returns nothing if the schedule was kept.
 func missedSchedule(lag LagReport, rec *recorder) []string {
 	var reasons []string
 	if lag.P99 > lag.BoundMs {
 		reasons = append(reasons, fmt.Sprintf("requests were sent %.3f ms late at p99, over the bound of %.3f ms", lag.P99, lag.BoundMs))
 	}
-	if rec.shortIntervals > 0 {
+	if rec.lateIntervals > 0 {
 		reasons = append(reasons, fmt.Sprintf("in %d seconds, the first at %d s, over 0.1%% of the schedule went out more than %.0f ms late",
-			rec.shortIntervals, rec.firstShort, millis(rec.lateSend)))
+			rec.lateIntervals, rec.firstLateInterval, millis(rec.lateSend)))
 	}
 	return reasons
 }
--- a/internal/load/validity_test.go
+++ b/internal/load/validity_test.go
@@ -8,7 +8,8 @@
 	"tulipglade/internal/workload"
 )
 
-// A second in which the schedule was not kept invalidates a run that kept it on the whole.
+// One second in which too many calls are sent late must make a run invalid, although the lag of the whole run is within
+// its bound at p99.
 func TestOneShortSecondInvalidatesRun(t *testing.T) {
 	rec, _ := newTestRecorder(t, noRetries)
 	for n := range int64(20_000) {
@@ -24,10 +25,10 @@
 	rec.closeAll()
 	res := &Result{Lag: LagReport{BoundMs: 1}}
 	r := &runner{plan: Plan{Scenario: parse(t, noRetries)}, recorder: rec}
-	res.fill(r, time.Second, 10*time.Second)
-	if res.Valid || rec.shortIntervals != 1 || rec.firstShort != 3 || len(res.Invalid) < 2 ||
+	res.computeFigures(r, time.Second, 10*time.Second)
+	if res.Valid || rec.lateIntervals != 1 || rec.firstLateInterval != 3 || len(res.Invalid) < 2 ||
 		!strings.Contains(res.Invalid[0], "in 1 seconds, the first at 3 s") {
-		t.Errorf("valid %v, %d short seconds: %v", res.Valid, rec.shortIntervals, res.Invalid)
+		t.Errorf("valid %v, %d short seconds: %v", res.Valid, rec.lateIntervals, res.Invalid)
 	}
 	if res.Lag.P99 > 1 {
 		t.Errorf("lag p99 %.3f ms: the run as a whole must be within the bound", res.Lag.P99)
@@ -41,7 +42,7 @@
 		want   string
 	}{
 		"processor":   {func(*runner) {}, time.Hour, "CPU: the generator used"},
-		"connections": {func(r *runner) { r.waitedAtBound, r.plan.Conns = 7, 3 }, 0, "connections: 7 requests waited at the bound of 3"},
+		"connections": {func(r *runner) { r.waitedAtBound, r.plan.MaxConns = 7, 3 }, 0, "connections: 7 requests waited at the bound of 3"},
 		"descriptors": {func(r *runner) { r.descriptorErrors = 2 }, 0, "descriptors: 2 connections"},
 		"others":      {func(*runner) {}, 0, "cause not seen"},
 	} {
@@ -52,7 +53,7 @@
 		r := &runner{plan: Plan{Scenario: parse(t, noRetries)}, recorder: rec}
 		c.change(r)
 		res := &Result{Lag: LagReport{BoundMs: 1}}
-		res.fill(r, c.cpu, time.Second)
+		res.computeFigures(r, c.cpu, time.Second)
 		if res.Valid || !strings.Contains(strings.Join(res.Invalid, "\n"), c.want) {
 			t.Errorf("%s: valid %v: %q", name, res.Valid, res.Invalid)
 		}
