--- a/cmd/tulipctl/main.go
+++ b/cmd/tulipctl/main.go
@@ -47,7 +47,7 @@
 
 func main() {
 	deadlineexec.RunSupervisor(agent.Clock)
-	processtest.Role()
+	processtest.RunRole()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	os.Exit(run(ctx, os.Args, os.Stdout, os.Stderr))
--- a/cmd/tulipctl/simulate_agents.go
+++ b/cmd/tulipctl/simulate_agents.go
@@ -31,7 +31,7 @@
 	if elections < 1 || holders < 1 || cmd.Duration("length") < time.Second {
 		return errors.New("agents: --elections and --holders must be above 0, --length 1s at least")
 	}
-	var all []processtest.Measured
+	var all []processtest.Measurement
 	for _, members := range cmd.IntSlice("members") {
 		if members < 1 || members > maxMembers {
 			return fmt.Errorf("agents: --members: %d is not within 1 and %d", members, maxMembers)
@@ -56,7 +56,7 @@
 		writef(t, "\t%.1f%%, %.0f, %.0f", 100*m.Idle.CPU, m.Idle.Memory, m.Idle.Messages)
 		writef(t, "\t%d", m.Holders)
 		writef(t, "\t%.1f%%, %.0f, %.0f", 100*m.Holding.CPU, m.Holding.Memory, m.Holding.Messages)
-		writef(t, "\t%.1f s\n", m.Rush.Seconds())
+		writef(t, "\t%.1f s\n", m.ContendedLeaseTime.Seconds())
 	}
 	return t.Flush()
 }
--- a/cmd/tulipctl/simulate_processes.go
+++ b/cmd/tulipctl/simulate_processes.go
@@ -117,7 +117,7 @@
 			showProgress(done, schedules)
 		}
 	}
-	err := processtest.Schedules(ctx, cmd.Uint64("seed"), schedules, parallel, without, collect)
+	err := processtest.RunSchedules(ctx, cmd.Uint64("seed"), schedules, parallel, without, collect)
 	return result, errors.Join(err, failed)
 }
 
@@ -163,8 +163,8 @@
 // shrinkSchedule prints the fewest faults with which the schedule of a seed still fails.
 func shrinkSchedule(ctx context.Context, out io.Writer, seed uint64, without processtest.DisabledParts) error {
 	var failed error
-	needed := experiment.DDMin(processtest.Faults(seed), func(faults []faultinject.Fault) bool {
-		fails, err := processtest.Fails(ctx, seed, without, faults, shrinkAttempts)
+	needed := experiment.DDMin(processtest.ScheduleFaults(seed), func(faults []faultinject.Fault) bool {
+		fails, err := processtest.ReproducesFailure(ctx, seed, without, faults, shrinkAttempts)
 		failed = errors.Join(failed, err)
 		return fails && failed == nil
 	})
--- a/internal/processtest/harness_test.go
+++ b/internal/processtest/harness_test.go
@@ -16,7 +16,7 @@
 const eventTimeout = 40 * time.Second
 
 func TestMain(m *testing.M) {
-	Role()
+	RunRole()
 	if len(os.Args) > 2 && os.Args[1] == changeNodeFlag {
 		if err := changeNode(os.Args[2], os.Getenv("TULIP_NODE")); err != nil {
 			fmt.Fprintln(os.Stderr, err)
--- a/internal/processtest/measure.go
+++ b/internal/processtest/measure.go
@@ -15,8 +15,8 @@
 	"tulipglade/internal/lease"
 )
 
-// Measured is the performance and cost of a group of agents with relays between its members.
-type Measured struct {
+// Measurement is the performance and cost of a group of agents with relays between its members.
+type Measurement struct {
 	Agents          int                     `json:"agents"`
 	Elections       *hdrhistogram.Histogram `json:"-"` // ms from the leader's kill to the next leader
 	Idle            Cost                    `json:"idle"`
@@ -24,7 +24,8 @@
 	Holders         int                     `json:"holders"`
 	GrantsPerSecond float64                 `json:"grants_per_s"` // acquisitions, with as many releases, each synced by a majority
 	Latency         *hdrhistogram.Histogram `json:"-"`            // of the acquisitions, in µs
-	Rush            time.Duration           `json:"rush"`         // until each of the holders, which start together, has had the same lease
+	// ContendedLeaseTime is how long the holders need until each of them has had the same lease once; they start together.
+	ContendedLeaseTime time.Duration `json:"rush"`
 }
 
 // Parameters of the measurements.
@@ -43,8 +44,8 @@
 )
 
 // Measure starts a group of agents and measures it.
-func Measure(ctx context.Context, agents, elections, holders int, length time.Duration) (m Measured, err error) {
-	m = Measured{
+func Measure(ctx context.Context, agents, elections, holders int, length time.Duration) (m Measurement, err error) {
+	m = Measurement{
 		Agents:    agents,
 		Holders:   holders,
 		Elections: hdrhistogram.New(1, longestElectionMs, histogramDigits),
@@ -77,7 +78,7 @@
 }
 
 // measureGrants has clients take and release a lease each as fast as they can.
-func (m *Measured) measureGrants(ctx context.Context, addresses []string, length time.Duration) error {
+func (m *Measurement) measureGrants(ctx context.Context, addresses []string, length time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	client := agent.NewClient(addresses, nil)
@@ -120,7 +121,7 @@
 }
 
 // measureHolders has clients hold a lease each, and has all of them take the same one after that.
-func (m *Measured) measureHolders(ctx context.Context, h *Harness, length time.Duration) error {
+func (m *Measurement) measureHolders(ctx context.Context, h *Harness, length time.Duration) error {
 	clients := make([]*agent.Client, m.Holders)
 	leases := make([]*agent.Lease, m.Holders)
 	var holding errgroup.Group
@@ -145,7 +146,7 @@
 		rush.Go(func() error { return joinRush(ctx, clients[i], held) })
 	}
 	err = rush.Wait()
-	m.Rush = time.Since(start)
+	m.ContendedLeaseTime = time.Since(start)
 	return err
 }
 
@@ -169,7 +170,7 @@
 }
 
 // measureElections kills the leader again and again.
-func (m *Measured) measureElections(ctx context.Context, h *Harness, position, elections int) error {
+func (m *Measurement) measureElections(ctx context.Context, h *Harness, position, elections int) error {
 	for range elections {
 		leader := h.processes[max(h.Leader(), 0)].Name
 		restart := h.Fault(faultinject.Fault{Kind: faultinject.ProcessKill, Processes: []int{-1}})
--- a/internal/processtest/role.go
+++ b/internal/processtest/role.go
@@ -66,8 +66,8 @@
 	Sync  bool `json:"sync,omitempty"`  // agents' disks store nothing of what they report as stored
 }
 
-// Role must be called first in main. In a process that a Harness has started it plays the process's role and does not return.
-func Role() {
+// RunRole must be called first in main. In a process that a Harness has started it plays the process's role and does not return.
+func RunRole() {
 	raw := os.Getenv(roleVariable)
 	if raw == "" {
 		return
--- a/internal/processtest/schedule.go
+++ b/internal/processtest/schedule.go
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// Schedules plays the schedules of consecutive seeds, some in parallel. It calls report after each of them, one call at a time.
-func Schedules(
+// RunSchedules plays the schedules of consecutive seeds, some in parallel. It calls report after each of them, one call at a time.
+func RunSchedules(
 	ctx context.Context,
 	firstSeed uint64,
 	count, parallel int,
@@ -95,7 +95,7 @@
 	for i := range count {
 		seed := firstSeed + uint64(i)
 		group.Go(func() error {
-			findings, err := Schedule(ctx, seed, without)
+			findings, err := RunSchedule(ctx, seed, without)
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
@@ -108,19 +108,19 @@
 	return group.Wait()
 }
 
-// Schedule plays the schedule of a seed: 3 agents, or 5 for every third seed, and 3 holders.
-func Schedule(ctx context.Context, seed uint64, without DisabledParts) (Findings, error) {
-	return playSchedule(ctx, seed, without, Faults(seed))
+// RunSchedule plays the schedule of a seed: 3 agents, or 5 for every third seed, and 3 holders.
+func RunSchedule(ctx context.Context, seed uint64, without DisabledParts) (Findings, error) {
+	return playSchedule(ctx, seed, without, ScheduleFaults(seed))
 }
 
-// Faults returns the faults of a seed's schedule.
-func Faults(seed uint64) []faultinject.Fault {
+// ScheduleFaults returns the faults of a seed's schedule.
+func ScheduleFaults(seed uint64) []faultinject.Fault {
 	return drawFaults(scheduleOptions(seed, DisabledParts{}), scheduledFaultTime, scheduledFaults)
 }
 
-// Fails reports whether a plan breaks something in one of several attempts. They differ, as the timing of processes is not drawn from
-// the seed.
-func Fails(ctx context.Context, seed uint64, without DisabledParts, plan []faultinject.Fault, attempts int) (bool, error) {
+// ReproducesFailure reports whether a plan breaks an invariant, or leaves the group idle, in one of several attempts. The attempts
+// differ because the timing of the processes is not drawn from the seed.
+func ReproducesFailure(ctx context.Context, seed uint64, without DisabledParts, plan []faultinject.Fault, attempts int) (bool, error) {
 	for range attempts {
 		findings, err := playSchedule(ctx, seed, without, plan)
 		if err != nil && !errors.Is(err, ErrIdle) {
--- a/internal/processtest/schedule_test.go
+++ b/internal/processtest/schedule_test.go
@@ -5,7 +5,7 @@
 // Schedules of faults between real processes break no invariant, and holders act again after each.
 func TestScheduledFaultsKeepInvariants(t *testing.T) {
 	var sum Findings
-	err := Schedules(t.Context(), 1, 12, 4, DisabledParts{}, func(seed uint64, findings Findings, err error) {
+	err := RunSchedules(t.Context(), 1, 12, 4, DisabledParts{}, func(seed uint64, findings Findings, err error) {
 		if err != nil || len(findings.Violations) > 0 {
 			t.Errorf("schedule %d: %v %v", seed, err, findings.Violations)
 		}
