--- a/internal/processtest/agents_test.go
+++ b/internal/processtest/agents_test.go
@@ -16,7 +16,7 @@
 func TestTokensStayUniqueAfterAllAgentsAreKilled(t *testing.T) {
 	for _, withoutSync := range []bool{false, true} {
 		harness := startHarness(t, Options{Agents: 3, Holders: 2, Disabled: DisabledParts{Sync: withoutSync}})
-		_, position := harness.awaitEvent(t, 0, actionStarted(1))
+		_, position := harness.awaitEvent(t, 0, actionStartedAfter(1))
 		for _, i := range []int{0, 1, 2} {
 			harness.kill(i)
 		}
@@ -36,10 +36,10 @@
 // An agent whose disk fails reports the error and exits; the others elect a leader, and holders act again.
 func TestAgentExitsOnDiskFailure(t *testing.T) {
 	harness := startHarness(t, Options{Agents: 3, Holders: 2})
-	_, position := harness.awaitEvent(t, 0, actionStarted(0))
+	_, position := harness.awaitEvent(t, 0, actionStartedAfter(0))
 	leader := harness.Leader()
 	name := harness.processes[leader].Name
-	endFault := harness.Fault(faultinject.Fault{Kind: faultinject.DiskSync, Processes: []int{leader}})
+	endFault := harness.StartFault(faultinject.Fault{Kind: faultinject.DiskSync, Processes: []int{leader}})
 	exit, position := harness.awaitEvent(t, position, func(event Event) bool {
 		return event.Kind == EventProcessFailed && event.Process == name
 	})
@@ -47,7 +47,7 @@
 		t.Error(exit)
 	}
 	harness.awaitEvent(t, position, Event.becomesLeader)
-	_, position = harness.awaitEvent(t, harness.Here(), actionStarted(0))
+	_, position = harness.awaitEvent(t, harness.LogEnd(), actionStartedAfter(0))
 	endFault()
 	harness.awaitEvent(t, position, func(event Event) bool { return event.Kind == EventLeaderKnown && event.Process == name })
 	if findings := Check(harness.Log()); len(findings.Violations) > 0 {
@@ -60,7 +60,7 @@
 func TestMemberReplacementSurvivesLeaderKill(t *testing.T) {
 	const agents, spareAgent = 3, 3
 	harness := startHarness(t, Options{Agents: agents, SpareAgents: 1, Holders: 2})
-	harness.awaitEvent(t, 0, actionStarted(0))
+	harness.awaitEvent(t, 0, actionStartedAfter(0))
 	client := agent.NewClient(harness.agentAddresses(), nil)
 	ctx, cancel := context.WithTimeout(t.Context(), eventTimeout)
 	defer cancel()
@@ -83,8 +83,8 @@
 	awaitReplaced(ctx, t, client, memberID(removed), memberID(spareAgent))
 	harness.kill(removed)
 	harness.kill((removed + 1) % agents)
-	_, position := harness.awaitEvent(t, harness.Here(), actionStarted(0))
-	harness.awaitEvent(t, position, actionStarted(0))
+	_, position := harness.awaitEvent(t, harness.LogEnd(), actionStartedAfter(0))
+	harness.awaitEvent(t, position, actionStartedAfter(0))
 	if findings := Check(harness.Log()); len(findings.Violations) > 0 {
 		t.Error(findings.Violations)
 	}
--- a/internal/processtest/check_test.go
+++ b/internal/processtest/check_test.go
@@ -10,22 +10,22 @@
 // A history without a possible order is a violation, and a schedule after which nobody acts is an error.
 func TestChecksReportViolations(t *testing.T) {
 	log := []Event{
-		{At: 10, From: 1, Process: "a", Kind: EventAcquire, Token: 1, RequestID: 1},
-		{At: 30, From: 20, Process: "b", Kind: EventAcquire, Token: 2, RequestID: 1},
+		{At: 10, RequestedAt: 1, Process: "a", Kind: EventAcquire, Token: 1, RequestID: 1},
+		{At: 30, RequestedAt: 20, Process: "b", Kind: EventAcquire, Token: 2, RequestID: 1},
 	}
 	if findings := Check(log); len(findings.Violations) > 0 {
 		t.Error(findings.Violations)
 	}
-	renewal := Event{At: 50, From: 40, Process: "a", Kind: EventRenew, Token: 1}
+	renewal := Event{At: 50, RequestedAt: 40, Process: "a", Kind: EventRenew, Token: 1}
 	if findings := Check(append(log, renewal)); len(findings.Violations) != 1 {
 		t.Error("a renewal after the next grant:", findings.Violations)
 	}
 	harness := startHarness(t, Options{Agents: 1, Holders: 1})
-	harness.awaitEvent(t, 0, actionStarted(0))
+	harness.awaitEvent(t, 0, actionStartedAfter(0))
 	target := harness.Index(roleTarget)
 	harness.kill(target)
 	harness.processes[target].Listen = occupiedAddress(t)
-	if err := harness.Play(t.Context(), nil, 3*time.Second); !errors.Is(err, ErrIdle) {
+	if err := harness.RunFaults(t.Context(), nil, 3*time.Second); !errors.Is(err, ErrIdle) {
 		t.Error(err)
 	}
 	harness.awaitEvent(t, 0, func(event Event) bool { return event.Kind == EventProcessFailed && event.Process == roleTarget })
--- a/internal/processtest/events.go
+++ b/internal/processtest/events.go
@@ -40,14 +40,14 @@
 
 // Event is a line of the log that all processes share. They stamp events with the machine's monotonic clock, which no fault changes.
 type Event struct {
-	At        time.Duration `json:"at"`
-	From      time.Duration `json:"from,omitempty"` // when the request was made, of events that report a request
-	Process   string        `json:"who"`
-	Kind      EventKind     `json:"what"`
-	Slot      int           `json:"seat,omitempty"`
-	Token     lease.Token   `json:"token,omitempty"`
-	RequestID uint64        `json:"ask,omitempty"`
-	Text      string        `json:"text,omitempty"`
+	At          time.Duration `json:"at"`
+	RequestedAt time.Duration `json:"from,omitempty"` // when the request was made, of events that report a request
+	Process     string        `json:"who"`
+	Kind        EventKind     `json:"what"`
+	Slot        int           `json:"seat,omitempty"`
+	Token       lease.Token   `json:"token,omitempty"`
+	RequestID   uint64        `json:"ask,omitempty"`
+	Text        string        `json:"text,omitempty"`
 }
 
 // becomesLeader reports whether an agent says that it leads the group from now on.
@@ -72,8 +72,8 @@
 	l.grown = make(chan struct{})
 }
 
-// from returns the events from a position on, and a channel that is closed when there are more.
-func (l *eventLog) from(position int) (events []Event, grown <-chan struct{}) {
+// eventsFrom returns the events eventsFrom a position on, and a channel that is closed when there are more.
+func (l *eventLog) eventsFrom(position int) (events []Event, grown <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.events[min(position, len(l.events)):], l.grown
@@ -81,7 +81,7 @@
 
 // Log returns the events of all processes so far, sorted by time.
 func (h *Harness) Log() []Event {
-	events, _ := h.log.from(0)
+	events, _ := h.log.eventsFrom(0)
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
 	return events
@@ -90,7 +90,7 @@
 // Await waits until the log has a wanted event at or after a position, and returns that event and the position after it.
 func (h *Harness) Await(ctx context.Context, position int, wanted func(Event) bool) (Event, int, error) {
 	for {
-		events, grown := h.log.from(position)
+		events, grown := h.log.eventsFrom(position)
 		for _, event := range events {
 			position++
 			if wanted(event) {
@@ -105,15 +105,15 @@
 	}
 }
 
-// Here returns the position after the last event of the log.
-func (h *Harness) Here() int {
-	events, _ := h.log.from(0)
+// LogEnd returns the position after the last event of the log.
+func (h *Harness) LogEnd() int {
+	events, _ := h.log.eventsFrom(0)
 	return len(events)
 }
 
 // Leader returns the index of the agent that was the last to report that it leads; -1 if none has.
 func (h *Harness) Leader() int {
-	events, _ := h.log.from(0)
+	events, _ := h.log.eventsFrom(0)
 	for _, event := range slices.Backward(events) {
 		if event.becomesLeader() {
 			return h.Index(event.Process)
--- a/internal/processtest/failover_test.go
+++ b/internal/processtest/failover_test.go
@@ -59,10 +59,10 @@
 }
 
 // repeat calls a function with pauses until ctx ends.
-func (n *fakeNodes) repeat(ctx context.Context, do func()) {
+func (n *fakeNodes) repeat(ctx context.Context, call func()) {
 	n.running.Go(func() {
 		for ctx.Err() == nil {
-			do()
+			call()
 			_ = sleep(ctx, 50*time.Millisecond, 100*time.Millisecond) // the loop ends with ctx
 		}
 	})
--- a/internal/processtest/faults.go
+++ b/internal/processtest/faults.go
@@ -12,15 +12,15 @@
 // linkFault returns what a fault does to the link of a route; affected is false where it does nothing.
 type linkFault func(r route) (state linkState, affected bool)
 
-// Fault starts a fault; end ends it. A fault of the leader hits the process that leads when the fault starts.
-func (h *Harness) Fault(fault faultinject.Fault) (end func()) {
+// StartFault starts a fault; end ends it. A fault of the leader hits the process that leads when the fault starts.
+func (h *Harness) StartFault(fault faultinject.Fault) (end func()) {
 	var ends []func()
 	for _, index := range fault.Processes {
 		if index < 0 {
 			index = max(h.Leader(), 0)
 		}
 		h.log.add(Event{At: agent.Clock(), Process: h.processes[index].Name, Kind: EventFault, Text: fault.String()})
-		ends = append(ends, h.startFault(fault, index))
+		ends = append(ends, h.startProcessFault(fault, index))
 	}
 	return func() {
 		for _, end := range ends {
@@ -30,8 +30,8 @@
 	}
 }
 
-// startFault starts a fault of one process.
-func (h *Harness) startFault(fault faultinject.Fault, index int) (end func()) {
+// startProcessFault starts a fault of one process.
+func (h *Harness) startProcessFault(fault faultinject.Fault, index int) (end func()) {
 	restart := func() { _ = h.start(index) } // that a process does not come up shows in the log
 	switch fault.Kind {
 	case faultinject.ProcessKill:
@@ -56,7 +56,7 @@
 	case faultinject.LinkFlap:
 		return h.flapLinks(fault, index)
 	}
-	return h.disturbLinks(fault, index)
+	return h.applyLinkFault(fault, index)
 }
 
 // failDisk makes writes of an agent fail. The agent exits at its next write, so the end of the fault starts it again.
@@ -68,8 +68,8 @@
 	}
 }
 
-// disturbLinks applies a link fault of one process until its end.
-func (h *Harness) disturbLinks(fault faultinject.Fault, index int) (end func()) {
+// applyLinkFault applies a link fault of one process until its end.
+func (h *Harness) applyLinkFault(fault faultinject.Fault, index int) (end func()) {
 	id := h.newLinkFaultID()
 	h.setLinkFault(id, h.linkFaultOf(fault, index))
 	return func() { h.setLinkFault(id, nil) }
@@ -105,10 +105,10 @@
 
 // linkFaultOf returns which links a fault of one process changes, and how.
 func (h *Harness) linkFaultOf(fault faultinject.Fault, index int) linkFault {
-	touches := func(r route) bool { return r.from == index || r.to == index }
+	affectsProcess := func(r route) bool { return r.from == index || r.to == index }
 	switch fault.Kind {
 	case faultinject.LinkCut, faultinject.LinkFlap:
-		return func(r route) (linkState, bool) { return linkState{cut: true}, touches(r) }
+		return func(r route) (linkState, bool) { return linkState{cut: true}, affectsProcess(r) }
 	case faultinject.LinkSendCut:
 		return func(r route) (linkState, bool) { return linkState{cut: true}, r.from == index }
 	case faultinject.LinkReceiveCut:
@@ -116,13 +116,13 @@
 	case faultinject.LinkBridge:
 		return func(r route) (linkState, bool) {
 			acrossHalves := r.from%2 != r.to%2 && r.to < h.options.Agents
-			return linkState{cut: true}, !touches(r) && acrossHalves
+			return linkState{cut: true}, !affectsProcess(r) && acrossHalves
 		}
 	case faultinject.LinkSilent:
-		return func(r route) (linkState, bool) { return linkState{silent: true}, touches(r) }
+		return func(r route) (linkState, bool) { return linkState{silent: true}, affectsProcess(r) }
 	case faultinject.LinkDelay:
 		delay := time.Duration(fault.Size) * time.Millisecond
-		return func(r route) (linkState, bool) { return linkState{delay: delay}, touches(r) }
+		return func(r route) (linkState, bool) { return linkState{delay: delay}, affectsProcess(r) }
 	case faultinject.LinkReset:
 		return func(r route) (linkState, bool) { return linkState{resetFraction: fault.Size}, r.from == index }
 	}
@@ -149,9 +149,9 @@
 		var state linkState
 		for _, active := range h.linkFaults {
 			if change, affected := active(r); affected {
-				state = state.worst(change)
+				state = state.combine(change)
 			}
 		}
-		relay.set(state)
+		relay.setState(state)
 	}
 }
--- a/internal/processtest/harness_test.go
+++ b/internal/processtest/harness_test.go
@@ -59,8 +59,8 @@
 	return h.awaitEvent(t, position, func(event Event) bool { return event.Kind == kind })
 }
 
-// actionStarted returns whether an event is the start of an action under a later token.
-func actionStarted(after lease.Token) func(Event) bool {
+// actionStartedAfter returns whether an event is the start of an action under a later token.
+func actionStartedAfter(after lease.Token) func(Event) bool {
 	return func(event Event) bool { return event.Kind == EventActionStarted && event.Token > after }
 }
 
--- a/internal/processtest/holder_test.go
+++ b/internal/processtest/holder_test.go
@@ -21,7 +21,7 @@
 		return event.Kind == EventHolderHalted && event.Token > stopped.Token
 	})
 	harness.resumeOnceStopped(t, harness.Index(second.Process))
-	_, position = harness.awaitEvent(t, position, actionStarted(stopped.Token))
+	_, position = harness.awaitEvent(t, position, actionStartedAfter(stopped.Token))
 	harness.resumeOnceStopped(t, harness.Index(stopped.Process))
 	harness.awaitEvent(t, position, func(event Event) bool {
 		arrived := event.Kind == EventActionRejected || event.Kind == EventActionStarted
@@ -45,20 +45,20 @@
 	t.Helper()
 	const agents, manyActions = 3, 1 << 20
 	harness := startHarness(t, Options{Agents: agents, Holders: 2, Disabled: without, ActionsPerLease: manyActions})
-	first, position := harness.awaitEvent(t, 0, actionStarted(0))
+	first, position := harness.awaitEvent(t, 0, actionStartedAfter(0))
 	holder := harness.Index(first.Text)
 	for _, fault := range faults {
 		fault.Processes = []int{holder}
-		harness.Fault(fault)
+		harness.StartFault(fault)
 	}
 	harness.setLinkFault(harness.newLinkFaultID(), func(r route) (linkState, bool) {
 		return linkState{cut: true}, r.from == holder && r.to < agents
 	})
 	next, position := harness.awaitEvent(t, position, func(event Event) bool {
-		return actionStarted(first.Token)(event) && event.Text != first.Text
+		return actionStartedAfter(first.Token)(event) && event.Text != first.Text
 	})
 	for range 3 {
-		_, position = harness.awaitEvent(t, position, actionStarted(next.Token-1))
+		_, position = harness.awaitEvent(t, position, actionStartedAfter(next.Token-1))
 	}
 	if expectRejected {
 		harness.awaitKind(t, 0, EventActionRejected)
--- a/internal/processtest/linearizability.go
+++ b/internal/processtest/linearizability.go
@@ -22,8 +22,8 @@
 	ended   bool
 }
 
-// after returns the state after a request; possible is false if the outcome contradicts the state.
-func (s leaseState) after(r leaseRequest) (next leaseState, possible bool) {
+// apply returns the state apply a request; possible is false if the outcome contradicts the state.
+func (s leaseState) apply(r leaseRequest) (next leaseState, possible bool) {
 	if r.kind == EventAcquire {
 		switch {
 		case r.rejected:
@@ -45,7 +45,7 @@
 var leaseModel = porcupine.Model{
 	Init: func() any { return leaseState{} },
 	Step: func(state, input, _ any) (bool, any) {
-		next, possible := state.(leaseState).after(input.(leaseRequest))
+		next, possible := state.(leaseState).apply(input.(leaseRequest))
 		return possible, next
 	},
 	Equal: func(a, b any) bool { return a == b },
@@ -70,7 +70,7 @@
 				token:    event.Token,
 				rejected: event.Text != "",
 			},
-			Call:   int64(event.From),
+			Call:   int64(event.RequestedAt),
 			Return: int64(event.At),
 		})
 	}
--- a/internal/processtest/measure.go
+++ b/internal/processtest/measure.go
@@ -88,7 +88,7 @@
 	start := time.Now()
 	for i := range grantClients {
 		group.Go(func() error {
-			return takeAndRelease(ctx, client, fmt.Sprint("grants", i), func(latency time.Duration) {
+			return acquireAndRelease(ctx, client, fmt.Sprint("grants", i), func(latency time.Duration) {
 				latencies <- latency
 				grants.Add(1)
 			})
@@ -103,8 +103,8 @@
 	return err
 }
 
-// takeAndRelease takes and releases a lease until ctx ends.
-func takeAndRelease(ctx context.Context, client *agent.Client, name string, granted func(latency time.Duration)) error {
+// acquireAndRelease takes and releases a lease until ctx ends.
+func acquireAndRelease(ctx context.Context, client *agent.Client, name string, granted func(latency time.Duration)) error {
 	for requestID := uint64(1); ctx.Err() == nil; requestID++ {
 		start := time.Now()
 		acquire := lease.Command{Name: name, Holder: name, RequestID: requestID, Ticks: measuredGrantTicks}
@@ -143,15 +143,15 @@
 	var rush errgroup.Group
 	start := time.Now()
 	for i, held := range leases {
-		rush.Go(func() error { return joinRush(ctx, clients[i], held) })
+		rush.Go(func() error { return acquireContendedLease(ctx, clients[i], held) })
 	}
 	err = rush.Wait()
 	m.ContendedLeaseTime = time.Since(start)
 	return err
 }
 
-// joinRush releases a client's own lease, and takes and releases the one that all clients want.
-func joinRush(ctx context.Context, client *agent.Client, held *agent.Lease) error {
+// acquireContendedLease releases a client's own lease, and takes and releases the one that all clients want.
+func acquireContendedLease(ctx context.Context, client *agent.Client, held *agent.Lease) error {
 	if reason := held.Reason(); reason != nil {
 		return fmt.Errorf("a lease was lost without a fault: %w", reason)
 	}
@@ -173,7 +173,7 @@
 func (m *Measurement) measureElections(ctx context.Context, h *Harness, position, elections int) error {
 	for range elections {
 		leader := h.processes[max(h.Leader(), 0)].Name
-		restart := h.Fault(faultinject.Fault{Kind: faultinject.ProcessKill, Processes: []int{-1}})
+		restart := h.StartFault(faultinject.Fault{Kind: faultinject.ProcessKill, Processes: []int{-1}})
 		killed := agent.Clock()
 		elected, next, err := h.Await(ctx, position, func(event Event) bool { return event.becomesLeader() && event.At > killed })
 		if err != nil {
--- a/internal/processtest/node_process_test.go
+++ b/internal/processtest/node_process_test.go
@@ -33,15 +33,15 @@
 	}
 	if pid := nodePID(directory, name); pid > 0 {
 		_ = syscall.Kill(pid, syscall.SIGTERM) // it may have exited
-		for runs(pid) {
+		for processRuns(pid) {
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
 	return startNode(directory, name)
 }
 
-// runs reports whether a process exists and is not a zombie.
-func runs(pid int) bool {
+// processRuns reports whether a process exists and is not a zombie.
+func processRuns(pid int) bool {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return false
--- a/internal/processtest/relay.go
+++ b/internal/processtest/relay.go
@@ -16,8 +16,8 @@
 	resetFraction float64 // of chunks of data that end in a reset
 }
 
-// worst combines the effects of two faults on one link.
-func (s linkState) worst(other linkState) linkState {
+// combine combines the effects of two faults on one link.
+func (s linkState) combine(other linkState) linkState {
 	return linkState{
 		cut:           s.cut || other.cut,
 		silent:        s.silent || other.silent,
@@ -62,8 +62,8 @@
 
 func (r *relay) address() string { return r.listener.Addr().String() }
 
-// set changes the state of the link from now on.
-func (r *relay) set(state linkState) {
+// setState changes the state of the link from now on.
+func (r *relay) setState(state linkState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state = state
@@ -104,8 +104,8 @@
 	r.goroutines.Wait()
 }
 
-// add registers a connection; where the link is cut it resets the connection and returns false.
-func (r *relay) add(connection net.Conn) bool {
+// addConnection registers a connection; where the link is cut it resets the connection and returns false.
+func (r *relay) addConnection(connection net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state.cut || r.closed {
@@ -116,7 +116,7 @@
 	return true
 }
 
-func (r *relay) remove(connection net.Conn) {
+func (r *relay) removeConnection(connection net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.connections, connection)
@@ -129,7 +129,7 @@
 		if err != nil {
 			return
 		}
-		if r.add(client) {
+		if r.addConnection(client) {
 			r.goroutines.Go(func() { r.forward(client) })
 		}
 	}
@@ -137,8 +137,8 @@
 
 // forward connects a client with the target until one of them closes its connection.
 func (r *relay) forward(client net.Conn) {
-	defer r.remove(client)
-	if !r.awaitPassage() {
+	defer r.removeConnection(client)
+	if !r.awaitForwarding() {
 		return
 	}
 	server, err := net.Dial("tcp4", r.target)
@@ -146,8 +146,8 @@
 		reset(client)
 		return
 	}
-	defer r.remove(server)
-	if !r.add(server) {
+	defer r.removeConnection(server)
+	if !r.addConnection(server) {
 		return
 	}
 	responsesDone := make(chan struct{})
@@ -161,8 +161,8 @@
 	<-responsesDone
 }
 
-// awaitPassage waits while the link is silent, and for the link's delay. It is false where the connection is to be reset.
-func (r *relay) awaitPassage() bool {
+// awaitForwarding waits while the link is silent, and for the link's delay. It is false where the connection is to be reset.
+func (r *relay) awaitForwarding() bool {
 	for {
 		r.mu.Lock()
 		state, changed, closed := r.state, r.changed, r.closed
@@ -184,7 +184,7 @@
 	buffer := make([]byte, relayBuffer)
 	for {
 		n, err := source.Read(buffer)
-		if err != nil || !r.awaitPassage() {
+		if err != nil || !r.awaitForwarding() {
 			return
 		}
 		if _, err := destination.Write(buffer[:n]); err != nil {
--- a/internal/processtest/role.go
+++ b/internal/processtest/role.go
@@ -81,7 +81,7 @@
 	defer stop()
 	p := &process{processSettings: settings, events: json.NewEncoder(os.Stdout), clockRate: 1, rateChangedAt: agent.Clock()}
 	go p.readOrders(os.Stdin)
-	if err := p.play(ctx); err != nil {
+	if err := p.runRole(ctx); err != nil {
 		p.report(Event{Kind: EventProcessFailed, Text: err.Error()})
 		os.Exit(1)
 	}
@@ -103,7 +103,7 @@
 	halt          bool
 }
 
-func (p *process) play(ctx context.Context) error {
+func (p *process) runRole(ctx context.Context) error {
 	switch p.Role {
 	case roleAgent:
 		return p.runAgent(ctx)
@@ -139,12 +139,12 @@
 	for lines := bufio.NewScanner(input); lines.Scan(); {
 		order, argument, _ := strings.Cut(lines.Text(), " ")
 		value, _ := strconv.ParseFloat(argument, 64) // 0 for orders without a number
-		p.carryOut(order, value)
+		p.applyOrder(order, value)
 	}
 	os.Exit(0)
 }
 
-func (p *process) carryOut(order string, value float64) {
+func (p *process) applyOrder(order string, value float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch order {
--- a/internal/processtest/role_holder.go
+++ b/internal/processtest/role_holder.go
@@ -22,7 +22,7 @@
 
 const (
 	leaseName          = "task"
-	longestAction      = 300 * time.Millisecond // with the time that its request takes
+	maxActionTime      = 300 * time.Millisecond // with the time that its request takes
 	mostRandomActions  = 40                     // under one lease
 	leaseCallTimeout   = 2 * time.Second
 	leaseMargin        = 50 * time.Millisecond
@@ -49,8 +49,8 @@
 			continue
 		}
 		grant, _ := held.Grant()
-		p.report(Event{Kind: EventLeaseAcquired, Slot: grant.Slot, Token: grant.Token, From: from})
-		h.act(ctx, held, grant)
+		p.report(Event{Kind: EventLeaseAcquired, Slot: grant.Slot, Token: grant.Token, RequestedAt: from})
+		h.runActions(ctx, held, grant)
 		if held.Reason() == nil {
 			h.release(ctx, held)
 		}
@@ -78,14 +78,14 @@
 	_ = held.Release(ctx) // a lease that is not released expires
 }
 
-// act sends actions until the lease is uncertain or the holder has done enough.
-func (h *holder) act(ctx context.Context, held *agent.Lease, grant lease.Grant) {
+// runActions sends actions until the lease is uncertain or the holder has done enough.
+func (h *holder) runActions(ctx context.Context, held *agent.Lease, grant lease.Grant) {
 	for actions := cmp.Or(h.ActionsPerLease, 1+rand.IntN(mostRandomActions)); actions > 0 && ctx.Err() == nil; actions-- {
-		if _, err := held.BeginAction(longestAction); err != nil && !h.Disabled.Guard {
+		if _, err := held.BeginAction(maxActionTime); err != nil && !h.Disabled.Guard {
 			h.report(Event{Kind: EventActionWithheld, Slot: grant.Slot, Token: grant.Token, Text: err.Error()})
 			return
 		}
-		if h.takeHalt() {
+		if h.consumeHaltOrder() {
 			h.stopItself(grant)
 		}
 		h.sendAction(grant)
@@ -97,8 +97,8 @@
 	}
 }
 
-// takeHalt reports whether the holder was ordered to halt, and clears the order.
-func (p *process) takeHalt() bool {
+// consumeHaltOrder reports whether the holder was ordered to halt, and clears the order.
+func (p *process) consumeHaltOrder() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	halt := p.halt
@@ -156,7 +156,7 @@
 		return nil, err
 	}
 	if response.StatusCode == http.StatusOK || answer.Code == "taken" || answer.Code == "not-held" {
-		event := Event{Kind: EventKind(verb), Token: command.Token, From: from, RequestID: command.RequestID, Text: answer.Code}
+		event := Event{Kind: EventKind(verb), Token: command.Token, RequestedAt: from, RequestID: command.RequestID, Text: answer.Code}
 		if event.Kind == EventAcquire && answer.Grant != nil {
 			event.Token = answer.Grant.Token
 		}
--- a/internal/processtest/role_target.go
+++ b/internal/processtest/role_target.go
@@ -17,7 +17,7 @@
 // How long an action takes at the target.
 const (
 	shortestWork = 10 * time.Millisecond
-	workSpread   = longestAction / 3
+	workSpread   = maxActionTime / 3
 )
 
 // target is what holders act on. Its events show which actions happened.
--- a/internal/processtest/rollout_test.go
+++ b/internal/processtest/rollout_test.go
@@ -98,7 +98,7 @@
 	for i := range *rolloutCount {
 		command := fleet.startRollout(t, fmt.Sprint("change ", i))
 		command.awaitOutput(t, "done", 1+i%6)
-		endFault := harness.Fault(faultinject.Fault{Kind: kinds[i%len(kinds)], Processes: []int{-1}})
+		endFault := harness.StartFault(faultinject.Fault{Kind: kinds[i%len(kinds)], Processes: []int{-1}})
 		if err := <-command.exited; err != nil {
 			t.Errorf("rollout %d: %v\n%s", i, err, command.text())
 		}
--- a/internal/processtest/schedule.go
+++ b/internal/processtest/schedule.go
@@ -39,16 +39,16 @@
 
 // scheduleStep is the start or the end of a fault.
 type scheduleStep struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	run func()
 }
 
-// steps returns the starts and ends of faults, by time.
-func (h *Harness) steps(plan []faultinject.Fault) []scheduleStep {
+// scheduleSteps returns the starts and ends of faults, by time.
+func (h *Harness) scheduleSteps(plan []faultinject.Fault) []scheduleStep {
 	var steps []scheduleStep
 	for _, fault := range plan {
 		var end func()
-		start := scheduleStep{time.Duration(fault.Start) * time.Millisecond, func() { end = h.Fault(fault) }}
+		start := scheduleStep{time.Duration(fault.Start) * time.Millisecond, func() { end = h.StartFault(fault) }}
 		finish := scheduleStep{time.Duration(fault.End()) * time.Millisecond, func() { end() }}
 		steps = append(steps, start, finish)
 	}
@@ -56,17 +56,17 @@
 	return steps
 }
 
-// Play starts and ends the faults of a plan at their times and heals all processes. It returns ErrIdle if no holder acts within the
+// RunFaults starts and ends the faults of a plan at their times and heals all processes. It returns ErrIdle if no holder acts within the
 // recovery timeout after that.
-func (h *Harness) Play(ctx context.Context, plan []faultinject.Fault, recovery time.Duration) error {
+func (h *Harness) RunFaults(ctx context.Context, plan []faultinject.Fault, recovery time.Duration) error {
 	start := time.Now()
-	for _, step := range h.steps(plan) {
+	for _, step := range h.scheduleSteps(plan) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(time.Until(start.Add(step.at))):
 		}
-		step.do()
+		step.run()
 	}
 	if err := h.Heal(); err != nil {
 		return err
@@ -74,7 +74,7 @@
 	h.log.add(Event{At: agent.Clock(), Process: harnessName, Kind: EventHealed})
 	ctx, cancel := context.WithTimeout(ctx, recovery)
 	defer cancel()
-	_, _, err := h.Await(ctx, h.Here(), func(event Event) bool { return event.Kind == EventActionStarted })
+	_, _, err := h.Await(ctx, h.LogEnd(), func(event Event) bool { return event.Kind == EventActionStarted })
 	if err != nil {
 		return errors.Join(ErrIdle, err)
 	}
@@ -110,7 +110,7 @@
 
 // RunSchedule plays the schedule of a seed: 3 agents, or 5 for every third seed, and 3 holders.
 func RunSchedule(ctx context.Context, seed uint64, without DisabledParts) (Findings, error) {
-	return playSchedule(ctx, seed, without, ScheduleFaults(seed))
+	return runFaultPlan(ctx, seed, without, ScheduleFaults(seed))
 }
 
 // ScheduleFaults returns the faults of a seed's schedule.
@@ -122,7 +122,7 @@
 // differ because the timing of the processes is not drawn from the seed.
 func ReproducesFailure(ctx context.Context, seed uint64, without DisabledParts, plan []faultinject.Fault, attempts int) (bool, error) {
 	for range attempts {
-		findings, err := playSchedule(ctx, seed, without, plan)
+		findings, err := runFaultPlan(ctx, seed, without, plan)
 		if err != nil && !errors.Is(err, ErrIdle) {
 			return false, err
 		}
@@ -141,12 +141,12 @@
 	return options
 }
 
-func playSchedule(ctx context.Context, seed uint64, without DisabledParts, plan []faultinject.Fault) (Findings, error) {
+func runFaultPlan(ctx context.Context, seed uint64, without DisabledParts, plan []faultinject.Fault) (Findings, error) {
 	h, err := Start(scheduleOptions(seed, without))
 	if err != nil {
 		return Findings{}, err
 	}
 	defer h.Stop()
-	err = h.Play(ctx, plan, recoveryTimeout)
+	err = h.RunFaults(ctx, plan, recoveryTimeout)
 	return Check(h.Log()), err
 }
