--- a/internal/processtest/addresses.go
+++ b/internal/processtest/addresses.go
@@ -6,12 +6,13 @@
 	"sync/atomic"
 )
 
-// harnessCount numbers the harnesses of this process.
+// harnessCount counts the harnesses that this process has started, so that each gets an address of its own.
 var harnessCount atomic.Uint32
 
-// nextLoopbackHost returns a loopback address for the processes of one harness. The harness chooses their ports before they listen, and
-// a killed process leaves its port free until it is started again. On an address that is shared with relays and outgoing connections
-// somebody else could be given such a port meanwhile; the process would then fail to listen.
+// nextLoopbackHost returns a loopback address for the processes of one harness. The harness chooses the ports of its
+// processes before they listen, and the port of a killed process is free until the process is started again. On an
+// address that relays and outgoing connections use as well, the kernel could assign such a port to one of them in the
+// meantime, and the process would then fail to listen.
 func nextLoopbackHost() string {
 	const firstBlock, blocks, hosts = 192, 60, 250
 	block := firstBlock + harnessCount.Add(1)%blocks
--- a/internal/processtest/addresses_test.go
+++ b/internal/processtest/addresses_test.go
@@ -7,8 +7,8 @@
 	"tulipglade/internal/loopback"
 )
 
-// TestAddressesStayFreeBesideOtherHarnesses has several harnesses choose their addresses and open relays at the same time. No process
-// may find its address taken when it comes to listen there.
+// Guards against processes that fail to listen because their address is in use. Several harnesses choose addresses and
+// open relays at the same time; each chosen address must still be free when a process listens on it.
 func TestAddressesStayFreeBesideOtherHarnesses(t *testing.T) {
 	const rounds, harnesses, processes, relays = 200, 4, 4, 18
 	for range rounds {
@@ -31,7 +31,7 @@
 				for _, address := range addresses {
 					listener, err := net.Listen("tcp4", address)
 					if err != nil {
-						t.Errorf("the address of a process was taken: %v", err)
+						t.Errorf("cannot listen on the address chosen for a process: %v", err)
 						continue
 					}
 					defer func() { _ = listener.Close() }()
--- a/internal/processtest/agents_test.go
+++ b/internal/processtest/agents_test.go
@@ -11,8 +11,9 @@
 	"tulipglade/internal/faultinject"
 )
 
-// All agents are killed at once and started in another order: no token is granted twice. With disks that do not store what they report
-// as stored, tokens are granted twice, and the checks report it.
+// No token may be granted twice after all agents are killed at once and started again in another order. The test then
+// repeats this with disks that do not store what they report as stored: tokens are granted twice there, and the checks
+// must report it.
 func TestTokensStayUniqueAfterAllAgentsAreKilled(t *testing.T) {
 	for _, withoutSync := range []bool{false, true} {
 		harness := startHarness(t, Options{Agents: 3, Holders: 2, Disabled: DisabledParts{Sync: withoutSync}})
@@ -28,12 +29,13 @@
 		_, position = harness.awaitEvent(t, position, Event.becomesLeader)
 		harness.awaitEvent(t, position, func(event Event) bool { return event.Kind == EventAcquire && event.Text == "" })
 		if findings := Check(harness.Log()); withoutSync != (len(findings.Violations) > 0) {
-			t.Errorf("disks without sync %v: broken %v", withoutSync, findings.Violations)
+			t.Errorf("disks without sync: %v; violations: %v", withoutSync, findings.Violations)
 		}
 	}
 }
 
-// An agent whose disk fails reports the error and exits; the others elect a leader, and holders act again.
+// An agent whose disk fails must report the error and exit, since it can no longer keep its promises to the group. The
+// remaining agents elect a leader, and holders act again.
 func TestAgentExitsOnDiskFailure(t *testing.T) {
 	harness := startHarness(t, Options{Agents: 3, Holders: 2})
 	_, position := harness.awaitEvent(t, 0, actionStartedAfter(0))
@@ -55,8 +57,8 @@
 	}
 }
 
-// A member is replaced while holders act, and the leader is killed during the change. The new member votes in the end, so the group
-// goes on without two of the old ones.
+// A membership change must complete even if the leader is killed during it. The test replaces a member while holders
+// act, and then kills two of the old members: the group keeps granting leases only if the new member votes.
 func TestMemberReplacementSurvivesLeaderKill(t *testing.T) {
 	const agents, spareAgent = 3, 3
 	harness := startHarness(t, Options{Agents: agents, SpareAgents: 1, Holders: 2})
@@ -72,14 +74,14 @@
 	}
 	changed := make(chan error, 1)
 	go func() { changed <- client.ChangeMembers(ctx, change) }()
-	harness.awaitEvent(t, 0, func(event Event) bool { // the spare agent has heard of the group
+	harness.awaitEvent(t, 0, func(event Event) bool { // the spare agent has learned who leads the group
 		return event.Kind == EventLeaderKnown && event.Process == harness.processes[spareAgent].Name
 	})
 	harness.kill(leader)
 	if err := harness.start(leader); err != nil {
 		t.Fatal(err)
 	}
-	<-changed // with any outcome: the next leader completes the change
+	<-changed // the result does not matter: the next leader completes the change
 	awaitReplaced(ctx, t, client, memberID(removed), memberID(spareAgent))
 	harness.kill(removed)
 	harness.kill((removed + 1) % agents)
@@ -90,10 +92,10 @@
 	}
 }
 
-// memberID returns the ID of the agent with an index.
+// memberID returns the member ID of the agent with the given index.
 func memberID(index int) uint64 { return uint64(index + 1) }
 
-// awaitReplaced waits until the group has three members, with one of two and without the other.
+// awaitReplaced waits until the group has three members, among them the added one but not the removed one.
 func awaitReplaced(ctx context.Context, t *testing.T, client *agent.Client, removed, added uint64) {
 	t.Helper()
 	replaced := func(status consensus.Status) bool {
--- a/internal/processtest/check.go
+++ b/internal/processtest/check.go
@@ -10,21 +10,21 @@
 	"tulipglade/internal/lease"
 )
 
-// Findings is what a log of events shows.
+// Findings holds the counts, measured times and violations that Check derives from a log of events.
 type Findings struct {
 	Actions    int            `json:"acts"`    // actions that the target admitted
-	Rejected   int            `json:"refused"` // actions that the target rejected for their token, or while an earlier one was in progress
+	Rejected   int            `json:"refused"` // actions that the target rejected: stale token, or another one in progress
 	Grants     int            `json:"grants"`
 	Leaders    int            `json:"leaders"`
-	Faults     map[string]int `json:"faults"` // by kind
+	Faults     map[string]int `json:"faults"` // number of faults of each kind
 	Violations []string       `json:"broken,omitempty"`
-	// TakeoverTimes are the times from a holder's kill, stop or cut to the first action of the next holder.
+	// TakeoverTimes are the times from the kill, stop or link cut of a holder to the first action of the next holder.
 	TakeoverTimes []time.Duration `json:"-"`
-	// ElectionTimes are the times from a leader's kill, stop or cut to the next leader.
+	// ElectionTimes are the times from the kill, stop or link cut of a leader to the election of the next leader.
 	ElectionTimes []time.Duration `json:"-"`
 }
 
-// Add adds the findings of another log.
+// Add adds the findings of another log to f.
 func (f *Findings) Add(other Findings) {
 	f.Actions += other.Actions
 	f.Rejected += other.Rejected
@@ -41,23 +41,24 @@
 	}
 }
 
-// isolatingFaults are the faults that put a process out of the group's reach.
+// isolatingFaults are the kinds of faults after which a process cannot communicate with the group.
 var isolatingFaults = []faultinject.Kind{faultinject.ProcessKill, faultinject.ProcessStop, faultinject.LinkCut}
 
-// checker goes through a log. Times of 0 mean that there is none.
+// checker holds the state of Check while it processes a log, event by event.
 type checker struct {
 	findings     Findings
-	openActions  map[lease.Token]int
-	newestToken  lease.Token // of the actions that were admitted
-	grantedTo    map[lease.Token]string
-	holder       string // of the last action that was admitted
+	openActions  map[lease.Token]int    // number of actions in progress under each token
+	newestToken  lease.Token            // highest token of the actions that were admitted so far
+	grantedTo    map[lease.Token]string // the request that each token was granted to, as requestName returns it
+	holder       string                 // the process that sent the last admitted action
 	holderToken  lease.Token
-	holderLostAt time.Duration
+	holderLostAt time.Duration // when an isolating fault hit the holder; 0 if none has since the last takeover
 	leader       string
-	leaderLostAt time.Duration
+	leaderLostAt time.Duration // when an isolating fault hit the leader; 0 if none has since the last election
 }
 
-// Check checks a log, sorted by time, against what must hold. It knows nothing of how leases are implemented.
+// Check checks a log, which must be sorted by time, against the invariants of leases. It relies on the recorded events
+// alone and on no detail of the implementation of leases.
 func Check(log []Event) Findings {
 	c := &checker{
 		findings:    Findings{Faults: map[string]int{}},
@@ -103,7 +104,8 @@
 	c.findings.Violations = append(c.findings.Violations, text)
 }
 
-// actionStarted checks that actions under different tokens never overlap, and that tokens never go back.
+// actionStarted counts an admitted action. It checks that actions under different tokens do not overlap, and that no
+// action is admitted after one under a higher token.
 func (c *checker) actionStarted(event Event) {
 	c.findings.Actions++
 	for token, open := range c.openActions {
@@ -123,7 +125,7 @@
 	c.openActions[event.Token]++
 }
 
-// leaseGranted checks that a token is granted to one request only.
+// leaseGranted counts a grant and checks that no other request was granted the same token.
 func (c *checker) leaseGranted(event Event) {
 	request := requestName(event)
 	previous, granted := c.grantedTo[event.Token]
@@ -131,7 +133,7 @@
 	case !granted:
 		c.findings.Grants++
 	case previous != request:
-		c.violation(event, "token %d is granted to %s, and was granted to %s", event.Token, request, previous)
+		c.violation(event, "token %d is granted to %s, and was already granted to %s", event.Token, request, previous)
 	}
 	c.grantedTo[event.Token] = request
 }
@@ -144,7 +146,7 @@
 	c.leader, c.leaderLostAt = event.Process, 0
 }
 
-// faultStarted counts a fault, and notes when it puts the holder or the leader out of reach.
+// faultStarted counts a fault, and records the time if it isolates the current holder or leader.
 func (c *checker) faultStarted(event Event) {
 	kind, _, _ := strings.Cut(event.Text, " ")
 	c.findings.Faults[kind]++
@@ -159,7 +161,7 @@
 	}
 }
 
-// requestName identifies a request of a process over all its attempts.
+// requestName returns a name for a request that is the same for all its attempts and unique among all processes.
 func requestName(event Event) string {
 	return fmt.Sprint(event.Process, " ", event.RequestID)
 }
--- a/internal/processtest/check_test.go
+++ b/internal/processtest/check_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A history without a possible order is a violation, and a schedule after which nobody acts is an error.
+// Guards against checks that pass whatever happens. A history of lease requests that no order can explain must be
+// reported as a violation, and a schedule after which no holder acts must end in ErrIdle.
 func TestChecksReportViolations(t *testing.T) {
 	log := []Event{
 		{At: 10, RequestedAt: 1, Process: "a", Kind: EventAcquire, Token: 1, RequestID: 1},
@@ -18,7 +19,7 @@
 	}
 	renewal := Event{At: 50, RequestedAt: 40, Process: "a", Kind: EventRenew, Token: 1}
 	if findings := Check(append(log, renewal)); len(findings.Violations) != 1 {
-		t.Error("a renewal after the next grant:", findings.Violations)
+		t.Error("a renewal after the next grant must be one violation:", findings.Violations)
 	}
 	harness := startHarness(t, Options{Agents: 1, Holders: 1})
 	harness.awaitEvent(t, 0, actionStartedAfter(0))
@@ -38,6 +39,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // nobody has connected to it
+	t.Cleanup(func() { _ = listener.Close() }) // no connections were accepted, so nothing can be lost
 	return listener.Addr().String()
 }
--- a/internal/processtest/client_load_test.go
+++ b/internal/processtest/client_load_test.go
@@ -13,7 +13,7 @@
 
 const loadClients = 6
 
-// clientLoad is clients that send requests through the frontends until they are stopped.
+// clientLoad runs clients that send requests through the frontends until they are stopped, and counts the outcomes.
 type clientLoad struct {
 	sent, truncated, rejected, failedToConnect atomic.Int64
 
@@ -48,10 +48,10 @@
 	return request
 }
 
-// send sends a request, counts its outcome, and pauses after a response.
+// send sends a request and counts its outcome. After a response it pauses.
 func (l *clientLoad) send(transport *http.Transport, request *http.Request) {
 	response, err := transport.RoundTrip(request)
-	if err != nil { // the connection was closed before any response, or could not be made
+	if err != nil { // the connection failed, or was closed before any response
 		l.failedToConnect.Add(1)
 		return
 	}
@@ -75,7 +75,7 @@
 		l.sent.Load(), l.truncated.Load(), l.rejected.Load(), l.failedToConnect.Load())
 }
 
-// checkAllServed checks that every request that reached a node was served, and that there were enough requests.
+// checkAllServed checks that every request that reached a node was served, and that at least fewest requests were sent.
 func (l *clientLoad) checkAllServed(t *testing.T, fewest int64) {
 	t.Helper()
 	if l.truncated.Load() > 0 || l.rejected.Load() > 0 || l.sent.Load() < fewest {
--- a/internal/processtest/cost.go
+++ b/internal/processtest/cost.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// Cost is the cost of one agent, as the mean of all.
+// Cost is the resource usage of an agent, averaged over all agents of the group.
 type Cost struct {
-	CPU      float64 `json:"cpu_share"` // of one core
+	CPU      float64 `json:"cpu_share"` // CPU time per elapsed time, 1 for a fully used core
 	Memory   float64 `json:"memory_mb"`
-	Messages float64 `json:"pieces_per_s"` // chunks of messages that it sends to other agents, without answers
+	Messages float64 `json:"pieces_per_s"` // request chunks through the relays, without responses
 }
 
-// clockTicksPerSecond is the unit of CPU times in /proc; Linux uses it for all that it shows to processes.
+// clockTicksPerSecond converts CPU times in /proc to seconds. Linux uses this value in all interfaces to user space.
 const clockTicksPerSecond = 100
 
-// Fields of proc_pid_stat(5), counted from the third, which follows the name.
+// Indexes of fields of proc_pid_stat(5). Index 0 is the third field, the first after the name of the program.
 const (
 	statUserTime      = 11
 	statSystemTime    = 12
 	statResidentPages = 21
 )
 
-// usage is what all agents have used so far.
+// usage is the total resource usage of all agents since they started.
 type usage struct {
 	cpuTicks  float64
 	memoryKiB float64
-	chunks    float64
+	chunks    float64 // chunks that all relays have forwarded to their targets
 }
 
-// cost measures the agents over a time.
+// cost measures the mean cost of an agent over a period of the given length.
 func (h *Harness) cost(ctx context.Context, length time.Duration) (Cost, error) {
 	before, err := h.usage()
 	if err != nil {
@@ -67,7 +67,7 @@
 	return total, nil
 }
 
-// addProcess adds the CPU time and memory of a process.
+// addProcess adds the CPU time and the resident memory of a process.
 func (u *usage) addProcess(pid int) error {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/processtest/events.go
+++ b/internal/processtest/events.go
@@ -10,22 +10,22 @@
 	"tulipglade/internal/lease"
 )
 
-// EventKind says what an event reports.
+// EventKind is the kind of occurrence that an event reports.
 type EventKind string
 
-// The kinds of events. Agents report their log records, too; the kind of such an event is the record's message.
+// The kinds of events. Agents also report their log records as events, whose kind is the message of the record.
 const (
 	EventProcessReady   EventKind = "up"
-	EventProcessFailed  EventKind = "ended"              // Text has the error
-	EventLeadership     EventKind = "leadership changed" // an agent's log record: it has become leader, or is leader no longer
-	EventLeaderKnown    EventKind = "leader known"       // an agent's log record: it follows another leader
+	EventProcessFailed  EventKind = "ended"              // Text is the error
+	EventLeadership     EventKind = "leadership changed" // log record of an agent that became or ceased to be leader
+	EventLeaderKnown    EventKind = "leader known"       // log record of an agent that follows another leader
 	EventFailoverLeader EventKind = "failover leadership changed"
-	EventAcquire        EventKind = "acquire" // a request to the group and its answer; so are the next two
+	EventAcquire        EventKind = "acquire" // a request to the group and its response, like the next two kinds
 	EventRenew          EventKind = "renew"
 	EventRelease        EventKind = "release"
 	EventLeaseAcquired  EventKind = "holds"
 	EventLeaseDone      EventKind = "done"
-	EventHolderHalted   EventKind = "halts" // it stops itself between its check and its action
+	EventHolderHalted   EventKind = "halts" // the holder stops itself between checking its lease and its action
 	EventActionWithheld EventKind = "withheld"
 	EventActionStarted  EventKind = "begins" // the target has admitted an action; Text names the holder
 	EventActionEnded    EventKind = "ends"
@@ -38,10 +38,11 @@
 // harnessName is the process name of events that the harness itself reports.
 const harnessName = "harness"
 
-// Event is a line of the log that all processes share. They stamp events with the machine's monotonic clock, which no fault changes.
+// Event is an entry of the log of all processes. Its times are read from the monotonic clock of the machine, which no
+// fault changes.
 type Event struct {
 	At          time.Duration `json:"at"`
-	RequestedAt time.Duration `json:"from,omitempty"` // when the request was made, of events that report a request
+	RequestedAt time.Duration `json:"from,omitempty"` // when the reported request was sent; 0 for other events
 	Process     string        `json:"who"`
 	Kind        EventKind     `json:"what"`
 	Slot        int           `json:"seat,omitempty"`
@@ -50,7 +51,7 @@
 	Text        string        `json:"text,omitempty"`
 }
 
-// becomesLeader reports whether an agent says that it leads the group from now on.
+// becomesLeader reports whether the event is the report of an agent that it has become the leader of the group.
 func (e Event) becomesLeader() bool {
 	return e.Kind == EventLeadership && strings.Contains(e.Text, "is_leader=true")
 }
@@ -59,7 +60,7 @@
 type eventLog struct {
 	mu     sync.Mutex
 	events []Event
-	grown  chan struct{} // closed when events has grown, and replaced
+	grown  chan struct{} // closed and replaced when an event is added
 }
 
 func newEventLog() *eventLog { return &eventLog{grown: make(chan struct{})} }
@@ -72,7 +73,7 @@
 	l.grown = make(chan struct{})
 }
 
-// eventsFrom returns the events eventsFrom a position on, and a channel that is closed when there are more.
+// eventsFrom returns the events from a position on, and a channel that is closed when the next event is added.
 func (l *eventLog) eventsFrom(position int) (events []Event, grown <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,7 +88,8 @@
 	return events
 }
 
-// Await waits until the log has a wanted event at or after a position, and returns that event and the position after it.
+// Await waits until the log contains a wanted event at or after a position. It returns that event and the position
+// after it.
 func (h *Harness) Await(ctx context.Context, position int, wanted func(Event) bool) (Event, int, error) {
 	for {
 		events, grown := h.log.eventsFrom(position)
@@ -111,7 +113,7 @@
 	return len(events)
 }
 
-// Leader returns the index of the agent that was the last to report that it leads; -1 if none has.
+// Leader returns the index of the agent that was the last to report that it became leader, or -1 if none has.
 func (h *Harness) Leader() int {
 	events, _ := h.log.eventsFrom(0)
 	for _, event := range slices.Backward(events) {
--- a/internal/processtest/failover_test.go
+++ b/internal/processtest/failover_test.go
@@ -17,14 +17,14 @@
 
 const (
 	testZones    = 3
-	testNodes    = 6 // two in each zone
+	testNodes    = 6 // two nodes in each zone
 	testClasses  = 2
 	fullCapacity = 100.0
 	planTimeout  = 40 * time.Second
 )
 
-// fakeNodes report demand and capacity to the agents as nodes do, each to its own agent or to the next one that accepts the report, and
-// watch the plans that the agents publish.
+// fakeNodes report demand and capacity to the agents as nodes do, and read the plans that the agents publish. Each node
+// sends its report to an agent of its own, or to the next one that accepts the report.
 type fakeNodes struct {
 	agents   []string
 	client   *http.Client
@@ -32,9 +32,9 @@
 	planSeen chan struct{}
 
 	mu           sync.Mutex
-	capacity     []float64                 // by zone
-	latestPlans  map[string]*failover.Plan // by agent
-	disagreement []string                  // plans that contradict earlier ones or themselves
+	capacity     []float64                 // of each zone, as all nodes report it
+	latestPlans  map[string]*failover.Plan // the latest plan that each agent has published, by the agent's address
+	disagreement []string                  // errors: plans that are invalid or older than the one before
 }
 
 func startFakeNodes(ctx context.Context, agents []string) *fakeNodes {
@@ -58,7 +58,7 @@
 	return n
 }
 
-// repeat calls a function with pauses until ctx ends.
+// repeat calls a function repeatedly, with pauses, until ctx ends.
 func (n *fakeNodes) repeat(ctx context.Context, call func()) {
 	n.running.Go(func() {
 		for ctx.Err() == nil {
@@ -109,7 +109,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	// Revisions grow over changes of the failover leader, too: each leader continues the plan of the one before.
+	// Revisions also increase when the failover leader changes: each leader continues the plan of its predecessor.
 	if previous := n.latestPlans[address]; previous != nil && (previous.Newer(&plan) || plan.Revision < previous.Revision) {
 		n.disagreement = append(n.disagreement,
 			fmt.Sprintf("%s: plan %d/%d after %d/%d", address, plan.Token, plan.Revision, previous.Token, previous.Revision))
@@ -124,7 +124,7 @@
 	}
 }
 
-// plansSatisfy reports whether each of these agents has published a plan that satisfies a condition.
+// plansSatisfy reports whether the latest plan of each of these agents satisfies a condition.
 func (n *fakeNodes) plansSatisfy(agents []string, condition func(*failover.Plan) bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -136,7 +136,7 @@
 	return true
 }
 
-// awaitPlan waits until all of these agents publish a plan that satisfies a condition.
+// awaitPlan waits until each of these agents publishes a plan that satisfies a condition.
 func (n *fakeNodes) awaitPlan(t *testing.T, situation string, agents []string, condition func(*failover.Plan) bool) {
 	t.Helper()
 	timeout := time.After(planTimeout)
@@ -146,12 +146,12 @@
 		case <-timeout:
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			t.Fatalf("%s: the plan does not come: %+v", situation, n.latestPlans)
+			t.Fatalf("%s: the agents have not published the expected plan: %+v", situation, n.latestPlans)
 		}
 	}
 }
 
-// newestToken returns the newest token of all plans that were published.
+// newestToken returns the highest token among the latest plans of all agents.
 func (n *fakeNodes) newestToken() (newest uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -161,12 +161,13 @@
 	return newest
 }
 
-// localTraffic is the traffic of the first zone that stays there, as the sum of both classes' shares.
+// localTraffic returns the share of the first zone's traffic that stays in the zone, summed over the two classes.
 func localTraffic(plan *failover.Plan) float64 {
 	return plan.Rows[0][0].Shares[0] + plan.Rows[0][1].Shares[0]
 }
 
-// awaitFailoverLeader waits for the next agent that becomes failover leader.
+// awaitFailoverLeader waits, from a position in the log on, for an agent to become failover leader. It returns the
+// index of that agent and the position after the event.
 func (h *Harness) awaitFailoverLeader(t *testing.T, position int) (leader, next int) {
 	t.Helper()
 	event, next := h.awaitEvent(t, position, func(event Event) bool {
@@ -175,7 +176,7 @@
 	return h.Index(event.Process), next
 }
 
-// allBut returns the addresses without the one with an index.
+// allBut returns the addresses without the one at the given index.
 func allBut(addresses []string, index int) []string {
 	var others []string
 	for i, address := range addresses {
@@ -193,8 +194,9 @@
 	}
 }
 
-// A zone is lost, and plans that all agents publish move its traffic. The failover leader is killed, and the next one is stopped and
-// continued later: each new leader continues the plan under a later token, and no older plan is published after that.
+// A new failover leader must continue the plan of its predecessor under a later token, and no agent may publish an
+// older plan after that. The test takes away the capacity of a zone and waits until the plans of all agents move its
+// traffic to other zones. It then kills the failover leader, and stops and later continues the next one.
 func TestNextFailoverLeaderContinuesPlan(t *testing.T) {
 	harness := startHarness(t, Options{Agents: 3, Failover: &agent.FailoverOptions{
 		Topology:        testTopology(),
@@ -223,8 +225,8 @@
 	}
 }
 
-// killFailoverLeader kills the failover leader, checks that the next one continues its plan, and starts the killed agent again. It
-// returns the next leader and the position in the log after its election.
+// killFailoverLeader kills the failover leader, checks that the next one continues its plan, and starts the killed
+// agent again. It returns the index of the next leader and the position in the log after its election.
 func killFailoverLeader(t *testing.T, harness *Harness, nodes *fakeNodes, leader, position int) (nextLeader, elected int) {
 	t.Helper()
 	previousToken := nodes.newestToken()
@@ -236,7 +238,7 @@
 	nodes.mu.Lock()
 	for _, address := range others {
 		if local := localTraffic(nodes.latestPlans[address]); local > 0.05 {
-			t.Errorf("the next failover leader has undone the plan: %.2f of the traffic is local", local)
+			t.Errorf("the next failover leader has discarded the plan: %.2f of the traffic stays in the lost zone", local)
 		}
 	}
 	nodes.mu.Unlock()
@@ -247,8 +249,8 @@
 	return nextLeader, elected
 }
 
-// stopFailoverLeader stops the failover leader, checks that the next one continues its plan, and that the plan stays after the stopped
-// agent continues.
+// stopFailoverLeader stops the failover leader and checks that the next one continues its plan. It then continues the
+// stopped agent and checks that the plan of the next leader stays in force.
 func stopFailoverLeader(t *testing.T, harness *Harness, nodes *fakeNodes, leader, position int) {
 	t.Helper()
 	previousToken := nodes.newestToken()
--- a/internal/processtest/faults.go
+++ b/internal/processtest/faults.go
@@ -9,10 +9,12 @@
 	"tulipglade/internal/faultinject"
 )
 
-// linkFault returns what a fault does to the link of a route; affected is false where it does nothing.
+// linkFault returns the state that a fault puts the link of a route into; affected is false if it leaves the link
+// alone.
 type linkFault func(r route) (state linkState, affected bool)
 
-// StartFault starts a fault; end ends it. A fault of the leader hits the process that leads when the fault starts.
+// StartFault starts a fault and returns a function that ends it. A negative index in the processes of the fault stands
+// for the agent that leads the group when the fault starts.
 func (h *Harness) StartFault(fault faultinject.Fault) (end func()) {
 	var ends []func()
 	for _, index := range fault.Processes {
@@ -30,9 +32,9 @@
 	}
 }
 
-// startProcessFault starts a fault of one process.
+// startProcessFault starts a fault of the process with the given index.
 func (h *Harness) startProcessFault(fault faultinject.Fault, index int) (end func()) {
-	restart := func() { _ = h.start(index) } // that a process does not come up shows in the log
+	restart := func() { _ = h.start(index) } // if the process does not start, its missing events show it
 	switch fault.Kind {
 	case faultinject.ProcessKill:
 		h.kill(index)
@@ -59,23 +61,24 @@
 	return h.applyLinkFault(fault, index)
 }
 
-// failDisk makes writes of an agent fail. The agent exits at its next write, so the end of the fault starts it again.
+// failDisk makes the disk writes of an agent fail. The agent exits at its next write, so ending the fault starts the
+// agent again.
 func (h *Harness) failDisk(index int, order string) (end func()) {
 	h.sendOrder(index, order)
 	return func() {
 		h.kill(index)
-		_ = h.start(index) // that a process does not come up shows in the log
+		_ = h.start(index) // if the process does not start, its missing events show it
 	}
 }
 
-// applyLinkFault applies a link fault of one process until its end.
+// applyLinkFault applies a fault to the links of one process until the returned function is called.
 func (h *Harness) applyLinkFault(fault faultinject.Fault, index int) (end func()) {
 	id := h.newLinkFaultID()
 	h.setLinkFault(id, h.linkFaultOf(fault, index))
 	return func() { h.setLinkFault(id, nil) }
 }
 
-// flapLinks cuts and restores the links of one process in turn, each for the fault's size in ms.
+// flapLinks alternately cuts and restores the links of one process. Each phase lasts as many ms as the fault's size.
 func (h *Harness) flapLinks(fault faultinject.Fault, index int) (end func()) {
 	id := h.newLinkFaultID()
 	cut := h.linkFaultOf(fault, index)
@@ -103,7 +106,7 @@
 	}
 }
 
-// linkFaultOf returns which links a fault of one process changes, and how.
+// linkFaultOf returns the effect that a fault of one process has on each link.
 func (h *Harness) linkFaultOf(fault faultinject.Fault, index int) linkFault {
 	affectsProcess := func(r route) bool { return r.from == index || r.to == index }
 	switch fault.Kind {
@@ -136,7 +139,7 @@
 	return h.nextFault
 }
 
-// setLinkFault makes a link fault active, or ends it if fault is nil.
+// setLinkFault activates the link fault with an ID, or ends it if fault is nil, and updates the state of all links.
 func (h *Harness) setLinkFault(id int, fault linkFault) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/processtest/harness.go
+++ b/internal/processtest/harness.go
@@ -1,6 +1,8 @@
-// Package processtest injects faults between real processes: agents, lease holders, and the target that the holders act on, with a relay
-// for each direction between each pair. The program that uses it starts itself again as each of these processes (see Role). That lets
-// the harness disturb disk and clock by settings that the real programs do not have, around the same code that they run.
+// Package processtest injects faults into a group of real processes and the connections between them. The processes are
+// agents, lease holders, and the target that the holders act on. Connections pass through relays, one for each
+// direction between two processes. The program that uses the package starts itself again as each of these processes
+// (see RunRole). The processes therefore run the same code as the real programs, and the harness can also disturb their
+// disks and clocks, for which the real programs have no settings.
 package processtest
 
 import (
@@ -21,16 +23,17 @@
 // Options configure a Harness.
 type Options struct {
 	Agents, Holders int
-	SpareAgents     int // agents that are not members yet; their indexes follow the members'
+	SpareAgents     int // agents that are not members at first; their indexes follow those of the members
 	Terms           lease.Terms
 	LeaseDuration   time.Duration
 	Disabled        DisabledParts
-	Failover        *agent.FailoverOptions // of the agents; nil: they plan no failover
-	ActionsPerLease int                    // after which a holder releases its lease; 0: a random number
+	Failover        *agent.FailoverOptions // failover options of the agents; nil if they plan no failover
+	ActionsPerLease int                    // actions before a holder releases its lease; 0 for a random number
 	Seed            uint64
 }
 
-// scheduledTerms are the lease terms of schedules: short, so that much happens within seconds.
+// scheduledTerms are the lease terms of schedules. They are short, so that elections and expiries happen within
+// seconds.
 var scheduledTerms = lease.Terms{Interval: 100 * time.Millisecond, Drift: 0.01}
 
 const (
@@ -44,19 +47,19 @@
 	directory string
 	processes []*managedProcess // agents, then holders, then the target
 	relays    map[route]*relay
-	readers   sync.WaitGroup // of the processes' events
+	readers   sync.WaitGroup // goroutines that read the events of the processes
 	log       *eventLog
 
 	mu         sync.Mutex
-	linkFaults map[int]linkFault // active faults by an identifier of their own
-	nextFault  int
-	stopped    bool
+	linkFaults map[int]linkFault // active link faults by ID, see newLinkFaultID
+	nextFault  int               // ID of the newest link fault
+	stopped    bool              // Stop was called; no process is started any more
 }
 
-// route is the direction from one process to another, by their indexes.
+// route is the direction of a connection: the indexes of the process that opens it and of the process that accepts it.
 type route struct{ from, to int }
 
-// Start starts the processes and the relays between them.
+// Start starts the processes of a harness and the relays between them.
 func Start(options Options) (h *Harness, err error) {
 	if options.Terms.Interval == 0 {
 		options.Terms, options.LeaseDuration = scheduledTerms, scheduledLeaseDuration
@@ -98,7 +101,7 @@
 	return h, nil
 }
 
-// addAgents creates the state directories of the agents, members first and spare agents after them.
+// addAgents adds the agents, members first and spare agents after them, and creates their state directories.
 func (h *Harness) addAgents(addresses []string) error {
 	members := map[uint64]string{}
 	for i := range h.options.Agents {
@@ -154,7 +157,8 @@
 	}})
 }
 
-// addRelays puts a relay on each route that is used: from agents to agents, and from holders to agents and the target.
+// addRelays starts a relay for each route that the processes use: from agents to other agents, and from holders to
+// agents and the target.
 func (h *Harness) addRelays() error {
 	for i, from := range h.processes {
 		if from.Role == roleTarget {
@@ -176,12 +180,12 @@
 	return nil
 }
 
-// Index returns the index of the process with a name; -1 if there is none.
+// Index returns the index of the process with the given name, or -1 if there is none.
 func (h *Harness) Index(name string) int {
 	return slices.IndexFunc(h.processes, func(p *managedProcess) bool { return p.Name == name })
 }
 
-// agentAddresses returns the addresses at which the first members of the group listen.
+// agentAddresses returns the listen addresses of the initial members of the group.
 func (h *Harness) agentAddresses() []string {
 	var addresses []string
 	for _, process := range h.processes[:h.options.Agents] {
@@ -190,7 +194,7 @@
 	return addresses
 }
 
-// Heal continues all processes that are stopped and starts those that are down.
+// Heal continues all processes that are stopped and starts those that have exited.
 func (h *Harness) Heal() error {
 	for i := range h.processes {
 		h.signalProcess(i, syscall.SIGCONT)
@@ -201,7 +205,7 @@
 	return nil
 }
 
-// Stop ends all processes and relays, and returns once they have ended.
+// Stop ends all processes and relays, and returns when they have ended.
 func (h *Harness) Stop() {
 	h.mu.Lock()
 	h.stopped = true
--- a/internal/processtest/harness_test.go
+++ b/internal/processtest/harness_test.go
@@ -38,7 +38,8 @@
 	return harness
 }
 
-// awaitEvent waits for an event as Await does, and ends the test if it does not come.
+// awaitEvent waits for an event as Await does. If the event does not occur in time, it logs all events and ends the
+// test.
 func (h *Harness) awaitEvent(t *testing.T, position int, wanted func(Event) bool) (Event, int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), eventTimeout)
@@ -48,23 +49,23 @@
 		for _, event := range h.Log() {
 			t.Logf("%+v", event)
 		}
-		t.Fatal("the event does not come:", err)
+		t.Fatal("the expected event did not occur:", err)
 	}
 	return event, next
 }
 
-// awaitKind waits for an event of a kind.
+// awaitKind waits for an event of the given kind.
 func (h *Harness) awaitKind(t *testing.T, position int, kind EventKind) (Event, int) {
 	t.Helper()
 	return h.awaitEvent(t, position, func(event Event) bool { return event.Kind == kind })
 }
 
-// actionStartedAfter returns whether an event is the start of an action under a later token.
+// actionStartedAfter returns a condition for awaitEvent: the start of an action under a later token than the given one.
 func actionStartedAfter(after lease.Token) func(Event) bool {
 	return func(event Event) bool { return event.Kind == EventActionStarted && event.Token > after }
 }
 
-// resumeOnceStopped continues a process that stops itself, once it has.
+// resumeOnceStopped waits until a process has stopped itself, and then continues it.
 func (h *Harness) resumeOnceStopped(t *testing.T, index int) {
 	t.Helper()
 	pid := h.processID(index)
@@ -74,7 +75,7 @@
 	h.signalProcess(index, syscall.SIGCONT)
 }
 
-// processState returns the state of a process as proc_pid_stat(5) names it.
+// processState returns the state of a process as the character that proc_pid_stat(5) defines for it.
 func processState(t *testing.T, pid int) byte {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
--- a/internal/processtest/holder_test.go
+++ b/internal/processtest/holder_test.go
@@ -7,8 +7,8 @@
 	"tulipglade/internal/lease"
 )
 
-// stopHolderBeforeAction stops a holder between its check and its action, for longer than its lease, and continues it once the next
-// holder has acted.
+// stopHolderBeforeAction stops a holder between checking its lease and its action, until its lease has expired and the
+// next holder has acted. It returns the token of the expired lease and the findings.
 func stopHolderBeforeAction(t *testing.T, without DisabledParts) (staleToken lease.Token, findings Findings) {
 	t.Helper()
 	const agents, holders = 3, 2
@@ -17,7 +17,7 @@
 		harness.sendOrder(agents+i, orderHalt)
 	}
 	stopped, position := harness.awaitKind(t, 0, EventHolderHalted)
-	second, position := harness.awaitEvent(t, position, func(event Event) bool { // the lease has expired, and the other holder has it
+	second, position := harness.awaitEvent(t, position, func(event Event) bool { // the other holder, after expiry
 		return event.Kind == EventHolderHalted && event.Token > stopped.Token
 	})
 	harness.resumeOnceStopped(t, harness.Index(second.Process))
@@ -30,17 +30,20 @@
 	return stopped.Token, Check(harness.Log())
 }
 
-// The fence rejects the action of a holder that was stopped. Without the fence the action is admitted, and the checks report it.
+// The fence must reject an action of a holder that was stopped for longer than its lease after it had checked the
+// lease. Without the fence the action is admitted, and the checks must report it.
 func TestFenceRejectsStoppedHolder(t *testing.T) {
 	if token, findings := stopHolderBeforeAction(t, DisabledParts{}); findings.Rejected == 0 || len(findings.Violations) > 0 {
-		t.Errorf("token %d: %d rejected, broken %v", token, findings.Rejected, findings.Violations)
+		t.Errorf("token %d: %d rejected, violations: %v", token, findings.Rejected, findings.Violations)
 	}
 	if _, findings := stopHolderBeforeAction(t, DisabledParts{Fence: true}); len(findings.Violations) == 0 {
-		t.Error("without the fence nothing is reported")
+		t.Error("without the fence, the checks report no violation")
 	}
 }
 
-// cutHolderFromGroup cuts a holder off from the group, but not from the target, until the next holder has acted three times.
+// cutHolderFromGroup cuts the links between a holder and the agents, but not to the target, until the next holder has
+// acted three times. The additional faults hit the same holder. If expectRejected is set, it also waits for an action
+// that the target rejects.
 func cutHolderFromGroup(t *testing.T, expectRejected bool, without DisabledParts, faults ...faultinject.Fault) Findings {
 	t.Helper()
 	const agents, manyActions = 3, 1 << 20
@@ -66,17 +69,18 @@
 	return Check(harness.Log())
 }
 
-// A holder that has lost the group stops before the next one starts. Without the guard, or with a clock that is far too slow, it goes
-// on, and only the fence stops it: none of its later actions is admitted.
+// A holder that has lost contact with the group must stop acting before the next holder starts. Without the guard, or
+// with a clock that is far too slow, it continues to send actions, and the fence must reject all of those that arrive
+// after the next holder's first action.
 func TestHolderStopsActingWithoutQuorum(t *testing.T) {
 	if findings := cutHolderFromGroup(t, false, DisabledParts{}); findings.Rejected > 0 || len(findings.Violations) > 0 {
-		t.Errorf("%d rejected, broken %v", findings.Rejected, findings.Violations)
+		t.Errorf("%d rejected, violations: %v", findings.Rejected, findings.Violations)
 	}
 	if findings := cutHolderFromGroup(t, true, DisabledParts{Guard: true}); findings.Rejected == 0 || len(findings.Violations) > 0 {
-		t.Errorf("without the guard: %d rejected, broken %v", findings.Rejected, findings.Violations)
+		t.Errorf("without the guard: %d rejected, violations: %v", findings.Rejected, findings.Violations)
 	}
 	slowClock := faultinject.Fault{Kind: faultinject.ClockRate, Size: 0.1}
 	if findings := cutHolderFromGroup(t, true, DisabledParts{}, slowClock); findings.Rejected == 0 || len(findings.Violations) > 0 {
-		t.Errorf("with a slow clock: %d rejected, broken %v", findings.Rejected, findings.Violations)
+		t.Errorf("with a slow clock: %d rejected, violations: %v", findings.Rejected, findings.Violations)
 	}
 }
--- a/internal/processtest/lease_command_test.go
+++ b/internal/processtest/lease_command_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// startLeaseCommand starts a shell command under a lease.
+// startLeaseCommand starts "tulipctl lease run" with a shell command that runs while the lease is held.
 func (f *rolloutFleet) startLeaseCommand(t *testing.T, command string) *runningCommand {
 	t.Helper()
 	return startCommand(t, f.program("tulipctl", "lease", "run",
@@ -23,8 +23,8 @@
 	}
 }
 
-// A command under a lease has ended before the next one starts, whether the process that started it is killed, stopped, or cut off from
-// the group.
+// Guards against two commands that run under the same lease at the same time. A command must have ended before the next
+// one starts, whether the process that started it is killed, stopped, or has lost contact with the group.
 func TestLeaseRunCommandsNeverOverlap(t *testing.T) {
 	fleet := newAgentGroup(t)
 	for _, test := range []struct {
--- a/internal/processtest/linearizability.go
+++ b/internal/processtest/linearizability.go
@@ -6,29 +6,30 @@
 	"tulipglade/internal/lease"
 )
 
-// leaseRequest is a request to the group with its outcome, as input of the linearizability checker.
+// leaseRequest is a request to the group and its outcome, in the form that the linearizability checker takes as input.
 type leaseRequest struct {
 	kind     EventKind
-	request  string
+	request  string // as requestName returns it
 	token    lease.Token
 	rejected bool
 }
 
-// leaseState is a lease with one slot as all clients must see it: tokens grow, and a grant that has ended or was followed by another is
-// never renewed. A grant whose client has not received the response, and an expiry, may come at any moment.
+// leaseState is the state of a lease with one slot, as all clients must observe it: tokens increase, and a grant that
+// has ended or was followed by another grant is never renewed. The model allows expiries, and grants whose response the
+// client did not receive, at any time.
 type leaseState struct {
 	token   lease.Token
 	request string
-	ended   bool
+	ended   bool // the grant was released, or a renewal or release of it was rejected
 }
 
-// apply returns the state apply a request; possible is false if the outcome contradicts the state.
+// apply returns the state after a request; possible is false if the outcome of the request contradicts the state.
 func (s leaseState) apply(r leaseRequest) (next leaseState, possible bool) {
 	if r.kind == EventAcquire {
 		switch {
 		case r.rejected:
 			return s, true
-		case r.token == s.token: // another attempt of the same request
+		case r.token == s.token: // must be another attempt of the same request
 			return s, r.request == s.request
 		}
 		return leaseState{token: r.token, request: r.request}, r.token > s.token
@@ -51,7 +52,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// linearizable reports whether one order of all lease requests explains their outcomes.
+// linearizable reports whether the outcomes of all lease requests are those of some sequential order, in which a
+// request that ended before another one was sent comes first.
 func linearizable(log []Event) bool {
 	var operations []porcupine.Operation
 	clients := map[string]int{}
--- a/internal/processtest/measure.go
+++ b/internal/processtest/measure.go
@@ -15,16 +15,16 @@
 	"tulipglade/internal/lease"
 )
 
-// Measurement is the performance and cost of a group of agents with relays between its members.
+// Measurement holds the performance and cost of a group of agents whose connections pass through relays.
 type Measurement struct {
 	Agents          int                     `json:"agents"`
-	Elections       *hdrhistogram.Histogram `json:"-"` // ms from the leader's kill to the next leader
+	Elections       *hdrhistogram.Histogram `json:"-"` // ms from the kill of the leader to the next election
 	Idle            Cost                    `json:"idle"`
-	Holding         Cost                    `json:"holding"` // while each of the holders has a lease of its own
+	Holding         Cost                    `json:"holding"` // while each of the holders holds a lease of its own
 	Holders         int                     `json:"holders"`
-	GrantsPerSecond float64                 `json:"grants_per_s"` // acquisitions, with as many releases, each synced by a majority
-	Latency         *hdrhistogram.Histogram `json:"-"`            // of the acquisitions, in µs
-	// ContendedLeaseTime is how long the holders need until each of them has had the same lease once; they start together.
+	GrantsPerSecond float64                 `json:"grants_per_s"` // acquisitions; see measureGrants
+	Latency         *hdrhistogram.Histogram `json:"-"`            // latency of the acquisitions, in µs
+	// ContendedLeaseTime is the time until each of the holders, which start together, has held the same lease once.
 	ContendedLeaseTime time.Duration `json:"rush"`
 }
 
@@ -43,7 +43,8 @@
 	histogramDigits   = 3
 )
 
-// Measure starts a group of agents and measures it.
+// Measure starts a group of agents and measures, in this order, its cost when idle, the rate and latency of
+// acquisitions, its cost and the contention for a lease with many holders, and the duration of elections.
 func Measure(ctx context.Context, agents, elections, holders int, length time.Duration) (m Measurement, err error) {
 	m = Measurement{
 		Agents:    agents,
@@ -77,7 +78,8 @@
 	return m, err
 }
 
-// measureGrants has clients take and release a lease each as fast as they can.
+// measureGrants measures acquisitions while each client acquires and releases a lease of its own as fast as it can.
+// There are as many releases as acquisitions, and a majority of the agents syncs each of them to disk.
 func (m *Measurement) measureGrants(ctx context.Context, addresses []string, length time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
@@ -103,7 +105,7 @@
 	return err
 }
 
-// acquireAndRelease takes and releases a lease until ctx ends.
+// acquireAndRelease acquires and releases a lease until ctx ends. It calls granted after each acquisition.
 func acquireAndRelease(ctx context.Context, client *agent.Client, name string, granted func(latency time.Duration)) error {
 	for requestID := uint64(1); ctx.Err() == nil; requestID++ {
 		start := time.Now()
@@ -113,14 +115,15 @@
 			granted(time.Since(start))
 			_, err = client.Do(ctx, "release", lease.Command{Name: name, Token: grant.Token})
 		}
-		if err != nil && !errors.Is(err, agent.ErrNoMembers) { // that is what a request at the end of ctx meets
+		if err != nil && !errors.Is(err, agent.ErrNoMembers) { // requests return ErrNoMembers when ctx ends
 			return err
 		}
 	}
 	return nil
 }
 
-// measureHolders has clients hold a lease each, and has all of them take the same one after that.
+// measureHolders measures the cost of the agents while each client holds a lease of its own. It then measures how long
+// it takes until each client has held one lease that all of them request at once.
 func (m *Measurement) measureHolders(ctx context.Context, h *Harness, length time.Duration) error {
 	clients := make([]*agent.Client, m.Holders)
 	leases := make([]*agent.Lease, m.Holders)
@@ -150,7 +153,8 @@
 	return err
 }
 
-// acquireContendedLease releases a client's own lease, and takes and releases the one that all clients want.
+// acquireContendedLease releases a client's own lease, and then acquires and releases the lease that all clients
+// request.
 func acquireContendedLease(ctx context.Context, client *agent.Client, held *agent.Lease) error {
 	if reason := held.Reason(); reason != nil {
 		return fmt.Errorf("a lease was lost without a fault: %w", reason)
@@ -169,7 +173,8 @@
 	return contended.Release(ctx)
 }
 
-// measureElections kills the leader again and again.
+// measureElections kills the leader a number of times and records the time until the next leader is elected. It
+// restarts each killed agent and waits until that agent follows a leader.
 func (m *Measurement) measureElections(ctx context.Context, h *Harness, position, elections int) error {
 	for range elections {
 		leader := h.processes[max(h.Leader(), 0)].Name
--- a/internal/processtest/node_process_test.go
+++ b/internal/processtest/node_process_test.go
@@ -14,14 +14,14 @@
 	"tulipglade/internal/agent"
 )
 
-// changeNodeFlag has this test program change a node instead of running tests; a directory follows.
+// changeNodeFlag makes this test program change a node instead of running tests. Its argument is the fleet's directory.
 const changeNodeFlag = "-change-node"
 
-// changesFile has a line for each run of changeNode: the node's name and the time.
+// changesFile is the file to which each run of changeNode appends a line with the node's name and the time.
 const changesFile = "changes"
 
-// changeNode is the command that a rollout runs for each node: it ends the node's process and starts another, which outlives the
-// command.
+// changeNode is the command that a rollout runs for each node. It ends the node's process and starts a new one, which
+// keeps running after the command has exited.
 func changeNode(directory, name string) (err error) {
 	changes, err := os.OpenFile(filepath.Join(directory, changesFile), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -50,14 +50,14 @@
 	return state[0] != 'Z'
 }
 
-// nodePID returns the ID of a node's process; 0 if none was started.
+// nodePID returns the process ID of a node, or 0 if the node was never started.
 func nodePID(directory, name string) int {
-	raw, _ := os.ReadFile(filepath.Join(directory, name+".pid")) // without the file there is no process
+	raw, _ := os.ReadFile(filepath.Join(directory, name+".pid")) // the file does not exist before the node's first start
 	pid, _ := strconv.Atoi(string(raw))
 	return pid
 }
 
-// startNode starts a node's process, which is not ended with this one.
+// startNode starts the process of a node, which keeps running after this process has exited.
 func startNode(directory, name string) error {
 	log, err := os.OpenFile(filepath.Join(directory, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -10,15 +10,16 @@
 	"syscall"
 )
 
-// managedProcess is one process of a Harness. Its settings last over restarts. Command and stdin are guarded by the harness's mutex.
+// managedProcess is one process of a Harness. A restarted process gets the same settings. The mutex of the harness
+// guards command, stdin and exited.
 type managedProcess struct {
 	processSettings
-	command *exec.Cmd // nil: it is down
+	command *exec.Cmd // nil while the process is not running
 	stdin   io.WriteCloser
-	exited  chan struct{} // closed when the last process that was started has exited
+	exited  chan struct{} // closed when the most recently started process has exited; nil before the first start
 }
 
-// start starts a process unless it runs or the harness is being stopped.
+// start starts the process with an index, unless it is running already or the harness is being stopped.
 func (h *Harness) start(index int) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,7 +53,7 @@
 	h.readers.Go(func() {
 		defer close(exited)
 		h.readEvents(stdout)
-		_ = command.Wait() // how it ended shows in its events
+		_ = command.Wait() // the events of the process show why it exited
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if process.command == command {
@@ -77,7 +78,7 @@
 	return command, nil
 }
 
-// readEvents adds the events that a process writes to the log, until its output ends.
+// readEvents adds the events that a process writes to its standard output to the log, until the output ends.
 func (h *Harness) readEvents(output io.Reader) {
 	lines := bufio.NewScanner(output)
 	for lines.Scan() {
@@ -96,7 +97,7 @@
 	}
 }
 
-// sendOrder has a process carry out one line of orders; see process.readOrders.
+// sendOrder sends one line with an order to the standard input of a process; see process.readOrders.
 func (h *Harness) sendOrder(index int, line string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -105,7 +106,7 @@
 	}
 }
 
-// kill ends a process with SIGKILL and waits until it has exited.
+// kill sends SIGKILL to the process with an index and waits until it has exited.
 func (h *Harness) kill(index int) {
 	h.mu.Lock()
 	exited := h.processes[index].exited
@@ -116,7 +117,7 @@
 	}
 }
 
-// processID returns the ID of a process that runs.
+// processID returns the process ID of the process with an index, which must be running.
 func (h *Harness) processID(index int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/processtest/relay.go
+++ b/internal/processtest/relay.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// linkState is what a relay does to the data that passes it, in both directions: a response takes the route of its request.
+// linkState is the state of a link: what its relay does to connections and data. It applies to both directions of a
+// connection, since a response passes through the same relay as its request.
 type linkState struct {
-	cut           bool // connections are reset
-	silent        bool // connections stay open, and nothing passes
-	delay         time.Duration
-	resetFraction float64 // of chunks of data that end in a reset
+	cut           bool          // connections are reset
+	silent        bool          // connections stay open, and no data is forwarded
+	delay         time.Duration // added to each chunk of data and to each new connection
+	resetFraction float64       // fraction of chunks and new connections at which the connection is reset
 }
 
-// combine combines the effects of two faults on one link.
+// combine returns the state of a link that two faults affect: the worse value of each field.
 func (s linkState) combine(other linkState) linkState {
 	return linkState{
 		cut:           s.cut || other.cut,
@@ -26,20 +27,20 @@
 	}
 }
 
-// relayBuffer is the most that a relay forwards as one chunk.
+// relayBuffer is the maximum size of a chunk that a relay forwards, in bytes.
 const relayBuffer = 32 << 10
 
-// relay forwards the connections that one process opens to another.
+// relay accepts the connections that one process opens to another, and forwards their data.
 type relay struct {
 	listener   net.Listener
 	target     string
 	goroutines sync.WaitGroup
-	chunks     atomic.Int64 // forwarded to the target
+	chunks     atomic.Int64 // number of chunks forwarded to the target
 
 	mu          sync.Mutex
 	random      *rand.Rand
 	state       linkState
-	changed     chan struct{} // closed when state changes, and replaced
+	changed     chan struct{} // closed and replaced when state or closed changes
 	connections map[net.Conn]bool
 	closed      bool
 }
@@ -62,7 +63,7 @@
 
 func (r *relay) address() string { return r.listener.Addr().String() }
 
-// setState changes the state of the link from now on.
+// setState changes the state of the link, and resets all connections if the link is cut.
 func (r *relay) setState(state linkState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,13 +74,13 @@
 	}
 }
 
-// notify wakes the goroutines that wait for a change. The caller holds the mutex.
+// notify wakes the goroutines that wait for a change of state. The caller holds the mutex.
 func (r *relay) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// resetAll resets all connections. The caller holds the mutex.
+// resetAll resets all connections of the relay. The caller holds the mutex.
 func (r *relay) resetAll() {
 	for connection := range r.connections {
 		reset(connection)
@@ -89,7 +90,7 @@
 // reset closes a connection so that the other side sees a reset.
 func reset(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the connection ends, too, in another way
+		_ = tcp.SetLinger(0) // if it fails, the connection is closed without a reset
 	}
 	_ = connection.Close()
 }
@@ -104,7 +105,8 @@
 	r.goroutines.Wait()
 }
 
-// addConnection registers a connection; where the link is cut it resets the connection and returns false.
+// addConnection registers a connection. If the link is cut or the relay closed, it resets the connection and returns
+// false.
 func (r *relay) addConnection(connection net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,7 +137,7 @@
 	}
 }
 
-// forward connects a client with the target until one of them closes its connection.
+// forward forwards data between a client and the target until one of them closes its connection or the link resets it.
 func (r *relay) forward(client net.Conn) {
 	defer r.removeConnection(client)
 	if !r.awaitForwarding() {
@@ -161,7 +163,8 @@
 	<-responsesDone
 }
 
-// awaitForwarding waits while the link is silent, and for the link's delay. It is false where the connection is to be reset.
+// awaitForwarding waits while the link is silent, and then for the delay of the link. It returns false if the
+// connection is to be reset.
 func (r *relay) awaitForwarding() bool {
 	for {
 		r.mu.Lock()
@@ -179,7 +182,8 @@
 	}
 }
 
-// copy forwards data until either connection ends or the link resets it. It counts the chunks where there is a counter.
+// copy forwards data until either connection ends or the link resets it. If chunks is not nil, it counts the forwarded
+// chunks there.
 func (r *relay) copy(destination, source net.Conn, chunks *atomic.Int64) {
 	buffer := make([]byte, relayBuffer)
 	for {
--- a/internal/processtest/role.go
+++ b/internal/processtest/role.go
@@ -21,36 +21,36 @@
 	"tulipglade/internal/agent"
 )
 
-// roleVariable is the environment variable that holds a process's settings, as JSON.
+// roleVariable is the environment variable with the settings of a process as JSON.
 const roleVariable = "TULIP_RIG_ROLE"
 
-// The roles of processes.
+// The roles that a process of the harness can have.
 const (
 	roleAgent  = "agent"
 	roleHolder = "holder"
 	roleTarget = "target"
 )
 
-// The orders that a process reads from its standard input, one a line; some have a number after them.
+// The orders that a process reads from its standard input, one per line. Some are followed by a number.
 const (
-	orderClockRate = "rate"
-	orderClockJump = "jump"  // by so many ms
-	orderDiskStall = "stall" // each write by so many ms
+	orderClockRate = "rate"  // the number is the rate of the clock; 1 is the normal rate
+	orderClockJump = "jump"  // the number is added to the clock, in ms
+	orderDiskStall = "stall" // the number is the delay of each write, in ms
 	orderDiskFull  = "full"  // writes fail
-	orderDiskSync  = "sync"  // writes fail their sync
-	orderHalt      = "halt"  // the holder stops itself between its next check and that action
+	orderDiskSync  = "sync"  // writes are stored, but their sync fails
+	orderHalt      = "halt"  // the holder stops itself between the next check of its lease and the action
 )
 
-// errInjected is the error of a disk that was ordered to fail.
+// errInjected is the error of disk writes while a disk fault is active.
 var errInjected = errors.New("injected disk fault")
 
-// processSettings are what a process of the harness is started with.
+// processSettings are the settings that the harness passes to a process when it starts it.
 type processSettings struct {
 	Role            string                 `json:"role"`
 	Name            string                 `json:"name"`
 	Dir             string                 `json:"dir,omitempty"`
 	Listen          string                 `json:"listen,omitempty"`
-	Dial            map[string]string      `json:"dial,omitempty"` // the relay to each address
+	Dial            map[string]string      `json:"dial,omitempty"` // relay address for each listen address
 	Agents          []string               `json:"agents,omitempty"`
 	Target          string                 `json:"target,omitempty"`
 	LeaseDuration   time.Duration          `json:"for,omitempty"`
@@ -59,14 +59,15 @@
 	Disabled        DisabledParts          `json:"without"`
 }
 
-// DisabledParts names a safety mechanism that is left out, to show that the checks find its absence.
+// DisabledParts selects safety mechanisms to leave out, to show that the checks detect their absence.
 type DisabledParts struct {
-	Guard bool `json:"guard,omitempty"` // holders act whatever the state of their lease
+	Guard bool `json:"guard,omitempty"` // holders act even if their lease may have expired
 	Fence bool `json:"fence,omitempty"` // the target admits every action
-	Sync  bool `json:"sync,omitempty"`  // agents' disks store nothing of what they report as stored
+	Sync  bool `json:"sync,omitempty"`  // disks of agents report updates as stored without storing them
 }
 
-// RunRole must be called first in main. In a process that a Harness has started it plays the process's role and does not return.
+// RunRole must be called first in main. In a process that a Harness has started, it runs the role of the process and
+// does not return. In other processes it returns at once.
 func RunRole() {
 	raw := os.Getenv(roleVariable)
 	if raw == "" {
@@ -88,14 +89,14 @@
 	os.Exit(0)
 }
 
-// process is the state of a process that plays a role.
+// process is the state of a process that runs a role.
 type process struct {
 	processSettings
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below
 	events        *json.Encoder
-	rateChangedAt time.Duration // by the machine's clock
-	clockAtChange time.Duration // what the process's clock showed then
+	rateChangedAt time.Duration // time of the last change of the clock's rate, by the clock of the machine
+	clockAtChange time.Duration // time of the process's clock at rateChangedAt, with all later jumps added
 	clockRate     float64
 	diskStall     time.Duration
 	diskFull      bool
@@ -115,15 +116,15 @@
 	return fmt.Errorf("unknown role %q", p.Role)
 }
 
-// report writes an event for the harness.
+// report sends an event to the harness by writing it to standard output.
 func (p *process) report(event Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	event.At, event.Process = agent.Clock(), p.Name
-	_ = p.events.Encode(event) // it fails once the harness has ended, and then this process ends, too
+	_ = p.events.Encode(event) // it fails only if the harness has ended, and this process then exits as well
 }
 
-// clock is the process's own clock, which orders can change.
+// clock reads the clock of the process, whose time and rate the orders of the harness change.
 func (p *process) clock() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +135,7 @@
 	return p.clockAtChange + time.Duration(float64(agent.Clock()-p.rateChangedAt)*p.clockRate)
 }
 
-// readOrders carries out orders until the harness closes the input or ends, and exits then.
+// readOrders applies the orders from input until the harness closes the input or exits; the process exits then.
 func (p *process) readOrders(input io.Reader) {
 	for lines := bufio.NewScanner(input); lines.Scan(); {
 		order, argument, _ := strings.Cut(lines.Text(), " ")
@@ -165,10 +166,10 @@
 	}
 }
 
-// dial connects to an address by way of its relay.
+// dial connects to an address through the relay to it. A connection to the process itself is direct.
 func (p *process) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	relay, ok := p.Dial[address]
-	if address == p.Listen { // the process itself
+	if address == p.Listen { // the process connects to itself
 		relay, ok = address, true
 	}
 	if !ok {
@@ -182,7 +183,7 @@
 	return &http.Transport{DialContext: p.dial, MaxIdleConnsPerHost: 4, DisableCompression: true}
 }
 
-// sleep waits for a random time within bounds, or until ctx ends, whose error it returns.
+// sleep waits for a random time within bounds. If ctx ends before that, it returns the error of ctx.
 func sleep(ctx context.Context, shortest, longest time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/processtest/role_agent.go
+++ b/internal/processtest/role_agent.go
@@ -11,7 +11,7 @@
 	"tulipglade/internal/consensus"
 )
 
-// runAgent serves as a member of the group.
+// runAgent runs an agent of the group, with the clock, the connections and the disk that the harness can disturb.
 func (p *process) runAgent(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", p.Listen)
 	if err != nil {
@@ -32,7 +32,7 @@
 // eventHandler is a slog.Handler that reports log records as events.
 type eventHandler struct{ process *process }
 
-// Enabled reports true: events have no level.
+// Enabled returns true for all levels, since every record becomes an event.
 func (h *eventHandler) Enabled(context.Context, slog.Level) bool { return true }
 
 // WithAttrs returns the handler itself: the agent adds no attributes to its logger.
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// faultyStorage is an agent's disk with the faults that were ordered.
+// faultyStorage is the storage of an agent with the disk faults that the harness has ordered.
 type faultyStorage struct {
 	process *process
 	disk    consensus.Storage
@@ -73,5 +73,5 @@
 	if err := s.disk.Save(update); err != nil || !syncFails {
 		return err
 	}
-	return errInjected // whether the update is on the disk is unknown, as after a failed sync
+	return errInjected // the agent cannot know whether the update is on the disk, as after a failed sync
 }
--- a/internal/processtest/role_holder.go
+++ b/internal/processtest/role_holder.go
@@ -22,16 +22,16 @@
 
 const (
 	leaseName          = "task"
-	maxActionTime      = 300 * time.Millisecond // with the time that its request takes
-	mostRandomActions  = 40                     // under one lease
+	maxActionTime      = 300 * time.Millisecond // including the time that its request takes
+	mostRandomActions  = 40                     // maximum number of actions under one lease
 	leaseCallTimeout   = 2 * time.Second
 	leaseMargin        = 50 * time.Millisecond
 	targetCallTimeout  = 10 * time.Second
-	longestPause       = 200 * time.Millisecond // between two leases
+	longestPause       = 200 * time.Millisecond // between releasing a lease and acquiring the next
 	longestActionPause = 100 * time.Millisecond
 )
 
-// holder is a process that takes the lease whenever it can, acts under it, and releases it from time to time.
+// holder is a process that repeatedly acquires the lease, acts under it, and releases it after a number of actions.
 type holder struct {
 	*process
 	target *http.Client
@@ -78,7 +78,8 @@
 	_ = held.Release(ctx) // a lease that is not released expires
 }
 
-// runActions sends actions until the lease is uncertain or the holder has done enough.
+// runActions sends actions until the lease may have expired or the holder has sent its number of actions for one lease.
+// Without the guard it continues until ctx ends.
 func (h *holder) runActions(ctx context.Context, held *agent.Lease, grant lease.Grant) {
 	for actions := cmp.Or(h.ActionsPerLease, 1+rand.IntN(mostRandomActions)); actions > 0 && ctx.Err() == nil; actions-- {
 		if _, err := held.BeginAction(maxActionTime); err != nil && !h.Disabled.Guard {
@@ -91,13 +92,13 @@
 		h.sendAction(grant)
 		_ = sleep(ctx, 0, longestActionPause) // the loop ends with ctx
 	}
-	for h.Disabled.Guard && ctx.Err() == nil { // it never stops by itself
+	for h.Disabled.Guard && ctx.Err() == nil { // without the guard, the holder never stops acting
 		h.sendAction(grant)
 		_ = sleep(ctx, 50*time.Millisecond, longestActionPause) // the loop ends with ctx
 	}
 }
 
-// consumeHaltOrder reports whether the holder was ordered to halt, and clears the order.
+// consumeHaltOrder reports whether an order to halt is pending, and clears it.
 func (p *process) consumeHaltOrder() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,16 +107,17 @@
 	return halt
 }
 
-// stopItself stops the process until the harness continues it.
+// stopItself reports that the holder halts, and stops the process until the harness continues it.
 func (h *holder) stopItself(grant lease.Grant) {
 	h.report(Event{Kind: EventHolderHalted, Slot: grant.Slot, Token: grant.Token})
 	continued := make(chan os.Signal, 1)
 	signal.Notify(continued, syscall.SIGCONT)
-	_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP) // it cannot fail for the process itself
-	<-continued                                    // the stop takes effect a little later: the action must not start before
+	_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP) // a process may always signal itself
+	// Kill may return before the stop takes effect, and the action must not start before it.
+	<-continued
 }
 
-// sendAction sends one action. The target's events show what became of it.
+// sendAction sends one action to the target. It ignores the result, since the target's events show the outcome.
 func (h *holder) sendAction(grant lease.Grant) {
 	url := fmt.Sprintf("http://%s/act?seat=%d&token=%d&who=%s", h.Target, grant.Slot, grant.Token, h.Name)
 	response, err := h.target.Post(url, "", nil)
@@ -124,13 +126,13 @@
 	}
 }
 
-// leaseRecorder is an http.RoundTripper that reports the requests for leases that were answered.
+// leaseRecorder is an http.RoundTripper that reports lease requests and their final responses as events.
 type leaseRecorder struct {
 	process   *process
 	transport http.RoundTripper
 }
 
-// RoundTrip sends a request and reports its outcome.
+// RoundTrip sends a request. It reports a lease request that was granted, or rejected for the state of the lease.
 func (r leaseRecorder) RoundTrip(request *http.Request) (*http.Response, error) {
 	verb, ok := strings.CutPrefix(request.URL.Path, "/lease/")
 	if !ok {
@@ -146,7 +148,7 @@
 		return nil, err
 	}
 	body, err := io.ReadAll(response.Body)
-	_ = response.Body.Close() // all of it was read, or reading has failed
+	_ = response.Body.Close() // the body was read to its end, or reading failed
 	if err != nil {
 		return nil, err
 	}
@@ -165,7 +167,7 @@
 	return response, nil
 }
 
-// leaseCommand reads the command in a request, without consuming the request's body.
+// leaseCommand decodes the command in the body of a request from a copy, so that the body can still be sent.
 func leaseCommand(request *http.Request) (command lease.Command, err error) {
 	body, err := request.GetBody()
 	if err != nil {
--- a/internal/processtest/role_target.go
+++ b/internal/processtest/role_target.go
@@ -14,13 +14,14 @@
 	"tulipglade/internal/lease"
 )
 
-// How long an action takes at the target.
+// An action takes the target a random time between shortestWork and shortestWork+workSpread.
 const (
 	shortestWork = 10 * time.Millisecond
 	workSpread   = maxActionTime / 3
 )
 
-// target is what holders act on. Its events show which actions happened.
+// target is the HTTP handler that holders send their actions to. Its events show which actions were admitted or
+// rejected.
 type target struct {
 	process *process
 
@@ -28,7 +29,7 @@
 	fence fencing.Fence
 }
 
-// runTarget serves actions until ctx ends.
+// runTarget runs the HTTP server of the target until ctx ends.
 func (p *process) runTarget(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", p.Listen)
 	if err != nil {
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// ServeHTTP carries out an action if the fence admits it.
+// ServeHTTP carries out an action if the fence admits it, or if the fence is disabled.
 func (t *target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	slot, _ := strconv.Atoi(query.Get("seat"))                // holders send numbers
@@ -58,11 +59,12 @@
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	time.Sleep(shortestWork + time.Duration(rand.Int64N(int64(workSpread)))) // also when the client has disconnected
+	time.Sleep(shortestWork + time.Duration(rand.Int64N(int64(workSpread)))) // even if the client disconnects
 	t.end(grant, event, fenced)
 }
 
-// begin reports an action as started or rejected. Fenced is false for an action that is admitted only because there is no fence.
+// begin reports an action as started or rejected. The result fenced is false for an action that the fence has rejected,
+// even if it is admitted because the fence is disabled.
 func (t *target) begin(grant lease.Grant, event Event) (admitted, fenced bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/processtest/rollout_fleet_test.go
+++ b/internal/processtest/rollout_fleet_test.go
@@ -52,10 +52,10 @@
 const (
 	fleetAgents  = 3
 	fleetSites   = 3
-	readyTimeout = 40 * time.Second // of all nodes together
+	readyTimeout = 40 * time.Second // for all nodes together
 )
 
-// rolloutFleet is nine nodes at three sites and three agents, as processes of the real programs.
+// rolloutFleet runs nine nodes at three sites and three agents as processes of the real programs.
 type rolloutFleet struct {
 	directory      string
 	scenario       *scenario.Scenario
@@ -72,7 +72,7 @@
 	return fleet
 }
 
-// newAgentGroup builds the programs and starts the agents.
+// newAgentGroup builds the programs, and creates and starts a group of agents.
 func newAgentGroup(t *testing.T) *rolloutFleet {
 	t.Helper()
 	f := &rolloutFleet{directory: t.TempDir()}
@@ -119,14 +119,14 @@
 	}
 }
 
-// program returns a command of one of the built programs, which ends with the test.
+// program returns a command that runs one of the built programs. Its process is killed when the test process exits.
 func (f *rolloutFleet) program(name string, arguments ...string) *exec.Cmd {
 	command := exec.Command(filepath.Join(f.directory, "bin", name), arguments...)
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return command
 }
 
-// startNodes starts the fakes and the nodes, and waits until all nodes are ready.
+// startNodes starts the fake cluster and the nodes, and waits until all nodes are ready.
 func (f *rolloutFleet) startNodes(t *testing.T) {
 	t.Helper()
 	parsed, err := scenario.Parse("roll", []byte(rolloutScenario))
@@ -164,12 +164,12 @@
 		select {
 		case <-ready:
 		case <-timeout:
-			t.Fatal("not all nodes are ready in time")
+			t.Fatal("not all nodes became ready in time")
 		}
 	}
 }
 
-// configureNode writes the configuration of a node and returns the node's name.
+// configureNode writes the configuration file of a node and returns the name of the node.
 func (f *rolloutFleet) configureNode(t *testing.T, index int, adminAddress string) string {
 	t.Helper()
 	raw, err := f.cluster.NodeConfig(index, fake.DefaultLimits)
@@ -203,10 +203,10 @@
 	}
 }
 
-// nodeList is the path of the list of nodes for tulipctl.
+// nodeList returns the path of the list of nodes that tulipctl reads.
 func (f *rolloutFleet) nodeList() string { return filepath.Join(f.directory, "nodes.toml") }
 
-// changeCounts counts how often each node was changed.
+// changeCounts returns how often each node was changed, by name.
 func (f *rolloutFleet) changeCounts(t *testing.T) map[string]int {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(f.directory, changesFile))
@@ -221,14 +221,14 @@
 	return counts
 }
 
-// standbyTransition is a node's change into standby or back into service.
+// standbyTransition is a transition of a node into standby, or from standby back into service.
 type standbyTransition struct {
 	at    time.Time
 	site  int
-	delta int // to the number of nodes in standby
+	delta int // change of the number of nodes in standby: 1 or -1
 }
 
-// standbyTransitions reads a node's transitions from its log, and checks that it is in service at the end.
+// standbyTransitions reads the transitions of a node from its log, and checks that the node is in service at the end.
 func (f *rolloutFleet) standbyTransitions(t *testing.T, index int) []standbyTransition {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(f.directory, f.nodeNames[index]+".log"))
@@ -259,7 +259,8 @@
 	return transitions
 }
 
-// checkNodesInStandby checks the nodes' logs: only so many nodes of a site were in standby at once, and never nodes of two sites.
+// checkNodesInStandby checks in the logs of the nodes that at most atOnce nodes of a site were in standby at once, and
+// that nodes of two sites never were.
 func (f *rolloutFleet) checkNodesInStandby(t *testing.T, atOnce int) {
 	t.Helper()
 	var transitions []standbyTransition
@@ -276,11 +277,11 @@
 				sites++
 			}
 			if nodes > atOnce {
-				t.Errorf("%v: %v nodes in standby", transition.at, standby)
+				t.Errorf("%v: more nodes in standby at once than allowed: %v", transition.at, standby)
 			}
 		}
 		if sites > 1 {
-			t.Errorf("%v: two sites have nodes in standby, %v", transition.at, standby)
+			t.Errorf("%v: more than one site has nodes in standby: %v", transition.at, standby)
 		}
 	}
 }
--- a/internal/processtest/rollout_test.go
+++ b/internal/processtest/rollout_test.go
@@ -11,10 +11,10 @@
 	"tulipglade/internal/faultinject"
 )
 
-// rolloutNodesAtOnce is how many nodes of a site a rollout may change at once.
+// rolloutNodesAtOnce is the number of nodes of a site that a rollout may change at the same time.
 const rolloutNodesAtOnce = 2
 
-// startRollout starts a rollout of a change to all nodes.
+// startRollout starts the command that rolls out a change, with the given name, to all nodes.
 func (f *rolloutFleet) startRollout(t *testing.T, change string) *runningCommand {
 	t.Helper()
 	self, err := os.Executable()
@@ -32,8 +32,9 @@
 		"--", self, changeNodeFlag, f.directory))
 }
 
-// Rolling restarts of real nodes under load. In the first, the command that rolls out is killed, and an agent, too; in the second it is
-// stopped, and continued when another has taken over. Each change restarts each node once.
+// If the command of a rollout is killed or stopped, the next command must take over and change each remaining node
+// exactly once. The test restarts real nodes under load. During the first rollout, the command and an agent are killed.
+// During the second, the command is stopped, and continued after another command has taken over.
 func TestRolloutIsTakenOverByNextCommand(t *testing.T) {
 	fleet := newRolloutFleet(t)
 	load := fleet.startClients(t.Context())
@@ -65,7 +66,7 @@
 		t.Fatal(err)
 	}
 	if err := <-third.exited; err == nil || !strings.Contains(third.text(), "written down") {
-		t.Errorf("the command that was stopped: %v\n%s", err, third.text())
+		t.Errorf("the stopped command must fail after the takeover: %v\n%s", err, third.text())
 	}
 	if err := <-fourth.exited; err != nil {
 		t.Fatalf("%v\n%s\n%s", err, third.text(), fourth.text())
@@ -84,7 +85,8 @@
 
 var rolloutCount = flag.Int("rolls", 0, "rollouts to nodes under load, each with a fault of the leading agent")
 
-// A number of rolling restarts, each with a fault of the leading agent. One takes 20 s, so the usual run has none.
+// Rollouts under load must change each node once, whatever fault hits the leader of the agents. Each rollout takes 20
+// s, so the test is skipped unless the flag -rolls sets their number.
 func TestRepeatedRolloutsUnderFaults(t *testing.T) {
 	if *rolloutCount == 0 {
 		t.Skip("-rolls is 0")
--- a/internal/processtest/running_command_test.go
+++ b/internal/processtest/running_command_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// outputTimeout is how long tests wait for the output of a command.
+// outputTimeout is the maximum time that tests wait for the output of a command.
 const outputTimeout = time.Minute
 
-// runningCommand is a command of tulipctl and its output so far.
+// runningCommand is a running command of tulipctl with the output that it has written so far.
 type runningCommand struct {
 	command *exec.Cmd
-	written chan struct{} // receives after a write
-	exited  chan error
+	written chan struct{} // receives a value after a write
+	exited  chan error    // receives the result of the command when it has exited
 
 	mu     sync.Mutex
 	output bytes.Buffer
 }
 
-// startCommand starts a command and collects its output.
+// startCommand starts a command whose standard output and standard error are collected.
 func startCommand(t *testing.T, command *exec.Cmd) *runningCommand {
 	t.Helper()
 	r := &runningCommand{command: command, written: make(chan struct{}, 1), exited: make(chan error, 1)}
@@ -34,7 +34,7 @@
 	return r
 }
 
-// Write collects output.
+// Write appends output of the command to the collected output.
 func (r *runningCommand) Write(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,7 +51,7 @@
 	return r.output.String()
 }
 
-// awaitOutput waits until the output contains a text a number of times.
+// awaitOutput waits until the output contains a text at least the given number of times.
 func (r *runningCommand) awaitOutput(t *testing.T, text string, times int) {
 	t.Helper()
 	timeout := time.After(outputTimeout)
@@ -59,7 +59,7 @@
 		select {
 		case <-r.written:
 		case <-timeout:
-			t.Fatalf("%q is not in the output %d times:\n%s", text, times, r.text())
+			t.Fatalf("the output does not contain %q %d times:\n%s", text, times, r.text())
 		}
 	}
 }
--- a/internal/processtest/schedule.go
+++ b/internal/processtest/schedule.go
@@ -14,8 +14,8 @@
 	"tulipglade/internal/faultinject"
 )
 
-// A schedule's faults start within scheduledFaultTime. The group then has recoveryTimeout to act again: elections, the duration of a
-// lease and a holder's pauses take 4 s on an idle machine.
+// All faults of a schedule start within scheduledFaultTime. After their end, a holder must act within recoveryTimeout:
+// elections, the duration of a lease and the pauses of a holder take 4 s on an idle machine.
 const (
 	scheduledFaultTime = 6 * time.Second
 	scheduledFaults    = 8
@@ -23,13 +23,13 @@
 
 	shortestFaultMs = 300
 	longestFaultMs  = 2500
-	faultStream     = 0x419 // of the random source of a seed
+	faultStream     = 0x419 // selects the random stream of a seed that faults are drawn from
 )
 
-// ErrIdle is the error of a schedule after whose faults no holder acts.
+// ErrIdle is returned for a schedule if no holder acts after the faults have ended.
 var ErrIdle = errors.New("no holder acts after the faults")
 
-// drawFaults draws faults and their times from the seed of the options.
+// drawFaults draws count faults, which start within length, from the seed of the options.
 func drawFaults(options Options, length time.Duration, count int) []faultinject.Fault {
 	random := rand.New(rand.NewPCG(options.Seed, faultStream))
 	faults := faultinject.RandomFaults{Count: count, MinMs: shortestFaultMs, MaxMs: longestFaultMs}
@@ -37,13 +37,13 @@
 	return faults.Draw(scope, length.Milliseconds(), random)
 }
 
-// scheduleStep is the start or the end of a fault.
+// scheduleStep starts or ends a fault at a time after the start of the schedule.
 type scheduleStep struct {
 	at  time.Duration
 	run func()
 }
 
-// scheduleSteps returns the starts and ends of faults, by time.
+// scheduleSteps returns the starts and ends of the faults of a plan, sorted by time.
 func (h *Harness) scheduleSteps(plan []faultinject.Fault) []scheduleStep {
 	var steps []scheduleStep
 	for _, fault := range plan {
@@ -56,8 +56,8 @@
 	return steps
 }
 
-// RunFaults starts and ends the faults of a plan at their times and heals all processes. It returns ErrIdle if no holder acts within the
-// recovery timeout after that.
+// RunFaults starts and ends the faults of a plan at their times, and then heals all processes. It returns ErrIdle if no
+// holder acts within the recovery timeout after that.
 func (h *Harness) RunFaults(ctx context.Context, plan []faultinject.Fault, recovery time.Duration) error {
 	start := time.Now()
 	for _, step := range h.scheduleSteps(plan) {
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// RunSchedules plays the schedules of consecutive seeds, some in parallel. It calls report after each of them, one call at a time.
+// RunSchedules runs the schedules of consecutive seeds, up to the given number in parallel. It calls report after each
+// schedule, one call at a time.
 func RunSchedules(
 	ctx context.Context,
 	firstSeed uint64,
@@ -108,18 +109,18 @@
 	return group.Wait()
 }
 
-// RunSchedule plays the schedule of a seed: 3 agents, or 5 for every third seed, and 3 holders.
+// RunSchedule runs the schedule of a seed, with 3 agents, or 5 for every third seed, and 3 holders.
 func RunSchedule(ctx context.Context, seed uint64, without DisabledParts) (Findings, error) {
 	return runFaultPlan(ctx, seed, without, ScheduleFaults(seed))
 }
 
-// ScheduleFaults returns the faults of a seed's schedule.
+// ScheduleFaults returns the faults of the schedule of a seed.
 func ScheduleFaults(seed uint64) []faultinject.Fault {
 	return drawFaults(scheduleOptions(seed, DisabledParts{}), scheduledFaultTime, scheduledFaults)
 }
 
-// ReproducesFailure reports whether a plan breaks an invariant, or leaves the group idle, in one of several attempts. The attempts
-// differ because the timing of the processes is not drawn from the seed.
+// ReproducesFailure reports whether a plan breaks an invariant, or leaves the group idle, in one of several attempts.
+// The attempts differ because the timing of the processes is not drawn from the seed.
 func ReproducesFailure(ctx context.Context, seed uint64, without DisabledParts, plan []faultinject.Fault, attempts int) (bool, error) {
 	for range attempts {
 		findings, err := runFaultPlan(ctx, seed, without, plan)
--- a/internal/processtest/schedule_test.go
+++ b/internal/processtest/schedule_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Schedules of faults between real processes break no invariant, and holders act again after each.
+// Schedules of random faults between real processes must break no invariant, and holders must act again after each.
 func TestScheduledFaultsKeepInvariants(t *testing.T) {
 	var sum Findings
 	err := RunSchedules(t.Context(), 1, 12, 4, DisabledParts{}, func(seed uint64, findings Findings, err error) {
@@ -13,6 +13,6 @@
 	})
 	t.Logf("%+v", sum)
 	if err != nil || len(sum.Faults) < 10 || sum.Actions < 12 {
-		t.Errorf("%v; the schedules are too mild to show anything: %+v", err, sum)
+		t.Errorf("%v; too few kinds of faults or actions for a meaningful test: %+v", err, sum)
 	}
 }
