--- a/internal/processtest/agents_test.go
+++ b/internal/processtest/agents_test.go
@@ -11,12 +11,13 @@
 	"tulipglade/internal/faultinject"
 )
 
-// All agents are killed at once and started in another order: no token is granted twice. With disks that do not store what they report
-// as stored, tokens are granted twice, and the checks report it.
+// No token may be granted twice after all agents are killed at once and started again in another order. The test then
+// repeats this with disks that do not store what they report as stored: tokens are granted twice there, and the checks
+// must report it.
 func TestTokensStayUniqueAfterAllAgentsAreKilled(t *testing.T) {
 	for _, withoutSync := range []bool{false, true} {
 		harness := startHarness(t, Options{Agents: 3, Holders: 2, Disabled: DisabledParts{Sync: withoutSync}})
-		_, position := harness.awaitEvent(t, 0, actionStarted(1))
+		_, position := harness.awaitEvent(t, 0, actionStartedAfter(1))
 		for _, i := range []int{0, 1, 2} {
 			harness.kill(i)
 		}
@@ -28,18 +29,19 @@
 		_, position = harness.awaitEvent(t, position, Event.becomesLeader)
 		harness.awaitEvent(t, position, func(event Event) bool { return event.Kind == EventAcquire && event.Text == "" })
 		if findings := Check(harness.Log()); withoutSync != (len(findings.Violations) > 0) {
-			t.Errorf("disks without sync %v: broken %v", withoutSync, findings.Violations)
+			t.Errorf("disks without sync: %v; violations: %v", withoutSync, findings.Violations)
 		}
 	}
 }
 
-// An agent whose disk fails reports the error and exits; the others elect a leader, and holders act again.
+// An agent whose disk fails must report the error and exit, since it can no longer keep its promises to the group. The
+// remaining agents elect a leader, and holders act again.
 func TestAgentExitsOnDiskFailure(t *testing.T) {
 	harness := startHarness(t, Options{Agents: 3, Holders: 2})
-	_, position := harness.awaitEvent(t, 0, actionStarted(0))
+	_, position := harness.awaitEvent(t, 0, actionStartedAfter(0))
 	leader := harness.Leader()
 	name := harness.processes[leader].Name
-	endFault := harness.Fault(faultinject.Fault{Kind: faultinject.DiskSync, Processes: []int{leader}})
+	endFault := harness.StartFault(faultinject.Fault{Kind: faultinject.DiskSync, Processes: []int{leader}})
 	exit, position := harness.awaitEvent(t, position, func(event Event) bool {
 		return event.Kind == EventProcessFailed && event.Process == name
 	})
@@ -47,7 +49,7 @@
 		t.Error(exit)
 	}
 	harness.awaitEvent(t, position, Event.becomesLeader)
-	_, position = harness.awaitEvent(t, harness.Here(), actionStarted(0))
+	_, position = harness.awaitEvent(t, harness.LogEnd(), actionStartedAfter(0))
 	endFault()
 	harness.awaitEvent(t, position, func(event Event) bool { return event.Kind == EventLeaderKnown && event.Process == name })
 	if findings := Check(harness.Log()); len(findings.Violations) > 0 {
@@ -55,12 +57,12 @@
 	}
 }
 
-// A member is replaced while holders act, and the leader is killed during the change. The new member votes in the end, so the group
-// goes on without two of the old ones.
+// A membership change must complete even if the leader is killed during it. The test replaces a member while holders
+// act, and then kills two of the old members: the group keeps granting leases only if the new member votes.
 func TestMemberReplacementSurvivesLeaderKill(t *testing.T) {
 	const agents, spareAgent = 3, 3
 	harness := startHarness(t, Options{Agents: agents, SpareAgents: 1, Holders: 2})
-	harness.awaitEvent(t, 0, actionStarted(0))
+	harness.awaitEvent(t, 0, actionStartedAfter(0))
 	client := agent.NewClient(harness.agentAddresses(), nil)
 	ctx, cancel := context.WithTimeout(t.Context(), eventTimeout)
 	defer cancel()
@@ -72,28 +74,28 @@
 	}
 	changed := make(chan error, 1)
 	go func() { changed <- client.ChangeMembers(ctx, change) }()
-	harness.awaitEvent(t, 0, func(event Event) bool { // the spare agent has heard of the group
+	harness.awaitEvent(t, 0, func(event Event) bool { // the spare agent has learned who leads the group
 		return event.Kind == EventLeaderKnown && event.Process == harness.processes[spareAgent].Name
 	})
 	harness.kill(leader)
 	if err := harness.start(leader); err != nil {
 		t.Fatal(err)
 	}
-	<-changed // with any outcome: the next leader completes the change
+	<-changed // the result does not matter: the next leader completes the change
 	awaitReplaced(ctx, t, client, memberID(removed), memberID(spareAgent))
 	harness.kill(removed)
 	harness.kill((removed + 1) % agents)
-	_, position := harness.awaitEvent(t, harness.Here(), actionStarted(0))
-	harness.awaitEvent(t, position, actionStarted(0))
+	_, position := harness.awaitEvent(t, harness.LogEnd(), actionStartedAfter(0))
+	harness.awaitEvent(t, position, actionStartedAfter(0))
 	if findings := Check(harness.Log()); len(findings.Violations) > 0 {
 		t.Error(findings.Violations)
 	}
 }
 
-// memberID returns the ID of the agent with an index.
+// memberID returns the member ID of the agent with the given index.
 func memberID(index int) uint64 { return uint64(index + 1) }
 
-// awaitReplaced waits until the group has three members, with one of two and without the other.
+// awaitReplaced waits until the group has three members, among them the added one but not the removed one.
 func awaitReplaced(ctx context.Context, t *testing.T, client *agent.Client, removed, added uint64) {
 	t.Helper()
 	replaced := func(status consensus.Status) bool {
--- a/internal/processtest/check_test.go
+++ b/internal/processtest/check_test.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// A history without a possible order is a violation, and a schedule after which nobody acts is an error.
+// Guards against checks that pass whatever happens. A history of lease requests that no order can explain must be
+// reported as a violation, and a schedule after which no holder acts must end in ErrIdle.
 func TestChecksReportViolations(t *testing.T) {
 	log := []Event{
-		{At: 10, From: 1, Process: "a", Kind: EventAcquire, Token: 1, RequestID: 1},
-		{At: 30, From: 20, Process: "b", Kind: EventAcquire, Token: 2, RequestID: 1},
+		{At: 10, RequestedAt: 1, Process: "a", Kind: EventAcquire, Token: 1, RequestID: 1},
+		{At: 30, RequestedAt: 20, Process: "b", Kind: EventAcquire, Token: 2, RequestID: 1},
 	}
 	if findings := Check(log); len(findings.Violations) > 0 {
 		t.Error(findings.Violations)
 	}
-	renewal := Event{At: 50, From: 40, Process: "a", Kind: EventRenew, Token: 1}
+	renewal := Event{At: 50, RequestedAt: 40, Process: "a", Kind: EventRenew, Token: 1}
 	if findings := Check(append(log, renewal)); len(findings.Violations) != 1 {
-		t.Error("a renewal after the next grant:", findings.Violations)
+		t.Error("a renewal after the next grant must be one violation:", findings.Violations)
 	}
 	harness := startHarness(t, Options{Agents: 1, Holders: 1})
-	harness.awaitEvent(t, 0, actionStarted(0))
+	harness.awaitEvent(t, 0, actionStartedAfter(0))
 	target := harness.Index(roleTarget)
 	harness.kill(target)
 	harness.processes[target].Listen = occupiedAddress(t)
-	if err := harness.Play(t.Context(), nil, 3*time.Second); !errors.Is(err, ErrIdle) {
+	if err := harness.RunFaults(t.Context(), nil, 3*time.Second); !errors.Is(err, ErrIdle) {
 		t.Error(err)
 	}
 	harness.awaitEvent(t, 0, func(event Event) bool { return event.Kind == EventProcessFailed && event.Process == roleTarget })
@@ -38,6 +39,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // nobody has connected to it
+	t.Cleanup(func() { _ = listener.Close() }) // no connections were accepted, so nothing can be lost
 	return listener.Addr().String()
 }
--- a/internal/processtest/measure.go
+++ b/internal/processtest/measure.go
@@ -15,16 +15,17 @@
 	"tulipglade/internal/lease"
 )
 
-// Measured is the performance and cost of a group of agents with relays between its members.
-type Measured struct {
+// Measurement holds the performance and cost of a group of agents whose connections pass through relays.
+type Measurement struct {
 	Agents          int                     `json:"agents"`
-	Elections       *hdrhistogram.Histogram `json:"-"` // ms from the leader's kill to the next leader
+	Elections       *hdrhistogram.Histogram `json:"-"` // ms from the kill of the leader to the next election
 	Idle            Cost                    `json:"idle"`
-	Holding         Cost                    `json:"holding"` // while each of the holders has a lease of its own
+	Holding         Cost                    `json:"holding"` // while each of the holders holds a lease of its own
 	Holders         int                     `json:"holders"`
-	GrantsPerSecond float64                 `json:"grants_per_s"` // acquisitions, with as many releases, each synced by a majority
-	Latency         *hdrhistogram.Histogram `json:"-"`            // of the acquisitions, in µs
-	Rush            time.Duration           `json:"rush"`         // until each of the holders, which start together, has had the same lease
+	GrantsPerSecond float64                 `json:"grants_per_s"` // acquisitions; see measureGrants
+	Latency         *hdrhistogram.Histogram `json:"-"`            // latency of the acquisitions, in µs
+	// ContendedLeaseTime is the time until each of the holders, which start together, has held the same lease once.
+	ContendedLeaseTime time.Duration `json:"rush"`
 }
 
 // Parameters of the measurements.
@@ -42,9 +43,10 @@
 	histogramDigits   = 3
 )
 
-// Measure starts a group of agents and measures it.
-func Measure(ctx context.Context, agents, elections, holders int, length time.Duration) (m Measured, err error) {
-	m = Measured{
+// Measure starts a group of agents and measures, in this order, its cost when idle, the rate and latency of
+// acquisitions, its cost and the contention for a lease with many holders, and the duration of elections.
+func Measure(ctx context.Context, agents, elections, holders int, length time.Duration) (m Measurement, err error) {
+	m = Measurement{
 		Agents:    agents,
 		Holders:   holders,
 		Elections: hdrhistogram.New(1, longestElectionMs, histogramDigits),
@@ -76,8 +78,9 @@
 	return m, err
 }
 
-// measureGrants has clients take and release a lease each as fast as they can.
-func (m *Measured) measureGrants(ctx context.Context, addresses []string, length time.Duration) error {
+// measureGrants measures acquisitions while each client acquires and releases a lease of its own as fast as it can.
+// There are as many releases as acquisitions, and a majority of the agents syncs each of them to disk.
+func (m *Measurement) measureGrants(ctx context.Context, addresses []string, length time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	client := agent.NewClient(addresses, nil)
@@ -87,7 +90,7 @@
 	start := time.Now()
 	for i := range grantClients {
 		group.Go(func() error {
-			return takeAndRelease(ctx, client, fmt.Sprint("grants", i), func(latency time.Duration) {
+			return acquireAndRelease(ctx, client, fmt.Sprint("grants", i), func(latency time.Duration) {
 				latencies <- latency
 				grants.Add(1)
 			})
@@ -102,8 +105,8 @@
 	return err
 }
 
-// takeAndRelease takes and releases a lease until ctx ends.
-func takeAndRelease(ctx context.Context, client *agent.Client, name string, granted func(latency time.Duration)) error {
+// acquireAndRelease acquires and releases a lease until ctx ends. It calls granted after each acquisition.
+func acquireAndRelease(ctx context.Context, client *agent.Client, name string, granted func(latency time.Duration)) error {
 	for requestID := uint64(1); ctx.Err() == nil; requestID++ {
 		start := time.Now()
 		acquire := lease.Command{Name: name, Holder: name, RequestID: requestID, Ticks: measuredGrantTicks}
@@ -112,15 +115,16 @@
 			granted(time.Since(start))
 			_, err = client.SendCommand(ctx, "release", lease.Command{Name: name, Token: grant.Token})
 		}
-		if err != nil && !errors.Is(err, agent.ErrNoMembers) { // that is what a request at the end of ctx meets
+		if err != nil && !errors.Is(err, agent.ErrNoMembers) { // requests return ErrNoMembers when ctx ends
 			return err
 		}
 	}
 	return nil
 }
 
-// measureHolders has clients hold a lease each, and has all of them take the same one after that.
-func (m *Measured) measureHolders(ctx context.Context, h *Harness, length time.Duration) error {
+// measureHolders measures the cost of the agents while each client holds a lease of its own. It then measures how long
+// it takes until each client has held one lease that all of them request at once.
+func (m *Measurement) measureHolders(ctx context.Context, h *Harness, length time.Duration) error {
 	clients := make([]*agent.Client, m.Holders)
 	leases := make([]*agent.Lease, m.Holders)
 	var holding errgroup.Group
@@ -142,15 +146,16 @@
 	var rush errgroup.Group
 	start := time.Now()
 	for i, held := range leases {
-		rush.Go(func() error { return joinRush(ctx, clients[i], held) })
+		rush.Go(func() error { return acquireContendedLease(ctx, clients[i], held) })
 	}
 	err = rush.Wait()
-	m.Rush = time.Since(start)
+	m.ContendedLeaseTime = time.Since(start)
 	return err
 }
 
-// joinRush releases a client's own lease, and takes and releases the one that all clients want.
-func joinRush(ctx context.Context, client *agent.Client, held *agent.Lease) error {
+// acquireContendedLease releases a client's own lease, and then acquires and releases the lease that all clients
+// request.
+func acquireContendedLease(ctx context.Context, client *agent.Client, held *agent.Lease) error {
 	if reason := held.EndReason(); reason != nil {
 		return fmt.Errorf("a lease was lost without a fault: %w", reason)
 	}
@@ -168,11 +173,12 @@
 	return contended.Release(ctx)
 }
 
-// measureElections kills the leader again and again.
-func (m *Measured) measureElections(ctx context.Context, h *Harness, position, elections int) error {
+// measureElections kills the leader a number of times and records the time until the next leader is elected. It
+// restarts each killed agent and waits until that agent follows a leader.
+func (m *Measurement) measureElections(ctx context.Context, h *Harness, position, elections int) error {
 	for range elections {
 		leader := h.processes[max(h.Leader(), 0)].Name
-		restart := h.Fault(faultinject.Fault{Kind: faultinject.ProcessKill, Processes: []int{-1}})
+		restart := h.StartFault(faultinject.Fault{Kind: faultinject.ProcessKill, Processes: []int{-1}})
 		killed := agent.Clock()
 		elected, next, err := h.Await(ctx, position, func(event Event) bool { return event.becomesLeader() && event.At > killed })
 		if err != nil {
--- a/internal/processtest/relay.go
+++ b/internal/processtest/relay.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// linkState is what a relay does to the data that passes it, in both directions: a response takes the route of its request.
+// linkState is the state of a link: what its relay does to connections and data. It applies to both directions of a
+// connection, since a response passes through the same relay as its request.
 type linkState struct {
-	cut           bool // connections are reset
-	silent        bool // connections stay open, and nothing passes
-	delay         time.Duration
-	resetFraction float64 // of chunks of data that end in a reset
+	cut           bool          // connections are reset
+	silent        bool          // connections stay open, and no data is forwarded
+	delay         time.Duration // added to each chunk of data and to each new connection
+	resetFraction float64       // fraction of chunks and new connections at which the connection is reset
 }
 
-// worst combines the effects of two faults on one link.
-func (s linkState) worst(other linkState) linkState {
+// combine returns the state of a link that two faults affect: the worse value of each field.
+func (s linkState) combine(other linkState) linkState {
 	return linkState{
 		cut:           s.cut || other.cut,
 		silent:        s.silent || other.silent,
@@ -26,20 +27,20 @@
 	}
 }
 
-// relayBuffer is the most that a relay forwards as one chunk.
+// relayBuffer is the maximum size of a chunk that a relay forwards, in bytes.
 const relayBuffer = 32 << 10
 
-// relay forwards the connections that one process opens to another.
+// relay accepts the connections that one process opens to another, and forwards their data.
 type relay struct {
 	listener   net.Listener
 	target     string
 	goroutines sync.WaitGroup
-	chunks     atomic.Int64 // forwarded to the target
+	chunks     atomic.Int64 // number of chunks forwarded to the target
 
 	mu          sync.Mutex
 	random      *rand.Rand
 	state       linkState
-	changed     chan struct{} // closed when state changes, and replaced
+	changed     chan struct{} // closed and replaced when state or closed changes
 	connections map[net.Conn]bool
 	closed      bool
 }
@@ -62,8 +63,8 @@
 
 func (r *relay) address() string { return r.listener.Addr().String() }
 
-// set changes the state of the link from now on.
-func (r *relay) set(state linkState) {
+// setState changes the state of the link, and resets all connections if the link is cut.
+func (r *relay) setState(state linkState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state = state
@@ -73,13 +74,13 @@
 	}
 }
 
-// notify wakes the goroutines that wait for a change. The caller holds the mutex.
+// notify wakes the goroutines that wait for a change of state. The caller holds the mutex.
 func (r *relay) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// resetAll resets all connections. The caller holds the mutex.
+// resetAll resets all connections of the relay. The caller holds the mutex.
 func (r *relay) resetAll() {
 	for connection := range r.connections {
 		reset(connection)
@@ -89,7 +90,7 @@
 // reset closes a connection so that the other side sees a reset.
 func reset(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the connection ends, too, in another way
+		_ = tcp.SetLinger(0) // if it fails, the connection is closed without a reset
 	}
 	_ = connection.Close()
 }
@@ -104,8 +105,9 @@
 	r.goroutines.Wait()
 }
 
-// add registers a connection; where the link is cut it resets the connection and returns false.
-func (r *relay) add(connection net.Conn) bool {
+// addConnection registers a connection. If the link is cut or the relay closed, it resets the connection and returns
+// false.
+func (r *relay) addConnection(connection net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state.cut || r.closed {
@@ -116,7 +118,7 @@
 	return true
 }
 
-func (r *relay) remove(connection net.Conn) {
+func (r *relay) removeConnection(connection net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.connections, connection)
@@ -129,16 +131,16 @@
 		if err != nil {
 			return
 		}
-		if r.add(client) {
+		if r.addConnection(client) {
 			r.goroutines.Go(func() { r.forward(client) })
 		}
 	}
 }
 
-// forward connects a client with the target until one of them closes its connection.
+// forward forwards data between a client and the target until one of them closes its connection or the link resets it.
 func (r *relay) forward(client net.Conn) {
-	defer r.remove(client)
-	if !r.awaitPassage() {
+	defer r.removeConnection(client)
+	if !r.awaitForwarding() {
 		return
 	}
 	server, err := net.Dial("tcp4", r.target)
@@ -146,8 +148,8 @@
 		reset(client)
 		return
 	}
-	defer r.remove(server)
-	if !r.add(server) {
+	defer r.removeConnection(server)
+	if !r.addConnection(server) {
 		return
 	}
 	responsesDone := make(chan struct{})
@@ -161,8 +163,9 @@
 	<-responsesDone
 }
 
-// awaitPassage waits while the link is silent, and for the link's delay. It is false where the connection is to be reset.
-func (r *relay) awaitPassage() bool {
+// awaitForwarding waits while the link is silent, and then for the delay of the link. It returns false if the
+// connection is to be reset.
+func (r *relay) awaitForwarding() bool {
 	for {
 		r.mu.Lock()
 		state, changed, closed := r.state, r.changed, r.closed
@@ -179,12 +182,13 @@
 	}
 }
 
-// copy forwards data until either connection ends or the link resets it. It counts the chunks where there is a counter.
+// copy forwards data until either connection ends or the link resets it. If chunks is not nil, it counts the forwarded
+// chunks there.
 func (r *relay) copy(destination, source net.Conn, chunks *atomic.Int64) {
 	buffer := make([]byte, relayBuffer)
 	for {
 		n, err := source.Read(buffer)
-		if err != nil || !r.awaitPassage() {
+		if err != nil || !r.awaitForwarding() {
 			return
 		}
 		if _, err := destination.Write(buffer[:n]); err != nil {
--- a/internal/processtest/schedule.go
+++ b/internal/processtest/schedule.go
@@ -14,8 +14,8 @@
 	"tulipglade/internal/faultinject"
 )
 
-// A schedule's faults start within scheduledFaultTime. The group then has recoveryTimeout to act again: elections, the duration of a
-// lease and a holder's pauses take 4 s on an idle machine.
+// All faults of a schedule start within scheduledFaultTime. After their end, a holder must act within recoveryTimeout:
+// elections, the duration of a lease and the pauses of a holder take 4 s on an idle machine.
 const (
 	scheduledFaultTime = 6 * time.Second
 	scheduledFaults    = 8
@@ -23,13 +23,13 @@
 
 	shortestFaultMs = 300
 	longestFaultMs  = 2500
-	faultStream     = 0x419 // of the random source of a seed
+	faultStream     = 0x419 // selects the random stream of a seed that faults are drawn from
 )
 
-// ErrIdle is the error of a schedule after whose faults no holder acts.
+// ErrIdle is returned for a schedule if no holder acts after the faults have ended.
 var ErrIdle = errors.New("no holder acts after the faults")
 
-// drawFaults draws faults and their times from the seed of the options.
+// drawFaults draws count faults, which start within length, from the seed of the options.
 func drawFaults(options Options, length time.Duration, count int) []faultinject.Fault {
 	random := rand.New(rand.NewPCG(options.Seed, faultStream))
 	faults := faultinject.RandomFaults{Count: count, MinMs: shortestFaultMs, MaxMs: longestFaultMs}
@@ -37,18 +37,18 @@
 	return faults.Draw(scope, length.Milliseconds(), random)
 }
 
-// scheduleStep is the start or the end of a fault.
+// scheduleStep starts or ends a fault at a time after the start of the schedule.
 type scheduleStep struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	run func()
 }
 
-// steps returns the starts and ends of faults, by time.
-func (h *Harness) steps(plan []faultinject.Fault) []scheduleStep {
+// scheduleSteps returns the starts and ends of the faults of a plan, sorted by time.
+func (h *Harness) scheduleSteps(plan []faultinject.Fault) []scheduleStep {
 	var steps []scheduleStep
 	for _, fault := range plan {
 		var end func()
-		start := scheduleStep{time.Duration(fault.Start) * time.Millisecond, func() { end = h.Fault(fault) }}
+		start := scheduleStep{time.Duration(fault.Start) * time.Millisecond, func() { end = h.StartFault(fault) }}
 		finish := scheduleStep{time.Duration(fault.End()) * time.Millisecond, func() { end() }}
 		steps = append(steps, start, finish)
 	}
@@ -56,17 +56,17 @@
 	return steps
 }
 
-// Play starts and ends the faults of a plan at their times and heals all processes. It returns ErrIdle if no holder acts within the
-// recovery timeout after that.
-func (h *Harness) Play(ctx context.Context, plan []faultinject.Fault, recovery time.Duration) error {
+// RunFaults starts and ends the faults of a plan at their times, and then heals all processes. It returns ErrIdle if no
+// holder acts within the recovery timeout after that.
+func (h *Harness) RunFaults(ctx context.Context, plan []faultinject.Fault, recovery time.Duration) error {
 	start := time.Now()
-	for _, step := range h.steps(plan) {
+	for _, step := range h.scheduleSteps(plan) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(time.Until(start.Add(step.at))):
 		}
-		step.do()
+		step.run()
 	}
 	if err := h.Heal(); err != nil {
 		return err
@@ -74,15 +74,16 @@
 	h.log.add(Event{At: agent.Clock(), Process: harnessName, Kind: EventHealed})
 	ctx, cancel := context.WithTimeout(ctx, recovery)
 	defer cancel()
-	_, _, err := h.Await(ctx, h.Here(), func(event Event) bool { return event.Kind == EventActionStarted })
+	_, _, err := h.Await(ctx, h.LogEnd(), func(event Event) bool { return event.Kind == EventActionStarted })
 	if err != nil {
 		return errors.Join(ErrIdle, err)
 	}
 	return nil
 }
 
-// Schedules plays the schedules of consecutive seeds, some in parallel. It calls report after each of them, one call at a time.
-func Schedules(
+// RunSchedules runs the schedules of consecutive seeds, up to the given number in parallel. It calls report after each
+// schedule, one call at a time.
+func RunSchedules(
 	ctx context.Context,
 	firstSeed uint64,
 	count, parallel int,
@@ -95,7 +96,7 @@
 	for i := range count {
 		seed := firstSeed + uint64(i)
 		group.Go(func() error {
-			findings, err := Schedule(ctx, seed, without)
+			findings, err := RunSchedule(ctx, seed, without)
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
@@ -108,21 +109,21 @@
 	return group.Wait()
 }
 
-// Schedule plays the schedule of a seed: 3 agents, or 5 for every third seed, and 3 holders.
-func Schedule(ctx context.Context, seed uint64, without DisabledParts) (Findings, error) {
-	return playSchedule(ctx, seed, without, Faults(seed))
+// RunSchedule runs the schedule of a seed, with 3 agents, or 5 for every third seed, and 3 holders.
+func RunSchedule(ctx context.Context, seed uint64, without DisabledParts) (Findings, error) {
+	return runFaultPlan(ctx, seed, without, ScheduleFaults(seed))
 }
 
-// Faults returns the faults of a seed's schedule.
-func Faults(seed uint64) []faultinject.Fault {
+// ScheduleFaults returns the faults of the schedule of a seed.
+func ScheduleFaults(seed uint64) []faultinject.Fault {
 	return drawFaults(scheduleOptions(seed, DisabledParts{}), scheduledFaultTime, scheduledFaults)
 }
 
-// Fails reports whether a plan breaks something in one of several attempts. They differ, as the timing of processes is not drawn from
-// the seed.
-func Fails(ctx context.Context, seed uint64, without DisabledParts, plan []faultinject.Fault, attempts int) (bool, error) {
+// ReproducesFailure reports whether a plan breaks an invariant, or leaves the group idle, in one of several attempts.
+// The attempts differ because the timing of the processes is not drawn from the seed.
+func ReproducesFailure(ctx context.Context, seed uint64, without DisabledParts, plan []faultinject.Fault, attempts int) (bool, error) {
 	for range attempts {
-		findings, err := playSchedule(ctx, seed, without, plan)
+		findings, err := runFaultPlan(ctx, seed, without, plan)
 		if err != nil && !errors.Is(err, ErrIdle) {
 			return false, err
 		}
@@ -141,12 +142,12 @@
 	return options
 }
 
-func playSchedule(ctx context.Context, seed uint64, without DisabledParts, plan []faultinject.Fault) (Findings, error) {
+func runFaultPlan(ctx context.Context, seed uint64, without DisabledParts, plan []faultinject.Fault) (Findings, error) {
 	h, err := Start(scheduleOptions(seed, without))
 	if err != nil {
 		return Findings{}, err
 	}
 	defer h.Stop()
-	err = h.Play(ctx, plan, recoveryTimeout)
+	err = h.RunFaults(ctx, plan, recoveryTimeout)
 	return Check(h.Log()), err
 }
