--- a/internal/simulation/emulator/backend.go
+++ b/internal/simulation/emulator/backend.go
@@ -193,5 +193,5 @@
 
 // schedule sets an event of this backend after a delay.
 func (b *Backend) schedule(delay eventqueue.Span, event eventqueue.Event) {
-	b.simulation.events.After(&b.source, delay, event)
+	b.simulation.events.ScheduleAfter(&b.source, delay, event)
 }
--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -74,7 +74,7 @@
 }
 
 func (p *clientPopulation) schedule(delay eventqueue.Span, event eventqueue.Event) {
-	p.simulation.events.After(&p.source, delay, event)
+	p.simulation.events.ScheduleAfter(&p.source, delay, event)
 }
 
 // scheduleNextCall sets the event of the next call, if there is one.
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	p.simulation.events.At(&p.source, origin+p.nextCall.Due, eventqueue.Event{Target: p, Kind: clientCallDue})
+	p.simulation.events.Schedule(&p.source, origin+p.nextCall.Due, eventqueue.Event{Target: p, Kind: clientCallDue})
 	return nil
 }
 
@@ -147,10 +147,10 @@
 	r.replyTo = r.node
 	delay := p.simulation.clientDelay(&p.random, c.Site, r.node.site)
 	p.schedule(delay, eventqueue.Event{Target: r.node, Kind: nodeRequest, Payload: r})
-	p.simulation.events.At(&p.source, r.deadline, eventqueue.Event{Target: p, Kind: clientTimedOut, Payload: r})
+	p.simulation.events.Schedule(&p.source, r.deadline, eventqueue.Event{Target: p, Kind: clientTimedOut, Payload: r})
 	if draws.Float64() < p.simulation.scenario.Clients.Impatient {
 		cancelAt := now + eventqueue.Span(draws.Float64()*float64(r.deadline-now))
-		p.simulation.events.At(&p.source, cancelAt, eventqueue.Event{Target: p, Kind: clientCancels, Payload: r})
+		p.simulation.events.Schedule(&p.source, cancelAt, eventqueue.Event{Target: p, Kind: clientCancels, Payload: r})
 	}
 }
 
--- a/internal/simulation/emulator/connection_pool.go
+++ b/internal/simulation/emulator/connection_pool.go
@@ -46,7 +46,7 @@
 	pool.idleSince = append(pool.idleSince[:0], pool.idleSince[expired:]...)
 	if len(pool.idleSince) > 0 {
 		pool.sweepScheduled = true
-		n.simulation.events.At(&n.source, pool.idleSince[0]+idle, eventqueue.Event{Target: n, Kind: nodeIdleSweep, Payload: pool})
+		n.simulation.events.Schedule(&n.source, pool.idleSince[0]+idle, eventqueue.Event{Target: n, Kind: nodeIdleSweep, Payload: pool})
 	} else {
 		delete(n.pools, pool.backend)
 	}
--- a/internal/simulation/emulator/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -51,7 +51,7 @@
 func (d *discovery) revision() int { return len(d.changes) }
 
 func (d *discovery) schedule(delay eventqueue.Span, event eventqueue.Event) {
-	d.simulation.events.After(&d.source, delay, event)
+	d.simulation.events.ScheduleAfter(&d.source, delay, event)
 }
 
 // scheduleChange sets the moment at which discovery learns of a change.
@@ -159,7 +159,7 @@
 	default:
 		d.busyUntil = finish
 	}
-	d.simulation.events.At(&d.source, finish, eventqueue.Event{Target: d, Kind: discoveryCallServed, Payload: call})
+	d.simulation.events.Schedule(&d.source, finish, eventqueue.Event{Target: d, Kind: discoveryCallServed, Payload: call})
 }
 
 // serveCall answers a call with the complete list or the changes since the node's revision, unless the node has restarted.
--- a/internal/simulation/emulator/fault_effects.go
+++ b/internal/simulation/emulator/fault_effects.go
@@ -92,7 +92,7 @@
 		timeout = min(timeout, faultDuration/2)
 	}
 	deadline := eventqueue.Event{Target: s, Kind: faultDrainDeadline, Argument: int64(backend.id), Payload: backend.incarnation}
-	s.events.After(&s.faultSource, timeout, deadline)
+	s.events.ScheduleAfter(&s.faultSource, timeout, deadline)
 }
 
 // stopNodes kills the selected nodes; the frontend learns of it after the scenario's delay.
@@ -106,7 +106,7 @@
 			n.stopProcess()
 		}
 		delay := fromMilliseconds(s.scenario.Nodes.Notice)
-		s.events.After(&s.faultSource, delay, eventqueue.Event{Target: s, Kind: faultNodeDownDetected, Payload: n})
+		s.events.ScheduleAfter(&s.faultSource, delay, eventqueue.Event{Target: s, Kind: faultNodeDownDetected, Payload: n})
 	}
 }
 
--- a/internal/simulation/emulator/faults.go
+++ b/internal/simulation/emulator/faults.go
@@ -39,7 +39,7 @@
 
 // scheduleFaultEvent sets an event at so many milliseconds after the start of the run.
 func (s *Simulation) scheduleFaultEvent(milliseconds int64, event eventqueue.Event) {
-	s.events.At(&s.faultSource, origin+milliseconds*eventqueue.Millisecond, event)
+	s.events.Schedule(&s.faultSource, origin+milliseconds*eventqueue.Millisecond, event)
 }
 
 // Handle processes the events of faults.
@@ -73,7 +73,7 @@
 			stillLost = append(stillLost, a)
 		default:
 			reset := eventqueue.Event{Target: a.request.replyTo, Kind: nodeReply, Payload: a, Argument: int64(balancer.OutcomeReset)}
-			s.events.After(&s.faultSource, 0, reset)
+			s.events.ScheduleAfter(&s.faultSource, 0, reset)
 		}
 	}
 	clear(s.lostAttempts[len(stillLost):])
@@ -156,10 +156,10 @@
 		if f.WithNodes {
 			s.startNodes(now, func(n *Node) bool { return n.site == site })
 		}
-		s.events.After(&s.faultSource, fromMilliseconds(s.scenario.Net.Silent), eventqueue.Event{Target: s, Kind: faultConnectionsReset})
+		s.events.ScheduleAfter(&s.faultSource, fromMilliseconds(s.scenario.Net.Silent), eventqueue.Event{Target: s, Kind: faultConnectionsReset})
 	case faultinject.SitePartition:
 		s.partitions[site]--
-		s.events.After(&s.faultSource, fromMilliseconds(s.scenario.Net.Silent), eventqueue.Event{Target: s, Kind: faultConnectionsReset})
+		s.events.ScheduleAfter(&s.faultSource, fromMilliseconds(s.scenario.Net.Silent), eventqueue.Event{Target: s, Kind: faultConnectionsReset})
 	case faultinject.DiscoveryDown:
 		s.discovery.endOutage()
 	case faultinject.NodeKill:
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -69,7 +69,7 @@
 
 // schedule sets an event made by this node after a delay.
 func (n *Node) schedule(delay eventqueue.Span, event eventqueue.Event) {
-	n.simulation.events.After(&n.source, delay, event)
+	n.simulation.events.ScheduleAfter(&n.source, delay, event)
 }
 
 // startProcess starts a process that knows nothing but its settings and the cached endpoint list.
--- a/internal/simulation/emulator/node_attempts.go
+++ b/internal/simulation/emulator/node_attempts.go
@@ -39,7 +39,7 @@
 	if timeout > 0 {
 		end = min(end, now+timeout)
 	}
-	n.simulation.events.At(&n.source, end, eventqueue.Event{Target: n, Kind: nodeTimeout, Payload: a, Argument: int64(balancer.OutcomeTimeout)})
+	n.simulation.events.Schedule(&n.source, end, eventqueue.Event{Target: n, Kind: nodeTimeout, Payload: a, Argument: int64(balancer.OutcomeTimeout)})
 	n.dispatchAttempt(a, draws.Float64())
 }
 
--- a/internal/simulation/emulator/result.go
+++ b/internal/simulation/emulator/result.go
@@ -103,7 +103,7 @@
 		Probes:         r.healthChecks,
 		Datagrams:      r.datagrams,
 		DiscoveryCalls: r.discoveryCalls,
-		Events:         simulation.events.Done(),
+		Events:         simulation.events.HandledEvents(),
 		Broken:         map[string]int{},
 		Violations:     simulation.checker.Violations(),
 		Capacity:       simulation.capacity / simulation.meanWork * 1e6,
--- a/internal/simulation/emulator/station.go
+++ b/internal/simulation/emulator/station.go
@@ -98,7 +98,7 @@
 		sigma:            math.Sqrt(math.Log1p(s.VariationCoefficient * s.VariationCoefficient)),
 	}
 	st.backendsHolding[0] = int64(s.Backends)
-	simulation.events.After(&st.source, 0, eventqueue.Event{Target: st, Kind: clientCallDue})
+	simulation.events.ScheduleAfter(&st.source, 0, eventqueue.Event{Target: st, Kind: clientCallDue})
 	return st
 }
 
@@ -125,7 +125,7 @@
 
 func (s *station) result() StationResult {
 	completed, counted := float64(s.completed), float64(s.countedJobs)
-	result := StationResult{Lost: float64(s.rejected) / counted, Events: s.simulation.events.Done()}
+	result := StationResult{Lost: float64(s.rejected) / counted, Events: s.simulation.events.HandledEvents()}
 	result.Sojourn = s.sojournSum / completed / float64(stationMeanWork)
 	result.Wait = result.Sojourn - s.workSum/completed/float64(stationMeanWork)
 	for _, sum := range s.tailSums {
@@ -151,7 +151,7 @@
 	}
 	s.startJob(now, s.selectBackend(), measured)
 	interarrival := eventqueue.Span(math.Round(s.meanInterarrival * s.random.ExpFloat64()))
-	s.simulation.events.After(&s.source, interarrival, eventqueue.Event{Target: s, Kind: clientCallDue})
+	s.simulation.events.ScheduleAfter(&s.source, interarrival, eventqueue.Event{Target: s, Kind: clientCallDue})
 }
 
 // countTail adds how many backends have at least so many jobs.
--- a/internal/simulation/eventqueue/eventqueue.go
+++ b/internal/simulation/eventqueue/eventqueue.go
@@ -75,8 +75,8 @@
 // Now returns the present time.
 func (s *Sim) Now() Time { return s.now }
 
-// Done returns the number of events handled.
-func (s *Sim) Done() uint64 { return s.handled }
+// HandledEvents returns the number of events handled.
+func (s *Sim) HandledEvents() uint64 { return s.handled }
 
 // Pending returns the number of events in the queue.
 func (s *Sim) Pending() int { return len(s.heap) }
@@ -89,8 +89,8 @@
 	return s.heap[0].dueAt, true
 }
 
-// At sets an event for a time, or for now if that has passed.
-func (s *Sim) At(source *Source, dueAt Time, event Event) {
+// Schedule sets an event for a time, or for now if that has passed.
+func (s *Sim) Schedule(source *Source, dueAt Time, event Event) {
 	s.push(entry{dueAt: max(dueAt, s.now), key: source.nextKey, slot: s.store(event)})
 	source.nextKey++
 }
@@ -121,9 +121,9 @@
 	heap[position] = added
 }
 
-// After sets an event for after a delay.
-func (s *Sim) After(source *Source, delay Span, event Event) {
-	s.At(source, s.now+max(delay, 0), event)
+// ScheduleAfter sets an event for after a delay.
+func (s *Sim) ScheduleAfter(source *Source, delay Span, event Event) {
+	s.Schedule(source, s.now+max(delay, 0), event)
 }
 
 // Step handles the next event if it is due by until, and reports whether it did.
--- a/internal/simulation/eventqueue/eventqueue_test.go
+++ b/internal/simulation/eventqueue/eventqueue_test.go
@@ -64,7 +64,7 @@
 			}
 			e := queues[s][0]
 			queues[s] = queues[s][1:]
-			sim.At(&srcs[s], e.at, Event{Target: rec, Argument: int64(e.src*100 + e.pos)})
+			sim.Schedule(&srcs[s], e.at, Event{Target: rec, Argument: int64(e.src*100 + e.pos)})
 			remaining--
 		}
 		sim.Run(10)
@@ -73,8 +73,8 @@
 				t.Fatalf("position %d: %d, want source %d's %d", i, rec.received[i], e.src, e.pos)
 			}
 		}
-		if sim.Now() != 10 || sim.Pending() != 0 || sim.Done() != uint64(len(all)) {
-			t.Fatalf("now %d, pending %d, done %d", sim.Now(), sim.Pending(), sim.Done())
+		if sim.Now() != 10 || sim.Pending() != 0 || sim.HandledEvents() != uint64(len(all)) {
+			t.Fatalf("now %d, pending %d, done %d", sim.Now(), sim.Pending(), sim.HandledEvents())
 		}
 	})
 }
@@ -83,7 +83,7 @@
 	var sim Sim
 	src, rec := NewSource(1), &recorder{}
 	sim.Run(100)
-	sim.At(&src, 50, Event{Target: rec, Argument: 1})
+	sim.Schedule(&src, 50, Event{Target: rec, Argument: 1})
 	if !sim.Step(100) || sim.Now() != 100 {
 		t.Errorf("clock went to %d", sim.Now())
 	}
@@ -126,7 +126,7 @@
 }
 
 func (t *ticker) Handle(Time, Event) {
-	t.sim.After(&t.src, Span(t.random.Uint64()>>44), Event{Target: t})
+	t.sim.ScheduleAfter(&t.src, Span(t.random.Uint64()>>44), Event{Target: t})
 }
 
 // BenchmarkEvents measures one event with so many pending.
--- a/internal/simulation/experiment/cost.go
+++ b/internal/simulation/experiment/cost.go
@@ -118,7 +118,7 @@
 }
 
 func (m *costMeter) schedule(delay eventqueue.Span, event eventqueue.Event) {
-	m.events.After(&m.source, delay, event)
+	m.events.ScheduleAfter(&m.source, delay, event)
 }
 
 func (m *costMeter) warmUp(budget time.Duration) {
--- a/internal/simulation/failoversim/schedule.go
+++ b/internal/simulation/failoversim/schedule.go
@@ -193,7 +193,7 @@
 func (s *schedule) after(delay time.Duration, f func()) {
 	const resolution = time.Microsecond
 	span := eventqueue.Span((max(delay, 0) + resolution - 1) / resolution)
-	s.queue.After(&s.source, span, eventqueue.Event{Target: s, Payload: f})
+	s.queue.ScheduleAfter(&s.source, span, eventqueue.Event{Target: s, Payload: f})
 }
 
 // Handle runs the function of an event.
--- a/internal/simulation/leasesim/schedule.go
+++ b/internal/simulation/leasesim/schedule.go
@@ -89,7 +89,7 @@
 	s.startGroup(members, lease.Command{Kind: lease.SetMaxHolders, Name: leaseName, MaxHolders: maxHolders})
 	s.startHolders()
 	for s.queue.Step(eventqueue.Time(scheduleLength / time.Microsecond)) {
-		if s.queue.Done() > mostEvents { // members whose disks lost what they had promised may send messages without end
+		if s.queue.HandledEvents() > mostEvents { // members whose disks lost what they had promised may send messages without end
 			s.outcome.Disagreements++
 		}
 		if s.outcome.Disagreements+s.outcome.DuplicateGrants > 0 { // what follows has no meaning
@@ -163,7 +163,7 @@
 // after calls a function after a time, rounded up to the queue's resolution: an event before it is due would be repeated for ever.
 func (s *schedule) after(delay time.Duration, f func()) {
 	const resolution = time.Microsecond
-	s.queue.After(&s.source, eventqueue.Span((delay+resolution-1)/resolution), eventqueue.Event{Target: s, Payload: f})
+	s.queue.ScheduleAfter(&s.source, eventqueue.Span((delay+resolution-1)/resolution), eventqueue.Event{Target: s, Payload: f})
 }
 
 // Handle runs the function of an event.
