--- a/internal/simulation/eventqueue/delay.go
+++ b/internal/simulation/eventqueue/delay.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Between draws a duration from least to most.
-func Between(r *rand.Rand, least, most time.Duration) time.Duration {
+// UniformDuration draws a duration from least to most.
+func UniformDuration(r *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(r.Float64()*float64(most-least))
 }
 
-// DelayPath draws the delays of the copies of a message on an unreliable path: none if it is lost (one message in twenty),
+// DrawDelays draws the delays of the copies of a message on an unreliable path: none if it is lost (one message in twenty),
 // two if it is duplicated (one in twenty), otherwise one. Delays are at most usual, and late for one message in twenty.
-func DelayPath(r *rand.Rand, least, usual, late time.Duration) []time.Duration {
+func DrawDelays(r *rand.Rand, least, usual, late time.Duration) []time.Duration {
 	copies, most := 1, usual
 	switch draw := r.Float64(); {
 	case draw < 0.05:
@@ -24,7 +24,7 @@
 	}
 	var delays []time.Duration
 	for range copies {
-		delays = append(delays, Between(r, least, most))
+		delays = append(delays, UniformDuration(r, least, most))
 	}
 	return delays
 }
--- a/internal/simulation/failoversim/agent.go
+++ b/internal/simulation/failoversim/agent.go
@@ -68,7 +68,7 @@
 }
 
 func (s *schedule) drawOutage() time.Duration {
-	return eventqueue.Between(s.random, shortestOutage, longestOutage)
+	return eventqueue.UniformDuration(s.random, shortestOutage, longestOutage)
 }
 
 // keepLease renews the lease, or acquires it and continues the latest plan. It reports whether the agent holds the lease.
--- a/internal/simulation/failoversim/schedule.go
+++ b/internal/simulation/failoversim/schedule.go
@@ -81,7 +81,7 @@
 	s.startAgents()
 	s.tickLeases()
 	s.lastEvent = -settleTime
-	s.after(eventqueue.Between(s.events, 8*time.Second, 12*time.Second), s.degradeZones)
+	s.after(eventqueue.UniformDuration(s.events, 8*time.Second, 12*time.Second), s.degradeZones)
 	s.drawAgentsDeath()
 	s.after(0, s.measure)
 	s.queue.Run(eventqueue.Time(scheduleLength / time.Microsecond))
@@ -175,7 +175,7 @@
 	if s.events.Float64() >= allDieProbability {
 		return
 	}
-	s.agentsDieAt = eventqueue.Between(s.events, 15*time.Second, 30*time.Second)
+	s.agentsDieAt = eventqueue.UniformDuration(s.events, 15*time.Second, 30*time.Second)
 	s.outcome.Died++
 	s.after(s.agentsDieAt, func() {
 		for _, a := range s.agents {
@@ -186,7 +186,7 @@
 
 // reportDelay draws the time from the start to a process's first report or cycle.
 func (s *schedule) reportDelay() time.Duration {
-	return eventqueue.Between(s.random, 0, reportInterval)
+	return eventqueue.UniformDuration(s.random, 0, reportInterval)
 }
 
 // after calls a function after a time, rounded up to the queue's resolution: an event before it is due would be repeated for ever.
@@ -204,7 +204,7 @@
 
 // send delivers a message: usually soon, at times never, late or twice.
 func (s *schedule) send(deliver func()) {
-	for _, delay := range eventqueue.DelayPath(s.random, shortestDelay, usualDelay, longestDelay) {
+	for _, delay := range eventqueue.DrawDelays(s.random, shortestDelay, usualDelay, longestDelay) {
 		s.after(delay, deliver)
 	}
 }
--- a/internal/simulation/failoversim/zone.go
+++ b/internal/simulation/failoversim/zone.go
@@ -44,7 +44,7 @@
 	}
 	s.lastEvent = s.now
 	s.outcome.Events++
-	s.after(eventqueue.Between(s.events, 14*time.Second, 18*time.Second), func() {
+	s.after(eventqueue.UniformDuration(s.events, 14*time.Second, 18*time.Second), func() {
 		for _, z := range hit {
 			s.zones[z] = zone{capacity: fullCapacity, warmingSince: s.now}
 		}
--- a/internal/simulation/leasesim/member.go
+++ b/internal/simulation/leasesim/member.go
@@ -191,7 +191,7 @@
 		}
 	}
 	if s.faults.Lossy && s.faultsActive() { // raft can still elect a leader over such a network
-		for _, delay := range eventqueue.DelayPath(s.random, shortestDelay, longestDelay/2, longestLossyDelay) {
+		for _, delay := range eventqueue.DrawDelays(s.random, shortestDelay, longestDelay/2, longestLossyDelay) {
 			s.after(delay, deliver)
 		}
 	} else {
--- a/internal/simulation/leasesim/schedule.go
+++ b/internal/simulation/leasesim/schedule.go
@@ -173,7 +173,7 @@
 }
 
 func (s *schedule) between(least, most time.Duration) time.Duration {
-	return eventqueue.Between(s.random, least, most)
+	return eventqueue.UniformDuration(s.random, least, most)
 }
 
 func (s *schedule) chance(probability float64) bool { return s.random.Float64() < probability }
