--- a/internal/simulation/failoversim/failoversim.go
+++ b/internal/simulation/failoversim/failoversim.go
@@ -42,7 +42,7 @@
 
 // Many plays the schedules of consecutive seeds on all cores. Fractions are means.
 func Many(ctx context.Context, first uint64, schedules int, without Without) (sum Outcome, err error) {
-	all, err := stats.Play(ctx, schedules, func(i int) Outcome { return Play(first+uint64(i), without) })
+	all, err := stats.RunParallel(ctx, schedules, func(i int) Outcome { return Play(first+uint64(i), without) })
 	if err != nil {
 		return sum, err
 	}
--- a/internal/simulation/leasesim/leasesim.go
+++ b/internal/simulation/leasesim/leasesim.go
@@ -82,7 +82,7 @@
 		outcome Outcome
 		gaps    Gaps
 	}
-	all, err := stats.Play(ctx, schedules, func(i int) (one played) {
+	all, err := stats.RunParallel(ctx, schedules, func(i int) (one played) {
 		one.outcome, one.gaps = Play(first+uint64(i), without, members)
 		return one
 	})
--- a/internal/simulation/stats/stats.go
+++ b/internal/simulation/stats/stats.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Play calls play for the indexes below count, on all cores, and returns the results by index.
-func Play[T any](ctx context.Context, count int, play func(index int) T) ([]T, error) {
+// RunParallel calls play for the indexes below count, on all cores, and returns the results by index.
+func RunParallel[T any](ctx context.Context, count int, play func(index int) T) ([]T, error) {
 	results := make([]T, count)
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.GOMAXPROCS(0))
--- a/internal/simulation/theory/theory.go
+++ b/internal/simulation/theory/theory.go
@@ -42,9 +42,9 @@
 
 // TailChoices is the fraction of servers with at least k jobs if each job joins the shortest of d random queues, in the
 // limit of many servers (Vvedenskaya, Dobrushin and Karpelevich, 1996; Mitzenmacher, 1996).
-func TailChoices(rho float64, d, k int) float64 {
-	if d == 1 {
+func TailChoices(rho float64, QueueLengthTail, k int) float64 {
+	if QueueLengthTail == 1 {
 		return math.Pow(rho, float64(k))
 	}
-	return math.Pow(rho, (math.Pow(float64(d), float64(k))-1)/float64(d-1))
+	return math.Pow(rho, (math.Pow(float64(QueueLengthTail), float64(k))-1)/float64(QueueLengthTail-1))
 }
