--- a/internal/simulation/eventqueue/delay.go
+++ b/internal/simulation/eventqueue/delay.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// UniformDuration draws a duration from least to most.
-func UniformDuration(r *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(r.Float64()*float64(most-least))
+// UniformDuration draws a duration from the uniform distribution between shortest and longest.
+func UniformDuration(r *rand.Rand, shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(r.Float64()*float64(longest-shortest))
 }
 
-// DrawDelays draws the delays of the copies of a message on an unreliable path: none if it is lost (one message in twenty),
-// two if it is duplicated (one in twenty), otherwise one. Delays are at most usual, and late for one message in twenty.
-func DrawDelays(r *rand.Rand, least, usual, late time.Duration) []time.Duration {
-	copies, most := 1, usual
+// DrawDelays simulates an unreliable network path: it returns one delay for each copy of a message that arrives. One
+// message in twenty is lost and has no delay, and one in twenty is duplicated and has two. Delays lie between shortest and
+// longestUsual, except that one message in twenty may take up to longestLate.
+func DrawDelays(r *rand.Rand, shortest, longestUsual, longestLate time.Duration) []time.Duration {
+	copies, longest := 1, longestUsual
 	switch draw := r.Float64(); {
 	case draw < 0.05:
 		return nil
 	case draw < 0.10:
 		copies = 2
 	case draw < 0.15:
-		most = late
+		longest = longestLate
 	}
 	var delays []time.Duration
 	for range copies {
-		delays = append(delays, UniformDuration(r, least, most))
+		delays = append(delays, UniformDuration(r, shortest, longest))
 	}
 	return delays
 }
--- a/internal/simulation/eventqueue/eventqueue.go
+++ b/internal/simulation/eventqueue/eventqueue.go
@@ -1,36 +1,36 @@
-// Package eventqueue is the core of a discrete-event simulation: a virtual clock in µs, a queue of events with a defined
-// order, and a random stream for each component. It reads no wall clock and no global random source, and starts no
-// goroutine.
+// Package eventqueue is the core of a discrete-event simulation: a virtual clock in µs, an event queue that handles events
+// in a reproducible order, and a separate stream of random numbers for each component. The package reads neither the wall
+// clock nor the global random source, and it starts no goroutines.
 package eventqueue
 
 // Time is a point on the virtual clock, in µs.
 type Time = int64
 
-// Span is a length of virtual time, in µs.
+// Span is a duration of virtual time, in µs.
 type Span = int64
 
-// Lengths of virtual time.
+// Common durations of virtual time.
 const (
 	Millisecond Span = 1000
 	Second      Span = 1000 * Millisecond
 )
 
-// Handler receives the events that are addressed to it.
+// Handler handles the events whose Target it is. The clock shows now, the time at which the event is due.
 type Handler interface{ Handle(now Time, e Event) }
 
-// Event is what a handler receives. Its handler defines the meaning of Kind, P and A.
+// Event is a unit of work for its Target, which defines the meaning of Kind, Payload and Argument.
 type Event struct {
 	Target   Handler
-	Payload  any   // a pointer, or nil
-	Argument int64 // a number, which needs no allocation
+	Payload  any   // a pointer, or nil if the event needs none
+	Argument int64 // a number passed by value, which avoids an allocation for the payload
 	Kind     uint8
 }
 
-// Source identifies a component that sets events. Events of one µs are handled in the order of their sources' IDs, and
-// those of one source in the order in which it set them. So the order depends on what the components are and not on when
-// each was created.
+// Source identifies a component that schedules events. Events that are due in the same µs are handled in the order of
+// their sources' IDs, and events of the same source in the order in which it scheduled them. The order therefore depends
+// on the IDs of the components and not on the order in which the components were created.
 type Source struct {
-	nextKey uint64 // ID in the upper idBits, number of the next event in the lower sequenceBits
+	nextKey uint64 // source ID in the upper idBits, sequence number of the next event in the lower sequenceBits
 }
 
 const (
@@ -38,7 +38,8 @@
 	sequenceBits = 40
 )
 
-// NewSource returns the source with that ID, which must be below 1<<24 and unique within the Sim.
+// NewSource returns a source with the given ID, which must be unique within the Sim. It panics unless the ID is below
+// 1<<24.
 func NewSource(id uint32) Source {
 	if id >= 1<<idBits {
 		panic("eventqueue: source ID out of range")
@@ -46,42 +47,43 @@
 	return Source{nextKey: uint64(id) << sequenceBits}
 }
 
-// entry is an event's place in the queue.
+// entry is an element of the heap: the sort key of a pending event, and the slot that holds the event.
 type entry struct {
 	dueAt Time
 	key   uint64
-	slot  int32 // index of the event in slab
+	slot  int32 // index of the event in Sim.slab
 }
 
 func (a entry) before(b entry) bool {
 	return a.dueAt < b.dueAt || a.dueAt == b.dueAt && a.key < b.key
 }
 
-// arity is the number of children of a node of the heap.
+// arity is the maximum number of children of a heap node.
 const arity = 4
 
-// Sim is a clock and its event queue. The zero value is ready at time 0. It is not safe for concurrent use.
+// Sim is a virtual clock with its event queue. The zero value is ready to use and starts at time 0. A Sim is not safe for
+// concurrent use.
 //
-// The queue is a heap of arity 4: half as deep as a binary heap, and the four keys that a step compares lie on two cache
-// lines. The events themselves don't move: they stay in their slots of a slab.
+// The queue is a heap of arity 4. It is half as deep as a binary heap, and the four keys that are compared at each level
+// lie on two cache lines. Only the heap entries move; each event stays in its slot of the slab until it is handled.
 type Sim struct {
 	now       Time
 	heap      []entry
-	slab      []Event
-	freeSlots []int32
+	slab      []Event // the pending events, in no order
+	freeSlots []int32 // indexes of the unused elements of slab
 	handled   uint64
 }
 
-// Now returns the present time.
+// Now returns the current virtual time.
 func (s *Sim) Now() Time { return s.now }
 
-// HandledEvents returns the number of events handled.
+// HandledEvents returns the number of events that have been handled since the Sim was created.
 func (s *Sim) HandledEvents() uint64 { return s.handled }
 
-// Pending returns the number of events in the queue.
+// Pending returns the number of events that are waiting in the queue.
 func (s *Sim) Pending() int { return len(s.heap) }
 
-// Next returns the time of the next event, if there is one.
+// Next returns the time at which the next event is due, and false if the queue is empty.
 func (s *Sim) Next() (Time, bool) {
 	if len(s.heap) == 0 {
 		return 0, false
@@ -89,13 +91,13 @@
 	return s.heap[0].dueAt, true
 }
 
-// Schedule sets an event for a time, or for now if that has passed.
+// Schedule adds an event of the source to the queue. The event is due at dueAt, or immediately if dueAt has passed.
 func (s *Sim) Schedule(source *Source, dueAt Time, event Event) {
 	s.push(entry{dueAt: max(dueAt, s.now), key: source.nextKey, slot: s.store(event)})
 	source.nextKey++
 }
 
-// store puts an event into a free slot of the slab, and returns the slot.
+// store puts an event into a free slot of the slab, which it extends if no slot is free, and returns the slot.
 func (s *Sim) store(event Event) int32 {
 	if last := len(s.freeSlots) - 1; last >= 0 {
 		slot := s.freeSlots[last]
@@ -107,7 +109,7 @@
 	return int32(len(s.slab) - 1)
 }
 
-// push adds an entry to the heap.
+// push adds an entry to the heap: parents that are due later move down until the entry fits.
 func (s *Sim) push(added entry) {
 	s.heap = append(s.heap, added)
 	heap, position := s.heap, len(s.heap)-1
@@ -121,12 +123,14 @@
 	heap[position] = added
 }
 
-// ScheduleAfter sets an event for after a delay.
+// ScheduleAfter adds an event of the source to the queue. The event is due after the delay, or immediately if the delay is
+// negative.
 func (s *Sim) ScheduleAfter(source *Source, delay Span, event Event) {
 	s.Schedule(source, s.now+max(delay, 0), event)
 }
 
-// Step handles the next event if it is due by until, and reports whether it did.
+// Step advances the clock to the next event and handles it, provided that the event is due at until or earlier. It reports
+// whether it handled an event.
 func (s *Sim) Step(until Time) bool {
 	if len(s.heap) == 0 || s.heap[0].dueAt > until {
 		return false
@@ -142,14 +146,15 @@
 	return true
 }
 
-// Run handles all events that are due by until, and leaves the clock there.
+// Run handles all events that are due at until or earlier, including those that are scheduled meanwhile, and then sets
+// the clock to until if it is earlier.
 func (s *Sim) Run(until Time) {
 	for s.Step(until) {
 	}
 	s.now = max(s.now, until)
 }
 
-// pop removes the first entry of the heap.
+// pop removes the first entry of the heap. The last entry replaces it and moves down until it precedes its children.
 func (s *Sim) pop() {
 	count := len(s.heap) - 1
 	moved := s.heap[count]
@@ -163,16 +168,16 @@
 		if firstChild >= count {
 			break
 		}
-		least := firstChild
+		earliest := firstChild
 		for child := firstChild + 1; child < min(firstChild+arity, count); child++ {
-			if heap[child].before(heap[least]) {
-				least = child
+			if heap[child].before(heap[earliest]) {
+				earliest = child
 			}
 		}
-		if !heap[least].before(moved) {
+		if !heap[earliest].before(moved) {
 			break
 		}
-		heap[position], position = heap[least], least
+		heap[position], position = heap[earliest], earliest
 	}
 	heap[position] = moved
 }
--- a/internal/simulation/eventqueue/eventqueue_test.go
+++ b/internal/simulation/eventqueue/eventqueue_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain draws the cases of every run from one seed. For others: go test -args -rapid.seed N.
+// TestMain fixes the seed of rapid, so that every run tests the same cases. To test other cases, run
+// go test -args -rapid.seed N.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -18,29 +19,31 @@
 	m.Run()
 }
 
+// recorder is a handler that records the arguments of the events in the order of their handling.
 type recorder struct{ received []int64 }
 
 func (r *recorder) Handle(_ Time, e Event) { r.received = append(r.received, e.Argument) }
 
-// The order in which different sources set their events must not matter: only time, source and order within the source do.
+// TestOrderDependsOnlyOnTimeAndSource checks that events are handled by due time, source ID and order within their source.
+// It guards against results that depend on the order in which different sources call Schedule.
 func TestOrderDependsOnlyOnTimeAndSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type ev struct {
+		type scheduledEvent struct {
 			at       Time
 			src, pos int
 		}
 		sources := rapid.IntRange(1, 5).Draw(t, "sources")
-		var all []ev
-		queues := make([][]ev, sources)
+		var all []scheduledEvent
+		queues := make([][]scheduledEvent, sources)
 		for s := range queues {
 			n := rapid.IntRange(0, 20).Draw(t, "n")
 			for p := range n {
-				e := ev{rapid.Int64Range(0, 4).Draw(t, "at"), s, p}
+				e := scheduledEvent{rapid.Int64Range(0, 4).Draw(t, "at"), s, p}
 				queues[s] = append(queues[s], e)
 				all = append(all, e)
 			}
 		}
-		slices.SortFunc(all, func(a, b ev) int {
+		slices.SortFunc(all, func(a, b scheduledEvent) int {
 			if a.at != b.at {
 				return int(a.at - b.at)
 			}
@@ -56,7 +59,7 @@
 			srcs[i] = NewSource(uint32(i))
 		}
 		remaining := len(all)
-		for remaining > 0 { // the sources set their events in random order
+		for remaining > 0 { // the sources take turns in random order
 			s := rapid.IntRange(0, sources-1).Draw(t, "turn")
 			if len(queues[s]) == 0 {
 				for s = 0; len(queues[s]) == 0; s++ {
@@ -79,46 +82,50 @@
 	})
 }
 
+// TestEventInThePastIsHandledNow guards against a clock that runs backwards because an event is scheduled for a time that
+// has passed.
 func TestEventInThePastIsHandledNow(t *testing.T) {
 	var sim Sim
 	src, rec := NewSource(1), &recorder{}
 	sim.Run(100)
 	sim.Schedule(&src, 50, Event{Target: rec, Argument: 1})
 	if !sim.Step(100) || sim.Now() != 100 {
-		t.Errorf("clock went to %d", sim.Now())
+		t.Errorf("the clock shows %d after the event, want 100", sim.Now())
 	}
 }
 
+// TestStreamDependsOnlyOnSeedAndName guards against streams that change when another component draws random numbers.
 func TestStreamDependsOnlyOnSeedAndName(t *testing.T) {
 	a, b := NewStream(1, "box 1"), NewStream(1, "box 2")
 	same := NewStream(1, "box 1")
 	for range 10 {
 		b.Uint64()
 		if a.Uint64() != same.Uint64() {
-			t.Fatal("a stream depends on more than seed and name")
+			t.Fatal("streams with the same seed and name differ")
 		}
 	}
 	if x, y := NewStream(1, "box 1"), NewStream(2, "box 1"); x.Uint64() == y.Uint64() {
-		t.Error("the seed does not matter")
+		t.Error("streams with different seeds are equal")
 	}
 }
 
+// TestDrawsHaveExpectedMoments checks the mean of the exponential draws, and the mean and the variance of the normal ones.
 func TestDrawsHaveExpectedMoments(t *testing.T) {
-	exp, norm, sq := 0.0, 0.0, 0.0
+	expMean, normMean, normVariance := 0.0, 0.0, 0.0
 	const n = 200000
-	for i := range uint64(n) { // one draw from each of many streams: neighbours must not correlate
+	for i := range uint64(n) { // one draw of each kind from many streams: consecutive items must not be correlated
 		d := NewDraws(7, i, 0)
-		exp += d.Exp() / n
+		expMean += d.Exp() / n
 		x := d.Norm()
-		norm += x / n
-		sq += x * x / n
+		normMean += x / n
+		normVariance += x * x / n
 	}
-	if exp < 0.99 || exp > 1.01 || norm < -0.01 || norm > 0.01 || sq < 0.99 || sq > 1.01 {
-		t.Errorf("exponential mean %.4f, normal mean %.4f, variance %.4f", exp, norm, sq)
+	if expMean < 0.99 || expMean > 1.01 || normMean < -0.01 || normMean > 0.01 || normVariance < 0.99 || normVariance > 1.01 {
+		t.Errorf("exponential mean %.4f, normal mean %.4f, variance %.4f", expMean, normMean, normVariance)
 	}
 }
 
-// ticker sets a next event with each event, as timers and messages of a simulation do.
+// ticker schedules another event whenever it handles one, as timers and messages of a simulation do.
 type ticker struct {
 	sim    *Sim
 	src    Source
@@ -129,7 +136,8 @@
 	t.sim.ScheduleAfter(&t.src, Span(t.random.Uint64()>>44), Event{Target: t})
 }
 
-// BenchmarkEvents measures one event with so many pending.
+// BenchmarkEvents measures the time to handle one event and to schedule its successor, for different numbers of pending
+// events.
 func BenchmarkEvents(b *testing.B) {
 	for name, pending := range map[string]int{"pending=1000": 1000, "pending=100000": 100000} {
 		b.Run(name, func(b *testing.B) {
@@ -146,7 +154,7 @@
 	}
 }
 
-// binaryHeap is the standard library's heap, for comparison.
+// binaryHeap implements heap.Interface of the standard library, for comparison with the heap of Sim.
 type binaryHeap []entry
 
 func (h binaryHeap) Len() int           { return len(h) }
@@ -160,6 +168,8 @@
 	return x
 }
 
+// BenchmarkContainerHeap measures a pop and a push with the binary heap of container/heap, for comparison with
+// BenchmarkEvents.
 func BenchmarkContainerHeap(b *testing.B) {
 	for name, pending := range map[string]int{"pending=1000": 1000, "pending=100000": 100000} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/simulation/stats/stats.go
+++ b/internal/simulation/stats/stats.go
@@ -1,4 +1,4 @@
-// Package stats runs many simulations in parallel and adds up their results.
+// Package stats runs many simulations in parallel and sums their results.
 package stats
 
 import (
@@ -9,8 +9,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// RunParallel calls play for the indexes below count, on all cores, and returns the results by index.
-func RunParallel[T any](ctx context.Context, count int, play func(index int) T) ([]T, error) {
+// RunParallel calls run for every index from 0 to count-1, with at most GOMAXPROCS calls at a time, and returns the
+// results in the order of the indexes. If ctx is canceled, it starts no further calls and returns the error of the context.
+func RunParallel[T any](ctx context.Context, count int, run func(index int) T) ([]T, error) {
 	results := make([]T, count)
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.GOMAXPROCS(0))
@@ -19,15 +20,15 @@
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			results[i] = play(i)
+			results[i] = run(i)
 			return nil
 		})
 	}
 	return results, group.Wait()
 }
 
-// Add adds the numeric fields of a struct to those of a sum: fields of type int, which are counts, as they are, fields of
-// type float64 times the weight.
+// Add adds the numeric fields of the struct added to the same fields of sum. Fields of type int are counts and are added
+// unchanged; fields of type float64 are multiplied by the weight first. Fields of other types are ignored.
 func Add[T any](sum *T, added T, weight float64) {
 	into, from := reflect.ValueOf(sum).Elem(), reflect.ValueOf(added)
 	for i := range from.NumField() {
