--- a/internal/simulation/experiment/verify.go
+++ b/internal/simulation/experiment/verify.go
@@ -106,7 +106,7 @@
 	return func(name string, result emulator.StationResult) []Check {
 		var checks []Check
 		for jobs := 1; jobs < len(result.Tail); jobs++ {
-			fraction := theory.TailChoices(rho, 2, jobs)
+			fraction := theory.QueueLengthTail(rho, 2, jobs)
 			if fraction < 0.05 {
 				break
 			}
--- a/internal/simulation/theory/theory.go
+++ b/internal/simulation/theory/theory.go
@@ -40,11 +40,11 @@
 // SojournPS is the mean time in M/G/1 with processor sharing, whatever the distribution (Kleinrock, 1967).
 func SojournPS(rho float64) float64 { return 1 / (1 - rho) }
 
-// TailChoices is the fraction of servers with at least k jobs if each job joins the shortest of d random queues, in the
+// QueueLengthTail is the fraction of servers with at least k jobs if each job joins the shortest of d random queues, in the
 // limit of many servers (Vvedenskaya, Dobrushin and Karpelevich, 1996; Mitzenmacher, 1996).
-func TailChoices(rho float64, QueueLengthTail, k int) float64 {
-	if QueueLengthTail == 1 {
+func QueueLengthTail(rho float64, choices, k int) float64 {
+	if choices == 1 {
 		return math.Pow(rho, float64(k))
 	}
-	return math.Pow(rho, (math.Pow(float64(QueueLengthTail), float64(k))-1)/float64(QueueLengthTail-1))
+	return math.Pow(rho, (math.Pow(float64(choices), float64(k))-1)/float64(choices-1))
 }
--- a/internal/simulation/theory/theory_test.go
+++ b/internal/simulation/theory/theory_test.go
@@ -21,10 +21,10 @@
 		"wait M/D/1 at 0.5":               {WaitMG1(0.5, 0), 0.5},
 		"wait M/M/1 by P-K":               {WaitMG1(0.8, 1), 4},
 		"sojourn PS at 0.75":              {SojournPS(0.75), 4},
-		"one choice is M/M/1":             {TailChoices(0.9, 1, 3), 0.729},
-		"two choices, 1 job":              {TailChoices(0.9, 2, 1), 0.9},
-		"two choices, 3 jobs, rho^7":      {TailChoices(0.9, 2, 3), math.Pow(0.9, 7)},
-		"three choices, 2 jobs are rho^4": {TailChoices(0.5, 3, 2), 0.0625},
+		"one choice is M/M/1":             {QueueLengthTail(0.9, 1, 3), 0.729},
+		"two choices, 1 job":              {QueueLengthTail(0.9, 2, 1), 0.9},
+		"two choices, 3 jobs, rho^7":      {QueueLengthTail(0.9, 2, 3), math.Pow(0.9, 7)},
+		"three choices, 2 jobs are rho^4": {QueueLengthTail(0.5, 3, 2), 0.0625},
 	} {
 		if math.Abs(c.got-c.want) > 1e-6+1e-5*c.want {
 			t.Errorf("%s: %.6f, want %.6f", name, c.got, c.want)
