--- a/internal/simulation/eventqueue/delay.go
+++ b/internal/simulation/eventqueue/delay.go
@@ -11,8 +11,8 @@
 }
 
 // DrawDelays simulates an unreliable network path: it returns one delay for each copy of a message that arrives. One
-// message in twenty is lost and has no delay, and one in twenty is duplicated and has two. Delays lie between shortest and
-// longestUsual, except that one message in twenty may take up to longestLate.
+// message in twenty is lost and has no delay, and one in twenty is duplicated and has two. Delays lie between shortest
+// and longestUsual, except that one message in twenty may take up to longestLate.
 func DrawDelays(r *rand.Rand, shortest, longestUsual, longestLate time.Duration) []time.Duration {
 	copies, longest := 1, longestUsual
 	switch draw := r.Float64(); {
--- a/internal/simulation/eventqueue/eventqueue.go
+++ b/internal/simulation/eventqueue/eventqueue.go
@@ -1,6 +1,6 @@
-// Package eventqueue is the core of a discrete-event simulation: a virtual clock in µs, an event queue that handles events
-// in a reproducible order, and a separate stream of random numbers for each component. The package reads neither the wall
-// clock nor the global random source, and it starts no goroutines.
+// Package eventqueue is the core of a discrete-event simulation: a virtual clock in µs, an event queue that handles
+// events in a reproducible order, and a separate stream of random numbers for each component. The package reads neither
+// the wall clock nor the global random source, and it starts no goroutines.
 package eventqueue
 
 // Time is a point on the virtual clock, in µs.
@@ -27,8 +27,8 @@
 }
 
 // Source identifies a component that schedules events. Events that are due in the same µs are handled in the order of
-// their sources' IDs, and events of the same source in the order in which it scheduled them. The order therefore depends
-// on the IDs of the components and not on the order in which the components were created.
+// their sources' IDs, and events of the same source in the order in which it scheduled them. The order therefore
+// depends on the IDs of the components and not on the order in which the components were created.
 type Source struct {
 	nextKey uint64 // source ID in the upper idBits, sequence number of the next event in the lower sequenceBits
 }
@@ -61,11 +61,12 @@
 // arity is the maximum number of children of a heap node.
 const arity = 4
 
-// Sim is a virtual clock with its event queue. The zero value is ready to use and starts at time 0. A Sim is not safe for
-// concurrent use.
+// Sim is a virtual clock with its event queue. The zero value is ready to use and starts at time 0. A Sim is not safe
+// for concurrent use.
 //
-// The queue is a heap of arity 4. It is half as deep as a binary heap, and the four keys that are compared at each level
-// lie on two cache lines. Only the heap entries move; each event stays in its slot of the slab until it is handled.
+// The queue is a heap of arity 4. It is half as deep as a binary heap, and the four keys that are compared at each
+// level lie on two cache lines. Only the heap entries move; each event stays in its slot of the slab until it is
+// handled.
 type Sim struct {
 	now       Time
 	heap      []entry
@@ -123,14 +124,14 @@
 	heap[position] = added
 }
 
-// ScheduleAfter adds an event of the source to the queue. The event is due after the delay, or immediately if the delay is
-// negative.
+// ScheduleAfter adds an event of the source to the queue. The event is due after the delay, or immediately if the delay
+// is negative.
 func (s *Sim) ScheduleAfter(source *Source, delay Span, event Event) {
 	s.Schedule(source, s.now+max(delay, 0), event)
 }
 
-// Step advances the clock to the next event and handles it, provided that the event is due at until or earlier. It reports
-// whether it handled an event.
+// Step advances the clock to the next event and handles it, provided that the event is due at until or earlier. It
+// reports whether it handled an event.
 func (s *Sim) Step(until Time) bool {
 	if len(s.heap) == 0 || s.heap[0].dueAt > until {
 		return false
--- a/internal/simulation/eventqueue/eventqueue_test.go
+++ b/internal/simulation/eventqueue/eventqueue_test.go
@@ -24,8 +24,8 @@
 
 func (r *recorder) Handle(_ Time, e Event) { r.received = append(r.received, e.Argument) }
 
-// TestOrderDependsOnlyOnTimeAndSource checks that events are handled by due time, source ID and order within their source.
-// It guards against results that depend on the order in which different sources call Schedule.
+// TestOrderDependsOnlyOnTimeAndSource checks that events are handled by due time, source ID and order within their
+// source. It guards against results that depend on the order in which different sources call Schedule.
 func TestOrderDependsOnlyOnTimeAndSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type scheduledEvent struct {
@@ -82,8 +82,8 @@
 	})
 }
 
-// TestEventInThePastIsHandledNow guards against a clock that runs backwards because an event is scheduled for a time that
-// has passed.
+// TestEventInThePastIsHandledNow guards against a clock that runs backwards because an event is scheduled for a time
+// that has passed.
 func TestEventInThePastIsHandledNow(t *testing.T) {
 	var sim Sim
 	src, rec := NewSource(1), &recorder{}
@@ -109,7 +109,8 @@
 	}
 }
 
-// TestDrawsHaveExpectedMoments checks the mean of the exponential draws, and the mean and the variance of the normal ones.
+// TestDrawsHaveExpectedMoments checks the mean of the exponential draws, and the mean and the variance of the normal
+// ones.
 func TestDrawsHaveExpectedMoments(t *testing.T) {
 	expMean, normMean, normVariance := 0.0, 0.0, 0.0
 	const n = 200000
--- a/internal/simulation/eventqueue/random.go
+++ b/internal/simulation/eventqueue/random.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Stream is the source of random numbers of a single component. It is a PCG generator whose initial state is derived from
-// the seed and the component's name, so that the numbers don't depend on which other components exist.
+// Stream is the source of random numbers of a single component. It is a PCG generator whose initial state is derived
+// from the seed and the component's name, so that the numbers don't depend on which other components exist.
 type Stream struct {
 	*rand.Rand
 }
@@ -18,8 +18,8 @@
 	return Stream{rand.New(rand.NewPCG(seed, xxhash.Sum64String(name)))}
 }
 
-// goldenRatio64 is 2^64 divided by the golden ratio. Its products (modulo 2^64) with consecutive numbers lie far apart, so
-// that consecutive items get seeds that are not close to each other.
+// goldenRatio64 is 2^64 divided by the golden ratio. Its products (modulo 2^64) with consecutive numbers lie far apart,
+// so that consecutive items get seeds that are not close to each other.
 const goldenRatio64 = 0x9e3779b97f4a7c15
 
 // Draws is a short stream of random numbers for one item among millions, such as a request. It need not be kept between
--- a/internal/simulation/policy/policy.go
+++ b/internal/simulation/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy holds what the emulator can run in a node: the decision module itself, and reference policies to compare
-// it with.
+// Package policy holds the load balancing policies that the emulator can run in a node: the decision module under test
+// and the reference policies to which it is compared.
 package policy
 
 import (
@@ -10,7 +10,7 @@
 	"tulipglade/internal/balancer"
 )
 
-// Policy handles a node's events. Its decisions are calls of the Commands of its Env.
+// Policy handles the events of a node. It carries out its decisions by calling the Commands of its Env.
 type Policy interface {
 	HandleEndpoints(now balancer.Time, kind balancer.ListKind, list []balancer.Endpoint)
 	HandleRequest(now balancer.Time, a balancer.Request)
@@ -21,24 +21,27 @@
 	HandlePeerMessage(now balancer.Time, from int, data []byte)
 }
 
-// Env is what a policy gets at the start of its node.
+// Env holds the configuration and the functions that a policy is given when its node starts.
 type Env struct {
 	Config   balancer.Config
 	Seed     uint64
 	Node     int
 	Commands balancer.Commands
-	// Publish sends a datagram to another node, or to all others for -1. It may arrive late or never.
+	// Publish sends a datagram to the node with the index to, or to all other nodes if to is -1. The datagram may
+	// arrive late or be lost.
 	Publish func(to int, data []byte)
-	// OracleLatency is the time in µs after which an endpoint would answer a request sent now. No real node can know it.
+	// OracleLatency returns the time in µs that an endpoint would take to answer a request that is sent now. A real
+	// node can't know it.
 	OracleLatency func(id balancer.EndpointID) float64
 }
 
-// Maker makes the policy of one node.
+// Maker creates the policy of one node.
 type Maker func(Env) (Policy, error)
 
-// Module is the name of the decision module under test.
+// Module is the name of the policy that runs the decision module under test.
 const Module = "tulipglade"
 
+// makers holds the maker of each policy by the name of the policy.
 var makers = map[string]Maker{
 	Module:              func(env Env) (Policy, error) { return balancer.New(env.Config, env.Seed, env.Commands) },
 	"random":            referenceMaker(chooseRandom),
@@ -52,7 +55,7 @@
 // Names returns the names of all policies, sorted.
 func Names() []string { return slices.Sorted(maps.Keys(makers)) }
 
-// Find returns the maker of the policy of that name.
+// Find returns the maker of the policy with the given name. The error for an unknown name lists all names.
 func Find(name string) (Maker, error) {
 	if maker := makers[name]; maker != nil {
 		return maker, nil
--- a/internal/simulation/policy/reference.go
+++ b/internal/simulation/policy/reference.go
@@ -8,61 +8,66 @@
 	"tulipglade/internal/balancer"
 )
 
-// endpoint is an entry of the endpoint list with this node's attempts in flight to it.
+// endpoint is an entry of the endpoint list together with the number of attempts that this node has in flight to it.
 type endpoint struct {
 	balancer.Endpoint
 	inFlight int
 }
 
-// sentAttempt is an attempt with the place of its endpoint when it was sent.
+// sentAttempt is an attempt together with the zone and the cell that its endpoint had when the attempt was sent.
 type sentAttempt struct {
 	endpoint   *endpoint
 	zone, cell int
 	sentAt     balancer.Time
 }
 
-// noAttempt stands for no index of an attempt.
+// noAttempt is the value of request.mayHaveRun if no attempt may have run.
 const noAttempt = -1
 
+// request holds the state of a request that is not finished.
 type request struct {
 	balancer.Request
 	attempts   []sentAttempt
-	mayHaveRun int // index of the first attempt that may have run; noAttempt: none
+	mayHaveRun int // index of the first attempt that the backend may have run; noAttempt if there is none
 }
 
-// reference is what all reference policies share. They send a request at once to the endpoint that choose selects, retry
-// at once where that is safe, and reject only if no endpoint or attempt is left. They keep the rules on answers, retries
-// and draining, and have neither slow start nor admission.
+// reference is the common part of all reference policies. It sends each request immediately to the endpoint that choose
+// selects, retries immediately where a retry is safe, and ends a request without an answer only if no attempt is left,
+// no endpoint is suitable or the deadline has passed. It obeys the rules on answers, retries and draining, but has
+// neither slow start nor admission.
 type reference struct {
 	env         Env
 	random      *rand.Rand
 	choose      chooser
-	roundRobin  int
-	ready       []*endpoint // by ID
+	roundRobin  int         // number of selections by chooseRoundRobin so far
+	ready       []*endpoint // endpoints that may get new attempts, sorted by ID
 	byID        map[balancer.EndpointID]*endpoint
 	requests    map[balancer.RequestID]*request
-	started     bool
-	failedPolls int
-	onTick      func() // called every shareInterval, if set
-	candidates  []*endpoint
+	started     bool        // whether start has been called
+	failedPolls int         // consecutive polls that failed, up to the last one
+	onTick      func()      // called every shareInterval unless nil
+	candidates  []*endpoint // result of retryCandidates, kept to reuse its memory
 }
 
-// Kinds of timers: a TimerID modulo timerKinds.
+// Kinds of timers. The kind of a timer is its TimerID modulo timerKinds.
 const (
 	timerPoll     = 1
 	timerTick     = 2
-	timerDeadline = 3 // plus the request's ID times timerKinds
+	timerDeadline = 3 // the TimerID also contains the request's ID, multiplied by timerKinds
 	timerKinds    = 4
 )
 
-// pollBackoff is the least time until the next poll after a failed one, in µs; it grows up to maxPollBackoffFactor times.
+// pollBackoff is the shortest time until the next poll after one failed poll, in µs. It is multiplied by the number of
+// consecutive failed polls, up to maxPollBackoffFactor.
 const pollBackoff balancer.Span = 250000
 
 const maxPollBackoffFactor = 8
 
-// idempotencyWindowRest is how many ticks of the idempotency window must be left for a retry.
-const idempotencyWindowRest = 2
+// idempotencyMarginTicks is a safety margin: a retry must be sent more than this number of ticks before the end of the
+// idempotency window.
+const idempotencyMarginTicks = 2
 
+// referenceMaker returns the maker of the reference policy that selects endpoints with choose.
 func referenceMaker(choose chooser) Maker {
 	return func(env Env) (Policy, error) { return newReference(env, choose), nil }
 }
@@ -78,7 +83,8 @@
 	}
 }
 
-// HandleEndpoints takes over an endpoint list or its changes, or schedules another poll after a failed one.
+// HandleEndpoints applies a complete endpoint list or the changes of a list. After a failed poll it schedules the next
+// one.
 func (p *reference) HandleEndpoints(_ balancer.Time, kind balancer.ListKind, list []balancer.Endpoint) {
 	p.start()
 	if kind == balancer.ListFailed {
@@ -104,7 +110,8 @@
 	p.updateReady()
 }
 
-// start sets the timers at the first call: polls of the fleet's nodes are spread over time.
+// start sets the timers when it is called for the first time. The delay of the first poll is random, so that the nodes
+// of the fleet don't poll at the same time.
 func (p *reference) start() {
 	if p.started {
 		return
@@ -119,7 +126,8 @@
 	}
 }
 
-// updateReady collects the endpoints in service, and forgets removed ones without attempts in flight.
+// updateReady rebuilds ready from the endpoints that are in service, and deletes removed endpoints that have no
+// attempts in flight.
 func (p *reference) updateReady() {
 	p.ready = p.ready[:0]
 	for id, known := range p.byID {
@@ -133,9 +141,9 @@
 	slices.SortFunc(p.ready, func(a, b *endpoint) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-func (p *reference) schedulePoll(after balancer.Span) { p.env.Commands.SetTimer(timerPoll, after) }
+func (p *reference) schedulePoll(delay balancer.Span) { p.env.Commands.SetTimer(timerPoll, delay) }
 
-// HandleRequest sends the request's first attempt.
+// HandleRequest sets the timer for the request's deadline and sends the first attempt.
 func (p *reference) HandleRequest(now balancer.Time, incoming balancer.Request) {
 	r := &request{Request: incoming, mayHaveRun: noAttempt}
 	p.requests[r.ID] = r
@@ -143,7 +151,8 @@
 	p.sendAttempt(now, r)
 }
 
-// sendAttempt sends the request's next attempt to an endpoint where it is safe, or ends the request if there is none.
+// sendAttempt sends the request's next attempt to an endpoint at which the attempt is safe. If there is no such
+// endpoint, it ends the request.
 func (p *reference) sendAttempt(now balancer.Time, r *request) {
 	candidates := p.retryCandidates(now, r)
 	if len(r.attempts) == 0 {
@@ -163,7 +172,9 @@
 	p.env.Commands.SendAttempt(r.ID, chosen.ID, 0)
 }
 
-// retryCandidates returns the endpoints that a retry may go to: not the last one, unless it is the only one.
+// retryCandidates returns the endpoints to which a retry may safely be sent. The endpoint of the last attempt is left
+// out unless it is the only one in service. The result is empty if no attempt was sent, no attempt is left or the deadline
+// has passed.
 func (p *reference) retryCandidates(now balancer.Time, r *request) []*endpoint {
 	if len(r.attempts) == 0 || len(r.attempts) >= p.env.Config.MaxAttempts || now >= r.Deadline {
 		return nil
@@ -178,7 +189,8 @@
 	return p.candidates
 }
 
-// mayRetryAt reports whether a retry at the endpoint can't run the request a second time against its class.
+// mayRetryAt reports whether a retry at the endpoint is safe: it must not run the request a second time if the class of
+// the request forbids that.
 func (p *reference) mayRetryAt(now balancer.Time, r *request, candidate *endpoint) bool {
 	class := &p.env.Config.Classes[r.Class]
 	if r.mayHaveRun == noAttempt || class.Idempotency == balancer.Idempotent {
@@ -188,7 +200,7 @@
 		return false
 	}
 	first := &r.attempts[r.mayHaveRun]
-	if now-first.sentAt+idempotencyWindowRest*p.env.Config.TickInterval >= class.IdempotencyWindow {
+	if now-first.sentAt+idempotencyMarginTicks*p.env.Config.TickInterval >= class.IdempotencyWindow {
 		return false
 	}
 	switch class.KeyScope {
@@ -201,7 +213,8 @@
 	}
 }
 
-// finishRequest rejects the request if a further request of the client does no harm, else fails it.
+// finishRequest ends a request without an answer. It rejects the request if the client may safely send it again, and
+// otherwise fails it.
 func (p *reference) finishRequest(r *request) {
 	class := &p.env.Config.Classes[r.Class]
 	keyedEverywhere := class.Idempotency == balancer.IdempotentByKey && class.KeyScope == balancer.ScopeAll
@@ -213,7 +226,7 @@
 	delete(p.requests, r.ID)
 }
 
-// HandleAttemptResult sends a retry, unless the request is done.
+// HandleAttemptResult sends a retry or ends the request, unless the request is already done.
 func (p *reference) HandleAttemptResult(now balancer.Time, result balancer.AttemptResult) {
 	if known := p.byID[result.Endpoint]; known != nil {
 		known.inFlight--
@@ -232,7 +245,7 @@
 	p.sendAttempt(now, r)
 }
 
-// mayHaveRun reports whether the outcome leaves open that the attempt ran.
+// mayHaveRun reports whether an attempt with this outcome may have been run by the backend.
 func mayHaveRun(outcome balancer.Outcome) bool {
 	switch outcome {
 	case balancer.OutcomeRejected, balancer.OutcomeConnectFailed, balancer.OutcomeNotSent:
@@ -241,12 +254,12 @@
 	return true
 }
 
-// HandleCancellation forgets a request whose client has canceled it.
+// HandleCancellation deletes a request that its client has canceled.
 func (p *reference) HandleCancellation(_ balancer.Time, id balancer.RequestID) {
 	delete(p.requests, id)
 }
 
-// HandleTimer polls discovery, calls onTick or ends a request at its deadline.
+// HandleTimer polls discovery, calls onTick or ends a request at its deadline, depending on the kind of the timer.
 func (p *reference) HandleTimer(_ balancer.Time, timer balancer.TimerID) {
 	switch timer % timerKinds {
 	case timerPoll:
@@ -270,5 +283,5 @@
 func (p *reference) HandleHealthCheck(balancer.Time, balancer.EndpointID, balancer.Outcome, balancer.Span, *balancer.LoadReport) {
 }
 
-// HandlePeerMessage does nothing; sharedLoad has its own.
+// HandlePeerMessage does nothing; sharedLoad overrides it.
 func (p *reference) HandlePeerMessage(balancer.Time, int, []byte) {}
--- a/internal/simulation/policy/shared_load.go
+++ b/internal/simulation/policy/shared_load.go
@@ -6,22 +6,23 @@
 	"tulipglade/internal/balancer"
 )
 
-// shareInterval is how often the nodes of the policy least-shared publish their attempts in flight, in µs.
+// shareInterval is the interval at which the nodes of the policy least-shared publish their attempts in flight, in µs.
 const shareInterval balancer.Span = 100000
 
 const (
 	maxDatagramBytes = 256
-	entryBytes       = 9   // an endpoint's ID and the attempts in flight to it
-	maxEntryInFlight = 255 // of one byte
-	manyInFlight     = 16  // endpoints with more are rare, so one pass finds all of them
+	entryBytes       = 9   // 8 bytes for an endpoint's ID, and one for the number of attempts in flight to it
+	maxEntryInFlight = 255 // the largest number that fits into the byte of an entry
+	manyInFlight     = 16  // endpoints with more attempts in flight are rare, so a single pass collects them without sorting
 )
 
-// sharedLoad is the least-outstanding policy on the attempts in flight of all nodes, as far as they have published them:
-// each node sends the endpoints with most of its attempts, in one datagram per shareInterval.
+// sharedLoad is the policy least-shared. It selects an endpoint with the fewest attempts in flight from all nodes, as
+// far as the other nodes have published theirs: each node sends one datagram per shareInterval, which lists the
+// endpoints with most of its attempts in flight.
 type sharedLoad struct {
 	*reference
-	reports           map[int]map[balancer.EndpointID]int // by node: its last datagram
-	inFlightElsewhere map[balancer.EndpointID]int         // the sum of reports
+	reports           map[int]map[balancer.EndpointID]int // by node: attempts in flight per endpoint, from its last datagram
+	inFlightElsewhere map[balancer.EndpointID]int         // the sum of all reports by endpoint
 }
 
 func newSharedLoad(env Env) *sharedLoad {
@@ -36,7 +37,9 @@
 	return s
 }
 
-// publishInFlight sends the endpoints by descending attempts in flight, as many as fit into a datagram.
+// publishInFlight sends all other nodes as many endpoints as fit into a datagram. Those with more than manyInFlight
+// attempts in flight come first, in the order of their IDs, and the others follow by descending number of attempts in
+// flight.
 func (s *sharedLoad) publishInFlight() {
 	data := make([]byte, 0, maxDatagramBytes)
 	data = s.appendEntries(data, func(inFlight int) bool { return inFlight > manyInFlight })
@@ -46,7 +49,7 @@
 	s.env.Publish(-1, data)
 }
 
-// appendEntries appends the selected endpoints in service while there is room.
+// appendEntries appends an entry for each selected endpoint in service, until the datagram is full.
 func (s *sharedLoad) appendEntries(data []byte, selected func(inFlight int) bool) []byte {
 	for _, e := range s.ready {
 		if selected(e.inFlight) && len(data)+entryBytes <= maxDatagramBytes {
@@ -57,7 +60,7 @@
 	return data
 }
 
-// HandlePeerMessage replaces the last datagram of another node.
+// HandlePeerMessage replaces the report of another node with the contents of its new datagram.
 func (s *sharedLoad) HandlePeerMessage(_ balancer.Time, from int, data []byte) {
 	for id, inFlight := range s.reports[from] {
 		s.inFlightElsewhere[id] -= inFlight
--- a/internal/simulation/stats/stats.go
+++ b/internal/simulation/stats/stats.go
@@ -10,7 +10,8 @@
 )
 
 // RunParallel calls run for every index from 0 to count-1, with at most GOMAXPROCS calls at a time, and returns the
-// results in the order of the indexes. If ctx is canceled, it starts no further calls and returns the error of the context.
+// results in the order of the indexes. If ctx is canceled, it starts no further calls and returns the error of the
+// context.
 func RunParallel[T any](ctx context.Context, count int, run func(index int) T) ([]T, error) {
 	results := make([]T, count)
 	group, ctx := errgroup.WithContext(ctx)
@@ -27,8 +28,8 @@
 	return results, group.Wait()
 }
 
-// Add adds the numeric fields of the struct added to the same fields of sum. Fields of type int are counts and are added
-// unchanged; fields of type float64 are multiplied by the weight first. Fields of other types are ignored.
+// Add adds the numeric fields of the struct added to the same fields of sum. Fields of type int are counts and are
+// added unchanged; fields of type float64 are multiplied by the weight first. Fields of other types are ignored.
 func Add[T any](sum *T, added T, weight float64) {
 	into, from := reflect.ValueOf(sum).Elem(), reflect.ValueOf(added)
 	for i := range from.NumField() {
--- a/internal/simulation/theory/theory.go
+++ b/internal/simulation/theory/theory.go
@@ -1,10 +1,11 @@
-// Package theory holds exact results of queueing theory, to verify the emulator. Times are in units of the mean service
-// time; rho is the utilization of each server.
+// Package theory holds exact results of queueing theory, against which the emulator is verified. Times are in units of
+// the mean service time, and rho is the utilization of each server.
 package theory
 
 import "math"
 
-// ErlangB is the fraction of arrivals lost at c servers without a queue, for offered load a = c·rho (Erlang, 1917).
+// ErlangB returns the fraction of arrivals that are lost at c servers without a queue, for the offered load a = c·rho
+// (Erlang, 1917).
 func ErlangB(c int, a float64) float64 {
 	b := 1.0
 	for n := 1; n <= c; n++ {
@@ -13,18 +14,20 @@
 	return b
 }
 
-// ErlangC is the fraction of arrivals that wait at c servers, for offered load a < c.
+// ErlangC returns the fraction of arrivals that have to wait at c servers with an unlimited queue, for the offered load
+// a < c.
 func ErlangC(c int, a float64) float64 {
 	b := ErlangB(c, a)
 	return b / (1 - a/float64(c)*(1-b))
 }
 
-// WaitMMc is the mean wait in M/M/c.
+// WaitMMc returns the mean waiting time in M/M/c.
 func WaitMMc(c int, rho float64) float64 {
 	return ErlangC(c, rho*float64(c)) / (float64(c) * (1 - rho))
 }
 
-// LossMMcK is the fraction of arrivals lost in M/M/c/K: c servers, and at most k jobs in the system.
+// LossMMcK returns the fraction of arrivals that are lost in M/M/c/K, which has c servers and at most k jobs in the
+// system.
 func LossMMcK(c, k int, rho float64) float64 {
 	p, sum := 1.0, 1.0
 	for n := 1; n <= k; n++ {
@@ -34,14 +37,17 @@
 	return p / sum
 }
 
-// WaitMG1 is the mean wait in M/G/1 for a coefficient of variation cv (Pollaczek and Khinchine).
+// WaitMG1 returns the mean waiting time in M/G/1 by the formula of Pollaczek and Khinchine; cv is the coefficient of
+// variation of the service time.
 func WaitMG1(rho, cv float64) float64 { return rho / (1 - rho) * (1 + cv*cv) / 2 }
 
-// SojournPS is the mean time in M/G/1 with processor sharing, whatever the distribution (Kleinrock, 1967).
+// SojournPS returns the mean sojourn time in M/G/1 with processor sharing. It does not depend on the distribution of
+// the service time (Kleinrock, 1967).
 func SojournPS(rho float64) float64 { return 1 / (1 - rho) }
 
-// QueueLengthTail is the fraction of servers with at least k jobs if each job joins the shortest of d random queues, in the
-// limit of many servers (Vvedenskaya, Dobrushin and Karpelevich, 1996; Mitzenmacher, 1996).
+// QueueLengthTail returns the fraction of servers that have at least k jobs if each job draws as many random servers
+// as choices says and joins the shortest of their queues. The result holds in the limit of many servers (Vvedenskaya,
+// Dobrushin and Karpelevich, 1996; Mitzenmacher, 1996).
 func QueueLengthTail(rho float64, choices, k int) float64 {
 	if choices == 1 {
 		return math.Pow(rho, float64(k))
--- a/internal/simulation/theory/theory_test.go
+++ b/internal/simulation/theory/theory_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The values are from published tables or computed by hand, so that a wrong formula is not blamed on the emulator.
+// TestKnownValues compares the formulas with values from published tables or computed by hand. It guards against a
+// wrong formula, which would show up as an apparent fault of the emulator.
 func TestKnownValues(t *testing.T) {
 	for name, c := range map[string]struct{ got, want float64 }{
 		"Erlang B, 1 server at 0.5":       {ErlangB(1, 0.5), 1.0 / 3},
