--- a/internal/simulation/scenario/check.go
+++ b/internal/simulation/scenario/check.go
@@ -8,18 +8,21 @@
 	"tulipglade/internal/tomlfile"
 )
 
+// Upper bounds of settings.
 const (
 	secondsPerDay = 86400
 	maxSites      = 100
 )
 
+// Valid values of settings that are names.
 var (
 	loadShapes = []string{"steady", "constant", "wave", "ramp", "steps", "surge", "trace"}
 	hintKinds  = []string{"none", "rough", "exact"}
 	workDists  = []string{"exp", "lognormal", "constant"}
 )
 
-// Check fills in the lists that the file omits, and returns an error that names the first impossible value.
+// Check fills in the lists that the file omits, and checks the whole scenario. The error names the first invalid field
+// and its value.
 func (s *Scenario) Check() error {
 	s.fillLists()
 	for _, check := range []func() error{
@@ -41,16 +44,17 @@
 	return nil
 }
 
-// within checks the bounds of a number.
-func within(path string, x, least, most float64) error {
+// checkBetween returns an error for the field at path unless x lies between least and most, bounds included.
+func checkBetween(path string, x, least, most float64) error {
 	if math.IsNaN(x) || x < least || x > most {
 		return tomlfile.FieldErrorf(path, "%g is not within %g and %g", x, least, most)
 	}
 	return nil
 }
 
-// ordered checks the order and the bounds of a range.
-func ordered(path string, r Range, least, most float64) error {
+// checkRange returns an error for the field at path unless r has two ends in ascending order that lie between least and
+// most, bounds included.
+func checkRange(path string, r Range, least, most float64) error {
 	if len(r) != 2 {
 		return tomlfile.FieldErrorf(path, "a range has two ends, not %d", len(r))
 	}
@@ -60,7 +64,7 @@
 	return nil
 }
 
-// firstError returns the first error of a list that is not nil.
+// firstError returns the first error that is not nil, or nil if there is none.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
@@ -70,102 +74,102 @@
 	return nil
 }
 
-// checkBounds checks all numbers outside of lists.
+// checkBounds checks the bounds of the numbers that are not in a list of tables. The lists have checks of their own.
 func (s *Scenario) checkBounds() error {
 	return firstError(
-		within("seconds", s.Seconds, 0.1, secondsPerDay),
-		within("warm_up_s", s.WarmUp, 0, s.Seconds),
+		checkBetween("seconds", s.Seconds, 0.1, secondsPerDay),
+		checkBetween("warm_up_s", s.WarmUp, 0, s.Seconds),
 		s.Fleet.checkBounds(),
-		within("nodes.count", float64(s.Nodes.Count), 1, 1e4),
-		within("nodes.tick_ms", s.Nodes.Tick, 0, 1000),
-		within("nodes.front_notices_ms", s.Nodes.Notice, 0, 1e6),
+		checkBetween("nodes.count", float64(s.Nodes.Count), 1, 1e4),
+		checkBetween("nodes.tick_ms", s.Nodes.Tick, 0, 1000),
+		checkBetween("nodes.front_notices_ms", s.Nodes.Notice, 0, 1e6),
 		s.Load.checkBounds(),
 		s.Clients.checkBounds(),
 		s.Net.checkBounds(),
 		s.Discovery.checkBounds(),
 		s.Rules.checkBounds(),
-		within("goal.over_share_worth", s.Goal.OverShare, 0, 1),
-		within("goal.quota_of_capacity", s.Goal.Quota, 0, 100),
+		checkBetween("goal.over_share_worth", s.Goal.OverShare, 0, 1),
+		checkBetween("goal.quota_of_capacity", s.Goal.Quota, 0, 100),
 	)
 }
 
 func (f *Fleet) checkBounds() error {
 	return firstError(
-		within("fleet.boxes", float64(f.Backends), 1, 1e5),
-		within("fleet.rack", float64(f.Rack), 1, 1e5),
-		within("fleet.overdrive.waiting_per_core", f.Overdrive.PerCore, 0, 1e6),
-		within("fleet.overdrive.slower", f.Overdrive.Slower, 1, 1000),
-		within("fleet.affinity.gain", f.Affinity.Gain, 0, 1),
-		within("fleet.report.every_ms", f.Report.Every, 0, 1e6),
-		within("fleet.report.noise", f.Report.Noise, 0, 10),
-		within("fleet.connections.per_core", f.Conns.PerCore, 0, 1e6),
-		within("fleet.connections.idle_ms", f.Conns.Idle, 0, 1e9),
-		within("fleet.connections.timeout_ms", f.Conns.Timeout, 1, 1e6),
+		checkBetween("fleet.boxes", float64(f.Backends), 1, 1e5),
+		checkBetween("fleet.rack", float64(f.Rack), 1, 1e5),
+		checkBetween("fleet.overdrive.waiting_per_core", f.Overdrive.PerCore, 0, 1e6),
+		checkBetween("fleet.overdrive.slower", f.Overdrive.Slower, 1, 1000),
+		checkBetween("fleet.affinity.gain", f.Affinity.Gain, 0, 1),
+		checkBetween("fleet.report.every_ms", f.Report.Every, 0, 1e6),
+		checkBetween("fleet.report.noise", f.Report.Noise, 0, 10),
+		checkBetween("fleet.connections.per_core", f.Conns.PerCore, 0, 1e6),
+		checkBetween("fleet.connections.idle_ms", f.Conns.Idle, 0, 1e9),
+		checkBetween("fleet.connections.timeout_ms", f.Conns.Timeout, 1, 1e6),
 	)
 }
 
 func (l *Load) checkBounds() error {
 	return firstError(
-		within("load.level", l.Level, 0, 100),
-		within("load.per_s", l.PerS, 0, 1e7),
-		within("load.swing", l.Swing, 0, 1),
-		within("load.wave_s", l.Period, 0.1, secondsPerDay),
-		within("load.peak", l.Peak, 0, 1000),
-		within("load.trace_speed", l.Speed, 1e-3, 1e3),
-		within("load.site_skew", l.SiteSkew, 0, 1),
-		within("load.keys", float64(l.Keys), 0, 1e7),
-		within("load.key_zipf", l.Zipf, 0, 10),
+		checkBetween("load.level", l.Level, 0, 100),
+		checkBetween("load.per_s", l.PerS, 0, 1e7),
+		checkBetween("load.swing", l.Swing, 0, 1),
+		checkBetween("load.wave_s", l.Period, 0.1, secondsPerDay),
+		checkBetween("load.peak", l.Peak, 0, 1000),
+		checkBetween("load.trace_speed", l.Speed, 1e-3, 1e3),
+		checkBetween("load.site_skew", l.SiteSkew, 0, 1),
+		checkBetween("load.keys", float64(l.Keys), 0, 1e7),
+		checkBetween("load.key_zipf", l.Zipf, 0, 10),
 	)
 }
 
 func (c *Clients) checkBounds() error {
 	return firstError(
-		within("clients.retries", float64(c.Retries), 0, 100),
-		within("clients.try_share", c.TimeoutShare, 0.01, 1),
-		within("clients.backoff_ms", c.Backoff, 0, 1e6),
-		within("clients.backoff_growth", c.Growth, 1, 100),
-		within("clients.backoff_jitter", c.Jitter, 0, 1),
-		within("clients.heed", c.HeedRetryAfter, 0, 1),
-		within("clients.max_retry_after_ms", c.MaxRetryAfter, 0, 1e6),
-		within("clients.impatient", c.Impatient, 0, 1),
+		checkBetween("clients.retries", float64(c.Retries), 0, 100),
+		checkBetween("clients.try_share", c.TimeoutShare, 0.01, 1),
+		checkBetween("clients.backoff_ms", c.Backoff, 0, 1e6),
+		checkBetween("clients.backoff_growth", c.Growth, 1, 100),
+		checkBetween("clients.backoff_jitter", c.Jitter, 0, 1),
+		checkBetween("clients.heed", c.HeedRetryAfter, 0, 1),
+		checkBetween("clients.max_retry_after_ms", c.MaxRetryAfter, 0, 1e6),
+		checkBetween("clients.impatient", c.Impatient, 0, 1),
 	)
 }
 
 func (n *Net) checkBounds() error {
 	return firstError(
-		within("net.same_ms", n.Same, 0, 1e4),
-		within("net.cross_ms", n.Cross, 0, 1e4),
-		within("net.client_ms", n.Client, 0, 1e4),
-		within("net.jitter", n.Jitter, 0, 10),
-		within("net.peer_loss", n.Loss, 0, 1),
-		within("net.reset_rate", n.Reset, 0, 1),
-		within("net.stale_idle", n.Stale, 0, 1),
-		ordered("net.peer_ms", n.Peer, 0, 1e5),
+		checkBetween("net.same_ms", n.Same, 0, 1e4),
+		checkBetween("net.cross_ms", n.Cross, 0, 1e4),
+		checkBetween("net.client_ms", n.Client, 0, 1e4),
+		checkBetween("net.jitter", n.Jitter, 0, 10),
+		checkBetween("net.peer_loss", n.Loss, 0, 1),
+		checkBetween("net.reset_rate", n.Reset, 0, 1),
+		checkBetween("net.stale_idle", n.Stale, 0, 1),
+		checkRange("net.peer_ms", n.Peer, 0, 1e5),
 	)
 }
 
 func (d *Discovery) checkBounds() error {
 	return firstError(
-		ordered("discovery.notice_ms", d.Notice, 0, 1e6),
-		ordered("discovery.silent_notice_ms", d.Silent, 0, 1e6),
-		ordered("discovery.spread_ms", d.Spread, 0, 1e6),
-		within("discovery.calls_per_s", d.PerS, 1e-3, 1e9),
-		within("discovery.lines_per_s", d.LinesPerS, 1, 1e12),
-		within("discovery.timeout_ms", d.Timeout, 1, 1e6),
-		within("discovery.ask_every_ms", d.PollInterval, 0, 1e9),
+		checkRange("discovery.notice_ms", d.Notice, 0, 1e6),
+		checkRange("discovery.silent_notice_ms", d.Silent, 0, 1e6),
+		checkRange("discovery.spread_ms", d.Spread, 0, 1e6),
+		checkBetween("discovery.calls_per_s", d.PerS, 1e-3, 1e9),
+		checkBetween("discovery.lines_per_s", d.LinesPerS, 1, 1e12),
+		checkBetween("discovery.timeout_ms", d.Timeout, 1, 1e6),
+		checkBetween("discovery.ask_every_ms", d.PollInterval, 0, 1e9),
 	)
 }
 
 func (r *Rules) checkBounds() error {
 	return firstError(
-		within("rules.price_probe", r.HealthCheckCost, 0, 100),
-		within("rules.answer_grace_ms", r.AnswerGrace, 0, 1e5),
-		within("rules.drain_grace_ms", r.DrainGrace, 0, 1e6),
-		within("rules.cold_from", r.SlowStartInitial, 0, 1),
-		within("rules.cold_multiple", r.OverloadFactor, 0, 1000),
-		within("rules.cold_ramp_ms", r.SlowStartDuration, 0, 1e7),
-		within("rules.cold_window_ms", r.OverloadWindow, 0, 1e6),
-		within("rules.max_attempts", float64(r.MaxAttempts), 1, 100),
+		checkBetween("rules.price_probe", r.HealthCheckCost, 0, 100),
+		checkBetween("rules.answer_grace_ms", r.AnswerGrace, 0, 1e5),
+		checkBetween("rules.drain_grace_ms", r.DrainGrace, 0, 1e6),
+		checkBetween("rules.cold_from", r.SlowStartInitial, 0, 1),
+		checkBetween("rules.cold_multiple", r.OverloadFactor, 0, 1000),
+		checkBetween("rules.cold_ramp_ms", r.SlowStartDuration, 0, 1e7),
+		checkBetween("rules.cold_window_ms", r.OverloadWindow, 0, 1e6),
+		checkBetween("rules.max_attempts", float64(r.MaxAttempts), 1, 100),
 	)
 }
 
@@ -221,15 +225,15 @@
 	for i, kind := range s.Fleet.Kinds {
 		path := fmt.Sprintf("fleet.kind[%d].", i)
 		if err := firstError(
-			within(path+"share", kind.Share, 0, 1e6),
-			within(path+"cores", float64(kind.Cores), 1, 1e4),
-			ordered(path+"speed", kind.Speed, 1e-3, 1e3),
-			within(path+"slots_per_core", kind.Slots, 1e-3, 1e4),
-			within(path+"queue_per_core", kind.Queue, 0, 1e9),
-			within(path+"crowd_penalty", kind.Crowd, 0, 100),
-			ordered(path+"cold_from", kind.SlowStartInitial, 0, 1),
-			ordered(path+"cold_ms", kind.SlowStartDuration, 0, 1e7),
-			within(path+"error_rate", kind.Errors, 0, 1),
+			checkBetween(path+"share", kind.Share, 0, 1e6),
+			checkBetween(path+"cores", float64(kind.Cores), 1, 1e4),
+			checkRange(path+"speed", kind.Speed, 1e-3, 1e3),
+			checkBetween(path+"slots_per_core", kind.Slots, 1e-3, 1e4),
+			checkBetween(path+"queue_per_core", kind.Queue, 0, 1e9),
+			checkBetween(path+"crowd_penalty", kind.Crowd, 0, 100),
+			checkRange(path+"cold_from", kind.SlowStartInitial, 0, 1),
+			checkRange(path+"cold_ms", kind.SlowStartDuration, 0, 1e7),
+			checkBetween(path+"error_rate", kind.Errors, 0, 1),
 		); err != nil {
 			return err
 		}
@@ -246,18 +250,18 @@
 	return nil
 }
 
-// check checks a class, whose keys have that path.
+// check checks a class; path is the prefix of its keys in errors.
 func (c *Class) check(path string) error {
 	if err := firstError(
-		within(path+"share", c.Share, 0, 1e6),
-		within(path+"work_ms", c.Work, 1e-3, 1e6),
-		within(path+"cv", c.VariationCoefficient, 0, 100),
-		within(path+"attempt_noise", c.Noise, 0, 10),
-		within(path+"deadline_ms", c.Deadline, 1, 1e7),
-		within(path+"aim_ms", c.LatencyObjective, 0, c.Deadline),
-		within(path+"worth", c.PriorityWeight, 0, 1e9),
-		within(path+"late_share", c.LateValue, 0, 1),
-		within(path+"window_ms", c.IdempotencyWindow, 0, 1e7),
+		checkBetween(path+"share", c.Share, 0, 1e6),
+		checkBetween(path+"work_ms", c.Work, 1e-3, 1e6),
+		checkBetween(path+"cv", c.VariationCoefficient, 0, 100),
+		checkBetween(path+"attempt_noise", c.Noise, 0, 10),
+		checkBetween(path+"deadline_ms", c.Deadline, 1, 1e7),
+		checkBetween(path+"aim_ms", c.LatencyObjective, 0, c.Deadline),
+		checkBetween(path+"worth", c.PriorityWeight, 0, 1e9),
+		checkBetween(path+"late_share", c.LateValue, 0, 1),
+		checkBetween(path+"window_ms", c.IdempotencyWindow, 0, 1e7),
 	); err != nil {
 		return err
 	}
@@ -265,7 +269,7 @@
 		return tomlfile.FieldErrorf(path+"dist", "%q is none of exp, lognormal, constant", c.Dist)
 	}
 	if c.Dist == "lognormal" && c.VariationCoefficient == 0 {
-		return tomlfile.FieldErrorf(path+"cv", "a lognormal needs one above 0")
+		return tomlfile.FieldErrorf(path+"cv", "a lognormal distribution needs a coefficient of variation above 0")
 	}
 	if _, ok := idempotencies[c.Idempotency]; !ok {
 		return tomlfile.FieldErrorf(path+"effect", "%q is none of repeatable, by_key, once", c.Idempotency)
@@ -280,8 +284,8 @@
 	for i, tenant := range s.Tenants {
 		path := fmt.Sprintf("tenant[%d].", i)
 		if err := firstError(
-			within(path+"share", tenant.Share, 0, 1e6),
-			within(path+"usage", tenant.Usage, 0, 1e6),
+			checkBetween(path+"share", tenant.Share, 0, 1e6),
+			checkBetween(path+"usage", tenant.Usage, 0, 1e6),
 		); err != nil {
 			return err
 		}
@@ -289,7 +293,7 @@
 	return nil
 }
 
-// checkShares checks that shares can be normalized: those of each list must not sum to 0.
+// checkShares checks that the shares of each list have a positive sum, since they are divided by it later.
 func (s *Scenario) checkShares() error {
 	kinds, classes, tenants := 0.0, 0.0, 0.0
 	for i := range s.Fleet.Kinds {
@@ -302,13 +306,14 @@
 		tenants += s.Tenants[i].Share
 	}
 	return firstError(
-		positiveSum("fleet.kind", kinds),
-		positiveSum("class", classes),
-		positiveSum("tenant", tenants),
+		checkPositiveSum("fleet.kind", kinds),
+		checkPositiveSum("class", classes),
+		checkPositiveSum("tenant", tenants),
 	)
 }
 
-func positiveSum(path string, sum float64) error {
+// checkPositiveSum returns an error for the list at path unless the sum of its shares is positive.
+func checkPositiveSum(path string, sum float64) error {
 	if sum <= 0 {
 		return tomlfile.FieldErrorf(path, "the shares sum to %g", sum)
 	}
--- a/internal/simulation/scenario/config.go
+++ b/internal/simulation/scenario/config.go
@@ -6,7 +6,7 @@
 	"tulipglade/internal/balancer"
 )
 
-// Names of scenario files for the idempotency of a class and the scope of its keys.
+// Names that scenario files use for the idempotency of a class and for the scope of its idempotency keys.
 var (
 	idempotencies = map[string]balancer.Idempotency{
 		"repeatable": balancer.Idempotent,
@@ -20,7 +20,8 @@
 	}
 )
 
-// Config returns the configuration of a node of that site. The caller adds the node's own index.
+// Config returns the configuration of a node at the given site, with the quota of each tenant in requests per second.
+// The caller adds the index of the node.
 func (s *Scenario) Config(site int, quotas []float64) balancer.Config {
 	config := balancer.Config{
 		Zone:               site,
@@ -62,5 +63,5 @@
 	return config
 }
 
-// fromMilliseconds converts a setting in milliseconds to the decision module's µs.
+// fromMilliseconds converts a setting in milliseconds to a time in µs, which the decision module uses.
 func fromMilliseconds(ms float64) balancer.Span { return balancer.Span(math.Round(ms * 1000)) }
--- a/internal/simulation/scenario/defaults.go
+++ b/internal/simulation/scenario/defaults.go
@@ -1,6 +1,6 @@
 package scenario
 
-// Default returns a fleet of three sites under ordinary load.
+// Default returns the default scenario, a fleet in three sites under ordinary load. Check adds the default lists.
 func Default() Scenario {
 	return Scenario{
 		Name: "default", Seconds: 30, WarmUp: 3,
@@ -22,7 +22,8 @@
 	}
 }
 
-// fillLists sets the lists that the file omits. A list of the file replaces the default as a whole.
+// fillLists sets the lists of backend kinds, classes and tenants to their defaults if the file omits them. A list in
+// the file replaces the whole default list.
 func (s *Scenario) fillLists() {
 	if len(s.Fleet.Kinds) == 0 {
 		s.Fleet.Kinds = []Kind{
--- a/internal/simulation/scenario/deployment.go
+++ b/internal/simulation/scenario/deployment.go
@@ -4,7 +4,8 @@
 	"math/rand/v2"
 )
 
-// Knob is one parameter in which deployments differ, with its settings. The first one is the default.
+// Knob is a parameter in which deployments differ, together with its possible settings. The first setting is the
+// default.
 type Knob struct {
 	Name     string
 	Settings []Setting
@@ -16,10 +17,11 @@
 	set  func(*Scenario)
 }
 
-// Deployment holds the index of the setting of each of the Knobs.
+// Deployment holds, for each element of Knobs, the index of the selected setting.
 type Deployment []int
 
-// Knobs are the parameters that a survey varies. They are applied in this order, so later ones may build on earlier ones.
+// Knobs lists the parameters that a survey varies. Settings are applied in this order, so a later knob may use values
+// that an earlier one has set.
 var Knobs = []Knob{
 	{"cores", []Setting{
 		{"4", cores(4, 4)},
@@ -96,10 +98,11 @@
 	}}}},
 }
 
-func cores(of ...int) func(*Scenario) {
+// cores sets the number of cores of each kind of backend.
+func cores(counts ...int) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Fleet.Kinds {
-			s.Fleet.Kinds[i].Cores = of[i]
+			s.Fleet.Kinds[i].Cores = counts[i]
 		}
 	}
 }
@@ -110,11 +113,11 @@
 	return func(s *Scenario) { s.Fleet.Sites = names }
 }
 
-// scale multiplies the work of all classes.
-func scale(by float64) func(*Scenario) {
+// scale multiplies the work of all classes by a factor.
+func scale(factor float64) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Classes {
-			s.Classes[i].Work *= by
+			s.Classes[i].Work *= factor
 		}
 	}
 }
@@ -127,30 +130,34 @@
 	}
 }
 
-func latencyObjective(by float64) func(*Scenario) {
+// latencyObjective sets the latency objective of each class to a multiple of its work.
+func latencyObjective(factor float64) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Classes {
-			s.Classes[i].LatencyObjective = by * s.Classes[i].Work
+			s.Classes[i].LatencyObjective = factor * s.Classes[i].Work
 		}
 	}
 }
 
-func deadline(by float64) func(*Scenario) {
+// deadline sets the deadline of each class to a multiple of its latency objective, but at least 1 ms.
+func deadline(factor float64) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Classes {
-			s.Classes[i].Deadline = max(by*s.Classes[i].LatencyObjective, 1)
+			s.Classes[i].Deadline = max(factor*s.Classes[i].LatencyObjective, 1)
 		}
 	}
 }
 
+// scope sets the scope of the idempotency keys of the class "keyed".
 func scope(name string) func(*Scenario) {
 	return func(s *Scenario) { s.Classes[2].KeyScope = name }
 }
 
-func window(by float64) func(*Scenario) {
+// window sets the idempotency window of each class to a multiple of its deadline.
+func window(factor float64) func(*Scenario) {
 	return func(s *Scenario) {
 		for i := range s.Classes {
-			s.Classes[i].IdempotencyWindow = by * s.Classes[i].Deadline
+			s.Classes[i].IdempotencyWindow = factor * s.Classes[i].Deadline
 		}
 	}
 }
@@ -167,8 +174,9 @@
 	return func(s *Scenario) { s.Fleet.Report.Fields = names }
 }
 
-func probes(price float64) func(*Scenario) {
-	return func(s *Scenario) { s.Rules.AllowHealthChecks, s.Rules.HealthCheckCost = true, price }
+// probes allows health checks and sets their cost.
+func probes(cost float64) func(*Scenario) {
+	return func(s *Scenario) { s.Rules.AllowHealthChecks, s.Rules.HealthCheckCost = true, cost }
 }
 
 func hints(how string) func(*Scenario) { return func(s *Scenario) { s.Clients.Hints = how } }
@@ -177,14 +185,16 @@
 	return func(s *Scenario) { s.Clients.TimeoutShare = x }
 }
 
-func backoff(aims float64) func(*Scenario) {
-	return func(s *Scenario) { s.Clients.Backoff = aims * s.Classes[0].LatencyObjective }
+// backoff sets the backoff of clients to a multiple of the first class's latency objective.
+func backoff(factor float64) func(*Scenario) {
+	return func(s *Scenario) { s.Clients.Backoff = factor * s.Classes[0].LatencyObjective }
 }
 
 func attempts(n int) func(*Scenario)     { return func(s *Scenario) { s.Rules.MaxAttempts = n } }
 func load(level float64) func(*Scenario) { return func(s *Scenario) { s.Load.Level = level } }
 
-// DrawDeployment draws a setting for each knob: in a third of the cases the default, else any.
+// DrawDeployment draws a setting for each knob. With a probability of one third it selects the default; otherwise all
+// settings, including the default, are equally likely.
 func DrawDeployment(seed uint64) Deployment {
 	random := rand.New(rand.NewPCG(seed, 0x5eed))
 	d := make(Deployment, len(Knobs))
@@ -196,13 +206,14 @@
 	return d
 }
 
-// deploymentCalls is about how many calls the scenario of a deployment has, whatever its size and the work of a call.
+// deploymentCalls is the approximate number of calls in the scenario of a deployment. It depends neither on the size of
+// the fleet nor on the work of a call.
 const deploymentCalls = 3000
 
-// minSeconds is the shortest scenario: nodes have to learn, and endpoint lists to arrive.
+// minSeconds is the minimum duration of a scenario. Nodes need that time to get endpoint lists and to learn.
 const minSeconds = 8
 
-// Scenario returns a scenario of the deployment without faults.
+// Scenario returns a scenario without faults for the deployment.
 func (d Deployment) Scenario() *Scenario {
 	s := Default()
 	s.Name, s.WarmUp = "survey", 0
@@ -229,12 +240,12 @@
 		shares += class.Share
 	}
 	s.Seconds = max(deploymentCalls*work/shares/1000/(s.Load.Level*cores), minSeconds)
-	s.WarmUp = s.Seconds / 5 // the decision module learns meanwhile
+	s.WarmUp = s.Seconds / 5 // during the warm-up the decision module learns
 	s.Load.Period = max(s.Seconds/3, 0.1)
 	return &s
 }
 
-// NonDefaultSettings names the knobs that are not at their default, with their settings.
+// NonDefaultSettings returns the name and the setting of each knob that does not have its default setting.
 func (d Deployment) NonDefaultSettings() []string {
 	var names []string
 	for i, knob := range Knobs {
--- a/internal/simulation/scenario/faults.go
+++ b/internal/simulation/scenario/faults.go
@@ -6,7 +6,7 @@
 	"tulipglade/internal/faultinject"
 )
 
-// Scope returns what faults can affect.
+// Scope returns the backends, nodes, sites and tenants that faults can affect.
 func (s *Scenario) Scope(backendSite, nodeSite func(int) string) faultinject.Scope {
 	scope := faultinject.Scope{
 		Backends:    s.Fleet.Backends,
@@ -21,7 +21,8 @@
 	return scope
 }
 
-// ApplyDefaults returns the faults of the file and the random ones, with all defaults applied, by start.
+// ApplyDefaults returns the faults of the file and the random faults, with all defaults applied and sorted by start.
+// The random faults, and targets that the file omits, are drawn with r.
 func (s *Scenario) ApplyDefaults(r faultinject.Rand) []faultinject.Fault {
 	siteName := func(i int) string { return s.Fleet.Sites[s.Site(i)] }
 	scope := s.Scope(siteName, siteName)
--- a/internal/simulation/scenario/read.go
+++ b/internal/simulation/scenario/read.go
@@ -15,11 +15,11 @@
 //go:embed files/*.toml
 var builtIn embed.FS
 
-// BuiltIn returns the names of the scenarios that come with the program.
+// BuiltIn returns the names of the scenarios that are built into the program.
 func BuiltIn() []string {
 	entries, err := fs.ReadDir(builtIn, "files")
 	if err != nil {
-		panic(err) // the files are embedded
+		panic(err) // can't happen, because the files are embedded
 	}
 	var names []string
 	for _, e := range entries {
@@ -28,7 +28,8 @@
 	return names
 }
 
-// Source returns the text of a scenario file or a built-in scenario, and the file name for errors.
+// Source returns the text of the built-in scenario or, if there is none with that name, of the file with that name. It
+// also returns the file name to use in errors.
 func Source(name string) (file string, raw []byte, err error) {
 	if raw, err := builtIn.ReadFile("files/" + name + ".toml"); err == nil {
 		return name + ".toml", raw, nil
@@ -40,7 +41,7 @@
 	return name, raw, err
 }
 
-// Read reads a scenario from a file, or the built-in one of that name.
+// Read returns the built-in scenario or, if there is none with that name, the scenario in the file with that name.
 func Read(name string) (*Scenario, error) {
 	file, raw, err := Source(name)
 	if err != nil {
@@ -49,7 +50,8 @@
 	return Parse(file, raw)
 }
 
-// Parse decodes a scenario over the defaults, and checks it.
+// Parse decodes a scenario, in which omitted fields have their defaults, and checks it. The file name is used in
+// errors.
 func Parse(file string, raw []byte) (*Scenario, error) {
 	s := Default()
 	if err := tomlfile.Decode(file, raw, &s); err != nil {
@@ -58,5 +60,5 @@
 	return &s, nil
 }
 
-// Text encodes the scenario as TOML, including the defaults.
+// Text returns the scenario as TOML, including the fields that have their defaults.
 func (s *Scenario) Text() ([]byte, error) { return toml.Marshal(s) }
--- a/internal/simulation/scenario/report.go
+++ b/internal/simulation/scenario/report.go
@@ -6,23 +6,24 @@
 	"tulipglade/internal/balancer"
 )
 
-// Report describes the backends' load reports.
+// Report describes the load reports of the backends.
 type Report struct {
-	Every            float64 `toml:"every_ms"` // 0: no reports
+	Every            float64 `toml:"every_ms"` // interval between reports; 0: no reports
 	Delay            float64 `toml:"delay_ms"`
-	Noise            float64 `toml:"noise"` // relative standard deviation
-	IncludesInFlight bool    `toml:"held"`  // include the requests in flight
-	// Fields are the fields that reports include, of queue, util and held. Empty: queue and util, and held if
-	// IncludesInFlight is set.
+	Noise            float64 `toml:"noise"` // relative standard deviation of the reported figures
+	IncludesInFlight bool    `toml:"held"`  // reports include the number of requests in flight
+	// Fields lists the fields that reports include, each of which is queue, util or held. If it is empty, reports
+	// include queue and util, and also held if IncludesInFlight is set.
 	Fields []string `toml:"fields"`
-	// SentBy is how reports are sent: with answers and health checks (answers), or with health checks alone (probes).
+	// SentBy selects how nodes get reports: with answers and health checks (answers), or only with health checks
+	// (probes).
 	SentBy string `toml:"by"`
 }
 
-// reportFields are the names of a report's fields.
+// reportFields lists the valid values of Report.Fields.
 var reportFields = []string{"held", "queue", "util"}
 
-// Includes reports whether load reports have a field.
+// Includes reports whether load reports include the field with the given name.
 func (r *Report) Includes(field string) bool {
 	switch {
 	case r.Every == 0:
@@ -33,7 +34,7 @@
 	return field != "held" || r.IncludesInFlight
 }
 
-// LoadReport returns a report without the fields that are not included.
+// LoadReport returns a copy of a complete report in which the fields that are not included are set to -1, for unknown.
 func (r *Report) LoadReport(all balancer.LoadReport) balancer.LoadReport {
 	if !r.Includes("held") {
 		all.Outstanding = -1
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -9,6 +9,8 @@
 	"tulipglade/internal/faultinject"
 )
 
+// TestBuiltInScenariosAreValid checks that each built-in scenario is valid, and stays the same when it is encoded with
+// its defaults and parsed again.
 func TestBuiltInScenariosAreValid(t *testing.T) {
 	if len(BuiltIn()) < 9 {
 		t.Fatalf("%v", BuiltIn())
@@ -37,7 +39,7 @@
 	}
 }
 
-// The error for an invalid value names file, line, field and reason.
+// TestCheckRejectsInvalidScenarios checks that the error for an invalid value states file, line, field and reason.
 func TestCheckRejectsInvalidScenarios(t *testing.T) {
 	for in, says := range map[string]string{
 		"seconds = -1.0":                                    "f:1: seconds: -1 is not within 0.1 and 86400",
@@ -75,7 +77,7 @@
 	}
 }
 
-// Targets that a file omits are drawn from the seed, and every fault has a target.
+// TestFaultDefaultsAreComplete guards against faults without a target: targets that a file omits are drawn at random.
 func TestFaultDefaultsAreComplete(t *testing.T) {
 	sc, err := Parse("f", []byte(`
 [[fault]]
@@ -119,10 +121,10 @@
 		t.Errorf("%d faults", len(all))
 	}
 	if n := len(count[faultinject.FastErrors][0].Backends); n != 3 {
-		t.Errorf("a quarter of 12 backends is %d", n)
+		t.Errorf("a quarter of 12 backends is %d, want 3", n)
 	}
 	if b := count[faultinject.Slow][0].Backends; !slices.Equal(b, []int{1, 4, 7, 10}) {
-		t.Errorf("the backends of west are %v", b)
+		t.Errorf("the backends of west are %v, want 1, 4, 7 and 10", b)
 	}
 	if f := count[faultinject.NodeKill][0]; len(f.Nodes) != 1 {
 		t.Errorf("%v", f)
