--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -45,8 +45,8 @@
 }
 
 // Kind describes a model of backend. Share is its share of the fleet, relative to the shares of the other kinds.
-// The capacity shrinks by the factor 1 + crowd_penalty·(n - crowd_from) when n requests per core, more than crowd_from,
-// are in flight.
+// While n requests per core are in flight and n is above crowd_from, the capacity is divided by
+// 1 + crowd_penalty·(n - crowd_from).
 type Kind struct {
 	Name              string  `toml:"name"`
 	Share             float64 `toml:"share"`
@@ -154,7 +154,8 @@
 	Usage float64 `toml:"usage"` // calls of the tenant, as a fraction of its quota
 }
 
-// Net describes the network links. All delays are one-way delays.
+// Net describes the network links. All delays are one-way delays. Connections that lost messages while a site was
+// partitioned, lost or silent are reset cut_reset_ms after the end of that fault.
 type Net struct {
 	Same   float64 `toml:"same_ms"`
 	Cross  float64 `toml:"cross_ms"`
@@ -164,7 +165,7 @@
 	Loss   float64 `toml:"peer_loss"`    // fraction of the datagrams between nodes that are lost
 	Reset  float64 `toml:"reset_rate"`   // fraction of answers lost by a reset without a fault
 	Stale  float64 `toml:"stale_idle"`   // fraction of reused connections that the backend has already closed
-	Silent float64 `toml:"cut_reset_ms"` // from a partition's end until connections with losses are reset
+	Silent float64 `toml:"cut_reset_ms"` // time until connections with losses are reset
 }
 
 // Discovery describes the service that provides the endpoint list.
