--- a/internal/simulation/scenario/check.go
+++ b/internal/simulation/scenario/check.go
@@ -74,7 +74,8 @@
 	return nil
 }
 
-// checkBounds checks the bounds of the numbers that are not in a list of tables. The lists have checks of their own.
+// checkBounds checks the bounds of numbers that are not in a list of tables; the lists have checks of their own. Some
+// settings have no bounds, such as fleet.overdrive.over_ms.
 func (s *Scenario) checkBounds() error {
 	return firstError(
 		checkBetween("seconds", s.Seconds, 0.1, secondsPerDay),
