--- a/internal/consensus/encoding_test.go
+++ b/internal/consensus/encoding_test.go
@@ -14,15 +14,16 @@
 	"tulipglade/internal/lease"
 )
 
-// What commit f2517d9 wrote into the log and into snapshots, byte for byte.
+// Log entries and a snapshot, byte for byte as commit f2517d9 wrote them. Groups hold data in this form, and members of
+// older builds read it.
 const (
-	storedAcquire = `{"by":1,"life":15205841957720470382,"seq":4,"kind":1,"name":"rollout","who":"a","ask":463172840997,"ticks":308}`
-	storedRenew   = `{"by":1,"life":15205841957720470382,"seq":4,"kind":2,"name":"rollout","token":2,"ticks":9}`
-	storedMaximum = `{"by":1,"life":15205841957720470382,"seq":4,"kind":4,"name":"rollout","most":2}`
-	storedNote    = `{"by":1,"life":15205841957720470382,"seq":4,"kind":5,"name":"rollout","token":2,"text":"a note"}`
-	storedTick    = `{"by":1,"life":15205841957720470382,"seq":0,"kind":0}`
-	storedChange  = `{"by":1,"life":15205841957720470382,"seq":4,"add":{"4":"127.0.0.1:17104","5":"127.0.0.1:17105"},"leave":[1,2]}`
-	storedNextOne = `{"by":0,"life":0,"seq":0}` // a later step of a change of members
+	storedAcquire       = `{"by":1,"life":15205841957720470382,"seq":4,"kind":1,"name":"rollout","who":"a","ask":463172840997,"ticks":308}`
+	storedRenew         = `{"by":1,"life":15205841957720470382,"seq":4,"kind":2,"name":"rollout","token":2,"ticks":9}`
+	storedSetMaxHolders = `{"by":1,"life":15205841957720470382,"seq":4,"kind":4,"name":"rollout","most":2}`
+	storedNote          = `{"by":1,"life":15205841957720470382,"seq":4,"kind":5,"name":"rollout","token":2,"text":"a note"}`
+	storedTick          = `{"by":1,"life":15205841957720470382,"seq":0,"kind":0}`
+	storedChange        = `{"by":1,"life":15205841957720470382,"seq":4,"add":{"4":"127.0.0.1:17104","5":"127.0.0.1:17105"},"leave":[1,2]}`
+	storedLaterStep     = `{"by":0,"life":0,"seq":0}` // a later step of a change of members has no request
 
 	storedSnapshot = `{"version":1,"terms":{"Interval":200000000,"Drift":0.01},` +
 		`"members":{"1":"127.0.0.1:17101","2":"127.0.0.1:17102","3":"127.0.0.1:17103"},"highest":3,"leaving":[1,2],` +
@@ -56,8 +57,8 @@
 	acquire := lease.Command{Kind: lease.Acquire, Name: "rollout", Holder: "a", RequestID: 463172840997, Ticks: 308}
 	checkEncoding(t, storedAcquire, proposal{key, acquire})
 	checkEncoding(t, storedRenew, proposal{key, lease.Command{Kind: lease.Renew, Name: "rollout", Token: 2, Ticks: 9}})
-	checkEncoding(t, storedMaximum, proposal{key, lease.Command{Kind: lease.SetMaxHolders, Name: "rollout", MaxHolders: 2}})
-	checkEncoding(t, storedNote, proposal{key, lease.Command{Kind: lease.SetNote, Name: "rollout", Token: 2, Text: "a note"}})
+	checkEncoding(t, storedSetMaxHolders, proposal{key, lease.Command{Kind: lease.SetMaxHolders, Name: "rollout", MaxHolders: 2}})
+	checkEncoding(t, storedNote, proposal{key, lease.Command{Kind: lease.SetNote, Name: "rollout", Token: 2, NoteText: "a note"}})
 	checkEncoding(t, storedTick, proposal{tickKey, lease.Command{Kind: lease.Tick}})
 }
 
@@ -67,13 +68,14 @@
 		Add:        map[uint64]string{4: "127.0.0.1:17104", 5: "127.0.0.1:17105"},
 		Remove:     []uint64{1, 2},
 	})
-	checkEncoding(t, storedNextOne, membershipChange{})
+	checkEncoding(t, storedLaterStep, membershipChange{})
 }
 
-// A member that starts from a stored snapshot writes the same bytes when it makes its own.
+// A member that starts from a stored snapshot writes the same bytes when it creates its own snapshot.
 func TestStoredSnapshotKeepsItsEncoding(t *testing.T) {
 	index := proto.Uint64(7)
-	// The entry of a new leader, which changes nothing: a new snapshot must be of a later index.
+	// A new snapshot needs a later index than the stored one, so an empty entry, as a new leader appends it, follows.
+	// It changes nothing.
 	entry := &pb.Entry{Index: proto.Uint64(8), Term: proto.Uint64(1), Type: pb.EntryNormal.Enum()}
 	storage := &memoryStorage{DurableState: DurableState{
 		HardState: &pb.HardState{Term: proto.Uint64(1), Commit: index},
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
-// record is the state of one lease.
+// record is the state of one lease. Its JSON form is stored.
 type record struct {
 	MaxHolders int     `json:"most"`
-	Grants     []Grant `json:"held"` // by slot
+	Grants     []Grant `json:"held"` // sorted by slot
 	Note       string  `json:"note,omitempty"`
 }
 
-// State is the replicated state machine. The same commands in the same order give the same State and the same results.
+// State is the replicated state machine. It is deterministic: the same commands in the same order lead to the same
+// State and return the same results.
 type State struct {
 	tick      uint64
 	lastToken Token
@@ -22,7 +23,8 @@
 // New returns a State without leases.
 func New() *State { return &State{leases: map[string]*record{}} }
 
-// Apply applies the next command.
+// Apply applies the next command and returns the grant that it concerns, if any. A command that is rejected with an
+// error changes nothing.
 func (s *State) Apply(command Command) (Grant, error) {
 	if command.Kind == Tick {
 		s.applyTick()
@@ -31,11 +33,11 @@
 	if !command.withinBounds() {
 		return Grant{}, ErrInvalid
 	}
-	r, err := s.find(command)
+	r, err := s.findOrAdd(command)
 	if err != nil {
 		return Grant{}, err
 	}
-	defer s.forgetUnused(command.Name)
+	defer s.deleteIfUnused(command.Name)
 	switch command.Kind {
 	case Acquire:
 		return s.acquire(r, command)
@@ -51,22 +53,24 @@
 	return Grant{}, ErrInvalid
 }
 
-// applyTick advances the time, and removes the grants that have expired.
+// applyTick advances the time by one tick, and removes the grants that have expired.
 func (s *State) applyTick() {
 	s.tick++
 	for name, r := range s.leases {
 		r.Grants = slices.DeleteFunc(r.Grants, func(g Grant) bool { return g.ExpiresAt <= s.tick })
-		s.forgetUnused(name)
+		s.deleteIfUnused(name)
 	}
 }
 
-// find returns the lease of a command. A new one is added, to be removed again by forgetUnused if the command leaves it as it is.
-func (s *State) find(command Command) (*record, error) {
+// findOrAdd returns the lease that a command names. If there is none, it adds one, which the caller must remove with
+// deleteIfUnused if the command does not change it. Commands of the kinds that can leave a new lease behind are
+// rejected when there are maxLeases.
+func (s *State) findOrAdd(command Command) (*record, error) {
 	if r := s.leases[command.Name]; r != nil {
 		return r, nil
 	}
-	mayStay := command.Kind == Acquire || command.Kind == SetMaxHolders
-	if mayStay && len(s.leases) >= maxLeases {
+	mayAddLease := command.Kind == Acquire || command.Kind == SetMaxHolders
+	if mayAddLease && len(s.leases) >= maxLeases {
 		return nil, ErrFull
 	}
 	r := &record{MaxHolders: 1}
@@ -74,7 +78,8 @@
 	return r, nil
 }
 
-// acquire grants a free slot. A repeated request returns the grant that it already has, and does not extend it.
+// acquire grants a free slot to a holder. A repeated request returns the grant that the holder already has, and does
+// not extend it.
 func (s *State) acquire(r *record, command Command) (Grant, error) {
 	if command.Holder == "" || command.Ticks == 0 {
 		return Grant{}, ErrInvalid
@@ -101,7 +106,8 @@
 	return grant, nil
 }
 
-// renew extends a grant, unless its slot is beyond a MaxHolders that has been lowered.
+// renew extends a grant. It rejects the renewal if MaxHolders has been lowered and the lease no longer has the grant's
+// slot.
 func (s *State) renew(r *record, command Command) (Grant, error) {
 	if command.Ticks == 0 {
 		return Grant{}, ErrInvalid
@@ -117,16 +123,16 @@
 	return r.Grants[i], nil
 }
 
-// setNote replaces the note of a lease, which only a holder may do.
+// setNote replaces the note of a lease. Only a current holder may do that.
 func (s *State) setNote(r *record, command Command) (Grant, error) {
 	i := r.indexOf(command.Token)
 	if i < 0 {
 		return Grant{}, ErrNotGranted
 	}
-	if r.Note == "" && command.Text != "" && s.countNotes() >= maxNotes {
+	if r.Note == "" && command.NoteText != "" && s.countNotes() >= maxNotes {
 		return Grant{}, ErrFull
 	}
-	r.Note = command.Text
+	r.Note = command.NoteText
 	return r.Grants[i], nil
 }
 
@@ -139,8 +145,9 @@
 	return count
 }
 
-// forgetUnused deletes a lease that is as one that was never named.
-func (s *State) forgetUnused(name string) {
+// deleteIfUnused deletes a lease that differs in nothing from a new one: it has no grants, no note and the default
+// MaxHolders.
+func (s *State) deleteIfUnused(name string) {
 	r := s.leases[name]
 	if r != nil && len(r.Grants) == 0 && r.MaxHolders == 1 && r.Note == "" {
 		delete(s.leases, name)
@@ -165,12 +172,12 @@
 	return nil
 }
 
-// indexOf returns the index of the grant with a token, or -1.
+// indexOf returns the index of the grant with this token, or -1 if there is none.
 func (r *record) indexOf(token Token) int {
 	return slices.IndexFunc(r.Grants, func(g Grant) bool { return g.Token == token })
 }
 
-// firstFreeSlot returns the lowest slot without a grant.
+// firstFreeSlot returns the lowest slot without a grant. It may be beyond the last slot of the lease.
 func (r *record) firstFreeSlot() int {
 	slot := 0
 	for _, g := range r.Grants { // sorted by slot
@@ -181,22 +188,22 @@
 	return slot
 }
 
-// List returns all leases that have a grant, a note or a MaxHolders of their own, sorted by name.
+// List returns all leases that have a grant, a note or a MaxHolders other than the default, sorted by name.
 func (s *State) List() []Lease {
-	all := make([]Lease, 0, len(s.leases))
+	listed := make([]Lease, 0, len(s.leases))
 	for name, r := range s.leases {
-		all = append(all, Lease{
+		listed = append(listed, Lease{
 			Name:       name,
 			MaxHolders: r.MaxHolders,
 			Grants:     slices.Clone(r.Grants),
 			Note:       r.Note,
 		})
 	}
-	slices.SortFunc(all, func(a, b Lease) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(listed, func(a, b Lease) int { return cmp.Compare(a.Name, b.Name) })
+	return listed
 }
 
-// HasGrants reports whether any grant exists. Ticks are needed only while one does.
+// HasGrants reports whether any lease has a grant. Ticks are needed only while that is the case.
 func (s *State) HasGrants() bool {
 	for _, r := range s.leases {
 		if len(r.Grants) > 0 {
@@ -206,5 +213,5 @@
 	return false
 }
 
-// Now returns the number of ticks that have been applied.
-func (s *State) Now() uint64 { return s.tick }
+// TickCount returns the number of ticks that have been applied.
+func (s *State) TickCount() uint64 { return s.tick }
