--- a/cmd/tulipctl/simulate_failover.go
+++ b/cmd/tulipctl/simulate_failover.go
@@ -23,7 +23,7 @@
 }
 
 func simulateFailover(ctx context.Context, cmd *cli.Command) error {
-	schedules, without, err := scheduleFlags(cmd, map[string]failoversim.Without{
+	schedules, without, err := scheduleFlags(cmd, map[string]failoversim.Ablation{
 		"":      {},
 		"token": {Token: true},
 		"rate":  {Rate: true},
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	outcome, err := failoversim.Many(ctx, cmd.Uint64("seed"), schedules, without)
+	outcome, err := failoversim.RunMany(ctx, cmd.Uint64("seed"), schedules, without)
 	if err != nil {
 		return err
 	}
@@ -62,5 +62,5 @@
 	if err != nil {
 		return err
 	}
-	return violationError(outcome.Broken(), outcome.First)
+	return violationError(outcome.Violations(), outcome.First)
 }
--- a/cmd/tulipctl/simulate_leases.go
+++ b/cmd/tulipctl/simulate_leases.go
@@ -28,7 +28,7 @@
 const maxMembers = 9
 
 func simulateLeases(ctx context.Context, cmd *cli.Command) error {
-	schedules, without, err := scheduleFlags(cmd, map[string]leasesim.Without{
+	schedules, without, err := scheduleFlags(cmd, map[string]leasesim.Ablation{
 		"":      {},
 		"guard": {Guard: true},
 		"fence": {Fence: true},
@@ -43,7 +43,7 @@
 	if members < 0 || members > maxMembers || members == 0 && without.Sync {
 		return fmt.Errorf("leases: --members: %d: 1 to %d, or 0 for none; a disk only members have", members, maxMembers)
 	}
-	outcome, latencies, err := leasesim.Many(ctx, cmd.Uint64("seed"), schedules, without, members)
+	outcome, latencies, err := leasesim.RunMany(ctx, cmd.Uint64("seed"), schedules, without, members)
 	if err != nil {
 		return err
 	}
@@ -77,5 +77,5 @@
 	if err != nil {
 		return err
 	}
-	return violationError(outcome.Broken(), outcome.First)
+	return violationError(outcome.Violations(), outcome.First)
 }
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -35,8 +35,8 @@
 	return maxPlanHeaderBytes + zones*classes*(zones*maxShareBytes+maxRowBytes)
 }
 
-// Newer reports whether p supersedes another plan, which may be nil.
-func (p *Plan) Newer(than *Plan) bool {
+// IsNewerThan reports whether p supersedes another plan, which may be nil.
+func (p *Plan) IsNewerThan(than *Plan) bool {
 	return than == nil || cmp.Or(cmp.Compare(p.Token, than.Token), cmp.Compare(p.Revision, than.Revision)) > 0
 }
 
@@ -91,7 +91,7 @@
 
 // Update replaces the plan by a newer one, if that is valid.
 func (c *CurrentPlan) Update(plan *Plan, now time.Duration) error {
-	if !plan.Newer(c.plan) {
+	if !plan.IsNewerThan(c.plan) {
 		return ErrStalePlan
 	}
 	if err := plan.Check(c.zones, c.classes); err != nil {
--- a/internal/processtest/failover_test.go
+++ b/internal/processtest/failover_test.go
@@ -110,7 +110,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	// Revisions grow over changes of the failover leader, too: each leader continues the plan of the one before.
-	if previous := n.latestPlans[address]; previous != nil && (previous.Newer(&plan) || plan.Revision < previous.Revision) {
+	if previous := n.latestPlans[address]; previous != nil && (previous.IsNewerThan(&plan) || plan.Revision < previous.Revision) {
 		n.disagreement = append(n.disagreement,
 			fmt.Sprintf("%s: plan %d/%d after %d/%d", address, plan.Token, plan.Revision, previous.Token, previous.Revision))
 	}
--- a/internal/simulation/failoversim/agent.go
+++ b/internal/simulation/failoversim/agent.go
@@ -106,7 +106,7 @@
 		panic(err)
 	}
 	s.outcome.Plans++
-	if plan.Newer(s.latest) {
+	if plan.IsNewerThan(s.latest) {
 		s.latest = plan
 	}
 	if a.previous != nil {
--- a/internal/simulation/failoversim/failoversim.go
+++ b/internal/simulation/failoversim/failoversim.go
@@ -9,8 +9,8 @@
 	"tulipglade/internal/simulation/stats"
 )
 
-// Without names a mechanism that is left out, to show that the checks find its absence.
-type Without struct {
+// Ablation names a mechanism that is left out, to show that the checks find its absence.
+type Ablation struct {
 	Token bool // nodes take up plans in any order
 	Rate  bool // plans move traffic to its target at once
 	Fade  bool // a plan that is too old has no effect at once
@@ -37,12 +37,12 @@
 	First              int64   `json:"first,omitempty"`
 }
 
-// Broken is how often an invariant was broken.
-func (o Outcome) Broken() int { return o.Backwards + o.Jumps + o.Cliffs }
+// Violations is how often an invariant was broken.
+func (o Outcome) Violations() int { return o.Backwards + o.Jumps + o.Cliffs }
 
-// Many plays the schedules of consecutive seeds on all cores. Fractions are means.
-func Many(ctx context.Context, first uint64, schedules int, without Without) (sum Outcome, err error) {
-	all, err := stats.Play(ctx, schedules, func(i int) Outcome { return Play(first+uint64(i), without) })
+// RunMany plays the schedules of consecutive seeds on all cores. Fractions are means.
+func RunMany(ctx context.Context, first uint64, schedules int, without Ablation) (sum Outcome, err error) {
+	all, err := stats.Play(ctx, schedules, func(i int) Outcome { return Run(first+uint64(i), without) })
 	if err != nil {
 		return sum, err
 	}
@@ -51,7 +51,7 @@
 		if outcome.Died > 0 {
 			alone += outcome.ValueWithoutAgents
 		}
-		if outcome.Broken() > 0 && sum.Broken() == 0 {
+		if outcome.Violations() > 0 && sum.Violations() == 0 {
 			sum.First = int64(first) + int64(i)
 		}
 		stats.Add(&sum, outcome, 1/float64(schedules))
--- a/internal/simulation/failoversim/failoversim_test.go
+++ b/internal/simulation/failoversim/failoversim_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-func playMany(t *testing.T, schedules int, without Without) Outcome {
+func playMany(t *testing.T, schedules int, without Ablation) Outcome {
 	t.Helper()
-	outcome, err := Many(t.Context(), 1, schedules, without)
+	outcome, err := RunMany(t.Context(), 1, schedules, without)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -16,10 +16,10 @@
 // is served is near the optimum, with little more traffic between zones than that needs and few changes of direction. Nodes that choose by
 // themselves are worse in all three; when all agents have died it is as with them.
 func TestScheduledFaultsKeepInvariants(t *testing.T) {
-	outcome := playMany(t, 60, Without{})
-	local := playMany(t, 60, Without{Plans: true})
-	if outcome.Broken() > 0 {
-		t.Errorf("broken %d times, first by schedule %d", outcome.Broken(), outcome.First)
+	outcome := playMany(t, 60, Ablation{})
+	local := playMany(t, 60, Ablation{Plans: true})
+	if outcome.Violations() > 0 {
+		t.Errorf("broken %d times, first by schedule %d", outcome.Violations(), outcome.First)
 	}
 	if outcome.ServedValue < 0.97 || outcome.Crossing > 1.1*outcome.Needed || outcome.Reversals > 2*outcome.Events {
 		t.Error("worse than the objectives")
@@ -36,12 +36,12 @@
 // The checks can fail: with a mechanism left out they find its absence.
 func TestChecksFindMissingMechanism(t *testing.T) {
 	for name, test := range map[string]struct {
-		without Without
+		without Ablation
 		found   func(Outcome) int
 	}{
-		"order of plans": {Without{Token: true}, func(o Outcome) int { return o.Backwards }},
-		"rate":           {Without{Rate: true}, func(o Outcome) int { return o.Jumps }},
-		"fade":           {Without{Fade: true}, func(o Outcome) int { return o.Cliffs }},
+		"order of plans": {Ablation{Token: true}, func(o Outcome) int { return o.Backwards }},
+		"rate":           {Ablation{Rate: true}, func(o Outcome) int { return o.Jumps }},
+		"fade":           {Ablation{Fade: true}, func(o Outcome) int { return o.Cliffs }},
 	} {
 		if outcome := playMany(t, 20, test.without); test.found(outcome) == 0 {
 			t.Errorf("without the %s nothing is found", name)
@@ -51,7 +51,7 @@
 
 func TestSchedulesAreDeterministic(t *testing.T) {
 	for seed := range uint64(3) {
-		first, second := Play(seed, Without{}), Play(seed, Without{})
+		first, second := Run(seed, Ablation{}), Run(seed, Ablation{})
 		if first != second {
 			t.Fatalf("schedule %d: %+v, then %+v", seed, first, second)
 		}
--- a/internal/simulation/failoversim/node.go
+++ b/internal/simulation/failoversim/node.go
@@ -72,7 +72,7 @@
 		s.outcome.Rejected++
 		return
 	}
-	if n.newest != nil && !plan.Newer(n.newest) {
+	if n.newest != nil && !plan.IsNewerThan(n.newest) {
 		s.outcome.Backwards++
 		return
 	}
--- a/internal/simulation/failoversim/schedule.go
+++ b/internal/simulation/failoversim/schedule.go
@@ -50,7 +50,7 @@
 // schedule is the state of one schedule. The order of its random draws, and of its sums, is part of what a seed means.
 type schedule struct {
 	outcome  Outcome
-	without  Without
+	without  Ablation
 	topology failover.Topology
 	rules    failover.Rules
 	optimal  *failover.Planner // knows everything, and leaves no headroom
@@ -73,8 +73,8 @@
 	account account
 }
 
-// Play plays one schedule.
-func Play(seed uint64, without Without) Outcome {
+// Run plays one schedule.
+func Run(seed uint64, without Ablation) Outcome {
 	s := newSchedule(seed, without)
 	s.addAgents()
 	s.addZones()
@@ -89,7 +89,7 @@
 	return s.outcome
 }
 
-func newSchedule(seed uint64, without Without) *schedule {
+func newSchedule(seed uint64, without Ablation) *schedule {
 	s := &schedule{
 		outcome:     Outcome{Schedules: 1},
 		without:     without,
--- a/internal/simulation/leasesim/group_test.go
+++ b/internal/simulation/leasesim/group_test.go
@@ -5,13 +5,13 @@
 // Schedules of a group of any number of members, each with a disk, and with faults among them, break no invariant.
 func TestGroupSchedulesKeepInvariants(t *testing.T) {
 	for _, members := range []int{1, 3, 5} {
-		outcome, took, err := Many(t.Context(), 1, 40, Without{}, members)
+		outcome, took, err := RunMany(t.Context(), 1, 40, Ablation{}, members)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("%d members: %+v", members, outcome)
-		if outcome.Broken() > 0 {
-			t.Errorf("%d members: broken %d times, first by schedule %d", members, outcome.Broken(), outcome.First)
+		if outcome.Violations() > 0 {
+			t.Errorf("%d members: broken %d times, first by schedule %d", members, outcome.Violations(), outcome.First)
 		}
 		withActions := outcome.Stale > 0 && outcome.Withheld > 0 && outcome.Actions >= 10*outcome.Schedules
 		withFaults := outcome.Changes >= 5 && outcome.Faults >= 2*outcome.Schedules && took.Lead.TotalCount() >= 20
@@ -24,13 +24,13 @@
 // A disk that does not have what it has promised is found, and so is a missing fence, with a group as without one.
 func TestGroupChecksFindMissingMechanism(t *testing.T) {
 	for name, test := range map[string]struct {
-		without Without
+		without Ablation
 		found   func(Outcome) int
 	}{
-		"sync":  {Without{Sync: true}, func(o Outcome) int { return o.Disagreements + o.DuplicateGrants }},
-		"fence": {Without{Fence: true}, func(o Outcome) int { return o.Overlaps + o.Backwards }},
+		"sync":  {Ablation{Sync: true}, func(o Outcome) int { return o.Disagreements + o.DuplicateGrants }},
+		"fence": {Ablation{Fence: true}, func(o Outcome) int { return o.Overlaps + o.Backwards }},
 	} {
-		if outcome, _, err := Many(t.Context(), 1, 30, test.without, 3); err != nil || test.found(outcome) == 0 {
+		if outcome, _, err := RunMany(t.Context(), 1, 30, test.without, 3); err != nil || test.found(outcome) == 0 {
 			t.Errorf("without the %s nothing is found: %v %+v", name, err, outcome)
 		}
 	}
@@ -38,8 +38,8 @@
 
 func TestGroupSchedulesAreDeterministic(t *testing.T) {
 	for seed := range uint64(5) {
-		first, _ := Play(seed, Without{}, 3)
-		if second, _ := Play(seed, Without{}, 3); first != second {
+		first, _ := Run(seed, Ablation{}, 3)
+		if second, _ := Run(seed, Ablation{}, 3); first != second {
 			t.Fatalf("schedule %d: %+v, then %+v", seed, first, second)
 		}
 	}
--- a/internal/simulation/leasesim/leasesim.go
+++ b/internal/simulation/leasesim/leasesim.go
@@ -13,8 +13,8 @@
 	"tulipglade/internal/simulation/stats"
 )
 
-// Without names a safety mechanism that is left out, to show that the checks find its absence.
-type Without struct {
+// Ablation names a safety mechanism that is left out, to show that the checks find its absence.
+type Ablation struct {
 	Guard       bool // holders act whenever they believe that they hold the lease
 	Fence       bool // the target admits every action
 	Clock       bool // the duration of a grant is counted from its response, not from the request
@@ -59,8 +59,8 @@
 	First                int64 `json:"first,omitempty"`
 }
 
-// Broken is how often an invariant was broken.
-func (o Outcome) Broken() int {
+// Violations is how often an invariant was broken.
+func (o Outcome) Violations() int {
 	return o.Overlaps + o.Backwards + o.Idle + o.UnexpectedRejections + o.DuplicateGrants + o.Disagreements
 }
 
@@ -76,14 +76,14 @@
 
 const histogramDigits = 3
 
-// Many plays the schedules of consecutive seeds on all cores.
-func Many(ctx context.Context, first uint64, schedules int, without Without, members int) (sum Outcome, took Takeovers, err error) {
+// RunMany plays the schedules of consecutive seeds on all cores.
+func RunMany(ctx context.Context, first uint64, schedules int, without Ablation, members int) (sum Outcome, took Takeovers, err error) {
 	type played struct {
 		outcome Outcome
 		gaps    Gaps
 	}
 	all, err := stats.Play(ctx, schedules, func(i int) (one played) {
-		one.outcome, one.gaps = Play(first+uint64(i), without, members)
+		one.outcome, one.gaps = Run(first+uint64(i), without, members)
 		return one
 	})
 	if err != nil {
@@ -92,7 +92,7 @@
 	took = Takeovers{All: newHistogram(), Well: newHistogram(), Lead: newHistogram()}
 	for i, one := range all {
 		err = errors.Join(err, record(took.All, one.gaps.All), record(took.Well, one.gaps.Undisturbed), record(took.Lead, one.gaps.Lead))
-		if one.outcome.Broken() > 0 && sum.Broken() == 0 {
+		if one.outcome.Violations() > 0 && sum.Violations() == 0 {
 			sum.First = int64(first) + int64(i)
 		}
 		stats.Add(&sum, one.outcome, 0)
--- a/internal/simulation/leasesim/leasesim_test.go
+++ b/internal/simulation/leasesim/leasesim_test.go
@@ -8,7 +8,7 @@
 
 // Schedules of stops, wrong clocks, losses and leaders that die break no invariant.
 func TestScheduledFaultsKeepInvariants(t *testing.T) {
-	outcome, took, err := Many(t.Context(), 1, 2000, Without{}, 0)
+	outcome, took, err := RunMany(t.Context(), 1, 2000, Ablation{}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,8 +22,8 @@
 		t.Errorf("%d takeovers; %d without any other fault, in %d ms for nine in ten, by the design %d",
 			took.All.TotalCount(), took.Well.TotalCount(), took.Well.ValueAtQuantile(90), bound)
 	}
-	if outcome.Broken() > 0 {
-		t.Errorf("broken %d times, first by schedule %d", outcome.Broken(), outcome.First)
+	if outcome.Violations() > 0 {
+		t.Errorf("broken %d times, first by schedule %d", outcome.Violations(), outcome.First)
 	}
 	withActions := outcome.Stale > 0 && outcome.Busy > 0 && outcome.Withheld > 0 && outcome.Actions >= 10*outcome.Schedules
 	if !withActions || outcome.Leaders < 2*outcome.Schedules {
@@ -34,15 +34,15 @@
 // The checks can fail: with a mechanism left out, the same schedules find its absence.
 func TestChecksFindMissingMechanism(t *testing.T) {
 	for name, test := range map[string]struct {
-		without Without
+		without Ablation
 		found   func(Outcome) int
 	}{
-		"guard":                 {Without{Guard: true}, func(o Outcome) int { return o.UnexpectedRejections }},
-		"fence":                 {Without{Fence: true}, func(o Outcome) int { return min(o.Overlaps, o.Backwards) }},
-		"wait before a release": {Without{ReleaseWait: true}, func(o Outcome) int { return o.UnexpectedRejections }},
-		"clock":                 {Without{Clock: true, Fence: true}, func(o Outcome) int { return o.Overlaps }},
+		"guard":                 {Ablation{Guard: true}, func(o Outcome) int { return o.UnexpectedRejections }},
+		"fence":                 {Ablation{Fence: true}, func(o Outcome) int { return min(o.Overlaps, o.Backwards) }},
+		"wait before a release": {Ablation{ReleaseWait: true}, func(o Outcome) int { return o.UnexpectedRejections }},
+		"clock":                 {Ablation{Clock: true, Fence: true}, func(o Outcome) int { return o.Overlaps }},
 	} {
-		outcome, _, err := Many(t.Context(), 1, 500, test.without, 0)
+		outcome, _, err := RunMany(t.Context(), 1, 500, test.without, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,8 +55,8 @@
 // A schedule is the same each time.
 func TestSchedulesAreDeterministic(t *testing.T) {
 	for seed := range uint64(50) {
-		first, firstGaps := Play(seed, Without{}, 0)
-		second, secondGaps := Play(seed, Without{}, 0)
+		first, firstGaps := Run(seed, Ablation{}, 0)
+		second, secondGaps := Run(seed, Ablation{}, 0)
 		if first != second || !slices.Equal(firstGaps.All, secondGaps.All) {
 			t.Fatalf("schedule %d: %+v, then %+v", seed, first, second)
 		}
--- a/internal/simulation/leasesim/schedule.go
+++ b/internal/simulation/leasesim/schedule.go
@@ -43,7 +43,7 @@
 	outcome Outcome
 	gaps    Gaps
 	faults  Faults
-	without Without
+	without Ablation
 
 	random *rand.Rand
 	queue  eventqueue.Sim
@@ -62,7 +62,7 @@
 	lostHolders map[int]lostHolder  // by slot
 }
 
-func newSchedule(seed uint64, without Without) *schedule {
+func newSchedule(seed uint64, without Ablation) *schedule {
 	return &schedule{
 		outcome:     Outcome{Schedules: 1},
 		without:     without,
@@ -74,9 +74,9 @@
 	}
 }
 
-// Play plays one schedule: with a group of so many members, or, where that is 0, with a single state that one leader after the other
+// Run plays one schedule: with a group of so many members, or, where that is 0, with a single state that one leader after the other
 // changes.
-func Play(seed uint64, without Without, members int) (outcome Outcome, gaps Gaps) {
+func Run(seed uint64, without Ablation, members int) (outcome Outcome, gaps Gaps) {
 	s := newSchedule(seed, without)
 	defer func() {
 		if broken := recover(); broken != nil { // raft panics where an invariant of its own is broken
