--- a/cmd/tulipctl/simulate_failover.go
+++ b/cmd/tulipctl/simulate_failover.go
@@ -46,21 +46,21 @@
 			{"events", outcome.Events},
 			{"plans", outcome.Plans},
 			{"failover leaders", outcome.Leaders},
-			{"schedules in which all failover leaders stop", outcome.Died},
+			{"schedules in which all failover leaders stop", outcome.AllAgentsDied},
 			{"plans rejected because a newer one was in effect", outcome.Rejected},
 			{"changes of direction", outcome.Reversals},
-			{"PLANS APPLIED AFTER NEWER ONES", outcome.Backwards},
-			{"ZONES THAT GREW FASTER THAN ALLOWED", outcome.Jumps},
-			{"PLANS THAT EXPIRED WITHOUT A FADE", outcome.Cliffs},
+			{"PLANS APPLIED AFTER NEWER ONES", outcome.PlanRegressions},
+			{"ZONES THAT GREW FASTER THAN ALLOWED", outcome.GrowthViolations},
+			{"PLANS THAT EXPIRED WITHOUT A FADE", outcome.AbruptFades},
 		})
 		writef(t, "value served, of the optimum's, from 10 s after each event\t%.4f\n", outcome.ServedValue)
 		writef(t, "the same over the whole time\t%.4f\n", outcome.OverallValue)
 		writef(t, "the same when all failover leaders have stopped\t%.4f\n", outcome.ValueWithoutAgents)
-		writef(t, "traffic between zones from 10 s after each event, and the optimum's\t%.4f, %.4f\n", outcome.Crossing, outcome.Needed)
+		writef(t, "traffic between zones from 10 s after each event, and the optimum's\t%.4f, %.4f\n", outcome.CrossZoneShare, outcome.OptimalCrossZoneShare)
 		err = t.Flush()
 	}
 	if err != nil {
 		return err
 	}
-	return violationError(outcome.Violations(), outcome.First)
+	return violationError(outcome.Violations(), outcome.FirstViolation)
 }
--- a/cmd/tulipctl/simulate_leases.go
+++ b/cmd/tulipctl/simulate_leases.go
@@ -58,10 +58,10 @@
 			{"holders killed", outcome.Kills},
 			{"actions admitted", outcome.Actions},
 			{"actions withheld by uncertain holders", outcome.Withheld},
-			{"actions rejected by their fencing token", outcome.Stale},
+			{"actions rejected by their fencing token", outcome.StaleRejections},
 			{"actions rejected because an earlier one was running", outcome.Busy},
 			{"OVERLAPS", outcome.Overlaps},
-			{"OLDER AFTER NEWER", outcome.Backwards},
+			{"OLDER AFTER NEWER", outcome.TokenRegressions},
 			{"REJECTED ALTHOUGH THE GUARD SUFFICES", outcome.UnexpectedRejections},
 			{"faults among members", outcome.Faults},
 			{"membership changes", outcome.Changes},
@@ -70,12 +70,12 @@
 			{"NO ACTIONS AFTER THE FAULTS", outcome.Idle},
 		})
 		printQuantiles(t, "from a holder's end to its successor's first action", latencies.All)
-		printQuantiles(t, "the same without other faults", latencies.Well)
-		printQuantiles(t, "from a leading member's end to the next leader", latencies.Lead)
+		printQuantiles(t, "the same without other faults", latencies.Undisturbed)
+		printQuantiles(t, "from a leading member's end to the next leader", latencies.LeaderElection)
 		err = t.Flush()
 	}
 	if err != nil {
 		return err
 	}
-	return violationError(outcome.Violations(), outcome.First)
+	return violationError(outcome.Violations(), outcome.FirstViolation)
 }
--- a/internal/simulation/failoversim/account.go
+++ b/internal/simulation/failoversim/account.go
@@ -45,8 +45,8 @@
 	outcome.ServedValue = a.settled.fraction()
 	outcome.OverallValue = a.overall.fraction()
 	outcome.ValueWithoutAgents = a.alone.fraction()
-	outcome.Crossing = a.crossing.achieved / max(a.traffic, 1)
-	outcome.Needed = a.crossing.optimal / max(a.traffic, 1)
+	outcome.CrossZoneShare = a.crossing.achieved / max(a.traffic, 1)
+	outcome.OptimalCrossZoneShare = a.crossing.optimal / max(a.traffic, 1)
 }
 
 // changesDirection reports whether the crossing part changes its direction with a new value.
--- a/internal/simulation/failoversim/agent.go
+++ b/internal/simulation/failoversim/agent.go
@@ -133,7 +133,7 @@
 		}
 		allowed := failover.DefaultRules.MaxGrowthRate*interval.Seconds()*totals.Capacity[to] + growthTolerance
 		if growth-returning > allowed {
-			s.outcome.Jumps++
+			s.outcome.GrowthViolations++
 		}
 	}
 }
--- a/internal/simulation/failoversim/failoversim_test.go
+++ b/internal/simulation/failoversim/failoversim_test.go
@@ -19,16 +19,16 @@
 	outcome := playMany(t, 60, Ablation{})
 	local := playMany(t, 60, Ablation{Plans: true})
 	if outcome.Violations() > 0 {
-		t.Errorf("broken %d times, first by schedule %d", outcome.Violations(), outcome.First)
+		t.Errorf("broken %d times, first by schedule %d", outcome.Violations(), outcome.FirstViolation)
 	}
-	if outcome.ServedValue < 0.97 || outcome.Crossing > 1.1*outcome.Needed || outcome.Reversals > 2*outcome.Events {
+	if outcome.ServedValue < 0.97 || outcome.CrossZoneShare > 1.1*outcome.OptimalCrossZoneShare || outcome.Reversals > 2*outcome.Events {
 		t.Error("worse than the objectives")
 	}
-	worseThanLocal := local.ServedValue > outcome.ServedValue-0.02 || local.Crossing < 2*outcome.Crossing
+	worseThanLocal := local.ServedValue > outcome.ServedValue-0.02 || local.CrossZoneShare < 2*outcome.CrossZoneShare
 	if worseThanLocal || outcome.ValueWithoutAgents < local.ServedValue-0.05 {
 		t.Error("no better than nodes by themselves, or worse without agents")
 	}
-	if outcome.Leaders < outcome.Schedules || outcome.Rejected < outcome.Schedules || outcome.Died < 5 {
+	if outcome.Leaders < outcome.Schedules || outcome.Rejected < outcome.Schedules || outcome.AllAgentsDied < 5 {
 		t.Error("the schedules are too mild to show anything")
 	}
 }
@@ -39,9 +39,9 @@
 		without Ablation
 		found   func(Outcome) int
 	}{
-		"order of plans": {Ablation{Token: true}, func(o Outcome) int { return o.Backwards }},
-		"rate":           {Ablation{Rate: true}, func(o Outcome) int { return o.Jumps }},
-		"fade":           {Ablation{Fade: true}, func(o Outcome) int { return o.Cliffs }},
+		"order of plans": {Ablation{Token: true}, func(o Outcome) int { return o.PlanRegressions }},
+		"rate":           {Ablation{Rate: true}, func(o Outcome) int { return o.GrowthViolations }},
+		"fade":           {Ablation{Fade: true}, func(o Outcome) int { return o.AbruptFades }},
 	} {
 		if outcome := playMany(t, 20, test.without); test.found(outcome) == 0 {
 			t.Errorf("without the %s nothing is found", name)
--- a/internal/simulation/failoversim/node.go
+++ b/internal/simulation/failoversim/node.go
@@ -73,7 +73,7 @@
 		return
 	}
 	if n.newest != nil && !plan.IsNewerThan(n.newest) {
-		s.outcome.Backwards++
+		s.outcome.PlanRegressions++
 		return
 	}
 	n.newest = plan
@@ -127,6 +127,6 @@
 		change = max(change, (n.previousWeight[class]-weight)*math.Abs(previous[z]-local[z]))
 	}
 	if change > cliffThreshold {
-		n.schedule.outcome.Cliffs++
+		n.schedule.outcome.AbruptFades++
 	}
 }
--- a/internal/simulation/failoversim/schedule.go
+++ b/internal/simulation/failoversim/schedule.go
@@ -176,7 +176,7 @@
 		return
 	}
 	s.agentsDieAt = eventqueue.Between(s.events, 15*time.Second, 30*time.Second)
-	s.outcome.Died++
+	s.outcome.AllAgentsDied++
 	s.after(s.agentsDieAt, func() {
 		for _, a := range s.agents {
 			a.stoppedUntil, a.cutUntil = never, never
--- a/internal/simulation/leasesim/group_test.go
+++ b/internal/simulation/leasesim/group_test.go
@@ -11,10 +11,10 @@
 		}
 		t.Logf("%d members: %+v", members, outcome)
 		if outcome.Violations() > 0 {
-			t.Errorf("%d members: broken %d times, first by schedule %d", members, outcome.Violations(), outcome.First)
+			t.Errorf("%d members: broken %d times, first by schedule %d", members, outcome.Violations(), outcome.FirstViolation)
 		}
-		withActions := outcome.Stale > 0 && outcome.Withheld > 0 && outcome.Actions >= 10*outcome.Schedules
-		withFaults := outcome.Changes >= 5 && outcome.Faults >= 2*outcome.Schedules && took.Lead.TotalCount() >= 20
+		withActions := outcome.StaleRejections > 0 && outcome.Withheld > 0 && outcome.Actions >= 10*outcome.Schedules
+		withFaults := outcome.Changes >= 5 && outcome.Faults >= 2*outcome.Schedules && took.LeaderElection.TotalCount() >= 20
 		if !withActions || !withFaults {
 			t.Error("the schedules are too mild to show anything")
 		}
@@ -28,7 +28,7 @@
 		found   func(Outcome) int
 	}{
 		"sync":  {Ablation{Sync: true}, func(o Outcome) int { return o.Disagreements + o.DuplicateGrants }},
-		"fence": {Ablation{Fence: true}, func(o Outcome) int { return o.Overlaps + o.Backwards }},
+		"fence": {Ablation{Fence: true}, func(o Outcome) int { return o.Overlaps + o.TokenRegressions }},
 	} {
 		if outcome, _, err := RunMany(t.Context(), 1, 30, test.without, 3); err != nil || test.found(outcome) == 0 {
 			t.Errorf("without the %s nothing is found: %v %+v", name, err, outcome)
--- a/internal/simulation/leasesim/leasesim.go
+++ b/internal/simulation/leasesim/leasesim.go
@@ -42,37 +42,37 @@
 type Outcome struct {
 	Schedules            int   `json:"schedules"`
 	Actions              int   `json:"acts"`     // actions that the target admitted
-	Stale                int   `json:"old"`      // actions rejected for their token
+	StaleRejections      int   `json:"old"`      // actions rejected for their token
 	Busy                 int   `json:"busy"`     // actions rejected as an earlier one was in progress
 	Withheld             int   `json:"withheld"` // actions that holders did not start, as their lease was uncertain
 	Grants               int   `json:"grants"`
 	Leaders              int   `json:"leaders"`
 	Kills                int   `json:"kills"`     // of holders with a grant
 	Overlaps             int   `json:"overlaps"`  // of two actions on one slot under different tokens
-	Backwards            int   `json:"backwards"` // actions admitted under an older token than one before
+	TokenRegressions     int   `json:"backwards"` // actions admitted under an older token than one before
 	Idle                 int   `json:"idle"`      // schedules after whose faults no holder acted
 	UnexpectedRejections int   `json:"unneeded"`  // actions rejected for their token in schedules where the guard alone must be enough
 	DuplicateGrants      int   `json:"twice"`     // tokens that were granted to two requests
 	Disagreements        int   `json:"split"`     // members that disagree, or could not go on
 	Faults               int   `json:"faults"`    // among members
 	Changes              int   `json:"changes"`   // completed replacements of members of which the removed member was notified
-	First                int64 `json:"first,omitempty"`
+	FirstViolation       int64 `json:"first,omitempty"`
 }
 
 // Violations is how often an invariant was broken.
 func (o Outcome) Violations() int {
-	return o.Overlaps + o.Backwards + o.Idle + o.UnexpectedRejections + o.DuplicateGrants + o.Disagreements
+	return o.Overlaps + o.TokenRegressions + o.Idle + o.UnexpectedRejections + o.DuplicateGrants + o.Disagreements
 }
 
 // Gaps are the times that leases and the group were without a holder or a leader.
 type Gaps struct {
-	All         []time.Duration // from a holder's death to the next holder's first action on the slot
-	Undisturbed []time.Duration // the same, of schedules without any other fault and with one slot
-	Lead        []time.Duration // from a leading member's death to the next leader
+	All            []time.Duration // from a holder's death to the next holder's first action on the slot
+	Undisturbed    []time.Duration // the same, of schedules without any other fault and with one slot
+	LeaderElection []time.Duration // from a leading member's death to the next leader
 }
 
 // Takeovers are histograms of gaps, in ms.
-type Takeovers struct{ All, Well, Lead *hdrhistogram.Histogram }
+type Takeovers struct{ All, Undisturbed, LeaderElection *hdrhistogram.Histogram }
 
 const histogramDigits = 3
 
@@ -89,11 +89,11 @@
 	if err != nil {
 		return sum, took, err
 	}
-	took = Takeovers{All: newHistogram(), Well: newHistogram(), Lead: newHistogram()}
+	took = Takeovers{All: newHistogram(), Undisturbed: newHistogram(), LeaderElection: newHistogram()}
 	for i, one := range all {
-		err = errors.Join(err, record(took.All, one.gaps.All), record(took.Well, one.gaps.Undisturbed), record(took.Lead, one.gaps.Lead))
+		err = errors.Join(err, record(took.All, one.gaps.All), record(took.Undisturbed, one.gaps.Undisturbed), record(took.LeaderElection, one.gaps.LeaderElection))
 		if one.outcome.Violations() > 0 && sum.Violations() == 0 {
-			sum.First = int64(first) + int64(i)
+			sum.FirstViolation = int64(first) + int64(i)
 		}
 		stats.Add(&sum, one.outcome, 0)
 	}
--- a/internal/simulation/leasesim/leasesim_test.go
+++ b/internal/simulation/leasesim/leasesim_test.go
@@ -18,14 +18,14 @@
 	const longestRequestPause, longestActionPause = 600 * time.Millisecond, 400 * time.Millisecond
 	longestGrant := (grantTicks + 1) * tickInterval * 105 / 100
 	bound := (longestGrant + longestRequestPause + longestActionPause + 3*longestDelay).Milliseconds()
-	if took.All.TotalCount() < 1000 || took.Well.TotalCount() < 20 || took.Well.ValueAtQuantile(90) > bound {
+	if took.All.TotalCount() < 1000 || took.Undisturbed.TotalCount() < 20 || took.Undisturbed.ValueAtQuantile(90) > bound {
 		t.Errorf("%d takeovers; %d without any other fault, in %d ms for nine in ten, by the design %d",
-			took.All.TotalCount(), took.Well.TotalCount(), took.Well.ValueAtQuantile(90), bound)
+			took.All.TotalCount(), took.Undisturbed.TotalCount(), took.Undisturbed.ValueAtQuantile(90), bound)
 	}
 	if outcome.Violations() > 0 {
-		t.Errorf("broken %d times, first by schedule %d", outcome.Violations(), outcome.First)
+		t.Errorf("broken %d times, first by schedule %d", outcome.Violations(), outcome.FirstViolation)
 	}
-	withActions := outcome.Stale > 0 && outcome.Busy > 0 && outcome.Withheld > 0 && outcome.Actions >= 10*outcome.Schedules
+	withActions := outcome.StaleRejections > 0 && outcome.Busy > 0 && outcome.Withheld > 0 && outcome.Actions >= 10*outcome.Schedules
 	if !withActions || outcome.Leaders < 2*outcome.Schedules {
 		t.Error("the schedules are too mild to show anything")
 	}
@@ -38,7 +38,7 @@
 		found   func(Outcome) int
 	}{
 		"guard":                 {Ablation{Guard: true}, func(o Outcome) int { return o.UnexpectedRejections }},
-		"fence":                 {Ablation{Fence: true}, func(o Outcome) int { return min(o.Overlaps, o.Backwards) }},
+		"fence":                 {Ablation{Fence: true}, func(o Outcome) int { return min(o.Overlaps, o.TokenRegressions) }},
 		"wait before a release": {Ablation{ReleaseWait: true}, func(o Outcome) int { return o.UnexpectedRejections }},
 		"clock":                 {Ablation{Clock: true, Fence: true}, func(o Outcome) int { return o.Overlaps }},
 	} {
--- a/internal/simulation/leasesim/member.go
+++ b/internal/simulation/leasesim/member.go
@@ -137,7 +137,7 @@
 	g, s := m.group, m.group.schedule
 	s.outcome.Leaders++
 	if g.leaderDiedAt > 0 {
-		s.gaps.Lead = append(s.gaps.Lead, s.now-g.leaderDiedAt)
+		s.gaps.LeaderElection = append(s.gaps.LeaderElection, s.now-g.leaderDiedAt)
 		g.leaderDiedAt = 0
 	}
 }
--- a/internal/simulation/leasesim/schedule.go
+++ b/internal/simulation/leasesim/schedule.go
@@ -153,7 +153,7 @@
 	// With processes that are not stopped, clocks within the terms and actions that arrive in the time that holders allow for, the fence has
 	// nothing to reject, however bad the network to the group is.
 	if f := s.faults; !f.Stops && !f.Clocks && !f.Late {
-		s.outcome.UnexpectedRejections = s.outcome.Stale + s.outcome.Busy
+		s.outcome.UnexpectedRejections = s.outcome.StaleRejections + s.outcome.Busy
 	}
 	if s.faults == (Faults{Kills: true}) && maxHolders == 1 {
 		s.gaps.Undisturbed = s.gaps.All
--- a/internal/simulation/leasesim/target.go
+++ b/internal/simulation/leasesim/target.go
@@ -18,7 +18,7 @@
 func (s *schedule) handleAction(grant lease.Grant) {
 	if err := s.fence.Begin(grant); err != nil && !s.without.Fence {
 		if errors.Is(err, fencing.ErrStaleToken) {
-			s.outcome.Stale++
+			s.outcome.StaleRejections++
 		} else {
 			s.outcome.Busy++
 		}
@@ -47,7 +47,7 @@
 		}
 	}
 	if grant.Token < s.newest[grant.Slot] {
-		s.outcome.Backwards++
+		s.outcome.TokenRegressions++
 	}
 	s.newest[grant.Slot] = max(s.newest[grant.Slot], grant.Token)
 }
