--- a/cmd/tulipctl/simulate_failover.go
+++ b/cmd/tulipctl/simulate_failover.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	outcome, err := failoversim.RunMany(ctx, cmd.Uint64("seed"), schedules, without)
+	outcome, err := failoversim.RunSchedules(ctx, cmd.Uint64("seed"), schedules, without)
 	if err != nil {
 		return err
 	}
--- a/cmd/tulipctl/simulate_leases.go
+++ b/cmd/tulipctl/simulate_leases.go
@@ -43,7 +43,7 @@
 	if members < 0 || members > maxMembers || members == 0 && without.Sync {
 		return fmt.Errorf("leases: --members: %d: 1 to %d, or 0 for none; a disk only members have", members, maxMembers)
 	}
-	outcome, latencies, err := leasesim.RunMany(ctx, cmd.Uint64("seed"), schedules, without, members)
+	outcome, latencies, err := leasesim.RunSchedules(ctx, cmd.Uint64("seed"), schedules, without, members)
 	if err != nil {
 		return err
 	}
--- a/internal/simulation/failoversim/failoversim.go
+++ b/internal/simulation/failoversim/failoversim.go
@@ -40,9 +40,9 @@
 // Violations is how often an invariant was broken.
 func (o Outcome) Violations() int { return o.PlanRegressions + o.GrowthViolations + o.AbruptFades }
 
-// RunMany plays the schedules of consecutive seeds on all cores. Fractions are means.
-func RunMany(ctx context.Context, first uint64, schedules int, without Ablation) (sum Outcome, err error) {
-	all, err := stats.Play(ctx, schedules, func(i int) Outcome { return Run(first+uint64(i), without) })
+// RunSchedules plays the schedules of consecutive seeds on all cores. Fractions are means.
+func RunSchedules(ctx context.Context, first uint64, schedules int, without Ablation) (sum Outcome, err error) {
+	all, err := stats.Play(ctx, schedules, func(i int) Outcome { return RunSchedule(first+uint64(i), without) })
 	if err != nil {
 		return sum, err
 	}
--- a/internal/simulation/failoversim/failoversim_test.go
+++ b/internal/simulation/failoversim/failoversim_test.go
@@ -4,7 +4,7 @@
 
 func playMany(t *testing.T, schedules int, without Ablation) Outcome {
 	t.Helper()
-	outcome, err := RunMany(t.Context(), 1, schedules, without)
+	outcome, err := RunSchedules(t.Context(), 1, schedules, without)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 
 func TestSchedulesAreDeterministic(t *testing.T) {
 	for seed := range uint64(3) {
-		first, second := Run(seed, Ablation{}), Run(seed, Ablation{})
+		first, second := RunSchedule(seed, Ablation{}), RunSchedule(seed, Ablation{})
 		if first != second {
 			t.Fatalf("schedule %d: %+v, then %+v", seed, first, second)
 		}
--- a/internal/simulation/failoversim/schedule.go
+++ b/internal/simulation/failoversim/schedule.go
@@ -73,8 +73,8 @@
 	account account
 }
 
-// Run plays one schedule.
-func Run(seed uint64, without Ablation) Outcome {
+// RunSchedule plays one schedule.
+func RunSchedule(seed uint64, without Ablation) Outcome {
 	s := newSchedule(seed, without)
 	s.addAgents()
 	s.addZones()
--- a/internal/simulation/leasesim/group_test.go
+++ b/internal/simulation/leasesim/group_test.go
@@ -5,7 +5,7 @@
 // Schedules of a group of any number of members, each with a disk, and with faults among them, break no invariant.
 func TestGroupSchedulesKeepInvariants(t *testing.T) {
 	for _, members := range []int{1, 3, 5} {
-		outcome, took, err := RunMany(t.Context(), 1, 40, Ablation{}, members)
+		outcome, took, err := RunSchedules(t.Context(), 1, 40, Ablation{}, members)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -30,7 +30,7 @@
 		"sync":  {Ablation{Sync: true}, func(o Outcome) int { return o.Disagreements + o.DuplicateGrants }},
 		"fence": {Ablation{Fence: true}, func(o Outcome) int { return o.Overlaps + o.TokenRegressions }},
 	} {
-		if outcome, _, err := RunMany(t.Context(), 1, 30, test.without, 3); err != nil || test.found(outcome) == 0 {
+		if outcome, _, err := RunSchedules(t.Context(), 1, 30, test.without, 3); err != nil || test.found(outcome) == 0 {
 			t.Errorf("without the %s nothing is found: %v %+v", name, err, outcome)
 		}
 	}
@@ -38,8 +38,8 @@
 
 func TestGroupSchedulesAreDeterministic(t *testing.T) {
 	for seed := range uint64(5) {
-		first, _ := Run(seed, Ablation{}, 3)
-		if second, _ := Run(seed, Ablation{}, 3); first != second {
+		first, _ := RunSchedule(seed, Ablation{}, 3)
+		if second, _ := RunSchedule(seed, Ablation{}, 3); first != second {
 			t.Fatalf("schedule %d: %+v, then %+v", seed, first, second)
 		}
 	}
--- a/internal/simulation/leasesim/leasesim.go
+++ b/internal/simulation/leasesim/leasesim.go
@@ -76,14 +76,14 @@
 
 const histogramDigits = 3
 
-// RunMany plays the schedules of consecutive seeds on all cores.
-func RunMany(ctx context.Context, first uint64, schedules int, without Ablation, members int) (sum Outcome, took Takeovers, err error) {
+// RunSchedules plays the schedules of consecutive seeds on all cores.
+func RunSchedules(ctx context.Context, first uint64, schedules int, without Ablation, members int) (sum Outcome, took Takeovers, err error) {
 	type played struct {
 		outcome Outcome
 		gaps    Gaps
 	}
 	all, err := stats.Play(ctx, schedules, func(i int) (one played) {
-		one.outcome, one.gaps = Run(first+uint64(i), without, members)
+		one.outcome, one.gaps = RunSchedule(first+uint64(i), without, members)
 		return one
 	})
 	if err != nil {
--- a/internal/simulation/leasesim/leasesim_test.go
+++ b/internal/simulation/leasesim/leasesim_test.go
@@ -8,7 +8,7 @@
 
 // Schedules of stops, wrong clocks, losses and leaders that die break no invariant.
 func TestScheduledFaultsKeepInvariants(t *testing.T) {
-	outcome, took, err := RunMany(t.Context(), 1, 2000, Ablation{}, 0)
+	outcome, took, err := RunSchedules(t.Context(), 1, 2000, Ablation{}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 		"wait before a release": {Ablation{ReleaseWait: true}, func(o Outcome) int { return o.UnexpectedRejections }},
 		"clock":                 {Ablation{Clock: true, Fence: true}, func(o Outcome) int { return o.Overlaps }},
 	} {
-		outcome, _, err := RunMany(t.Context(), 1, 500, test.without, 0)
+		outcome, _, err := RunSchedules(t.Context(), 1, 500, test.without, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,8 +55,8 @@
 // A schedule is the same each time.
 func TestSchedulesAreDeterministic(t *testing.T) {
 	for seed := range uint64(50) {
-		first, firstGaps := Run(seed, Ablation{}, 0)
-		second, secondGaps := Run(seed, Ablation{}, 0)
+		first, firstGaps := RunSchedule(seed, Ablation{}, 0)
+		second, secondGaps := RunSchedule(seed, Ablation{}, 0)
 		if first != second || !slices.Equal(firstGaps.All, secondGaps.All) {
 			t.Fatalf("schedule %d: %+v, then %+v", seed, first, second)
 		}
--- a/internal/simulation/leasesim/schedule.go
+++ b/internal/simulation/leasesim/schedule.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// Run plays one schedule: with a group of so many members, or, where that is 0, with a single state that one leader after the other
+// RunSchedule plays one schedule: with a group of so many members, or, where that is 0, with a single state that one leader after the other
 // changes.
-func Run(seed uint64, without Ablation, members int) (outcome Outcome, gaps Gaps) {
+func RunSchedule(seed uint64, without Ablation, members int) (outcome Outcome, gaps Gaps) {
 	s := newSchedule(seed, without)
 	defer func() {
 		if broken := recover(); broken != nil { // raft panics where an invariant of its own is broken
