--- a/internal/failover/collector.go
+++ b/internal/failover/collector.go
@@ -97,18 +97,18 @@
 	}
 	totals := Totals{Capacity: make([]float64, c.zones), Demand: make([][]float64, c.zones)}
 	for zone := range c.zones {
-		totals.Capacity[zone] = c.capacityOf(zone)
+		totals.Capacity[zone] = c.zoneCapacity(zone)
 		totals.Demand[zone] = make([]float64, c.classes)
 		for class := range c.classes {
-			totals.Demand[zone][class] = c.demandOf(zone, class)
+			totals.Demand[zone][class] = c.zoneDemand(zone, class)
 		}
 	}
 	totals.Noise = c.updateNoise(totals)
 	return totals
 }
 
-// capacityOf returns the median of what the nodes know of a zone.
-func (c *Collector) capacityOf(zone int) float64 {
+// zoneCapacity returns the median of what the nodes know of a zone.
+func (c *Collector) zoneCapacity(zone int) float64 {
 	var known []float64
 	for _, digest := range c.nodes {
 		if digest.Capacity[zone] >= 0 {
@@ -118,8 +118,8 @@
 	return median(known)
 }
 
-// demandOf returns the sum over a zone's nodes, with outliers limited.
-func (c *Collector) demandOf(zone, class int) float64 {
+// zoneDemand returns the sum over a zone's nodes, with outliers limited.
+func (c *Collector) zoneDemand(zone, class int) float64 {
 	var demands []float64
 	for _, digest := range c.nodes {
 		if digest.Zone == zone {
--- a/internal/failover/collector_test.go
+++ b/internal/failover/collector_test.go
@@ -87,13 +87,13 @@
 // Noise is how much all zones vary all the time, not an event at one zone.
 func TestNoiseIsThatOfAllZones(t *testing.T) {
 	collector := NewCollector(3, 2)
-	play := func(from, to int, third float64) (totals Totals) {
+	addDigests := func(from, to int, zone2Factor float64) (totals Totals) {
 		for i := from; i < to; i++ {
 			now := time.Duration(i) * time.Second / 2
 			for zone := range 3 {
 				demand := 100 * (1 + 0.03*float64(i%2*2-1))
 				if zone == 2 {
-					demand *= third
+					demand *= zone2Factor
 				}
 				digest := Digest{
 					Node:     fmt.Sprint(zone),
@@ -108,10 +108,10 @@
 		}
 		return totals
 	}
-	if totals := play(0, 60, 1); totals.Noise < 0.02 || totals.Noise > 0.04 {
+	if totals := addDigests(0, 60, 1); totals.Noise < 0.02 || totals.Noise > 0.04 {
 		t.Errorf("a variation of 3%% is measured as %.3f", totals.Noise)
 	}
-	if totals := play(60, 70, 5); totals.Noise > 0.04 {
+	if totals := addDigests(60, 70, 5); totals.Noise > 0.04 {
 		t.Errorf("five times the demand at one zone is measured as a noise of %.3f", totals.Noise)
 	}
 }
--- a/internal/failover/invariants_test.go
+++ b/internal/failover/invariants_test.go
@@ -119,7 +119,7 @@
 		}
 	}
 	for class := range planner.weights {
-		for ring, edges := range planner.rings {
+		for ring, edges := range planner.edgesByDistance {
 			for _, e := range edges {
 				work := placed[e.from][class][e.to]
 				if work < tolerance {
@@ -128,7 +128,7 @@
 				if free[e.from] > tolerance {
 					t.Fatalf("zone %d has %.3f free, and forwards %.3f to %d", e.from, free[e.from], work, e.to)
 				}
-				for _, nearer := range slices.Concat(planner.rings[:ring]...) {
+				for _, nearer := range slices.Concat(planner.edgesByDistance[:ring]...) {
 					if nearer.from == e.from && free[nearer.to] > tolerance {
 						t.Fatalf("zone %d forwards %.3f to %d, and the nearer %d has %.3f free", e.from, work, e.to, nearer.to, free[nearer.to])
 					}
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -36,8 +36,8 @@
 }
 
 // IsNewerThan reports whether p supersedes another plan, which may be nil.
-func (p *Plan) IsNewerThan(than *Plan) bool {
-	return than == nil || cmp.Or(cmp.Compare(p.Token, than.Token), cmp.Compare(p.Revision, than.Revision)) > 0
+func (p *Plan) IsNewerThan(other *Plan) bool {
+	return other == nil || cmp.Or(cmp.Compare(p.Token, other.Token), cmp.Compare(p.Revision, other.Revision)) > 0
 }
 
 // shareTolerance is by how much the sum of a row's shares may differ from 1.
@@ -62,13 +62,13 @@
 }
 
 // areShares reports whether numbers are not negative and their sum is 1.
-func areShares(numbers []float64) bool {
+func areShares(shares []float64) bool {
 	sum := 0.0
-	for _, x := range numbers {
-		if !(x >= 0) { // also NaN
+	for _, share := range shares {
+		if !(share >= 0) { // also NaN
 			return false
 		}
-		sum += x
+		sum += share
 	}
 	return math.Abs(sum-1) < shareTolerance
 }
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -44,13 +44,13 @@
 
 // Planner makes plans, each from the one before.
 type Planner struct {
-	topology   Topology
-	weights    []float64 // by class: priority weight of a core-second
-	rules      Rules
-	classOrder []int    // by falling weight
-	rings      [][]edge // edges of equal distance, the nearest first
-	last       *Plan
-	lastStep   time.Duration // when the last plan was made
+	topology        Topology
+	weights         []float64 // by class: priority weight of a core-second
+	rules           Rules
+	classOrder      []int    // by falling weight
+	edgesByDistance [][]edge // edges of equal distance, the nearest first
+	last            *Plan
+	lastStep        time.Duration // when the last plan was made
 }
 
 // NewPlanner returns a Planner without a plan. Weights are the classes' priority weights of a core-second.
@@ -58,7 +58,7 @@
 	if err := topology.Check(); err != nil {
 		return nil, err
 	}
-	p := &Planner{topology: topology, weights: weights, rules: rules, rings: ringsOf(topology)}
+	p := &Planner{topology: topology, weights: weights, rules: rules, edgesByDistance: groupEdgesByDistance(topology)}
 	for class := range weights {
 		p.classOrder = append(p.classOrder, class)
 	}
@@ -66,8 +66,8 @@
 	return p, nil
 }
 
-// ringsOf groups all edges by distance.
-func ringsOf(topology Topology) [][]edge {
+// groupEdgesByDistance groups all edges by distance.
+func groupEdgesByDistance(topology Topology) [][]edge {
 	var edges []edge
 	for from := range topology.Zones {
 		for to := range topology.Zones {
@@ -119,7 +119,7 @@
 	for zone := range next.Rows {
 		next.Rows[zone] = make([]Row, len(p.weights))
 		for class := range next.Rows[zone] {
-			next.Rows[zone][class] = rowOf(zone, totals.Capacity[zone], planned[zone][class], wanted[zone][class], unplaced[zone][class])
+			next.Rows[zone][class] = newRow(zone, totals.Capacity[zone], planned[zone][class], wanted[zone][class], unplaced[zone][class])
 		}
 	}
 	p.last = next
--- a/internal/failover/planner_test.go
+++ b/internal/failover/planner_test.go
@@ -125,7 +125,7 @@
 
 // Noise changes little, and without the noise band more; without a limit of growth the loss of a zone is followed by one jump.
 func TestNoiseBandAndGrowthRateTakeEffect(t *testing.T) {
-	play := func(rules Rules) (changes int, jump float64) {
+	runTotals := func(rules Rules) (changes int, jump float64) {
 		planner, err := NewPlanner(Grid(1, 3), []float64{3, 1}, rules)
 		if err != nil {
 			t.Fatal(err)
@@ -164,15 +164,16 @@
 		}
 		return changes, jump
 	}
-	calm, step := play(DefaultRules)
-	loose := DefaultRules
-	loose.NoiseBand = 0
-	restless, _ := play(loose)
-	loose = DefaultRules
-	loose.MaxGrowthRate = 1e9
-	_, jump := play(loose)
-	if calm*2 >= restless || step >= jump*0.9 {
-		t.Errorf("%d changes, without the noise band %d; a jump of %.2f, without the limit of growth %.2f", calm, restless, step, jump)
+	changesWithBand, limitedJump := runTotals(DefaultRules)
+	rules := DefaultRules
+	rules.NoiseBand = 0
+	changesWithoutBand, _ := runTotals(rules)
+	rules = DefaultRules
+	rules.MaxGrowthRate = 1e9
+	_, unlimitedJump := runTotals(rules)
+	if changesWithBand*2 >= changesWithoutBand || limitedJump >= unlimitedJump*0.9 {
+		t.Errorf("%d changes, without the noise band %d; a jump of %.2f, without the limit of growth %.2f",
+			changesWithBand, changesWithoutBand, limitedJump, unlimitedJump)
 	}
 }
 
--- a/internal/failover/row.go
+++ b/internal/failover/row.go
@@ -5,9 +5,9 @@
 	"math"
 )
 
-// rowOf returns the row of a zone and class, with the reason for operators. Planned and wanted are work by zone where it goes, unplaced is
+// newRow returns the row of a zone and class, with the reason for operators. Planned and wanted are work by zone where it goes, unplaced is
 // work that no zone has capacity for.
-func rowOf(zone int, capacity float64, planned, wanted []float64, unplaced float64) Row {
+func newRow(zone int, capacity float64, planned, wanted []float64, unplaced float64) Row {
 	total := 0.0
 	for _, work := range planned {
 		total += work
@@ -29,12 +29,12 @@
 	for to := range planned {
 		pending += math.Abs(wanted[to]-planned[to]) / 2
 	}
-	row.Reason = reasonOf(capacity, total, forwarded, unplaced, pending)
+	row.Reason = describeRow(capacity, total, forwarded, unplaced, pending)
 	return row
 }
 
-// reasonOf words a row's reason, of up to 200 bytes; see maxRowBytes.
-func reasonOf(capacity, total, forwarded, unplaced, pending float64) string {
+// describeRow words a row's reason, of up to 200 bytes; see maxRowBytes.
+func describeRow(capacity, total, forwarded, unplaced, pending float64) string {
 	reason := "at home: it fits"
 	switch {
 	case capacity == 0:
--- a/internal/failover/target.go
+++ b/internal/failover/target.go
@@ -38,16 +38,16 @@
 // next one, of which each zone keeps what it has capacity for.
 func (p *Planner) target(totals Totals) (flows, [][]float64) {
 	zones := len(p.topology.Zones)
-	work := &placement{placed: p.newFlows(), unplaced: make([][]float64, zones), free: make([]float64, zones)}
+	state := &placement{placed: p.newFlows(), unplaced: make([][]float64, zones), free: make([]float64, zones)}
 	remaining := 0.0
-	for zone := range work.free {
-		work.free[zone] = p.usableCapacity(totals, zone)
-		remaining += work.free[zone]
-		work.unplaced[zone] = slices.Clone(totals.Demand[zone])
+	for zone := range state.free {
+		state.free[zone] = p.usableCapacity(totals, zone)
+		remaining += state.free[zone]
+		state.unplaced[zone] = slices.Clone(totals.Demand[zone])
 	}
 	fitting := 0 // classes that fit as a whole
 	for _, class := range p.classOrder {
-		for zone := range work.free {
+		for zone := range state.free {
 			remaining -= totals.Demand[zone][class]
 		}
 		if remaining < 0 {
@@ -55,31 +55,31 @@
 		}
 		fitting++
 	}
-	p.place(p.classOrder[:fitting], work)
-	p.place(p.classOrder[fitting:min(fitting+1, len(p.classOrder))], work)
-	return work.placed, work.unplaced
+	p.place(p.classOrder[:fitting], state)
+	p.place(p.classOrder[fitting:min(fitting+1, len(p.classOrder))], state)
+	return state.placed, state.unplaced
 }
 
 // place keeps work of these classes in its own zone as far as possible, and offers the rest to other zones, the nearest first.
-func (p *Planner) place(classes []int, work *placement) {
-	for zone := range work.free {
+func (p *Planner) place(classes []int, state *placement) {
+	for zone := range state.free {
 		for _, class := range classes {
-			work.assign(edge{zone, zone}, class, min(work.unplaced[zone][class], work.free[zone]))
+			state.assign(edge{zone, zone}, class, min(state.unplaced[zone][class], state.free[zone]))
 		}
 	}
-	for _, ring := range p.rings {
+	for _, ring := range p.edgesByDistance {
 		for _, class := range classes {
-			for work.offer(ring, class) > negligible { // what one zone could not take is offered to the others of the ring
+			for state.offer(ring, class) > negligible { // what one zone could not take is offered to the others of the ring
 			}
 		}
 	}
 }
 
 // assign places work of a class.
-func (w *placement) assign(e edge, class int, amount float64) {
-	w.placed[e.from][class][e.to] += amount
-	w.unplaced[e.from][class] = max(w.unplaced[e.from][class]-amount, 0)
-	w.free[e.to] = max(w.free[e.to]-amount, 0)
+func (w *placement) assign(route edge, class int, amount float64) {
+	w.placed[route.from][class][route.to] += amount
+	w.unplaced[route.from][class] = max(w.unplaced[route.from][class]-amount, 0)
+	w.free[route.to] = max(w.free[route.to]-amount, 0)
 }
 
 // offer offers unplaced work of a class to the zones at the other ends of a ring's edges, in proportion to their free capacity, and returns
--- a/internal/failover/topology.go
+++ b/internal/failover/topology.go
@@ -37,7 +37,7 @@
 }
 
 // isFiniteAmount reports whether a number is neither negative nor NaN nor infinite.
-func isFiniteAmount(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
+func isFiniteAmount(amount float64) bool { return amount >= 0 && !math.IsInf(amount, 0) }
 
 // Costs of the topologies that Grid returns.
 const (
--- a/internal/simulation/failoversim/account.go
+++ b/internal/simulation/failoversim/account.go
@@ -9,8 +9,8 @@
 
 const (
 	startUpTime    = 5 * time.Second // which is not accounted
-	emptyZoneLoad  = 10.0            // the load that nodes see of a zone without capacity
-	leastDirection = 0.05            // a smaller change is no change of direction
+	noCapacityLoad = 10.0            // the load that nodes see of a zone without capacity
+	minReversal    = 0.05            // a smaller change is no change of direction
 )
 
 // comparison sums up the value that was achieved and the value of the optimal plan.
@@ -31,48 +31,48 @@
 
 // account sums up what was served, and where.
 type account struct {
-	settled  comparison // from some time after an event to the next
-	overall  comparison
-	alone    comparison // after the death of all agents
-	crossing comparison // traffic sent to other zones, while settled
-	traffic  float64    // all of it, while settled
+	settled       comparison // from some time after an event to the next
+	overall       comparison
+	withoutAgents comparison // after the death of all agents
+	crossZone     comparison // traffic sent to other zones, while settled
+	totalTraffic  float64    // all of it, while settled
 
-	extreme float64 // of the crossing part since its last change of direction
-	falling bool
+	extremeShare float64 // of the crossing part since its last change of direction
+	falling      bool
 }
 
 func (a *account) addTo(outcome *Outcome) {
 	outcome.ServedValue = a.settled.fraction()
 	outcome.OverallValue = a.overall.fraction()
-	outcome.ValueWithoutAgents = a.alone.fraction()
-	outcome.CrossZoneShare = a.crossing.achieved / max(a.traffic, 1)
-	outcome.OptimalCrossZoneShare = a.crossing.optimal / max(a.traffic, 1)
+	outcome.ValueWithoutAgents = a.withoutAgents.fraction()
+	outcome.CrossZoneShare = a.crossZone.achieved / max(a.totalTraffic, 1)
+	outcome.OptimalCrossZoneShare = a.crossZone.optimal / max(a.totalTraffic, 1)
 }
 
-// changesDirection reports whether the crossing part changes its direction with a new value.
-func (a *account) changesDirection(crossing float64) bool {
-	if a.falling == (crossing <= a.extreme) {
-		a.extreme = crossing
+// recordDirection reports whether the crossing part changes its direction with a new value.
+func (a *account) recordDirection(share float64) bool {
+	if a.falling == (share <= a.extremeShare) {
+		a.extremeShare = share
 		return false
 	}
-	if math.Abs(crossing-a.extreme) <= leastDirection {
+	if math.Abs(share-a.extremeShare) <= minReversal {
 		return false
 	}
-	a.extreme = crossing
+	a.extremeShare = share
 	a.falling = !a.falling
 	return true
 }
 
 // traffic is what nodes send in one step.
 type traffic struct {
-	load     [][]float64 // by zone and class
-	crossing float64     // between zones
-	total    float64
+	load      [][]float64 // by zone and class
+	crossZone float64     // between zones
+	total     float64
 }
 
 // measure accounts for one step. It is called again and again.
 func (s *schedule) measure() {
-	s.after(step, s.measure)
+	s.callAfter(step, s.measure)
 	sent := s.nodesTraffic()
 	served := s.serve(sent)
 	optimal, needed := s.optimum()
@@ -83,17 +83,17 @@
 	if s.now > s.agentsDieAt {
 		lastPlanFaded := s.now > s.agentsDieAt+s.rules.ValidFor+s.rules.FadeOver
 		if lastPlanFaded && settled {
-			s.account.alone.add(served, optimal)
+			s.account.withoutAgents.add(served, optimal)
 		}
 		return
 	}
 	s.account.overall.add(served, optimal)
 	if settled {
 		s.account.settled.add(served, optimal)
-		s.account.crossing.add(sent.crossing, needed)
-		s.account.traffic += sent.total
+		s.account.crossZone.add(sent.crossZone, needed)
+		s.account.totalTraffic += sent.total
 	}
-	if s.account.changesDirection(sent.crossing / sent.total) {
+	if s.account.recordDirection(sent.crossZone / sent.total) {
 		s.outcome.Reversals++
 	}
 }
@@ -106,13 +106,13 @@
 	}
 	demand := s.demand()
 	for _, n := range s.nodes {
-		for class, shares := range n.choose() {
+		for class, shares := range n.routingShares() {
 			own := demand[n.zone][class] / nodesPerZone
 			sent.total += own
 			for z, share := range shares {
 				sent.load[z][class] += share * own
 				if z != n.zone {
-					sent.crossing += share * own
+					sent.crossZone += share * own
 				}
 			}
 		}
@@ -129,19 +129,19 @@
 			value += priorityWeights[class] * min(x, remaining)
 			remaining = max(remaining-x, 0)
 		}
-		relative := emptyZoneLoad
+		relative := noCapacityLoad
 		if capacity > 0 {
 			relative = (load[0] + load[1]) / capacity
 		}
 		for _, n := range s.nodes {
-			s.after(loadDelay, func() { n.load[z] = relative })
+			s.callAfter(loadDelay, func() { n.load[z] = relative })
 		}
 	}
 	return value
 }
 
 // optimum returns the value that an optimal plan would serve, and the traffic that it needs to send to other zones.
-func (s *schedule) optimum() (value, crossing float64) {
+func (s *schedule) optimum() (value, crossZone float64) {
 	totals := failover.Totals{Demand: s.demand(), Capacity: make([]float64, len(s.zones))}
 	for z := range totals.Capacity {
 		totals.Capacity[z] = s.capacity(z)
@@ -152,10 +152,10 @@
 			value += priorityWeights[class] * (totals.Demand[from][class] - unplaced[from][class])
 			for to, x := range target[from][class] {
 				if to != from {
-					crossing += x
+					crossZone += x
 				}
 			}
 		}
 	}
-	return value, crossing
+	return value, crossZone
 }
--- a/internal/simulation/failoversim/agent.go
+++ b/internal/simulation/failoversim/agent.go
@@ -30,15 +30,15 @@
 	token        fencing.Token // 0: it does not hold the lease
 	stoppedUntil time.Duration
 	cutUntil     time.Duration
-	previous     *failover.Plan // that the planner continues
+	previousPlan *failover.Plan // that the planner continues
 	previousAt   time.Duration
 }
 
-// run calls a function in the agent's process, once that is not stopped any more.
-func (a *agent) run(f func()) {
+// runWhenResumed calls a function in the agent's process, once that is not stopped any more.
+func (a *agent) runWhenResumed(f func()) {
 	s := a.schedule
 	if s.now < a.stoppedUntil {
-		s.after(a.stoppedUntil-s.now, func() { a.run(f) })
+		s.callAfter(a.stoppedUntil-s.now, func() { a.runWhenResumed(f) })
 		return
 	}
 	f()
@@ -47,7 +47,7 @@
 // runCycle acquires or renews the lease, and plans if the agent holds it. It is called again and again.
 func (a *agent) runCycle() {
 	s := a.schedule
-	s.after(reportInterval, func() { a.run(a.runCycle) })
+	s.callAfter(reportInterval, func() { a.runWhenResumed(a.runCycle) })
 	if s.now < a.cutUntil {
 		return // it cannot renew the lease, and so it must not plan
 	}
@@ -64,7 +64,7 @@
 	if s.random.Float64() < stopProbability { // between its check and its action
 		a.stoppedUntil = s.now + s.drawOutage()
 	}
-	a.run(func() { a.publish(totals) })
+	a.runWhenResumed(func() { a.publish(totals) })
 }
 
 func (s *schedule) drawOutage() time.Duration {
@@ -88,9 +88,9 @@
 	}
 	s.outcome.Leaders++
 	a.token = grant.Token
-	if s.latest != nil {
-		a.previous, a.previousAt = s.latest, s.now-reportInterval
-		a.planner.Adopt(a.previous, a.previousAt)
+	if s.latestPlan != nil {
+		a.previousPlan, a.previousAt = s.latestPlan, s.now-reportInterval
+		a.planner.Adopt(a.previousPlan, a.previousAt)
 	}
 	return true
 }
@@ -106,15 +106,15 @@
 		panic(err)
 	}
 	s.outcome.Plans++
-	if plan.IsNewerThan(s.latest) {
-		s.latest = plan
+	if plan.IsNewerThan(s.latestPlan) {
+		s.latestPlan = plan
 	}
-	if a.previous != nil {
-		s.checkGrowth(a.previous, plan, totals, s.now-a.previousAt)
+	if a.previousPlan != nil {
+		s.checkGrowth(a.previousPlan, plan, totals, s.now-a.previousAt)
 	}
-	a.previous, a.previousAt = plan, s.now
+	a.previousPlan, a.previousAt = plan, s.now
 	for _, n := range s.nodes {
-		s.send(func() { n.takeUp(plan) })
+		s.send(func() { n.applyPlan(plan) })
 	}
 }
 
--- a/internal/simulation/failoversim/node.go
+++ b/internal/simulation/failoversim/node.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	measurementError = 0.03 // of what nodes report, relative
-	fullLoad         = 0.95 // from which a node without a plan avoids a zone
-	cliffThreshold   = 0.05
-	loadDelay        = time.Second // until nodes know the load of zones
+	measurementError    = 0.03 // of what nodes report, relative
+	fullLoad            = 0.95 // from which a node without a plan avoids a zone
+	abruptFadeThreshold = 0.05
+	loadDelay           = time.Second // until nodes know the load of zones
 )
 
 // node is a node that reports to the agents and takes up their plans.
 type node struct {
-	schedule *schedule
-	zone     int
-	name     string
-	sequence uint64
-	current  *failover.CurrentPlan
-	newest   *failover.Plan // that was taken up
-	load     []float64      // of each zone relative to its capacity, as the node knows it
+	schedule    *schedule
+	zone        int
+	name        string
+	sequence    uint64
+	currentPlan *failover.CurrentPlan
+	newestPlan  *failover.Plan // that was taken up
+	load        []float64      // of each zone relative to its capacity, as the node knows it
 
 	// Of the step before, by class.
 	previousShares [][]float64
@@ -37,11 +37,11 @@
 	for _, a := range s.agents {
 		if s.now >= a.cutUntil {
 			s.send(func() {
-				a.run(func() { a.collector.Add(digest, s.now) })
+				a.runWhenResumed(func() { a.collector.Add(digest, s.now) })
 			})
 		}
 	}
-	s.after(reportInterval, n.report)
+	s.callAfter(reportInterval, n.report)
 }
 
 // digest returns what the node has measured, with errors.
@@ -62,21 +62,21 @@
 	return 1 + measurementError*(2*s.random.Float64()-1)
 }
 
-// takeUp takes up a plan if it is newer than the current one.
-func (n *node) takeUp(plan *failover.Plan) {
+// applyPlan takes up a plan if it is newer than the current one.
+func (n *node) applyPlan(plan *failover.Plan) {
 	s := n.schedule
 	if s.without.Token { // the node forgets which plan it has
-		n.current = s.newCurrentPlan()
+		n.currentPlan = s.newCurrentPlan()
 	}
-	if n.current.Update(plan, s.now) != nil {
+	if n.currentPlan.Update(plan, s.now) != nil {
 		s.outcome.Rejected++
 		return
 	}
-	if n.newest != nil && !plan.IsNewerThan(n.newest) {
+	if n.newestPlan != nil && !plan.IsNewerThan(n.newestPlan) {
 		s.outcome.PlanRegressions++
 		return
 	}
-	n.newest = plan
+	n.newestPlan = plan
 }
 
 // localChoice is the choice of a node without a plan: its own zone unless that is full, else the nearest one that is not.
@@ -93,8 +93,8 @@
 	return shares
 }
 
-// choose returns the shares of each class that the node sends to each zone now. It blends the plan with the local choice.
-func (n *node) choose() [][]float64 {
+// routingShares returns the shares of each class that the node sends to each zone now. It blends the plan with the local choice.
+func (n *node) routingShares() [][]float64 {
 	local := n.localChoice()
 	choice := make([][]float64, len(priorityWeights))
 	if n.previousShares == nil {
@@ -102,22 +102,22 @@
 		n.previousWeight = make([]float64, len(choice))
 	}
 	for class := range choice {
-		shares, weight := n.current.Shares(n.schedule.now, n.zone, class)
+		shares, weight := n.currentPlan.Shares(n.schedule.now, n.zone, class)
 		choice[class] = slices.Clone(local)
 		if weight > 0 {
 			for z := range local {
 				choice[class][z] = weight*shares[z] + (1-weight)*local[z]
 			}
 		}
-		n.checkCliff(class, local, weight)
+		n.checkFade(class, local, weight)
 		n.previousShares[class], n.previousWeight[class] = shares, weight
 	}
 	return choice
 }
 
-// checkCliff counts a choice that changes because the plan has lost much of its weight since the step before, where the plan and the local
+// checkFade counts a choice that changes because the plan has lost much of its weight since the step before, where the plan and the local
 // choice differ.
-func (n *node) checkCliff(class int, local []float64, weight float64) {
+func (n *node) checkFade(class int, local []float64, weight float64) {
 	previous := n.previousShares[class]
 	if previous == nil {
 		return
@@ -126,7 +126,7 @@
 	for z := range local {
 		change = max(change, (n.previousWeight[class]-weight)*math.Abs(previous[z]-local[z]))
 	}
-	if change > cliffThreshold {
+	if change > abruptFadeThreshold {
 		n.schedule.outcome.AbruptFades++
 	}
 }
--- a/internal/simulation/failoversim/schedule.go
+++ b/internal/simulation/failoversim/schedule.go
@@ -68,7 +68,7 @@
 	agents      []*agent
 	agentsDieAt time.Duration
 	leases      *lease.State
-	latest      *failover.Plan // of all that were published
+	latestPlan  *failover.Plan // of all that were published
 
 	account account
 }
@@ -81,9 +81,9 @@
 	s.startAgents()
 	s.tickLeases()
 	s.lastEvent = -settleTime
-	s.after(eventqueue.Between(s.events, 8*time.Second, 12*time.Second), s.degradeZones)
+	s.callAfter(eventqueue.Between(s.events, 8*time.Second, 12*time.Second), s.degradeZones)
 	s.drawAgentsDeath()
-	s.after(0, s.measure)
+	s.callAfter(0, s.measure)
 	s.queue.Run(eventqueue.Time(scheduleLength / time.Microsecond))
 	s.account.addTo(&s.outcome)
 	return s.outcome
@@ -139,14 +139,14 @@
 		s.zones = append(s.zones, zone{capacity: fullCapacity, warmingSince: -time.Hour})
 		for i := range nodesPerZone {
 			n := &node{
-				schedule: s,
-				zone:     z,
-				name:     fmt.Sprint("n", z, "-", i),
-				current:  s.newCurrentPlan(),
-				load:     make([]float64, len(s.topology.Zones)),
+				schedule:    s,
+				zone:        z,
+				name:        fmt.Sprint("n", z, "-", i),
+				currentPlan: s.newCurrentPlan(),
+				load:        make([]float64, len(s.topology.Zones)),
 			}
 			s.nodes = append(s.nodes, n)
-			s.after(s.reportDelay(), n.report)
+			s.callAfter(s.reportDelay(), n.report)
 		}
 	}
 }
@@ -160,14 +160,14 @@
 		return
 	}
 	for _, a := range s.agents {
-		s.after(s.reportDelay(), a.runCycle)
+		s.callAfter(s.reportDelay(), a.runCycle)
 	}
 }
 
 // tickLeases advances the clock of the group that grants the lease of the failover leader.
 func (s *schedule) tickLeases() {
 	_, _ = s.leases.Apply(lease.Command{Kind: lease.Tick}) // a tick is never rejected
-	s.after(reportInterval, s.tickLeases)
+	s.callAfter(reportInterval, s.tickLeases)
 }
 
 // drawAgentsDeath has all agents die in some schedules.
@@ -177,7 +177,7 @@
 	}
 	s.agentsDieAt = eventqueue.Between(s.events, 15*time.Second, 30*time.Second)
 	s.outcome.AllAgentsDied++
-	s.after(s.agentsDieAt, func() {
+	s.callAfter(s.agentsDieAt, func() {
 		for _, a := range s.agents {
 			a.stoppedUntil, a.cutUntil = never, never
 		}
@@ -189,8 +189,8 @@
 	return eventqueue.Between(s.random, 0, reportInterval)
 }
 
-// after calls a function after a time, rounded up to the queue's resolution: an event before it is due would be repeated for ever.
-func (s *schedule) after(delay time.Duration, f func()) {
+// callAfter calls a function callAfter a time, rounded up to the queue's resolution: an event before it is due would be repeated for ever.
+func (s *schedule) callAfter(delay time.Duration, f func()) {
 	const resolution = time.Microsecond
 	span := eventqueue.Span((max(delay, 0) + resolution - 1) / resolution)
 	s.queue.After(&s.source, span, eventqueue.Event{Target: s, Payload: f})
@@ -205,6 +205,6 @@
 // send delivers a message: usually soon, at times never, late or twice.
 func (s *schedule) send(deliver func()) {
 	for _, delay := range eventqueue.DelayPath(s.random, shortestDelay, usualDelay, longestDelay) {
-		s.after(delay, deliver)
+		s.callAfter(delay, deliver)
 	}
 }
--- a/internal/simulation/failoversim/zone.go
+++ b/internal/simulation/failoversim/zone.go
@@ -38,14 +38,14 @@
 
 // degradeZones has a zone, or all zones of a region, lose capacity, and restores them after a time.
 func (s *schedule) degradeZones() {
-	hit, remaining := s.drawDegradation()
-	for _, z := range hit {
+	affected, remaining := s.drawDegradation()
+	for _, z := range affected {
 		s.zones[z].capacity = remaining * fullCapacity
 	}
 	s.lastEvent = s.now
 	s.outcome.Events++
-	s.after(eventqueue.Between(s.events, 14*time.Second, 18*time.Second), func() {
-		for _, z := range hit {
+	s.callAfter(eventqueue.Between(s.events, 14*time.Second, 18*time.Second), func() {
+		for _, z := range affected {
 			s.zones[z] = zone{capacity: fullCapacity, warmingSince: s.now}
 		}
 		s.lastEvent = s.now + warmUpTime // the event ends when the zones are warm
@@ -54,17 +54,17 @@
 }
 
 // drawDegradation draws the zones that lose capacity, and the part of it that remains.
-func (s *schedule) drawDegradation() (hit []int, remaining float64) {
+func (s *schedule) drawDegradation() (affected []int, remaining float64) {
 	const region, degraded, kinds = 0, 1, 4 // all other kinds are the loss of one zone
 	z := s.events.IntN(len(s.zones))
 	switch s.events.IntN(kinds) {
 	case region:
 		for other, zone := range s.topology.Zones {
 			if zone.Region == s.topology.Zones[z].Region {
-				hit = append(hit, other)
+				affected = append(affected, other)
 			}
 		}
-		return hit, 0
+		return affected, 0
 	case degraded:
 		return []int{z}, degradedCapacity
 	}
--- a/internal/simulation/leasesim/group.go
+++ b/internal/simulation/leasesim/group.go
@@ -13,24 +13,24 @@
 const (
 	setupTime   = 5 * time.Second // for which the first command is repeated
 	setupPause  = time.Second
-	mostForward = 3 // members to which a request is forwarded
+	maxForwards = 3 // members to which a request is forwarded
 )
 
-// route is the direction from one member to another, by their IDs.
-type route struct{ from, to uint64 }
+// link is the direction from one member to another, by their IDs.
+type link struct{ from, to uint64 }
 
 // group is members of a consensus group, with the network between them and their disks.
 type group struct {
-	schedule     *schedule
-	members      []*member // by ID, from 1, with those that were removed
-	cutUntil     map[route]time.Duration
-	checksums    map[uint64]uint64 // of the state that was agreed on, by log index
-	leaderDiedAt time.Duration     // when a leading member died; 0: another leads since
-	changing     bool              // a change of members is in progress
+	schedule        *schedule
+	members         []*member // by ID, from 1, with those that were removed
+	cutUntil        map[link]time.Duration
+	checksums       map[uint64]uint64 // of the state that was agreed on, by log index
+	leaderDiedAt    time.Duration     // when a leading member died; 0: another leads since
+	membersChanging bool              // a change of members is in progress
 }
 
 func newGroup(s *schedule, members int, first lease.Command) *group {
-	g := &group{schedule: s, cutUntil: map[route]time.Duration{}, checksums: map[uint64]uint64{}}
+	g := &group{schedule: s, cutUntil: map[link]time.Duration{}, checksums: map[uint64]uint64{}}
 	addresses := map[uint64]string{}
 	for i := range members {
 		id := uint64(i + 1)
@@ -44,7 +44,7 @@
 		g.add(state)
 	}
 	g.setUp(first)
-	s.after(s.between(0, time.Second), g.injectFault)
+	s.callAfter(s.randomDuration(0, time.Second), g.injectFault)
 	return g
 }
 
@@ -53,7 +53,7 @@
 	s := g.schedule
 	g.request(&holder{schedule: s, name: "setup"}, first, func(lease.Grant, error) {})
 	if s.now < setupTime {
-		s.after(setupPause, func() { g.setUp(first) })
+		s.callAfter(setupPause, func() { g.setUp(first) })
 	}
 }
 
@@ -71,8 +71,8 @@
 
 func address(id uint64) string { return fmt.Sprint("m", id) }
 
-// at returns the member with an address; nil if there is none.
-func (g *group) at(memberAddress string) *member {
+// memberByAddress returns the member with an address; nil if there is none.
+func (g *group) memberByAddress(memberAddress string) *member {
 	i := slices.IndexFunc(g.members, func(m *member) bool { return address(m.id) == memberAddress })
 	if i < 0 {
 		return nil
@@ -80,8 +80,8 @@
 	return g.members[i]
 }
 
-// present returns the members that were not removed.
-func (g *group) present() []*member {
+// activeMembers returns the members that were not removed.
+func (g *group) activeMembers() []*member {
 	return slices.DeleteFunc(slices.Clone(g.members), func(m *member) bool { return m.removed })
 }
 
@@ -90,20 +90,20 @@
 func (g *group) request(h *holder, command lease.Command, respond func(lease.Grant, error)) {
 	recipient := h.leader
 	if recipient == nil || recipient.removed {
-		present := g.present()
-		recipient = present[g.schedule.random.IntN(len(present))]
+		active := g.activeMembers()
+		recipient = active[g.schedule.random.IntN(len(active))]
 	}
 	h.leader = nil // until it responds
-	g.requestFrom(recipient, mostForward, h, command, respond)
+	g.sendRequest(recipient, maxForwards, h, command, respond)
 }
 
-func (g *group) requestFrom(m *member, forwards int, h *holder, command lease.Command, respond func(lease.Grant, error)) {
+func (g *group) sendRequest(m *member, forwards int, h *holder, command lease.Command, respond func(lease.Grant, error)) {
 	s := g.schedule
 	handle := func(grant lease.Grant, err error) {
 		var notLeader consensus.NotLeaderError
 		switch {
 		case errors.As(err, &notLeader) && notLeader.Address != "" && forwards > 0:
-			g.requestFrom(g.at(notLeader.Address), forwards-1, h, command, respond)
+			g.sendRequest(g.memberByAddress(notLeader.Address), forwards-1, h, command, respond)
 		case errors.As(err, &notLeader), errors.Is(err, consensus.ErrOutcomeUnknown), errors.Is(err, consensus.ErrBusy):
 		default:
 			h.leader = m
@@ -114,7 +114,7 @@
 		m.run(m.incarnation, func(process *consensus.Member) {
 			process.Propose(command, func(grant lease.Grant, err error) {
 				if command.Kind == lease.Acquire && err == nil {
-					g.noteGrant(grant, fmt.Sprint(h.name, " ", command.RequestID))
+					g.recordGrant(grant, fmt.Sprint(h.name, " ", command.RequestID))
 				}
 				s.send(s.faults.Network, func() { handle(grant, err) })
 			})
@@ -122,8 +122,8 @@
 	})
 }
 
-// noteGrant checks that a token is granted to one request only.
-func (g *group) noteGrant(grant lease.Grant, request string) {
+// recordGrant checks that a token is granted to one request only.
+func (g *group) recordGrant(grant lease.Grant, request string) {
 	s := g.schedule
 	owner, granted := s.owners[grant.Token]
 	switch {
--- a/internal/simulation/leasesim/group_test.go
+++ b/internal/simulation/leasesim/group_test.go
@@ -5,7 +5,7 @@
 // Schedules of a group of any number of members, each with a disk, and with faults among them, break no invariant.
 func TestGroupSchedulesKeepInvariants(t *testing.T) {
 	for _, members := range []int{1, 3, 5} {
-		outcome, took, err := RunSchedules(t.Context(), 1, 40, Ablation{}, members)
+		outcome, takeovers, err := RunSchedules(t.Context(), 1, 40, Ablation{}, members)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -14,7 +14,7 @@
 			t.Errorf("%d members: broken %d times, first by schedule %d", members, outcome.Violations(), outcome.FirstViolation)
 		}
 		withActions := outcome.StaleRejections > 0 && outcome.Withheld > 0 && outcome.Actions >= 10*outcome.Schedules
-		withFaults := outcome.Changes >= 5 && outcome.Faults >= 2*outcome.Schedules && took.LeaderElection.TotalCount() >= 20
+		withFaults := outcome.Changes >= 5 && outcome.Faults >= 2*outcome.Schedules && takeovers.LeaderElection.TotalCount() >= 20
 		if !withActions || !withFaults {
 			t.Error("the schedules are too mild to show anything")
 		}
--- a/internal/simulation/leasesim/holder.go
+++ b/internal/simulation/leasesim/holder.go
@@ -34,7 +34,7 @@
 	switch {
 	case incarnation != h.incarnation:
 	case s.now < h.stoppedUntil:
-		s.after(h.stoppedUntil-s.now, func() { h.run(incarnation, f) })
+		s.callAfter(h.stoppedUntil-s.now, func() { h.run(incarnation, f) })
 	default:
 		f()
 	}
@@ -47,12 +47,12 @@
 	h.requestID += requestIDsPerProcess
 	h.guard = lease.Guard{Terms: lease.Terms{Interval: tickInterval, Drift: drift}}
 	incarnation := h.incarnation
-	s.after(s.between(0, longestStartDelay), func() { h.run(incarnation, h.keepLease) })
-	s.after(s.between(0, longestStartDelay), func() { h.run(incarnation, h.act) })
+	s.callAfter(s.randomDuration(0, longestStartDelay), func() { h.run(incarnation, h.keepLease) })
+	s.callAfter(s.randomDuration(0, longestStartDelay), func() { h.run(incarnation, h.startAction) })
 }
 
-// die ends the process. What it has sent is still delivered.
-func (h *holder) die() {
+// crash ends the process. What it has sent is still delivered.
+func (h *holder) crash() {
 	s := h.schedule
 	if grant, ok := h.guard.Grant(); ok {
 		s.outcome.Kills++
@@ -60,14 +60,14 @@
 	}
 	h.incarnation++
 	h.stoppedUntil = 0
-	s.after(s.between(500*time.Millisecond, 4*time.Second), h.start)
+	s.callAfter(s.randomDuration(500*time.Millisecond, 4*time.Second), h.start)
 }
 
 // keepLease acquires or renews the lease, and sometimes releases it.
 func (h *holder) keepLease() {
 	s, incarnation := h.schedule, h.incarnation
 	if s.faults.Kills && s.faultsActive() && s.chance(0.05) {
-		h.die()
+		h.crash()
 		return
 	}
 	grant, granted := h.guard.Grant()
@@ -90,7 +90,7 @@
 		release := lease.Command{Kind: lease.Release, Name: leaseName, Token: grant.Token}
 		s.request(h, release, func(lease.Grant, error) {})
 	}
-	s.after(s.between(300*time.Millisecond, 600*time.Millisecond), func() { h.run(incarnation, h.keepLease) })
+	s.callAfter(s.randomDuration(300*time.Millisecond, 600*time.Millisecond), func() { h.run(incarnation, h.keepLease) })
 }
 
 // handleResponse takes up a grant, or gives up the lease whose renewal was rejected.
@@ -105,10 +105,10 @@
 	}
 }
 
-// act checks the lease and sends an action. The time that an action may take includes its delivery.
-func (h *holder) act() {
+// startAction checks the lease and sends an action. The time that an action may take includes its delivery.
+func (h *holder) startAction() {
 	s, incarnation := h.schedule, h.incarnation
-	s.after(s.between(100*time.Millisecond, 400*time.Millisecond), func() { h.run(incarnation, h.act) })
+	s.callAfter(s.randomDuration(100*time.Millisecond, 400*time.Millisecond), func() { h.run(incarnation, h.startAction) })
 	believed, granted := h.guard.Grant()
 	if !granted {
 		return
@@ -121,7 +121,7 @@
 		return
 	}
 	if s.faults.Stops && s.faultsActive() && s.chance(0.1) {
-		h.stoppedUntil = s.now + s.between(time.Second, 6*time.Second)
+		h.stoppedUntil = s.now + s.randomDuration(time.Second, 6*time.Second)
 	}
 	h.run(incarnation, func() {
 		s.send(s.faults.Late, func() { s.handleAction(grant) })
--- a/internal/simulation/leasesim/leasesim.go
+++ b/internal/simulation/leasesim/leasesim.go
@@ -77,27 +77,27 @@
 const histogramDigits = 3
 
 // RunSchedules plays the schedules of consecutive seeds on all cores.
-func RunSchedules(ctx context.Context, first uint64, schedules int, without Ablation, members int) (sum Outcome, took Takeovers, err error) {
-	type played struct {
+func RunSchedules(ctx context.Context, first uint64, schedules int, without Ablation, members int) (sum Outcome, takeovers Takeovers, err error) {
+	type scheduleResult struct {
 		outcome Outcome
 		gaps    Gaps
 	}
-	all, err := stats.Play(ctx, schedules, func(i int) (one played) {
-		one.outcome, one.gaps = RunSchedule(first+uint64(i), without, members)
-		return one
+	all, err := stats.Play(ctx, schedules, func(i int) (result scheduleResult) {
+		result.outcome, result.gaps = RunSchedule(first+uint64(i), without, members)
+		return result
 	})
 	if err != nil {
-		return sum, took, err
+		return sum, takeovers, err
 	}
-	took = Takeovers{All: newHistogram(), Undisturbed: newHistogram(), LeaderElection: newHistogram()}
-	for i, one := range all {
-		err = errors.Join(err, record(took.All, one.gaps.All), record(took.Undisturbed, one.gaps.Undisturbed), record(took.LeaderElection, one.gaps.LeaderElection))
-		if one.outcome.Violations() > 0 && sum.Violations() == 0 {
+	takeovers = Takeovers{All: newHistogram(), Undisturbed: newHistogram(), LeaderElection: newHistogram()}
+	for i, result := range all {
+		err = errors.Join(err, record(takeovers.All, result.gaps.All), record(takeovers.Undisturbed, result.gaps.Undisturbed), record(takeovers.LeaderElection, result.gaps.LeaderElection))
+		if result.outcome.Violations() > 0 && sum.Violations() == 0 {
 			sum.FirstViolation = int64(first) + int64(i)
 		}
-		stats.Add(&sum, one.outcome, 0)
+		stats.Add(&sum, result.outcome, 0)
 	}
-	return sum, took, err
+	return sum, takeovers, err
 }
 
 func newHistogram() *hdrhistogram.Histogram {
--- a/internal/simulation/leasesim/leasesim_test.go
+++ b/internal/simulation/leasesim/leasesim_test.go
@@ -8,7 +8,7 @@
 
 // Schedules of stops, wrong clocks, losses and leaders that die break no invariant.
 func TestScheduledFaultsKeepInvariants(t *testing.T) {
-	outcome, took, err := RunSchedules(t.Context(), 1, 2000, Ablation{}, 0)
+	outcome, takeovers, err := RunSchedules(t.Context(), 1, 2000, Ablation{}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,9 +18,9 @@
 	const longestRequestPause, longestActionPause = 600 * time.Millisecond, 400 * time.Millisecond
 	longestGrant := (grantTicks + 1) * tickInterval * 105 / 100
 	bound := (longestGrant + longestRequestPause + longestActionPause + 3*longestDelay).Milliseconds()
-	if took.All.TotalCount() < 1000 || took.Undisturbed.TotalCount() < 20 || took.Undisturbed.ValueAtQuantile(90) > bound {
+	if takeovers.All.TotalCount() < 1000 || takeovers.Undisturbed.TotalCount() < 20 || takeovers.Undisturbed.ValueAtQuantile(90) > bound {
 		t.Errorf("%d takeovers; %d without any other fault, in %d ms for nine in ten, by the design %d",
-			took.All.TotalCount(), took.Undisturbed.TotalCount(), took.Undisturbed.ValueAtQuantile(90), bound)
+			takeovers.All.TotalCount(), takeovers.Undisturbed.TotalCount(), takeovers.Undisturbed.ValueAtQuantile(90), bound)
 	}
 	if outcome.Violations() > 0 {
 		t.Errorf("broken %d times, first by schedule %d", outcome.Violations(), outcome.FirstViolation)
--- a/internal/simulation/leasesim/member.go
+++ b/internal/simulation/leasesim/member.go
@@ -20,7 +20,7 @@
 	snapshotEntries     = 40
 	requestTimeoutTicks = 60
 
-	mostUnsynced       = 20 // writes that a disk without sync may still lose
+	maxUnsynced        = 20 // writes that a disk without sync may still lose
 	longestLossyDelay  = 400 * time.Millisecond
 	shortestDelay      = time.Millisecond
 	snapshotReportTime = 2 * longestDelay
@@ -57,7 +57,7 @@
 	if !s.without.Sync {
 		m.sync(0)
 	}
-	m.sync(mostUnsynced)
+	m.sync(maxUnsynced)
 	if dies {
 		return errProcessDied
 	}
@@ -94,7 +94,7 @@
 	}
 	m.process = process
 	incarnation := m.incarnation
-	s.after(s.between(0, memberTickInterval), func() { m.tick(incarnation) })
+	s.callAfter(s.randomDuration(0, memberTickInterval), func() { m.tick(incarnation) })
 }
 
 // tick advances the clock of elections, again and again until the process ends.
@@ -102,7 +102,7 @@
 	m.run(incarnation, (*consensus.Member).Tick)
 	if m.incarnation == incarnation {
 		interval := time.Duration(float64(memberTickInterval) / m.clockRate)
-		m.group.schedule.after(interval, func() { m.tick(incarnation) })
+		m.group.schedule.callAfter(interval, func() { m.tick(incarnation) })
 	}
 }
 
@@ -114,7 +114,7 @@
 	case m.process == nil || incarnation != m.incarnation:
 		return
 	case s.now < m.stoppedUntil:
-		s.after(m.stoppedUntil-s.now, func() { m.run(incarnation, f) })
+		s.callAfter(m.stoppedUntil-s.now, func() { m.run(incarnation, f) })
 		return
 	}
 	led := m.process.IsLeader()
@@ -123,17 +123,17 @@
 		if !errors.Is(err, errProcessDied) {
 			panic(err)
 		}
-		m.die(s.between(100*time.Millisecond, 3*time.Second))
+		m.crash(s.randomDuration(100*time.Millisecond, 3*time.Second))
 		return
 	}
 	if !led && m.process.IsLeader() {
-		m.noteElection()
+		m.recordElection()
 	}
 	m.checkState()
 }
 
-// noteElection counts a leader, and the time that the group had none.
-func (m *member) noteElection() {
+// recordElection counts a leader, and the time that the group had none.
+func (m *member) recordElection() {
 	g, s := m.group, m.group.schedule
 	s.outcome.Leaders++
 	if g.leaderDiedAt > 0 {
@@ -153,15 +153,15 @@
 	if m.process.Removed() && !m.removed {
 		m.removed = true
 		s.outcome.Changes++
-		s.after(removedGrace, func() {
+		s.callAfter(removedGrace, func() {
 			m.process = nil
 			m.incarnation++
 		})
 	}
 }
 
-// die ends the process, and starts another after a time.
-func (m *member) die(restartAfter time.Duration) {
+// crash ends the process, and starts another after a time.
+func (m *member) crash(restartAfter time.Duration) {
 	if m.process == nil {
 		return
 	}
@@ -171,9 +171,9 @@
 	}
 	m.process, m.stoppedUntil = nil, 0
 	m.incarnation++
-	m.sync(s.random.IntN(mostUnsynced + 1))
+	m.sync(s.random.IntN(maxUnsynced + 1))
 	m.unsynced = nil
-	s.after(restartAfter, m.start)
+	s.callAfter(restartAfter, m.start)
 }
 
 // send sends a message to another member.
@@ -183,8 +183,8 @@
 	if err != nil {
 		panic(err)
 	}
-	recipient := g.at(recipientAddress)
-	incarnation, path := m.incarnation, route{m.id, recipient.id}
+	recipient := g.memberByAddress(recipientAddress)
+	incarnation, path := m.incarnation, link{m.id, recipient.id}
 	deliver := func() {
 		if s.now >= g.cutUntil[path] {
 			recipient.receive(m, raw)
@@ -192,13 +192,13 @@
 	}
 	if s.faults.Lossy && s.faultsActive() { // raft can still elect a leader over such a network
 		for _, delay := range eventqueue.DelayPath(s.random, shortestDelay, longestDelay/2, longestLossyDelay) {
-			s.after(delay, deliver)
+			s.callAfter(delay, deliver)
 		}
 	} else {
-		s.after(s.between(shortestDelay, longestDelay/2), deliver)
+		s.callAfter(s.randomDuration(shortestDelay, longestDelay/2), deliver)
 	}
 	if message.GetType() == raftpb.MsgSnap {
-		s.after(snapshotReportTime, func() {
+		s.callAfter(snapshotReportTime, func() {
 			m.run(incarnation, func(process *consensus.Member) { process.ReportSnapshot(message.GetTo(), s.now >= g.cutUntil[path]) })
 		})
 	}
--- a/internal/simulation/leasesim/memberfaults.go
+++ b/internal/simulation/leasesim/memberfaults.go
@@ -38,104 +38,104 @@
 	if !s.faultsActive() {
 		return
 	}
-	s.after(s.between(300*time.Millisecond, 2500*time.Millisecond), g.injectFault)
-	present := g.present()
-	m := present[s.random.IntN(len(present))]
+	s.callAfter(s.randomDuration(300*time.Millisecond, 2500*time.Millisecond), g.injectFault)
+	active := g.activeMembers()
+	m := active[s.random.IntN(len(active))]
 	leads := func(m *member) bool { return m.process != nil && m.process.IsLeader() }
-	if leader := slices.IndexFunc(present, leads); leader >= 0 && s.chance(0.5) {
-		m = present[leader]
+	if leader := slices.IndexFunc(active, leads); leader >= 0 && s.chance(0.5) {
+		m = active[leader]
 	}
-	until := s.now + s.between(300*time.Millisecond, 3*time.Second)
-	if inject := g.drawFault(m, present, until); inject != nil {
+	until := s.now + s.randomDuration(300*time.Millisecond, 3*time.Second)
+	if inject := g.drawFault(m, active, until); inject != nil {
 		s.outcome.Faults++
 		inject()
 	}
 }
 
 // drawFault draws a fault that hits one member first; it is nil where the schedule does not have faults of the kind that was drawn.
-func (g *group) drawFault(m *member, present []*member, until time.Duration) (inject func()) {
+func (g *group) drawFault(m *member, active []*member, until time.Duration) (inject func()) {
 	s := g.schedule
 	switch kind := s.random.IntN(faultKinds); {
 	case kind <= faultDeath && s.faults.Down:
-		return func() { m.die(until - s.now) }
+		return func() { m.crash(until - s.now) }
 	case kind == faultMassDeath && s.faults.Down && s.chance(0.3):
-		return func() { g.killAll(present) }
+		return func() { g.crashAll(active) }
 	case kind == faultPause && s.faults.Paused:
 		return func() { m.stoppedUntil = max(m.stoppedUntil, until) }
 	case kind == faultReplacement && s.faults.Changes:
-		return func() { g.replace(m) }
+		return func() { g.replaceMember(m) }
 	case kind >= faultCut && s.faults.Cuts:
-		return func() { g.cutLinks(m, present, until) }
+		return func() { g.cutLinks(m, active, until) }
 	}
 	return nil
 }
 
-// killAll has all processes die at once, and start again in any order.
-func (g *group) killAll(present []*member) {
+// crashAll has all processes die at once, and start again in any order.
+func (g *group) crashAll(active []*member) {
 	s := g.schedule
-	for _, m := range present {
-		m.die(s.between(100*time.Millisecond, 3*time.Second))
+	for _, m := range active {
+		m.crash(s.randomDuration(100*time.Millisecond, 3*time.Second))
 	}
 }
 
 // cutLinks cuts links between a member and the others in a pattern that it draws.
-func (g *group) cutLinks(m *member, present []*member, until time.Duration) {
+func (g *group) cutLinks(m *member, active []*member, until time.Duration) {
 	pattern := g.schedule.random.IntN(cutPatterns)
-	for i, other := range present {
+	for i, other := range active {
 		if other == m {
 			continue
 		}
 		switch pattern {
 		case cutAll:
-			g.cut(m, other, until)
-			g.cut(other, m, until)
+			g.cutLink(m, other, until)
+			g.cutLink(other, m, until)
 		case cutSending:
-			g.cut(m, other, until)
+			g.cutLink(m, other, until)
 		case cutReceiving:
-			g.cut(other, m, until)
+			g.cutLink(other, m, until)
 		case cutAllButHalf:
-			for j, third := range present {
+			for j, third := range active {
 				if third != m && i%2 != j%2 {
-					g.cut(other, third, until)
+					g.cutLink(other, third, until)
 				}
 			}
 		case cutRepeatedly:
-			g.flap(m, other, until)
+			g.flapLinks(m, other, until)
 		}
 	}
 }
 
-// cut loses all messages from one member to another until a time.
-func (g *group) cut(from, to *member, until time.Duration) {
-	g.cutUntil[route{from.id, to.id}] = until
+// cutLink loses all messages from one member to another until a time.
+func (g *group) cutLink(from, to *member, until time.Duration) {
+	g.cutUntil[link{from.id, to.id}] = until
 }
 
-// flap cuts and restores the links between two members until a time.
-func (g *group) flap(a, b *member, until time.Duration) {
+// flapLinks cuts and restores the links between two members until a time.
+func (g *group) flapLinks(a, b *member, until time.Duration) {
 	s := g.schedule
 	for at := s.now; at < until; at += flapPeriod {
-		s.after(at-s.now, func() {
-			g.cut(a, b, s.now+flapCutTime)
-			g.cut(b, a, s.now+flapCutTime)
+		s.callAfter(at-s.now, func() {
+			g.cutLink(a, b, s.now+flapCutTime)
+			g.cutLink(b, a, s.now+flapCutTime)
 		})
 	}
 }
 
-// replace has a new member take the place of another.
-func (g *group) replace(old *member) {
+// replaceMember has a new member take the place of another.
+func (g *group) replaceMember(old *member) {
 	s := g.schedule
 	leads := func(m *member) bool {
 		return m.process != nil && m.process.IsLeader() && s.now >= m.stoppedUntil
 	}
 	i := slices.IndexFunc(g.members, leads)
-	if g.changing || i < 0 {
+	if g.membersChanging || i < 0 {
 		return
 	}
 	leader := g.members[i]
-	g.changing = true
+	g.membersChanging = true
 	added := g.add(consensus.EmptyState())
 	leader.run(leader.incarnation, func(process *consensus.Member) {
 		addresses := map[uint64]string{added.id: address(added.id)}
-		process.ChangeMembers(addresses, []uint64{old.id}, func(error) { g.changing = false })
+		process.ChangeMembers(addresses, []uint64{old.id}, func(error) { g.membersChanging = false })
 	})
 }
--- a/internal/simulation/leasesim/schedule.go
+++ b/internal/simulation/leasesim/schedule.go
@@ -23,7 +23,7 @@
 	recoveryTime    = 5 * time.Second // after the faults, until holders must act again
 	longestLateness = 3 * time.Second // of a message of a network with faults
 
-	mostEvents = 200_000 // of one schedule; it has about 20,000
+	maxEvents = 200_000 // of one schedule; it has about 20,000
 )
 
 // Streams of the random source of a seed, and of the event queue.
@@ -34,8 +34,8 @@
 
 // lostHolder is a slot whose holder has died.
 type lostHolder struct {
-	token lease.Token
-	at    time.Duration
+	token  lease.Token
+	diedAt time.Duration
 }
 
 // schedule is the state of one schedule. The order of its random draws is part of what a seed means.
@@ -89,7 +89,7 @@
 	s.startGroup(members, lease.Command{Kind: lease.SetMaxHolders, Name: leaseName, MaxHolders: maxHolders})
 	s.startHolders()
 	for s.queue.Step(eventqueue.Time(scheduleLength / time.Microsecond)) {
-		if s.queue.Done() > mostEvents { // members whose disks lost what they had promised may send messages without end
+		if s.queue.Done() > maxEvents { // members whose disks lost what they had promised may send messages without end
 			s.outcome.Disagreements++
 		}
 		if s.outcome.Disagreements+s.outcome.DuplicateGrants > 0 { // what follows has no meaning
@@ -160,8 +160,8 @@
 	}
 }
 
-// after calls a function after a time, rounded up to the queue's resolution: an event before it is due would be repeated for ever.
-func (s *schedule) after(delay time.Duration, f func()) {
+// callAfter calls a function callAfter a time, rounded up to the queue's resolution: an event before it is due would be repeated for ever.
+func (s *schedule) callAfter(delay time.Duration, f func()) {
 	const resolution = time.Microsecond
 	s.queue.After(&s.source, eventqueue.Span((delay+resolution-1)/resolution), eventqueue.Event{Target: s, Payload: f})
 }
@@ -172,7 +172,7 @@
 	event.Payload.(func())()
 }
 
-func (s *schedule) between(least, most time.Duration) time.Duration {
+func (s *schedule) randomDuration(least, most time.Duration) time.Duration {
 	return eventqueue.Between(s.random, least, most)
 }
 
@@ -199,7 +199,7 @@
 		}
 	}
 	for range copies {
-		s.after(s.between(longestDelay/10, longest), deliver)
+		s.callAfter(s.randomDuration(longestDelay/10, longest), deliver)
 	}
 }
 
--- a/internal/simulation/leasesim/singlestate.go
+++ b/internal/simulation/leasesim/singlestate.go
@@ -27,9 +27,9 @@
 	}
 	g.tick(g.leader, clockRate)
 	if s.faults.Leaders && s.faultsActive() {
-		s.after(s.between(200*time.Millisecond, 4*time.Second), func() {
+		s.callAfter(s.randomDuration(200*time.Millisecond, 4*time.Second), func() {
 			g.leader = 0
-			s.after(s.between(50*time.Millisecond, 1500*time.Millisecond), g.elect)
+			s.callAfter(s.randomDuration(50*time.Millisecond, 1500*time.Millisecond), g.elect)
 		})
 	}
 }
@@ -56,7 +56,7 @@
 		_, _ = g.state.Apply(lease.Command{Kind: lease.Tick}) // a tick is never rejected
 		due = g.tickedAt + time.Duration(float64(tickInterval)/clockRate)
 	}
-	s.after(due-s.now, func() { g.tick(leader, clockRate) })
+	s.callAfter(due-s.now, func() { g.tick(leader, clockRate) })
 }
 
 func (g *singleState) request(command lease.Command, respond func(lease.Grant, error)) {
--- a/internal/simulation/leasesim/target.go
+++ b/internal/simulation/leasesim/target.go
@@ -28,12 +28,12 @@
 	s.outcome.Actions++
 	s.lastAction = s.now
 	if lost, ok := s.lostHolders[grant.Slot]; ok && grant.Token > lost.token {
-		s.gaps.All = append(s.gaps.All, s.now-lost.at)
+		s.gaps.All = append(s.gaps.All, s.now-lost.diedAt)
 		delete(s.lostHolders, grant.Slot)
 	}
 	admitted := &action{grant: grant, open: true}
 	s.actions = append(slices.DeleteFunc(s.actions, func(a *action) bool { return !a.open }), admitted)
-	s.after(s.between(longestAction/10, longestAction-longestDelay), func() {
+	s.callAfter(s.randomDuration(longestAction/10, longestAction-longestDelay), func() {
 		admitted.open = false
 		s.fence.End(grant)
 	})
