--- a/internal/failover/approach.go
+++ b/internal/failover/approach.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// approach moves from the last plan towards the wanted flows, as far as the rules allow. Where the difference is within the noise, it
-// replaces the wanted flows by those of the last plan.
+// approach returns flows that move from those of the last plan towards the wanted ones, as far as the rules allow. Where
+// a row differs from the last plan by no more than the noise, approach keeps the row of the last plan, also in wanted.
 func (p *Planner) approach(totals Totals, placed, wanted flows, seconds float64) flows {
 	planned := p.newFlows()
 	for zone := range planned {
@@ -17,7 +17,8 @@
 				difference = max(difference, math.Abs(wanted[zone][class][to]-share*demand))
 			}
 			isNoise := difference <= p.rules.NoiseBand*totals.Noise*demand
-			// Work that is to be served in its own zone again goes there even so: otherwise some would be forwarded for ever.
+			// A row whose work is all wanted in its own zone is changed even if the difference is within the noise:
+			// otherwise a small part of the work would be forwarded forever.
 			isForwarded := wanted[zone][class][zone] < demand-negligible
 			if isNoise && isForwarded {
 				wanted[zone][class] = slices.Clone(planned[zone][class])
@@ -34,7 +35,7 @@
 	return planned
 }
 
-// allowedGrowth returns which part of the growth that is wanted each zone may have.
+// allowedGrowth returns, by zone, the fraction of the zone's wanted growth that MaxGrowthRate permits.
 func (p *Planner) allowedGrowth(totals Totals, planned, wanted flows, seconds float64) []float64 {
 	wantedGrowth := make([]float64, len(planned))
 	for zone := range planned {
@@ -54,8 +55,8 @@
 	return allowed
 }
 
-// moveTowards changes a row towards the wanted one: each zone that is to get more gets the allowed part of that, and the others give up as
-// much in proportion.
+// moveTowards changes a row towards the wanted one. Each zone whose work is to increase receives the allowed fraction of
+// the increase, and the zones whose work is to decrease lose the same total, in proportion to their wanted decrease.
 func moveTowards(planned, wanted, allowedGrowth []float64) {
 	wantedGain, gain := 0.0, 0.0
 	for to := range planned {
@@ -74,14 +75,16 @@
 	}
 }
 
-// returnExcess returns work to its own zone that another has no capacity for beside its own work. That may leave less capacity in the zone
-// it returns to, so it is repeated until nothing is returned. It ends, since work is only ever returned; a few rounds are enough.
+// returnExcess returns forwarded work to the zone where it entered if the receiving zone has no capacity for it beside
+// its own work. The returned work uses capacity of its own zone, which may then be unable to serve work that others
+// forward to it, so the rounds are repeated until nothing is returned. They end, since work is only ever returned; a few
+// rounds are enough.
 func (p *Planner) returnExcess(totals Totals, placed, planned flows) {
 	for p.returnExcessOnce(totals, placed, planned) {
 	}
 }
 
-// returnExcessOnce does one round, and reports whether anything was returned.
+// returnExcessOnce performs one round of returnExcess, and reports whether any work was returned.
 func (p *Planner) returnExcessOnce(totals Totals, placed, planned flows) (returned bool) {
 	for to := range planned {
 		own, forwarded := 0.0, 0.0
@@ -103,7 +106,7 @@
 	return returned
 }
 
-// returnFrom returns a fraction of the work that other zones forward to one.
+// returnFrom moves a fraction of the work that other zones forward to a zone back to the zones where it entered.
 func (f flows) returnFrom(to int, fraction float64) {
 	for zone := range f {
 		if zone == to {
--- a/internal/failover/collector.go
+++ b/internal/failover/collector.go
@@ -6,37 +6,43 @@
 	"time"
 )
 
-// Digest is what a node periodically reports of itself.
+// Digest is the report that each node periodically sends to the agents: the demand it receives and the capacity it has
+// learned.
 type Digest struct {
 	Node        string    `json:"node"`
-	Incarnation uint64    `json:"life"` // larger for a process that was started later
+	Incarnation uint64    `json:"life"` // larger for a process of the node that started later
 	Sequence    uint64    `json:"seq"`
-	Zone        int       `json:"zone"`   // where its requests enter
-	Demand      []float64 `json:"demand"` // by class: core-seconds per second of the requests that came in
-	Capacity    []float64 `json:"can"`    // by zone: core-seconds per second that its backends can do, as learned; below 0: unknown
+	Zone        int       `json:"zone"`   // zone of the node, where its requests enter
+	Demand      []float64 `json:"demand"` // by class: core-seconds per second of the requests that the node received
+	Capacity    []float64 `json:"can"`    // by zone: core-seconds per second that its backends can serve, as learned; negative if unknown
 }
 
-// MaxNodes is how many nodes' digests a Collector holds.
+// MaxNodes is the largest number of nodes whose digests a Collector holds.
 const MaxNodes = 4096
 
 const (
-	// outlierFactor is how many times the median node of its zone a node counts for at most. A load balancer that is uneven gives one node
-	// twice the mean; what is beyond that is more likely wrong than true, and only that node sees it.
+	// outlierFactor limits the demand that is counted for a node, as a multiple of the median of the nodes in its zone.
+	// An uneven load balancer in front of the nodes may send one node twice the mean; far more than that is more likely
+	// a wrong report than real demand, and no other node can confirm it.
 	outlierFactor = 4
-	// minOutlierNodes is from how many nodes on outliers are limited: of two, it is unknown which one is wrong.
+	// minOutlierNodes is the smallest number of nodes in a zone for which outliers are limited: if two nodes differ, it
+	// is unknown which one is wrong.
 	minOutlierNodes = 3
-	// digestLifetime is for how long a digest counts: six of those that a node sends each half second.
+	// digestLifetime is how long a digest counts after it was received. Nodes send one each half second, so a node is
+	// dropped after six missed digests.
 	digestLifetime = 3 * time.Second
-	// noiseSmoothing is the weight of the newest totals in the measured noise, which is that of the last 5 s.
+	// noiseSmoothing is the weight of the newest totals in the moving averages that measure noise. It makes them cover
+	// about the last 5 s.
 	noiseSmoothing = 0.1
 )
 
-// Collector adds up digests. Its memory is bounded, and so is the effect of one node.
+// Collector adds up the digests of all nodes into Totals. Its memory is bounded, and so is the effect that a single node
+// can have on the totals.
 type Collector struct {
 	zones, classes int
 	nodes          map[string]receivedDigest
-	demandMean     []float64 // by zone
-	demandVariance []float64 // by zone
+	demandMean     []float64 // moving average by zone, for the noise
+	demandVariance []float64 // moving average by zone, for the noise
 }
 
 type receivedDigest struct {
@@ -55,7 +61,8 @@
 	}
 }
 
-// Add replaces the digest of a node, and reports whether it did: not by an invalid digest, nor by one that is not newer.
+// Add stores a digest in place of the node's earlier one, and reports whether it did. It rejects a digest that is invalid
+// or not newer than the stored one, and digests of further nodes when there are MaxNodes already.
 func (c *Collector) Add(digest Digest, now time.Duration) bool {
 	if !c.isValid(digest) {
 		return false
@@ -70,7 +77,8 @@
 	return true
 }
 
-// isValid reports whether a digest has the right dimensions, and only amounts that are possible.
+// isValid reports whether a digest names its node, has the dimensions of this fleet, and holds only finite amounts, with
+// no negative demand.
 func (c *Collector) isValid(digest Digest) bool {
 	return digest.Node != "" &&
 		digest.Zone >= 0 && digest.Zone < c.zones &&
@@ -87,8 +95,8 @@
 	return d.Sequence > other.Sequence
 }
 
-// Totals returns what all recent digests add up to. A zone whose capacity no node knows counts as having none, so that nothing is planned
-// for it.
+// Totals drops expired digests and returns the totals of the others. A zone whose capacity no node knows counts as having
+// none, so that no work is planned for it.
 func (c *Collector) Totals(now time.Duration) Totals {
 	for name, digest := range c.nodes {
 		if now-digest.receivedAt > digestLifetime {
@@ -107,7 +115,7 @@
 	return totals
 }
 
-// zoneCapacity returns the median of what the nodes know of a zone.
+// zoneCapacity returns the median of the capacities that nodes report for a zone, or 0 if no node knows it.
 func (c *Collector) zoneCapacity(zone int) float64 {
 	var known []float64
 	for _, digest := range c.nodes {
@@ -118,7 +126,7 @@
 	return median(known)
 }
 
-// zoneDemand returns the sum over a zone's nodes, with outliers limited.
+// zoneDemand returns the sum of the demand of a zone's nodes for one class, with outliers limited.
 func (c *Collector) zoneDemand(zone, class int) float64 {
 	var demands []float64
 	for _, digest := range c.nodes {
@@ -130,7 +138,7 @@
 	if len(demands) >= minOutlierNodes {
 		limit = outlierFactor * median(demands)
 	}
-	slices.Sort(demands) // so that rounding does not depend on the order of a map
+	slices.Sort(demands) // so that the rounding of the sum does not depend on map order
 	sum := 0.0
 	for _, demand := range demands {
 		sum += min(demand, limit)
@@ -138,7 +146,8 @@
 	return sum
 }
 
-// updateNoise returns how much demand varies, as the median of all zones: an event at one zone is no noise.
+// updateNoise adds new totals to the moving averages and returns the relative standard deviation of demand, as the median
+// of all zones: a change of demand in a single zone is an event, not noise.
 func (c *Collector) updateNoise(totals Totals) float64 {
 	var relative []float64
 	for zone, demands := range totals.Demand {
@@ -159,8 +168,9 @@
 	return median(relative)
 }
 
-// median returns the middle value; of an even number of them the lower, so that an extreme value is never the median unless it is alone.
-// It sorts the values.
+// median returns the middle value, or 0 if there are no values. For an even number of values it returns the lower of the
+// two in the middle, so that the largest value is never the median unless it is the only one. It sorts the values in
+// place.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/failover/collector_test.go
+++ b/internal/failover/collector_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// addDigest adds a digest with two classes of equal demand, at time 0.
+// addDigest adds a digest with two classes of equal demand, received at time 0, and reports whether it was accepted.
 func addDigest(c *Collector, node string, sequence uint64, zone int, demand float64, capacity ...float64) bool {
 	digest := Digest{
 		Node:        node,
@@ -20,7 +20,8 @@
 	return c.Add(digest, 0)
 }
 
-// The demand of all nodes is added up. A node that is wrong by far has a bounded effect, and one that sends nothing any more has none.
+// TestTotalsOfDigests checks that the demand of all nodes is added up, that a node whose digest is far too high has only a
+// bounded effect on the totals, and that a node that no longer sends digests has none.
 func TestTotalsOfDigests(t *testing.T) {
 	collector := NewCollector(2, 2)
 	for i := range 10 {
@@ -30,18 +31,18 @@
 	}
 	totals := collector.Totals(0)
 	if totals.Demand[0][0] != 50 || totals.Demand[1][1] != 50 || totals.Capacity[0] != 100 || totals.Capacity[1] != 200 {
-		t.Errorf("%+v", totals)
+		t.Errorf("totals of valid digests: %+v", totals)
 	}
-	addDigest(collector, "n0", 2, 0, 1000, 1e9, 0) // a hundred times its demand, and wrong capacities
+	addDigest(collector, "n0", 2, 0, 1000, 1e9, 0) // 100 times its real demand, and wrong capacities
 	totals = collector.Totals(0)
 	if totals.Demand[0][0] != 80 || totals.Capacity[0] != 100 || totals.Capacity[1] != 200 {
 		t.Errorf("with a wrong digest: %+v", totals)
 	}
-	for i := range 5 { // the nodes of zone 1 do not know zone 0 any more
+	for i := range 5 { // the nodes of zone 1 no longer know the capacity of zone 0
 		addDigest(collector, fmt.Sprint("n", 2*i+1), 2, 1, 10, -1, 200)
 	}
 	if totals = collector.Totals(0); totals.Capacity[0] != 100 {
-		t.Errorf("known by half of the nodes: %+v", totals)
+		t.Errorf("with a capacity known by half of the nodes: %+v", totals)
 	}
 	restarted := Digest{Node: "n1", Incarnation: 2, Sequence: 1, Zone: 1, Demand: []float64{10, 10}, Capacity: []float64{-1, 200}}
 	collector.Add(restarted, digestLifetime+2)
@@ -71,7 +72,7 @@
 	} {
 		d := good
 		if change(&d); collector.Add(d, 0) {
-			t.Error(name)
+			t.Error("accepted:", name)
 		}
 	}
 	for i := range 2 * MaxNodes {
@@ -80,11 +81,12 @@
 		collector.Add(d, 0)
 	}
 	if len(collector.nodes) > MaxNodes {
-		t.Errorf("%d nodes", len(collector.nodes))
+		t.Errorf("the collector holds %d nodes, want at most %d", len(collector.nodes), MaxNodes)
 	}
 }
 
-// Noise is how much all zones vary all the time, not an event at one zone.
+// TestNoiseIsThatOfAllZones checks that the measured noise is the variation that all zones have, and that a sudden change
+// of demand in a single zone, which is an event, does not raise it.
 func TestNoiseIsThatOfAllZones(t *testing.T) {
 	collector := NewCollector(3, 2)
 	addDigests := func(from, to int, zone2Factor float64) (totals Totals) {
--- a/internal/failover/invariants_test.go
+++ b/internal/failover/invariants_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// tolerance is for rounding.
+// tolerance is the rounding error that the checks allow.
 const tolerance = 1e-6
 
 func drawTotals(t *rapid.T, zones, classes int) Totals {
@@ -26,8 +26,9 @@
 	return totals
 }
 
-// For any sequence of totals: plans are valid and not too large; no zone gets more forwarded work than its usable capacity beside its own
-// work; the work planned for a zone grows no faster than allowed; and the target prefers near zones.
+// TestPlansKeepInvariantsForAnyTotals checks for any sequence of totals that plans are valid and within MaxPlanSize, that
+// no zone is sent more forwarded work than it has usable capacity for beside its own work, that the work planned for a
+// zone grows no faster than allowed, and that the target prefers near zones.
 func TestPlansKeepInvariantsForAnyTotals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		topology := Grid(rapid.IntRange(1, 3).Draw(t, "regions"), rapid.IntRange(1, 3).Draw(t, "zones"))
@@ -47,7 +48,7 @@
 			plan, err := planner.Step(now, 1, totals)
 			if slices.Max(totals.Capacity) == 0 {
 				if !errors.Is(err, ErrNoCapacity) || planner.last != last {
-					t.Fatal("without any capacity:", err)
+					t.Fatal("totals without any capacity:", err)
 				}
 				now -= interval // the next step continues from the same plan
 				continue
@@ -69,8 +70,8 @@
 	})
 }
 
-// checkZone checks that a plan sends a zone no more than it has capacity for, and grows its work no faster than allowed. Last is the plan
-// before, or nil.
+// checkZone checks that a plan forwards no more work to a zone than it has capacity for, and that the zone's work grows no
+// faster than allowed. Last is the plan before, or nil.
 func checkZone(t *rapid.T, zone int, totals Totals, placed flows, plan, last *Plan, interval time.Duration) {
 	t.Helper()
 	own, forwarded, after, before := 0.0, 0.0, 0.0, 0.0
@@ -90,12 +91,13 @@
 	}
 	usable := totals.Capacity[zone] * (1 - DefaultRules.Headroom)
 	if forwarded > max(usable-own, 0)+tolerance {
-		t.Fatalf("zone %d: %.3f are forwarded to it beside %.3f of its own, its usable capacity is %.3f", zone, forwarded, own, usable)
+		t.Fatalf("zone %d: %.3f are forwarded to it beside %.3f of its own work, but its usable capacity is %.3f", zone, forwarded, own, usable)
 	}
 	if last == nil {
 		return
 	}
-	// Work that another zone has no capacity for any more returns to its own zone, which does not count as growth.
+	// Work returns at once to the zone where it entered if the zone that served it no longer has capacity for it. This
+	// is not limited as growth.
 	returned := 0.0
 	for class, demand := range totals.Demand[zone] {
 		returned += demand * (1 - last.Rows[zone][class].Shares[zone])
--- a/internal/failover/optimum_test.go
+++ b/internal/failover/optimum_test.go
@@ -9,19 +9,19 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// linearProgram is the planning problem with all knowledge, as a linear program. Its variables are the flows, then what stays unplaced of
-// each zone and class, then the slack of each zone's capacity.
+// linearProgram is the planning problem as a linear program over exact totals. Its variables are the flows, then the
+// unplaced work of each zone and class, then the unused capacity of each zone.
 type linearProgram struct {
 	topology Topology
 	weights  []float64
 }
 
-// flow returns the index of a flow's variable.
+// flow returns the index of the variable for the work of a class that goes from one zone to another.
 func (l linearProgram) flow(zone, class, to int) int {
 	return (zone*len(l.weights)+class)*len(l.topology.Zones) + to
 }
 
-// solve returns the optimal values of the variables.
+// solve returns the values of the variables in an optimal solution.
 func (l linearProgram) solve(t *testing.T, totals Totals) []float64 {
 	t.Helper()
 	zones, classes := len(l.topology.Zones), len(l.weights)
@@ -53,7 +53,8 @@
 	return solution
 }
 
-// The target serves as much work, by weight, as the optimum of a linear program, and forwards at little more cost.
+// TestTargetIsCloseToLinearProgram checks that the target serves as much work, by weight, as the optimum of the linear
+// program, and that its traffic between zones costs little more.
 func TestTargetIsCloseToLinearProgram(t *testing.T) {
 	topology, weights := Grid(3, 3), []float64{5, 3, 1}
 	zones, classes := len(topology.Zones), len(weights)
@@ -85,7 +86,7 @@
 			}
 		}
 		if served < bestServed*(1-1e-6) {
-			t.Fatalf("%+v: served by weight %.3f, the optimum %.3f", totals, served, bestServed)
+			t.Fatalf("%+v: the target serves %.3f by weight, the optimum %.3f", totals, served, bestServed)
 		}
 		if bestCost > 1 {
 			costRatios = append(costRatios, cost/bestCost)
@@ -94,7 +95,7 @@
 	slices.Sort(costRatios)
 	count := len(costRatios)
 	median, percentile90 := costRatios[count/2], costRatios[count*9/10]
-	t.Logf("cost of forwarding beside the optimum: median %.3f, 90th percentile %.3f, maximum %.3f", median, percentile90, costRatios[count-1])
+	t.Logf("cost of forwarding relative to the optimum: median %.3f, 90th percentile %.3f, maximum %.3f", median, percentile90, costRatios[count-1])
 	if count < 40 || median > 1.02 || percentile90 > 1.15 {
 		t.Errorf("%d cases, at the 90th percentile the cost is %.3f times that of the optimum", count, percentile90)
 	}
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -10,27 +10,27 @@
 	"tulipglade/internal/fencing"
 )
 
-// Row says where requests of one class that enter at one zone go.
+// Row is the distribution of the requests of one class that enter at one zone.
 type Row struct {
-	Shares []float64 `json:"shares"` // by zone; their sum is 1
+	Shares []float64 `json:"shares"` // by destination zone; their sum is 1
 	Reason string    `json:"why"`
 }
 
-// Plan says where requests go, for a whole fleet.
+// Plan is the distribution of requests over zones for a whole fleet.
 type Plan struct {
 	Token    fencing.Token `json:"token"` // of the failover leader's lease
 	Revision uint64        `json:"revision"`
-	Rows     [][]Row       `json:"rows"` // by zone where requests enter, and class
+	Rows     [][]Row       `json:"rows"` // by zone where requests enter, then by class
 }
 
-// Bounds of the parts of a plan in JSON, in bytes.
+// Upper bounds of the size of the parts of a plan in JSON, in bytes.
 const (
 	maxPlanHeaderBytes = 100
 	maxShareBytes      = 25  // a number of 24 characters and a comma
 	maxRowBytes        = 230 // the reason, of up to 200 bytes, and the keys
 )
 
-// MaxPlanSize returns how many bytes a plan has in JSON at most.
+// MaxPlanSize returns an upper bound of the size of a plan in JSON, in bytes.
 func MaxPlanSize(zones, classes int) int {
 	return maxPlanHeaderBytes + zones*classes*(zones*maxShareBytes+maxRowBytes)
 }
@@ -40,32 +40,32 @@
 	return other == nil || cmp.Or(cmp.Compare(p.Token, other.Token), cmp.Compare(p.Revision, other.Revision)) > 0
 }
 
-// shareTolerance is by how much the sum of a row's shares may differ from 1.
+// shareTolerance is the largest deviation of the sum of a row's shares from 1 that is accepted.
 const shareTolerance = 1e-6
 
-// Check reports what is invalid about a plan for this many zones and classes.
+// Check returns an error if the plan does not have this many zones and classes, or has a row of invalid shares.
 func (p *Plan) Check(zones, classes int) error {
 	if len(p.Rows) != zones {
-		return fmt.Errorf("plan %d/%d: %d zones, there are %d", p.Token, p.Revision, len(p.Rows), zones)
+		return fmt.Errorf("plan %d/%d: %d zones, want %d", p.Token, p.Revision, len(p.Rows), zones)
 	}
 	for zone, rows := range p.Rows {
 		if len(rows) != classes {
-			return fmt.Errorf("plan %d/%d: zone %d: %d classes, there are %d", p.Token, p.Revision, zone, len(rows), classes)
+			return fmt.Errorf("plan %d/%d: zone %d: %d classes, want %d", p.Token, p.Revision, zone, len(rows), classes)
 		}
 		for class, row := range rows {
 			if len(row.Shares) != zones || !areShares(row.Shares) {
-				return fmt.Errorf("plan %d/%d: zone %d, class %d: %v are no shares", p.Token, p.Revision, zone, class, row.Shares)
+				return fmt.Errorf("plan %d/%d: zone %d, class %d: %v are not valid shares", p.Token, p.Revision, zone, class, row.Shares)
 			}
 		}
 	}
 	return nil
 }
 
-// areShares reports whether numbers are not negative and their sum is 1.
+// areShares reports whether all numbers are non-negative and their sum is 1.
 func areShares(shares []float64) bool {
 	sum := 0.0
 	for _, share := range shares {
-		if !(share >= 0) { // also NaN
+		if !(share >= 0) { // negative or NaN
 			return false
 		}
 		sum += share
@@ -73,10 +73,10 @@
 	return math.Abs(sum-1) < shareTolerance
 }
 
-// ErrStalePlan is returned for a plan that is not newer than the current one.
-var ErrStalePlan = errors.New("not newer than the plan that is held")
+// ErrStalePlan is returned by CurrentPlan.Update for a plan that is not newer than the current one.
+var ErrStalePlan = errors.New("plan is not newer than the current plan")
 
-// CurrentPlan is the newest plan that a node has received.
+// CurrentPlan holds the newest valid plan that a node has received, and fades its weight when no newer one arrives.
 type CurrentPlan struct {
 	rules          Rules
 	zones, classes int
@@ -89,7 +89,8 @@
 	return &CurrentPlan{rules: rules, zones: zones, classes: classes}
 }
 
-// Update replaces the plan by a newer one, if that is valid.
+// Update replaces the current plan. It returns ErrStalePlan for a plan that is not newer, and another error for one that
+// is invalid; the current plan then stays.
 func (c *CurrentPlan) Update(plan *Plan, now time.Duration) error {
 	if !plan.IsNewerThan(c.plan) {
 		return ErrStalePlan
@@ -102,8 +103,9 @@
 	return nil
 }
 
-// Shares returns where requests of a class that enter at a zone should go, and the weight of that beside the node's own decision: 1 while
-// the plan is valid, then falling to 0 over Rules.FadeOver. Without a plan it is 0.
+// Shares returns the planned shares by destination zone for requests of a class that enter at a zone, and the weight of
+// the plan relative to the node's own decision. The weight is 1 for Rules.ValidFor after the plan was received, then
+// falls to 0 over Rules.FadeOver. Without a plan it is 0. Where it is 0, the shares are nil.
 func (c *CurrentPlan) Shares(now time.Duration, zone, class int) (shares []float64, weight float64) {
 	if c.plan == nil {
 		return nil, 0
--- a/internal/failover/plan_test.go
+++ b/internal/failover/plan_test.go
@@ -10,8 +10,8 @@
 	"tulipglade/internal/fencing"
 )
 
-// A node takes plans in the order of token and revision, and no invalid plan. The weight of a plan that grows old falls to 0 without a
-// jump.
+// TestCurrentPlanTakesNewerPlansAndFades checks that a node accepts plans only in the order of token and revision, that it
+// rejects invalid plans, and that the weight of a plan without a successor falls to 0 without a jump.
 func TestCurrentPlanTakesNewerPlansAndFades(t *testing.T) {
 	plan := func(token, revision uint64, shares ...float64) *Plan {
 		return &Plan{Token: fencing.Token(token), Revision: revision, Rows: [][]Row{{{Shares: shares}}, {{Shares: shares}}}}
@@ -41,7 +41,7 @@
 		}
 	}
 	if !errors.Is(current.Update(plan(3, 1, 0, 1), 0), ErrStalePlan) {
-		t.Error("the same plan is taken twice")
+		t.Error("the same plan is accepted twice")
 	}
 	last := 1.0
 	for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -1,5 +1,6 @@
-// Package failover plans which part of each zone's requests goes to which zone, for a whole fleet. It has no I/O: totals of the nodes'
-// digests and a clock go in, plans come out. docs/failover-design.md explains the design.
+// Package failover plans, for a whole fleet, which share of each zone's requests is served in which zone. It has no I/O:
+// its input is the totals of the nodes' digests and the current time, its output is plans. docs/failover-design.md
+// explains the design.
 package failover
 
 import (
@@ -11,49 +12,50 @@
 	"tulipglade/internal/fencing"
 )
 
-// Totals are what is known of the fleet at a time. Work is in core-seconds per second.
+// Totals are the capacity and demand of the fleet at one time. Work is in core-seconds per second.
 type Totals struct {
-	Capacity []float64   // by zone: what its backends can do now, warming up or not
-	Demand   [][]float64 // by zone where requests enter, and class
-	Noise    float64     // fraction by which demand varies without an event
+	Capacity []float64   // by zone: work that its backends can serve now, including those that are warming up
+	Demand   [][]float64 // by zone where requests enter, then by class
+	Noise    float64     // relative standard deviation of demand without an event
 }
 
-// Rules limit what a Planner does.
+// Rules limit how a Planner changes plans, and how long a plan has effect.
 type Rules struct {
 	Headroom      float64       // fraction of a zone's capacity that is kept free of other zones' requests
 	MaxGrowthRate float64       // fraction of a zone's capacity by which the work planned for it may grow in a second
-	NoiseBand     float64       // a row is changed if it is off by more than this many times the noise
-	ValidFor      time.Duration // for how long a plan has its full weight without a newer one
-	FadeOver      time.Duration // over which its weight then falls to 0
+	NoiseBand     float64       // a row is changed if it differs from the target by more than this multiple of the noise
+	ValidFor      time.Duration // time after its receipt during which a plan has full weight
+	FadeOver      time.Duration // time over which the weight of a plan then falls to 0
 }
 
-// DefaultRules are the usual rules. A tenth of headroom is for what a zone does not know yet and for the noise of its load. A growth of a
-// quarter per second gives a zone that takes over half of another's work 2 s to show that it can.
+// DefaultRules are the rules that apply unless others are given. The headroom of a tenth covers load that a zone has not learned of yet
+// and the noise of its load. With a growth of a quarter of its capacity per second, a zone that takes over half of another
+// zone's work has 2 s to show that it can serve it.
 var DefaultRules = Rules{Headroom: 0.1, MaxGrowthRate: 0.25, NoiseBand: 2, ValidFor: 3 * time.Second, FadeOver: 10 * time.Second}
 
-// negligible is work that is not worth forwarding: below it, rounding would decide.
+// negligible is an amount of work that is not forwarded: amounts below it may be mere rounding errors.
 const negligible = 1e-9
 
 var (
-	// ErrNoCapacity is returned for totals without any capacity. They mean that no digests have arrived, so the last plan is better than
-	// any that could be made.
-	ErrNoCapacity = errors.New("no zone is known to be able to do anything")
+	// ErrNoCapacity is returned by Planner.Step for totals in which no zone has capacity. They mean that no digests have
+	// arrived, so the last plan is better than any plan that could be made from them.
+	ErrNoCapacity = errors.New("no zone is known to have any capacity")
 
-	errInvalidTotals = errors.New("invalid totals")
+	errInvalidTotals = errors.New("invalid totals: wrong number of zones or classes, or an amount that is negative or not finite")
 )
 
-// Planner makes plans, each from the one before.
+// Planner makes plans, each of which continues the one before.
 type Planner struct {
 	topology        Topology
 	weights         []float64 // by class: priority weight of a core-second
 	rules           Rules
-	classOrder      []int    // by falling weight
-	edgesByDistance [][]edge // edges of equal distance, the nearest first
+	classOrder      []int    // classes by decreasing weight
+	edgesByDistance [][]edge // groups of edges of equal distance, the nearest first
 	last            *Plan
-	lastStep        time.Duration // when the last plan was made
+	lastStep        time.Duration // time of the last plan
 }
 
-// NewPlanner returns a Planner without a plan. Weights are the classes' priority weights of a core-second.
+// NewPlanner returns a Planner that has no plan to continue. Weights are the priority weights of a core-second, by class.
 func NewPlanner(topology Topology, weights []float64, rules Rules) (*Planner, error) {
 	if err := topology.Check(); err != nil {
 		return nil, err
@@ -66,7 +68,7 @@
 	return p, nil
 }
 
-// groupEdgesByDistance groups all edges by distance.
+// groupEdgesByDistance returns all edges between different zones, grouped by distance, the nearest first.
 func groupEdgesByDistance(topology Topology) [][]edge {
 	var edges []edge
 	for from := range topology.Zones {
@@ -87,13 +89,14 @@
 	return rings
 }
 
-// Adopt makes the Planner continue from the plan of an earlier failover leader, so that its decisions are not undone at once.
+// Adopt makes the Planner continue from the plan of an earlier failover leader, so that a change of leader does not undo
+// the decisions of that plan at once.
 func (p *Planner) Adopt(plan *Plan, now time.Duration) {
 	p.last = plan
 	p.lastStep = now
 }
 
-// Step makes the next plan. The first one is the target itself, since there is nothing to approach it from.
+// Step makes the next plan. The first plan is the target itself, since there is no earlier plan to start from.
 func (p *Planner) Step(now time.Duration, token fencing.Token, totals Totals) (*Plan, error) {
 	if err := p.checkTotals(totals); err != nil {
 		return nil, err
@@ -106,7 +109,7 @@
 	for zone := range wanted {
 		for class := range wanted[zone] {
 			copy(wanted[zone][class], placed[zone][class])
-			wanted[zone][class][zone] += unplaced[zone][class] // rejected at home
+			wanted[zone][class][zone] += unplaced[zone][class] // stays in its own zone, which rejects it
 		}
 	}
 	planned := wanted
@@ -127,7 +130,7 @@
 	return next, nil
 }
 
-// checkTotals checks that totals have the right dimensions, and only finite amounts.
+// checkTotals returns an error unless totals have the dimensions of the topology and only finite, non-negative amounts.
 func (p *Planner) checkTotals(totals Totals) error {
 	if len(totals.Capacity) != len(p.topology.Zones) || len(totals.Demand) != len(p.topology.Zones) || !(totals.Noise >= 0) {
 		return errInvalidTotals
--- a/internal/failover/planner_test.go
+++ b/internal/failover/planner_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// uniformTotals are totals of zones that are all alike, with two classes.
+// uniformTotals returns totals of zones with the same capacity and the same demand, split equally between two classes.
 func uniformTotals(zones int, capacity, demand float64) Totals {
 	totals := Totals{Noise: 0.02}
 	for range zones {
@@ -17,7 +17,7 @@
 	return totals
 }
 
-// plannerRun calls Step each half second.
+// plannerRun calls the planner's Step each half second of simulated time.
 type plannerRun struct {
 	t       *testing.T
 	planner *Planner
@@ -34,7 +34,7 @@
 	return &plannerRun{t: t, planner: planner, totals: totals}
 }
 
-// step makes this many plans, and returns the last one.
+// step makes count plans, and returns the last one.
 func (r *plannerRun) step(count int) (plan *Plan) {
 	r.t.Helper()
 	for range count {
@@ -48,7 +48,8 @@
 	return plan
 }
 
-// forwardedFromZone0 returns which parts of a class a plan forwards from zone 0 to the other two zones of its region, and to others.
+// forwardedFromZone0 returns the shares of a class that a plan forwards from zone 0 to the other two zones of its region,
+// and to zones of other regions.
 func forwardedFromZone0(plan *Plan, class int) (withinRegion, toOthers float64) {
 	for to, share := range plan.Rows[0][class].Shares {
 		if to > 0 && to < 3 {
@@ -60,8 +61,8 @@
 	return withinRegion, toOthers
 }
 
-// A zone is lost at a load of 60%: within seconds its work goes to the zones of its region and, beyond their capacity, to others, those of
-// the lower weight first.
+// TestLostZoneIsReplaced checks the loss of a zone at a load of 60%: within 3 s its work goes to the other zones of its
+// region. When these lack capacity, work goes to other regions, that of the class with the lower weight first.
 func TestLostZoneIsReplaced(t *testing.T) {
 	run := newPlannerRun(t, Grid(3, 3), uniformTotals(9, 100, 60))
 	if region, others := forwardedFromZone0(run.step(1), 0); region+others > 0 {
@@ -77,11 +78,11 @@
 	if served < 0.99 {
 		t.Errorf("3 s after the loss %.2f of the work are forwarded: %s", served, plan.Rows[0][1].Reason)
 	}
-	// 60 are to be forwarded, and the region has a usable capacity of 2 x 30.
+	// All 60 units of work fit into the region, which has a free usable capacity of 2 x 30.
 	if region, others := forwardedFromZone0(plan, 0); region < 0.99 || others > 0.01 {
 		t.Errorf("within the region %.2f, to others %.2f", region, others)
 	}
-	run.totals.Capacity[1] = 60 // now the region has 30 less
+	run.totals.Capacity[1] = 60 // this removes the 30 units of free capacity that zone 1 had
 	plan = run.step(8)
 	if _, high := forwardedFromZone0(plan, 0); high > 0.01 {
 		t.Errorf("of the class with the highest weight %.2f leave the region", high)
@@ -91,7 +92,8 @@
 	}
 }
 
-// As a lost zone warms up, its work returns without going back and forth, and in the end nothing is forwarded.
+// TestRecoveredZoneGetsItsWorkBack checks that, while a lost zone warms up, its work returns steadily, without any step in
+// which more is forwarded again, and that nothing is forwarded in the end.
 func TestRecoveredZoneGetsItsWorkBack(t *testing.T) {
 	run := newPlannerRun(t, Grid(3, 3), uniformTotals(9, 100, 60))
 	run.step(1)
@@ -123,7 +125,8 @@
 	}
 }
 
-// Noise changes little, and without the noise band more; without a limit of growth the loss of a zone is followed by one jump.
+// TestNoiseBandAndGrowthRateTakeEffect checks that the noise band suppresses most changes that only follow noise, and that
+// the limit of growth spreads the move of work after the loss of a zone, which is one jump without it.
 func TestNoiseBandAndGrowthRateTakeEffect(t *testing.T) {
 	runTotals := func(rules Rules) (changes int, jump float64) {
 		planner, err := NewPlanner(Grid(1, 3), []float64{3, 1}, rules)
@@ -131,7 +134,7 @@
 			t.Fatal(err)
 		}
 		totals := uniformTotals(3, 100, 80)
-		totals.Noise = 0.04     // of a row that gets what two classes leave
+		totals.Noise = 0.04     // noise of a row whose class receives the capacity that others leave
 		totals.Capacity[0] = 60 // some work must always be forwarded
 		last, _ := planner.Step(0, 1, totals)
 		for i := range 20 {
@@ -195,7 +198,8 @@
 	}
 }
 
-// A zone of the same region is preferred to one of another, whatever the costs.
+// TestSameRegionIsPreferredWhateverTheCost checks that work goes to a zone of the same region even if a zone of another
+// region has a lower cost.
 func TestSameRegionIsPreferredWhateverTheCost(t *testing.T) {
 	topology := Topology{
 		Zones: []Zone{{"a", "x"}, {"b", "x"}, {"c", "y"}},
--- a/internal/failover/row.go
+++ b/internal/failover/row.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// newRow returns the row of a zone and class, with the reason for operators. Planned and wanted are work by zone where it goes, unplaced is
-// work that no zone has capacity for.
+// newRow returns the plan's row for a zone and class, with a reason for operators. Planned and wanted are the work by
+// destination zone; unplaced is the work that no zone has capacity for.
 func newRow(zone int, capacity float64, planned, wanted []float64, unplaced float64) Row {
 	total := 0.0
 	for _, work := range planned {
@@ -25,7 +25,7 @@
 			forwarded += work
 		}
 	}
-	pending := 0.0 // counted twice: where it leaves, and where it goes
+	pending := 0.0 // halved, since moved work counts in the zone that it leaves and in its destination
 	for to := range planned {
 		pending += math.Abs(wanted[to]-planned[to]) / 2
 	}
@@ -33,7 +33,7 @@
 	return row
 }
 
-// describeRow words a row's reason, of up to 200 bytes; see maxRowBytes.
+// describeRow returns the reason of a row for operators. It must not exceed 200 bytes; see maxRowBytes.
 func describeRow(capacity, total, forwarded, unplaced, pending float64) string {
 	reason := "at home: it fits"
 	switch {
--- a/internal/failover/topology.go
+++ b/internal/failover/topology.go
@@ -6,19 +6,19 @@
 	"math"
 )
 
-// Zone is where requests enter, and where backends run.
+// Zone is a location where requests enter and backends run.
 type Zone struct {
 	Name   string `toml:"name"`
 	Region string `toml:"region"`
 }
 
-// Topology is the zones and the cost of traffic between them.
+// Topology lists the zones and the cost of traffic between them.
 type Topology struct {
 	Zones []Zone
-	Cost  [][]float64 // from, to; in any one unit
+	Cost  [][]float64 // by source, then by destination zone; any unit, the same for all
 }
 
-// Check reports what is invalid.
+// Check returns an error unless there is a finite, non-negative cost from each zone to each zone.
 func (t Topology) Check() error {
 	if len(t.Cost) != len(t.Zones) {
 		return fmt.Errorf("costs from %d zones, want %d", len(t.Cost), len(t.Zones))
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// isFiniteAmount reports whether a number is neither negative nor NaN nor infinite.
+// isFiniteAmount reports whether an amount is neither negative nor NaN nor infinite.
 func isFiniteAmount(amount float64) bool { return amount >= 0 && !math.IsInf(amount, 0) }
 
 // Costs of the topologies that Grid returns.
@@ -45,7 +45,7 @@
 	gridCostBetweenRegions = 5
 )
 
-// Grid returns a topology with this many regions of this many zones each, for simulations and tests.
+// Grid returns a topology of regions with zonesPerRegion zones each, for simulations and tests.
 func Grid(regions, zonesPerRegion int) Topology {
 	var t Topology
 	for region := range regions {
@@ -69,10 +69,11 @@
 	return t
 }
 
-// edge is a pair of different zones that requests can be forwarded between.
+// edge is a direction in which requests can go: from the zone where they enter to another zone, or to the same one when
+// work is assigned.
 type edge struct{ from, to int }
 
-// compareEdges orders edges by distance: those within a region first, then by cost.
+// compareEdges orders edges by distance: edges within a region come before all others, then cheaper ones come first.
 func (t Topology) compareEdges(a, b edge) int {
 	if aWithin, bWithin := t.isWithinRegion(a), t.isWithinRegion(b); aWithin != bWithin {
 		if aWithin {
