--- a/internal/simulation/failoversim/account.go
+++ b/internal/simulation/failoversim/account.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	startUpTime    = 5 * time.Second // which is not accounted
-	noCapacityLoad = 10.0            // the load that nodes see of a zone without capacity
-	minReversal    = 0.05            // a smaller change is no change of direction
+	startUpTime    = 5 * time.Second // time after the start that is not measured
+	noCapacityLoad = 10.0            // relative load that nodes learn for a zone without capacity
+	minReversal    = 0.05            // a smaller change of the share does not count as a reversal
 )
 
-// comparison sums up the value that was achieved and the value of the optimal plan.
+// comparison sums up achieved values and those of the optimal plan.
 type comparison struct{ achieved, optimal float64 }
 
 func (c *comparison) add(achieved, optimal float64) {
@@ -21,7 +21,7 @@
 	c.optimal += optimal
 }
 
-// fraction returns the achieved part of the optimal value; 1 if there is none.
+// fraction returns the achieved fraction of the optimal value, or 1 if the optimal value is 0.
 func (c *comparison) fraction() float64 {
 	if c.optimal == 0 {
 		return 1
@@ -29,16 +29,16 @@
 	return c.achieved / c.optimal
 }
 
-// account sums up what was served, and where.
+// account sums up the value that was served and the traffic between zones over a schedule.
 type account struct {
-	settled       comparison // from some time after an event to the next
-	overall       comparison
-	withoutAgents comparison // after the death of all agents
+	settled       comparison // value served from settleTime after an event to the next event
+	overall       comparison // value served until the agents die
+	withoutAgents comparison // value served after the death of all agents, once their last plan has faded
 	crossZone     comparison // traffic sent to other zones, while settled
-	totalTraffic  float64    // all of it, while settled
+	totalTraffic  float64    // all traffic, while settled
 
-	extremeShare float64 // of the crossing part since its last change of direction
-	falling      bool
+	extremeShare float64 // highest or lowest share of cross-zone traffic since its last reversal
+	falling      bool    // the share was last falling
 }
 
 func (a *account) addTo(outcome *Outcome) {
@@ -49,7 +49,8 @@
 	outcome.OptimalCrossZoneShare = a.crossZone.optimal / max(a.totalTraffic, 1)
 }
 
-// recordDirection reports whether the crossing part changes its direction with a new value.
+// recordDirection records a new value of the share of cross-zone traffic, and reports whether the share has reversed
+// its direction.
 func (a *account) recordDirection(share float64) bool {
 	if a.falling == (share <= a.extremeShare) {
 		a.extremeShare = share
@@ -63,14 +64,14 @@
 	return true
 }
 
-// traffic is what nodes send in one step.
+// traffic is the traffic that nodes send in one step.
 type traffic struct {
 	load      [][]float64 // by zone and class
-	crossZone float64     // between zones
+	crossZone float64     // part that goes to another zone than it entered at
 	total     float64
 }
 
-// measure accounts for one step. It is called again and again.
+// measure accounts for one step, and schedules itself for the next one.
 func (s *schedule) measure() {
 	s.callAfter(step, s.measure)
 	sent := s.nodesTraffic()
@@ -98,7 +99,7 @@
 	}
 }
 
-// nodesTraffic returns what all nodes send in this step.
+// nodesTraffic returns the traffic that all nodes send in this step.
 func (s *schedule) nodesTraffic() traffic {
 	sent := traffic{load: make([][]float64, len(s.zones))}
 	for z := range sent.load {
@@ -120,7 +121,8 @@
 	return sent
 }
 
-// serve returns the value that the zones serve, and lets the nodes know the zones' load later. A zone sheds load by priority weight.
+// serve returns the value that the zones serve in this step, and schedules the nodes to learn the zones' load after
+// loadDelay. An overloaded zone serves the classes with the highest priority weight first.
 func (s *schedule) serve(sent traffic) (value float64) {
 	for z, load := range sent.load {
 		capacity := s.capacity(z)
@@ -140,7 +142,8 @@
 	return value
 }
 
-// optimum returns the value that an optimal plan would serve, and the traffic that it needs to send to other zones.
+// optimum returns the value that an optimal plan would serve in this step, and the traffic that this plan sends to
+// other zones.
 func (s *schedule) optimum() (value, crossZone float64) {
 	totals := failover.Totals{Demand: s.demand(), Capacity: make([]float64, len(s.zones))}
 	for z := range totals.Capacity {
--- a/internal/simulation/failoversim/agent.go
+++ b/internal/simulation/failoversim/agent.go
@@ -13,28 +13,28 @@
 const (
 	leaderLease     = "director"
 	leaderTicks     = 4
-	learningTime    = 2 * time.Second // after the start, until an agent knows enough to plan
-	cutProbability  = 0.01            // in each cycle of an agent
-	stopProbability = 0.02
-	shortestOutage  = 2 * time.Second // of an agent that is cut off or stopped
+	learningTime    = 2 * time.Second // time after the start during which agents only collect digests
+	cutProbability  = 0.01            // of being cut off, in each cycle of an agent
+	stopProbability = 0.02            // of being stopped, in each cycle of a leader
+	shortestOutage  = 2 * time.Second // time for which an agent is cut off or stopped
 	longestOutage   = 8 * time.Second
-	growthTolerance = 1e-6 // of rounding
+	growthTolerance = 1e-6 // allowed for rounding
 )
 
-// agent is an agent that makes plans while it holds the lease of the failover leader.
+// agent is a simulated agent, which makes plans while it holds the lease of the failover leader.
 type agent struct {
 	schedule     *schedule
 	name         string
 	collector    *failover.Collector
 	planner      *failover.Planner
-	token        fencing.Token // 0: it does not hold the lease
+	token        fencing.Token // 0 while the agent does not hold the lease
 	stoppedUntil time.Duration
 	cutUntil     time.Duration
-	previousPlan *failover.Plan // that the planner continues
+	previousPlan *failover.Plan // plan that the planner continues
 	previousAt   time.Duration
 }
 
-// runWhenResumed calls a function in the agent's process, once that is not stopped any more.
+// runWhenResumed calls a function in the agent's process: now, or as soon as the process is no longer stopped.
 func (a *agent) runWhenResumed(f func()) {
 	s := a.schedule
 	if s.now < a.stoppedUntil {
@@ -44,12 +44,13 @@
 	f()
 }
 
-// runCycle acquires or renews the lease, and plans if the agent holds it. It is called again and again.
+// runCycle acquires or renews the lease, and publishes a plan if the agent holds it. It schedules itself for the next
+// cycle.
 func (a *agent) runCycle() {
 	s := a.schedule
 	s.callAfter(reportInterval, func() { a.runWhenResumed(a.runCycle) })
 	if s.now < a.cutUntil {
-		return // it cannot renew the lease, and so it must not plan
+		return // an agent that cannot renew the lease must not plan
 	}
 	if s.random.Float64() < cutProbability {
 		a.cutUntil = s.now + s.drawOutage()
@@ -61,7 +62,7 @@
 	if s.now < learningTime {
 		return
 	}
-	if s.random.Float64() < stopProbability { // between its check and its action
+	if s.random.Float64() < stopProbability { // stopped between the check of the lease and the plan
 		a.stoppedUntil = s.now + s.drawOutage()
 	}
 	a.runWhenResumed(func() { a.publish(totals) })
@@ -71,7 +72,8 @@
 	return eventqueue.Between(s.random, shortestOutage, longestOutage)
 }
 
-// keepLease renews the lease, or acquires it and continues the latest plan. It reports whether the agent holds the lease.
+// keepLease renews the lease, or acquires it and has the planner continue the latest plan. It reports whether the agent
+// holds the lease.
 func (a *agent) keepLease() bool {
 	s := a.schedule
 	command := lease.Command{Kind: lease.Renew, Name: leaderLease, Token: a.token, Ticks: leaderTicks}
@@ -95,7 +97,7 @@
 	return true
 }
 
-// publish makes a plan and sends it to all nodes.
+// publish makes a plan and sends it to all nodes. It makes none if no zone has capacity.
 func (a *agent) publish(totals failover.Totals) {
 	s := a.schedule
 	plan, err := a.planner.Step(s.now, a.token, totals)
@@ -118,7 +120,7 @@
 	}
 }
 
-// checkGrowth counts zones whose traffic is to grow faster between two plans than the rules allow.
+// checkGrowth counts the zones whose planned traffic grows faster between two plans than the rules allow.
 func (s *schedule) checkGrowth(previous, plan *failover.Plan, totals failover.Totals, interval time.Duration) {
 	for to := range plan.Rows {
 		growth, returning := 0.0, 0.0
@@ -126,7 +128,8 @@
 			for class := range priorityWeights {
 				demand := totals.Demand[from][class]
 				growth += (plan.Rows[from][class].Shares[to] - previous.Rows[from][class].Shares[to]) * demand
-				if from == to { // the zone's own traffic, for which other zones may have no capacity any more, may return at once
+				// A zone's own traffic may return at once, since the zones that served it may have lost their capacity.
+				if from == to {
 					returning += demand * (1 - previous.Rows[from][class].Shares[from])
 				}
 			}
--- a/internal/simulation/failoversim/failoversim.go
+++ b/internal/simulation/failoversim/failoversim.go
@@ -1,6 +1,7 @@
-// Package failoversim plays internal/failover in virtual time: zones that are lost, degraded and return, nodes that report what they see
-// and take up plans, agents that lead the failover and are stopped, cut off and replaced, and a network that loses, delays and repeats
-// messages. Traffic is a fluid: what a zone receives beyond its capacity is lost. Everything is drawn from a seed.
+// Package failoversim simulates internal/failover in virtual time: zones that are lost, degraded and restored, nodes
+// that send digests and apply plans, agents that lead the failover and are stopped, cut off and replaced, and a
+// network that loses, delays and repeats messages. Traffic is modelled as a fluid: the part that exceeds a zone's
+// capacity is lost. All random choices are drawn from a seed, so that a schedule can be repeated.
 package failoversim
 
 import (
@@ -9,38 +10,40 @@
 	"tulipglade/internal/simulation/stats"
 )
 
-// Ablation names a mechanism that is left out, to show that the checks find its absence.
+// Ablation selects the mechanism that a schedule leaves out, to show that the checks detect its absence.
 type Ablation struct {
-	Token bool // nodes take up plans in any order
-	Rate  bool // plans move traffic to its target at once
-	Fade  bool // a plan that is too old has no effect at once
-	Plans bool // nobody makes plans: nodes choose by themselves
+	Token bool // nodes apply plans in any order
+	Rate  bool // plans move all traffic to its target at once
+	Fade  bool // a plan that is too old loses its whole weight at once
+	Plans bool // no agent makes plans: nodes choose zones by themselves
 }
 
-// Outcome is what one schedule, or many together, have shown. Values are fractions of the value that an optimal plan would have served.
+// Outcome is the result of one schedule, or the sum over many. Values are fractions of the value that an optimal plan
+// would have served.
 type Outcome struct {
 	Schedules             int     `json:"schedules"`
-	Events                int     `json:"events"` // zones that were lost, degraded or returned
-	Plans                 int     `json:"plans"`  // that failover leaders made
-	Leaders               int     `json:"directors"`
-	Rejected              int     `json:"refused"`   // plans that nodes did not take up, as they had newer ones
-	PlanRegressions       int     `json:"backwards"` // plans that were taken up after newer ones
-	GrowthViolations      int     `json:"jumps"`     // plans by which a zone's traffic was to grow faster than allowed
-	AbruptFades           int     `json:"cliffs"`    // choices of nodes that changed by a tenth within a step without a new plan
-	ServedValue           float64 `json:"worth"`     // from 10 s after an event to the next event
-	OverallValue          float64 `json:"whole"`     // over all the time
-	ValueWithoutAgents    float64 `json:"alone"`     // from when all agents have died and their last plan has no effect any more
-	AllAgentsDied         int     `json:"died"`      // schedules in which all agents die
-	CrossZoneShare        float64 `json:"crossing"`  // the part of all traffic that was sent to other zones, in the times of ServedValue
-	OptimalCrossZoneShare float64 `json:"needed"`    // the part that the optimal plan sends to other zones then
-	Reversals             int     `json:"turns"`     // changes of direction of that part, by a twentieth of all traffic or more
-	FirstViolation        int64   `json:"first,omitempty"`
+	Events                int     `json:"events"`          // losses, degradations and returns of a zone, or of all zones of a region
+	Plans                 int     `json:"plans"`           // plans that failover leaders made
+	Leaders               int     `json:"directors"`       // times that an agent acquired the lease of the failover leader
+	Rejected              int     `json:"refused"`         // plans that nodes rejected, since they had newer ones
+	PlanRegressions       int     `json:"backwards"`       // plans that nodes applied after newer ones
+	GrowthViolations      int     `json:"jumps"`           // zones whose traffic a plan increased faster than allowed
+	AbruptFades           int     `json:"cliffs"`          // choices that moved by more than 0.05 in a step as the plan's weight fell
+	ServedValue           float64 `json:"worth"`           // value served from 10 s after an event to the next event
+	OverallValue          float64 `json:"whole"`           // value served from the end of the start-up until the agents die
+	ValueWithoutAgents    float64 `json:"alone"`           // value served once all agents have died and their last plan has faded
+	AllAgentsDied         int     `json:"died"`            // schedules in which all agents died
+	CrossZoneShare        float64 `json:"crossing"`        // share of traffic sent to other zones, in the times of ServedValue
+	OptimalCrossZoneShare float64 `json:"needed"`          // share that the optimal plan sends to other zones in these times
+	Reversals             int     `json:"turns"`           // changes of direction of the cross-zone share, by more than a twentieth
+	FirstViolation        int64   `json:"first,omitempty"` // seed of the first schedule with a violation
 }
 
-// Violations is how often an invariant was broken.
+// Violations returns the number of times that an invariant was broken.
 func (o Outcome) Violations() int { return o.PlanRegressions + o.GrowthViolations + o.AbruptFades }
 
-// RunSchedules plays the schedules of consecutive seeds on all cores. Fractions are means.
+// RunSchedules runs the schedules of consecutive seeds on all cores, and returns the sum of their outcomes. Fractions
+// are means over the schedules.
 func RunSchedules(ctx context.Context, first uint64, schedules int, without Ablation) (sum Outcome, err error) {
 	all, err := stats.Play(ctx, schedules, func(i int) Outcome { return RunSchedule(first+uint64(i), without) })
 	if err != nil {
@@ -56,6 +59,6 @@
 		}
 		stats.Add(&sum, outcome, 1/float64(schedules))
 	}
-	sum.ValueWithoutAgents = alone / max(float64(sum.AllAgentsDied), 1) // the mean of those schedules only
+	sum.ValueWithoutAgents = alone / max(float64(sum.AllAgentsDied), 1) // mean over the schedules in which all agents died
 	return sum, nil
 }
--- a/internal/simulation/failoversim/failoversim_test.go
+++ b/internal/simulation/failoversim/failoversim_test.go
@@ -12,9 +12,11 @@
 	return outcome
 }
 
-// With zones that are lost, degraded and return, agents that are stopped, cut off and die, and a bad network, no invariant is broken. What
-// is served is near the optimum, with little more traffic between zones than that needs and few changes of direction. Nodes that choose by
-// themselves are worse in all three; when all agents have died it is as with them.
+// TestScheduledFaultsKeepInvariants checks that no invariant is broken when zones are lost, degraded and restored,
+// agents are stopped, cut off and die, and the network is faulty. The value served is near the optimum, with little
+// more traffic between zones than the optimum needs and few changes of direction. Nodes that choose zones by
+// themselves serve less and send more traffic between zones. After the death of all agents, the value is close to
+// that of such nodes.
 func TestScheduledFaultsKeepInvariants(t *testing.T) {
 	outcome := playMany(t, 60, Ablation{})
 	local := playMany(t, 60, Ablation{Plans: true})
@@ -22,18 +24,18 @@
 		t.Errorf("broken %d times, first by schedule %d", outcome.Violations(), outcome.FirstViolation)
 	}
 	if outcome.ServedValue < 0.97 || outcome.CrossZoneShare > 1.1*outcome.OptimalCrossZoneShare || outcome.Reversals > 2*outcome.Events {
-		t.Error("worse than the objectives")
+		t.Error("served value, cross-zone traffic or reversals miss their objectives")
 	}
 	worseThanLocal := local.ServedValue > outcome.ServedValue-0.02 || local.CrossZoneShare < 2*outcome.CrossZoneShare
 	if worseThanLocal || outcome.ValueWithoutAgents < local.ServedValue-0.05 {
-		t.Error("no better than nodes by themselves, or worse without agents")
+		t.Error("plans are no better than nodes that choose by themselves, or nodes are worse than that once all agents died")
 	}
 	if outcome.Leaders < outcome.Schedules || outcome.Rejected < outcome.Schedules || outcome.AllAgentsDied < 5 {
-		t.Error("the schedules are too mild to show anything")
+		t.Error("the schedules contain too few faults to test the invariants")
 	}
 }
 
-// The checks can fail: with a mechanism left out they find its absence.
+// TestChecksFindMissingMechanism checks that the invariant checks can fail: each detects a mechanism that is left out.
 func TestChecksFindMissingMechanism(t *testing.T) {
 	for name, test := range map[string]struct {
 		without Ablation
--- a/internal/simulation/failoversim/node.go
+++ b/internal/simulation/failoversim/node.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	measurementError    = 0.03 // of what nodes report, relative
-	fullLoad            = 0.95 // from which a node without a plan avoids a zone
-	abruptFadeThreshold = 0.05
-	loadDelay           = time.Second // until nodes know the load of zones
+	measurementError    = 0.03        // largest relative error of the values in digests
+	fullLoad            = 0.95        // relative load from which a node without a plan avoids a zone
+	abruptFadeThreshold = 0.05        // largest change of a share in one step that a fading plan may cause
+	loadDelay           = time.Second // time until nodes learn the load of a zone
 )
 
-// node is a node that reports to the agents and takes up their plans.
+// node is a simulated node, which sends digests to the agents and applies their plans.
 type node struct {
 	schedule    *schedule
 	zone        int
 	name        string
 	sequence    uint64
 	currentPlan *failover.CurrentPlan
-	newestPlan  *failover.Plan // that was taken up
-	load        []float64      // of each zone relative to its capacity, as the node knows it
+	newestPlan  *failover.Plan // newest plan that the node has applied
+	load        []float64      // by zone: load relative to capacity, as last learned by the node
 
-	// Of the step before, by class.
+	// Shares and weight of the plan in the step before, by class.
 	previousShares [][]float64
 	previousWeight []float64
 }
 
-// report sends a digest to all agents, again and again.
+// report sends a digest to all agents that are not cut off, and schedules the next report.
 func (n *node) report() {
 	s := n.schedule
 	digest := n.digest()
@@ -44,7 +44,7 @@
 	s.callAfter(reportInterval, n.report)
 }
 
-// digest returns what the node has measured, with errors.
+// digest returns the demand and capacity that the node has measured, with measurement errors.
 func (n *node) digest() failover.Digest {
 	s := n.schedule
 	n.sequence++
@@ -62,10 +62,10 @@
 	return 1 + measurementError*(2*s.random.Float64()-1)
 }
 
-// applyPlan takes up a plan if it is newer than the current one.
+// applyPlan replaces the current plan by a newer one, and counts plans that are rejected or applied out of order.
 func (n *node) applyPlan(plan *failover.Plan) {
 	s := n.schedule
-	if s.without.Token { // the node forgets which plan it has
+	if s.without.Token { // without a current plan the node accepts any
 		n.currentPlan = s.newCurrentPlan()
 	}
 	if n.currentPlan.Update(plan, s.now) != nil {
@@ -79,7 +79,8 @@
 	n.newestPlan = plan
 }
 
-// localChoice is the choice of a node without a plan: its own zone unless that is full, else the nearest one that is not.
+// localChoice returns the shares of a node without a plan: all traffic goes to its own zone unless that is full, else
+// to the nearest zone that is not full.
 func (n *node) localChoice() []float64 {
 	cost := n.schedule.topology.Cost[n.zone]
 	lowestCost, choice := math.Inf(1), n.zone
@@ -93,7 +94,8 @@
 	return shares
 }
 
-// routingShares returns the shares of each class that the node sends to each zone now. It blends the plan with the local choice.
+// routingShares returns the shares of traffic that the node sends to each zone now, by class. They are a mean of the
+// plan's shares and the local choice, weighted by the weight of the plan.
 func (n *node) routingShares() [][]float64 {
 	local := n.localChoice()
 	choice := make([][]float64, len(priorityWeights))
@@ -115,8 +117,8 @@
 	return choice
 }
 
-// checkFade counts a choice that changes because the plan has lost much of its weight since the step before, where the plan and the local
-// choice differ.
+// checkFade counts an abrupt change of the node's shares that is caused by the plan's loss of weight since the step
+// before. It occurs where the plan and the local choice differ.
 func (n *node) checkFade(class int, local []float64, weight float64) {
 	previous := n.previousShares[class]
 	if previous == nil {
--- a/internal/simulation/failoversim/schedule.go
+++ b/internal/simulation/failoversim/schedule.go
@@ -14,8 +14,8 @@
 const (
 	step           = 100 * time.Millisecond
 	scheduleLength = 60 * time.Second
-	reportInterval = 500 * time.Millisecond // of nodes, and of agents
-	settleTime     = 10 * time.Second       // after an event, until traffic must be served as by an optimal plan
+	reportInterval = 500 * time.Millisecond // between the reports of a node, and between the cycles of an agent
+	settleTime     = 10 * time.Second       // after an event, until the served value is compared with the optimum as settled
 	never          = 2 * scheduleLength
 
 	regions        = 3
@@ -24,39 +24,40 @@
 	agentCount     = 3
 	fullCapacity   = 100.0 // of a zone
 
-	allDieProbability = 0.3
+	allDieProbability = 0.3 // that all agents die in a schedule
 
-	shortestDelay = time.Millisecond // of messages
+	shortestDelay = time.Millisecond // of the delivery of a message
 	usualDelay    = 50 * time.Millisecond
 	longestDelay  = 3 * time.Second
 )
 
-// Streams of the random sources of a seed, and of the event queue.
+// Streams of the two random sources of a seed, and the number of the event source in the queue.
 const (
 	randomStream = 0xfa11
 	eventStream  = 0xe7e27
 	eventSource  = 1
 )
 
-// priorityWeights are the values of a request of each class.
+// priorityWeights are the values of a unit of served traffic, by class.
 var priorityWeights = []float64{3, 1}
 
-// classShares are the parts of a zone's demand that are of each class.
+// classShares are the shares of a zone's demand, by class.
 var classShares = []float64{0.4, 0.6}
 
-// demandLevels are the parts of its capacity that a zone may have as demand.
+// demandLevels are the levels of demand that a schedule can have, as a fraction of the full capacity of a zone.
 var demandLevels = []float64{0.6, 0.75, 0.85, 0.95}
 
-// schedule is the state of one schedule. The order of its random draws, and of its sums, is part of what a seed means.
+// schedule is the state of one schedule. The result of a seed depends on the order of the random draws and of the sums,
+// which therefore must not change.
 type schedule struct {
 	outcome  Outcome
 	without  Ablation
 	topology failover.Topology
 	rules    failover.Rules
-	optimal  *failover.Planner // knows everything, and leaves no headroom
+	optimal  *failover.Planner // plans from exact totals, without headroom
 
 	random *rand.Rand
-	events *rand.Rand // for zones and agents' deaths, which are the same whoever plans
+	events *rand.Rand // for events of zones and deaths of agents, which do not depend on who plans
 	queue  eventqueue.Sim
 	source eventqueue.Source
 	now    time.Duration
@@ -68,12 +69,12 @@
 	agents      []*agent
 	agentsDieAt time.Duration
 	leases      *lease.State
-	latestPlan  *failover.Plan // of all that were published
+	latestPlan  *failover.Plan // newest of all plans that were published
 
 	account account
 }
 
-// RunSchedule plays one schedule.
+// RunSchedule runs the schedule of a seed.
 func RunSchedule(seed uint64, without Ablation) Outcome {
 	s := newSchedule(seed, without)
 	s.addAgents()
@@ -133,7 +134,7 @@
 	}
 }
 
-// addZones adds the zones with their nodes.
+// addZones adds the zones and their nodes, and schedules the nodes' first reports.
 func (s *schedule) addZones() {
 	for z := range s.topology.Zones {
 		s.zones = append(s.zones, zone{capacity: fullCapacity, warmingSince: -time.Hour})
@@ -164,13 +165,13 @@
 	}
 }
 
-// tickLeases advances the clock of the group that grants the lease of the failover leader.
+// tickLeases advances the clock of the group that grants the lease of the failover leader, and schedules the next tick.
 func (s *schedule) tickLeases() {
 	_, _ = s.leases.Apply(lease.Command{Kind: lease.Tick}) // a tick is never rejected
 	s.callAfter(reportInterval, s.tickLeases)
 }
 
-// drawAgentsDeath has all agents die in some schedules.
+// drawAgentsDeath draws whether and when all agents die in this schedule.
 func (s *schedule) drawAgentsDeath() {
 	if s.events.Float64() >= allDieProbability {
 		return
@@ -184,25 +185,26 @@
 	})
 }
 
-// reportDelay draws the time from the start to a process's first report or cycle.
+// reportDelay draws the time from the start to a node's first report or an agent's first cycle.
 func (s *schedule) reportDelay() time.Duration {
 	return eventqueue.Between(s.random, 0, reportInterval)
 }
 
-// callAfter calls a function callAfter a time, rounded up to the queue's resolution: an event before it is due would be repeated for ever.
+// callAfter calls a function after a delay, rounded up to the queue's resolution: a function that runs before it is due
+// would schedule itself again forever.
 func (s *schedule) callAfter(delay time.Duration, f func()) {
 	const resolution = time.Microsecond
 	span := eventqueue.Span((max(delay, 0) + resolution - 1) / resolution)
 	s.queue.After(&s.source, span, eventqueue.Event{Target: s, Payload: f})
 }
 
-// Handle runs the function of an event.
+// Handle sets the current time and runs the function of an event.
 func (s *schedule) Handle(now eventqueue.Time, event eventqueue.Event) {
 	s.now = time.Duration(now) * time.Microsecond
 	event.Payload.(func())()
 }
 
-// send delivers a message: usually soon, at times never, late or twice.
+// send schedules the delivery of a message. It usually arrives soon, but may be lost, late or delivered twice.
 func (s *schedule) send(deliver func()) {
 	for _, delay := range eventqueue.DelayPath(s.random, shortestDelay, usualDelay, longestDelay) {
 		s.callAfter(delay, deliver)
--- a/internal/simulation/failoversim/zone.go
+++ b/internal/simulation/failoversim/zone.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	degradedCapacity = 0.2              // the part of its capacity that a degraded zone has
-	initialCapacity  = 0.2              // the part that a zone has when it returns
-	warmUpSeconds    = 10               // until a zone that returned has all
-	warmUpTime       = 10 * time.Second // the same
+	degradedCapacity = 0.2              // fraction of its capacity that remains to a degraded zone
+	initialCapacity  = 0.2              // fraction of its capacity that a zone has when it returns
+	warmUpSeconds    = 10               // until a zone that returned has its full capacity
+	warmUpTime       = 10 * time.Second // warmUpSeconds as a duration
 )
 
-// zone is the state of a zone.
+// zone is the capacity of a zone and the start of its latest warm-up.
 type zone struct {
-	capacity     float64
-	warmingSince time.Duration // when it last returned
+	capacity     float64       // once warm
+	warmingSince time.Duration // time of its last return
 }
 
-// capacity returns the capacity of a zone now.
+// capacity returns the current capacity of a zone, which grows linearly while the zone warms up.
 func (s *schedule) capacity(z int) float64 {
 	warming := max(s.now-s.zones[z].warmingSince, 0).Seconds()
 	return s.zones[z].capacity * min(1, initialCapacity+(1-initialCapacity)*warming/warmUpSeconds)
@@ -36,7 +36,8 @@
 	return demand
 }
 
-// degradeZones has a zone, or all zones of a region, lose capacity, and restores them after a time.
+// degradeZones removes part or all of the capacity of one zone, or all that of a region, and restores it 14 to 18 s
+// later.
 func (s *schedule) degradeZones() {
 	affected, remaining := s.drawDegradation()
 	for _, z := range affected {
@@ -53,9 +54,9 @@
 	})
 }
 
-// drawDegradation draws the zones that lose capacity, and the part of it that remains.
+// drawDegradation draws the zones that lose capacity, and the fraction of the capacity that remains.
 func (s *schedule) drawDegradation() (affected []int, remaining float64) {
-	const region, degraded, kinds = 0, 1, 4 // all other kinds are the loss of one zone
+	const region, degraded, kinds = 0, 1, 4 // all other kinds are the complete loss of one zone
 	z := s.events.IntN(len(s.zones))
 	switch s.events.IntN(kinds) {
 	case region:
