--- a/internal/failover/planner_test.go
+++ b/internal/failover/planner_test.go
@@ -173,10 +173,10 @@
 	changesWithoutBand, _ := runTotals(changedRules)
 	changedRules = DefaultRules
 	changedRules.MaxGrowthRate = 1e9
-	_, unlimitedJump := runTotals(changedRules)
-	if changesWithBand*2 >= changesWithoutBand || limitedJump >= unlimitedJump*0.9 {
+	_, jump := runTotals(changedRules)
+	if changesWithBand*2 >= changesWithoutBand || limitedJump >= jump*0.9 {
 		t.Errorf("%d changes, without the noise band %d; a jump of %.2f, without the limit of growth %.2f",
-			changesWithBand, changesWithoutBand, limitedJump, unlimitedJump)
+			changesWithBand, changesWithoutBand, limitedJump, jump)
 	}
 }
 
--- a/internal/simulation/failoversim/failoversim.go
+++ b/internal/simulation/failoversim/failoversim.go
@@ -22,20 +22,20 @@
 // would have served.
 type Outcome struct {
 	Schedules             int     `json:"schedules"`
-	Events                int     `json:"events"`          // losses, degradations and returns of a zone, or of all zones of a region
+	Events                int     `json:"events"`          // losses, degradations and returns of zones
 	Plans                 int     `json:"plans"`           // plans that failover leaders made
 	Leaders               int     `json:"directors"`       // times that an agent acquired the lease of the failover leader
 	Rejected              int     `json:"refused"`         // plans that nodes rejected, since they had newer ones
 	PlanRegressions       int     `json:"backwards"`       // plans that nodes applied after newer ones
 	GrowthViolations      int     `json:"jumps"`           // zones whose traffic a plan increased faster than allowed
-	AbruptFades           int     `json:"cliffs"`          // choices that moved by more than 0.05 in a step as the plan's weight fell
+	AbruptFades           int     `json:"cliffs"`          // steps in which a fading plan moved a share by over 0.05
 	ServedValue           float64 `json:"worth"`           // value served from 10 s after an event to the next event
-	OverallValue          float64 `json:"whole"`           // value served from the end of the start-up until the agents die
-	ValueWithoutAgents    float64 `json:"alone"`           // value served once all agents have died and their last plan has faded
+	OverallValue          float64 `json:"whole"`           // value served from 5 s on until the agents die
+	ValueWithoutAgents    float64 `json:"alone"`           // value served after the last plan of dead agents faded
 	AllAgentsDied         int     `json:"died"`            // schedules in which all agents died
-	CrossZoneShare        float64 `json:"crossing"`        // share of traffic sent to other zones, in the times of ServedValue
-	OptimalCrossZoneShare float64 `json:"needed"`          // share that the optimal plan sends to other zones in these times
-	Reversals             int     `json:"turns"`           // changes of direction of the cross-zone share, by more than a twentieth
+	CrossZoneShare        float64 `json:"crossing"`        // share sent to other zones, in the times of ServedValue
+	OptimalCrossZoneShare float64 `json:"needed"`          // share that the optimal plan sends there in these times
+	Reversals             int     `json:"turns"`           // changes of direction of CrossZoneShare, by over 0.05
 	FirstViolation        int64   `json:"first,omitempty"` // seed of the first schedule with a violation
 }
 
--- a/internal/simulation/failoversim/schedule.go
+++ b/internal/simulation/failoversim/schedule.go
@@ -15,7 +15,7 @@
 	step           = 100 * time.Millisecond
 	scheduleLength = 60 * time.Second
 	reportInterval = 500 * time.Millisecond // between the reports of a node, and between the cycles of an agent
-	settleTime     = 10 * time.Second       // after an event, until the served value is compared with the optimum as settled
+	settleTime     = 10 * time.Second       // after an event, until the served value must be near the optimum
 	never          = 2 * scheduleLength
 
 	regions        = 3
--- a/internal/simulation/leasesim/group.go
+++ b/internal/simulation/leasesim/group.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	setupTime   = 5 * time.Second // for which the first command is repeated
+	setupTime   = 5 * time.Second // time after the start during which the first command is repeated
 	setupPause  = time.Second
-	maxForwards = 3 // members to which a request is forwarded
+	maxForwards = 3 // largest number of times that a request follows a hint to the leader
 )
 
-// link is the direction from one member to another, by their IDs.
+// link is a connection in one direction between two members, given by their IDs.
 type link struct{ from, to uint64 }
 
-// group is members of a consensus group, with the network between them and their disks.
+// group is a simulated consensus group: its members with their disks, and the network between them.
 type group struct {
 	schedule        *schedule
-	members         []*member // by ID, from 1, with those that were removed
-	cutUntil        map[link]time.Duration
-	checksums       map[uint64]uint64 // of the state that was agreed on, by log index
-	leaderDiedAt    time.Duration     // when a leading member died; 0: another leads since
-	membersChanging bool              // a change of members is in progress
+	members         []*member              // by ID, from 1; includes removed members
+	cutUntil        map[link]time.Duration // time until which a link loses all messages
+	checksums       map[uint64]uint64      // checksums of the state that was agreed on, by log index
+	leaderDiedAt    time.Duration          // time of the last leader's death; 0 once another member leads
+	membersChanging bool                   // whether a change of members is in progress
 }
 
 func newGroup(s *schedule, members int, first lease.Command) *group {
@@ -48,7 +48,7 @@
 	return g
 }
 
-// setUp repeats the first command, which a group without a leader does not answer.
+// setUp sends the first command repeatedly during setupTime, since a group without a leader does not answer.
 func (g *group) setUp(first lease.Command) {
 	s := g.schedule
 	g.request(&holder{schedule: s, name: "setup"}, first, func(lease.Grant, error) {})
@@ -57,12 +57,12 @@
 	}
 }
 
-// add starts a member with a state on its disk.
+// add adds a member to the simulation and starts it with a state on its disk.
 func (g *group) add(state consensus.DurableState) *member {
 	s := g.schedule
 	m := &member{group: g, id: uint64(len(g.members) + 1), disk: state, clockRate: s.allowedClockRate()}
 	if s.faults.Clocks && s.chance(0.3) {
-		m.clockRate = 1.2 + s.random.Float64() // its ticks are too short
+		m.clockRate = 1.2 + s.random.Float64() // its ticks are shorter than the terms allow
 	}
 	g.members = append(g.members, m)
 	m.start()
@@ -71,7 +71,7 @@
 
 func address(id uint64) string { return fmt.Sprint("m", id) }
 
-// memberByAddress returns the member with an address; nil if there is none.
+// memberByAddress returns the member with an address, or nil if there is none.
 func (g *group) memberByAddress(memberAddress string) *member {
 	i := slices.IndexFunc(g.members, func(m *member) bool { return address(m.id) == memberAddress })
 	if i < 0 {
@@ -80,20 +80,20 @@
 	return g.members[i]
 }
 
-// activeMembers returns the members that were not removed.
+// activeMembers returns the members that were not removed from the group.
 func (g *group) activeMembers() []*member {
 	return slices.DeleteFunc(slices.Clone(g.members), func(m *member) bool { return m.removed })
 }
 
-// request sends a command to the member that the holder believes to lead, or to any other if it believes nothing. It follows the members'
-// hints to the leader.
+// request sends a command to the member that the holder believes to be the leader, or to a random one if it knows
+// none. It follows the members' hints to the leader.
 func (g *group) request(h *holder, command lease.Command, respond func(lease.Grant, error)) {
 	recipient := h.leader
 	if recipient == nil || recipient.removed {
 		activeMembers := g.activeMembers()
 		recipient = activeMembers[g.schedule.random.IntN(len(activeMembers))]
 	}
-	h.leader = nil // until it responds
+	h.leader = nil // until a member responds
 	g.sendRequest(recipient, maxForwards, h, command, respond)
 }
 
@@ -122,7 +122,7 @@
 	})
 }
 
-// recordGrant checks that a token is granted to one request only.
+// recordGrant records the request that a token was granted to, and counts a token that was granted to two requests.
 func (g *group) recordGrant(grant lease.Grant, request string) {
 	s := g.schedule
 	owner, granted := s.owners[grant.Token]
@@ -135,7 +135,7 @@
 	}
 }
 
-// compareMembers checks at the end that all members agree.
+// compareMembers counts the members whose state at the end of the schedule disagrees with that of the others.
 func (g *group) compareMembers() {
 	for _, m := range g.members {
 		if m.process == nil {
--- a/internal/simulation/leasesim/group_test.go
+++ b/internal/simulation/leasesim/group_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Schedules of a group of any number of members, each with a disk, and with faults among them, break no invariant.
+// TestGroupSchedulesKeepInvariants checks that schedules of groups of 1, 3 and 5 members, with disks and with faults
+// among the members, break no invariant.
 func TestGroupSchedulesKeepInvariants(t *testing.T) {
 	for _, members := range []int{1, 3, 5} {
 		outcome, takeovers, err := RunSchedules(t.Context(), 1, 40, Ablation{}, members)
@@ -16,12 +17,13 @@
 		withActions := outcome.StaleRejections > 0 && outcome.Withheld > 0 && outcome.Actions >= 10*outcome.Schedules
 		withFaults := outcome.Changes >= 5 && outcome.Faults >= 2*outcome.Schedules && takeovers.LeaderElection.TotalCount() >= 20
 		if !withActions || !withFaults {
-			t.Error("the schedules are too mild to show anything")
+			t.Error("the schedules contain too few actions or faults to test the invariants")
 		}
 	}
 }
 
-// A disk that does not have what it has promised is found, and so is a missing fence, with a group as without one.
+// TestGroupChecksFindMissingMechanism checks that the invariant checks detect a disk that loses writes it has
+// confirmed, and a target without a fence, for a group of members as well.
 func TestGroupChecksFindMissingMechanism(t *testing.T) {
 	for name, test := range map[string]struct {
 		without Ablation
--- a/internal/simulation/leasesim/holder.go
+++ b/internal/simulation/leasesim/holder.go
@@ -7,12 +7,14 @@
 )
 
 const (
-	// requestIDsPerProcess keeps the request IDs of a process apart from those of the processes before it.
+	// requestIDsPerProcess is the distance between the first request IDs of consecutive processes, so that no process
+	// reuses an ID of an earlier one.
 	requestIDsPerProcess = 1000
 	longestStartDelay    = time.Second
 )
 
-// holder takes the lease whenever it can, renews it, acts under it, and releases it from time to time.
+// holder is a simulated holder, which acquires the lease whenever it can, renews it, sends actions under it, and
+// releases it from time to time.
 type holder struct {
 	schedule     *schedule
 	name         string
@@ -20,15 +22,16 @@
 	stoppedUntil time.Duration
 	guard        lease.Guard
 	requestID    uint64
-	incarnation  int     // counts its processes
-	leader       *member // of a group: the one that it believes to lead; nil: it does not know
+	incarnation  int     // number of its processes so far
+	leader       *member // member that it believes to be the leader; nil if it knows none
 }
 
 func (h *holder) clock() time.Duration {
 	return time.Duration(float64(h.schedule.now) * h.clockRate)
 }
 
-// run calls a function in a process of the holder: once the process is not stopped any more, and never if it has ended.
+// run calls a function in a process of the holder: now, or as soon as the process is no longer stopped. It does
+// nothing if the process has ended.
 func (h *holder) run(incarnation int, f func()) {
 	s := h.schedule
 	switch {
@@ -40,7 +43,7 @@
 	}
 }
 
-// start starts a process without any state. Its request IDs differ from all before.
+// start starts a process without any state. Its request IDs differ from those of all earlier processes.
 func (h *holder) start() {
 	s := h.schedule
 	h.incarnation++
@@ -51,7 +54,7 @@
 	s.callAfter(s.randomDuration(0, longestStartDelay), func() { h.run(incarnation, h.startAction) })
 }
 
-// crash ends the process. What it has sent is still delivered.
+// crash ends the process and schedules the start of the next. Messages that it has sent are still delivered.
 func (h *holder) crash() {
 	s := h.schedule
 	if grant, ok := h.guard.Grant(); ok {
@@ -63,7 +66,7 @@
 	s.callAfter(s.randomDuration(500*time.Millisecond, 4*time.Second), h.start)
 }
 
-// keepLease acquires or renews the lease, and sometimes releases it.
+// keepLease acquires or renews the lease, and sometimes releases it. It schedules itself for the next request.
 func (h *holder) keepLease() {
 	s, incarnation := h.schedule, h.incarnation
 	if s.faults.Kills && s.faultsActive() && s.chance(0.05) {
@@ -85,7 +88,8 @@
 			h.handleResponse(command, response, err, requestedAt)
 		})
 	})
-	if granted && s.chance(0.1) && (h.guard.ActionsEnded(h.clock()) || s.without.ReleaseWait) { // all its actions are over
+	// A holder releases the lease only after all its actions have ended.
+	if granted && s.chance(0.1) && (h.guard.ActionsEnded(h.clock()) || s.without.ReleaseWait) {
 		h.guard.DropGrant()
 		release := lease.Command{Kind: lease.Release, Name: leaseName, Token: grant.Token}
 		s.request(h, release, func(lease.Grant, error) {})
@@ -93,7 +97,7 @@
 	s.callAfter(s.randomDuration(300*time.Millisecond, 600*time.Millisecond), func() { h.run(incarnation, h.keepLease) })
 }
 
-// handleResponse takes up a grant, or gives up the lease whose renewal was rejected.
+// handleResponse records a grant, or drops the current one if its renewal was rejected.
 func (h *holder) handleResponse(command lease.Command, response lease.Grant, err error, requestedAt time.Duration) {
 	if err == nil {
 		h.guard.RecordGrant(response, grantTicks, requestedAt)
@@ -105,7 +109,8 @@
 	}
 }
 
-// startAction checks the lease and sends an action. The time that an action may take includes its delivery.
+// startAction checks the lease and sends an action, and schedules the next one. The longest duration of an action
+// includes its delivery.
 func (h *holder) startAction() {
 	s, incarnation := h.schedule, h.incarnation
 	s.callAfter(s.randomDuration(100*time.Millisecond, 400*time.Millisecond), func() { h.run(incarnation, h.startAction) })
--- a/internal/simulation/leasesim/leasesim_test.go
+++ b/internal/simulation/leasesim/leasesim_test.go
@@ -6,15 +6,18 @@
 	"time"
 )
 
-// Schedules of stops, wrong clocks, losses and leaders that die break no invariant.
+// TestScheduledFaultsKeepInvariants checks that schedules with stopped holders, wrong clocks, lost messages and dying
+// leaders break no invariant, and that another holder takes over within the time that the design promises.
 func TestScheduledFaultsKeepInvariants(t *testing.T) {
 	outcome, takeovers, err := RunSchedules(t.Context(), 1, 2000, Ablation{}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%+v", outcome)
-	// By the design: the ticks of a grant and the one in progress, by a clock that is slow; then the time until the next holder requests the
-	// lease, and until it acts. That holder may die, too, with a grant whose response it has not received: so not the maximum.
+	// By the design, a takeover takes at most the ticks of a grant and the one in progress, measured by a slow clock,
+	// then the time until the next holder requests the lease, and the time until it acts. The check uses the 90th
+	// percentile instead of the maximum, since the next holder may die as well, with a grant whose response it has
+	// not received.
 	const longestRequestPause, longestActionPause = 600 * time.Millisecond, 400 * time.Millisecond
 	longestGrant := (grantTicks + 1) * tickInterval * 105 / 100
 	bound := (longestGrant + longestRequestPause + longestActionPause + 3*longestDelay).Milliseconds()
@@ -27,11 +30,12 @@
 	}
 	withActions := outcome.StaleRejections > 0 && outcome.Busy > 0 && outcome.Withheld > 0 && outcome.Actions >= 10*outcome.Schedules
 	if !withActions || outcome.Leaders < 2*outcome.Schedules {
-		t.Error("the schedules are too mild to show anything")
+		t.Error("the schedules contain too few actions or faults to test the invariants")
 	}
 }
 
-// The checks can fail: with a mechanism left out, the same schedules find its absence.
+// TestChecksFindMissingMechanism checks that the invariant checks can fail: the same schedules detect a mechanism
+// that is left out.
 func TestChecksFindMissingMechanism(t *testing.T) {
 	for name, test := range map[string]struct {
 		without Ablation
@@ -52,7 +56,7 @@
 	}
 }
 
-// A schedule is the same each time.
+// TestSchedulesAreDeterministic checks that a seed has the same outcome and gaps each time.
 func TestSchedulesAreDeterministic(t *testing.T) {
 	for seed := range uint64(50) {
 		first, firstGaps := RunSchedule(seed, Ablation{}, 0)
--- a/internal/simulation/leasesim/member.go
+++ b/internal/simulation/leasesim/member.go
@@ -14,39 +14,39 @@
 
 const (
 	memberTickInterval = 50 * time.Millisecond
-	removedGrace       = 5 * time.Second // for which a removed member stays
+	removedGrace       = 5 * time.Second // time for which a removed member keeps running
 
 	electionTicks       = 10
 	snapshotEntries     = 40
 	requestTimeoutTicks = 60
 
-	maxUnsynced        = 20 // writes that a disk without sync may still lose
+	maxUnsynced        = 20 // number of last writes that a disk without sync may lose
 	longestLossyDelay  = 400 * time.Millisecond
 	shortestDelay      = time.Millisecond
 	snapshotReportTime = 2 * longestDelay
 )
 
-// errProcessDied is the error of a write during which the process died.
+// errProcessDied is returned by a write during which the process died.
 var errProcessDied = errors.New("the process died")
 
-// member is a member's process, its disk and its clock.
+// member is a simulated member of the group: its process, its disk and its clock.
 type member struct {
 	group        *group
 	id           uint64
 	clockRate    float64
 	stoppedUntil time.Duration
-	incarnation  int               // counts its processes
-	process      *consensus.Member // nil: it is down
+	incarnation  int               // number of its processes so far
+	process      *consensus.Member // nil while it is down
 	disk         consensus.DurableState
 	unsynced     []consensus.StorageUpdate // writes that the disk does not have yet
-	removed      bool                      // from the group; it will not start again
+	removed      bool                      // it was removed from the group, and does not start again
 }
 
 func (m *member) clock() time.Duration {
 	return time.Duration(float64(m.group.schedule.now) * m.clockRate)
 }
 
-// Save writes an update to the disk. The process may die before anything is written, or after everything is.
+// Save writes an update to the disk. The process may die before the write, or after it is complete.
 func (m *member) Save(update consensus.StorageUpdate) error {
 	s := m.group.schedule
 	dies := s.faults.Down && s.faultsActive() && s.chance(0.002)
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// sync writes all but the last few updates to the disk.
+// sync writes all unsynced updates but the last keep ones to the disk.
 func (m *member) sync(keep int) {
 	for len(m.unsynced) > keep {
 		m.disk = m.disk.Apply(m.unsynced[0])
@@ -72,7 +72,7 @@
 	}
 }
 
-// start starts a process from the disk, unless there is one or the member was removed.
+// start starts a process with the state on the disk, unless one is running or the member was removed.
 func (m *member) start() {
 	if m.removed || m.process != nil {
 		return
@@ -97,7 +97,7 @@
 	s.callAfter(s.randomDuration(0, memberTickInterval), func() { m.tick(incarnation) })
 }
 
-// tick advances the clock of elections, again and again until the process ends.
+// tick advances the process's clock of elections, and schedules the next tick until the process ends.
 func (m *member) tick(incarnation int) {
 	m.run(incarnation, (*consensus.Member).Tick)
 	if m.incarnation == incarnation {
@@ -106,8 +106,8 @@
 	}
 }
 
-// run calls a function in a process, and has the process write and send what comes of it: once it is not stopped any more, and never if it
-// has ended.
+// run calls a function in a process, and has the process write and send the resulting updates and messages. If the
+// process is stopped, run does so as soon as it resumes; if the process has ended, run does nothing.
 func (m *member) run(incarnation int, f func(*consensus.Member)) {
 	s := m.group.schedule
 	switch {
@@ -132,7 +132,7 @@
 	m.checkState()
 }
 
-// recordElection counts a leader, and the time that the group had none.
+// recordElection counts a new leader, and records for how long the group had none.
 func (m *member) recordElection() {
 	g, s := m.group, m.group.schedule
 	s.outcome.Leaders++
@@ -142,7 +142,8 @@
 	}
 }
 
-// checkState checks that the member agrees with those that have applied as much, and notes when it is removed from the group.
+// checkState checks that the member's state agrees with that of the members that applied the same log index before.
+// It also records the member's removal from the group, and ends its process some time later.
 func (m *member) checkState() {
 	g, s := m.group, m.group.schedule
 	index, checksum := m.process.Checksum()
@@ -160,7 +161,7 @@
 	}
 }
 
-// crash ends the process, and starts another after a time.
+// crash ends the process, loses a random number of unsynced writes, and starts another process after a delay.
 func (m *member) crash(restartAfter time.Duration) {
 	if m.process == nil {
 		return
@@ -176,7 +177,7 @@
 	s.callAfter(restartAfter, m.start)
 }
 
-// send sends a message to another member.
+// send schedules the delivery of a message to another member, unless the link is cut when it arrives.
 func (m *member) send(recipientAddress string, message *raftpb.Message) {
 	g, s := m.group, m.group.schedule
 	raw, err := proto.Marshal(message) // the message may change after this call
@@ -210,6 +211,6 @@
 		if err := proto.Unmarshal(raw, &message); err != nil {
 			panic(err)
 		}
-		_ = process.Step(address(sender.id), &message) // a message that is rejected is lost
+		_ = process.Step(address(sender.id), &message) // a rejected message is treated as lost
 	})
 }
--- a/internal/simulation/leasesim/memberfaults.go
+++ b/internal/simulation/leasesim/memberfaults.go
@@ -12,27 +12,28 @@
 	flapCutTime = flapPeriod / 2
 )
 
-// The patterns of cut links, as they are drawn.
+// Patterns of cut links between a member and the others, from which one is drawn.
 const (
 	cutAll        = iota // no link of the member works
-	cutSending           // the others hear nothing of the member
-	cutReceiving         // the member hears nothing of the others
-	cutAllButHalf        // the others see only their half of the group, and the member sees both halves
-	cutRepeatedly        // no link of the member works, in turn with all links
+	cutSending           // the others receive nothing from the member
+	cutReceiving         // the member receives nothing from the others
+	cutAllButHalf        // only the member is connected to both halves of the group
+	cutRepeatedly        // the links of the member are cut and restored repeatedly
 	cutPatterns
 )
 
-// The kinds of faults of members. A draw of faultKinds numbers chooses one.
+// Kinds of faults of members. A random number below faultKinds selects one.
 const (
-	faultDeath       = 1 // and 0
+	faultDeath       = 1 // and 0: one member dies
 	faultMassDeath   = 2
 	faultPause       = 3
 	faultReplacement = 4
-	faultCut         = 5 // and all above
+	faultCut         = 5 // and all numbers above
 	faultKinds       = 8
 )
 
-// injectFault injects the next fault among the members.
+// injectFault injects a fault among the members, and schedules the next one. In half of all cases it chooses the
+// leader.
 func (g *group) injectFault() {
 	s := g.schedule
 	if !s.faultsActive() {
@@ -52,7 +53,8 @@
 	}
 }
 
-// drawFault draws a fault that hits one member first; it is nil where the schedule does not have faults of the kind that was drawn.
+// drawFault draws a fault that affects a member, or all of them, and returns the function that injects it. It returns
+// nil if the schedule has no faults of the kind that was drawn.
 func (g *group) drawFault(m *member, active []*member, until time.Duration) (inject func()) {
 	s := g.schedule
 	switch kind := s.random.IntN(faultKinds); {
@@ -70,7 +72,7 @@
 	return nil
 }
 
-// crashAll has all processes die at once, and start again in any order.
+// crashAll ends all processes at once. They start again in a random order.
 func (g *group) crashAll(active []*member) {
 	s := g.schedule
 	for _, m := range active {
@@ -78,7 +80,7 @@
 	}
 }
 
-// cutLinks cuts links between a member and the others in a pattern that it draws.
+// cutLinks cuts links between a member and the others until a time, in a random pattern.
 func (g *group) cutLinks(m *member, active []*member, until time.Duration) {
 	pattern := g.schedule.random.IntN(cutPatterns)
 	for i, other := range active {
@@ -105,12 +107,12 @@
 	}
 }
 
-// cutLink loses all messages from one member to another until a time.
+// cutLink makes the link from one member to another lose all messages until a time.
 func (g *group) cutLink(from, to *member, until time.Duration) {
 	g.cutUntil[link{from.id, to.id}] = until
 }
 
-// flapLinks cuts and restores the links between two members until a time.
+// flapLinks repeatedly cuts and restores the links between two members until a time.
 func (g *group) flapLinks(a, b *member, until time.Duration) {
 	s := g.schedule
 	for at := s.now; at < until; at += flapPeriod {
@@ -121,7 +123,8 @@
 	}
 }
 
-// replaceMember has a new member take the place of another.
+// replaceMember has the leader replace a member by a new one. It does nothing without a leader that runs, or while
+// another replacement is in progress.
 func (g *group) replaceMember(old *member) {
 	s := g.schedule
 	leads := func(m *member) bool {
--- a/internal/simulation/leasesim/schedule.go
+++ b/internal/simulation/leasesim/schedule.go
@@ -10,35 +10,36 @@
 	"tulipglade/internal/simulation/eventqueue"
 )
 
-// The terms of the leases, and the times of every schedule.
+// Terms of the leases, and parameters of every schedule.
 const (
 	leaseName       = "task"
 	tickInterval    = 100 * time.Millisecond
 	drift           = 0.05
 	grantTicks      = 20
 	longestAction   = 300 * time.Millisecond
-	longestDelay    = 20 * time.Millisecond // of one message without faults
-	faultTime       = 20 * time.Second      // of a schedule; after that there are no faults
+	longestDelay    = 20 * time.Millisecond // of a message in a network without faults
+	faultTime       = 20 * time.Second      // part of a schedule in which faults occur
 	scheduleLength  = 30 * time.Second
-	recoveryTime    = 5 * time.Second // after the faults, until holders must act again
-	longestLateness = 3 * time.Second // of a message of a network with faults
+	recoveryTime    = 5 * time.Second // after the faults, within which holders must act again
+	longestLateness = 3 * time.Second // largest delay of a message in a network with faults
 
-	maxEvents = 200_000 // of one schedule; it has about 20,000
+	maxEvents = 200_000 // largest number of events in a schedule; it usually has about 20,000
 )
 
-// Streams of the random source of a seed, and of the event queue.
+// Stream of the random source of a seed, and number of the event source in the queue.
 const (
 	randomStream = 0x1ea5e
 	eventSource  = 1
 )
 
-// lostHolder is a slot whose holder has died.
+// lostHolder is the token of a holder that has died, and the time of its death.
 type lostHolder struct {
 	token  lease.Token
 	diedAt time.Duration
 }
 
-// schedule is the state of one schedule. The order of its random draws is part of what a seed means.
+// schedule is the state of one schedule. The result of a seed depends on the order of the random draws, which
+// therefore must not change.
 type schedule struct {
 	outcome Outcome
 	gaps    Gaps
@@ -50,15 +51,15 @@
 	source eventqueue.Source
 	now    time.Duration
 
-	single *singleState           // nil: there is a group of members
-	group  *group                 // nil: there is a single state
-	owners map[lease.Token]string // the request that was granted each token
+	single *singleState           // nil if there is a group of members
+	group  *group                 // nil if there is a single state
+	owners map[lease.Token]string // by token: the request that it was granted to
 
-	// The target.
+	// State of the target of the actions.
 	fence       fencing.Fence
 	actions     []*action
 	lastAction  time.Duration
-	newest      map[int]lease.Token // admitted, by slot
+	newest      map[int]lease.Token // newest admitted token, by slot
 	lostHolders map[int]lostHolder  // by slot
 }
 
@@ -74,12 +75,12 @@
 	}
 }
 
-// RunSchedule plays one schedule: with a group of so many members, or, where that is 0, with a single state that one leader after the other
-// changes.
+// RunSchedule runs the schedule of a seed, with a group of this many members. If members is 0, a single state that is
+// changed by one leader after the other stands for the group.
 func RunSchedule(seed uint64, without Ablation, members int) (outcome Outcome, gaps Gaps) {
 	s := newSchedule(seed, without)
 	defer func() {
-		if broken := recover(); broken != nil { // raft panics where an invariant of its own is broken
+		if broken := recover(); broken != nil { // raft panics when one of its own invariants is broken
 			s.outcome.Disagreements++
 			outcome, gaps = s.outcome, s.gaps
 		}
@@ -89,10 +90,10 @@
 	s.startGroup(members, lease.Command{Kind: lease.SetMaxHolders, Name: leaseName, MaxHolders: maxHolders})
 	s.startHolders()
 	for s.queue.Step(eventqueue.Time(scheduleLength / time.Microsecond)) {
-		if s.queue.Done() > maxEvents { // members whose disks lost what they had promised may send messages without end
+		if s.queue.Done() > maxEvents { // members whose disks lost confirmed writes may send messages forever
 			s.outcome.Disagreements++
 		}
-		if s.outcome.Disagreements+s.outcome.DuplicateGrants > 0 { // what follows has no meaning
+		if s.outcome.Disagreements+s.outcome.DuplicateGrants > 0 { // the rest of the schedule would be meaningless
 			return s.outcome, s.gaps
 		}
 	}
@@ -118,7 +119,7 @@
 	s.faults.Changes = s.chance(0.3)
 }
 
-// startGroup starts what grants leases, with a first command.
+// startGroup starts the group or the single state that grants leases, and gives it its first command.
 func (s *schedule) startGroup(members int, first lease.Command) {
 	if members > 0 {
 		s.drawMemberFaults()
@@ -142,7 +143,7 @@
 	}
 }
 
-// finish checks what can be checked at the end only.
+// finish performs the checks that are possible only at the end of a schedule.
 func (s *schedule) finish(maxHolders int) {
 	if s.lastAction < faultTime+recoveryTime {
 		s.outcome.Idle++
@@ -150,8 +151,8 @@
 	if s.group != nil {
 		s.group.compareMembers()
 	}
-	// With processes that are not stopped, clocks within the terms and actions that arrive in the time that holders allow for, the fence has
-	// nothing to reject, however bad the network to the group is.
+	// If no process is stopped, all clocks are within the terms and all actions arrive in the time that holders allow
+	// for, the fence must have nothing to reject, however faulty the network between holders and group is.
 	if f := s.faults; !f.Stops && !f.Clocks && !f.Late {
 		s.outcome.UnexpectedRejections = s.outcome.StaleRejections + s.outcome.Busy
 	}
@@ -160,13 +161,14 @@
 	}
 }
 
-// callAfter calls a function callAfter a time, rounded up to the queue's resolution: an event before it is due would be repeated for ever.
+// callAfter calls a function after a delay, rounded up to the queue's resolution: a function that runs before it is due
+// would schedule itself again forever.
 func (s *schedule) callAfter(delay time.Duration, f func()) {
 	const resolution = time.Microsecond
 	s.queue.After(&s.source, eventqueue.Span((delay+resolution-1)/resolution), eventqueue.Event{Target: s, Payload: f})
 }
 
-// Handle runs the function of an event.
+// Handle sets the current time and runs the function of an event.
 func (s *schedule) Handle(now eventqueue.Time, event eventqueue.Event) {
 	s.now = time.Duration(now) * time.Microsecond
 	event.Payload.(func())()
@@ -178,13 +180,13 @@
 
 func (s *schedule) chance(probability float64) bool { return s.random.Float64() < probability }
 
-// allowedClockRate draws the rate of a clock within the terms.
+// allowedClockRate draws a clock rate that is within the drift that the terms allow.
 func (s *schedule) allowedClockRate() float64 { return 1 + drift*(2*s.random.Float64()-1) }
 
-// faultsActive reports whether faults happen now.
+// faultsActive reports whether the schedule is in the part in which faults occur.
 func (s *schedule) faultsActive() bool { return s.now < faultTime }
 
-// send delivers a message: once, or, in a faulty network, never, late, or twice.
+// send schedules the delivery of a message. In a faulty network the message may be lost, late or delivered twice.
 func (s *schedule) send(faulty bool, deliver func()) {
 	copies, longest := 1, longestDelay
 	if faulty && s.faultsActive() {
@@ -203,7 +205,8 @@
 	}
 }
 
-// request has the group carry out a command of a holder, and its response come back. Without a leader there is no response.
+// request sends a command of a holder to the group, and calls respond with the result. Without a leader there is no
+// response.
 func (s *schedule) request(h *holder, command lease.Command, respond func(lease.Grant, error)) {
 	if s.group != nil {
 		s.group.request(h, command, respond)
--- a/internal/simulation/leasesim/singlestate.go
+++ b/internal/simulation/leasesim/singlestate.go
@@ -6,16 +6,18 @@
 	"tulipglade/internal/lease"
 )
 
-// singleState stands for a group: one state that always survives, and leaders that change it, one after the other.
+// singleState stands in for a group: a single state that is never lost, and leaders that change it, one after the
+// other.
 type singleState struct {
 	schedule *schedule
 	state    *lease.State
-	leader   int // the number of the leader; 0: there is none
-	leaders  int // so far
+	leader   int // number of the current leader; 0 if there is none
+	leaders  int // number of leaders so far
 	tickedAt time.Duration
 }
 
-// elect starts the next leader. Leaders that can die take the state over from a snapshot.
+// elect starts the next leader. In schedules in which leaders die, it restores the state from a snapshot, and draws
+// the time of its death.
 func (g *singleState) elect() {
 	s := g.schedule
 	g.leaders++
@@ -44,7 +46,7 @@
 	}
 }
 
-// tick applies a tick whenever one is due by the leader's clock, for as long as it leads.
+// tick applies a tick whenever one is due by the leader's clock, and schedules itself for as long as the leader leads.
 func (g *singleState) tick(leader int, clockRate float64) {
 	if g.leader != leader {
 		return
--- a/internal/simulation/leasesim/target.go
+++ b/internal/simulation/leasesim/target.go
@@ -11,10 +11,10 @@
 // action is an action that the target has admitted.
 type action struct {
 	grant lease.Grant
-	open  bool
+	open  bool // still in progress
 }
 
-// handleAction is the arrival of an action at the target.
+// handleAction handles the arrival of an action at the target: the fence rejects or admits it.
 func (s *schedule) handleAction(grant lease.Grant) {
 	if err := s.fence.Begin(grant); err != nil && !s.without.Fence {
 		if errors.Is(err, fencing.ErrStaleToken) {
@@ -39,7 +39,8 @@
 	})
 }
 
-// checkAction counts an action that overlaps one under another token, or that comes after one under a newer token.
+// checkAction counts an admitted action that overlaps with one under another token on its slot, or that follows one
+// under a newer token.
 func (s *schedule) checkAction(grant lease.Grant) {
 	for _, other := range s.actions {
 		if other.open && other.grant.Slot == grant.Slot && other.grant.Token != grant.Token {
