--- a/internal/failover/collector.go
+++ b/internal/failover/collector.go
@@ -14,7 +14,7 @@
 	Sequence    uint64    `json:"seq"`
 	Zone        int       `json:"zone"`   // zone of the node, where its requests enter
 	Demand      []float64 `json:"demand"` // by class: core-seconds per second of the requests that the node received
-	Capacity    []float64 `json:"can"`    // by zone: core-seconds per second that its backends can serve, as learned; negative if unknown
+	Capacity    []float64 `json:"can"`    // by zone: core-seconds per second, as learned; negative if unknown
 }
 
 // MaxNodes is the largest number of nodes whose digests a Collector holds.
