--- a/internal/processtest/failover_test.go
+++ b/internal/processtest/failover_test.go
@@ -110,7 +110,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	// Revisions also increase when the failover leader changes: each leader continues the plan of its predecessor.
-	if previous := n.latestPlans[address]; previous != nil && (previous.Newer(&plan) || plan.Revision < previous.Revision) {
+	if previous := n.latestPlans[address]; previous != nil && (previous.IsNewerThan(&plan) || plan.Revision < previous.Revision) {
 		n.disagreement = append(n.disagreement,
 			fmt.Sprintf("%s: plan %d/%d after %d/%d", address, plan.Token, plan.Revision, previous.Token, previous.Revision))
 	}
--- a/internal/simulation/leasesim/group.go
+++ b/internal/simulation/leasesim/group.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	setupTime   = 5 * time.Second // for which the first command is repeated
+	setupTime   = 5 * time.Second // time after the start during which the first command is repeated
 	setupPause  = time.Second
-	mostForward = 3 // members to which a request is forwarded
+	maxForwards = 3 // largest number of times that a request follows a hint to the leader
 )
 
-// route is the direction from one member to another, by their IDs.
-type route struct{ from, to uint64 }
+// link is a connection in one direction between two members, given by their IDs.
+type link struct{ from, to uint64 }
 
-// group is members of a consensus group, with the network between them and their disks.
+// group is a simulated consensus group: its members with their disks, and the network between them.
 type group struct {
-	schedule     *schedule
-	members      []*member // by ID, from 1, with those that were removed
-	cutUntil     map[route]time.Duration
-	checksums    map[uint64]uint64 // of the state that was agreed on, by log index
-	leaderDiedAt time.Duration     // when a leading member died; 0: another leads since
-	changing     bool              // a change of members is in progress
+	schedule        *schedule
+	members         []*member              // by ID, from 1; includes removed members
+	cutUntil        map[link]time.Duration // time until which a link loses all messages
+	checksums       map[uint64]uint64      // checksums of the state that was agreed on, by log index
+	leaderDiedAt    time.Duration          // time of the last leader's death; 0 once another member leads
+	membersChanging bool                   // whether a change of members is in progress
 }
 
 func newGroup(s *schedule, members int, first lease.Command) *group {
-	g := &group{schedule: s, cutUntil: map[route]time.Duration{}, checksums: map[uint64]uint64{}}
+	g := &group{schedule: s, cutUntil: map[link]time.Duration{}, checksums: map[uint64]uint64{}}
 	addresses := map[uint64]string{}
 	for i := range members {
 		id := uint64(i + 1)
@@ -44,25 +44,25 @@
 		g.add(state)
 	}
 	g.setUp(first)
-	s.after(s.between(0, time.Second), g.injectFault)
+	s.callAfter(s.randomDuration(0, time.Second), g.injectFault)
 	return g
 }
 
-// setUp repeats the first command, which a group without a leader does not answer.
+// setUp sends the first command repeatedly during setupTime, since a group without a leader does not answer.
 func (g *group) setUp(first lease.Command) {
 	s := g.schedule
 	g.request(&holder{schedule: s, name: "setup"}, first, func(lease.Grant, error) {})
 	if s.now < setupTime {
-		s.after(setupPause, func() { g.setUp(first) })
+		s.callAfter(setupPause, func() { g.setUp(first) })
 	}
 }
 
-// add starts a member with a state on its disk.
+// add adds a member to the simulation and starts it with a state on its disk.
 func (g *group) add(state consensus.DurableState) *member {
 	s := g.schedule
 	m := &member{group: g, id: uint64(len(g.members) + 1), disk: state, clockRate: s.allowedClockRate()}
 	if s.faults.Clocks && s.chance(0.3) {
-		m.clockRate = 1.2 + s.random.Float64() // its ticks are too short
+		m.clockRate = 1.2 + s.random.Float64() // its ticks are shorter than the terms allow
 	}
 	g.members = append(g.members, m)
 	m.start()
@@ -71,8 +71,8 @@
 
 func address(id uint64) string { return fmt.Sprint("m", id) }
 
-// at returns the member with an address; nil if there is none.
-func (g *group) at(memberAddress string) *member {
+// memberByAddress returns the member with an address, or nil if there is none.
+func (g *group) memberByAddress(memberAddress string) *member {
 	i := slices.IndexFunc(g.members, func(m *member) bool { return address(m.id) == memberAddress })
 	if i < 0 {
 		return nil
@@ -80,30 +80,30 @@
 	return g.members[i]
 }
 
-// present returns the members that were not removed.
-func (g *group) present() []*member {
+// activeMembers returns the members that were not removed from the group.
+func (g *group) activeMembers() []*member {
 	return slices.DeleteFunc(slices.Clone(g.members), func(m *member) bool { return m.removed })
 }
 
-// request sends a command to the member that the holder believes to lead, or to any other if it believes nothing. It follows the members'
-// hints to the leader.
+// request sends a command to the member that the holder believes to be the leader, or to a random one if it knows
+// none. It follows the members' hints to the leader.
 func (g *group) request(h *holder, command lease.Command, respond func(lease.Grant, error)) {
 	recipient := h.leader
 	if recipient == nil || recipient.removed {
-		present := g.present()
-		recipient = present[g.schedule.random.IntN(len(present))]
+		activeMembers := g.activeMembers()
+		recipient = activeMembers[g.schedule.random.IntN(len(activeMembers))]
 	}
-	h.leader = nil // until it responds
-	g.requestFrom(recipient, mostForward, h, command, respond)
+	h.leader = nil // until a member responds
+	g.sendRequest(recipient, maxForwards, h, command, respond)
 }
 
-func (g *group) requestFrom(m *member, forwards int, h *holder, command lease.Command, respond func(lease.Grant, error)) {
+func (g *group) sendRequest(m *member, forwards int, h *holder, command lease.Command, respond func(lease.Grant, error)) {
 	s := g.schedule
 	handle := func(grant lease.Grant, err error) {
 		var notLeader consensus.NotLeaderError
 		switch {
 		case errors.As(err, &notLeader) && notLeader.Address != "" && forwards > 0:
-			g.requestFrom(g.at(notLeader.Address), forwards-1, h, command, respond)
+			g.sendRequest(g.memberByAddress(notLeader.Address), forwards-1, h, command, respond)
 		case errors.As(err, &notLeader), errors.Is(err, consensus.ErrOutcomeUnknown), errors.Is(err, consensus.ErrBusy):
 		default:
 			h.leader = m
@@ -114,7 +114,7 @@
 		m.run(m.incarnation, func(process *consensus.Member) {
 			process.Propose(command, func(grant lease.Grant, err error) {
 				if command.Kind == lease.Acquire && err == nil {
-					g.noteGrant(grant, fmt.Sprint(h.name, " ", command.RequestID))
+					g.recordGrant(grant, fmt.Sprint(h.name, " ", command.RequestID))
 				}
 				s.send(s.faults.Network, func() { handle(grant, err) })
 			})
@@ -122,8 +122,8 @@
 	})
 }
 
-// noteGrant checks that a token is granted to one request only.
-func (g *group) noteGrant(grant lease.Grant, request string) {
+// recordGrant records the request that a token was granted to, and counts a token that was granted to two requests.
+func (g *group) recordGrant(grant lease.Grant, request string) {
 	s := g.schedule
 	owner, granted := s.owners[grant.Token]
 	switch {
@@ -135,7 +135,7 @@
 	}
 }
 
-// compareMembers checks at the end that all members agree.
+// compareMembers counts the members whose state at the end of the schedule disagrees with that of the others.
 func (g *group) compareMembers() {
 	for _, m := range g.members {
 		if m.process == nil {
--- a/internal/simulation/leasesim/member.go
+++ b/internal/simulation/leasesim/member.go
@@ -14,39 +14,39 @@
 
 const (
 	memberTickInterval = 50 * time.Millisecond
-	removedGrace       = 5 * time.Second // for which a removed member stays
+	removedGrace       = 5 * time.Second // time for which a removed member keeps running
 
 	electionTicks       = 10
 	snapshotEntries     = 40
 	requestTimeoutTicks = 60
 
-	mostUnsynced       = 20 // writes that a disk without sync may still lose
+	maxUnsynced        = 20 // number of last writes that a disk without sync may lose
 	longestLossyDelay  = 400 * time.Millisecond
 	shortestDelay      = time.Millisecond
 	snapshotReportTime = 2 * longestDelay
 )
 
-// errProcessDied is the error of a write during which the process died.
+// errProcessDied is returned by a write during which the process died.
 var errProcessDied = errors.New("the process died")
 
-// member is a member's process, its disk and its clock.
+// member is a simulated member of the group: its process, its disk and its clock.
 type member struct {
 	group        *group
 	id           uint64
 	clockRate    float64
 	stoppedUntil time.Duration
-	incarnation  int               // counts its processes
-	process      *consensus.Member // nil: it is down
+	incarnation  int               // number of its processes so far
+	process      *consensus.Member // nil while it is down
 	disk         consensus.DurableState
 	unsynced     []consensus.StorageUpdate // writes that the disk does not have yet
-	removed      bool                      // from the group; it will not start again
+	removed      bool                      // it was removed from the group, and does not start again
 }
 
 func (m *member) clock() time.Duration {
 	return time.Duration(float64(m.group.schedule.now) * m.clockRate)
 }
 
-// Save writes an update to the disk. The process may die before anything is written, or after everything is.
+// Save writes an update to the disk. The process may die before the write, or after it is complete.
 func (m *member) Save(update consensus.StorageUpdate) error {
 	s := m.group.schedule
 	dies := s.faults.Down && s.faultsActive() && s.chance(0.002)
@@ -57,14 +57,14 @@
 	if !s.without.Sync {
 		m.sync(0)
 	}
-	m.sync(mostUnsynced)
+	m.sync(maxUnsynced)
 	if dies {
 		return errProcessDied
 	}
 	return nil
 }
 
-// sync writes all but the last few updates to the disk.
+// sync writes all unsynced updates but the last keep ones to the disk.
 func (m *member) sync(keep int) {
 	for len(m.unsynced) > keep {
 		m.disk = m.disk.Apply(m.unsynced[0])
@@ -72,7 +72,7 @@
 	}
 }
 
-// start starts a process from the disk, unless there is one or the member was removed.
+// start starts a process with the state on the disk, unless one is running or the member was removed.
 func (m *member) start() {
 	if m.removed || m.process != nil {
 		return
@@ -94,27 +94,27 @@
 	}
 	m.process = process
 	incarnation := m.incarnation
-	s.after(s.between(0, memberTickInterval), func() { m.tick(incarnation) })
+	s.callAfter(s.randomDuration(0, memberTickInterval), func() { m.tick(incarnation) })
 }
 
-// tick advances the clock of elections, again and again until the process ends.
+// tick advances the process's clock of elections, and schedules the next tick until the process ends.
 func (m *member) tick(incarnation int) {
 	m.run(incarnation, (*consensus.Member).Tick)
 	if m.incarnation == incarnation {
 		interval := time.Duration(float64(memberTickInterval) / m.clockRate)
-		m.group.schedule.after(interval, func() { m.tick(incarnation) })
+		m.group.schedule.callAfter(interval, func() { m.tick(incarnation) })
 	}
 }
 
-// run calls a function in a process, and has the process write and send what comes of it: once it is not stopped any more, and never if it
-// has ended.
+// run calls a function in a process, and has the process write and send the resulting updates and messages. If the
+// process is stopped, run does so as soon as it resumes; if the process has ended, run does nothing.
 func (m *member) run(incarnation int, f func(*consensus.Member)) {
 	s := m.group.schedule
 	switch {
 	case m.process == nil || incarnation != m.incarnation:
 		return
 	case s.now < m.stoppedUntil:
-		s.after(m.stoppedUntil-s.now, func() { m.run(incarnation, f) })
+		s.callAfter(m.stoppedUntil-s.now, func() { m.run(incarnation, f) })
 		return
 	}
 	led := m.process.IsLeader()
@@ -123,26 +123,27 @@
 		if !errors.Is(err, errProcessDied) {
 			panic(err)
 		}
-		m.die(s.between(100*time.Millisecond, 3*time.Second))
+		m.crash(s.randomDuration(100*time.Millisecond, 3*time.Second))
 		return
 	}
 	if !led && m.process.IsLeader() {
-		m.noteElection()
+		m.recordElection()
 	}
 	m.checkState()
 }
 
-// noteElection counts a leader, and the time that the group had none.
-func (m *member) noteElection() {
+// recordElection counts a new leader, and records for how long the group had none.
+func (m *member) recordElection() {
 	g, s := m.group, m.group.schedule
 	s.outcome.Leaders++
 	if g.leaderDiedAt > 0 {
-		s.gaps.Lead = append(s.gaps.Lead, s.now-g.leaderDiedAt)
+		s.gaps.LeaderElection = append(s.gaps.LeaderElection, s.now-g.leaderDiedAt)
 		g.leaderDiedAt = 0
 	}
 }
 
-// checkState checks that the member agrees with those that have applied as much, and notes when it is removed from the group.
+// checkState checks that the member's state agrees with that of the members that applied the same log index before.
+// It also records the member's removal from the group, and ends its process some time later.
 func (m *member) checkState() {
 	g, s := m.group, m.group.schedule
 	index, checksum := m.process.Checksum()
@@ -153,15 +154,15 @@
 	if m.process.Removed() && !m.removed {
 		m.removed = true
 		s.outcome.Changes++
-		s.after(removedGrace, func() {
+		s.callAfter(removedGrace, func() {
 			m.process = nil
 			m.incarnation++
 		})
 	}
 }
 
-// die ends the process, and starts another after a time.
-func (m *member) die(restartAfter time.Duration) {
+// crash ends the process, loses a random number of unsynced writes, and starts another process after a delay.
+func (m *member) crash(restartAfter time.Duration) {
 	if m.process == nil {
 		return
 	}
@@ -171,20 +172,20 @@
 	}
 	m.process, m.stoppedUntil = nil, 0
 	m.incarnation++
-	m.sync(s.random.IntN(mostUnsynced + 1))
+	m.sync(s.random.IntN(maxUnsynced + 1))
 	m.unsynced = nil
-	s.after(restartAfter, m.start)
+	s.callAfter(restartAfter, m.start)
 }
 
-// send sends a message to another member.
+// send schedules the delivery of a message to another member, unless the link is cut when it arrives.
 func (m *member) send(recipientAddress string, message *raftpb.Message) {
 	g, s := m.group, m.group.schedule
 	raw, err := proto.Marshal(message) // the message may change after this call
 	if err != nil {
 		panic(err)
 	}
-	recipient := g.at(recipientAddress)
-	incarnation, path := m.incarnation, route{m.id, recipient.id}
+	recipient := g.memberByAddress(recipientAddress)
+	incarnation, path := m.incarnation, link{m.id, recipient.id}
 	deliver := func() {
 		if s.now >= g.cutUntil[path] {
 			recipient.receive(m, raw)
@@ -192,13 +193,13 @@
 	}
 	if s.faults.Lossy && s.faultsActive() { // raft can still elect a leader over such a network
 		for _, delay := range eventqueue.DrawDelays(s.random, shortestDelay, longestDelay/2, longestLossyDelay) {
-			s.after(delay, deliver)
+			s.callAfter(delay, deliver)
 		}
 	} else {
-		s.after(s.between(shortestDelay, longestDelay/2), deliver)
+		s.callAfter(s.randomDuration(shortestDelay, longestDelay/2), deliver)
 	}
 	if message.GetType() == raftpb.MsgSnap {
-		s.after(snapshotReportTime, func() {
+		s.callAfter(snapshotReportTime, func() {
 			m.run(incarnation, func(process *consensus.Member) { process.ReportSnapshot(message.GetTo(), s.now >= g.cutUntil[path]) })
 		})
 	}
@@ -210,6 +211,6 @@
 		if err := proto.Unmarshal(raw, &message); err != nil {
 			panic(err)
 		}
-		_ = process.Step(address(sender.id), &message) // a message that is rejected is lost
+		_ = process.Step(address(sender.id), &message) // a rejected message is treated as lost
 	})
 }
