--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -39,7 +39,7 @@
 effect = "repeatable"
 `
 
-func sweep(t *testing.T, dir, text string) ([]Cell, string, error) {
+func sweepCells(t *testing.T, dir, text string) ([]Cell, string, error) {
 	t.Helper()
 	for name, s := range map[string]string{"tiny.toml": tinyText, "sweep.toml": text} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(s), 0o644); err != nil {
@@ -53,7 +53,7 @@
 	return s.Cells(dir)
 }
 
-func read(t *testing.T, file string) []byte {
+func readFile(t *testing.T, file string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -66,7 +66,7 @@
 // uninterrupted one.
 func TestSweepResumesAfterTruncation(t *testing.T) {
 	dir := t.TempDir()
-	cells, hash, err := sweep(t, dir, sweepText)
+	cells, hash, err := sweepCells(t, dir, sweepText)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 	if a, b := rows[0].Result, rows[len(rows)-1].Result; rows[0].Set[1].Value == rows[len(rows)-1].Set[1].Value || a.ServedValue == b.ServedValue {
 		t.Errorf("the grid is not applied: %v %v", rows[0].Set, rows[len(rows)-1].Set)
 	}
-	complete := read(t, file)
+	complete := readFile(t, file)
 	lines := bytes.SplitAfter(complete, []byte("\n"))
 	header, firstRow := len(lines[0]), len(lines[1])
 	cuts := []int{0, 5, header, header + 1, header + firstRow + 40, len(complete) / 2, len(complete) - 1, len(complete)}
@@ -95,7 +95,7 @@
 		if _, err := RunAll(t.Context(), cells, "other", file, nil); !errors.Is(err, ErrOtherSweep) {
 			t.Errorf("%v", err)
 		}
-		if !bytes.Equal(read(t, file), complete) {
+		if !bytes.Equal(readFile(t, file), complete) {
 			t.Error("the file was changed")
 		}
 	})
@@ -135,7 +135,7 @@
 	if played != len(cells)-finished {
 		t.Errorf("ran %d of %d cells although %d were finished", played, len(cells), finished)
 	}
-	if !bytes.Equal(read(t, file), complete) {
+	if !bytes.Equal(readFile(t, file), complete) {
 		t.Error("the file differs from that of an uninterrupted sweep")
 	}
 }
@@ -153,16 +153,16 @@
 	if !errors.Is(err, context.Canceled) {
 		t.Fatalf("canceled: %v", err)
 	}
-	if n := bytes.Count(read(t, file), []byte("\n")) - 1; n < 5 {
+	if n := bytes.Count(readFile(t, file), []byte("\n")) - 1; n < 5 {
 		t.Errorf("%d cells on disk of 5 finished", n)
 	}
-	if _, err := RunAll(t.Context(), cells, hash, file, nil); err != nil || !bytes.Equal(read(t, file), complete) {
+	if _, err := RunAll(t.Context(), cells, hash, file, nil); err != nil || !bytes.Equal(readFile(t, file), complete) {
 		t.Errorf("resumed: %v, or other bytes", err)
 	}
 }
 
 func TestSweepErrorsNameTheField(t *testing.T) {
-	for name, c := range map[string]struct{ from, to, says string }{
+	for name, c := range map[string]struct{ from, to, wantError string }{
 		"unknown field":    {`"load.level"`, `"load.levle"`, "load.levle: there is no such field"},
 		"impossible value": {"[0.3, 0.6]", "[0.3, -1]", "load.level: -1 is not within"},
 		"no such element":  {"class[0]", "class[4]", `grid.class[4].aim_ms: there are only 1 of "class"`},
@@ -172,9 +172,9 @@
 		"no scenario":      {"tiny.toml", "none.toml", "none.toml"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, _, err := sweep(t, t.TempDir(), strings.Replace(sweepText, c.from, c.to, 1))
-			if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want one line with %q", err, c.says)
+			_, _, err := sweepCells(t, t.TempDir(), strings.Replace(sweepText, c.from, c.to, 1))
+			if err == nil || !strings.Contains(err.Error(), c.wantError) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want one line with %q", err, c.wantError)
 			}
 		})
 	}
@@ -198,10 +198,10 @@
 		return out
 	}
 	for name, c := range map[string]struct {
-		a, b   []Row
-		shown  bool
-		higher int
-		pairs  int
+		a, b        []Row
+		significant bool
+		higher      int
+		pairs       int
 	}{
 		// The days differ by far more than the policies: only pairing shows it.
 		"a little better on every day": {rowsWith("a", plus(0.01)...), rowsWith("b", noise...), true, 8, 8},
@@ -214,7 +214,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.Significant() != c.shown || got.Higher != c.higher || got.Pairs != c.pairs || got.Low > got.Diff || got.High < got.Diff {
+			if got.Significant() != c.significant || got.Higher != c.higher || got.Pairs != c.pairs || got.Low > got.Diff || got.High < got.Diff {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -333,7 +333,7 @@
 // The file of a sweep must not depend on the number of cores.
 func TestSweepFileDoesNotDependOnCores(t *testing.T) {
 	dir := t.TempDir()
-	cells, hash, err := sweep(t, dir, sweepText)
+	cells, hash, err := sweepCells(t, dir, sweepText)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/experiment/survey.go
+++ b/internal/simulation/experiment/survey.go
@@ -27,8 +27,8 @@
 	RaisedSettings []string `json:"turned,omitempty"`
 }
 
-// playDeployment runs a deployment with both policies.
-func playDeployment(d scenario.Deployment, seed uint64, margin float64) (SurveyResult, error) {
+// runDeployment runs a deployment with both policies.
+func runDeployment(d scenario.Deployment, seed uint64, margin float64) (SurveyResult, error) {
 	out := SurveyResult{Seed: seed, Broken: map[invariant.Rule]int{}}
 	sc := d.Scenario()
 	if err := sc.Check(); err != nil {
@@ -70,7 +70,7 @@
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			result, err := surveyOne(seed, margin)
+			result, err := surveyDeployment(seed, margin)
 			if err != nil {
 				return err
 			}
@@ -87,15 +87,15 @@
 	return all, group.Wait()
 }
 
-// surveyOne runs the deployment drawn from a seed, and reduces it if it fails.
-func surveyOne(seed uint64, margin float64) (SurveyResult, error) {
+// surveyDeployment runs the deployment drawn from a seed, and reduces it if it fails.
+func surveyDeployment(seed uint64, margin float64) (SurveyResult, error) {
 	deployment := scenario.DrawDeployment(seed)
-	result, err := playDeployment(deployment, seed, margin)
+	result, err := runDeployment(deployment, seed, margin)
 	if err != nil || result.Fault == "" {
 		return result, err
 	}
 	result.RaisedSettings, err = reduceSettings(deployment, func(reduced scenario.Deployment) (bool, error) {
-		other, err := playDeployment(reduced, seed, margin)
+		other, err := runDeployment(reduced, seed, margin)
 		return other.Fault == result.Fault, err
 	})
 	return result, err
--- a/internal/simulation/experiment/survey_test.go
+++ b/internal/simulation/experiment/survey_test.go
@@ -9,13 +9,13 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// found are draws on which the module once served far less than the plain policy, each for a fault that has been mended.
-var found = []uint64{110, 199, 219, 223, 272, 356, 418, 447}
+// regressionSeeds are draws on which the module once served far less than the plain policy, each for a fault that has been mended.
+var regressionSeeds = []uint64{110, 199, 219, 223, 272, 356, 418, 447}
 
 // On drawn deployments the decision module violates no invariant and serves no less than the baseline. The draws are the same
 // each time; `tulipctl simulate survey` draws others.
 func TestSurvey(t *testing.T) {
-	seeds := slices.Clone(found)
+	seeds := slices.Clone(regressionSeeds)
 	for seed := range uint64(24) {
 		seeds = append(seeds, seed+1)
 	}
--- a/internal/simulation/experiment/verify.go
+++ b/internal/simulation/experiment/verify.go
@@ -33,8 +33,8 @@
 // replications of each verification run in parallel; the mean of their results is compared with theory.
 const replications = 4
 
-// exact returns a function that compares one figure of a result with its exact value.
-func exact(figure func(emulator.StationResult) float64, value float64) func(string, emulator.StationResult) []Check {
+// compareFigure returns a function that compares one figure of a result with its compareFigure value.
+func compareFigure(figure func(emulator.StationResult) float64, value float64) func(string, emulator.StationResult) []Check {
 	return func(name string, result emulator.StationResult) []Check {
 		return []Check{{Name: name, Model: figure(result), Theory: value}}
 	}
@@ -86,13 +86,13 @@
 	twoChoices.Jobs = int64(effort * 2e6)
 	twoChoices.WarmUpJobs = int64(4e4 / (1 - rho) * max(min(effort, 1), 0.25))
 	cases := []verification{
-		{"M/M/1 wait", base, exact(wait, theory.WaitMMc(1, rho))},
-		{"M/M/8 wait, Erlang C", eightCores, exact(wait, theory.WaitMMc(8, rho))},
-		{"M/M/8/8 loss, Erlang B", eightWithoutQueue, exact(lost, theory.ErlangB(8, 8*rho))},
-		{"M/M/4/8 loss", fourWithQueue, exact(lost, theory.LossMMcK(4, 8, rho))},
-		{"M/D/1 wait, Pollaczek-Khinchine", constant, exact(wait, theory.WaitMG1(rho, 0))},
-		{"M/G/1 wait, lognormal of cv 1.5", lognormal, exact(wait, theory.WaitMG1(rho, cv))},
-		{"M/G/1 processor sharing, lognormal", processorSharing, exact(sojourn, theory.SojournPS(rho))},
+		{"M/M/1 wait", base, compareFigure(wait, theory.WaitMMc(1, rho))},
+		{"M/M/8 wait, Erlang C", eightCores, compareFigure(wait, theory.WaitMMc(8, rho))},
+		{"M/M/8/8 loss, Erlang B", eightWithoutQueue, compareFigure(lost, theory.ErlangB(8, 8*rho))},
+		{"M/M/4/8 loss", fourWithQueue, compareFigure(lost, theory.LossMMcK(4, 8, rho))},
+		{"M/D/1 wait, Pollaczek-Khinchine", constant, compareFigure(wait, theory.WaitMG1(rho, 0))},
+		{"M/G/1 wait, lognormal of cv 1.5", lognormal, compareFigure(wait, theory.WaitMG1(rho, cv))},
+		{"M/G/1 processor sharing, lognormal", processorSharing, compareFigure(sojourn, theory.SojournPS(rho))},
 		{"two choices of 1,000", twoChoices, tailOfTwoChoices(rho)},
 	}
 	for i := range cases {
--- a/internal/simulation/plots/plots.go
+++ b/internal/simulation/plots/plots.go
@@ -30,7 +30,7 @@
 // Formats are the supported file extensions.
 var Formats = []string{"svg", "png"}
 
-func save(p *plot.Plot, file string) error {
+func savePlot(p *plot.Plot, file string) error {
 	if !slices.Contains(Formats, extension(file)) {
 		return fmt.Errorf("%s: the ending is none of %v", file, Formats)
 	}
@@ -91,7 +91,7 @@
 			return err
 		}
 	}
-	return save(p, file)
+	return savePlot(p, file)
 }
 
 // ninesTicks marks percentiles on a scale on which each further nine has the same width.
@@ -124,13 +124,13 @@
 			return err
 		}
 	}
-	return save(p, file)
+	return savePlot(p, file)
 }
 
 // Against draws a metric against a field that a sweep varies: the mean over all else, one line per policy.
 func Against(file string, rows []experiment.Row, field, metric string) error {
-	of := experiment.Metrics[metric]
-	if of == nil {
+	metricOf := experiment.Metrics[metric]
+	if metricOf == nil {
 		return fmt.Errorf("metric %s: there is no such figure", metric)
 	}
 	type sum struct{ total, n float64 }
@@ -148,7 +148,7 @@
 				lines[r.Policy][x] = &sum{}
 			}
 			s := lines[r.Policy][x]
-			s.total, s.n = s.total+of(r.Result), s.n+1
+			s.total, s.n = s.total+metricOf(r.Result), s.n+1
 		}
 	}
 	if len(lines) == 0 {
@@ -170,7 +170,7 @@
 			return err
 		}
 	}
-	return save(p, file)
+	return savePlot(p, file)
 }
 
 // Costs draws the processor time per request against the number of endpoints, one line for each policy and number of
@@ -193,7 +193,7 @@
 			return err
 		}
 	}
-	return save(p, file)
+	return savePlot(p, file)
 }
 
 // Load draws a load run: p50, p99 and maximum latency of each second's served calls, and the fraction that was not served.
@@ -227,7 +227,7 @@
 			return err
 		}
 	}
-	return save(p, file)
+	return savePlot(p, file)
 }
 
 // shadeFaults shades the duration of each fault, and labels the first ones.
