--- a/internal/simulation/experiment/compare.go
+++ b/internal/simulation/experiment/compare.go
@@ -9,11 +9,12 @@
 	"tulipglade/internal/simulation/eventqueue"
 )
 
-// Comparison is the difference of a metric between A and B, over pairs of runs of the same scenario, settings and seed.
+// Comparison holds the difference of a metric between two sets of runs, A and B. A run of A and one of B form a pair if
+// they have the same scenario, settings and seed.
 type Comparison struct {
 	Metric string  `json:"metric"`
 	Pairs  int     `json:"pairs"`
-	A      float64 `json:"a"` // means
+	A      float64 `json:"a"` // mean of the metric over the pairs; so is B
 	B      float64 `json:"b"`
 	Diff   float64 `json:"diff"` // A minus B
 	Low    float64 `json:"low"`  // 95% confidence interval of Diff
@@ -27,18 +28,19 @@
 
 const (
 	resamples       = 10000
-	outsideInterval = resamples / 40 // on each side of a 95% interval
+	outsideInterval = resamples / 40 // number of resampled means on each side of a 95% interval
 )
 
-// ErrNoPairs means that two sets of results have no run in common.
-var ErrNoPairs = errors.New("no run of the one has the scenario, settings and seed of a run of the other")
+// ErrNoPairs means that no run of one set has the scenario, settings and seed of a run of the other.
+var ErrNoPairs = errors.New("no run of the first set has the scenario, settings and seed of a run of the second")
 
-// Compare pairs the rows and returns the mean difference with a bootstrap interval: percentiles of the means of resamples
-// drawn with replacement from the pairs (Efron and Tibshirani, An Introduction to the Bootstrap, 13.3).
+// Compare pairs the rows and returns the mean difference of the metric with its bootstrap confidence interval. The
+// bounds are percentiles of the means of resamples, which are drawn with replacement from the differences of the pairs
+// (Efron and Tibshirani, An Introduction to the Bootstrap, 13.3).
 func Compare(a, b []Row, metric string) (Comparison, error) {
 	metricOf, c := Metrics[metric], Comparison{Metric: metric}
 	if metricOf == nil {
-		return c, errors.New("metric " + metric + ": there is no such figure")
+		return c, errors.New("metric " + metric + ": there is no such metric")
 	}
 	partners := map[string]Row{}
 	for _, row := range b {
@@ -76,13 +78,13 @@
 	return c, nil
 }
 
-// pairKey identifies what the two runs of a pair have in common.
+// pairKey returns a key that is equal for the two runs of a pair: the scenario, the settings and the seed.
 func pairKey(row Row) string {
 	cell := Cell{Seed: row.Seed, Set: row.Set}
 	return row.Result.Scenario + " " + cell.key()
 }
 
-// bootstrapInterval returns the 95% interval of the mean.
+// bootstrapInterval returns the 95% bootstrap confidence interval of the mean of the values.
 func bootstrapInterval(values []float64) (low, high float64) {
 	random := eventqueue.NewStream(1, "bootstrap")
 	means := make([]float64, resamples)
@@ -95,7 +97,7 @@
 	return means[outsideInterval], means[resamples-1-outsideInterval]
 }
 
-// OfPolicy returns the rows of one policy.
+// OfPolicy returns the rows whose runs used the policy.
 func OfPolicy(rows []Row, policy string) []Row {
 	return slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Policy != policy })
 }
--- a/internal/simulation/experiment/cost.go
+++ b/internal/simulation/experiment/cost.go
@@ -10,28 +10,30 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// Cost is the processor time of one node's decisions in a fleet of that size.
+// Cost holds the processor time that the decisions of one node take, in a fleet with the given numbers of endpoints and
+// nodes.
 type Cost struct {
 	Policy            string  `json:"policy"`
 	Endpoints         int     `json:"hosts"`
 	Nodes             int     `json:"nodes"`
-	RequestsPerSecond float64 `json:"requests_per_s"` // of the one node
-	MicrosPerRequest  float64 `json:"us_per_request"` // including its attempts' results and timers
-	MicrosPerList     float64 `json:"us_per_list"`    // for a complete endpoint list
+	RequestsPerSecond float64 `json:"requests_per_s"` // arrival rate at the measured node
+	MicrosPerRequest  float64 `json:"us_per_request"` // includes the results of its attempts and the timers
+	MicrosPerList     float64 `json:"us_per_list"`    // for processing a complete endpoint list
 	Requests          int64   `json:"requests"`
 }
 
-// Conditions of the measurement.
+// Conditions under which the cost is measured.
 const (
 	costAttemptLatency      = 150 * eventqueue.Millisecond
-	costRequestsPerEndpoint = 14.0 // per second: 60% of its capacity
+	costRequestsPerEndpoint = 14.0 // per second; 60% of an endpoint's capacity
 	costWarmUp              = 3 * eventqueue.Second
-	costStart               = 1000 * eventqueue.Second // well after 0, which as a start time means long ago
+	costStart               = 1000 * eventqueue.Second // well after 0, because a start time of 0 means long ago
 	maxCostRequests         = 200000
 	minCostRequests         = 200
 )
 
-// costMeter runs one node whose endpoints answer after a constant time, and adds up the processor time of its policy.
+// costMeter runs one node whose endpoints answer after a constant time, and sums the processor time that its policy
+// uses.
 type costMeter struct {
 	events           eventqueue.Sim
 	source           eventqueue.Source
@@ -45,15 +47,16 @@
 	config           balancer.Config
 }
 
-// Kinds of a costMeter's events.
+// Kinds of the events that a costMeter handles.
 const (
 	costRequest    = iota // the next request arrives
-	costAttemptEnd        // A: the balancer.RequestID; P: the balancer.EndpointID
-	costTimer             // A: the balancer.TimerID
+	costAttemptEnd        // Argument: the balancer.RequestID; Payload: the balancer.EndpointID
+	costTimer             // Argument: the balancer.TimerID
 )
 
-// Measure runs one node of a fleet alone and measures the processor time of its policy. Warm-up and measurement each take
-// at most the budget of wall-clock time.
+// Measure runs a single node of a fleet and measures the processor time of its policy. Warm-up and measurement each
+// take at most the budget of wall-clock time, except that the measurement always covers at least minCostRequests
+// requests.
 func Measure(name string, endpoints, nodes int, budget time.Duration) (Cost, error) {
 	m, err := newCostMeter(name, endpoints, nodes)
 	if err != nil {
@@ -102,7 +105,7 @@
 	return m, err
 }
 
-// costEndpoints returns a list of equal endpoints in three zones.
+// costEndpoints returns a list of endpoints of equal weight, spread over three zones.
 func costEndpoints(count int) []balancer.Endpoint {
 	list := make([]balancer.Endpoint, count)
 	for i := range list {
@@ -136,7 +139,7 @@
 	}
 }
 
-// Handle measures the policy's time for one event.
+// Handle passes an event to the policy and adds the time that the policy takes to the total.
 func (m *costMeter) Handle(now eventqueue.Time, e eventqueue.Event) {
 	began := time.Now()
 	switch e.Kind {
@@ -173,18 +176,18 @@
 	}
 }
 
-// SendAttempt schedules an answer after a constant time.
+// SendAttempt schedules the end of the attempt after a constant latency.
 func (m *costMeter) SendAttempt(id balancer.RequestID, endpoint balancer.EndpointID, _ balancer.Span) {
 	m.attemptCounts[id]++
 	m.schedule(costAttemptLatency, eventqueue.Event{Target: m, Kind: costAttemptEnd, Argument: int64(id), Payload: endpoint})
 }
 
-// SetTimer schedules a timer.
+// SetTimer schedules the expiry of a timer.
 func (m *costMeter) SetTimer(timer balancer.TimerID, delay balancer.Span) {
 	m.schedule(delay, eventqueue.Event{Target: m, Kind: costTimer, Argument: int64(timer)})
 }
 
-// CancelAttempt has no effect here, nor have the commands below.
+// CancelAttempt has no effect: every attempt succeeds, and costMeter ignores this command and those below.
 func (m *costMeter) CancelAttempt(balancer.RequestID, int) {}
 
 // Reject has no effect.
--- a/internal/simulation/experiment/csv.go
+++ b/internal/simulation/experiment/csv.go
@@ -7,7 +7,8 @@
 	"strconv"
 )
 
-// WriteCSV writes the rows as a table with a column for each field that a cell sets and each metric.
+// WriteCSV writes the rows as a CSV table. It has a column for each field that the cell of the first row sets, and one
+// for each metric.
 func WriteCSV(out io.Writer, rows []Row) error {
 	w := csv.NewWriter(out)
 	names := MetricNames()
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -96,7 +96,7 @@
 			t.Errorf("%v", err)
 		}
 		if !bytes.Equal(readFile(t, file), complete) {
-			t.Error("the file was changed")
+			t.Error("the results file of another sweep was changed")
 		}
 	})
 	var csv bytes.Buffer
@@ -114,7 +114,8 @@
 	if err := os.WriteFile(file, complete[:cut], 0o644); err != nil {
 		t.Fatal(err)
 	}
-	// Interrupted a second time right after it has resumed: a truncated line must not corrupt what follows.
+	// The resumed sweep is interrupted as well, right after its first new row: if the truncated line were kept, this
+	// row would be appended to it and the file could no longer be read.
 	if ctx, stop := context.WithCancel(t.Context()); cut > len(lines[0])+len(lines[1]) && cut < len(complete) {
 		if _, err := RunAll(ctx, cells, hash, file, func(int, int) { stop() }); err != nil && !errors.Is(err, context.Canceled) {
 			t.Fatalf("interrupted again: %v", err)
@@ -140,7 +141,8 @@
 	}
 }
 
-// testResumeOfCanceled cancels a sweep after five cells, resumes it and expects the same file as of a complete one.
+// testResumeOfCanceled cancels a sweep after five cells, resumes it and expects the same file as that of a
+// complete sweep.
 func testResumeOfCanceled(t *testing.T, cells []Cell, hash string, complete []byte) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "canceled.jsonl")
@@ -203,7 +205,8 @@
 		higher      int
 		pairs       int
 	}{
-		// The days differ by far more than the policies: only pairing shows it.
+		// The runs differ by far more than the policies, so that only pairing shows the difference between the
+		// policies.
 		"a little better on every day": {rowsWith("a", plus(0.01)...), rowsWith("b", noise...), true, 8, 8},
 		"the same":                     {rowsWith("a", noise...), rowsWith("b", noise...), false, 0, 8},
 		"now better, now worse":        {rowsWith("a", noise...), rowsWith("b", append(noise[1:], noise[0])...), false, 4, 8},
@@ -227,7 +230,8 @@
 	}
 }
 
-// The interval must cover the true difference about 95 times in 100.
+// A 95% interval must cover the true difference in about 95 of 100 samples. One that is too narrow covers it less
+// often; one that always covers it is too wide.
 func TestBootstrapIntervalCoversTheDifference(t *testing.T) {
 	covered, n := 0, 200
 	for seed := range n {
@@ -272,7 +276,8 @@
 	}
 }
 
-// A case that violates an invariant shrinks to a small one whose text alone still does.
+// A case that violates an invariant must shrink to a small one, and its scenario, written as text and parsed again,
+// must still violate the same invariant.
 func TestShrink(t *testing.T) {
 	const file = `
 seconds = 12.0
@@ -294,7 +299,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The random policy ignores slow start: if most of the fleet is warming up, it overloads backends.
+	// The random policy ignores slow start: if most of the backends are warming up, it overloads them.
 	sc.Fleet.Backends = 3
 	var s *Shrunk
 	seed := uint64(1)
@@ -326,11 +331,12 @@
 		t.Fatal(err)
 	}
 	if _, err := Shrink(calm, "random", 1, 10); !errors.Is(err, ErrNoViolation) {
-		t.Errorf("a sound case: %v", err)
+		t.Errorf("a case without a violation: %v", err)
 	}
 }
 
-// The file of a sweep must not depend on the number of cores.
+// The rows of a sweep on all cores must equal those of its cells run one after the other: no run may affect another,
+// and the order must not depend on which run ends first.
 func TestSweepFileDoesNotDependOnCores(t *testing.T) {
 	dir := t.TempDir()
 	cells, hash, err := sweepCells(t, dir, sweepText)
@@ -352,7 +358,7 @@
 	a, errA := json.Marshal(one)
 	b, errB := json.Marshal(four)
 	if errA != nil || errB != nil || !bytes.Equal(a, b) {
-		t.Errorf("other bytes (%v, %v)", errA, errB)
+		t.Errorf("rows of parallel and sequential runs differ (%v, %v)", errA, errB)
 	}
 }
 
--- a/internal/simulation/experiment/metrics.go
+++ b/internal/simulation/experiment/metrics.go
@@ -8,7 +8,8 @@
 	"tulipglade/internal/simulation/emulator"
 )
 
-// Metrics are the figures of a result that can be compared, tabulated and plotted, by name.
+// Metrics maps the name of each metric that can be compared, tabulated and plotted to a function that reads it from a
+// result.
 var Metrics = map[string]func(*emulator.Result) float64{
 	"score":        func(r *emulator.Result) float64 { return r.Score },
 	"worth":        func(r *emulator.Result) float64 { return r.ServedValue },
@@ -32,7 +33,8 @@
 	},
 }
 
-// latency returns a quantile of served calls in ms, NaN if there is none.
+// latency returns the latency of served calls at a percentile in ms, or NaN if the result does not have that
+// percentile.
 func latency(r *emulator.Result, percent float64) float64 {
 	for _, quantile := range r.Latency {
 		if quantile.Percent == percent {
@@ -42,5 +44,5 @@
 	return math.NaN()
 }
 
-// MetricNames returns the names of Metrics, sorted.
+// MetricNames returns the sorted names of all metrics.
 func MetricNames() []string { return slices.Sorted(maps.Keys(Metrics)) }
--- a/internal/simulation/experiment/results_file.go
+++ b/internal/simulation/experiment/results_file.go
@@ -17,7 +17,7 @@
 	"tulipglade/internal/simulation/emulator"
 )
 
-// Row is one line of a results file.
+// Row is one line of a results file after the header: a run of a sweep and its result.
 type Row struct {
 	Cell
 	Result *emulator.Result `json:"result"`
@@ -25,15 +25,16 @@
 
 // header is the first line of a results file.
 type header struct {
-	Sweep string `json:"sweep"` // hash of the sweep and its scenario
+	Sweep string `json:"sweep"` // hash over the sweep and its scenario
 }
 
-// ErrOtherSweep means that a results file belongs to another sweep.
+// ErrOtherSweep means that a results file was written by another sweep, or by a sweep or scenario that has changed
+// since.
 var ErrOtherSweep = errors.New("holds the results of another sweep")
 
-// RunAll runs the cells on all cores and writes their rows to the file, in the order of the cells. Each finished cell is on
-// disk before the next starts on its core; a later call with the same file runs only what is missing. The function
-// progress, if set, is called after each cell.
+// RunAll runs the cells on all cores and writes their rows to the file, at the end in the order of the cells. Each row
+// is synced to disk before its worker starts another cell, so that a later call with the same file runs only the
+// missing cells. The function progress, if set, is called after each cell that was run.
 func RunAll(ctx context.Context, cells []Cell, hash, file string, progress func(done, all int)) ([]Row, error) {
 	finished, err := readFinished(file, hash)
 	if err != nil {
@@ -43,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = out.Close() }() // each row is synced when it is written
+	defer func() { _ = out.Close() }() // no data is lost if this fails: each row is synced when it is written
 	var mu sync.Mutex
 	rows := make([]Row, len(cells))
 	group, ctx := errgroup.WithContext(ctx)
@@ -86,7 +87,9 @@
 	return rows, writeRows(file, hash, rows)
 }
 
-// readFinished returns the results in a file by their cells' keys, or creates the file. An incomplete last line is cut off.
+// readFinished returns the results in a file by the keys of their cells. If the file does not exist or has no complete
+// line, it is created anew with a header. An incomplete last line, left by an interrupted sweep, is removed from the
+// file.
 func readFinished(file, hash string) (map[string]*emulator.Result, error) {
 	head, err := json.Marshal(header{hash})
 	if err != nil {
@@ -116,7 +119,7 @@
 	return finished, nil
 }
 
-// ReadRows reads a results file.
+// ReadRows returns the rows of a results file, whichever sweep it belongs to.
 func ReadRows(file string) ([]Row, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -125,7 +128,8 @@
 	return parseRows(file, raw, "")
 }
 
-// parseRows parses a results file. If hash is not empty, the file must belong to that sweep.
+// parseRows parses the content of a results file. If hash is not empty, the file must belong to the sweep with that
+// hash.
 func parseRows(file string, raw []byte, hash string) ([]Row, error) {
 	in := bufio.NewReader(bytes.NewReader(raw))
 	var rows []Row
@@ -137,10 +141,10 @@
 		if lineNumber == 1 {
 			var first header
 			if err := json.Unmarshal(line, &first); err != nil || first.Sweep == "" {
-				return nil, fmt.Errorf("%s:1: sweep: this is no file of results", file)
+				return nil, fmt.Errorf("%s:1: sweep: this is not a results file", file)
 			}
 			if hash != "" && first.Sweep != hash {
-				return nil, fmt.Errorf("%s: %w: name another file, or remove this one", file, ErrOtherSweep)
+				return nil, fmt.Errorf("%s: %w: specify another file, or remove this one", file, ErrOtherSweep)
 			}
 			continue
 		}
@@ -152,7 +156,7 @@
 	}
 }
 
-// writeRows replaces the file by one with the rows in order, atomically.
+// writeRows atomically replaces the file by one that holds the rows in the given order.
 func writeRows(file, hash string, rows []Row) error {
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -1,5 +1,5 @@
-// Package experiment runs simulations: single ones, sweeps and surveys over all cores. It compares their results, reduces
-// failing cases, and verifies the emulator against queueing theory.
+// Package experiment runs simulations: single runs, and sweeps and surveys on all cores. It compares their results,
+// reduces failing cases, measures the processor time of policies, and verifies the emulator against queueing theory.
 package experiment
 
 import (
@@ -10,7 +10,7 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// Run plays a scenario once.
+// Run simulates a scenario once, with the named policy and a seed.
 func Run(sc *scenario.Scenario, name string, seed uint64, opts ...emulator.Option) (*emulator.Result, error) {
 	maker, err := policy.Find(name)
 	if err != nil {
--- a/internal/simulation/experiment/shrink.go
+++ b/internal/simulation/experiment/shrink.go
@@ -11,23 +11,23 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// Shrunk is a reduced failing case.
+// Shrunk holds a reduced failing case and the invariant that it violates.
 type Shrunk struct {
 	Scenario  *scenario.Scenario
 	Rule      invariant.Rule
 	Violation invariant.Violation
 	Runs      int
-	// Before and after.
+	// Numbers of faults and calls, and simulated seconds, each before and after the reduction.
 	Faults, Calls [2]int
 	Seconds       [2]float64
 }
 
 // ErrNoViolation means that a case violates no invariant, so there is nothing to reduce.
-var ErrNoViolation = errors.New("no rule is broken, so there is nothing to reduce")
+var ErrNoViolation = errors.New("the case violates no invariant, so there is nothing to reduce")
 
-// Shrink reduces a case that violates an invariant to the fewest faults and calls, and the shortest time, that still
-// violate the same one, within so many runs. Calls keep their number, time and work when others are left out, as each
-// draws from a stream of its own.
+// Shrink reduces a case that violates an invariant: it removes faults and calls and shortens the simulated time while
+// the same invariant is still violated. The limit of maxRuns applies to all runs but the one that counts the calls.
+// Calls keep their number, time and work when others are left out, because each draws from a random stream of its own.
 func Shrink(sc *scenario.Scenario, policy string, seed uint64, maxRuns int) (*Shrunk, error) {
 	reduced := *sc
 	reduced.Faults, reduced.RandomFaults = emulator.Faults(sc, seed), faultinject.RandomFaults{}
@@ -46,25 +46,26 @@
 	if err := s.shrinkCalls(&reduced); err != nil {
 		return nil, err
 	}
-	// What is written must fail as it is, from the file alone.
+	// The reduced case must fail exactly as it is written to a file, without any other state.
 	if !s.fails(reduced) && s.shrunk.Runs < maxRuns {
-		return nil, fmt.Errorf("the reduced case no longer breaks %s", s.shrunk.Rule)
+		return nil, fmt.Errorf("the reduced case no longer violates %s", s.shrunk.Rule)
 	}
 	s.shrunk.Scenario = &reduced
 	s.shrunk.Faults[1], s.shrunk.Calls[1], s.shrunk.Seconds[1] = len(reduced.Faults), len(reduced.OnlyCalls), reduced.Seconds
 	return s.shrunk, nil
 }
 
-// shrinker runs the candidates of one Shrink.
+// shrinker runs the candidates of one call of Shrink and counts the runs.
 type shrinker struct {
 	policy  string
 	seed    uint64
 	maxRuns int
 	shrunk  *Shrunk
-	err     error // of the first run that could not be played
+	err     error // error of the first run that could not be simulated
 }
 
-// fails reports whether a candidate violates the invariant. It is false once all runs are used up or one has failed.
+// fails reports whether a candidate violates the invariant. It returns false once all runs are used up or a run has
+// returned an error.
 func (s *shrinker) fails(candidate scenario.Scenario) bool {
 	if s.shrunk.Runs >= s.maxRuns || s.err != nil {
 		return false
@@ -84,7 +85,8 @@
 	return false
 }
 
-// shrinkTime ends the scenario right after the violation. It comes first: it takes one run and shortens all others.
+// shrinkTime ends the scenario right after the violation. Shrink does this first, because it takes a
+// single run and shortens all later ones.
 func (s *shrinker) shrinkTime(reduced *scenario.Scenario) {
 	candidate := *reduced
 	candidate.Seconds = min(reduced.Seconds, math.Ceil(float64(s.shrunk.Violation.Time)/1e6)+0.1)
@@ -125,8 +127,9 @@
 	return s.err
 }
 
-// DDMin removes items while the rest still fails (delta debugging; Zeller and Hildebrandt, 2002): first halves, then
-// quarters, down to single items. The result fails, and no single item of it can be removed.
+// DDMin removes items as long as the remaining ones still fail (delta debugging; Zeller and Hildebrandt, 2002). It
+// tries to remove halves first, then quarters, down to single items. The result fails, and no longer fails if any one
+// item is removed.
 func DDMin[T any](items []T, fails func([]T) bool) []T {
 	for parts := 2; len(items) > 0; {
 		parts = min(parts, len(items))
--- a/internal/simulation/experiment/survey.go
+++ b/internal/simulation/experiment/survey.go
@@ -12,22 +12,25 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// Baseline is the policy that a survey compares the decision module with.
+// Baseline is the name of the policy with which a survey compares the decision module.
 const Baseline = "least-outstanding"
 
-// SurveyResult is the outcome of one deployment of a survey.
+// SurveyResult holds what both policies achieved on one deployment of a survey, and why the decision module failed, if
+// it did.
 type SurveyResult struct {
 	Seed     uint64                 `json:"seed"`
-	Module   float64                `json:"module"` // value of calls served in time, of all value offered
+	Module   float64                `json:"module"` // fraction of the offered value served in time; so is Baseline
 	Baseline float64                `json:"plain"`
 	Broken   map[invariant.Rule]int `json:"broken,omitempty"`
-	// Fault is why the deployment failed: rule for a violation, less for less served value; empty if it passed.
-	// RaisedSettings are then the fewest non-default settings with which it fails alike.
+	// Fault is the reason why the deployment failed: "rule" for a violated invariant, "less" for less served value than
+	// the baseline. It is empty if the deployment passed. If it failed, RaisedSettings are the non-default settings
+	// that remain after the reduction: with them alone, it still fails for the same reason.
 	Fault          string   `json:"fault,omitempty"`
 	RaisedSettings []string `json:"turned,omitempty"`
 }
 
-// runDeployment runs a deployment with both policies.
+// runDeployment simulates a deployment with the decision module and with the Baseline. The deployment fails if the
+// module violates an invariant or its served value is below the Baseline's by more than the margin.
 func runDeployment(d scenario.Deployment, seed uint64, margin float64) (SurveyResult, error) {
 	out := SurveyResult{Seed: seed, Broken: map[invariant.Rule]int{}}
 	sc := d.Scenario()
@@ -55,10 +58,10 @@
 	return out, nil
 }
 
-// Survey runs a deployment drawn from each of the seeds. The decision module fails a deployment if it violates an invariant
-// or its served value is below the Baseline's by more than the margin: with a few thousand calls, chance moves either by
-// about 0.01. Failing deployments are reduced to the settings that it takes. The function progress, if set, is called
-// after each deployment.
+// Survey runs a deployment drawn from each of the seeds. The decision module fails a deployment if it violates an
+// invariant or its served value is below the Baseline's by more than the margin: with a few thousand calls, chance
+// alone changes either value by about 0.01. A failing deployment is reduced to the settings that are needed for it to
+// fail. The function progress, if set, is called after each deployment.
 func Survey(ctx context.Context, seeds []uint64, margin float64, progress func(done, all int)) ([]SurveyResult, error) {
 	var mu sync.Mutex
 	done := 0
@@ -87,7 +90,7 @@
 	return all, group.Wait()
 }
 
-// surveyDeployment runs the deployment drawn from a seed, and reduces it if it fails.
+// surveyDeployment runs the deployment drawn from a seed, and reduces its settings if it fails.
 func surveyDeployment(seed uint64, margin float64) (SurveyResult, error) {
 	deployment := scenario.DrawDeployment(seed)
 	result, err := runDeployment(deployment, seed, margin)
@@ -101,7 +104,8 @@
 	return result, err
 }
 
-// reduceSettings resets knobs to their defaults while the deployment still fails, and names the settings that are left.
+// reduceSettings resets settings to their defaults as long as the deployment still fails, and returns the names of
+// those that remain.
 func reduceSettings(deployment scenario.Deployment, fails func(scenario.Deployment) (bool, error)) ([]string, error) {
 	var nonDefault []int
 	for i, setting := range deployment {
--- a/internal/simulation/experiment/survey_test.go
+++ b/internal/simulation/experiment/survey_test.go
@@ -9,11 +9,13 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// regressionSeeds are draws on which the module once served far less than the plain policy, each for a fault that has been mended.
+// regressionSeeds are the seeds of deployments on which the module once served far less than the baseline, each because
+// of a fault that has been fixed.
 var regressionSeeds = []uint64{110, 199, 219, 223, 272, 356, 418, 447}
 
-// On drawn deployments the decision module violates no invariant and serves no less than the baseline. The draws are the same
-// each time; `tulipctl simulate survey` draws others.
+// On randomly drawn deployments the decision module must violate no invariant, and its served value must not be below
+// the baseline's by more than 0.03. The seeds are fixed, so the deployments are the same each time; `tulipctl simulate
+// survey` draws others.
 func TestSurvey(t *testing.T) {
 	seeds := slices.Clone(regressionSeeds)
 	for seed := range uint64(24) {
@@ -35,7 +37,7 @@
 	t.Logf("%d draws; on %d the module serves more", len(all), more)
 }
 
-// A failing deployment is reduced to the settings that it takes to fail, and no others.
+// A failing deployment must be reduced to exactly the settings that are needed for it to fail.
 func TestReduceSettingsFindsTheCause(t *testing.T) {
 	knob := func(name string) int {
 		for i, k := range scenario.Knobs {
--- a/internal/simulation/experiment/sweep.go
+++ b/internal/simulation/experiment/sweep.go
@@ -17,11 +17,11 @@
 
 // Sweep is a grid of runs: every combination of the values, for every policy and seed.
 type Sweep struct {
-	Scenario  string           `toml:"scenario"` // a file in the directory of the sweep's, or a built-in scenario
-	Seeds     int              `toml:"seeds"`    // how many, from first_seed
+	Scenario  string           `toml:"scenario"` // name of a built-in scenario, or a file; relative paths start at the directory of the sweep
+	Seeds     int              `toml:"seeds"`    // number of consecutive seeds, from first_seed
 	FirstSeed uint64           `toml:"first_seed"`
 	Policies  []string         `toml:"policies"`
-	Grid      map[string][]any `toml:"grid"` // values by dotted path of the scenario's field
+	Grid      map[string][]any `toml:"grid"` // values to try, by the dotted path of a field of the scenario
 }
 
 // Check sets the default policy, and returns an error for the first invalid field.
@@ -48,10 +48,10 @@
 	return nil
 }
 
-// paths returns the fields of the grid, sorted.
+// paths returns the sorted paths of the fields that the grid varies.
 func (s *Sweep) paths() []string { return slices.Sorted(maps.Keys(s.Grid)) }
 
-// Cell is one run of a sweep.
+// Cell identifies one run of a sweep: the policy, the seed, and the values of the grid's fields.
 type Cell struct {
 	Policy string  `json:"policy"`
 	Seed   uint64  `json:"seed"`
@@ -60,13 +60,13 @@
 	scenario *scenario.Scenario
 }
 
-// Value is a field of the scenario with its value in a cell.
+// Value is a field of the scenario and the value that a cell sets it to.
 type Value struct {
 	Field string `json:"field"`
 	Value any    `json:"to"`
 }
 
-// key identifies the cell within a sweep.
+// key returns a string that identifies the cell within its sweep.
 func (c Cell) key() string {
 	raw, err := json.Marshal(c)
 	if err != nil {
@@ -78,8 +78,9 @@
 // maxRuns bounds the number of cells of a sweep.
 const maxRuns = 1e6
 
-// Cells reads the sweep's scenario, checks every point of the grid, and returns the runs in order with a hash of the sweep
-// and its scenario.
+// Cells reads the sweep's scenario and parses it with the values of each point of the grid, so that an invalid value is
+// found before any run. It returns the runs in order, and a hash over the sweep and its scenario. A relative path of a
+// scenario is resolved against dir.
 func (s *Sweep) Cells(dir string) ([]Cell, string, error) {
 	name := s.Scenario
 	if !slices.Contains(scenario.BuiltIn(), name) && !filepath.IsAbs(name) {
@@ -112,7 +113,7 @@
 	return cells, strconv.FormatUint(xxhash.Sum64(append(raw, encoded...)), 16), nil
 }
 
-// points returns all combinations of the grid's values.
+// points returns all combinations of the values of the grid's fields.
 func (s *Sweep) points() ([][]Value, error) {
 	points := [][]Value{nil}
 	for _, path := range s.paths() {
@@ -124,13 +125,13 @@
 		}
 		points = next
 		if len(points)*s.Seeds*len(s.Policies) > maxRuns {
-			return nil, tomlfile.FieldErrorf("grid", "more than a million runs")
+			return nil, tomlfile.FieldErrorf("grid", "the sweep has more than a million runs")
 		}
 	}
 	return points, nil
 }
 
-// scenarioAt parses a scenario's text with the values of a point of the grid.
+// scenarioAt parses the text of a scenario after setting its fields to the values of one point of the grid.
 func scenarioAt(file string, text []byte, point []Value) (*scenario.Scenario, error) {
 	for _, value := range point {
 		var err error
@@ -145,7 +146,7 @@
 	return sc, nil
 }
 
-// LoadSweep reads a sweep's file.
+// LoadSweep reads and checks the TOML file of a sweep. Seeds and FirstSeed default to 1.
 func LoadSweep(file string) (*Sweep, error) {
 	s := &Sweep{Seeds: 1, FirstSeed: 1}
 	return s, tomlfile.Load(file, s)
--- a/internal/simulation/experiment/verify.go
+++ b/internal/simulation/experiment/verify.go
@@ -13,27 +13,27 @@
 	"tulipglade/internal/simulation/theory"
 )
 
-// Check is one figure of the emulator beside its exact value.
+// Check compares one figure that the emulator produced (Model) with its exact value from queueing theory (Theory).
 type Check struct {
 	Name   string  `json:"name"`
 	Model  float64 `json:"model"`
 	Theory float64 `json:"theory"`
-	Error  float64 `json:"error"` // relative
+	Error  float64 `json:"error"` // relative to Theory
 	Bound  float64 `json:"bound"`
 	OK     bool    `json:"ok"`
 }
 
-// verification is one system with its exact results.
+// verification is one queueing system to simulate, with the checks of its results against theory.
 type verification struct {
 	name    string
 	station emulator.Station
 	checks  func(name string, result emulator.StationResult) []Check
 }
 
-// replications of each verification run in parallel; the mean of their results is compared with theory.
+// replications is the number of parallel runs of each verification. The mean of their results is compared with theory.
 const replications = 4
 
-// compareFigure returns a function that compares one figure of a result with its compareFigure value.
+// compareFigure returns a function that compares one figure of a result with its exact value.
 func compareFigure(figure func(emulator.StationResult) float64, value float64) func(string, emulator.StationResult) []Check {
 	return func(name string, result emulator.StationResult) []Check {
 		return []Check{{Name: name, Model: figure(result), Theory: value}}
@@ -44,8 +44,8 @@
 func sojourn(result emulator.StationResult) float64 { return result.Sojourn }
 func lost(result emulator.StationResult) float64    { return result.Lost }
 
-// verifications returns all cases. Effort scales how many jobs each plays; at 1, chance moves the hardest, a utilization
-// of 0.95, by about half a percent.
+// verifications returns all cases. The effort scales the number of jobs that each simulates. At an effort of 1, chance
+// alone changes the results of the least precise cases, those at a utilization of 0.95, by about half a percent.
 func verifications(effort float64) []verification {
 	var all []verification
 	for _, rho := range []float64{0.5, 0.8, 0.95} {
@@ -54,10 +54,10 @@
 	return all
 }
 
-// verificationsAt returns the cases of one utilization.
+// verificationsAt returns the cases for one utilization, rho.
 func verificationsAt(rho, effort float64) []verification {
-	const cv = 1.5                                        // of the lognormal distribution
-	jobs := int64(effort * 8e4 / ((1 - rho) * (1 - rho))) // of each replication: means converge more slowly near 1
+	const cv = 1.5                                        // coefficient of variation of the lognormal distribution
+	jobs := int64(effort * 8e4 / ((1 - rho) * (1 - rho))) // per replication; means converge more slowly for rho near 1
 	base := emulator.Station{
 		Backends:         1,
 		Cores:            1,
@@ -101,7 +101,8 @@
 	return cases
 }
 
-// tailOfTwoChoices compares the fractions of backends with at least so many jobs, down to 5%.
+// tailOfTwoChoices returns a function that compares the fractions of backends with at least 1, 2, 3 and more jobs, as
+// long as the exact fraction is at least 5%.
 func tailOfTwoChoices(rho float64) func(string, emulator.StationResult) []Check {
 	return func(name string, result emulator.StationResult) []Check {
 		var checks []Check
@@ -117,7 +118,8 @@
 	}
 }
 
-// Verify compares the emulator with queueing theory. The function progress, if set, is called after each replication.
+// Verify compares the emulator with queueing theory. A check passes if its relative error is at most the bound. The
+// function progress, if set, is called after each replication.
 func Verify(ctx context.Context, effort, bound float64, progress func(done, all int)) ([]Check, error) {
 	cases := verifications(effort)
 	results, err := runReplications(ctx, cases, progress)
@@ -135,7 +137,7 @@
 	return checks, nil
 }
 
-// runReplications runs all replications of the cases, on all cores.
+// runReplications runs all replications of all cases on all cores, each with a seed of its own.
 func runReplications(ctx context.Context, cases []verification, progress func(done, all int)) ([][replications]emulator.StationResult, error) {
 	results := make([][replications]emulator.StationResult, len(cases))
 	var mu sync.Mutex
@@ -164,7 +166,7 @@
 	return results, group.Wait()
 }
 
-// mean returns the mean of the figures, and the sum of the events.
+// mean returns the mean of the replications' figures, and the sum of their numbers of events.
 func mean(results []emulator.StationResult) emulator.StationResult {
 	var mean emulator.StationResult
 	count := float64(len(results))
--- a/internal/simulation/experiment/verify_test.go
+++ b/internal/simulation/experiment/verify_test.go
@@ -7,11 +7,11 @@
 	"tulipglade/internal/simulation/emulator"
 )
 
-// A small part of `tulipctl simulate verify`: few jobs, so a wide bound. A server that is 10% too fast, a wait measured from
-// the wrong time or a lost job moves these figures by more.
+// This is `tulipctl simulate verify` with fewer jobs, and therefore a wider bound. A server that is 10% too fast, a
+// wait that is measured from the wrong time, or a lost job changes these figures by more than the bounds.
 func TestVerifyAgreesWithTheory(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays a few million events")
+		t.Skip("simulates a few million events")
 	}
 	checks, err := Verify(t.Context(), 0.005, 0.25, nil)
 	if err != nil {
@@ -29,7 +29,8 @@
 	}
 }
 
-// The comparison must be able to fail.
+// The comparison with theory must be able to fail: a small error in the utilization must move the wait away from the
+// exact value, 4, by at least 10%, and further than the correct model is.
 func TestVerifyDetectsAWrongModel(t *testing.T) {
 	st := emulator.Station{
 		Backends:         1,
@@ -44,7 +45,7 @@
 		Seed:             1,
 	}
 	right := st.Run().Wait
-	st.Utilization = 0.82 // like a backend that is 2.5% too slow
+	st.Utilization = 0.82 // has the effect of a backend that is 2.5% too slow
 	if wrong := st.Run().Wait; math.Abs(wrong-4) < math.Abs(right-4) || math.Abs(wrong-4)/4 < 0.1 {
 		t.Errorf("wait %.3f at 0.80 and %.3f at 0.82: the check could not tell them apart", right, wrong)
 	}
--- a/internal/simulation/plots/plots.go
+++ b/internal/simulation/plots/plots.go
@@ -1,4 +1,4 @@
-// Package plots draws results of simulations and load runs as SVG or PNG, by the file's extension.
+// Package plots draws the results of simulations and load runs. The extension of the output file selects SVG or PNG.
 package plots
 
 import (
@@ -24,15 +24,15 @@
 const (
 	width          = 9 * vg.Inch
 	height         = 4.5 * vg.Inch
-	maxFaultLabels = 8 // further ones would overlap
+	maxFaultLabels = 8 // the labels of further faults would overlap
 )
 
-// Formats are the supported file extensions.
+// Formats lists the supported file extensions, without the dot.
 var Formats = []string{"svg", "png"}
 
 func savePlot(p *plot.Plot, file string) error {
 	if !slices.Contains(Formats, extension(file)) {
-		return fmt.Errorf("%s: the ending is none of %v", file, Formats)
+		return fmt.Errorf("%s: the file extension is none of %v", file, Formats)
 	}
 	p.Add(plotter.NewGrid())
 	if err := p.Save(width, height, file); err != nil {
@@ -73,7 +73,8 @@
 	return nil
 }
 
-// Service draws the fraction of the value served in each second, one line per result, with the faults of the first shaded.
+// Service draws which fraction of the value offered in each second was served in time, one line per result. The faults
+// of the first result are shaded.
 func Service(file string, results []*emulator.Result) error {
 	p := newPlot("Service over time: "+results[0].Scenario, "s", "value served in time, of all value offered")
 	p.Y.Min, p.Y.Max = 0, 1.02
@@ -94,10 +95,11 @@
 	return savePlot(p, file)
 }
 
-// ninesTicks marks percentiles on a scale on which each further nine has the same width.
+// ninesTicks places the tick marks of percentiles on a logarithmic scale: each further nine (90%, 99%, 99.9%) takes the
+// same width.
 type ninesTicks struct{}
 
-// Ticks returns the same marks for any range.
+// Ticks returns the same tick marks whatever the range of the axis.
 func (ninesTicks) Ticks(_, _ float64) []plot.Tick {
 	var ticks []plot.Tick
 	for _, q := range []float64{50, 90, 99, 99.9, 99.99} {
@@ -106,10 +108,10 @@
 	return ticks
 }
 
-// ninesPosition is a percentile's place on that scale.
+// ninesPosition returns the position of a percentile on the scale of ninesTicks.
 func ninesPosition(q float64) float64 { return -math.Log10(1 - min(q, 99.999)/100) }
 
-// Latency draws the percentiles of the latency of served calls, one line per result.
+// Latency draws latency against the percentile of served calls, one line per result.
 func Latency(file string, results []*emulator.Result) error {
 	p := newPlot("Latency of served calls: "+results[0].Scenario, "percentile", "ms from when the call was due")
 	p.X.Tick.Marker, p.Legend.Top = ninesTicks{}, true
@@ -127,11 +129,12 @@
 	return savePlot(p, file)
 }
 
-// Against draws a metric against a field that a sweep varies: the mean over all else, one line per policy.
+// Against draws a metric against a field that a sweep varies, one line per policy. Each point is the mean over all runs
+// of the policy with that value of the field.
 func Against(file string, rows []experiment.Row, field, metric string) error {
 	metricOf := experiment.Metrics[metric]
 	if metricOf == nil {
-		return fmt.Errorf("metric %s: there is no such figure", metric)
+		return fmt.Errorf("metric %s: there is no such metric", metric)
 	}
 	type sum struct{ total, n float64 }
 	lines := map[string]map[float64]*sum{}
@@ -152,7 +155,7 @@
 		}
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("field %s: no run sets it to a number", field)
+		return fmt.Errorf("field %s: no run of the sweep sets it to a number", field)
 	}
 	p := newPlot(metric+" against "+field+": "+rows[0].Result.Scenario, field, metric)
 	var names []string
@@ -196,7 +199,8 @@
 	return savePlot(p, file)
 }
 
-// Load draws a load run: p50, p99 and maximum latency of each second's served calls, and the fraction that was not served.
+// Load draws the p50, p99 and maximum latency of the served calls of each second of a load run, and the fraction of
+// calls that was not served.
 func Load(file string, r *load.Result, list []faultinject.Fault) error {
 	p := newPlot("Load: "+r.Scenario, "s since the start, by when calls were due", "ms")
 	p.Legend.Top = true
@@ -213,7 +217,7 @@
 			unserved = append(unserved, plotter.XY{X: x, Y: 1 - served/float64(s.Due)})
 		}
 	}
-	for i := range unserved { // scaled so that the full height is 1
+	for i := range unserved { // a fraction of 1 is drawn at the full height of the plot
 		unserved[i].Y *= top
 	}
 	if err := shadeFaults(p, list, float64(len(r.Series)), top); err != nil {
@@ -230,7 +234,7 @@
 	return savePlot(p, file)
 }
 
-// shadeFaults shades the duration of each fault, and labels the first ones.
+// shadeFaults shades the duration of each fault and labels the first maxFaultLabels of them with their kind.
 func shadeFaults(p *plot.Plot, list []faultinject.Fault, length, top float64) error {
 	for i, f := range list {
 		start, end := float64(f.Start)/1000, min(float64(f.End())/1000, length)
