--- a/internal/simulation/experiment/csv.go
+++ b/internal/simulation/experiment/csv.go
@@ -12,13 +12,13 @@
 func WriteCSV(out io.Writer, rows []Row) error {
 	w := csv.NewWriter(out)
 	names := MetricNames()
-	head := []string{"scenario", "policy", "seed"}
+	columns := []string{"scenario", "policy", "seed"}
 	if len(rows) > 0 {
 		for _, v := range rows[0].Set {
-			head = append(head, v.Field)
+			columns = append(columns, v.Field)
 		}
 	}
-	if err := w.Write(append(head, names...)); err != nil {
+	if err := w.Write(append(columns, names...)); err != nil {
 		return err
 	}
 	for _, r := range rows {
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -326,11 +326,11 @@
 	if err != nil || r.Broken[string(s.Rule)] == 0 {
 		t.Errorf("the text of the reduced case breaks %v, not %s: %v", r.Broken, s.Rule, err)
 	}
-	calm, err := scenario.Parse("x.toml", []byte("seconds = 2.0\nwarm_up_s = 0.0"))
+	noViolation, err := scenario.Parse("x.toml", []byte("seconds = 2.0\nwarm_up_s = 0.0"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Shrink(calm, "random", 1, 10); !errors.Is(err, ErrNoViolation) {
+	if _, err := Shrink(noViolation, "random", 1, 10); !errors.Is(err, ErrNoViolation) {
 		t.Errorf("a case without a violation: %v", err)
 	}
 }
@@ -343,20 +343,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var one []Row
+	var sequential []Row
 	for _, c := range cells {
 		r, err := Run(c.scenario, c.Policy, c.Seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		one = append(one, Row{c, r})
+		sequential = append(sequential, Row{c, r})
 	}
-	four, err := RunAll(t.Context(), cells, hash, filepath.Join(dir, "four.jsonl"), nil)
+	parallel, err := RunAll(t.Context(), cells, hash, filepath.Join(dir, "four.jsonl"), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, errA := json.Marshal(one)
-	b, errB := json.Marshal(four)
+	a, errA := json.Marshal(sequential)
+	b, errB := json.Marshal(parallel)
 	if errA != nil || errB != nil || !bytes.Equal(a, b) {
 		t.Errorf("rows of parallel and sequential runs differ (%v, %v)", errA, errB)
 	}
--- a/internal/simulation/experiment/results_file.go
+++ b/internal/simulation/experiment/results_file.go
@@ -91,13 +91,13 @@
 // line, it is created anew with a header. An incomplete last line, left by an interrupted sweep, is removed from the
 // file.
 func readFinished(file, hash string) (map[string]*emulator.Result, error) {
-	head, err := json.Marshal(header{hash})
+	headerLine, err := json.Marshal(header{hash})
 	if err != nil {
 		return nil, err
 	}
 	raw, err := os.ReadFile(file)
 	if errors.Is(err, os.ErrNotExist) || err == nil && !bytes.Contains(raw, []byte("\n")) {
-		return nil, os.WriteFile(file, append(head, '\n'), 0o644)
+		return nil, os.WriteFile(file, append(headerLine, '\n'), 0o644)
 	}
 	if err != nil {
 		return nil, err
--- a/internal/simulation/experiment/survey.go
+++ b/internal/simulation/experiment/survey.go
@@ -32,30 +32,30 @@
 // runDeployment simulates a deployment with the decision module and with the Baseline. The deployment fails if the
 // module violates an invariant or its served value is below the Baseline's by more than the margin.
 func runDeployment(d scenario.Deployment, seed uint64, margin float64) (SurveyResult, error) {
-	out := SurveyResult{Seed: seed, Broken: map[invariant.Rule]int{}}
+	result := SurveyResult{Seed: seed, Broken: map[invariant.Rule]int{}}
 	sc := d.Scenario()
 	if err := sc.Check(); err != nil {
-		return out, err
+		return result, err
 	}
 	module, err := Run(sc, policy.Module, seed)
 	if err != nil {
-		return out, err
+		return result, err
 	}
 	baseline, err := Run(d.Scenario(), Baseline, seed)
 	if err != nil {
-		return out, err
+		return result, err
 	}
-	out.Module, out.Baseline = module.ServedValue, baseline.ServedValue
+	result.Module, result.Baseline = module.ServedValue, baseline.ServedValue
 	for _, violation := range module.Violations {
-		out.Broken[violation.Rule]++
+		result.Broken[violation.Rule]++
 	}
 	switch {
-	case len(out.Broken) > 0:
-		out.Fault = "rule"
-	case out.Module < out.Baseline-margin:
-		out.Fault = "less"
+	case len(result.Broken) > 0:
+		result.Fault = "rule"
+	case result.Module < result.Baseline-margin:
+		result.Fault = "less"
 	}
-	return out, nil
+	return result, nil
 }
 
 // Survey runs a deployment drawn from each of the seeds. The decision module fails a deployment if it violates an
@@ -120,14 +120,14 @@
 		}
 		return reduced
 	}
-	var failed error
+	var runErr error
 	keep := DDMin(nonDefault, func(keep []int) bool {
-		if failed != nil {
+		if runErr != nil {
 			return false
 		}
 		var stillFails bool
-		stillFails, failed = fails(with(keep))
-		return stillFails && failed == nil
+		stillFails, runErr = fails(with(keep))
+		return stillFails && runErr == nil
 	})
-	return with(keep).NonDefaultSettings(), failed
+	return with(keep).NonDefaultSettings(), runErr
 }
--- a/internal/simulation/experiment/survey_test.go
+++ b/internal/simulation/experiment/survey_test.go
@@ -25,16 +25,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	more := 0
+	moduleBetter := 0
 	for _, d := range all {
 		if d.Fault != "" {
 			t.Errorf("draw %d: %s, %.3f against %.3f, %v: fails with %v", d.Seed, d.Fault, d.Module, d.Baseline, d.Broken, d.RaisedSettings)
 		}
 		if d.Module > d.Baseline {
-			more++
+			moduleBetter++
 		}
 	}
-	t.Logf("%d draws; on %d the module serves more", len(all), more)
+	t.Logf("%d draws; on %d the module serves more", len(all), moduleBetter)
 }
 
 // A failing deployment must be reduced to exactly the settings that are needed for it to fail.
--- a/internal/simulation/plots/plots.go
+++ b/internal/simulation/plots/plots.go
@@ -201,7 +201,7 @@
 
 // Load draws the p50, p99 and maximum latency of the served calls of each second of a load run, and the fraction of
 // calls that was not served.
-func Load(file string, r *load.Result, list []faultinject.Fault) error {
+func Load(file string, r *load.Result, faults []faultinject.Fault) error {
 	p := newPlot("Load: "+r.Scenario, "s since the start, by when calls were due", "ms")
 	p.Legend.Top = true
 	var p50, p99, maximum, unserved plotter.XYs
@@ -220,7 +220,7 @@
 	for i := range unserved { // a fraction of 1 is drawn at the full height of the plot
 		unserved[i].Y *= top
 	}
-	if err := shadeFaults(p, list, float64(len(r.Series)), top); err != nil {
+	if err := shadeFaults(p, faults, float64(len(r.Series)), top); err != nil {
 		return err
 	}
 	for i, l := range []struct {
@@ -235,8 +235,8 @@
 }
 
 // shadeFaults shades the duration of each fault and labels the first maxFaultLabels of them with their kind.
-func shadeFaults(p *plot.Plot, list []faultinject.Fault, length, top float64) error {
-	for i, f := range list {
+func shadeFaults(p *plot.Plot, faults []faultinject.Fault, length, top float64) error {
+	for i, f := range faults {
 		start, end := float64(f.Start)/1000, min(float64(f.End())/1000, length)
 		area, err := plotter.NewPolygon(plotter.XYs{{X: start, Y: 0}, {X: end, Y: 0}, {X: end, Y: top}, {X: start, Y: top}})
 		if err != nil {
