--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	if a, b := rows[0].Result, rows[len(rows)-1].Result; rows[0].Set[1].Value == rows[len(rows)-1].Set[1].Value || a.ServedValue == b.ServedValue {
-		t.Errorf("the grid is not applied: %v %v", rows[0].Set, rows[len(rows)-1].Set)
+		t.Errorf("the first and the last cell do not differ as the grid says: %v %v", rows[0].Set, rows[len(rows)-1].Set)
 	}
 	complete := readFile(t, file)
 	lines := bytes.SplitAfter(complete, []byte("\n"))
@@ -153,13 +153,13 @@
 		}
 	})
 	if !errors.Is(err, context.Canceled) {
-		t.Fatalf("canceled: %v", err)
+		t.Fatalf("a canceled sweep must return context.Canceled: %v", err)
 	}
 	if n := bytes.Count(readFile(t, file), []byte("\n")) - 1; n < 5 {
-		t.Errorf("%d cells on disk of 5 finished", n)
+		t.Errorf("%d cells are on disk although 5 were finished", n)
 	}
 	if _, err := RunAll(t.Context(), cells, hash, file, nil); err != nil || !bytes.Equal(readFile(t, file), complete) {
-		t.Errorf("resumed: %v, or other bytes", err)
+		t.Errorf("the resumed sweep returned the error %v, or its file differs from that of an uninterrupted one", err)
 	}
 }
 
@@ -324,7 +324,7 @@
 	}
 	r, err := Run(parsed, "random", seed)
 	if err != nil || r.Broken[string(s.Rule)] == 0 {
-		t.Errorf("the text of the reduced case breaks %v, not %s: %v", r.Broken, s.Rule, err)
+		t.Errorf("the text of the reduced case violates %v instead of %s; error: %v", r.Broken, s.Rule, err)
 	}
 	noViolation, err := scenario.Parse("x.toml", []byte("seconds = 2.0\nwarm_up_s = 0.0"))
 	if err != nil {
--- a/internal/simulation/experiment/shrink.go
+++ b/internal/simulation/experiment/shrink.go
@@ -85,8 +85,8 @@
 	return false
 }
 
-// shrinkTime ends the scenario right after the violation. Shrink does this first, because it takes a
-// single run and shortens all later ones.
+// shrinkTime ends the scenario right after the violation. Shrink does this first, because it takes a single run and
+// shortens all later ones.
 func (s *shrinker) shrinkTime(reduced *scenario.Scenario) {
 	candidate := *reduced
 	candidate.Seconds = min(reduced.Seconds, math.Ceil(float64(s.shrunk.Violation.Time)/1e6)+0.1)
--- a/internal/simulation/experiment/survey_test.go
+++ b/internal/simulation/experiment/survey_test.go
@@ -28,13 +28,13 @@
 	moduleBetter := 0
 	for _, d := range all {
 		if d.Fault != "" {
-			t.Errorf("draw %d: %s, %.3f against %.3f, %v: fails with %v", d.Seed, d.Fault, d.Module, d.Baseline, d.Broken, d.RaisedSettings)
+			t.Errorf("seed %d fails (%s): %.3f, baseline %.3f; violations %v; settings %v", d.Seed, d.Fault, d.Module, d.Baseline, d.Broken, d.RaisedSettings)
 		}
 		if d.Module > d.Baseline {
 			moduleBetter++
 		}
 	}
-	t.Logf("%d draws; on %d the module serves more", len(all), moduleBetter)
+	t.Logf("%d deployments; on %d the module serves more value than the baseline", len(all), moduleBetter)
 }
 
 // A failing deployment must be reduced to exactly the settings that are needed for it to fail.
--- a/internal/simulation/experiment/sweep.go
+++ b/internal/simulation/experiment/sweep.go
@@ -17,7 +17,7 @@
 
 // Sweep is a grid of runs: every combination of the values, for every policy and seed.
 type Sweep struct {
-	Scenario  string           `toml:"scenario"` // name of a built-in scenario, or a file; relative paths start at the directory of the sweep
+	Scenario  string           `toml:"scenario"` // a built-in scenario, or a file relative to the sweep's directory
 	Seeds     int              `toml:"seeds"`    // number of consecutive seeds, from first_seed
 	FirstSeed uint64           `toml:"first_seed"`
 	Policies  []string         `toml:"policies"`
--- a/internal/simulation/experiment/verify_test.go
+++ b/internal/simulation/experiment/verify_test.go
@@ -25,7 +25,7 @@
 		sum += math.Abs(c.Error)
 	}
 	if mean := sum / float64(len(checks)); mean > 0.06 || len(checks) < 25 {
-		t.Errorf("%d checks are off by %.1f%% in the mean", len(checks), 100*mean)
+		t.Errorf("the mean relative error of the %d checks is %.1f%%", len(checks), 100*mean)
 	}
 }
 
@@ -47,6 +47,6 @@
 	right := st.Run().Wait
 	st.Utilization = 0.82 // has the effect of a backend that is 2.5% too slow
 	if wrong := st.Run().Wait; math.Abs(wrong-4) < math.Abs(right-4) || math.Abs(wrong-4)/4 < 0.1 {
-		t.Errorf("wait %.3f at 0.80 and %.3f at 0.82: the check could not tell them apart", right, wrong)
+		t.Errorf("wait %.3f at 0.80 and %.3f at 0.82: the check could not distinguish them", right, wrong)
 	}
 }
