--- a/internal/simulation/experiment/csv.go
+++ b/internal/simulation/experiment/csv.go
@@ -7,17 +7,18 @@
 	"strconv"
 )
 
-// WriteCSV writes the rows as a table with a column for each field that a cell sets and each metric.
+// WriteCSV writes the rows as a CSV table. It has a column for each field that the cell of the first row sets, and one
+// for each metric.
 func WriteCSV(out io.Writer, rows []Row) error {
 	w := csv.NewWriter(out)
 	names := MetricNames()
-	head := []string{"scenario", "policy", "seed"}
+	columns := []string{"scenario", "policy", "seed"}
 	if len(rows) > 0 {
 		for _, v := range rows[0].Set {
-			head = append(head, v.Field)
+			columns = append(columns, v.Field)
 		}
 	}
-	if err := w.Write(append(head, names...)); err != nil {
+	if err := w.Write(append(columns, names...)); err != nil {
 		return err
 	}
 	for _, r := range rows {
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -39,7 +39,7 @@
 effect = "repeatable"
 `
 
-func sweep(t *testing.T, dir, text string) ([]Cell, string, error) {
+func sweepCells(t *testing.T, dir, text string) ([]Cell, string, error) {
 	t.Helper()
 	for name, s := range map[string]string{"tiny.toml": tinyText, "sweep.toml": text} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(s), 0o644); err != nil {
@@ -53,7 +53,7 @@
 	return s.Cells(dir)
 }
 
-func read(t *testing.T, file string) []byte {
+func readFile(t *testing.T, file string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -66,7 +66,7 @@
 // uninterrupted one.
 func TestSweepResumesAfterTruncation(t *testing.T) {
 	dir := t.TempDir()
-	cells, hash, err := sweep(t, dir, sweepText)
+	cells, hash, err := sweepCells(t, dir, sweepText)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,9 +79,9 @@
 		t.Fatal(err)
 	}
 	if a, b := rows[0].Result, rows[len(rows)-1].Result; rows[0].Set[1].Value == rows[len(rows)-1].Set[1].Value || a.ServedValue == b.ServedValue {
-		t.Errorf("the grid is not applied: %v %v", rows[0].Set, rows[len(rows)-1].Set)
+		t.Errorf("the first and the last cell do not differ as the grid says: %v %v", rows[0].Set, rows[len(rows)-1].Set)
 	}
-	complete := read(t, file)
+	complete := readFile(t, file)
 	lines := bytes.SplitAfter(complete, []byte("\n"))
 	header, firstRow := len(lines[0]), len(lines[1])
 	cuts := []int{0, 5, header, header + 1, header + firstRow + 40, len(complete) / 2, len(complete) - 1, len(complete)}
@@ -95,8 +95,8 @@
 		if _, err := RunAll(t.Context(), cells, "other", file, nil); !errors.Is(err, ErrOtherSweep) {
 			t.Errorf("%v", err)
 		}
-		if !bytes.Equal(read(t, file), complete) {
-			t.Error("the file was changed")
+		if !bytes.Equal(readFile(t, file), complete) {
+			t.Error("the results file of another sweep was changed")
 		}
 	})
 	var csv bytes.Buffer
@@ -114,7 +114,8 @@
 	if err := os.WriteFile(file, complete[:cut], 0o644); err != nil {
 		t.Fatal(err)
 	}
-	// Interrupted a second time right after it has resumed: a truncated line must not corrupt what follows.
+	// The resumed sweep is interrupted as well, right after its first new row: if the truncated line were kept, this
+	// row would be appended to it and the file could no longer be read.
 	if ctx, stop := context.WithCancel(t.Context()); cut > len(lines[0])+len(lines[1]) && cut < len(complete) {
 		if _, err := RunAll(ctx, cells, hash, file, func(int, int) { stop() }); err != nil && !errors.Is(err, context.Canceled) {
 			t.Fatalf("interrupted again: %v", err)
@@ -135,12 +136,13 @@
 	if played != len(cells)-finished {
 		t.Errorf("ran %d of %d cells although %d were finished", played, len(cells), finished)
 	}
-	if !bytes.Equal(read(t, file), complete) {
+	if !bytes.Equal(readFile(t, file), complete) {
 		t.Error("the file differs from that of an uninterrupted sweep")
 	}
 }
 
-// testResumeOfCanceled cancels a sweep after five cells, resumes it and expects the same file as of a complete one.
+// testResumeOfCanceled cancels a sweep after five cells, resumes it and expects the same file as that of a
+// complete sweep.
 func testResumeOfCanceled(t *testing.T, cells []Cell, hash string, complete []byte) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "canceled.jsonl")
@@ -151,18 +153,18 @@
 		}
 	})
 	if !errors.Is(err, context.Canceled) {
-		t.Fatalf("canceled: %v", err)
+		t.Fatalf("a canceled sweep must return context.Canceled: %v", err)
 	}
-	if n := bytes.Count(read(t, file), []byte("\n")) - 1; n < 5 {
-		t.Errorf("%d cells on disk of 5 finished", n)
+	if n := bytes.Count(readFile(t, file), []byte("\n")) - 1; n < 5 {
+		t.Errorf("%d cells are on disk although 5 were finished", n)
 	}
-	if _, err := RunAll(t.Context(), cells, hash, file, nil); err != nil || !bytes.Equal(read(t, file), complete) {
-		t.Errorf("resumed: %v, or other bytes", err)
+	if _, err := RunAll(t.Context(), cells, hash, file, nil); err != nil || !bytes.Equal(readFile(t, file), complete) {
+		t.Errorf("the resumed sweep returned the error %v, or its file differs from that of an uninterrupted one", err)
 	}
 }
 
 func TestSweepErrorsNameTheField(t *testing.T) {
-	for name, c := range map[string]struct{ from, to, says string }{
+	for name, c := range map[string]struct{ from, to, wantError string }{
 		"unknown field":    {`"load.level"`, `"load.levle"`, "load.levle: there is no such field"},
 		"impossible value": {"[0.3, 0.6]", "[0.3, -1]", "load.level: -1 is not within"},
 		"no such element":  {"class[0]", "class[4]", `grid.class[4].aim_ms: there are only 1 of "class"`},
@@ -172,9 +174,9 @@
 		"no scenario":      {"tiny.toml", "none.toml", "none.toml"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, _, err := sweep(t, t.TempDir(), strings.Replace(sweepText, c.from, c.to, 1))
-			if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want one line with %q", err, c.says)
+			_, _, err := sweepCells(t, t.TempDir(), strings.Replace(sweepText, c.from, c.to, 1))
+			if err == nil || !strings.Contains(err.Error(), c.wantError) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want one line with %q", err, c.wantError)
 			}
 		})
 	}
@@ -198,12 +200,13 @@
 		return out
 	}
 	for name, c := range map[string]struct {
-		a, b   []Row
-		shown  bool
-		higher int
-		pairs  int
+		a, b        []Row
+		significant bool
+		higher      int
+		pairs       int
 	}{
-		// The days differ by far more than the policies: only pairing shows it.
+		// The runs differ by far more than the policies, so that only pairing shows the difference between the
+		// policies.
 		"a little better on every day": {rowsWith("a", plus(0.01)...), rowsWith("b", noise...), true, 8, 8},
 		"the same":                     {rowsWith("a", noise...), rowsWith("b", noise...), false, 0, 8},
 		"now better, now worse":        {rowsWith("a", noise...), rowsWith("b", append(noise[1:], noise[0])...), false, 4, 8},
@@ -214,7 +217,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.Significant() != c.shown || got.Higher != c.higher || got.Pairs != c.pairs || got.Low > got.Diff || got.High < got.Diff {
+			if got.Significant() != c.significant || got.Higher != c.higher || got.Pairs != c.pairs || got.Low > got.Diff || got.High < got.Diff {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -227,7 +230,8 @@
 	}
 }
 
-// The interval must cover the true difference about 95 times in 100.
+// A 95% interval must cover the true difference in about 95 of 100 samples. One that is too narrow covers it less
+// often; one that always covers it is too wide.
 func TestBootstrapIntervalCoversTheDifference(t *testing.T) {
 	covered, n := 0, 200
 	for seed := range n {
@@ -272,7 +276,8 @@
 	}
 }
 
-// A case that violates an invariant shrinks to a small one whose text alone still does.
+// A case that violates an invariant must shrink to a small one, and its scenario, written as text and parsed again,
+// must still violate the same invariant.
 func TestShrink(t *testing.T) {
 	const file = `
 seconds = 12.0
@@ -294,7 +299,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The random policy ignores slow start: if most of the fleet is warming up, it overloads backends.
+	// The random policy ignores slow start: if most of the backends are warming up, it overloads them.
 	sc.Fleet.Backends = 3
 	var s *Shrunk
 	seed := uint64(1)
@@ -319,40 +324,41 @@
 	}
 	r, err := Run(parsed, "random", seed)
 	if err != nil || r.Broken[string(s.Rule)] == 0 {
-		t.Errorf("the text of the reduced case breaks %v, not %s: %v", r.Broken, s.Rule, err)
+		t.Errorf("the text of the reduced case violates %v instead of %s; error: %v", r.Broken, s.Rule, err)
 	}
-	calm, err := scenario.Parse("x.toml", []byte("seconds = 2.0\nwarm_up_s = 0.0"))
+	noViolation, err := scenario.Parse("x.toml", []byte("seconds = 2.0\nwarm_up_s = 0.0"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Shrink(calm, "random", 1, 10); !errors.Is(err, ErrNoViolation) {
-		t.Errorf("a sound case: %v", err)
+	if _, err := Shrink(noViolation, "random", 1, 10); !errors.Is(err, ErrNoViolation) {
+		t.Errorf("a case without a violation: %v", err)
 	}
 }
 
-// The file of a sweep must not depend on the number of cores.
+// The rows of a sweep on all cores must equal those of its cells run one after the other: no run may affect another,
+// and the order must not depend on which run ends first.
 func TestSweepFileDoesNotDependOnCores(t *testing.T) {
 	dir := t.TempDir()
-	cells, hash, err := sweep(t, dir, sweepText)
+	cells, hash, err := sweepCells(t, dir, sweepText)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var one []Row
+	var sequential []Row
 	for _, c := range cells {
 		r, err := Run(c.scenario, c.Policy, c.Seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		one = append(one, Row{c, r})
+		sequential = append(sequential, Row{c, r})
 	}
-	four, err := RunAll(t.Context(), cells, hash, filepath.Join(dir, "four.jsonl"), nil)
+	parallel, err := RunAll(t.Context(), cells, hash, filepath.Join(dir, "four.jsonl"), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, errA := json.Marshal(one)
-	b, errB := json.Marshal(four)
+	a, errA := json.Marshal(sequential)
+	b, errB := json.Marshal(parallel)
 	if errA != nil || errB != nil || !bytes.Equal(a, b) {
-		t.Errorf("other bytes (%v, %v)", errA, errB)
+		t.Errorf("rows of parallel and sequential runs differ (%v, %v)", errA, errB)
 	}
 }
 
