--- a/cmd/tulipctl/cluster.go
+++ b/cmd/tulipctl/cluster.go
@@ -48,7 +48,7 @@
 	return &cli.StringFlag{Name: "program", Usage: "path `PROGRAM` of the node; default: tulipglade in the directory of this program"}
 }
 
-func lagFlag() cli.Flag {
+func maxLagFlag() cli.Flag {
 	return &cli.DurationFlag{
 		Name:  "lag",
 		Value: load.DefaultMaxLag,
@@ -56,8 +56,8 @@
 	}
 }
 
-// program returns the path of the node's program: that of --program, or tulipglade in the directory of this program.
-func program(cmd *cli.Command) (string, error) {
+// nodeProgramPath returns the path of the node's nodeProgramPath: that of --nodeProgramPath, or tulipglade in the directory of this nodeProgramPath.
+func nodeProgramPath(cmd *cli.Command) (string, error) {
 	if path := cmd.String("program"); path != "" {
 		return path, nil
 	}
@@ -152,7 +152,7 @@
 		defer func() { err = errors.Join(err, out.Close()) }()
 		log = out
 	}
-	programPath, dir, err := nodeProgram(cmd)
+	programPath, dir, err := nodeProgramAndDir(cmd)
 	if err != nil {
 		return err
 	}
@@ -183,14 +183,14 @@
 	return nil
 }
 
-// nodeProgram returns the program and the directory of nodes that have to be started. Both are empty if --node names
+// nodeProgramAndDir returns the program and the directory of nodes that have to be started. Both are empty if --node names
 // running ones.
-func nodeProgram(cmd *cli.Command) (programPath, dir string, err error) {
+func nodeProgramAndDir(cmd *cli.Command) (programPath, dir string, err error) {
 	dir = cmd.String("dir")
 	if len(cmd.StringSlice("node")) > 0 {
 		return "", dir, nil
 	}
-	if programPath, err = program(cmd); err != nil {
+	if programPath, err = nodeProgramPath(cmd); err != nil {
 		return "", "", err
 	}
 	if dir == "" {
--- a/cmd/tulipctl/demo.go
+++ b/cmd/tulipctl/demo.go
@@ -20,12 +20,12 @@
 	return &cli.Command{
 		Name:   "demo",
 		Usage:  "run a fake cluster and a node under a surge of 20 s with a draining backend; prints a table and draws a plot",
-		Action: demo,
+		Action: runDemo,
 		Flags: []cli.Flag{
 			programFlag(),
 			&cli.StringFlag{Name: "out", Value: "demo", Usage: "directory `DIR` for logs and the plot"},
 			&cli.FloatFlag{Name: "seconds", Value: 20, Usage: "length `X` of the run"},
-			lagFlag(),
+			maxLagFlag(),
 		},
 	}
 }
@@ -58,8 +58,8 @@
 // demoEvents is the name of the file of the backends' events.
 const demoEvents = "world.jsonl"
 
-func demo(ctx context.Context, cmd *cli.Command) (err error) {
-	programPath, err := program(cmd)
+func runDemo(ctx context.Context, cmd *cli.Command) (err error) {
+	programPath, err := nodeProgramPath(cmd)
 	if err != nil {
 		return err
 	}
--- a/cmd/tulipctl/lease.go
+++ b/cmd/tulipctl/lease.go
@@ -135,7 +135,7 @@
 	if cmd.Bool("json") {
 		return printJSON(cmd.Root().Writer, status.Leases)
 	}
-	rows := table(cmd)
+	rows := newTable(cmd)
 	writeln(rows, "name\tslot\tholder\ttoken\texpires within\tslots")
 	for _, groupLease := range status.Leases {
 		for _, grant := range groupLease.Grants {
@@ -328,7 +328,7 @@
 			return err
 		}
 	} else {
-		rows := table(cmd)
+		rows := newTable(cmd)
 		writeln(rows, "agent\tid\tleader\tterm\tapplied\tmembers\tproblem")
 		for _, row := range all {
 			var members []string
--- a/cmd/tulipctl/legacy.go
+++ b/cmd/tulipctl/legacy.go
@@ -7,8 +7,8 @@
 
 // renamedCommands are sub-commands that had another name in earlier versions: scripts that use the old one keep working.
 var renamedCommands = []struct {
-	old []string
-	now []string
+	old     []string
+	current []string
 }{
 	{[]string{"lab"}, []string{"simulate"}},
 	{[]string{"world"}, []string{"cluster"}},
@@ -20,7 +20,7 @@
 var renamedFlags = []struct {
 	command []string
 	old     string
-	now     string
+	current string
 }{
 	{[]string{"load", "proxy"}, "--box", "--backend"},
 	{[]string{"load", "find"}, "--refused", "--rejected"},
@@ -41,13 +41,13 @@
 	program, rest := args[0], slices.Clone(args[1:])
 	for _, renamed := range renamedCommands {
 		if hasPrefix(rest, renamed.old) {
-			rest = slices.Concat(renamed.now, rest[len(renamed.old):])
+			rest = slices.Concat(renamed.current, rest[len(renamed.old):])
 			break
 		}
 	}
 	for _, renamed := range renamedFlags {
 		if hasPrefix(rest, renamed.command) {
-			renameFlag(rest, renamed.old, renamed.now)
+			renameFlag(rest, renamed.old, renamed.current)
 		}
 	}
 	return append([]string{program}, rest...)
@@ -57,15 +57,15 @@
 	return len(args) >= len(prefix) && slices.Equal(args[:len(prefix)], prefix)
 }
 
-func renameFlag(args []string, old, now string) {
+func renameFlag(args []string, old, current string) {
 	for i, arg := range args {
 		if arg == "--" {
 			return
 		}
 		if arg == old {
-			args[i] = now
+			args[i] = current
 		} else if value, found := strings.CutPrefix(arg, old+"="); found {
-			args[i] = now + "=" + value
+			args[i] = current + "=" + value
 		}
 	}
 }
--- a/cmd/tulipctl/load.go
+++ b/cmd/tulipctl/load.go
@@ -28,7 +28,7 @@
 			compareTargetsCommand(),
 			verifyLoadCommand(),
 			recordTraceCommand(),
-			nullCommand(),
+			nullServerCommand(),
 			proxyCommand(),
 		},
 	}
@@ -40,7 +40,7 @@
 		&cli.StringSliceFlag{Name: "target", Required: true, Usage: "`ADDRESS` on loopback, repeatable: one for each site in turn"},
 		seedFlag(),
 		&cli.IntFlag{Name: "conns", Value: load.DefaultMaxConns, Usage: "at most `N` connections"},
-		lagFlag(),
+		maxLagFlag(),
 		&cli.FloatFlag{Name: "seconds", Usage: "length `X`, instead of the scenario's"},
 		jsonFlag,
 	}, own...)
@@ -67,8 +67,8 @@
 	}
 }
 
-// loadPlan reads the scenario and applies the flags of loadFlags.
-func loadPlan(cmd *cli.Command) (load.Plan, error) {
+// readLoadPlan reads the scenario and applies the flags of loadFlags.
+func readLoadPlan(cmd *cli.Command) (load.Plan, error) {
 	name, err := fileArgument(cmd)
 	if err != nil {
 		return load.Plan{}, err
@@ -99,8 +99,8 @@
 	}, nil
 }
 
-// create creates a file, gzipped if its name ends in .gz; done closes it.
-func create(name string) (w io.Writer, done func() error, err error) {
+// createOutputFile creates a file, gzipped if its name ends in .gz; done closes it.
+func createOutputFile(name string) (w io.Writer, done func() error, err error) {
 	f, err := os.Create(name)
 	if err != nil {
 		return nil, nil, err
@@ -113,7 +113,7 @@
 }
 
 func runLoad(ctx context.Context, cmd *cli.Command) error {
-	plan, err := loadPlan(cmd)
+	plan, err := readLoadPlan(cmd)
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 		if cmd.String(flag) == "" {
 			return nil, nil
 		}
-		w, done, err := create(cmd.String(flag))
+		w, done, err := createOutputFile(cmd.String(flag))
 		if err != nil {
 			return nil, fmt.Errorf("--%s: %w", flag, err)
 		}
@@ -139,7 +139,7 @@
 	if plan.TraceWriter, err = open("record"); err != nil {
 		return err
 	}
-	if bar := progress(cmd.Root().ErrWriter, "load"); bar != nil {
+	if bar := newProgressBar(cmd.Root().ErrWriter, "load"); bar != nil {
 		all := int(plan.Scenario.Seconds)
 		plan.OnSecond = func(s load.Second) { bar(min(int(s.Start)+1, all), all) }
 	}
@@ -151,7 +151,7 @@
 		return err
 	}
 	if name := cmd.String("hgrm"); name != "" {
-		w, done, err := create(name)
+		w, done, err := createOutputFile(name)
 		if err != nil {
 			return err
 		}
@@ -191,7 +191,7 @@
 		r.Scenario, r.Seed, r.Calls, r.Seconds, r.PerS, r.Sent, r.Retries, r.ServedValue)
 	writef(out, "lag p50 %.3f ms, p99 %.3f ms, max %.3f ms; at most %d connections; %.1f µs of processor time per request\n\n", r.Lag.P50,
 		r.Lag.P99, r.Lag.Max, r.PeakConns, r.CPUPerAttempt)
-	t := table(cmd)
+	t := newTable(cmd)
 	writeln(t, "\t"+strings.Join(load.OutcomeNames[:], "\t")+"\tmean ms\tp50\tp90\tp99\tp99.9\tmax")
 	row := func(name string, by map[string]int64, l load.Latency) {
 		write(t, name)
--- a/cmd/tulipctl/load_compare.go
+++ b/cmd/tulipctl/load_compare.go
@@ -23,7 +23,7 @@
 }
 
 func compareTargets(ctx context.Context, cmd *cli.Command) error {
-	plan, err := loadPlan(cmd)
+	plan, err := readLoadPlan(cmd)
 	if err != nil {
 		return err
 	}
@@ -50,15 +50,15 @@
 	if cmd.Bool("json") {
 		return printJSON(cmd.Root().Writer, all)
 	}
-	t := table(cmd)
-	sp := func(s load.Spread, digits int) string {
+	t := newTable(cmd)
+	formatSpread := func(s load.Spread, digits int) string {
 		return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, s.Median, digits, s.Min, digits, s.Max)
 	}
 	writeln(t, "target\tµs CPU per call\tratio\tp50 ms\tp99 ms\tratio\tnot served\tpeak MB\tinvalid rounds")
 	invalid := 0
 	for _, s := range all {
-		writef(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%d\n", s.Name, sp(s.CPUPerCall, 1), sp(s.CPURatio, 2), sp(s.P50, 2), sp(s.P99, 2),
-			sp(s.P99Ratio, 2), sp(s.NotServed, 4), s.PeakMB, s.Invalid)
+		writef(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%d\n", s.Name, formatSpread(s.CPUPerCall, 1), formatSpread(s.CPURatio, 2), formatSpread(s.P50, 2), formatSpread(s.P99, 2),
+			formatSpread(s.P99Ratio, 2), formatSpread(s.NotServed, 4), s.PeakMB, s.Invalid)
 		invalid += s.Invalid
 	}
 	if err := t.Flush(); err != nil {
--- a/cmd/tulipctl/load_find.go
+++ b/cmd/tulipctl/load_find.go
@@ -29,21 +29,21 @@
 }
 
 func findRate(ctx context.Context, cmd *cli.Command) error {
-	plan, err := loadPlan(cmd)
+	plan, err := readLoadPlan(cmd)
 	if err != nil {
 		return err
 	}
-	s := load.SearchOptions{
+	options := load.SearchOptions{
 		Objective:     load.Objective{P99: cmd.Duration("p99"), MaxRejectedShare: cmd.Float("rejected")},
 		MinRate:       cmd.Float("from"),
 		MaxRate:       cmd.Float("to"),
 		Tolerance:     cmd.Float("close"),
 		Confirmations: cmd.Int("confirmations"),
 	}
-	if s.MinRate <= 0 || s.MaxRate < s.MinRate || s.Tolerance <= 0 || s.Confirmations < 1 {
+	if options.MinRate <= 0 || options.MaxRate < options.MinRate || options.Tolerance <= 0 || options.Confirmations < 1 {
 		return fmt.Errorf("find: --from, --to, --close and --confirmations must be above 0, and --to not below --from")
 	}
-	found, err := load.FindMaxRate(ctx, s, func(ctx context.Context, perS float64) (*load.Result, error) {
+	found, err := load.FindMaxRate(ctx, options, func(ctx context.Context, perS float64) (*load.Result, error) {
 		sc := *plan.Scenario
 		sc.Load.PerS, sc.Load.Shape = perS, "steady"
 		p := plan
@@ -56,11 +56,11 @@
 	if cmd.Bool("json") {
 		return printJSON(cmd.Root().Writer, found)
 	}
-	t := table(cmd)
+	t := newTable(cmd)
 	writeln(t, "calls/s\tp99 ms\tnot served\twithin bounds")
-	for _, st := range found.Steps {
-		invalid := map[bool]string{true: " INVALID"}[st.Invalid != ""]
-		writef(t, "%.0f\t%.1f\t%.4f\t%v%s\n", st.PerS, st.P99, st.RejectedShare, st.WithinBounds, invalid)
+	for _, step := range found.Steps {
+		invalid := map[bool]string{true: " INVALID"}[step.Invalid != ""]
+		writef(t, "%.0f\t%.1f\t%.4f\t%v%s\n", step.PerS, step.P99, step.RejectedShare, step.WithinBounds, invalid)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -71,7 +71,7 @@
 	}
 	switch {
 	case found.Low == 0:
-		return negativeAnswer("not even %.0f calls/s keeps p99 within %v and %.1f%% not served", s.MinRate, s.P99, 100*s.MaxRejectedShare)
+		return negativeAnswer("not even %.0f calls/s keeps p99 within %v and %.1f%% not served", options.MinRate, options.P99, 100*options.MaxRejectedShare)
 	case found.High == 0:
 		writef(out, "at least %.0f calls/s (within bounds in %s)\n", found.Low, found.LowConfidence)
 	default:
--- a/cmd/tulipctl/load_record.go
+++ b/cmd/tulipctl/load_record.go
@@ -40,7 +40,7 @@
 		return err
 	}
 	defer func() { _ = in.Close() }() // it is only read
-	w, done, err := create(cmd.String("out"))
+	w, done, err := createOutputFile(cmd.String("out"))
 	if err != nil {
 		return err
 	}
--- a/cmd/tulipctl/load_serve.go
+++ b/cmd/tulipctl/load_serve.go
@@ -19,7 +19,7 @@
 	return &cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "`ADDRESS` on loopback"}
 }
 
-func nullCommand() *cli.Command {
+func nullServerCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "null",
 		Usage:  "serve a backend that answers immediately, until interrupted",
--- a/cmd/tulipctl/load_verify.go
+++ b/cmd/tulipctl/load_verify.go
@@ -29,7 +29,7 @@
 		return err
 	}
 	beyond := 0
-	t := table(cmd)
+	t := newTable(cmd)
 	writeln(t, "figure\treported ms\tknown ms\terror ms\t")
 	for _, c := range checks {
 		verdict := ""
--- a/cmd/tulipctl/main.go
+++ b/cmd/tulipctl/main.go
@@ -88,9 +88,9 @@
 	return exitUsage
 }
 
-// scheduleFlags reads --schedules and --without of a command that runs schedules. The parts that can be left out are given
+// parseScheduleFlags reads --schedules and --without of a command that runs schedules. The parts that can be left out are given
 // by name; the empty name stands for none.
-func scheduleFlags[T any](cmd *cli.Command, parts map[string]T) (schedules int, without T, err error) {
+func parseScheduleFlags[T any](cmd *cli.Command, parts map[string]T) (schedules int, without T, err error) {
 	schedules = cmd.Int("schedules")
 	if schedules < 1 {
 		return 0, without, fmt.Errorf("%s: --schedules must be above 0", cmd.Name)
--- a/cmd/tulipctl/output.go
+++ b/cmd/tulipctl/output.go
@@ -21,8 +21,8 @@
 	return encoder.Encode(v)
 }
 
-// table returns a writer that aligns columns separated by tabs. Flush prints it and returns any error.
-func table(cmd *cli.Command) *tabwriter.Writer {
+// newTable returns a writer that aligns columns separated by tabs. Flush prints it and returns any error.
+func newTable(cmd *cli.Command) *tabwriter.Writer {
 	return tabwriter.NewWriter(cmd.Root().Writer, 0, 0, 2, ' ', 0)
 }
 
@@ -35,8 +35,8 @@
 
 func write(w io.Writer, args ...any) { _, _ = fmt.Fprint(w, args...) }
 
-// progress returns a function that shows how far a long command is, by a bar on a terminal; nil if w is no terminal.
-func progress(w io.Writer, description string) func(done, all int) {
+// newProgressBar returns a function that shows how far a long command is, by a bar on a terminal; nil if w is no terminal.
+func newProgressBar(w io.Writer, description string) func(done, all int) {
 	file, ok := w.(*os.File)
 	if !ok || !term.IsTerminal(int(file.Fd())) {
 		return nil
--- a/cmd/tulipctl/simulate_agents.go
+++ b/cmd/tulipctl/simulate_agents.go
@@ -45,7 +45,7 @@
 	if cmd.Bool("json") {
 		return printJSON(cmd.Root().Writer, all)
 	}
-	t := table(cmd)
+	t := newTable(cmd)
 	writeln(t, "agents\telections, ms\tgrants/s\tgrant, ms\tidle: cpu, MB, messages/s\tholders"+
 		"\twith leases held: cpu, MB, messages/s\tall got one lease within")
 	for _, m := range all {
--- a/cmd/tulipctl/simulate_cost.go
+++ b/cmd/tulipctl/simulate_cost.go
@@ -54,7 +54,7 @@
 	if cmd.Bool("json") {
 		return printJSON(cmd.Root().Writer, all)
 	}
-	t := table(cmd)
+	t := newTable(cmd)
 	writeln(t, "policy\tendpoints\tnodes\trequests/s of the node\tµs per request\tµs per complete list\tcores needed")
 	for _, c := range all {
 		writef(t, "%s\t%d\t%d\t%.1f\t%.2f\t%.0f\t%.3f\n",
--- a/cmd/tulipctl/simulate_failover.go
+++ b/cmd/tulipctl/simulate_failover.go
@@ -23,7 +23,7 @@
 }
 
 func simulateFailover(ctx context.Context, cmd *cli.Command) error {
-	schedules, without, err := scheduleFlags(cmd, map[string]failoversim.Ablation{
+	schedules, without, err := parseScheduleFlags(cmd, map[string]failoversim.Ablation{
 		"":      {},
 		"token": {Token: true},
 		"rate":  {Rate: true},
@@ -40,7 +40,7 @@
 	if cmd.Bool("json") {
 		err = printJSON(cmd.Root().Writer, outcome)
 	} else {
-		t := table(cmd)
+		t := newTable(cmd)
 		printCounters(t, []counter{
 			{"schedules", outcome.Schedules},
 			{"events", outcome.Events},
--- a/cmd/tulipctl/simulate_leases.go
+++ b/cmd/tulipctl/simulate_leases.go
@@ -28,7 +28,7 @@
 const maxMembers = 9
 
 func simulateLeases(ctx context.Context, cmd *cli.Command) error {
-	schedules, without, err := scheduleFlags(cmd, map[string]leasesim.Ablation{
+	schedules, without, err := parseScheduleFlags(cmd, map[string]leasesim.Ablation{
 		"":      {},
 		"guard": {Guard: true},
 		"fence": {Fence: true},
@@ -50,7 +50,7 @@
 	if cmd.Bool("json") {
 		err = printJSON(cmd.Root().Writer, outcome)
 	} else {
-		t := table(cmd)
+		t := newTable(cmd)
 		printCounters(t, []counter{
 			{"schedules", outcome.Schedules},
 			{"grants", outcome.Grants},
--- a/cmd/tulipctl/simulate_processes.go
+++ b/cmd/tulipctl/simulate_processes.go
@@ -48,8 +48,8 @@
 	First     uint64 `json:"first,omitempty"` // seed of the first schedule that failed
 }
 
-// add adds the findings of one schedule. The error is that of the schedule, unless it counts as idle.
-func (r *processTestResult) add(seed uint64, findings processtest.Findings, err error) error {
+// addSchedule adds the findings of one schedule. The error is that of the schedule, unless it counts as idle.
+func (r *processTestResult) addSchedule(seed uint64, findings processtest.Findings, err error) error {
 	r.Schedules++
 	for i, violation := range findings.Violations {
 		findings.Violations[i] = fmt.Sprintf("schedule %d: %s", seed, violation)
@@ -68,11 +68,11 @@
 	return nil
 }
 
-// violations counts what failed.
-func (r *processTestResult) violations() int { return len(r.Violations) + r.Idle }
+// failureCount counts what failed.
+func (r *processTestResult) failureCount() int { return len(r.Violations) + r.Idle }
 
 func testProcesses(ctx context.Context, cmd *cli.Command) error {
-	schedules, without, err := scheduleFlags(cmd, map[string]processtest.DisabledParts{
+	schedules, without, err := parseScheduleFlags(cmd, map[string]processtest.DisabledParts{
 		"":      {},
 		"guard": {Guard: true},
 		"fence": {Fence: true},
@@ -98,7 +98,7 @@
 			return err
 		}
 	}
-	return violationError(result.violations(), int64(result.First))
+	return violationError(result.failureCount(), int64(result.First))
 }
 
 // runProcessSchedules runs all schedules. Its error joins those of schedules that could not be run.
@@ -108,10 +108,10 @@
 		return nil, errors.New("processes: --parallel must be above 0")
 	}
 	result := &processTestResult{}
-	showProgress, done := progress(cmd.Root().ErrWriter, "processes"), 0
+	showProgress, done := newProgressBar(cmd.Root().ErrWriter, "processes"), 0
 	var failed error
 	collect := func(seed uint64, findings processtest.Findings, err error) {
-		failed = errors.Join(failed, result.add(seed, findings, err))
+		failed = errors.Join(failed, result.addSchedule(seed, findings, err))
 		done++
 		if showProgress != nil {
 			showProgress(done, schedules)
@@ -122,7 +122,7 @@
 }
 
 func printProcessTest(cmd *cli.Command, result *processTestResult) error {
-	t := table(cmd)
+	t := newTable(cmd)
 	printCounters(t, []counter{
 		{"schedules", result.Schedules},
 		{"grants", result.Grants},
--- a/cmd/tulipctl/simulate_run.go
+++ b/cmd/tulipctl/simulate_run.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func showCommand() *cli.Command {
+func showScenarioCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "show",
 		Usage:     "print a scenario with all defaults as TOML",
@@ -35,7 +35,7 @@
 	}
 }
 
-func runCommand() *cli.Command {
+func runScenarioCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "run",
 		Usage:     "run a scenario; exit 1 if an invariant is violated",
@@ -69,7 +69,7 @@
 	if cmd.Bool("json") {
 		return printJSON(cmd.Root().Writer, entries)
 	}
-	t := table(cmd)
+	t := newTable(cmd)
 	for _, e := range entries {
 		writef(t, "%s\t%s\n", e.Name, e.About)
 	}
@@ -159,7 +159,7 @@
 	for _, f := range r.Faults {
 		writef(out, "  %v\n", f)
 	}
-	t := table(cmd)
+	t := newTable(cmd)
 	writeln(t, "\npolicy\tscore\tworth\tworst 10 s\tworst class\tworst tenant\tlast 10 s\tserved\tlate\trefused\tfailed\ttimed out\tleft"+
 		"\tattempts/try\tcross-site\twaste\tp50 ms\tp99 ms\trules broken")
 	for _, r := range results {
@@ -167,7 +167,7 @@
 		writef(t, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t%v\n", r.Policy, r.Score,
 			r.ServedValue, r.WorstWindow, r.WorstClass, r.WorstTenant, r.ServiceAfterEnd, o["served"], o["late"], o["refused"], o["failed"],
 			o["timed-out"], o["left"], r.AttemptsPerRequest, r.CrossSite, r.Waste, experiment.Metrics["p50_ms"](r),
-			experiment.Metrics["p99_ms"](r), brokenText(r))
+			experiment.Metrics["p99_ms"](r), formatViolationCounts(r))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -180,8 +180,8 @@
 	return nil
 }
 
-// brokenText counts the violations of each rule.
-func brokenText(r *emulator.Result) string {
+// formatViolationCounts counts the violations of each rule.
+func formatViolationCounts(r *emulator.Result) string {
 	if len(r.Broken) == 0 {
 		return "none"
 	}
--- a/cmd/tulipctl/simulate_survey.go
+++ b/cmd/tulipctl/simulate_survey.go
@@ -33,7 +33,7 @@
 	for i := range seeds {
 		seeds[i] = cmd.Uint64("seed") + uint64(i)
 	}
-	all, err := experiment.Survey(ctx, seeds, margin, progress(cmd.Root().ErrWriter, "survey"))
+	all, err := experiment.Survey(ctx, seeds, margin, newProgressBar(cmd.Root().ErrWriter, "survey"))
 	if err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 			return err
 		}
 	} else {
-		t := table(cmd)
+		t := newTable(cmd)
 		writef(t, "seed\tmodule\t%s\tfails by\tsettings that it takes\n", experiment.Baseline)
 		for _, d := range failed {
 			writef(t, "%d\t%.3f\t%.3f\t%s %v\t%s\n",
--- a/cmd/tulipctl/simulate_sweep.go
+++ b/cmd/tulipctl/simulate_sweep.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func compareCommand() *cli.Command {
+func compareResultsCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "compare",
 		Usage:     "compare results paired by seed; each is FILE or FILE@POLICY",
@@ -75,7 +75,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	rows, err := experiment.RunAll(ctx, cells, hash, cmd.String("out"), progress(cmd.Root().ErrWriter, name))
+	rows, err := experiment.RunAll(ctx, cells, hash, cmd.String("out"), newProgressBar(cmd.Root().ErrWriter, name))
 	if err != nil {
 		return err
 	}
@@ -97,14 +97,14 @@
 // printSweep prints the means over the seeds of each cell.
 func printSweep(cmd *cli.Command, rows []experiment.Row) error {
 	metrics := []string{"score", "worth", "worst_window", "waste", "cross_site", "p99_ms", "rules_broken"}
-	t := table(cmd)
+	t := newTable(cmd)
 	write(t, "policy")
 	for _, v := range rows[0].Set {
 		write(t, "\t", v.Field)
 	}
 	writeln(t, "\truns\t"+strings.Join(metrics, "\t"))
 	for len(rows) > 0 {
-		count := sameCell(rows)
+		count := countSameCell(rows)
 		write(t, rows[0].Policy)
 		for _, v := range rows[0].Set {
 			write(t, "\t", v.Value)
@@ -123,8 +123,8 @@
 	return t.Flush()
 }
 
-// sameCell counts the rows at the start that differ only in their seeds.
-func sameCell(rows []experiment.Row) int {
+// countSameCell counts the rows at the start that differ only in their seeds.
+func countSameCell(rows []experiment.Row) int {
 	first, count := rows[0], 0
 	for count < len(rows) && rows[count].Policy == first.Policy && fmt.Sprint(rows[count].Set) == fmt.Sprint(first.Set) {
 		count++
@@ -177,7 +177,7 @@
 	if cmd.Bool("json") {
 		return printJSON(cmd.Root().Writer, all)
 	}
-	t := table(cmd)
+	t := newTable(cmd)
 	writeln(t, "metric\tpairs\tA\tB\tA - B\t95% interval\tA above\tA below\tsignificant")
 	for _, c := range all {
 		significant := "no"
--- a/cmd/tulipctl/simulate_verify.go
+++ b/cmd/tulipctl/simulate_verify.go
@@ -9,7 +9,7 @@
 	"tulipglade/internal/simulation/experiment"
 )
 
-func verifyCommand() *cli.Command {
+func verifySimulationCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "verify",
 		Usage:  "compare the emulator with queueing theory; exit 1 beyond the bound",
@@ -26,7 +26,7 @@
 	if cmd.Float("bound") <= 0 || cmd.Float("effort") <= 0 {
 		return fmt.Errorf("verify: --bound and --effort must be above 0")
 	}
-	checks, err := experiment.Verify(ctx, cmd.Float("effort"), cmd.Float("bound"), progress(cmd.Root().ErrWriter, "verify"))
+	checks, err := experiment.Verify(ctx, cmd.Float("effort"), cmd.Float("bound"), newProgressBar(cmd.Root().ErrWriter, "verify"))
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 			return err
 		}
 	} else {
-		t := table(cmd)
+		t := newTable(cmd)
 		writeln(t, "figure\tmodel\ttheory\terror\t")
 		for _, c := range checks {
 			verdict := ""
--- a/cmd/tulipctl/survey_test.go
+++ b/cmd/tulipctl/survey_test.go
@@ -50,16 +50,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			truth := cluster.fake.Report()
-			if truth.DuplicateRuns+truth.AfterDrain+truth.Unreadable > 0 {
-				t.Errorf("rules broken: %d twice, %d after a drain, %d unreadable", truth.DuplicateRuns, truth.AfterDrain, truth.Unreadable)
+			report := cluster.fake.Report()
+			if report.DuplicateRuns+report.AfterDrain+report.Unreadable > 0 {
+				t.Errorf("rules broken: %d twice, %d after a drain, %d unreadable", report.DuplicateRuns, report.AfterDrain, report.Unreadable)
 			}
 			if served := r.Outcomes["served"] + r.Outcomes["late"]; float64(served) < 0.7*float64(r.Calls) {
 				t.Errorf("%d of %d calls served: %v", served, r.Calls, r.Outcomes)
 			}
-			if probing := sc.Rules.AllowHealthChecks && sc.Rules.HealthCheckCost < 0.003; !probing && truth.HealthChecks > 0 {
-				t.Errorf("%d probes, although they are forbidden or expensive", truth.HealthChecks)
-			} else if probing && truth.HealthChecks == 0 {
+			if probing := sc.Rules.AllowHealthChecks && sc.Rules.HealthCheckCost < 0.003; !probing && report.HealthChecks > 0 {
+				t.Errorf("%d probes, although they are forbidden or expensive", report.HealthChecks)
+			} else if probing && report.HealthChecks == 0 {
 				t.Error("no probes, although they are cheap")
 			}
 		})
