--- a/cmd/tulipctl/cluster.go
+++ b/cmd/tulipctl/cluster.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// nodeProgramPath returns the path of the node's nodeProgramPath: that of --nodeProgramPath, or tulipglade in the directory of this nodeProgramPath.
+// nodeProgramPath returns the path of the tulipglade binary: the value of --program, or else the file tulipglade in
+// the directory of the running tulipctl binary.
 func nodeProgramPath(cmd *cli.Command) (string, error) {
 	if path := cmd.String("program"); path != "" {
 		return path, nil
@@ -67,22 +68,23 @@
 	}
 	path := filepath.Join(filepath.Dir(self), "tulipglade")
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("--program: no node's program beside this one (go build -o bin/ ./cmd/...): %w", err)
+		return "", fmt.Errorf("--program: no tulipglade binary in the directory of tulipctl (build both with go build -o bin/ ./cmd/...): %w", err)
 	}
 	return path, nil
 }
 
-// nodesReadyTimeout is how long all nodes may take until the frontends use them.
+// nodesReadyTimeout is the time within which the frontends must have started to use all nodes.
 const nodesReadyTimeout = 30 * time.Second
 
-// runningCluster is a fake cluster with its nodes.
+// runningCluster is a fake cluster together with the node processes that were started for it.
 type runningCluster struct {
 	fake      *fake.Cluster
-	processes *fake.Processes // nil: the nodes were running before
-	ready     chan int        // receives each node that the frontends start to use
+	processes *fake.Processes // nil if the nodes were already running
+	ready     chan int        // receives the number of each node that the frontends start to use
 }
 
-// startCluster serves a scenario, and starts its nodes if no addresses of nodes are given.
+// startCluster starts the fake cluster of a scenario. If nodes lists no addresses of running nodes, it also starts the
+// nodes.
 func startCluster(
 	ctx context.Context, sc *scenario.Scenario, seed uint64, nodes []string, programPath, dir string, log io.Writer,
 ) (*runningCluster, error) {
@@ -93,13 +95,13 @@
 			return nil, err
 		}
 	} else if len(nodes) != sc.Nodes.Count {
-		return nil, fmt.Errorf("--node: %d addresses, but nodes.count is %d", len(nodes), sc.Nodes.Count)
+		return nil, fmt.Errorf("--node: %d addresses, but nodes.count of the scenario is %d", len(nodes), sc.Nodes.Count)
 	}
 	c := &runningCluster{ready: make(chan int, len(nodes))}
 	notifyReady := func(node int) {
 		select {
 		case c.ready <- node:
-		default: // a node that has restarted: nobody waits for it
+		default: // the channel is full after restarts of nodes, which awaitReady does not wait for
 		}
 	}
 	var err error
@@ -115,7 +117,7 @@
 	return c, nil
 }
 
-// close stops the nodes that startCluster has started, and the fake cluster.
+// close stops the nodes that startCluster started, then the fake cluster.
 func (c *runningCluster) close() error {
 	if c.processes == nil {
 		return c.fake.Close()
@@ -123,7 +125,7 @@
 	return errors.Join(c.processes.Stop(), c.fake.Close())
 }
 
-// awaitReady waits until the frontends use all nodes.
+// awaitReady waits until the frontends use all nodes, and returns an error after nodesReadyTimeout.
 func (c *runningCluster) awaitReady(ctx context.Context, nodeCount int) error {
 	timeout := time.After(nodesReadyTimeout)
 	for range nodeCount {
@@ -183,8 +185,8 @@
 	return nil
 }
 
-// nodeProgramAndDir returns the program and the directory of nodes that have to be started. Both are empty if --node names
-// running ones.
+// nodeProgramAndDir returns the path of the tulipglade binary and the directory for the configurations and logs of the
+// nodes to start. If --node names running nodes, programPath is empty and dir is the value of --dir.
 func nodeProgramAndDir(cmd *cli.Command) (programPath, dir string, err error) {
 	dir = cmd.String("dir")
 	if len(cmd.StringSlice("node")) > 0 {
@@ -199,6 +201,7 @@
 	return programPath, dir, err
 }
 
+// printAddresses prints the addresses of the frontends and of discovery, and the directory of the nodes' files.
 func printAddresses(out io.Writer, sc *scenario.Scenario, cluster *fake.Cluster, dir string) {
 	for site, name := range sc.Fleet.Sites {
 		writef(out, "frontend of %s at %s\n", name, cluster.Frontend(site))
--- a/cmd/tulipctl/demo.go
+++ b/cmd/tulipctl/demo.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// demoScenario is a surge beyond the fleet's capacity, with a draining backend in the middle of it.
+// demoScenario is a scenario in which the load surges beyond the capacity of the fleet, and a backend drains during
+// the surge.
 const demoScenario = `
 name = "demo"
 seconds = 20.0
@@ -52,10 +53,10 @@
 for_ms = 4000
 `
 
-// demoSeed is the seed of the demo's scenario and calls.
+// demoSeed is the random seed of the scenario and of the calls of the demo.
 const demoSeed = 1
 
-// demoEvents is the name of the file of the backends' events.
+// demoEvents is the name of the file to which the events of the backends are logged.
 const demoEvents = "world.jsonl"
 
 func runDemo(ctx context.Context, cmd *cli.Command) (err error) {
@@ -102,7 +103,7 @@
 	return validityError(result)
 }
 
-// parseDemoScenario returns the demo's scenario, with another length if seconds is above 0.
+// parseDemoScenario returns the scenario of the demo. If seconds is above 0, it replaces the length of the scenario.
 func parseDemoScenario(seconds float64) (*scenario.Scenario, error) {
 	sc, err := scenario.Parse("demo", []byte(demoScenario))
 	if err != nil {
@@ -117,7 +118,8 @@
 	return sc, nil
 }
 
-// runDemoLoad calls the cluster by the scenario's schedule, and prints and draws the result.
+// runDemoLoad sends the calls of the scenario to the frontends of the cluster, prints the result and plots it to
+// plotFile.
 func runDemoLoad(
 	ctx context.Context, cmd *cli.Command, sc *scenario.Scenario, cluster *fake.Cluster, plotFile string,
 ) (*load.Result, error) {
--- a/cmd/tulipctl/legacy.go
+++ b/cmd/tulipctl/legacy.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// renamedCommands are sub-commands that had another name in earlier versions: scripts that use the old one keep working.
+// renamedCommands lists sub-commands that had another name in earlier versions, so that scripts that use the old name
+// keep working.
 var renamedCommands = []struct {
 	old     []string
 	current []string
@@ -16,7 +17,7 @@
 	{[]string{"lease", "seats"}, []string{"lease", "slots"}},
 }
 
-// renamedFlags are flags that had another name in earlier versions, by the sub-command that has them.
+// renamedFlags lists flags that had another name in earlier versions, with the sub-command that they belong to.
 var renamedFlags = []struct {
 	command []string
 	old     string
@@ -32,8 +33,8 @@
 	{[]string{"rollout"}, "--up", "--ready-timeout"},
 }
 
-// translateLegacyNames replaces names of earlier versions in a command line by the current ones. Arguments after "--" belong
-// to another program and stay as they are.
+// translateLegacyNames replaces names of sub-commands and flags from earlier versions in a command line by the current
+// names. Arguments after "--" belong to another program and are not changed.
 func translateLegacyNames(args []string) []string {
 	if len(args) < 2 {
 		return args
@@ -53,10 +54,12 @@
 	return append([]string{program}, rest...)
 }
 
+// hasPrefix reports whether args begins with the elements of prefix.
 func hasPrefix(args, prefix []string) bool {
 	return len(args) >= len(prefix) && slices.Equal(args[:len(prefix)], prefix)
 }
 
+// renameFlag replaces the flag old by current in args, up to "--". It modifies args in place.
 func renameFlag(args []string, old, current string) {
 	for i, arg := range args {
 		if arg == "--" {
--- a/cmd/tulipctl/load.go
+++ b/cmd/tulipctl/load.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// loadFlags returns the flags that loadPlan reads, and those of a sub-command of its own.
+// loadFlags returns the flags that readLoadPlan reads, followed by the flags own of one sub-command.
 func loadFlags(own ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringSliceFlag{Name: "target", Required: true, Usage: "`ADDRESS` on loopback, repeatable: one for each site in turn"},
@@ -67,7 +67,8 @@
 	}
 }
 
-// readLoadPlan reads the scenario and applies the flags of loadFlags.
+// readLoadPlan reads the scenario that the argument names, applies the flags of loadFlags and --per-s, and returns the
+// plan of a run.
 func readLoadPlan(cmd *cli.Command) (load.Plan, error) {
 	name, err := fileArgument(cmd)
 	if err != nil {
@@ -99,7 +100,8 @@
 	}, nil
 }
 
-// createOutputFile creates a file, gzipped if its name ends in .gz; done closes it.
+// createOutputFile creates the named file and returns a writer to it, which compresses with gzip if the name ends in
+// .gz. The function done flushes the writer and closes the file.
 func createOutputFile(name string) (w io.Writer, done func() error, err error) {
 	f, err := os.Create(name)
 	if err != nil {
@@ -172,7 +174,8 @@
 	return errors.Join(err, validityError(res))
 }
 
-// validityError returns an error with exitInvalid if a result is not valid.
+// validityError returns an error with the exit status exitInvalid for the first result that is not valid, and nil if
+// all are valid.
 func validityError(results ...*load.Result) error {
 	for _, r := range results {
 		if !r.Valid {
@@ -182,6 +185,7 @@
 	return nil
 }
 
+// printLoadResult prints the totals of a run and a table of outcomes and latencies by class and tenant.
 func printLoadResult(cmd *cli.Command, r *load.Result) error {
 	out := cmd.Root().Writer
 	if !r.Valid {
@@ -207,8 +211,9 @@
 	return t.Flush()
 }
 
-// discardEffects ignores the list of a fleet that is never advanced; it is for reading the fleet's capacity.
+// discardEffects ignores the initial endpoint list of an emulated fleet. It serves to read the capacity of a fleet
+// whose emulation is never advanced, so no other method of emulator.Effects is called.
 type discardEffects struct{ emulator.Effects }
 
-// Listed ignores the initial endpoint list.
+// Listed ignores an entry of the initial endpoint list.
 func (discardEffects) Listed(emulator.EndpointEntry) {}
--- a/cmd/tulipctl/load_compare.go
+++ b/cmd/tulipctl/load_compare.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	var contenders []load.Contender
-	for _, text := range cmd.StringSlice("target") { // commas separate values, so NAME=ADDRESS,PID arrives as two
+	for _, text := range cmd.StringSlice("target") { // commas separate values, so NAME=ADDRESS,PID is split in two
 		if pid, err := strconv.Atoi(text); err == nil && len(contenders) > 0 {
 			contenders[len(contenders)-1].Pid = pid
 			continue
@@ -65,7 +65,7 @@
 		return err
 	}
 	if invalid > 0 {
-		return &exitError{exitInvalid, fmt.Errorf("%d rounds are invalid: the generator did not keep its schedule", invalid)}
+		return &exitError{exitInvalid, fmt.Errorf("%d rounds are invalid: the load generator did not keep its schedule", invalid)}
 	}
 	return nil
 }
--- a/cmd/tulipctl/load_record.go
+++ b/cmd/tulipctl/load_record.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = in.Close() }() // it is only read
+	defer func() { _ = in.Close() }() // a file opened for reading has no unsaved data
 	w, done, err := createOutputFile(cmd.String("out"))
 	if err != nil {
 		return err
--- a/cmd/tulipctl/load_serve.go
+++ b/cmd/tulipctl/load_serve.go
@@ -60,7 +60,7 @@
 		}
 		backends = append(backends, &url.URL{Scheme: "http", Host: a})
 	}
-	backends = backends[:len(backends)-1] // the last is the proxy's own address
+	backends = backends[:len(backends)-1] // the last URL is the listen address, which is only checked
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.MaxIdleConnsPerHost, transport.MaxIdleConns = 1024, 4096
 	proxy := &httputil.ReverseProxy{
@@ -75,7 +75,7 @@
 	server := &http.Server{Handler: proxy, ReadHeaderTimeout: 5 * time.Second}
 	go func() {
 		<-ctx.Done()
-		_ = server.Close() // Serve returns the reason for its end
+		_ = server.Close() // Serve then returns http.ErrServerClosed
 	}()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
--- a/cmd/tulipctl/main.go
+++ b/cmd/tulipctl/main.go
@@ -1,4 +1,5 @@
-// Command tulipctl is the operators' and developers' tool of tulipglade.
+// Command tulipctl is the command-line tool with which operators and developers simulate, load-test and operate
+// tulipglade nodes.
 package main
 
 import (
@@ -20,15 +21,16 @@
 	"tulipglade/internal/processtest"
 )
 
-// Exit statuses.
+// Exit statuses of tulipctl.
 const (
 	exitSuccess  = 0
-	exitNegative = 1 // the command ran, and the answer is no
-	exitUsage    = 2 // the command could not start: an argument or a file is wrong
-	exitInvalid  = 3 // the measurement is not valid
+	exitNegative = 1 // the command ran, and a check failed or the requested result was not reached
+	exitUsage    = 2 // the command could not run, usually because an argument or a file is wrong
+	exitInvalid  = 3 // the load generator did not keep its schedule, so the measurement is not valid
 )
 
-// exitError is an error with the exit status of a command that ran. Other errors exit with exitUsage.
+// exitError is an error that determines the exit status of tulipctl. For all other errors, the exit status is
+// exitUsage.
 type exitError struct {
 	code int
 	err  error
@@ -40,7 +42,7 @@
 // Unwrap returns the wrapped error.
 func (e *exitError) Unwrap() error { return e.err }
 
-// negativeAnswer returns the error of a command whose answer is no.
+// negativeAnswer returns a formatted error with the exit status exitNegative.
 func negativeAnswer(format string, args ...any) error {
 	return &exitError{exitNegative, fmt.Errorf(format, args...)}
 }
@@ -53,13 +55,14 @@
 	os.Exit(run(ctx, os.Args, os.Stdout, os.Stderr))
 }
 
+// run executes the command line args and returns the exit status. Errors are printed to stderr.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	root := &cli.Command{
 		Name:           "tulipctl",
 		Usage:          "simulate, load-test and operate tulipglade nodes",
 		Writer:         stdout,
 		ErrWriter:      stderr,
-		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // the exit status is returned below
+		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // run returns the exit status
 		Commands: []*cli.Command{
 			agentsCommand(),
 			demoCommand(),
@@ -88,8 +91,9 @@
 	return exitUsage
 }
 
-// parseScheduleFlags reads --schedules and --without of a command that runs schedules. The parts that can be left out are given
-// by name; the empty name stands for none.
+// parseScheduleFlags returns the values of --schedules and --without of a command that runs fault schedules. The map
+// parts has an entry for each safeguard that --without can disable, by its name; the entry with the empty name
+// disables none.
 func parseScheduleFlags[T any](cmd *cli.Command, parts map[string]T) (schedules int, without T, err error) {
 	schedules = cmd.Int("schedules")
 	if schedules < 1 {
--- a/cmd/tulipctl/main_test.go
+++ b/cmd/tulipctl/main_test.go
@@ -19,7 +19,7 @@
 	deadlineexec.RunSupervisor(agent.Clock)
 	testscript.Main(m, map[string]func(){
 		"tulipctl": func() { os.Exit(run(context.Background(), os.Args, os.Stdout, os.Stderr)) },
-		// status COMMAND... prints the exit status of tulipctl, so that a script can tell 1 from 2.
+		// status COMMAND... prints the exit status of tulipctl, so that a script can distinguish exit status 1 from 2.
 		"status": func() {
 			code := run(context.Background(), append([]string{"tulipctl"}, os.Args[1:]...), os.Stdout, os.Stderr)
 			fmt.Printf("status %d\n", code)
@@ -27,12 +27,12 @@
 	})
 }
 
-// buildNode builds the node's program in a temporary directory.
+// buildNode builds the tulipglade binary in a temporary directory and returns its path.
 func buildNode(t *testing.T) string {
 	t.Helper()
 	node := filepath.Join(t.TempDir(), "tulipglade")
 	if out, err := exec.Command("go", "build", "-o", node, "../tulipglade").CombinedOutput(); err != nil {
-		t.Fatalf("the node does not build: %v\n%s", err, out)
+		t.Fatalf("building the tulipglade binary: %v\n%s", err, out)
 	}
 	return node
 }
--- a/cmd/tulipctl/output.go
+++ b/cmd/tulipctl/output.go
@@ -15,19 +15,21 @@
 
 var jsonFlag = &cli.BoolFlag{Name: "json", Usage: "print JSON instead of a table"}
 
+// printJSON writes v to w as indented JSON.
 func printJSON(w io.Writer, v any) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(v)
 }
 
-// newTable returns a writer that aligns columns separated by tabs. Flush prints it and returns any error.
+// newTable returns a writer that aligns tab-separated columns. Its Flush method prints the table to standard output
+// and returns any write error.
 func newTable(cmd *cli.Command) *tabwriter.Writer {
 	return tabwriter.NewWriter(cmd.Root().Writer, 0, 0, 2, ' ', 0)
 }
 
-// The functions below drop errors: those of a table are returned by its Flush, and if standard output or standard error
-// can't be written to, there is nowhere left to report it.
+// The functions writef, writeln and write ignore errors: the write errors of a table are returned by its Flush method,
+// and if writing to standard output or standard error fails, there is nowhere left to report the error.
 
 func writef(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
@@ -35,7 +37,8 @@
 
 func write(w io.Writer, args ...any) { _, _ = fmt.Fprint(w, args...) }
 
-// newProgressBar returns a function that shows how far a long command is, by a bar on a terminal; nil if w is no terminal.
+// newProgressBar returns a function that draws a progress bar on the terminal w, given the numbers of completed and of
+// all steps. It returns nil if w is not a terminal.
 func newProgressBar(w io.Writer, description string) func(done, all int) {
 	file, ok := w.(*os.File)
 	if !ok || !term.IsTerminal(int(file.Fd())) {
@@ -55,19 +58,21 @@
 	}
 }
 
-// counter is one line of a table of counts.
+// counter is a named count that is printed as one row of a table.
 type counter struct {
 	name  string
 	count int
 }
 
+// printCounters prints each counter as a row of the table t.
 func printCounters(t io.Writer, counters []counter) {
 	for _, c := range counters {
 		writef(t, "%s\t%d\n", c.name, c.count)
 	}
 }
 
-// printQuantiles prints a line of a table for a histogram in ms, unless it is empty.
+// printQuantiles prints the median, p99, maximum and number of values of a histogram as a row of the table t. The
+// values of the histogram are in milliseconds. It prints nothing if the histogram is empty.
 func printQuantiles(t io.Writer, name string, histogram *hdrhistogram.Histogram) {
 	if histogram.TotalCount() == 0 {
 		return
--- a/cmd/tulipctl/simulate.go
+++ b/cmd/tulipctl/simulate.go
@@ -11,7 +11,8 @@
 	"tulipglade/internal/simulation/scenario"
 )
 
-// simulateCommand returns the sub-commands of simulations. Their flags and actions are in the files simulate_*.go.
+// simulateCommand returns the command simulate. The files simulate_*.go define the flags and actions of its
+// sub-commands.
 func simulateCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "simulate",
@@ -55,19 +56,19 @@
 	return []cli.Argument{&cli.StringArg{Name: "file", UsageText: "FILE"}}
 }
 
-// fileArgument returns the only argument of a command that needs one.
+// fileArgument returns the argument of a command that requires exactly one.
 func fileArgument(cmd *cli.Command) (string, error) {
 	name := cmd.StringArg("file")
 	if name == "" {
-		return "", fmt.Errorf("%s: no %s is named", cmd.Name, cmd.ArgsUsage)
+		return "", fmt.Errorf("%s: the argument %s is missing", cmd.Name, cmd.ArgsUsage)
 	}
 	if cmd.Args().Present() {
-		return "", fmt.Errorf("%s: %q is one argument too many", cmd.Name, cmd.Args().First())
+		return "", fmt.Errorf("%s: unexpected argument %q", cmd.Name, cmd.Args().First())
 	}
 	return name, nil
 }
 
-// scenarioArgument reads the scenario that the command's only argument names.
+// scenarioArgument reads the scenario that the only argument of the command names.
 func scenarioArgument(cmd *cli.Command) (*scenario.Scenario, error) {
 	name, err := fileArgument(cmd)
 	if err != nil {
@@ -76,7 +77,8 @@
 	return scenario.Read(name)
 }
 
-// selectedPolicies returns the policies of the flag --policy.
+// selectedPolicies returns the names of the policies that the flag --policy selects; the value all
+// on its own selects every policy.
 func selectedPolicies(cmd *cli.Command) ([]string, error) {
 	names := cmd.StringSlice("policy")
 	if slices.Equal(names, []string{"all"}) {
@@ -90,10 +92,11 @@
 	return names, nil
 }
 
-// violationError is the answer of a command that plays fault schedules: nil if no invariant was violated.
+// violationError returns the error of a command that ran fault schedules: nil if no invariant was violated, or else an
+// error with the exit status exitNegative. The argument first is the seed of the first schedule that failed.
 func violationError(violations int, first int64) error {
 	if violations == 0 {
 		return nil
 	}
-	return negativeAnswer("invariants are violated %d times, first by schedule %d", violations, first)
+	return negativeAnswer("invariants were violated %d times, first in the schedule with seed %d", violations, first)
 }
--- a/cmd/tulipctl/simulate_leases.go
+++ b/cmd/tulipctl/simulate_leases.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// maxMembers is the largest group that can be simulated.
+// maxMembers is the largest number of members in a group of agents that tulipctl simulates or measures.
 const maxMembers = 9
 
 func simulateLeases(ctx context.Context, cmd *cli.Command) error {
@@ -41,7 +41,7 @@
 	}
 	members := cmd.Int("members")
 	if members < 0 || members > maxMembers || members == 0 && without.Sync {
-		return fmt.Errorf("leases: --members: %d: 1 to %d, or 0 for none; a disk only members have", members, maxMembers)
+		return fmt.Errorf("leases: --members: %d must be 0 to %d, and above 0 with --without sync, since only members have disks", members, maxMembers)
 	}
 	outcome, latencies, err := leasesim.RunSchedules(ctx, cmd.Uint64("seed"), schedules, without, members)
 	if err != nil {
--- a/cmd/tulipctl/simulate_processes.go
+++ b/cmd/tulipctl/simulate_processes.go
@@ -34,13 +34,14 @@
 }
 
 const (
-	// shrinkAttempts is how often a set of faults is tried until it counts as passing: real processes vary.
+	// shrinkAttempts is the number of runs without a failure after which a set of faults counts as passing. A single
+	// run is not enough because the timing of real processes varies.
 	shrinkAttempts = 3
-	// maxFailoverMillis bounds the recorded times to a successor's first action.
+	// maxFailoverMillis is the highest takeover or election time that a histogram can record, in milliseconds.
 	maxFailoverMillis = int64(time.Minute / time.Millisecond)
 )
 
-// processTestResult sums the findings of all schedules.
+// processTestResult accumulates the findings of all schedules.
 type processTestResult struct {
 	processtest.Findings
 	Schedules int    `json:"schedules"`
@@ -48,7 +49,8 @@
 	First     uint64 `json:"first,omitempty"` // seed of the first schedule that failed
 }
 
-// addSchedule adds the findings of one schedule. The error is that of the schedule, unless it counts as idle.
+// addSchedule adds the findings of one schedule. It returns err with the seed of the schedule, except for
+// processtest.ErrIdle, which is counted in Idle.
 func (r *processTestResult) addSchedule(seed uint64, findings processtest.Findings, err error) error {
 	r.Schedules++
 	for i, violation := range findings.Violations {
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// failureCount counts what failed.
+// failureCount returns the number of violated invariants and of schedules with no action after the faults.
 func (r *processTestResult) failureCount() int { return len(r.Violations) + r.Idle }
 
 func testProcesses(ctx context.Context, cmd *cli.Command) error {
@@ -101,7 +103,8 @@
 	return violationError(result.failureCount(), int64(result.First))
 }
 
-// runProcessSchedules runs all schedules. Its error joins those of schedules that could not be run.
+// runProcessSchedules runs all schedules and accumulates their findings. Its error joins the errors of the schedules
+// that could not be run.
 func runProcessSchedules(ctx context.Context, cmd *cli.Command, schedules int, without processtest.DisabledParts) (*processTestResult, error) {
 	parallel := cmd.Int("parallel")
 	if parallel < 1 {
@@ -121,6 +124,7 @@
 	return result, errors.Join(err, failed)
 }
 
+// printProcessTest prints the counts and times as a table, then the violations.
 func printProcessTest(cmd *cli.Command, result *processTestResult) error {
 	t := newTable(cmd)
 	printCounters(t, []counter{
@@ -149,6 +153,7 @@
 	return nil
 }
 
+// printDurations prints the quantiles of durations as a row of the table t.
 func printDurations(t io.Writer, name string, durations []time.Duration) error {
 	histogram := hdrhistogram.New(1, maxFailoverMillis, 3)
 	for _, duration := range durations {
@@ -160,7 +165,8 @@
 	return nil
 }
 
-// shrinkSchedule prints the fewest faults with which the schedule of a seed still fails.
+// shrinkSchedule reduces the faults of the schedule with the given seed while it still fails, and prints the remaining
+// faults.
 func shrinkSchedule(ctx context.Context, out io.Writer, seed uint64, without processtest.DisabledParts) error {
 	var failed error
 	needed := experiment.DDMin(processtest.ScheduleFaults(seed), func(faults []faultinject.Fault) bool {
--- a/cmd/tulipctl/simulate_run.go
+++ b/cmd/tulipctl/simulate_run.go
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// drawResults draws the plots of a run into files whose names begin with base.
+// drawResults writes the plots of service and of latency to the files base-service.FORMAT and base-latency.FORMAT.
 func drawResults(base, format string, results []*emulator.Result) error {
 	if err := os.MkdirAll(filepath.Dir(base), 0o755); err != nil {
 		return err
@@ -149,9 +149,10 @@
 	return plots.Latency(base+"-latency."+format, results)
 }
 
-// maxPrintedViolations is the number of violations printed for each policy.
+// maxPrintedViolations is the maximum number of violations that are printed for each policy.
 const maxPrintedViolations = 3
 
+// printResults prints the faults of the scenario, a table with one row for each policy, and the first violations.
 func printResults(cmd *cli.Command, results []*emulator.Result) error {
 	out := cmd.Root().Writer
 	r := results[0]
@@ -180,7 +181,7 @@
 	return nil
 }
 
-// formatViolationCounts counts the violations of each rule.
+// formatViolationCounts returns the number of violations of each broken rule as text, or "none".
 func formatViolationCounts(r *emulator.Result) string {
 	if len(r.Broken) == 0 {
 		return "none"
--- a/cmd/tulipctl/simulate_survey.go
+++ b/cmd/tulipctl/simulate_survey.go
@@ -27,7 +27,7 @@
 func surveyDeployments(ctx context.Context, cmd *cli.Command) error {
 	draws, margin := cmd.Int("draws"), cmd.Float("margin")
 	if draws < 1 || margin < 0 {
-		return fmt.Errorf("survey: --draws must be above 0 and --margin not below")
+		return fmt.Errorf("survey: --draws must be above 0, and --margin must not be negative")
 	}
 	seeds := make([]uint64, draws)
 	for i := range seeds {
--- a/cmd/tulipctl/simulate_sweep.go
+++ b/cmd/tulipctl/simulate_sweep.go
@@ -94,7 +94,7 @@
 	return printSweep(cmd, rows)
 }
 
-// printSweep prints the means over the seeds of each cell.
+// printSweep prints a table with the mean of each metric over the seeds, one row for each cell of the grid.
 func printSweep(cmd *cli.Command, rows []experiment.Row) error {
 	metrics := []string{"score", "worth", "worst_window", "waste", "cross_site", "p99_ms", "rules_broken"}
 	t := newTable(cmd)
@@ -123,7 +123,7 @@
 	return t.Flush()
 }
 
-// countSameCell counts the rows at the start that differ only in their seeds.
+// countSameCell returns the number of leading rows that belong to the same cell, that is, differ only in their seeds.
 func countSameCell(rows []experiment.Row) int {
 	first, count := rows[0], 0
 	for count < len(rows) && rows[count].Policy == first.Policy && fmt.Sprint(rows[count].Set) == fmt.Sprint(first.Set) {
@@ -132,7 +132,8 @@
 	return count
 }
 
-// readRows reads the results that an argument FILE or FILE@POLICY names.
+// readRows reads the results that an argument of the form FILE or FILE@POLICY selects. Without a policy, all results
+// in the file must be of the same policy.
 func readRows(arg string) ([]experiment.Row, error) {
 	file, policyName, selected := strings.Cut(arg, "@")
 	rows, err := experiment.ReadRows(file)
@@ -142,7 +143,7 @@
 	if selected {
 		rows = experiment.OfPolicy(rows, policyName)
 		if len(rows) == 0 {
-			return nil, fmt.Errorf("%s: no run of policy %q", file, policyName)
+			return nil, fmt.Errorf("%s: the file holds no run of policy %q", file, policyName)
 		}
 		return rows, nil
 	}
@@ -156,7 +157,7 @@
 
 func compareResults(_ context.Context, cmd *cli.Command) error {
 	if cmd.StringArg("a") == "" || cmd.StringArg("b") == "" {
-		return fmt.Errorf("compare: two files of results are needed, A and B")
+		return fmt.Errorf("compare: the two arguments A and B, files of results, are required")
 	}
 	a, err := readRows(cmd.StringArg("a"))
 	if err != nil {
@@ -200,7 +201,7 @@
 		return err
 	}
 	if len(rows) == 0 {
-		return fmt.Errorf("%s: holds no runs", name)
+		return fmt.Errorf("%s: the file holds no runs", name)
 	}
 	return plots.Against(cmd.String("out"), rows, cmd.String("field"), cmd.String("metric"))
 }
--- a/cmd/tulipctl/survey_test.go
+++ b/cmd/tulipctl/survey_test.go
@@ -10,20 +10,23 @@
 	"tulipglade/internal/workload"
 )
 
-// A dozen drawn deployments with processes of the real program behind a frontend, on sockets: every call ends, most are served
-// in time, and no rule is broken. The emulator runs hundreds of them (TestSurvey); this test is about the node, which has to
-// carry out the decision module's commands.
+// TestDeploymentsOnSockets runs a dozen random deployments with real node processes behind a frontend, on sockets,
+// until every call has ended. It fails if a node breaks a rule of the protocol, if fewer than 70% of the calls are
+// served, or if health checks are sent or omitted contrary to the settings. TestSurvey runs hundreds of deployments in
+// the emulator; this test guards against a node that does not carry out the commands of the decision module.
 func TestDeploymentsOnSockets(t *testing.T) {
 	node := buildNode(t)
 	played := 0
 	for seed := uint64(1); played < 12; seed++ {
 		d := scenario.DrawDeployment(seed)
 		sc := d.Scenario()
-		if sc.Classes[0].Work < 40 || sc.Classes[0].Deadline > 2500 { // sockets have delays of their own, and the test must be short
+		// Short work is left out because sockets add delays of their own, and long deadlines because they prolong the test.
+		if sc.Classes[0].Work < 40 || sc.Classes[0].Deadline > 2500 {
 			continue
 		}
 		played++
-		// Few calls, whatever the fleet's capacity, so that a busy machine does not decide the result.
+		// The rate is limited independently of the fleet's capacity, so that the result does not depend on other load
+		// of the machine.
 		if err := sc.Check(); err != nil {
 			t.Fatal(err)
 		}
@@ -58,9 +61,9 @@
 				t.Errorf("%d of %d calls served: %v", served, r.Calls, r.Outcomes)
 			}
 			if probing := sc.Rules.AllowHealthChecks && sc.Rules.HealthCheckCost < 0.003; !probing && report.HealthChecks > 0 {
-				t.Errorf("%d probes, although they are forbidden or expensive", report.HealthChecks)
+				t.Errorf("%d probes, although health checks are forbidden or expensive", report.HealthChecks)
 			} else if probing && report.HealthChecks == 0 {
-				t.Error("no probes, although they are cheap")
+				t.Error("no probes, although health checks are allowed and cheap")
 			}
 		})
 	}
