--- a/cmd/tulipctl/survey_test.go
+++ b/cmd/tulipctl/survey_test.go
@@ -16,15 +16,15 @@
 // the emulator; this test guards against a node that does not carry out the commands of the decision module.
 func TestDeploymentsOnSockets(t *testing.T) {
 	node := buildNode(t)
-	played := 0
-	for seed := uint64(1); played < 12; seed++ {
+	deployments := 0
+	for seed := uint64(1); deployments < 12; seed++ {
 		d := scenario.DrawDeployment(seed)
 		sc := d.Scenario()
 		// Short work is left out because sockets add delays of their own, and long deadlines because they prolong the test.
 		if sc.Classes[0].Work < 40 || sc.Classes[0].Deadline > 2500 {
 			continue
 		}
-		played++
+		deployments++
 		// The rate is limited independently of the fleet's capacity, so that the result does not depend on other load
 		// of the machine.
 		if err := sc.Check(); err != nil {
