--- a/cmd/tulipctl/simulate_processes.go
+++ b/cmd/tulipctl/simulate_processes.go
@@ -177,7 +177,7 @@
 	if failed != nil {
 		return failed
 	}
-	writef(out, "schedule %d needs of its faults:\n", seed)
+	writef(out, "schedule %d still fails with only these faults:\n", seed)
 	for _, fault := range needed {
 		writeln(out, fault)
 	}
--- a/cmd/tulipctl/simulate_survey.go
+++ b/cmd/tulipctl/simulate_survey.go
@@ -49,7 +49,7 @@
 		}
 	} else {
 		t := newTable(cmd)
-		writef(t, "seed\tmodule\t%s\tfails by\tsettings that it takes\n", experiment.Baseline)
+		writef(t, "seed\tmodule\t%s\tfails by\tsettings needed to fail\n", experiment.Baseline)
 		for _, d := range failed {
 			writef(t, "%d\t%.3f\t%.3f\t%s %v\t%s\n",
 				d.Seed, d.Module, d.Baseline, d.Fault, d.Broken, strings.Join(d.RaisedSettings, "; "))
