--- a/cmd/tulipctl/legacy.go
+++ b/cmd/tulipctl/legacy.go
@@ -5,10 +5,11 @@
 	"strings"
 )
 
-// renamedCommands are sub-commands that had another name in earlier versions: scripts that use the old one keep working.
+// renamedCommands lists sub-commands that had another name in earlier versions, so that scripts that use the old name
+// keep working.
 var renamedCommands = []struct {
-	old []string
-	now []string
+	old     []string
+	current []string
 }{
 	{[]string{"lab"}, []string{"simulate"}},
 	{[]string{"world"}, []string{"cluster"}},
@@ -16,11 +17,11 @@
 	{[]string{"lease", "seats"}, []string{"lease", "slots"}},
 }
 
-// renamedFlags are flags that had another name in earlier versions, by the sub-command that has them.
+// renamedFlags lists flags that had another name in earlier versions, with the sub-command that they belong to.
 var renamedFlags = []struct {
 	command []string
 	old     string
-	now     string
+	current string
 }{
 	{[]string{"load", "proxy"}, "--box", "--backend"},
 	{[]string{"load", "find"}, "--refused", "--rejected"},
@@ -32,8 +33,8 @@
 	{[]string{"rollout"}, "--up", "--ready-timeout"},
 }
 
-// translateLegacyNames replaces names of earlier versions in a command line by the current ones. Arguments after "--" belong
-// to another program and stay as they are.
+// translateLegacyNames replaces names of sub-commands and flags from earlier versions in a command line by the current
+// names. Arguments after "--" belong to another program and are not changed.
 func translateLegacyNames(args []string) []string {
 	if len(args) < 2 {
 		return args
@@ -41,31 +42,33 @@
 	program, rest := args[0], slices.Clone(args[1:])
 	for _, renamed := range renamedCommands {
 		if hasPrefix(rest, renamed.old) {
-			rest = slices.Concat(renamed.now, rest[len(renamed.old):])
+			rest = slices.Concat(renamed.current, rest[len(renamed.old):])
 			break
 		}
 	}
 	for _, renamed := range renamedFlags {
 		if hasPrefix(rest, renamed.command) {
-			renameFlag(rest, renamed.old, renamed.now)
+			renameFlag(rest, renamed.old, renamed.current)
 		}
 	}
 	return append([]string{program}, rest...)
 }
 
+// hasPrefix reports whether args begins with the elements of prefix.
 func hasPrefix(args, prefix []string) bool {
 	return len(args) >= len(prefix) && slices.Equal(args[:len(prefix)], prefix)
 }
 
-func renameFlag(args []string, old, now string) {
+// renameFlag replaces the flag old by current in args, up to "--". It modifies args in place.
+func renameFlag(args []string, old, current string) {
 	for i, arg := range args {
 		if arg == "--" {
 			return
 		}
 		if arg == old {
-			args[i] = now
+			args[i] = current
 		} else if value, found := strings.CutPrefix(arg, old+"="); found {
-			args[i] = now + "=" + value
+			args[i] = current + "=" + value
 		}
 	}
 }
--- a/cmd/tulipctl/simulate_leases.go
+++ b/cmd/tulipctl/simulate_leases.go
@@ -24,11 +24,11 @@
 	}
 }
 
-// maxMembers is the largest group that can be simulated.
+// maxMembers is the largest number of members in a group of agents that tulipctl simulates or measures.
 const maxMembers = 9
 
 func simulateLeases(ctx context.Context, cmd *cli.Command) error {
-	schedules, without, err := scheduleFlags(cmd, map[string]leasesim.Ablation{
+	schedules, without, err := parseScheduleFlags(cmd, map[string]leasesim.Ablation{
 		"":      {},
 		"guard": {Guard: true},
 		"fence": {Fence: true},
@@ -41,7 +41,7 @@
 	}
 	members := cmd.Int("members")
 	if members < 0 || members > maxMembers || members == 0 && without.Sync {
-		return fmt.Errorf("leases: --members: %d: 1 to %d, or 0 for none; a disk only members have", members, maxMembers)
+		return fmt.Errorf("leases: --members: %d must be 0 to %d, and above 0 with --without sync, since only members have disks", members, maxMembers)
 	}
 	outcome, latencies, err := leasesim.RunSchedules(ctx, cmd.Uint64("seed"), schedules, without, members)
 	if err != nil {
@@ -50,7 +50,7 @@
 	if cmd.Bool("json") {
 		err = printJSON(cmd.Root().Writer, outcome)
 	} else {
-		t := table(cmd)
+		t := newTable(cmd)
 		printCounters(t, []counter{
 			{"schedules", outcome.Schedules},
 			{"grants", outcome.Grants},
--- a/cmd/tulipctl/simulate_survey.go
+++ b/cmd/tulipctl/simulate_survey.go
@@ -27,13 +27,13 @@
 func surveyDeployments(ctx context.Context, cmd *cli.Command) error {
 	draws, margin := cmd.Int("draws"), cmd.Float("margin")
 	if draws < 1 || margin < 0 {
-		return fmt.Errorf("survey: --draws must be above 0 and --margin not below")
+		return fmt.Errorf("survey: --draws must be above 0, and --margin must not be negative")
 	}
 	seeds := make([]uint64, draws)
 	for i := range seeds {
 		seeds[i] = cmd.Uint64("seed") + uint64(i)
 	}
-	all, err := experiment.Survey(ctx, seeds, margin, progress(cmd.Root().ErrWriter, "survey"))
+	all, err := experiment.Survey(ctx, seeds, margin, newProgressBar(cmd.Root().ErrWriter, "survey"))
 	if err != nil {
 		return err
 	}
@@ -48,8 +48,8 @@
 			return err
 		}
 	} else {
-		t := table(cmd)
-		writef(t, "seed\tmodule\t%s\tfails by\tsettings that it takes\n", experiment.Baseline)
+		t := newTable(cmd)
+		writef(t, "seed\tmodule\t%s\tfails by\tsettings needed to fail\n", experiment.Baseline)
 		for _, d := range failed {
 			writef(t, "%d\t%.3f\t%.3f\t%s %v\t%s\n",
 				d.Seed, d.Module, d.Baseline, d.Fault, d.Broken, strings.Join(d.RaisedSettings, "; "))
--- a/cmd/tulipctl/simulate_sweep.go
+++ b/cmd/tulipctl/simulate_sweep.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func compareCommand() *cli.Command {
+func compareResultsCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "compare",
 		Usage:     "compare results paired by seed; each is FILE or FILE@POLICY",
@@ -75,7 +75,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	rows, err := experiment.RunAll(ctx, cells, hash, cmd.String("out"), progress(cmd.Root().ErrWriter, name))
+	rows, err := experiment.RunAll(ctx, cells, hash, cmd.String("out"), newProgressBar(cmd.Root().ErrWriter, name))
 	if err != nil {
 		return err
 	}
@@ -94,17 +94,17 @@
 	return printSweep(cmd, rows)
 }
 
-// printSweep prints the means over the seeds of each cell.
+// printSweep prints a table with the mean of each metric over the seeds, one row for each cell of the grid.
 func printSweep(cmd *cli.Command, rows []experiment.Row) error {
 	metrics := []string{"score", "worth", "worst_window", "waste", "cross_site", "p99_ms", "rules_broken"}
-	t := table(cmd)
+	t := newTable(cmd)
 	write(t, "policy")
 	for _, v := range rows[0].Set {
 		write(t, "\t", v.Field)
 	}
 	writeln(t, "\truns\t"+strings.Join(metrics, "\t"))
 	for len(rows) > 0 {
-		count := sameCell(rows)
+		count := countSameCell(rows)
 		write(t, rows[0].Policy)
 		for _, v := range rows[0].Set {
 			write(t, "\t", v.Value)
@@ -123,8 +123,8 @@
 	return t.Flush()
 }
 
-// sameCell counts the rows at the start that differ only in their seeds.
-func sameCell(rows []experiment.Row) int {
+// countSameCell returns the number of leading rows that belong to the same cell, that is, differ only in their seeds.
+func countSameCell(rows []experiment.Row) int {
 	first, count := rows[0], 0
 	for count < len(rows) && rows[count].Policy == first.Policy && fmt.Sprint(rows[count].Set) == fmt.Sprint(first.Set) {
 		count++
@@ -132,7 +132,8 @@
 	return count
 }
 
-// readRows reads the results that an argument FILE or FILE@POLICY names.
+// readRows reads the results that an argument of the form FILE or FILE@POLICY selects. Without a policy, all results
+// in the file must be of the same policy.
 func readRows(arg string) ([]experiment.Row, error) {
 	file, policyName, selected := strings.Cut(arg, "@")
 	rows, err := experiment.ReadRows(file)
@@ -142,7 +143,7 @@
 	if selected {
 		rows = experiment.OfPolicy(rows, policyName)
 		if len(rows) == 0 {
-			return nil, fmt.Errorf("%s: no run of policy %q", file, policyName)
+			return nil, fmt.Errorf("%s: the file holds no run of policy %q", file, policyName)
 		}
 		return rows, nil
 	}
@@ -156,7 +157,7 @@
 
 func compareResults(_ context.Context, cmd *cli.Command) error {
 	if cmd.StringArg("a") == "" || cmd.StringArg("b") == "" {
-		return fmt.Errorf("compare: two files of results are needed, A and B")
+		return fmt.Errorf("compare: the two arguments A and B, files of results, are required")
 	}
 	a, err := readRows(cmd.StringArg("a"))
 	if err != nil {
@@ -177,7 +178,7 @@
 	if cmd.Bool("json") {
 		return printJSON(cmd.Root().Writer, all)
 	}
-	t := table(cmd)
+	t := newTable(cmd)
 	writeln(t, "metric\tpairs\tA\tB\tA - B\t95% interval\tA above\tA below\tsignificant")
 	for _, c := range all {
 		significant := "no"
@@ -200,7 +201,7 @@
 		return err
 	}
 	if len(rows) == 0 {
-		return fmt.Errorf("%s: holds no runs", name)
+		return fmt.Errorf("%s: the file holds no runs", name)
 	}
 	return plots.Against(cmd.String("out"), rows, cmd.String("field"), cmd.String("metric"))
 }
