--- a/internal/processtest/rollout_test.go
+++ b/internal/processtest/rollout_test.go
@@ -65,7 +65,7 @@
 	if err := third.command.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-third.exited; err == nil || !strings.Contains(third.text(), "written down") {
+	if err := <-third.exited; err == nil || !strings.Contains(third.text(), "is stored in the note of the lease") {
 		t.Errorf("the stopped command must fail after the takeover: %v\n%s", err, third.text())
 	}
 	if err := <-fourth.exited; err != nil {
